--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -30,7 +30,7 @@
 				return exitError(exitFault)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "good: %d segments of %d bytes, records %v, %d messages, %d ids of messages that are over\n",
-				in.Segments, in.Bytes, in.Records, len(in.Messages), in.Overs)
+				in.Segments, in.Bytes, in.Records, len(in.Messages), in.CompletedIDs)
 			return nil
 		},
 	}, exportCommand(), &cobra.Command{
@@ -89,13 +89,13 @@
 		Steps    int        `json:"steps"`
 		RiskAt   *time.Time `json:"may_have_run_since,omitempty"`
 		Owed     string     `json:"notice_owed,omitempty"`
-	}{m.Num, m.ID, m.Class, m.Dest, m.Key, m.Deadline.UTC(), len(m.Body), m.Steps, nil, ""}
-	if !m.RiskAt.IsZero() {
-		at := m.RiskAt.UTC()
+	}{m.Number, m.ID, m.Class, m.Dest, m.IdempotencyKey, m.Deadline.UTC(), len(m.Body), m.Attempts, nil, ""}
+	if !m.MayHaveRunSince.IsZero() {
+		at := m.MayHaveRunSince.UTC()
 		o.RiskAt = &at
 	}
-	if m.Owed != nil {
-		o.Owed = map[bool]string{true: "handed_back", false: "given_up"}[m.Owed.Refused]
+	if m.Notification != nil {
+		o.Owed = map[bool]string{true: "handed_back", false: "given_up"}[m.Notification.Returned]
 	}
 	return o
 }
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -115,8 +115,8 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"one", "two"} {
-		m := &memory.Message{Num: table.Next(), ID: id, Class: "fee-charge", Dest: 7, Body: []byte("body"), Notes: []byte("n")}
-		if err := j.Taken(table, m, true); err != nil {
+		m := &memory.Message{Number: table.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Body: []byte("body"), PluginNotes: []byte("n")}
+		if err := j.AppendAccepted(table, m, true); err != nil {
 			t.Fatal(err)
 		}
 		if taken, _ := j.Commit(); taken != nil {
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -30,7 +30,7 @@
 	Sockets                        int
 	Reports                        bool // answers may hold load reports
 	ConnectTimeout                 time.Duration
-	Known                          memory.PoolConfig
+	Known                          memory.EndpointList
 	Settings                       policy.Settings
 	PeerListen                     string   // where notes of other relays come in
 	Peers                          []string // their addresses by number, this one's included; none: no notes
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if known := doc.Get("known"); known.Type != gjson.Null {
-		if c.Known, err = memory.ParsePoolConfig(known.Raw); err != nil {
+		if c.Known, err = memory.ParseEndpointList(known.Raw); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -145,7 +145,7 @@
 	var kept *journal.Journal
 	var table *memory.Table
 	err = r.starting("journal can't be opened", func() (err error) {
-		kept, table, err = journal.Open(journal.Config{FS: journal.Dir(r.room.Path), Budget: budget, Bodies: bodies, Dates: r.folder.Dates(), Log: log})
+		kept, table, err = journal.Open(journal.Config{FS: journal.Dir(r.room.Path), Budget: budget, MaxBodyBytes: bodies, TimeScale: r.folder.Dates(), Log: log})
 		return err
 	})
 	if err != nil {
--- a/internal/daemon/inherit.go
+++ b/internal/daemon/inherit.go
@@ -48,7 +48,7 @@
 			err = errSuccessorUnread
 		} else {
 			err = h.patiently("a room can't be read", func() (err error) {
-				i.journal, i.table, err = journal.Open(journal.Config{FS: journal.Dir(r.Path), Budget: h.disk() - h.folder.Used(r), Dates: h.folder.Dates(), Log: h.log, Inline: true})
+				i.journal, i.table, err = journal.Open(journal.Config{FS: journal.Dir(r.Path), Budget: h.disk() - h.folder.Used(r), TimeScale: h.folder.Dates(), Log: h.log, CompactInline: true})
 				return err
 			})
 		}
@@ -69,7 +69,7 @@
 func dropOutdated(all []*inheritance) {
 	over, latest := map[string]struct{}{}, map[string]*memory.Message{}
 	for _, i := range all {
-		for _, id := range i.table.OverIDs() {
+		for _, id := range i.table.CompletedIDs() {
 			over[id] = struct{}{}
 		}
 		for _, m := range i.table.All() {
@@ -90,8 +90,8 @@
 // remove books m off, without an end of its own.
 func (i *inheritance) remove(m *memory.Message) {
 	i.table.Remove(m)
-	i.table.Forget(m.ID)
-	i.journal.Over(m, true) // so that its room gives way to the next part
+	i.table.ForgetCompleted(m.ID)
+	i.journal.AppendCompleted(m, true) // so that its room gives way to the next part
 }
 
 // adopt takes one room over, part by part, and clears it.
@@ -116,7 +116,7 @@
 		}
 		left = left[n:]
 	}
-	if !h.wait(h.host.Adopt(wire.Passed{Overs: i.table.OverIDs()})) {
+	if !h.wait(h.host.Adopt(wire.Passed{Overs: i.table.CompletedIDs()})) {
 		return h.ctx.Err()
 	}
 	return h.folder.Clear(i.room)
@@ -127,15 +127,15 @@
 	for _, m := range i.table.All() {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 	return all
 }
 
 // copyPart copies the first messages, one at least, whose bodies take up to so many bytes: the other journal has numbers of its own for them.
 func copyPart(all []*memory.Message, bytes int64) (n int, part []*memory.Message) {
-	for size := 0; n < len(all) && (n == 0 || size+all[n].Size() <= int(bytes)); n++ {
+	for size := 0; n < len(all) && (n == 0 || size+all[n].BodySize() <= int(bytes)); n++ {
 		m := *all[n]
-		part, size = append(part, &m), size+m.Size()
+		part, size = append(part, &m), size+m.BodySize()
 	}
 	return n, part
 }
--- a/internal/daemon/inherit_test.go
+++ b/internal/daemon/inherit_test.go
@@ -27,7 +27,7 @@
 
 // charge returns the charge "m" after so many calls, none of which has run.
 func charge(num uint32, steps int) *memory.Message {
-	return &memory.Message{Num: num, ID: "m", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour), Steps: steps}
+	return &memory.Message{Number: num, ID: "m", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour), Attempts: steps}
 }
 
 // leave writes a room as its process left it, with its lock fallen.
@@ -48,14 +48,14 @@
 	}
 	m := charge(7, a.steps)
 	if a.owed {
-		m.Owed = &memory.Notice{Refused: true}
+		m.Notification = &memory.Notification{Returned: true}
 	}
 	if !a.nothing {
-		kept.Kept(table, m)
+		kept.AppendTransferred(table, m)
 	}
 	if a.over {
 		table.Remove(m)
-		kept.Over(m, false)
+		kept.AppendCompleted(m, false)
 	}
 	if _, err := kept.Commit(); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	if m == nil {
 		t.Fatal("it is not in the successor's journal")
 	}
-	return m.Steps
+	return m.Attempts
 }
 
 // A room whose messages went on in one that can't be read is left alone.
@@ -221,14 +221,14 @@
 			c.leave(t, dir, "")
 			h := startSuccessor(t, dir)
 			news := handover.News{}
-			if err := h.folder.Give(journal.Give([]*memory.Message{charge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
+			if err := h.folder.Give(journal.EncodeTransfer([]*memory.Message{charge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
 				t.Fatal(err)
 			}
 			h.take()
 			if held, _ := h.host.Load(); held != c.held {
 				t.Errorf("%d held, want %d", held, c.held)
 			}
-			if m := found(t, h.room.Path); m != nil && m.Owed == nil {
+			if m := found(t, h.room.Path); m != nil && m.Notification == nil {
 				t.Errorf("it is still to be run: %+v", m)
 			}
 			if given := h.folder.Given(); len(given) > 0 {
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -134,7 +134,7 @@
 		})
 		if err == nil {
 			var text []byte
-			if msgs, text, err = journal.Given(raw, h.folder.Dates()); err == nil {
+			if msgs, text, err = journal.DecodeTransfer(raw, h.folder.Dates()); err == nil {
 				news, err = handover.Decode(text)
 			}
 		}
@@ -162,7 +162,7 @@
 	if !messages {
 		return
 	}
-	if err := h.folder.Replace(name, journal.Give(nil, news.Encode(), h.folder.Dates())); err != nil {
+	if err := h.folder.Replace(name, journal.EncodeTransfer(nil, news.Encode(), h.folder.Dates())); err != nil {
 		h.log.Warn("news of the process before are not kept for another start", "file", name, "err", err)
 		h.done(name)
 		delete(h.latest, from)
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -64,7 +64,7 @@
 	gives := func(owes string, msgs ...*memory.Message) {
 		t.Helper()
 		news := handover.News{Owes: []sequence.Message{{ID: owes, Subject: "s", Num: 1}}}
-		if err := old.Give(journal.Give(msgs, news.Encode(), clock.Scale{})); err != nil {
+		if err := old.Give(journal.EncodeTransfer(msgs, news.Encode(), clock.Scale{})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -75,7 +75,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			given, text, err := journal.Given(raw, clock.Scale{})
+			given, text, err := journal.DecodeTransfer(raw, clock.Scale{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -91,7 +91,7 @@
 		return owes, msgs
 	}
 	h := startSuccessor(t, dir)
-	gives("a", &memory.Message{Num: 2, ID: "m", Class: "fee", Body: []byte("x")})
+	gives("a", &memory.Message{Number: 2, ID: "m", Class: "fee", Body: []byte("x")})
 	for range 2 { // the second time it is known
 		h.spool(true)
 		if owes, msgs := kept(); len(owes) != 1 || owes[0] != "a" || msgs != 0 {
@@ -123,8 +123,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &memory.Message{Num: 3, ID: "given", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour)}
-	if err := old.Give(journal.Give([]*memory.Message{other}, (&handover.News{}).Encode(), clock.Scale{})); err != nil {
+	other := &memory.Message{Number: 3, ID: "given", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour)}
+	if err := old.Give(journal.EncodeTransfer([]*memory.Message{other}, (&handover.News{}).Encode(), clock.Scale{})); err != nil {
 		t.Fatal(err)
 	}
 	segments, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -21,8 +21,8 @@
 	List    *List           `json:"list,omitempty"`    // the pool config
 	Drained bool            `json:"drained,omitempty"` // the operators have emptied the relay
 
-	Owes    []sequence.Message `json:"owes,omitempty"`    // of ordered classes: all that it still owes and does not give here
-	Numbers *memory.Numbering  `json:"numbers,omitempty"` // how both number messages from now on
+	Owes    []sequence.Message      `json:"owes,omitempty"`    // of ordered classes: all that it still owes and does not give here
+	Numbers *memory.SharedNumbering `json:"numbers,omitempty"` // how both number messages from now on
 }
 
 // Wait is a told wait.
--- a/internal/lab/capacity/journal.go
+++ b/internal/lab/capacity/journal.go
@@ -16,14 +16,14 @@
 
 // openJournal opens a journal in a folder, with cleaning on the caller's goroutine.
 func openJournal(dir string) (*journal.Journal, *memory.Table, error) {
-	return journal.Open(journal.Config{FS: journal.Dir(dir), Budget: journalBudget, Log: slog.New(slog.DiscardHandler), Inline: true})
+	return journal.Open(journal.Config{FS: journal.Dir(dir), Budget: journalBudget, Log: slog.New(slog.DiscardHandler), CompactInline: true})
 }
 
 // taken is a message as a client hands it in.
 func taken(table *memory.Table) *memory.Message {
-	num := table.Next()
-	return &memory.Message{Num: num, ID: fmt.Sprintf("%016x", num), Class: "charge", Key: fmt.Sprintf("%032x", num), Body: make([]byte, bodySize),
-		Deadline: time.Unix(2_000_000_000, 0), Terms: memory.Terms{Effect: policy.Unsafe, Tenant: "customer", Subject: fmt.Sprintf("%016x", num)}}
+	num := table.NextNumber()
+	return &memory.Message{Number: num, ID: fmt.Sprintf("%016x", num), Class: "charge", IdempotencyKey: fmt.Sprintf("%032x", num), Body: make([]byte, bodySize),
+		Deadline: time.Unix(2_000_000_000, 0), Terms: memory.Terms{Effect: policy.Unsafe, Tenant: "customer", OrderingKey: fmt.Sprintf("%016x", num)}}
 }
 
 // fill writes so many messages into a new journal in a folder.
@@ -33,7 +33,7 @@
 		return nil, nil, err
 	}
 	for range messages {
-		if err := j.Taken(table, taken(table), false); err != nil {
+		if err := j.AppendAccepted(table, taken(table), false); err != nil {
 			return nil, nil, err
 		}
 		if err, _ := j.Commit(); err != nil {
@@ -80,7 +80,7 @@
 			return 0, err
 		}
 		defer j.Close()
-		return float64(j.Stats().Written), nil
+		return float64(j.Stats().BytesWritten), nil
 	})
 }
 
@@ -101,8 +101,8 @@
 			return 0, err
 		}
 		defer again.Close()
-		if table.Live() != size {
-			return 0, fmt.Errorf("%d of %d messages are there after a restart", table.Live(), size)
+		if table.PendingCount() != size {
+			return 0, fmt.Errorf("%d of %d messages are there after a restart", table.PendingCount(), size)
 		}
 		return float64(took.Nanoseconds()), nil
 	})
--- a/internal/lab/capacity/relay.go
+++ b/internal/lab/capacity/relay.go
@@ -128,7 +128,7 @@
 func wholeListTime(size int, seed uint64) (float64, error) {
 	text := listText(size)
 	return mean(func() error {
-		if _, err := memory.ParsePoolConfig(text); err != nil {
+		if _, err := memory.ParseEndpointList(text); err != nil {
 			return err
 		}
 		_, err := relayWith(size, 1, 4, seed)
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -33,14 +33,14 @@
 	defer j.Close()
 	var msgs []*memory.Message
 	for range 3 {
-		m := &memory.Message{Num: table.Next(), ID: "id", Class: "fee-charge", Dest: 7, Deadline: time.Unix(9, 0), Body: []byte("secret")}
-		if err := j.Taken(table, m, false); err != nil {
+		m := &memory.Message{Number: table.NextNumber(), ID: "id", Class: "fee-charge", Dest: 7, Deadline: time.Unix(9, 0), Body: []byte("secret")}
+		if err := j.AppendAccepted(table, m, false); err != nil {
 			t.Fatal(err)
 		}
 		msgs = append(msgs, m)
 	}
-	j.Out(time.Unix(3, 0), msgs)
-	j.Over(msgs[0], false)
+	j.AppendAttempt(time.Unix(3, 0), msgs)
+	j.AppendCompleted(msgs[0], false)
 	if taken, out := j.Commit(); taken != nil || out != nil {
 		t.Fatal(taken, out)
 	}
--- a/internal/memory/fields.go
+++ b/internal/memory/fields.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Fields takes a record of a journal apart; after the first field that is not there, Bad is set and nothing is left.
-type Fields struct {
-	B   []byte
-	Bad bool
+// FieldReader takes a record of a journal apart; after the first field that is not there, Bad is set and nothing is left.
+type FieldReader struct {
+	Rest      []byte
+	Malformed bool
 }
 
 // Uint takes an unsigned number.
-func (r *Fields) Uint() uint64 {
-	v, n := binary.Uvarint(r.B)
+func (r *FieldReader) Uint() uint64 {
+	v, n := binary.Uvarint(r.Rest)
 	if n <= 0 {
-		r.Bad, r.B = true, nil
+		r.Malformed, r.Rest = true, nil
 		return 0
 	}
-	r.B = r.B[n:]
+	r.Rest = r.Rest[n:]
 	return v
 }
 
 // Int takes a signed number.
-func (r *Fields) Int() int64 {
-	v, n := binary.Varint(r.B)
+func (r *FieldReader) Int() int64 {
+	v, n := binary.Varint(r.Rest)
 	if n <= 0 {
-		r.Bad, r.B = true, nil
+		r.Malformed, r.Rest = true, nil
 		return 0
 	}
-	r.B = r.B[n:]
+	r.Rest = r.Rest[n:]
 	return v
 }
 
-// Text takes bytes and their length before them. They are the record's own.
-func (r *Fields) Text() []byte {
+// Bytes takes bytes and their length before them. They are the record's own.
+func (r *FieldReader) Bytes() []byte {
 	n := r.Uint()
-	if r.Bad || n > uint64(len(r.B)) {
-		r.Bad, r.B = true, nil
+	if r.Malformed || n > uint64(len(r.Rest)) {
+		r.Malformed, r.Rest = true, nil
 		return nil
 	}
-	s := r.B[:n]
-	r.B = r.B[n:]
+	s := r.Rest[:n]
+	r.Rest = r.Rest[n:]
 	return s
 }
 
-// Notice takes what a message's notice says.
-func (r *Fields) Notice() Notice {
-	if len(r.B) == 0 {
-		r.Bad = true
-		return Notice{}
+// Notification takes what a message's notice says.
+func (r *FieldReader) Notification() Notification {
+	if len(r.Rest) == 0 {
+		r.Malformed = true
+		return Notification{}
 	}
-	refused := r.B[0] == 1
-	r.B = r.B[1:]
-	return Notice{Refused: refused, Advice: time.Duration(r.Uint()) * time.Microsecond}
+	refused := r.Rest[0] == 1
+	r.Rest = r.Rest[1:]
+	return Notification{Returned: refused, RetryAfter: time.Duration(r.Uint()) * time.Microsecond}
 }
 
-// WallTime is a date in microseconds; 0 is none.
-func WallTime(us int64) time.Time {
+// TimeFromMicros is a date in microseconds; 0 is none.
+func TimeFromMicros(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
 	}
--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -40,7 +40,7 @@
 				if failing > 1 && several > 1 && taken == nil { // one failure is made good by a second cut
 					t.Fatal("the commit has passed")
 				}
-				next, table, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 1 << 20, Log: quiet, Inline: true})
+				next, table, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 1 << 20, Log: quiet, CompactInline: true})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -59,8 +59,8 @@
 }
 
 func refusable(l *life, id string, body int) *memory.Message {
-	m := &memory.Message{Num: l.t.Next(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall, Body: make([]byte, body)}
-	if err := l.j.Taken(l.t, m, false); err != nil {
+	m := &memory.Message{Number: l.t.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall, Body: make([]byte, body)}
+	if err := l.j.AppendAccepted(l.t, m, false); err != nil {
 		panic(err)
 	}
 	return m
--- a/internal/memory/journal/bench_test.go
+++ b/internal/memory/journal/bench_test.go
@@ -21,8 +21,8 @@
 var at = time.UnixMicro(1_700_000_000_000_000)
 
 func message(t *memory.Table, body int) *memory.Message {
-	n := t.Next()
-	return &memory.Message{Num: n, ID: fmt.Sprintf("%016x", n), Class: "fee-charge", Key: fmt.Sprintf("%032x", n), Dest: int(n % 30), Deadline: at, Body: make([]byte, body)}
+	n := t.NextNumber()
+	return &memory.Message{Number: n, ID: fmt.Sprintf("%016x", n), Class: "fee-charge", IdempotencyKey: fmt.Sprintf("%032x", n), Dest: int(n % 30), Deadline: at, Body: make([]byte, body)}
 }
 
 // either is the old journal or the new one, driven by an owner that takes so many messages in a turn.
@@ -57,14 +57,14 @@
 	if e.old != nil {
 		return e.old.Taken(e.t, m)
 	}
-	return e.now.Taken(e.t, m, true)
+	return e.now.AppendAccepted(e.t, m, true)
 }
 
 func (e *either) step(m *memory.Message) {
 	if e.old != nil {
 		e.old.Out(e.t, at, []*memory.Message{m})
 	} else {
-		e.now.Out(at, []*memory.Message{m})
+		e.now.AppendAttempt(at, []*memory.Message{m})
 	}
 }
 
@@ -73,7 +73,7 @@
 	if e.old != nil {
 		e.old.Over(e.t, m)
 	} else {
-		e.now.Over(m, false)
+		e.now.AppendCompleted(m, false)
 	}
 }
 
@@ -238,27 +238,27 @@
 	dir := t.TempDir()
 	e := open(t, true, dir, 1<<20)
 	held := message(e.t, 100)
-	held.Notes = []byte("notes")
+	held.PluginNotes = []byte("notes")
 	out, owed, over := message(e.t, 10), message(e.t, 10), message(e.t, 10)
 	for _, m := range []*memory.Message{held, out, owed, over} {
 		if err := e.taken(m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	out.Out = &memory.Out{WallAt: at}
+	out.InFlight = &memory.Attempt{StartedAt: at}
 	e.step(out)
-	e.t.Owe(owed, memory.Notice{Refused: true, Advice: time.Second})
+	e.t.MarkUndelivered(owed, memory.Notification{Returned: true, RetryAfter: time.Second})
 	e.old.Owed(e.t, owed)
 	e.over(over)
 	e.close()
 	for life := range 3 {
 		e = open(t, false, dir, 1<<20)
 		got := e.t.All()
-		if len(got) != 3 || string(got[held.Num].Notes) != "notes" || len(got[held.Num].Body) != 100 || !got[out.Num].RiskAt.Equal(at) || got[out.Num].Steps != 1 ||
-			got[owed.Num].Owed == nil || *got[owed.Num].Owed != (memory.Notice{Refused: true, Advice: time.Second}) {
+		if len(got) != 3 || string(got[held.Number].PluginNotes) != "notes" || len(got[held.Number].Body) != 100 || !got[out.Number].MayHaveRunSince.Equal(at) || got[out.Number].Attempts != 1 ||
+			got[owed.Number].Notification == nil || *got[owed.Number].Notification != (memory.Notification{Returned: true, RetryAfter: time.Second}) {
 			t.Fatalf("life %d: %+v", life, got)
 		}
-		if n := e.t.Next(); n <= owed.Num {
+		if n := e.t.NextNumber(); n <= owed.Number {
 			t.Errorf("number %d again", n)
 		}
 		names, _ := Dir(dir).List()
@@ -283,8 +283,8 @@
 			e.step(m)
 		}
 		if i%6 == 1 {
-			e.t.Owe(m, memory.Notice{Refused: true})
-			e.now.Owed(m)
+			e.t.MarkUndelivered(m, memory.Notification{Returned: true})
+			e.now.AppendUndelivered(m)
 		}
 		if i%100 == 99 {
 			e.commit(t)
@@ -295,10 +295,10 @@
 		e = open(t, false, dir, 256<<20)
 		out, owed := 0, 0
 		for _, m := range e.t.All() {
-			if !m.RiskAt.IsZero() {
+			if !m.MayHaveRunSince.IsZero() {
 				out++
 			}
-			if m.Owed != nil {
+			if m.Notification != nil {
 				owed++
 			}
 		}
@@ -315,22 +315,22 @@
 	var err error
 	e := &either{}
 	// Inline: a loop without work between its turns outruns a cleaner beside it, and how far is the machine's doing.
-	if e.now, e.t, err = Open(Config{FS: Dir(dir), Budget: 4 << 20, Log: quiet, Inline: true}); err != nil {
+	if e.now, e.t, err = Open(Config{FS: Dir(dir), Budget: 4 << 20, Log: quiet, CompactInline: true}); err != nil {
 		t.Fatal(err)
 	}
 	e.flow(t, 20_000, 0, 16, 212)
 	e.close()
 	e = open(t, false, dir, 4<<20)
 	defer e.close()
-	for _, n := range []int{20_000, 20_000 - memory.OverMost + 1} {
-		if !e.t.Over(fmt.Sprintf("%016x", n)) {
+	for _, n := range []int{20_000, 20_000 - memory.MaxCompletedIDs + 1} {
+		if !e.t.RecentlyCompleted(fmt.Sprintf("%016x", n)) {
 			t.Errorf("the id of message %d is forgotten", n)
 		}
 	}
-	if e.t.Over(fmt.Sprintf("%016x", 1)) || e.t.Overs() != memory.OverMost {
-		t.Errorf("%d ids kept", e.t.Overs())
+	if e.t.RecentlyCompleted(fmt.Sprintf("%016x", 1)) || e.t.CompletedCount() != memory.MaxCompletedIDs {
+		t.Errorf("%d ids kept", e.t.CompletedCount())
 	}
-	if s := e.now.Stats(); s.Used > 2<<20 {
-		t.Errorf("%d bytes for nothing that is held", s.Used)
+	if s := e.now.Stats(); s.UsedBytes > 2<<20 {
+		t.Errorf("%d bytes for nothing that is held", s.UsedBytes)
 	}
 }
--- a/internal/memory/journal/clean.go
+++ b/internal/memory/journal/clean.go
@@ -75,13 +75,13 @@
 
 // clean starts the cleaning of a segment that is worth it.
 func (j *Journal) clean() {
-	if j.busy || j.torn || j.stats.Commits-j.looked < lookTurn && !j.set.Inline {
+	if j.busy || j.torn || j.stats.Commits-j.looked < lookTurn && !j.set.CompactInline {
 		return
 	}
 	j.looked = j.stats.Commits
 	all := j.plan[:0]
 	for i, g := range j.segs {
-		if g.floor > 0 && j.overs-g.floorAt > memory.OverMost || g.waits && !j.older(i) {
+		if g.floor > 0 && j.overs-g.floorAt > memory.MaxCompletedIDs || g.waits && !j.older(i) {
 			g.floor, g.waits = 0, false // what it kept need not be kept any more
 		}
 		all = append(all, plan.Segment{Size: g.size, Live: g.live, Floor: g.floor, Busy: g.busy || i == len(j.segs)-1})
@@ -96,10 +96,10 @@
 	for n := range g.nums {
 		w.live = append(w.live, n)
 	}
-	w.keepOver = j.overs - min(j.overs, memory.OverMost) + 1
+	w.keepOver = j.overs - min(j.overs, memory.MaxCompletedIDs) + 1
 	w.allOver = j.older(i)
 	g.busy, j.busy = true, true
-	if j.set.Inline {
+	if j.set.CompactInline {
 		j.cleaned(w.run(j.set.FS, noRest))
 		return
 	}
@@ -134,8 +134,8 @@
 		g.floor, g.floorAt = g.size-g.live, j.overs // not again before long
 		return
 	}
-	j.stats.Cleaned++
-	j.stats.CleanedBytes += r.size
+	j.stats.Compactions++
+	j.stats.CompactedBytes += r.size
 	g.cleaned = r.active
 	if r.size == 0 {
 		j.grow(g, 0)
@@ -174,7 +174,7 @@
 		}
 		if payload[0] == recOver {
 			f := read(payload, clock.Scale{})
-			num, ordinal, id := uint32(f.Uint()), f.Uint(), f.Text()
+			num, ordinal, id := uint32(f.Uint()), f.Uint(), f.Bytes()
 			_, here := taken[num]
 			waits := w.allOver && !here
 			r.waits = r.waits || waits
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -18,8 +18,8 @@
 	d.FileRoom(30_000)
 	const messages, body = 100, 2000
 	for n := range messages {
-		m := &memory.Message{Num: l.t.Next(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
-		if err := l.j.Taken(l.t, m, true); err != nil {
+		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
+		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
 			t.Fatalf("message %d: %v", n, err)
 		}
 		if taken, out := l.j.Commit(); taken != nil || out != nil {
--- a/internal/memory/journal/given.go
+++ b/internal/memory/journal/given.go
@@ -13,30 +13,30 @@
 // notes, and last one record of news, which this package only carries.
 const recNews byte = 'W'
 
-// ErrGiven says that a given file is not whole.
-var ErrGiven = errors.New("journal: given file is not whole")
+// ErrIncompleteTransfer says that a given file is not whole.
+var ErrIncompleteTransfer = errors.New("journal: given file is not whole")
 
-// Give writes messages as they stand, dated on a scale that both processes have, and news. Their bodies have to be in memory; one that was not kept is, from here on.
-func Give(msgs []*memory.Message, news []byte, dates clock.Scale) []byte {
+// EncodeTransfer writes messages as they stand, dated on a scale that both processes have, and news. Their bodies have to be in memory; one that was not kept is, from here on.
+func EncodeTransfer(msgs []*memory.Message, news []byte, dates clock.Scale) []byte {
 	b := appendHead(nil, 0, 0, 0)
 	for _, m := range msgs {
 		kept := *m
-		kept.Unkept = false
+		kept.MemoryOnly = false
 		at := len(b)
-		if b = frame(appendKept(append(begin(b), recKept), &kept, dates), at); len(m.Notes) > 0 {
+		if b = frame(appendKept(append(begin(b), recKept), &kept, dates), at); len(m.PluginNotes) > 0 {
 			at = len(b)
-			b = frame(appendText(head(begin(b), recNotes, m.Num), m.Notes), at)
+			b = frame(appendText(head(begin(b), recNotes, m.Number), m.PluginNotes), at)
 		}
 		if at = len(b); m.Terms != (memory.Terms{}) {
-			b = frame(appendTerms(head(begin(b), recTerms, m.Num), m.Terms), at)
+			b = frame(appendTerms(head(begin(b), recTerms, m.Number), m.Terms), at)
 		}
 	}
 	at := len(b)
 	return frame(append(append(begin(b), recNews), news...), at)
 }
 
-// Given reads such a file. Numbers are those of the process that gave.
-func Given(raw []byte, dates clock.Scale) (msgs []*memory.Message, news []byte, err error) {
+// DecodeTransfer reads such a file. Numbers are those of the process that gave.
+func DecodeTransfer(raw []byte, dates clock.Scale) (msgs []*memory.Message, news []byte, err error) {
 	s, whole := newState(dates), false
 	end := walk(raw, func(_, _ int, payload []byte, bad error) {
 		switch {
@@ -53,35 +53,35 @@
 		}
 	})
 	if err != nil || !whole || end < len(raw) {
-		return nil, nil, fmt.Errorf("%w: %w", ErrGiven, errors.Join(err, io.ErrUnexpectedEOF))
+		return nil, nil, fmt.Errorf("%w: %w", ErrIncompleteTransfer, errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	return msgs, news, nil
 }
 
-// Kept adds a message that another process had taken on, as it stands, and enters it into t. Like an end it is written as soon as the
+// AppendTransferred adds a message that another process had taken on, as it stands, and enters it into t. Like an end it is written as soon as the
 // disk takes it: it was promised already.
-func (j *Journal) Kept(t *memory.Table, m *memory.Message) {
-	j.top = max(j.top, m.Num)
+func (j *Journal) AppendTransferred(t *memory.Table, m *memory.Message) {
+	j.top = max(j.top, m.Number)
 	j.open()
-	j.arena = appendKept(append(j.arena, recKept), m, j.set.Dates)
-	if j.shut(entry{num: m.Num}); len(m.Notes) > 0 {
+	j.arena = appendKept(append(j.arena, recKept), m, j.set.TimeScale)
+	if j.shut(entry{num: m.Number}); len(m.PluginNotes) > 0 {
 		j.open()
-		j.arena = appendText(head(j.arena, recNotes, m.Num), m.Notes)
-		j.shut(entry{num: m.Num})
+		j.arena = appendText(head(j.arena, recNotes, m.Number), m.PluginNotes)
+		j.shut(entry{num: m.Number})
 	}
 	if m.Terms != (memory.Terms{}) {
 		j.open()
-		j.arena = appendTerms(head(j.arena, recTerms, m.Num), m.Terms)
-		j.shut(entry{num: m.Num})
+		j.arena = appendTerms(head(j.arena, recTerms, m.Number), m.Terms)
+		j.shut(entry{num: m.Number})
 	}
 	t.Add(m)
 }
 
-// Pending tells whether records wait for a disk that takes them.
-func (j *Journal) Pending() bool { return len(j.batch) > 0 }
+// HasUnwritten tells whether records wait for a disk that takes them.
+func (j *Journal) HasUnwritten() bool { return len(j.batch) > 0 }
 
-// Used is what the journal's files take.
-func (j *Journal) Used() int64 { return j.used() }
+// UsedBytes is what the journal's files take.
+func (j *Journal) UsedBytes() int64 { return j.used() }
 
-// Sick tells whether the disk took no records at the last commit that had some.
-func (j *Journal) Sick() bool { return j.sick }
+// Unavailable tells whether the disk took no records at the last commit that had some.
+func (j *Journal) Unavailable() bool { return j.sick }
--- a/internal/memory/journal/given_test.go
+++ b/internal/memory/journal/given_test.go
@@ -13,27 +13,27 @@
 func TestGivenComesWholeOrNotAtAll(t *testing.T) {
 	risk := time.UnixMicro(1_700_000_000_000_000)
 	msgs := []*memory.Message{
-		{Num: 9, ID: "a", Class: "fee", Key: "k", Dest: 7, Body: []byte("body"), Notes: []byte("noted"), Deadline: risk, Steps: 2, RiskAt: risk},
-		{Num: 3, ID: "b", Class: "alert", Body: []byte("only in memory"), Unkept: true, Deadline: risk},
+		{Number: 9, ID: "a", Class: "fee", IdempotencyKey: "k", Dest: 7, Body: []byte("body"), PluginNotes: []byte("noted"), Deadline: risk, Attempts: 2, MayHaveRunSince: risk},
+		{Number: 3, ID: "b", Class: "alert", Body: []byte("only in memory"), MemoryOnly: true, Deadline: risk},
 	}
-	raw := Give(msgs, []byte("news"), clock.Scale{})
-	got, news, err := Given(raw, clock.Scale{})
+	raw := EncodeTransfer(msgs, []byte("news"), clock.Scale{})
+	got, news, err := DecodeTransfer(raw, clock.Scale{})
 	if err != nil || string(news) != "news" || len(got) != 2 {
 		t.Fatalf("%v, %q, %v", got, news, err)
 	}
-	if a := got[0]; a.ID != "a" || a.Key != "k" || a.Dest != 7 || string(a.Body) != "body" || string(a.Notes) != "noted" || a.Steps != 2 || !a.RiskAt.Equal(risk) {
+	if a := got[0]; a.ID != "a" || a.IdempotencyKey != "k" || a.Dest != 7 || string(a.Body) != "body" || string(a.PluginNotes) != "noted" || a.Attempts != 2 || !a.MayHaveRunSince.Equal(risk) {
 		t.Errorf("%+v", a)
 	}
-	if b := got[1]; b.ID != "b" || string(b.Body) != "only in memory" || b.Unkept || !b.RiskAt.IsZero() || !msgs[1].Unkept {
+	if b := got[1]; b.ID != "b" || string(b.Body) != "only in memory" || b.MemoryOnly || !b.MayHaveRunSince.IsZero() || !msgs[1].MemoryOnly {
 		t.Errorf("%+v", b)
 	}
 	for n := range raw {
-		if _, _, err := Given(raw[:n], clock.Scale{}); err == nil {
+		if _, _, err := DecodeTransfer(raw[:n], clock.Scale{}); err == nil {
 			t.Fatalf("cut at %d passes", n)
 		}
 		flipped := bytes.Clone(raw)
 		flipped[n] ^= 1
-		if _, _, err := Given(flipped, clock.Scale{}); err == nil && n >= headSize {
+		if _, _, err := DecodeTransfer(flipped, clock.Scale{}); err == nil && n >= headSize {
 			t.Fatalf("flipped at %d passes", n)
 		}
 	}
@@ -42,25 +42,25 @@
 // What another process had taken on is in the journal once committed, also where the disk refuses it at first.
 func TestKeptOutlastsTheProcess(t *testing.T) {
 	dir := Dir(t.TempDir())
-	j, table, err := Open(Config{FS: dir, Budget: 1 << 20, Inline: true, Log: quiet})
+	j, table, err := Open(Config{FS: dir, Budget: 1 << 20, CompactInline: true, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	risk := time.UnixMicro(1_700_000_000_000_000)
-	j.Kept(table, &memory.Message{Num: table.Next(), ID: "a", Class: "fee", Body: []byte("body"), Steps: 2, RiskAt: risk})
-	if !j.Pending() {
+	j.AppendTransferred(table, &memory.Message{Number: table.NextNumber(), ID: "a", Class: "fee", Body: []byte("body"), Attempts: 2, MayHaveRunSince: risk})
+	if !j.HasUnwritten() {
 		t.Error("nothing waits to be written")
 	}
-	if taken, out := j.Commit(); taken != nil || out != nil || j.Pending() {
+	if taken, out := j.Commit(); taken != nil || out != nil || j.HasUnwritten() {
 		t.Fatal(taken, out)
 	}
 	j.Close()
-	j, table, err = Open(Config{FS: dir, Budget: 1 << 20, Inline: true, Log: quiet})
+	j, table, err = Open(Config{FS: dir, Budget: 1 << 20, CompactInline: true, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
-	if m := table.ByID("a"); m == nil || m.Steps != 2 || !m.RiskAt.Equal(risk) || string(m.Body) != "body" {
+	if m := table.ByID("a"); m == nil || m.Attempts != 2 || !m.MayHaveRunSince.Equal(risk) || string(m.Body) != "body" {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/memory/journal/inspect.go
+++ b/internal/memory/journal/inspect.go
@@ -36,12 +36,12 @@
 
 // Inspection is what a state folder holds, as the next start would read it.
 type Inspection struct {
-	Segments int
-	Bytes    int64
-	Records  map[string]int    // by kind
-	Messages []*memory.Message // that are owed their end, or a notice of it, by number
-	Overs    int               // ids of messages that are over and known
-	Faults   []Fault
+	Segments     int
+	Bytes        int64
+	Records      map[string]int    // by kind
+	Messages     []*memory.Message // that are owed their end, or a notice of it, by number
+	CompletedIDs int               // ids of messages that are over and known
+	Faults       []Fault
 }
 
 var kindNames = map[byte]string{recTaken: "taken", recKept: "kept", recUnkept: "taken, body not kept", recNotes: "notes", recTerms: "terms", recOut: "out", recNotRun: "not run", recOwed: "owed", recOver: "over"}
@@ -102,8 +102,8 @@
 	for _, m := range s.table.All() {
 		in.Messages = append(in.Messages, m)
 	}
-	slices.SortFunc(in.Messages, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
-	in.Overs = s.table.Overs()
+	slices.SortFunc(in.Messages, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
+	in.CompletedIDs = s.table.CompletedCount()
 	return in, told
 }
 
@@ -114,7 +114,7 @@
 	switch payload[0] {
 	case recTaken, recUnkept, recKept:
 		m := f.message()
-		r.Num, r.ID, r.Class, r.Dest, r.Key, r.AtUs = m.Num, m.ID, m.Class, &m.Dest, m.Key, m.Deadline.UnixMicro()
+		r.Num, r.ID, r.Class, r.Dest, r.Key, r.AtUs = m.Number, m.ID, m.Class, &m.Dest, m.IdempotencyKey, m.Deadline.UnixMicro()
 	case recOut:
 		r.AtUs = f.Int()
 		nums(payload, func(n uint32) { r.Nums = append(r.Nums, int(n)) })
@@ -123,11 +123,11 @@
 		}
 	case recOwed:
 		r.Num = uint32(f.Uint())
-		r.Outcome = map[bool]string{true: "handed_back", false: "given_up"}[f.Notice().Refused]
+		r.Outcome = map[bool]string{true: "handed_back", false: "given_up"}[f.Notification().Returned]
 	case recOver:
 		r.Num = uint32(f.Uint())
 		f.Uint()
-		r.ID = string(f.Text())
+		r.ID = string(f.Bytes())
 	default:
 		r.Num = uint32(f.Uint())
 	}
--- a/internal/memory/journal/journal.go
+++ b/internal/memory/journal/journal.go
@@ -24,8 +24,8 @@
 // ErrFull says that a record would go over the disk budget.
 var ErrFull = errors.New("journal: over the disk budget")
 
-// ErrSick says that the disk does not take records now; it is tried again with each commit that has something to write.
-var ErrSick = errors.New("journal: the disk takes no records")
+// ErrUnavailable says that the disk does not take records now; it is tried again with each commit that has something to write.
+var ErrUnavailable = errors.New("journal: the disk takes no records")
 
 const (
 	segmentExt  = ".seg"
@@ -36,12 +36,12 @@
 
 // Config is what a journal is made from.
 type Config struct {
-	FS     FS
-	Budget int64       // bytes that all files together may take
-	Bodies int64       // bytes that bodies of held messages may take in memory; 0: any number
-	Dates  clock.Scale // that records are dated on; the zero one is the wall clock
-	Log    *slog.Logger
-	Inline bool // clean on the owner's goroutine: for tests that count operations
+	FS            FS
+	Budget        int64       // bytes that all files together may take
+	MaxBodyBytes  int64       // bytes that bodies of held messages may take in memory; 0: any number
+	TimeScale     clock.Scale // that records are dated on; the zero one is the wall clock
+	Log           *slog.Logger
+	CompactInline bool // clean on the owner's goroutine: for tests that count operations
 }
 
 // Journal is owned by one goroutine.
@@ -73,10 +73,10 @@
 
 // Stats counts since the journal was opened.
 type Stats struct {
-	Written, Commits, Records, Failures int64
-	Cleaned, CleanedBytes               int64 // segments, and bytes that their copies took
-	Segments                            int
-	Used                                int64
+	BytesWritten, Commits, Records, Failures int64
+	Compactions, CompactedBytes              int64 // segments, and bytes that their copies took
+	Segments                                 int
+	UsedBytes                                int64
 }
 
 type segment struct {
@@ -174,15 +174,15 @@
 	return j.file.Close()
 }
 
-// Resize sets a new budget; what is there stays.
-func (j *Journal) Resize(budget int64) { j.set.Budget = budget }
+// SetBudget sets a new budget; what is there stays.
+func (j *Journal) SetBudget(budget int64) { j.set.Budget = budget }
 
 // used is what all files take.
 func (j *Journal) used() int64 { return j.total + j.keep }
 
 // Stats returns the counts so far.
 func (j *Journal) Stats() Stats {
-	j.stats.Segments, j.stats.Used = len(j.segs), j.used()
+	j.stats.Segments, j.stats.UsedBytes = len(j.segs), j.used()
 	return j.stats
 }
 
@@ -205,63 +205,63 @@
 	return binary.AppendUvarint(append(b, kind), uint64(num))
 }
 
-// Taken adds that m is taken on, and enters it into t. It holds once Commit has succeeded: only then may its client hear of it.
+// AppendAccepted adds that m is taken on, and enters it into t. It holds once Commit has succeeded: only then may its client hear of it.
 // If Commit fails, the caller takes m out of the table again. Where there is no room for its body, a message that is
 // not repeatable may be taken on with its body in memory only: m.Unkept tells. The others' bodies may be let go by Settle.
-func (j *Journal) Taken(t *memory.Table, m *memory.Message, repeatable bool) error {
+func (j *Journal) AppendAccepted(t *memory.Table, m *memory.Message, repeatable bool) error {
 	if j.sick || j.keep == 0 && j.reserve() > 0 {
-		return ErrSick // also while the reserve is used up: what is taken on must be able to end
+		return ErrUnavailable // also while the reserve is used up: what is taken on must be able to end
 	}
-	size := int64(frameHead + 40 + len(m.ID) + len(m.Class) + len(m.Key) + len(m.Body) + len(m.Notes) + len(m.Tenant) + len(m.Subject))
+	size := int64(frameHead + 40 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body) + len(m.PluginNotes) + len(m.Tenant) + len(m.OrderingKey))
 	used := j.used() + j.batchB
 	kind := recTaken
-	keptB, unkeptB := t.Bodies()
-	switch plan.Body(keptB, unkeptB, j.set.Bodies, int64(len(m.Body)), plan.Room(j.set.Budget, used, len(j.spots), size),
+	keptB, unkeptB := t.BodyBytes()
+	switch plan.Body(keptB, unkeptB, j.set.MaxBodyBytes, int64(len(m.Body)), plan.Room(j.set.Budget, used, len(j.spots), size),
 		plan.Room(j.set.Budget, used, len(j.spots), size-int64(len(m.Body))), repeatable) {
 	case plan.None:
 		return ErrFull
 	case plan.Unkept:
-		kind, m.Unkept = recUnkept, true
+		kind, m.MemoryOnly = recUnkept, true
 	}
-	j.top = max(j.top, m.Num)
+	j.top = max(j.top, m.Number)
 	j.open()
-	j.arena = appendTerms(appendMessage(append(j.arena, kind), m, j.set.Dates), m.Terms)
-	if j.shut(entry{num: m.Num, kind: entryTaken}); len(m.Notes) > 0 {
+	j.arena = appendTerms(appendMessage(append(j.arena, kind), m, j.set.TimeScale), m.Terms)
+	if j.shut(entry{num: m.Number, kind: entryTaken}); len(m.PluginNotes) > 0 {
 		j.open()
-		j.arena = appendText(head(j.arena, recNotes, m.Num), m.Notes)
-		j.shut(entry{num: m.Num, kind: entryTaken})
+		j.arena = appendText(head(j.arena, recNotes, m.Number), m.PluginNotes)
+		j.shut(entry{num: m.Number, kind: entryTaken})
 	}
 	t.Add(m)
 	return nil
 }
 
-// Settle lets go of the body of m, whose record is committed, while bodies take more memory than they may.
-func (j *Journal) Settle(t *memory.Table, m *memory.Message) {
-	if kept, _ := t.Bodies(); j.set.Bodies > 0 && kept > j.set.Bodies && !m.Unkept && len(m.Body) > 0 {
-		t.Spill(m)
+// LimitBodyMemory lets go of the body of m, whose record is committed, while bodies take more memory than they may.
+func (j *Journal) LimitBodyMemory(t *memory.Table, m *memory.Message) {
+	if kept, _ := t.BodyBytes(); j.set.MaxBodyBytes > 0 && kept > j.set.MaxBodyBytes && !m.MemoryOnly && len(m.Body) > 0 {
+		t.SpillBody(m)
 	}
 }
 
-// ErrBody says that a body that was let go can't be read again.
-var ErrBody = errors.New("journal: body lost")
+// ErrBodyLost says that a body that was let go can't be read again.
+var ErrBodyLost = errors.New("journal: body lost")
 
-// Body returns what reads the body of m again. It may be called on any goroutine, once, and waits for the disk.
-func (j *Journal) Body(m *memory.Message) func() ([]byte, error) {
-	at, ok := j.spots[m.Num]
+// BodyLoader returns what reads the body of m again. It may be called on any goroutine, once, and waits for the disk.
+func (j *Journal) BodyLoader(m *memory.Message) func() ([]byte, error) {
+	at, ok := j.spots[m.Number]
 	if !ok {
-		return func() ([]byte, error) { return nil, ErrBody }
+		return func() ([]byte, error) { return nil, ErrBodyLost }
 	}
 	// Cleaning renames a copy over the segment: under its name there is always one that has the record.
-	name, fs, num, dates := at.first.seg.name(), j.set.FS, m.Num, j.set.Dates
+	name, fs, num, dates := at.first.seg.name(), j.set.FS, m.Number, j.set.TimeScale
 	return func() (body []byte, err error) {
 		raw, err := fs.Read(name)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrBody, err)
+			return nil, fmt.Errorf("%w: %w", ErrBodyLost, err)
 		}
-		err = ErrBody
+		err = ErrBodyLost
 		walk(raw, func(_, _ int, payload []byte, bad error) {
 			if bad == nil && err != nil && (payload[0] == recTaken || payload[0] == recKept) {
-				if m := read(payload, dates).message(); m.Num == num {
+				if m := read(payload, dates).message(); m.Number == num {
 					body, err = m.Body, nil
 				}
 			}
@@ -270,44 +270,44 @@
 	}
 }
 
-// Out adds that a route step goes out with these messages. Only after Commit may the call's first byte go out.
-func (j *Journal) Out(at time.Time, msgs []*memory.Message) {
+// AppendAttempt adds that a route step goes out with these messages. Only after Commit may the call's first byte go out.
+func (j *Journal) AppendAttempt(at time.Time, msgs []*memory.Message) {
 	j.open()
-	j.arena = binary.AppendVarint(append(j.arena, recOut), j.set.Dates.Date(at))
-	e := entry{num: msgs[0].Num, kind: entryOut}
+	j.arena = binary.AppendVarint(append(j.arena, recOut), j.set.TimeScale.Date(at))
+	e := entry{num: msgs[0].Number, kind: entryOut}
 	for _, m := range msgs {
-		j.arena = binary.AppendUvarint(j.arena, uint64(m.Num))
+		j.arena = binary.AppendUvarint(j.arena, uint64(m.Number))
 		if len(msgs) > 1 {
-			e.num, e.more = 0, append(e.more, m.Num)
+			e.num, e.more = 0, append(e.more, m.Number)
 		}
 	}
 	j.shut(e)
 }
 
-// NotRun adds that the latest route step of m never ran.
-func (j *Journal) NotRun(m *memory.Message) {
+// AppendNotRun adds that the latest route step of m never ran.
+func (j *Journal) AppendNotRun(m *memory.Message) {
 	j.open()
-	j.arena = head(j.arena, recNotRun, m.Num)
-	j.shut(entry{num: m.Num})
+	j.arena = head(j.arena, recNotRun, m.Number)
+	j.shut(entry{num: m.Number})
 }
 
-// Owed adds that m, whose Owed is set, is ended by a notice.
-func (j *Journal) Owed(m *memory.Message) {
+// AppendUndelivered adds that m, whose Owed is set, is ended by a notice.
+func (j *Journal) AppendUndelivered(m *memory.Message) {
 	j.open()
-	j.arena = appendNotice(head(j.arena, recOwed, m.Num), *m.Owed)
-	j.shut(entry{num: m.Num})
+	j.arena = appendNotice(head(j.arena, recOwed, m.Number), *m.Notification)
+	j.shut(entry{num: m.Number})
 }
 
-// Over adds that nothing more is owed for m. Its id is kept for a while, unless it may be taken on anew.
-func (j *Journal) Over(m *memory.Message, anew bool) {
+// AppendCompleted adds that nothing more is owed for m. Its id is kept for a while, unless it may be taken on anew.
+func (j *Journal) AppendCompleted(m *memory.Message, anew bool) {
 	j.overs++
 	id := m.ID
 	if anew {
 		id = ""
 	}
 	j.open()
-	j.arena = appendText(binary.AppendUvarint(head(j.arena, recOver, m.Num), j.overs), id)
-	j.shut(entry{over: m.Num})
+	j.arena = appendText(binary.AppendUvarint(head(j.arena, recOver, m.Number), j.overs), id)
+	j.shut(entry{over: m.Number})
 }
 
 // Commit writes the records of this turn at once. Where taken is an error, what was taken on in this turn does not hold; where
@@ -331,7 +331,7 @@
 	}
 	j.sick = true
 	j.stats.Failures++
-	taken = fmt.Errorf("%w: %w", ErrSick, err)
+	taken = fmt.Errorf("%w: %w", ErrUnavailable, err)
 	// Guards against steps and ends that a full disk keeps out: the reserve gives its room to them, and nothing new is
 	// taken on until it could be made again.
 	if j.drop(entryTaken); j.keep > 0 && j.set.FS.Remove(reserveName) == nil {
@@ -344,9 +344,9 @@
 	return taken, nil
 }
 
-// Tend is called now and then, also while nothing is written: it takes the end of a cleaning in, and finds out whether a disk that was
+// Maintain is called now and then, also while nothing is written: it takes the end of a cleaning in, and finds out whether a disk that was
 // full takes records again.
-func (j *Journal) Tend() {
+func (j *Journal) Maintain() {
 	j.poll()
 	if j.fill(); j.sick && (j.keep > 0 || j.reserve() == 0) {
 		j.sick = false
@@ -417,7 +417,7 @@
 	}
 	j.good += int64(n)
 	j.grow(g, j.good)
-	j.stats.Written += int64(n)
+	j.stats.BytesWritten += int64(n)
 	j.stats.Commits++
 	j.stats.Records += int64(len(j.batch))
 	j.batch, j.batchB, j.arena = j.batch[:0], 0, j.arena[:0]
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -30,7 +30,7 @@
 	msg   memory.Message
 	out   bool // a step went out of which it is not proved that it did not run
 	steps int
-	owed  *memory.Notice
+	owed  *memory.Notification
 	over  bool
 }
 
@@ -46,7 +46,7 @@
 }
 
 func start(d journal.FS, budget int64) (*life, error) {
-	j, t, err := journal.Open(journal.Config{FS: d, Budget: budget, Log: quiet, Inline: true})
+	j, t, err := journal.Open(journal.Config{FS: d, Budget: budget, Log: quiet, CompactInline: true})
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	if len(all) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, func(a, b *memory.Message) int { return int(a.Num) - int(b.Num) })
+	slices.SortFunc(all, func(a, b *memory.Message) int { return int(a.Number) - int(b.Number) })
 	return all[r.IntN(len(all))]
 }
 
@@ -75,14 +75,14 @@
 		m := l.held(r)
 		if m == nil || r.IntN(3) == 0 {
 			*l.next++
-			m = &memory.Message{Num: l.t.Next(), ID: fmt.Sprint("id", *l.next), Class: "fee-charge", Key: "key", Dest: 7, Deadline: wall, Body: make([]byte, r.IntN(body))}
+			m = &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", *l.next), Class: "fee-charge", IdempotencyKey: "key", Dest: 7, Deadline: wall, Body: make([]byte, r.IntN(body))}
 			for i := range m.Body {
 				m.Body[i] = byte(r.Uint32())
 			}
 			if r.IntN(8) == 0 {
-				m.Notes = []byte("notes")
+				m.PluginNotes = []byte("notes")
 			}
-			if err := l.j.Taken(l.t, m, true); err != nil {
+			if err := l.j.AppendAccepted(l.t, m, true); err != nil {
 				l.room++
 				continue
 			}
@@ -95,28 +95,28 @@
 		}
 		f := l.last(m.ID)
 		switch {
-		case m.Owed != nil || r.IntN(4) == 0 && m.Out == nil:
+		case m.Notification != nil || r.IntN(4) == 0 && m.InFlight == nil:
 			l.t.Remove(m)
-			l.j.Over(m, false)
+			l.j.AppendCompleted(m, false)
 			f.over = true
-		case m.Out == nil && r.IntN(5) == 0:
-			n := memory.Notice{Refused: r.IntN(2) == 0, Advice: time.Duration(r.IntN(3000)) * time.Millisecond}
-			l.t.Owe(m, n)
-			l.j.Owed(m)
+		case m.InFlight == nil && r.IntN(5) == 0:
+			n := memory.Notification{Returned: r.IntN(2) == 0, RetryAfter: time.Duration(r.IntN(3000)) * time.Millisecond}
+			l.t.MarkUndelivered(m, n)
+			l.j.AppendUndelivered(m)
 			f.owed = &n
-		case m.Out == nil:
-			m.Out = &memory.Out{Step: m.Steps, WallAt: wall}
-			m.Steps++
-			l.j.Out(wall, []*memory.Message{m})
+		case m.InFlight == nil:
+			m.InFlight = &memory.Attempt{Number: m.Attempts, StartedAt: wall}
+			m.Attempts++
+			l.j.AppendAttempt(wall, []*memory.Message{m})
 			outs = append(outs, m)
 			f.steps, f.out = f.steps+1, true
-		case r.IntN(2) == 0 && m.RiskAt.IsZero():
-			m.Out = nil
-			l.j.NotRun(m)
+		case r.IntN(2) == 0 && m.MayHaveRunSince.IsZero():
+			m.InFlight = nil
+			l.j.AppendNotRun(m)
 			f.out = false
 		default:
-			if m.Out = nil; m.RiskAt.IsZero() {
-				m.RiskAt = wall
+			if m.InFlight = nil; m.MayHaveRunSince.IsZero() {
+				m.MayHaveRunSince = wall
 			}
 		}
 		l.tried[m.ID] = f
@@ -128,13 +128,13 @@
 	for _, m := range fresh {
 		if taken != nil {
 			l.t.Remove(m)
-			l.t.Forget(m.ID)
+			l.t.ForgetCompleted(m.ID)
 			delete(l.tried, m.ID)
 		}
 	}
 	for _, m := range outs {
 		if out != nil {
-			m.Out, m.Steps = nil, m.Steps-1
+			m.InFlight, m.Attempts = nil, m.Attempts-1
 			delete(l.tried, m.ID)
 		}
 	}
@@ -172,24 +172,24 @@
 		switch {
 		case f.over && m != nil:
 			t.Fatalf("%s: %s came back after its end", what, id)
-		case f.over && !found.Over(id):
+		case f.over && !found.RecentlyCompleted(id):
 			t.Fatalf("%s: the id %s of a message that is over is forgotten", what, id)
 		case f.over || m == nil && may.over:
 			continue
 		case m == nil:
 			t.Fatalf("%s: %s is lost", what, id)
 		}
-		if m.Class != f.msg.Class || m.Key != f.msg.Key || m.Dest != f.msg.Dest || !m.Deadline.Equal(f.msg.Deadline) || string(m.Notes) != string(f.msg.Notes) ||
-			m.Owed == nil && string(m.Body) != string(f.msg.Body) {
+		if m.Class != f.msg.Class || m.IdempotencyKey != f.msg.IdempotencyKey || m.Dest != f.msg.Dest || !m.Deadline.Equal(f.msg.Deadline) || string(m.PluginNotes) != string(f.msg.PluginNotes) ||
+			m.Notification == nil && string(m.Body) != string(f.msg.Body) {
 			t.Fatalf("%s: %s is not what was taken on: %+v", what, id, m)
 		}
-		if f.out && m.RiskAt.IsZero() && may.out {
+		if f.out && m.MayHaveRunSince.IsZero() && may.out {
 			t.Fatalf("%s: %s may have run, which is forgotten", what, id)
 		}
-		if m.Steps < f.steps {
-			t.Fatalf("%s: %s has %d steps of %d", what, id, m.Steps, f.steps)
+		if m.Attempts < f.steps {
+			t.Fatalf("%s: %s has %d steps of %d", what, id, m.Attempts, f.steps)
 		}
-		if f.owed != nil && (m.Owed == nil || *m.Owed != *f.owed) {
+		if f.owed != nil && (m.Notification == nil || *m.Notification != *f.owed) {
 			t.Fatalf("%s: the notice of %s is forgotten", what, id)
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	whole := disk.New()
 	l := play(whole)
-	if s := l.j.Stats(); s.Cleaned < 10 || l.room > turns {
+	if s := l.j.Stats(); s.Compactions < 10 || l.room > turns {
 		t.Fatalf("a life in which little is cleaned: %+v, %d refused", s, l.room)
 	}
 	faults := 0
@@ -234,7 +234,7 @@
 			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", f, n, whole.Ops(), d.Log()[n-1])
 			faults++
 			next := d.Revive()
-			j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, Inline: true})
+			j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
@@ -244,9 +244,9 @@
 				for _, g := range []disk.Fault{disk.Kill, disk.Torn} {
 					again := d.Revive()
 					again.Fail(m, g)
-					journal.Open(journal.Config{FS: again, Budget: small, Log: quiet, Inline: true})
+					journal.Open(journal.Config{FS: again, Budget: small, Log: quiet, CompactInline: true})
 					faults++
-					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: small, Log: quiet, Inline: true})
+					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: small, Log: quiet, CompactInline: true})
 					if err != nil {
 						t.Fatalf("%s, then %d of recovery: %v", what, m, err)
 					}
@@ -277,7 +277,7 @@
 				*next.next = *l.next
 			}
 			for _, m := range next.t.All() { // what is found is what is promised from now on
-				next.promised[m.ID] = fate{msg: *m, out: !m.RiskAt.IsZero(), steps: m.Steps, owed: m.Owed}
+				next.promised[m.ID] = fate{msg: *m, out: !m.MayHaveRunSince.IsZero(), steps: m.Attempts, owed: m.Notification}
 			}
 			l = next
 			for range rapid.IntRange(0, 6).Draw(t, "faults") {
@@ -285,7 +285,7 @@
 			}
 			for turns := rapid.IntRange(1, 80).Draw(t, "turns"); turns > 0 && l.turn(r, 3000); turns-- {
 				if r.IntN(10) == 0 {
-					l.j.Tend()
+					l.j.Maintain()
 				}
 			}
 			d = d.Revive()
@@ -303,14 +303,14 @@
 	}
 	take := func() (*memory.Message, error) {
 		*l.next++
-		m := &memory.Message{Num: l.t.Next(), ID: fmt.Sprint("id", *l.next), Class: "c", Deadline: wall, Body: make([]byte, 2000)}
-		if err := l.j.Taken(l.t, m, true); err != nil {
+		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", *l.next), Class: "c", Deadline: wall, Body: make([]byte, 2000)}
+		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
 			return nil, err
 		}
 		taken, _ := l.j.Commit()
 		if taken != nil {
 			l.t.Remove(m)
-			l.t.Forget(m.ID)
+			l.t.ForgetCompleted(m.ID)
 		}
 		return m, taken
 	}
@@ -328,7 +328,7 @@
 		if _, err := take(); err != nil {
 			refused++
 		}
-		if _, err := take(); errors.Is(err, journal.ErrSick) {
+		if _, err := take(); errors.Is(err, journal.ErrUnavailable) {
 			refused++
 		}
 	}
@@ -336,23 +336,23 @@
 		t.Errorf("%d of 6 refused", refused)
 	}
 	for i, m := range held {
-		m.Out = &memory.Out{WallAt: wall}
-		l.j.Out(wall, []*memory.Message{m})
+		m.InFlight = &memory.Attempt{StartedAt: wall}
+		l.j.AppendAttempt(wall, []*memory.Message{m})
 		if _, out := l.j.Commit(); out != nil {
 			t.Fatalf("step %d of what is held: %v", i, out)
 		}
 		l.t.Remove(m)
-		l.j.Over(m, false)
+		l.j.AppendCompleted(m, false)
 		if taken, out := l.j.Commit(); taken != nil || out != nil {
 			t.Fatalf("end %d of what is held: %v, %v", i, taken, out)
 		}
 	}
-	_, found, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 4 << 20, Log: quiet, Inline: true})
+	_, found, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 4 << 20, Log: quiet, CompactInline: true})
 	if err == nil && len(found.All()) > 1 {
 		t.Errorf("%d messages came back", len(found.All()))
 	}
 	d.Room(0)
-	l.j.Tend()
+	l.j.Maintain()
 	if _, err := take(); err != nil {
 		t.Errorf("with room again: %v", err)
 	}
@@ -368,13 +368,13 @@
 	}
 	other := disk.New()
 	smuggler, _ := start(other, 4<<20)
-	smuggled := &memory.Message{Num: 1, ID: "smuggled", Class: "c", Deadline: wall}
-	smuggler.j.Taken(smuggler.t, smuggled, true)
+	smuggled := &memory.Message{Number: 1, ID: "smuggled", Class: "c", Deadline: wall}
+	smuggler.j.AppendAccepted(smuggler.t, smuggled, true)
 	smuggler.j.Commit()
 	record, _ := other.Read("000000000001.seg")
 	for n := range 10 {
-		m := &memory.Message{Num: l.t.Next(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: append([]byte("body"), record[24:]...)}
-		if err := l.j.Taken(l.t, m, true); err != nil {
+		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: append([]byte("body"), record[24:]...)}
+		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
 			t.Fatal(err)
 		}
 		l.j.Commit()
@@ -392,7 +392,7 @@
 		if err != nil || len(in.Faults) != 1 || in.Faults[0].File != "000000000001.seg" || in.Faults[0].Offset < 24 {
 			t.Errorf("%s: %+v, %v", what, in, err)
 		}
-		_, found, err := journal.Open(journal.Config{FS: next, Budget: 4 << 20, Log: quiet, Inline: true})
+		_, found, err := journal.Open(journal.Config{FS: next, Budget: 4 << 20, Log: quiet, CompactInline: true})
 		if err != nil || len(found.All()) != 9 {
 			t.Errorf("%s: %v, %d messages", what, err, len(found.All()))
 		}
@@ -418,8 +418,8 @@
 	for round := range 5 {
 		var held []*memory.Message
 		for {
-			m := &memory.Message{Num: l.t.Next(), ID: fmt.Sprint(round, "-", len(held)), Class: "c", Deadline: wall, Body: make([]byte, 64<<10)}
-			if err := l.j.Taken(l.t, m, true); err != nil {
+			m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint(round, "-", len(held)), Class: "c", Deadline: wall, Body: make([]byte, 64<<10)}
+			if err := l.j.AppendAccepted(l.t, m, true); err != nil {
 				break
 			}
 			if taken, _ := l.j.Commit(); taken != nil {
@@ -432,7 +432,7 @@
 		most = max(most, len(held))
 		for _, m := range held {
 			l.t.Remove(m)
-			l.j.Over(m, false)
+			l.j.AppendCompleted(m, false)
 			l.j.Commit()
 		}
 		if len(held) < 35 {
@@ -459,7 +459,7 @@
 	for cut := 0; cut <= len(raw); cut++ {
 		next := d.Revive()
 		next.Change(last, func(b []byte) []byte { return b[:cut] })
-		j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, Inline: true})
+		j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -480,7 +480,7 @@
 	const bound = 16 << 10
 	d := disk.New()
 	open := func(d *disk.Disk) (*journal.Journal, *memory.Table) {
-		j, t2, err := journal.Open(journal.Config{FS: d, Budget: small, Bodies: bound, Log: quiet, Inline: true})
+		j, t2, err := journal.Open(journal.Config{FS: d, Budget: small, MaxBodyBytes: bound, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -488,26 +488,26 @@
 	}
 	j, tab := open(d)
 	take := func(n, size int, repeatable bool) *memory.Message {
-		m := &memory.Message{Num: tab.Next(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: []byte(strings.Repeat(string(rune('a'+n%26)), size))}
-		if j.Taken(tab, m, repeatable) != nil {
+		m := &memory.Message{Number: tab.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: []byte(strings.Repeat(string(rune('a'+n%26)), size))}
+		if j.AppendAccepted(tab, m, repeatable) != nil {
 			return nil
 		}
 		if taken, _ := j.Commit(); taken != nil {
 			t.Fatal(taken)
 		}
-		j.Settle(tab, m)
+		j.LimitBodyMemory(tab, m)
 		return m
 	}
 	check := func(what string, held []*memory.Message) {
 		t.Helper()
-		if kept, _ := tab.Bodies(); kept > bound {
+		if kept, _ := tab.BodyBytes(); kept > bound {
 			t.Errorf("%s: %d bytes of bodies in memory", what, kept)
 		}
 		for _, m := range held {
 			body := m.Body
-			if m.Spilled > 0 {
+			if m.SpilledBytes > 0 {
 				var err error
-				if body, err = j.Body(m)(); err != nil || m.Body != nil {
+				if body, err = j.BodyLoader(m)(); err != nil || m.Body != nil {
 					t.Fatalf("%s: %s: %v", what, m.ID, err)
 				}
 			}
@@ -527,10 +527,10 @@
 			continue
 		}
 		tab.Remove(m)
-		j.Over(m, false)
+		j.AppendCompleted(m, false)
 		j.Commit()
 	}
-	if s := j.Stats(); s.Cleaned == 0 {
+	if s := j.Stats(); s.Compactions == 0 {
 		t.Fatalf("nothing was cleaned: %+v", s)
 	}
 	check("first life", held)
@@ -544,11 +544,11 @@
 	}
 	check("next life", held)
 
-	spilled := held[slices.IndexFunc(held, func(m *memory.Message) bool { return m.Spilled > 0 })]
+	spilled := held[slices.IndexFunc(held, func(m *memory.Message) bool { return m.SpilledBytes > 0 })]
 	names, _ := d.List()
 	next := d.Revive()
 	j, tab = open(next)
-	read := j.Body(tab.ByID(spilled.ID))
+	read := j.BodyLoader(tab.ByID(spilled.ID))
 	for _, name := range names {
 		next.Change(name, func(b []byte) []byte {
 			if at := strings.Index(string(b), spilled.ID+string([]byte{1, 'c'})); at >= 0 {
@@ -557,7 +557,7 @@
 			return b
 		})
 	}
-	if _, err := read(); !errors.Is(err, journal.ErrBody) {
+	if _, err := read(); !errors.Is(err, journal.ErrBodyLost) {
 		t.Errorf("a spoilt body: %v", err)
 	}
 
@@ -565,13 +565,13 @@
 	unkept := 0
 	for n := range 200 {
 		m := take(n, 8000, n%2 == 0)
-		if m != nil && m.Unkept {
-			if unkept++; n%2 == 0 || m.Spilled > 0 {
+		if m != nil && m.MemoryOnly {
+			if unkept++; n%2 == 0 || m.SpilledBytes > 0 {
 				t.Errorf("%+v", m)
 			}
 		}
 	}
-	if kept, other := tab.Bodies(); unkept == 0 || kept > bound || other > bound || other == 0 {
+	if kept, other := tab.BodyBytes(); unkept == 0 || kept > bound || other > bound || other == 0 {
 		t.Errorf("%d bodies not kept, %d and %d bytes in memory", unkept, kept, other)
 	}
 }
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -167,7 +167,7 @@
 	}
 	unkept := map[string]bool{}
 	for _, m := range in.Messages {
-		unkept[m.ID] = m.Unkept
+		unkept[m.ID] = m.MemoryOnly
 	}
 	w.Partners[7].Set(standin.Well, 1)
 	if err := r.Start(); err != nil {
--- a/internal/memory/journal/old_test.go
+++ b/internal/memory/journal/old_test.go
@@ -121,8 +121,8 @@
 		return ErrFull
 	}
 	records := [][]byte{oldMessage([]byte{recTaken}, m)}
-	if len(m.Notes) > 0 {
-		records = append(records, oldText(oldNum(recNotes, m), string(m.Notes)))
+	if len(m.PluginNotes) > 0 {
+		records = append(records, oldText(oldNum(recNotes, m), string(m.PluginNotes)))
 	}
 	if err := j.append(records...); err != nil {
 		return err
@@ -137,7 +137,7 @@
 func (j *oldJournal) Out(t *memory.Table, at time.Time, msgs []*memory.Message) error {
 	b := binary.AppendVarint([]byte{recOut}, at.UnixMicro())
 	for _, m := range msgs {
-		b = binary.AppendUvarint(b, uint64(m.Num))
+		b = binary.AppendUvarint(b, uint64(m.Number))
 	}
 	return j.record(t, b)
 }
@@ -150,13 +150,13 @@
 // Owed records that m, which the table shows as owed, is ended by a notice.
 func (j *oldJournal) Owed(t *memory.Table, m *memory.Message) error {
 	j.book(m)
-	return j.record(t, oldNotice(oldNum(recOwed, m), *m.Owed))
+	return j.record(t, oldNotice(oldNum(recOwed, m), *m.Notification))
 }
 
 // Over records that nothing more is owed for m, which the table holds no longer.
 func (j *oldJournal) Over(t *memory.Table, m *memory.Message) error {
-	j.liveB -= j.live[m.Num]
-	delete(j.live, m.Num)
+	j.liveB -= j.live[m.Number]
+	delete(j.live, m.Number)
 	return j.record(t, oldNum(recOver, m))
 }
 
@@ -167,19 +167,19 @@
 }
 
 func oldNum(kind byte, m *memory.Message) []byte {
-	return binary.AppendUvarint([]byte{kind}, uint64(m.Num))
+	return binary.AppendUvarint([]byte{kind}, uint64(m.Number))
 }
 
 func (j *oldJournal) book(m *memory.Message) {
-	j.liveB += keptSize(m) - j.live[m.Num]
-	j.live[m.Num] = keptSize(m)
+	j.liveB += keptSize(m) - j.live[m.Number]
+	j.live[m.Number] = keptSize(m)
 }
 
 // keptSize bounds what compaction writes for m.
 func keptSize(m *memory.Message) int64 {
-	n := frameHead + 8*binary.MaxVarintLen64 + len(m.ID) + len(m.Class) + len(m.Key) + len(m.Body)
-	if len(m.Notes) > 0 {
-		n += frameHead + 1 + 2*binary.MaxVarintLen64 + len(m.Notes)
+	n := frameHead + 8*binary.MaxVarintLen64 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body)
+	if len(m.PluginNotes) > 0 {
+		n += frameHead + 1 + 2*binary.MaxVarintLen64 + len(m.PluginNotes)
 	}
 	return int64(n)
 }
@@ -231,8 +231,8 @@
 	b := j.buf[:0]
 	for _, m := range t.All() {
 		b = oldFrame(b, oldKept([]byte{recKept}, m))
-		if len(m.Notes) > 0 {
-			b = oldFrame(b, oldText(oldNum(recNotes, m), string(m.Notes)))
+		if len(m.PluginNotes) > 0 {
+			b = oldFrame(b, oldText(oldNum(recNotes, m), string(m.PluginNotes)))
 		}
 	}
 	j.buf = b
@@ -265,34 +265,34 @@
 }
 
 func oldMessage(b []byte, m *memory.Message) []byte {
-	b = binary.AppendUvarint(b, uint64(m.Num))
+	b = binary.AppendUvarint(b, uint64(m.Number))
 	b = binary.AppendVarint(b, m.Deadline.UnixMicro())
 	b = binary.AppendVarint(b, int64(m.Dest))
-	b = oldText(oldText(oldText(b, m.ID), m.Class), m.Key)
+	b = oldText(oldText(oldText(b, m.ID), m.Class), m.IdempotencyKey)
 	return oldText(b, string(m.Body))
 }
 
-func oldNotice(b []byte, n memory.Notice) []byte {
+func oldNotice(b []byte, n memory.Notification) []byte {
 	kind := byte(0)
-	if n.Refused {
+	if n.Returned {
 		kind = 1
 	}
-	return binary.AppendUvarint(append(b, kind), uint64(n.Advice.Microseconds()))
+	return binary.AppendUvarint(append(b, kind), uint64(n.RetryAfter.Microseconds()))
 }
 
 // appendKept adds to the message what has happened to it: steps, risk, notice. A step that is out counts as
 // risk from its start on; should it be proved not to have run, that is recorded after.
 func oldKept(b []byte, m *memory.Message) []byte {
 	b = oldMessage(b, m)
-	b = binary.AppendUvarint(b, uint64(m.Steps))
-	b = binary.AppendVarint(b, wallMicro(m.RiskAt))
+	b = binary.AppendUvarint(b, uint64(m.Attempts))
+	b = binary.AppendVarint(b, wallMicro(m.MayHaveRunSince))
 	var out time.Time
-	if m.Out != nil {
-		out = m.Out.WallAt
+	if m.InFlight != nil {
+		out = m.InFlight.StartedAt
 	}
 	b = binary.AppendVarint(b, wallMicro(out))
-	if m.Owed != nil {
-		b = oldNotice(b, *m.Owed)
+	if m.Notification != nil {
+		b = oldNotice(b, *m.Notification)
 	}
 	return b
 }
--- a/internal/memory/journal/record.go
+++ b/internal/memory/journal/record.go
@@ -158,13 +158,13 @@
 
 func appendMessage(b []byte, m *memory.Message, dates clock.Scale) []byte {
 	body := m.Body
-	if m.Unkept {
+	if m.MemoryOnly {
 		body = nil
 	}
-	b = binary.AppendUvarint(b, uint64(m.Num))
+	b = binary.AppendUvarint(b, uint64(m.Number))
 	b = binary.AppendVarint(b, dates.Date(m.Deadline))
 	b = binary.AppendVarint(b, int64(m.Dest))
-	b = appendText(appendText(appendText(b, m.ID), m.Class), m.Key)
+	b = appendText(appendText(appendText(b, m.ID), m.Class), m.IdempotencyKey)
 	return appendText(b, body)
 }
 
@@ -177,60 +177,60 @@
 	if t.ZoneOnly {
 		effect |= zoneOnly
 	}
-	b = binary.AppendUvarint(append(b, effect), uint64(t.Window.Microseconds()))
-	return appendText(appendText(b, t.Tenant), t.Subject)
+	b = binary.AppendUvarint(append(b, effect), uint64(t.RepeatWindow.Microseconds()))
+	return appendText(appendText(b, t.Tenant), t.OrderingKey)
 }
 
 const zoneOnly = 0x80 // beside an effect
 
 // terms takes what appendTerms has added, if anything.
 func (r *fields) terms() (t memory.Terms) {
-	if len(r.B) == 0 || r.Bad {
+	if len(r.Rest) == 0 || r.Malformed {
 		return t
 	}
-	effect := r.B[0]
-	r.B = r.B[1:]
+	effect := r.Rest[0]
+	r.Rest = r.Rest[1:]
 	t.Effect, t.ZoneOnly = policy.Effect(effect&^zoneOnly), effect&zoneOnly != 0
-	t.Window = time.Duration(r.Uint()) * time.Microsecond
-	t.Tenant, t.Subject = string(r.Text()), string(r.Text())
+	t.RepeatWindow = time.Duration(r.Uint()) * time.Microsecond
+	t.Tenant, t.OrderingKey = string(r.Bytes()), string(r.Bytes())
 	if t.Effect > policy.Unsafe {
 		t.Effect = policy.Unsafe // whatever it is: it is not run twice
 	}
 	return t
 }
 
-func appendNotice(b []byte, n memory.Notice) []byte {
+func appendNotice(b []byte, n memory.Notification) []byte {
 	kind := byte(0)
-	if n.Refused {
+	if n.Returned {
 		kind = 1
 	}
-	return binary.AppendUvarint(append(b, kind), uint64(n.Advice.Microseconds()))
+	return binary.AppendUvarint(append(b, kind), uint64(n.RetryAfter.Microseconds()))
 }
 
 // appendKept adds to a message what has happened to it. A step that is out counts as risk from its start on.
 func appendKept(b []byte, m *memory.Message, dates clock.Scale) []byte {
 	b = appendMessage(b, m, dates)
-	b = binary.AppendUvarint(b, uint64(m.Steps))
-	b = binary.AppendVarint(b, dates.Date(m.RiskAt))
-	if m.Owed != nil {
-		b = appendNotice(b, *m.Owed)
+	b = binary.AppendUvarint(b, uint64(m.Attempts))
+	b = binary.AppendVarint(b, dates.Date(m.MayHaveRunSince))
+	if m.Notification != nil {
+		b = appendNotice(b, *m.Notification)
 	}
 	return b
 }
 
 // fields takes a payload apart, whose dates are on that scale.
 type fields struct {
-	memory.Fields
+	memory.FieldReader
 	dates clock.Scale
 }
 
 func read(payload []byte, dates clock.Scale) *fields {
-	return &fields{memory.Fields{B: payload[1:]}, dates}
+	return &fields{memory.FieldReader{Rest: payload[1:]}, dates}
 }
 
 func (r *fields) message() *memory.Message {
-	return &memory.Message{Num: uint32(r.Uint()), Deadline: r.dates.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Text()),
-		Class: string(r.Text()), Key: string(r.Text()), Body: append([]byte(nil), r.Text()...)}
+	return &memory.Message{Number: uint32(r.Uint()), Deadline: r.dates.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
+		Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: append([]byte(nil), r.Bytes()...)}
 }
 
 // state is what records add up to.
@@ -253,31 +253,31 @@
 	switch kind := payload[0]; kind {
 	case recTaken, recUnkept, recKept:
 		m := r.message()
-		m.Unkept, m.Kept = kind == recUnkept, true
+		m.MemoryOnly, m.Recovered = kind == recUnkept, true
 		if kind == recKept {
-			if m.Steps, m.RiskAt = int(r.Uint()), r.dates.Time(r.Int()); len(r.B) > 0 {
-				n := r.Notice()
-				m.Owed = &n
+			if m.Attempts, m.MayHaveRunSince = int(r.Uint()), r.dates.Time(r.Int()); len(r.Rest) > 0 {
+				n := r.Notification()
+				m.Notification = &n
 			}
 		} else {
 			m.Terms = r.terms()
 		}
-		if r.Bad || s.table.Get(m.Num) != nil {
+		if r.Malformed || s.table.Get(m.Number) != nil {
 			return fmt.Errorf("message cut short or there already")
 		}
-		s.top = max(s.top, m.Num)
+		s.top = max(s.top, m.Number)
 		s.table.Add(m)
-		if kept, _ := s.table.Bodies(); s.bound > 0 && kept > s.bound {
-			s.table.Spill(m)
+		if kept, _ := s.table.BodyBytes(); s.bound > 0 && kept > s.bound {
+			s.table.SpillBody(m)
 		}
 	case recOut:
 		at := r.dates.Time(r.Int())
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Malformed {
 			n := uint32(r.Uint())
 			s.top = max(s.top, n)
 			if m := s.table.Get(n); m != nil {
 				s.settle(m)
-				m.Steps++
+				m.Attempts++
 				s.pending[n] = at
 			}
 		}
@@ -287,8 +287,8 @@
 		m := s.table.Get(n)
 		switch kind {
 		case recNotes:
-			if text := r.Text(); m != nil {
-				m.Notes = append([]byte(nil), text...)
+			if text := r.Bytes(); m != nil {
+				m.PluginNotes = append([]byte(nil), text...)
 			}
 		case recTerms:
 			if t := r.terms(); m != nil {
@@ -297,12 +297,12 @@
 		case recNotRun:
 			delete(s.pending, n)
 		case recOwed:
-			if notice := r.Notice(); m != nil && !r.Bad {
-				s.table.Owe(m, notice)
+			if notice := r.Notification(); m != nil && !r.Malformed {
+				s.table.MarkUndelivered(m, notice)
 			}
 		case recOver:
-			ordinal, id := r.Uint(), string(r.Text())
-			if r.Bad {
+			ordinal, id := r.Uint(), string(r.Bytes())
+			if r.Malformed {
 				break
 			}
 			s.overs = max(s.overs, ordinal)
@@ -311,16 +311,16 @@
 				s.table.Remove(m) // which keeps its id
 			}
 			if id != "" {
-				s.table.MarkOver(id)
+				s.table.MarkCompleted(id)
 			} else if m != nil {
-				s.table.Forget(m.ID)
+				s.table.ForgetCompleted(m.ID)
 			}
 		}
 	case recBatch: // walk has looked whether it is whole
 	default:
 		return fmt.Errorf("unknown kind %q", kind)
 	}
-	if r.Bad {
+	if r.Malformed {
 		return errCut
 	}
 	return nil
@@ -328,8 +328,8 @@
 
 // settle books an earlier step without a proof that it never ran as risk.
 func (s *state) settle(m *memory.Message) {
-	if since, ok := s.pending[m.Num]; ok && m.RiskAt.IsZero() {
-		m.RiskAt = since
+	if since, ok := s.pending[m.Number]; ok && m.MayHaveRunSince.IsZero() {
+		m.MayHaveRunSince = since
 	}
 }
 
@@ -352,7 +352,7 @@
 		f(uint32(r.Uint()))
 		return
 	}
-	for r.Int(); len(r.B) > 0 && !r.Bad; {
+	for r.Int(); len(r.Rest) > 0 && !r.Malformed; {
 		f(uint32(r.Uint()))
 	}
 }
--- a/internal/memory/journal/recover.go
+++ b/internal/memory/journal/recover.go
@@ -20,8 +20,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	s := newState(set.Dates)
-	s.bound = set.Bodies
+	s := newState(set.TimeScale)
+	s.bound = set.MaxBodyBytes
 	var legacy []string
 	for _, name := range names {
 		switch base, ext := split(name); ext {
@@ -56,7 +56,7 @@
 	j.segs = slices.DeleteFunc(j.segs, func(g *segment) bool { return g.size == 0 })
 	s.end()
 	j.overs, j.top = s.overs, max(j.top, s.top)
-	s.table.StartAfter(j.top)
+	s.table.StartNumbersAfter(j.top)
 	j.live(s.table)
 	err = j.rotate()
 	if err != nil && set.FS.Remove(reserveName) == nil {
@@ -66,7 +66,7 @@
 		return nil, nil, err
 	}
 	j.fill()
-	if !set.Inline {
+	if !set.CompactInline {
 		j.jobs, j.done = make(chan job, 1), make(chan result, 1)
 		go func() {
 			for w := range j.jobs {
@@ -174,15 +174,15 @@
 	top := uint32(0)
 	var all []*memory.Message
 	for _, m := range t.All() {
-		top, all = max(top, m.Num), append(all, m)
+		top, all = max(top, m.Number), append(all, m)
 	}
-	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 	b := appendHead(nil, 1, top, 0)
 	for _, m := range all {
 		at := len(b)
-		if b = frame(appendKept(append(begin(b), recKept), m, j.set.Dates), at); len(m.Notes) > 0 {
+		if b = frame(appendKept(append(begin(b), recKept), m, j.set.TimeScale), at); len(m.PluginNotes) > 0 {
 			at = len(b)
-			b = frame(appendText(head(begin(b), recNotes, m.Num), m.Notes), at)
+			b = frame(appendText(head(begin(b), recNotes, m.Number), m.PluginNotes), at)
 		}
 	}
 	g := &segment{no: 1, nums: map[uint32]int64{}}
--- a/internal/memory/legacy.go
+++ b/internal/memory/legacy.go
@@ -59,68 +59,68 @@
 		at += frameHead + n
 	}
 	for n, since := range pending {
-		if m := t.Get(n); m != nil && m.RiskAt.IsZero() {
-			m.RiskAt = since // what was out as the process ended may have run
+		if m := t.Get(n); m != nil && m.MayHaveRunSince.IsZero() {
+			m.MayHaveRunSince = since // what was out as the process ended may have run
 		}
 	}
 	return at
 }
 
 func apply(payload []byte, t *Table, pending map[uint32]time.Time) error {
-	r := &Fields{B: payload[1:]}
+	r := &FieldReader{Rest: payload[1:]}
 	kind := payload[0]
 	var m *Message
 	switch kind {
 	case recTaken, recKept:
-		m = &Message{Num: uint32(r.Uint()), Deadline: time.UnixMicro(r.Int()), Dest: int(r.Int()), ID: string(r.Text()),
-			Class: string(r.Text()), Key: string(r.Text()), Body: []byte(string(r.Text()))}
+		m = &Message{Number: uint32(r.Uint()), Deadline: time.UnixMicro(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
+			Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: []byte(string(r.Bytes()))}
 		var out time.Time
 		if kind == recKept {
-			m.Steps, m.RiskAt, out = int(r.Uint()), WallTime(r.Int()), WallTime(r.Int())
-			if len(r.B) > 0 {
-				n := r.Notice()
-				m.Owed = &n
+			m.Attempts, m.MayHaveRunSince, out = int(r.Uint()), TimeFromMicros(r.Int()), TimeFromMicros(r.Int())
+			if len(r.Rest) > 0 {
+				n := r.Notification()
+				m.Notification = &n
 			}
 		}
-		if r.Bad || t.Get(m.Num) != nil {
+		if r.Malformed || t.Get(m.Number) != nil {
 			return fmt.Errorf("message cut short or there already")
 		}
 		t.Add(m)
 		if !out.IsZero() {
-			pending[m.Num] = out
+			pending[m.Number] = out
 		}
 		return nil
 	case recOut:
 		at := time.UnixMicro(r.Int())
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Malformed {
 			n := uint32(r.Uint())
 			if m := t.Get(n); m != nil {
 				settle(m, pending)
-				m.Steps++
+				m.Attempts++
 				pending[n] = at
 			}
 		}
 		return nil
 	}
-	if m = t.Get(uint32(r.Uint())); m == nil || r.Bad {
+	if m = t.Get(uint32(r.Uint())); m == nil || r.Malformed {
 		return fmt.Errorf("record %q of no message", kind)
 	}
 	switch kind {
 	case recNotRun:
-		delete(pending, m.Num)
+		delete(pending, m.Number)
 	case recNotes:
-		m.Notes = []byte(string(r.Text()))
-		if r.Bad {
+		m.PluginNotes = []byte(string(r.Bytes()))
+		if r.Malformed {
 			return fmt.Errorf("notes cut short")
 		}
 	case recOwed:
-		n := r.Notice()
-		if r.Bad {
+		n := r.Notification()
+		if r.Malformed {
 			return fmt.Errorf("notice cut short")
 		}
-		t.Owe(m, n)
+		t.MarkUndelivered(m, n)
 	case recOver:
-		delete(pending, m.Num)
+		delete(pending, m.Number)
 		t.Remove(m)
 	default:
 		return fmt.Errorf("unknown kind %q", kind)
@@ -130,7 +130,7 @@
 
 // settle books an earlier step without a proof that it never ran as risk.
 func settle(m *Message, pending map[uint32]time.Time) {
-	if since, ok := pending[m.Num]; ok && m.RiskAt.IsZero() {
-		m.RiskAt = since
+	if since, ok := pending[m.Number]; ok && m.MayHaveRunSince.IsZero() {
+		m.MayHaveRunSince = since
 	}
 }
--- a/internal/memory/numbering.go
+++ b/internal/memory/numbering.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Numbering is how two processes of one relay draw numbers of messages while both take them on: from the machine's clock, so that numbers grow in
+// SharedNumbering is how two processes of one relay draw numbers of messages while both take them on: from the machine's clock, so that numbers grow in
 // the order of hand-in over both. One draws even numbers, the other odd ones.
-type Numbering struct {
-	Base  uint32        `json:"base"`  // above all numbers drawn before; even
-	Began time.Duration `json:"began"` // when numbers were drawn from here on, on the machine's clock
-	Odd   bool          `json:"-"`     // the successor draws odd numbers
+type SharedNumbering struct {
+	Base      uint32        `json:"base"`  // above all numbers drawn before; even
+	StartedAt time.Duration `json:"began"` // when numbers were drawn from here on, on the machine's clock
+	Odd       bool          `json:"-"`     // the successor draws odd numbers
 
 	now func() time.Duration // nil: the machine's clock
 }
@@ -34,12 +34,12 @@
 }
 
 // draw returns the number for this moment, at least least.
-func (n *Numbering) draw(least uint32) uint32 {
+func (n *SharedNumbering) draw(least uint32) uint32 {
 	now := machineClock
 	if n.now != nil {
 		now = n.now
 	}
-	since := min(max(0, now()-n.Began), numberSpan)
+	since := min(max(0, now()-n.StartedAt), numberSpan)
 	num := max(least, n.Base+2*uint32(since/numberUnit))
 	if odd := num%2 == 1; odd != n.Odd {
 		num++
@@ -47,11 +47,13 @@
 	return num
 }
 
-// Share returns the numbering under which a successor takes messages on beside this process. It changes nothing yet.
-func (t *Table) Share() Numbering { return Numbering{Base: (t.last + 2) &^ 1, Began: machineClock()} }
+// NewSharedNumbering returns the numbering under which a successor takes messages on beside this process. It changes nothing yet.
+func (t *Table) NewSharedNumbering() SharedNumbering {
+	return SharedNumbering{Base: (t.last + 2) &^ 1, StartedAt: machineClock()}
+}
 
-// Interleave makes t draw its numbers by n from now on, unless it draws them by a later numbering already.
-func (t *Table) Interleave(n Numbering) {
+// UseSharedNumbering makes t draw its numbers by n from now on, unless it draws them by a later numbering already.
+func (t *Table) UseSharedNumbering(n SharedNumbering) {
 	if t.both != nil && t.both.Base >= n.Base {
 		return
 	}
@@ -59,11 +61,11 @@
 	t.both = &n
 }
 
-// Alone makes t draw its numbers by its own count again.
-func (t *Table) Alone() { t.both = nil }
+// StopSharedNumbering makes t draw its numbers by its own count again.
+func (t *Table) StopSharedNumbering() { t.both = nil }
 
-// Keeps tells whether a message of the other process may keep its number here: no message of t has it or had it.
-func (t *Table) Keeps(num uint32) bool {
+// CanKeepNumber tells whether a message of the other process may keep its number here: no message of t has it or had it.
+func (t *Table) CanKeepNumber(num uint32) bool {
 	if t.both == nil || num == 0 || t.byNum[num] != nil {
 		return false
 	}
--- a/internal/memory/numbering_test.go
+++ b/internal/memory/numbering_test.go
@@ -10,23 +10,23 @@
 	now := 7 * time.Second
 	clock := func() time.Duration { return now }
 	old, successor := NewTable(), NewTable()
-	old.StartAfter(1000)
-	n := old.Share()
-	n.now, n.Began = clock, now
-	old.Interleave(n)
+	old.StartNumbersAfter(1000)
+	n := old.NewSharedNumbering()
+	n.now, n.StartedAt = clock, now
+	old.UseSharedNumbering(n)
 	n.Odd = true
-	successor.Interleave(n)
-	if !successor.Keeps(1000) || successor.Keeps(0) {
+	successor.UseSharedNumbering(n)
+	if !successor.CanKeepNumber(1000) || successor.CanKeepNumber(0) {
 		t.Error("what was drawn before is not kept")
 	}
 	last, seen := uint32(1000), map[uint32]bool{}
 	for i := range 200 {
 		table := []*Table{old, successor}[i/3%2]
-		num := table.Next()
+		num := table.NextNumber()
 		if num <= last || seen[num] {
 			t.Fatalf("%d after %d", num, last)
 		}
-		if old.Keeps(num) != (table == successor) || successor.Keeps(num) != (table == old) {
+		if old.CanKeepNumber(num) != (table == successor) || successor.CanKeepNumber(num) != (table == old) {
 			t.Fatalf("%d: kept by the process that drew it, or not by the other", num)
 		}
 		last, seen[num] = num, true
@@ -35,15 +35,15 @@
 		}
 	}
 	now += 100 * time.Hour
-	if got := successor.Next(); got > n.Base+2*uint32(numberSpan/numberUnit)+2 {
+	if got := successor.NextNumber(); got > n.Base+2*uint32(numberSpan/numberUnit)+2 {
 		t.Errorf("an upgrade takes %d numbers", got-n.Base)
 	}
 	now = 0
-	if a, b := successor.Next(), successor.Next(); b <= a {
+	if a, b := successor.NextNumber(), successor.NextNumber(); b <= a {
 		t.Errorf("%d after %d", b, a)
 	}
-	successor.Alone()
-	if a, b := successor.Next(), successor.Next(); b != a+1 || successor.Keeps(1000) {
+	successor.StopSharedNumbering()
+	if a, b := successor.NextNumber(), successor.NextNumber(); b != a+1 || successor.CanKeepNumber(1000) {
 		t.Errorf("alone: %d after %d", b, a)
 	}
 }
--- a/internal/memory/pool.go
+++ b/internal/memory/pool.go
@@ -8,17 +8,17 @@
 	"oatfold/policy"
 )
 
-// Member is an endpoint of the pool config: what the module is told and where it is reached.
-type Member struct {
+// EndpointEntry is an endpoint of the pool config: what the module is told and where it is reached.
+type EndpointEntry struct {
 	policy.Endpoint        // Address holds the instance id, which all relays share
 	HostPort        string // may differ between relays
 }
 
-// PoolConfig is one answer of discovery.
-type PoolConfig struct {
+// EndpointList is one answer of discovery.
+type EndpointList struct {
 	Generation int64
-	Whole      bool
-	Members    []Member
+	Complete   bool
+	Entries    []EndpointEntry
 	Skipped    int // entries that could not be read
 }
 
@@ -26,19 +26,19 @@
 	"in_service": policy.Listed, "terminating": policy.Draining, "terminated": policy.Removed,
 }
 
-// ParsePoolConfig reads an answer of discovery, or the list in the configuration. An entry that can't be read is
+// ParseEndpointList reads an answer of discovery, or the list in the configuration. An entry that can't be read is
 // skipped, and one in a state that is not known here gets no new work. Guards against one odd entry that keeps
 // the relay from hearing of drains for good.
-func ParsePoolConfig(raw string) (PoolConfig, error) {
+func ParseEndpointList(raw string) (EndpointList, error) {
 	if !gjson.Valid(raw) {
-		return PoolConfig{}, fmt.Errorf("pool config: not JSON")
+		return EndpointList{}, fmt.Errorf("pool config: not JSON")
 	}
 	doc := gjson.Parse(raw)
 	gen, list := doc.Get("generation"), doc.Get("instances")
 	if gen.Type != gjson.Number || !list.IsArray() && list.Type != gjson.Null {
-		return PoolConfig{}, fmt.Errorf("pool config: generation or instances missing")
+		return EndpointList{}, fmt.Errorf("pool config: generation or instances missing")
 	}
-	pc := PoolConfig{Generation: gen.Int(), Whole: doc.Get("reset").Bool()}
+	pc := EndpointList{Generation: gen.Int(), Complete: doc.Get("reset").Bool()}
 	for _, e := range list.Array() {
 		state, known := lifecycles[e.Get("lifecycle").Str]
 		if !known {
@@ -49,7 +49,7 @@
 			pc.Skipped++
 			continue
 		}
-		pc.Members = append(pc.Members, Member{HostPort: at, Endpoint: policy.Endpoint{Address: id,
+		pc.Entries = append(pc.Entries, EndpointEntry{HostPort: at, Endpoint: policy.Endpoint{Address: id,
 			Destination: int(cell.Int()), Kind: e.Get("machineType").Str, Zone: e.Get("zone").Str, State: state,
 			Rate: e.Get("weight").Float()}})
 	}
--- a/internal/memory/table.go
+++ b/internal/memory/table.go
@@ -9,51 +9,51 @@
 
 // Message is one message that the relay owes its end, or has a route step out for.
 type Message struct {
-	Num      uint32 // its number towards the module, never used twice in a process
-	ID       string // the client's correlation id
-	Class    string
-	Key      string // idempotency key, passed on as it came
-	Dest     int
-	Notes    []byte // what plug-ins noted as it came in, in their form
-	Body     []byte
-	Spilled  int       // bytes of the body where it is in the journal only, and Body is nil
-	Unkept   bool      // the body is in memory only: it is lost with the process
-	Deadline time.Time // wall clock: outlives the process
-	Terms              // that it was taken on under
-	Kept     bool      // an earlier process took it on
-
-	Steps  int       // route steps begun, also in earlier lives
-	RiskAt time.Time // when the first step that may have run began; zero: none
-	New    bool      // its client has not been answered yet
-	Asked  bool      // it was handed in once more
-	Out    *Out      // the step that is out
-	Owed   *Notice   // the notice that is still to be taken by the platform
+	Number         uint32 // its number towards the module, never used twice in a process
+	ID             string // the client's correlation id
+	Class          string
+	IdempotencyKey string // idempotency key, passed on as it came
+	Dest           int
+	PluginNotes    []byte // what plug-ins noted as it came in, in their form
+	Body           []byte
+	SpilledBytes   int       // bytes of the body where it is in the journal only, and Body is nil
+	MemoryOnly     bool      // the body is in memory only: it is lost with the process
+	Deadline       time.Time // wall clock: outlives the process
+	Terms                    // that it was taken on under
+	Recovered      bool      // an earlier process took it on
+
+	Attempts        int           // route steps begun, also in earlier lives
+	MayHaveRunSince time.Time     // when the first step that may have run began; zero: none
+	Unanswered      bool          // its client has not been answered yet
+	Resubmitted     bool          // it was handed in once more
+	InFlight        *Attempt      // the step that is out
+	Notification    *Notification // the notice that is still to be taken by the platform
 }
 
 // Supersedes tells whether m is a later account than o of the same message, which two processes have held.
 func (m *Message) Supersedes(o *Message) bool {
-	return o.Owed == nil && (m.Owed != nil || m.Steps > o.Steps)
+	return o.Notification == nil && (m.Notification != nil || m.Attempts > o.Attempts)
 }
 
 // Terms are what a message was taken on under. They bind it, whatever the settings say later.
 type Terms struct {
-	Effect   policy.Effect
-	Window   time.Duration // Keyed: for how long partners drop repeats
-	ZoneOnly bool          // Keyed: only those of one zone do
-	Tenant   string
-	Subject  string // of an ordered class: what it is about
+	Effect       policy.Effect
+	RepeatWindow time.Duration // Keyed: for how long partners drop repeats
+	ZoneOnly     bool          // Keyed: only those of one zone do
+	Tenant       string
+	OrderingKey  string // of an ordered class: what it is about
 }
 
-// Out is one route step of one message that is out. Each gets exactly one end.
-type Out struct {
-	Step   int       // counted over all lives of the message
-	WallAt time.Time // when it began
+// Attempt is one route step of one message that is out. Each gets exactly one end.
+type Attempt struct {
+	Number    int       // counted over all lives of the message
+	StartedAt time.Time // when it began
 }
 
-// Notice ends a message that was taken on and is not delivered.
-type Notice struct {
-	Refused bool          // handed back; else given up
-	Advice  time.Duration // handed back: when to come again, 0 for no advice
+// Notification ends a message that was taken on and is not delivered.
+type Notification struct {
+	Returned   bool          // handed back; else given up
+	RetryAfter time.Duration // handed back: when to come again, 0 for no advice
 }
 
 // Table finds messages by number and by id. It is owned by one goroutine.
@@ -67,7 +67,7 @@
 	order []over            // the same, oldest first; one whose ordinal is not the id's any more was forgotten
 	overs uint64
 	now   func() time.Time
-	both  *Numbering // two processes draw numbers; nil: this one alone
+	both  *SharedNumbering // two processes draw numbers; nil: this one alone
 }
 
 // over is one id of a message that is over, since at.
@@ -81,9 +81,9 @@
 // closed hands the same message in again within the time that it waits for an answer, 0.4 s. Guards against a flood of others that would
 // have it taken on, and run, once more.
 const (
-	OverMost  = 4096
-	overKeep  = 2 * time.Second
-	overFlood = 1 << 16
+	MaxCompletedIDs = 4096
+	overKeep        = 2 * time.Second
+	overFlood       = 1 << 16
 )
 
 // NewTable returns an empty table.
@@ -91,17 +91,17 @@
 	return &Table{byNum: map[uint32]*Message{}, byID: map[string]*Message{}, over: map[string]uint64{}, now: time.Now}
 }
 
-// StartAfter makes numbers begin after n: those up to it may be in the journal.
-func (t *Table) StartAfter(n uint32) { t.last = max(t.last, n) }
+// StartNumbersAfter makes numbers begin after n: those up to it may be in the journal.
+func (t *Table) StartNumbersAfter(n uint32) { t.last = max(t.last, n) }
 
-// MarkOver keeps id among those of the messages that were over last, some time ago.
-func (t *Table) MarkOver(id string) { t.end(id, time.Time{}) }
+// MarkCompleted keeps id among those of the messages that were over last, some time ago.
+func (t *Table) MarkCompleted(id string) { t.end(id, time.Time{}) }
 
-// Overs counts the ids that are kept of messages that are over.
-func (t *Table) Overs() int { return len(t.over) }
+// CompletedCount counts the ids that are kept of messages that are over.
+func (t *Table) CompletedCount() int { return len(t.over) }
 
-// Next returns a number that no message of this table has had, larger than all that it returned before.
-func (t *Table) Next() uint32 {
+// NextNumber returns a number that no message of this table has had, larger than all that it returned before.
+func (t *Table) NextNumber() uint32 {
 	if t.last++; t.both != nil {
 		t.last = t.both.draw(t.last)
 	}
@@ -110,32 +110,32 @@
 
 // Add enters m under its number and id.
 func (t *Table) Add(m *Message) {
-	t.byNum[m.Num], t.byID[m.ID] = m, m
-	t.last = max(t.last, m.Num)
+	t.byNum[m.Number], t.byID[m.ID] = m, m
+	t.last = max(t.last, m.Number)
 	t.body[m.place()] += int64(len(m.Body))
-	if m.Owed == nil {
+	if m.Notification == nil {
 		t.live++
 	}
 }
 
-// Bodies is how many bytes bodies in memory take: those that are in the journal as well, and those that are not kept.
-func (t *Table) Bodies() (kept, unkept int64) { return t.body[0], t.body[1] }
+// BodyBytes is how many bytes bodies in memory take: those that are in the journal as well, and those that are not kept.
+func (t *Table) BodyBytes() (kept, unkept int64) { return t.body[0], t.body[1] }
 
 func (m *Message) place() int {
-	if m.Unkept {
+	if m.MemoryOnly {
 		return 1
 	}
 	return 0
 }
 
-// Spill lets go of the body of m, which is in the journal.
-func (t *Table) Spill(m *Message) {
+// SpillBody lets go of the body of m, which is in the journal.
+func (t *Table) SpillBody(m *Message) {
 	t.body[m.place()] -= int64(len(m.Body))
-	m.Spilled, m.Body = len(m.Body), nil
+	m.SpilledBytes, m.Body = len(m.Body), nil
 }
 
-// Size is how many bytes the body of m has, wherever it is.
-func (m *Message) Size() int { return max(m.Spilled, len(m.Body)) }
+// BodySize is how many bytes the body of m has, wherever it is.
+func (m *Message) BodySize() int { return max(m.SpilledBytes, len(m.Body)) }
 
 // Get returns the message of that number, nil if it is over.
 func (t *Table) Get(num uint32) *Message { return t.byNum[num] }
@@ -143,27 +143,27 @@
 // ByID returns the message of that correlation id, nil if it is not held.
 func (t *Table) ByID(id string) *Message { return t.byID[id] }
 
-// Owe books that m is ended and only its notice is owed.
-func (t *Table) Owe(m *Message, n Notice) {
-	if m.Owed == nil {
+// MarkUndelivered books that m is ended and only its notice is owed.
+func (t *Table) MarkUndelivered(m *Message, n Notification) {
+	if m.Notification == nil {
 		t.live--
 	}
 	t.body[m.place()] -= int64(len(m.Body))
-	m.Owed, m.Body, m.Spilled = &n, nil, 0
+	m.Notification, m.Body, m.SpilledBytes = &n, nil, 0
 }
 
 // Remove forgets m: nothing more is owed.
 func (t *Table) Remove(m *Message) {
-	if t.byNum[m.Num] != m {
+	if t.byNum[m.Number] != m {
 		return
 	}
-	delete(t.byNum, m.Num)
+	delete(t.byNum, m.Number)
 	t.body[m.place()] -= int64(len(m.Body))
 	if t.byID[m.ID] == m {
 		delete(t.byID, m.ID)
 		t.end(m.ID, t.now())
 	}
-	if m.Owed == nil {
+	if m.Notification == nil {
 		t.live--
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	t.overs++
 	t.over[id], t.order = t.overs, append(t.order, over{id, t.overs, now})
-	for n := len(t.order); n > OverMost && (n > overFlood || t.now().Sub(t.order[0].at) > overKeep); n = len(t.order) {
+	for n := len(t.order); n > MaxCompletedIDs && (n > overFlood || t.now().Sub(t.order[0].at) > overKeep); n = len(t.order) {
 		if old := t.order[0]; t.over[old.id] == old.no {
 			delete(t.over, old.id)
 		}
@@ -183,15 +183,15 @@
 	}
 }
 
-// Over tells whether a message of that id was over a short while ago. Guards against taking on, and running, an id
+// RecentlyCompleted tells whether a message of that id was over a short while ago. Guards against taking on, and running, an id
 // that somebody hands in again once its message is delivered.
-func (t *Table) Over(id string) bool {
+func (t *Table) RecentlyCompleted(id string) bool {
 	_, there := t.over[id]
 	return there
 }
 
-// OverIDs lists the ids that are kept of messages that are over, the oldest first.
-func (t *Table) OverIDs() (ids []string) {
+// CompletedIDs lists the ids that are kept of messages that are over, the oldest first.
+func (t *Table) CompletedIDs() (ids []string) {
 	for _, o := range t.order {
 		if t.over[o.id] == o.no {
 			ids = append(ids, o.id)
@@ -200,11 +200,11 @@
 	return ids
 }
 
-// Forget drops id from those that are over: it may be taken on anew.
-func (t *Table) Forget(id string) { delete(t.over, id) } // its place stays until its turn
+// ForgetCompleted drops id from those that are over: it may be taken on anew.
+func (t *Table) ForgetCompleted(id string) { delete(t.over, id) } // its place stays until its turn
 
-// Live counts the messages that are not ended.
-func (t *Table) Live() int { return t.live }
+// PendingCount counts the messages that are not ended.
+func (t *Table) PendingCount() int { return t.live }
 
 // All returns every message, in no order.
 func (t *Table) All() map[uint32]*Message { return t.byNum }
--- a/internal/memory/table_test.go
+++ b/internal/memory/table_test.go
@@ -13,27 +13,27 @@
 	table := NewTable()
 	table.now = func() time.Time { return now }
 	over := func(id string) {
-		m := &Message{Num: table.Next(), ID: id}
+		m := &Message{Number: table.NextNumber(), ID: id}
 		table.Add(m)
 		table.Remove(m)
 	}
 	over("charge")
-	for i := range 5 * OverMost {
+	for i := range 5 * MaxCompletedIDs {
 		over(fmt.Sprint(i))
 	}
-	if !table.Over("charge") {
+	if !table.RecentlyCompleted("charge") {
 		t.Error("a flood makes it forget what may still be handed in again")
 	}
 	now = now.Add(overKeep + 1)
 	over("later")
-	if table.Over("charge") || !table.Over("later") || table.Overs() != OverMost {
-		t.Errorf("%d ids are kept, the old one: %v", table.Overs(), table.Over("charge"))
+	if table.RecentlyCompleted("charge") || !table.RecentlyCompleted("later") || table.CompletedCount() != MaxCompletedIDs {
+		t.Errorf("%d ids are kept, the old one: %v", table.CompletedCount(), table.RecentlyCompleted("charge"))
 	}
 	for i := range 2 * overFlood {
 		over(fmt.Sprint("flood", i))
 	}
-	if table.Overs() > overFlood || len(table.order) > overFlood {
-		t.Errorf("%d ids are kept", table.Overs())
+	if table.CompletedCount() > overFlood || len(table.order) > overFlood {
+		t.Errorf("%d ids are kept", table.CompletedCount())
 	}
 }
 
@@ -42,15 +42,15 @@
 	now := time.Unix(1000, 0)
 	table := NewTable()
 	table.now = func() time.Time { return now }
-	table.MarkOver("a")
-	table.Forget("a")
+	table.MarkCompleted("a")
+	table.ForgetCompleted("a")
 	now = now.Add(time.Minute)
-	for i := range OverMost - 1 {
-		table.MarkOver(fmt.Sprint(i))
+	for i := range MaxCompletedIDs - 1 {
+		table.MarkCompleted(fmt.Sprint(i))
 	}
-	table.MarkOver("a")
-	table.MarkOver("b") // the first place goes
-	if ids := table.OverIDs(); !table.Over("a") || len(ids) != OverMost || !slices.Equal(ids[OverMost-2:], []string{"a", "b"}) {
-		t.Errorf("%d ids, over %v, last %v", len(ids), table.Over("a"), ids[len(ids)-2:])
+	table.MarkCompleted("a")
+	table.MarkCompleted("b") // the first place goes
+	if ids := table.CompletedIDs(); !table.RecentlyCompleted("a") || len(ids) != MaxCompletedIDs || !slices.Equal(ids[MaxCompletedIDs-2:], []string{"a", "b"}) {
+		t.Errorf("%d ids, over %v, last %v", len(ids), table.RecentlyCompleted("a"), ids[len(ids)-2:])
 	}
 }
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -274,7 +274,7 @@
 	}
 	s.relay.Kill()
 	in, err := journal.Inspect(journal.Dir(s.relay.State), nil)
-	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].Notes) != string(abi.Append(nil, abi.Note, "a=b")) {
+	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note, "a=b")) {
 		t.Errorf("the journal lacks the note: %+v, %v", in, err)
 	}
 	s.Partners[0].Set(standin.Well, 1)
--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -21,21 +21,21 @@
 	if m == nil {
 		return calls
 	}
-	if ep == nil || ep.dest != m.Dest || m.Out != nil || m.Owed != nil {
+	if ep == nil || ep.dest != m.Dest || m.InFlight != nil || m.Notification != nil {
 		// Guards against a call to an endpoint of another destination or a second copy, whatever the module says.
 		h.log.Error("send not made", "message", m.ID, "endpoint", a.Endpoint)
-		h.pending = append(h.pending, policy.Ended{ID: m.Num, Attempt: m.Steps, Endpoint: a.Endpoint, Outcome: policy.Unsent})
-		m.Steps++
+		h.pending = append(h.pending, policy.Ended{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		m.Attempts++
 		return calls
 	}
 	cl, apart := open[a.Endpoint], h.behindNotice(m)
-	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].Batch && cl.size+itemSize(m.ID, m.Key, m.Size()) > maxBody
+	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].Batch && cl.size+itemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
 	if tooLong || apart || cl == nil && h.parksOne(calls, ep) {
 		// Guards against a batch whose body is longer than any body may be, or all of which waits for one message's notice: it takes a
 		// slot of its own, if there is one.
 		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.Slots {
-			h.pending = append(h.pending, policy.Ended{ID: m.Num, Attempt: m.Steps, Endpoint: a.Endpoint, Outcome: policy.Unsent})
-			m.Steps++
+			h.pending = append(h.pending, policy.Ended{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+			m.Attempts++
 			return calls
 		}
 	}
@@ -45,24 +45,24 @@
 			open[a.Endpoint] = cl
 		}
 	}
-	m.Out = &memory.Out{Step: m.Steps, WallAt: wall}
-	m.Steps++
+	m.InFlight = &memory.Attempt{Number: m.Attempts, StartedAt: wall}
+	m.Attempts++
 	// Guards against a message whose time is up while a more patient one keeps the call out, however short its own
 	// time-out was.
-	it := item{num: m.Num, step: m.Out.Step, id: m.ID, key: m.Key, class: m.Class, notes: m.Notes, body: m.Body, load: h.loader(m), until: now + m.Deadline.Sub(wall), by: h.goesBy(m)}
+	it := item{num: m.Number, step: m.InFlight.Number, id: m.ID, key: m.IdempotencyKey, class: m.Class, notes: m.PluginNotes, body: m.Body, load: h.loader(m), until: now + m.Deadline.Sub(wall), by: h.goesBy(m)}
 	// A batch lasts as long as its most patient message: to end one earlier would leave a live call behind it.
 	if cl.timeout = max(cl.timeout, a.Timeout); h.effect(m) == policy.Unsafe {
 		cl.careful = lookFor
 	}
-	cl.items, cl.size = append(cl.items, it), cl.size+itemSize(m.ID, m.Key, m.Size())
+	cl.items, cl.size = append(cl.items, it), cl.size+itemSize(m.ID, m.IdempotencyKey, m.BodySize())
 	return calls
 }
 
 // goesBy is when m may be written at the latest. Guards against a repeat that the module sent within the partner's window, and that was dialled until after it: the partner would
 // run it a second time.
 func (h *Host) goesBy(m *memory.Message) time.Time {
-	if w := h.window(m); w > 0 && !m.RiskAt.IsZero() {
-		return earlier(m.Deadline, m.RiskAt.Add(w))
+	if w := h.window(m); w > 0 && !m.MayHaveRunSince.IsZero() {
+		return earlier(m.Deadline, m.MayHaveRunSince.Add(w))
 	}
 	return m.Deadline
 }
@@ -74,7 +74,7 @@
 
 // window is for how long a partner can be counted on to drop repeats of m; 0: no such bound.
 func (h *Host) window(m *memory.Message) time.Duration {
-	was, now := m.Window, h.classes[m.Class].Window
+	was, now := m.RepeatWindow, h.classes[m.Class].Window
 	switch {
 	case m.Effect != policy.Keyed && h.classes[m.Class].Effect != policy.Keyed:
 		return 0
@@ -88,10 +88,10 @@
 
 // loader reads the body of m again on the goroutine of its route step; nil where it is in memory.
 func (h *Host) loader(m *memory.Message) func() ([]byte, error) {
-	if m.Spilled == 0 {
+	if m.SpilledBytes == 0 {
 		return nil
 	}
-	return h.journal.Body(m)
+	return h.journal.BodyLoader(m)
 }
 
 // itemSize bounds what a message with a body of so many bytes adds to a batch's body.
@@ -159,7 +159,7 @@
 	}
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
 		h.log.Debug("route step", "endpoint", e.call.ep.id, "dest", e.call.ep.dest, "messages", e.call.ids(),
-			"after", now-e.call.began, "wait", e.wait, "ends", e.ends, "out", len(h.calls), "held", h.table.Live(), "err", e.err)
+			"after", now-e.call.began, "wait", e.wait, "ends", e.ends, "out", len(h.calls), "held", h.table.PendingCount(), "err", e.err)
 	}
 	for i := range e.call.items {
 		h.expiries.Remove(e.call.items[i].expiry)
@@ -169,33 +169,33 @@
 
 func (h *Host) itemEnded(it *item, e callEnded, r end, now policy.Time) {
 	m := h.table.Get(it.num)
-	if m != nil && m.Out != nil && m.Out.Step == it.step {
-		began := m.Out.WallAt
-		m.Out = nil
+	if m != nil && m.InFlight != nil && m.InFlight.Number == it.step {
+		began := m.InFlight.StartedAt
+		m.InFlight = nil
 		switch r.outcome {
 		case policy.Delivered:
 		case policy.Rejected, policy.ConnectFailed, policy.CutShort, policy.Unsent:
 			// Guards against a proof for a step that is not in the journal: it would count for the one before.
 			if !e.call.unrecorded {
-				h.journal.NotRun(m)
+				h.journal.AppendNotRun(m)
 			}
 		default:
-			if m.RiskAt.IsZero() {
-				m.RiskAt = began
+			if m.MayHaveRunSince.IsZero() {
+				m.MayHaveRunSince = began
 			}
 		}
-		if r.outcome == policy.Delivered && m.Owed == nil {
+		if r.outcome == policy.Delivered && m.Notification == nil {
 			h.figures.Ended(m.Class, figures.Delivered)
 			h.over(m)
 		} else if r.over {
 			// Guards against a client that went away as its 202 was written: the endpoint says that the message is over, and the
 			// platform may still count it as taken on. A notice of what is over does no harm.
-			h.finish(m.Num, memory.Notice{})
+			h.finish(m.Number, memory.Notification{})
 		} else if r.then != nil {
-			h.finish(m.Num, h.failedBy(r.then.Then, m))
+			h.finish(m.Number, h.failedBy(r.then.Then, m))
 		}
 	}
-	if it.anew && m != nil && m.Owed == nil && h.table.Get(it.num) != nil {
+	if it.anew && m != nil && m.Notification == nil && h.table.Get(it.num) != nil {
 		h.arrivals = append(h.arrivals, m)
 	}
 	if it.ended {
@@ -209,10 +209,10 @@
 
 // failedBy is the notice of a message that a plug-in failed before it went out. Guards against handing back, as if it
 // had never run, what an earlier step may have run: its client would hand it in again.
-func (h *Host) failedBy(t limits.Then, m *memory.Message) memory.Notice {
-	n := memory.Notice{Refused: t == limits.Refuse && (m.RiskAt.IsZero() || h.effect(m) == policy.Safe)}
-	if n.Refused && h.set.RetryAdvice {
-		n.Advice = h.set.MaxRetryAdvice
+func (h *Host) failedBy(t limits.Then, m *memory.Message) memory.Notification {
+	n := memory.Notification{Returned: t == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.effect(m) == policy.Safe)}
+	if n.Returned && h.set.RetryAdvice {
+		n.RetryAfter = h.set.MaxRetryAdvice
 	}
 	return n
 }
--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -172,7 +172,7 @@
 		h := bare(t)
 		ep := h.endpoints["s-1"]
 		m := h.message("m", 7, 1)
-		calls := h.send(h.now(), time.Now(), policy.Send{ID: m.Num, Endpoint: ep.id, Timeout: time.Hour}, map[string]*call{}, nil)
+		calls := h.send(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour}, map[string]*call{}, nil)
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
@@ -203,8 +203,8 @@
 		if len(ends) != 1 || ends[0].Outcome != want {
 			t.Errorf("answer first %v: ends %+v", answerFirst, ends)
 		}
-		if h.table.Get(m.Num) != nil || len(h.unsent) > 0 || h.expiries.First() != nil {
-			t.Errorf("answer first %v: held %v, notices %v", answerFirst, h.table.Get(m.Num), h.unsent)
+		if h.table.Get(m.Number) != nil || len(h.unsent) > 0 || h.expiries.First() != nil {
+			t.Errorf("answer first %v: held %v, notices %v", answerFirst, h.table.Get(m.Number), h.unsent)
 		}
 	}
 }
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -54,10 +54,10 @@
 func (h *Host) step(now policy.Time) {
 	wall := time.Now()
 	for _, m := range h.arrivals {
-		if h.table.Get(m.Num) != m {
+		if h.table.Get(m.Number) != m {
 			continue // over before the module heard of it
 		}
-		if m.Steps == 0 {
+		if m.Attempts == 0 {
 			h.targets.Wanted(m.Dest, h.pool.Wanted)
 		}
 		h.pending = append(h.pending, arrived(m, wall))
@@ -77,9 +77,9 @@
 		case policy.Send:
 			calls = h.send(now, wall, a, open, calls)
 		case policy.Refuse:
-			h.finish(a.ID, memory.Notice{Refused: true, Advice: a.RetryAfter})
+			h.finish(a.ID, memory.Notification{Returned: true, RetryAfter: a.RetryAfter})
 		case policy.Fail:
-			h.finish(a.ID, memory.Notice{})
+			h.finish(a.ID, memory.Notification{})
 		case policy.WakeAfter:
 			h.wakeAt = now + a.Delay
 		case policy.CloseIdle:
@@ -100,10 +100,10 @@
 	// Guards against an answer in the very moment in which the time is up: whoever counts from when the client sent the message is a little
 	// earlier than this relay, takes the answer for late, and waits for a notice that never comes.
 	left := m.Deadline.Sub(wall) - endBefore
-	a := policy.Arrived{ID: m.Num, Class: m.Class, Destination: m.Dest, Left: left, Tries: m.Steps, Kept: m.Kept,
-		Tenant: m.Tenant, Key: m.Subject, Terms: policy.Class{Effect: m.Effect, Window: m.Window, ZoneOnly: m.ZoneOnly}}
-	if !m.RiskAt.IsZero() {
-		if a.MayHave, a.RiskAge = true, wall.Sub(m.RiskAt); a.RiskAge < 0 {
+	a := policy.Arrived{ID: m.Number, Class: m.Class, Destination: m.Dest, Left: left, Tries: m.Attempts, Kept: m.Recovered,
+		Tenant: m.Tenant, Key: m.OrderingKey, Terms: policy.Class{Effect: m.Effect, Window: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
+	if !m.MayHaveRunSince.IsZero() {
+		if a.MayHave, a.RiskAge = true, wall.Sub(m.MayHaveRunSince); a.RiskAge < 0 {
 			// Guards against a clock that was set back between two lives: how long ago it was is not known, so that no
 			// partner can be counted on to drop a repeat.
 			a.RiskAge = unknownAge
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -169,8 +169,8 @@
 }
 
 // endpointOf is an endpoint of destination 7 in the terms of a deployment.
-func endpointOf(set policy.Settings) memory.Member {
-	return memory.Member{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: "s-1", Destination: 7,
+func endpointOf(set policy.Settings) memory.EndpointEntry {
+	return memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: "s-1", Destination: 7,
 		Kind: set.Kinds[0].Name, Zone: set.Zones[0].Name, State: policy.Listed}}
 }
 
@@ -180,7 +180,7 @@
 	for _, pair := range swapped(t) {
 		own, other, log := pair[0], pair[1], &logged{}
 		h := hostOf(t, own, t.TempDir(), log.logger())
-		list := memory.PoolConfig{Generation: 1, Whole: true, Members: []memory.Member{endpointOf(other)}}
+		list := memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{endpointOf(other)}}
 		h.poolNews(list, policy.ListWhole)
 		h.poolNews(list, policy.ListWhole)
 		for key, name := range map[string]string{"kinds": other.Kinds[0].Name, "zones": other.Zones[0].Name} {
@@ -190,7 +190,7 @@
 			}
 		}
 		for i := range 2 {
-			m := &memory.Message{Num: h.table.Next(), ID: fmt.Sprint("m", i), Class: own.Classes[0].Name, Dest: 7,
+			m := &memory.Message{Number: h.table.NextNumber(), ID: fmt.Sprint("m", i), Class: own.Classes[0].Name, Dest: 7,
 				Deadline: time.Now().Add(own.Classes[0].Deadline)}
 			h.table.Add(m)
 			h.arrivals = append(h.arrivals, m)
@@ -217,9 +217,9 @@
 			t.Fatal(err)
 		}
 		for i, class := range own.Classes {
-			m := &memory.Message{Num: table.Next(), ID: fmt.Sprint("m", i), Class: class.Name, Dest: 7, Body: []byte("body"),
-				Deadline: time.Now().Add(class.Deadline), Terms: memory.Terms{Effect: class.Effect, Window: class.Window}}
-			if err := kept.Taken(table, m, false); err != nil {
+			m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("m", i), Class: class.Name, Dest: 7, Body: []byte("body"),
+				Deadline: time.Now().Add(class.Deadline), Terms: memory.Terms{Effect: class.Effect, RepeatWindow: class.Window}}
+			if err := kept.AppendAccepted(table, m, false); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -228,7 +228,7 @@
 		}
 		kept.Close()
 		h := hostOf(t, other, dir, log.logger())
-		h.poolNews(memory.PoolConfig{Generation: 1, Whole: true, Members: []memory.Member{endpointOf(other)}}, policy.ListWhole)
+		h.poolNews(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{endpointOf(other)}}, policy.ListWhole)
 		h.step(h.now())
 		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
 			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -50,7 +50,7 @@
 	for _, c := range []struct {
 		err  error
 		ends bool
-	}{{syscall.EIO, false}, {syscall.EMFILE, false}, {journal.ErrBody, true}} {
+	}{{syscall.EIO, false}, {syscall.EMFILE, false}, {journal.ErrBodyLost, true}} {
 		conn := &routeConn{ep: &endpoint{gate: &gate{}}}
 		load := func() ([]byte, error) { return nil, fmt.Errorf("body: %w", c.err) }
 		res := conn.carry(&call{ep: conn.ep, items: []item{{id: "m", load: load}}, deadline: time.Now().Add(time.Minute)})
--- a/internal/wire/endings_test.go
+++ b/internal/wire/endings_test.go
@@ -91,7 +91,7 @@
 	h := bare(t)
 	m := h.message("m", 7, 1)
 	began := h.now() - time.Second // the journal took a second
-	one := h.send(began, time.Now(), policy.Send{ID: m.Num, Endpoint: "s-1", Timeout: 3 * time.Second}, map[string]*call{}, nil)[0]
+	one := h.send(began, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, map[string]*call{}, nil)[0]
 	c := &routeConn{ep: one.ep, calls: make(chan *call, 1)}
 	one.ep.idle = append(one.ep.idle, c)
 	c.place = h.idle.Push(c)
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -10,14 +10,14 @@
 
 // What the host knows of endpoints: the pool config, and the connections to them that stand idle.
 
-func (h *Host) poolNews(pc memory.PoolConfig, kind policy.ListKind) {
+func (h *Host) poolNews(pc memory.EndpointList, kind policy.ListKind) {
 	news := policy.ListNews{Kind: kind}
 	named := map[string]bool{}
-	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Members) == 0 {
+	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
 		h.generation = -1
 	}
-	h.warnUnknown(pc.Members)
-	for _, mb := range pc.Members {
+	h.warnUnknown(pc.Entries)
+	for _, mb := range pc.Entries {
 		named[mb.Address] = true
 		news.Entries = append(news.Entries, mb.Endpoint)
 		h.member(mb)
@@ -48,12 +48,12 @@
 	if h.watch != nil {
 		h.watch.List(news)
 	}
-	h.log.Debug("pool config", "generation", pc.Generation, "entries", len(pc.Members), "whole", kind != policy.ListChanges)
+	h.log.Debug("pool config", "generation", pc.Generation, "entries", len(pc.Entries), "whole", kind != policy.ListChanges)
 }
 
 // warnUnknown logs the kinds and zones that a list brings up and the settings do not have. Their endpoints are used all
 // the same, with one message in a call, one route for a destination and no fee: a relay without them would lose messages.
-func (h *Host) warnUnknown(members []memory.Member) {
+func (h *Host) warnUnknown(members []memory.EndpointEntry) {
 	kinds, zones := map[string]bool{}, map[string]bool{}
 	for _, mb := range members {
 		if mb.State == policy.Removed {
@@ -81,7 +81,7 @@
 	return slices.ContainsFunc(h.set.Zones, func(z policy.Zone) bool { return z.Name == name })
 }
 
-func (h *Host) member(mb memory.Member) {
+func (h *Host) member(mb memory.EndpointEntry) {
 	ep := h.endpoints[mb.Address]
 	if mb.State == policy.Removed {
 		if ep != nil {
--- a/internal/wire/handin.go
+++ b/internal/wire/handin.go
@@ -93,8 +93,8 @@
 		return plugin.Advice{Verdict: abi.Take}
 	}
 	defer set.Done()
-	a := set.HandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.Key, Dest: m.Dest, Attempt: -1, Left: left, Body: m.Body})
-	m.Notes = a.Notes
+	a := set.HandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.IdempotencyKey, Dest: m.Dest, Attempt: -1, Left: left, Body: m.Body})
+	m.PluginNotes = a.Notes
 	return a
 }
 
@@ -118,7 +118,7 @@
 		return x.reply(status, v.retry, nil)
 	}
 	reason := x.reply(202, 0, nil)
-	f.events <- handedIn{m.Num, reason != closedByClient}
+	f.events <- handedIn{m.Number, reason != closedByClient}
 	return reason
 }
 
@@ -180,12 +180,12 @@
 	case class.Ordered && (badQuery != nil || len(values["subject"]) > 1 || len(subject) > maxID):
 		return nil, 0, fieldError("subject in the query") // read as another, it would overtake its own
 	}
-	m := &memory.Message{ID: id, Class: name, Key: key, Dest: dest, Body: body}
+	m := &memory.Message{ID: id, Class: name, IdempotencyKey: key, Dest: dest, Body: body}
 	if m.Effect, m.Tenant = class.Effect, tenant; class.Effect == policy.Keyed {
-		m.Window, m.ZoneOnly = class.Window, class.ZoneOnly
+		m.RepeatWindow, m.ZoneOnly = class.Window, class.ZoneOnly
 	}
 	if class.Ordered {
-		m.Subject = subject
+		m.OrderingKey = subject
 	}
 	return m, min(limit, class.Deadline), nil
 }
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -28,14 +28,14 @@
 		if p.News != nil && p.News.Numbers != nil {
 			numbers := *p.News.Numbers
 			numbers.Odd = true
-			h.table.Interleave(numbers)
+			h.table.UseSharedNumbering(numbers)
 		}
 		for _, m := range p.Msgs {
 			h.adopt(m)
 		}
 		for _, id := range p.Overs {
 			h.endOutdated(id)
-			h.table.MarkOver(id)
+			h.table.MarkCompleted(id)
 		}
 		if p.News != nil {
 			h.sequence.Owes(p.From, p.News.Owes)
@@ -44,7 +44,7 @@
 		if p.Last {
 			h.elsewhere = nil
 			h.release(h.sequence.End())
-			h.table.Alone()
+			h.table.StopSharedNumbering()
 			h.lend(nil)
 		}
 		h.adopted = append(h.adopted, done)
@@ -57,23 +57,23 @@
 func (h *Host) adopt(m *memory.Message) {
 	delete(h.elsewhere, m.ID)
 	h.sequence.Arrived(m.ID)
-	num := m.Num // where the message keeps it, it keeps its place in the order of hand-in, here and after a restart
+	num := m.Number // where the message keeps it, it keeps its place in the order of hand-in, here and after a restart
 	if have := h.table.ByID(m.ID); have != nil {
-		if have.Out != nil || !m.Supersedes(have) {
+		if have.InFlight != nil || !m.Supersedes(have) {
 			return
 		}
 		// The other account knows more: it takes the place of this one.
 		h.end(have, true)
-		h.table.Forget(m.ID)
-		h.pending = append(h.pending, policy.Withdrawn{ID: have.Num})
-		num = h.table.Next()
-	} else if h.table.Over(m.ID) {
+		h.table.ForgetCompleted(m.ID)
+		h.pending = append(h.pending, policy.Withdrawn{ID: have.Number})
+		num = h.table.NextNumber()
+	} else if h.table.RecentlyCompleted(m.ID) {
 		return
-	} else if !h.table.Keeps(num) {
-		num = h.table.Next()
+	} else if !h.table.CanKeepNumber(num) {
+		num = h.table.NextNumber()
 	}
-	m.Num, m.Out, m.New = num, nil, false
-	h.journal.Kept(h.table, m)
+	m.Number, m.InFlight, m.Unanswered = num, nil, false
+	h.journal.AppendTransferred(h.table, m)
 	h.resume(m, time.Now())
 }
 
@@ -81,25 +81,25 @@
 // and died before it had booked the gift: it is still there for the next one.
 func (h *Host) endOutdated(id string) {
 	m := h.table.ByID(id)
-	if m == nil || m.Out != nil || m.Owed != nil || m.New {
+	if m == nil || m.InFlight != nil || m.Notification != nil || m.Unanswered {
 		return
 	}
 	h.end(m, false)
-	h.pending = append(h.pending, policy.Withdrawn{ID: m.Num})
+	h.pending = append(h.pending, policy.Withdrawn{ID: m.Number})
 }
 
 // TakesRecords tells whether the journal took what was written to it last.
 func (h *Host) TakesRecords() (takes bool) {
-	h.Do(func(h *Host) { takes = !h.journal.Sick() })
+	h.Do(func(h *Host) { takes = !h.journal.Unavailable() })
 	return takes
 }
 
 // heardNews takes over what the process before knows beside messages.
 func (h *Host) heardNews(n *handover.News) {
 	if l := n.List; l != nil && l.Generation > h.generation {
-		pc := memory.PoolConfig{Generation: l.Generation, Whole: true}
+		pc := memory.EndpointList{Generation: l.Generation, Complete: true}
 		for _, m := range l.Members {
-			pc.Members = append(pc.Members, memory.Member{Endpoint: m.Endpoint, HostPort: m.HostPort})
+			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listed = true
 		h.poolNews(pc, policy.ListWhole)
@@ -108,7 +108,7 @@
 		h.learned = *n.Learned
 	}
 	for _, id := range n.Known {
-		if h.table.ByID(id) == nil && !h.table.Over(id) {
+		if h.table.ByID(id) == nil && !h.table.RecentlyCompleted(id) {
 			if h.elsewhere == nil {
 				h.elsewhere = map[string]struct{}{}
 			}
@@ -185,7 +185,7 @@
 		for _, cl := range parked {
 			h.endParked(cl) // its messages are given
 		}
-		learned, numbers := h.relay.Learned(h.now()), h.table.Share()
+		learned, numbers := h.relay.Learned(h.now()), h.table.NewSharedNumbering()
 		news := &handover.News{Drained: drained, Learned: &learned, List: &handover.List{Generation: h.generation}, Numbers: &numbers}
 		for _, ep := range h.endpoints {
 			news.List.Members = append(news.List.Members, handover.Member{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
@@ -198,12 +198,12 @@
 		for _, m := range h.table.All() {
 			if mayGive(m) {
 				h.left = append(h.left, m)
-			} else if m.Owed == nil {
+			} else if m.Notification == nil {
 				// Guards against giving it twice in one file, which nobody could read: it comes by itself once it may be given.
 				news.Known = append(news.Known, m.ID)
 			}
 		}
-		slices.SortFunc(h.left, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+		slices.SortFunc(h.left, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 		h.toldOut = -1
 		if err = h.give(give, news, room); err != nil {
 			h.waits, h.left = nil, nil
@@ -211,7 +211,7 @@
 		}
 		h.giving, h.quiet, h.arrivals, h.pending = give, true, nil, nil
 		h.sequence = sequence.Sequencer{}
-		h.table.Interleave(numbers)
+		h.table.UseSharedNumbering(numbers)
 		for cl := range h.calls {
 			for i := range cl.items {
 				cl.items[i].ended, cl.items[i].anew = true, true // what they leave undone is given
@@ -235,7 +235,7 @@
 
 // mayGive tells whether m can be given: nothing of it is under way, and its body is at hand.
 func mayGive(m *memory.Message) bool {
-	return m.Out == nil && m.Owed == nil && !m.New && m.Spilled == 0 && (!m.Unkept || m.Body != nil)
+	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 && (!m.MemoryOnly || m.Body != nil)
 }
 
 // giveCost is what a message takes of a file beside its body, as a bound.
@@ -246,10 +246,10 @@
 func (h *Host) give(to func([]byte) error, news *handover.News, room int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.left {
-		if h.table.Get(m.Num) != m || !mayGive(m) {
+		if h.table.Get(m.Number) != m || !mayGive(m) {
 			continue
 		}
-		if room -= int64(m.Size() + giveCost); room < 0 {
+		if room -= int64(m.BodySize() + giveCost); room < 0 {
 			rest = h.left[i:]
 			break
 		}
@@ -263,7 +263,7 @@
 	for cl := range h.calls {
 		news.Out = append(news.Out, policy.Lent{Endpoint: cl.ep.id, Age: h.now() - cl.began})
 	}
-	if err := to(journal.Give(msgs, news.Encode(), h.dates)); err != nil {
+	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dates)); err != nil {
 		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
 		return err
 	}
@@ -271,7 +271,7 @@
 	for _, m := range msgs {
 		// Its id is not kept as over: it is not.
 		h.end(m, true)
-		h.table.Forget(m.ID)
+		h.table.ForgetCompleted(m.ID)
 	}
 	return nil
 }
@@ -281,7 +281,7 @@
 func (h *Host) Left() (held, out, behind int) {
 	h.Do(func(h *Host) {
 		for _, m := range h.table.All() {
-			if m.Owed == nil && m.Out == nil && !m.New && !mayGive(m) {
+			if m.Notification == nil && m.InFlight == nil && !m.Unanswered && !mayGive(m) {
 				behind++
 			}
 		}
@@ -295,9 +295,9 @@
 func (h *Host) Share(all, others int64, alone bool) {
 	h.Do(func(h *Host) {
 		if alone {
-			h.journal.Resize(all - others)
+			h.journal.SetBudget(all - others)
 		} else {
-			h.journal.Resize(handover.Budget(all, h.journal.Used(), others))
+			h.journal.SetBudget(handover.Budget(all, h.journal.UsedBytes(), others))
 		}
 	})
 }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -31,7 +31,7 @@
 	w.host.Do(func(h *Host) { h.standby, h.quiet = true, true })
 	until := time.Now().Add(200 * time.Millisecond)
 	msg := func(class, id string, steps int, risk time.Time) *memory.Message {
-		return &memory.Message{Num: 77, ID: id, Class: class, Key: "k", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(4 * time.Second), Steps: steps, RiskAt: risk}
+		return &memory.Message{Number: 77, ID: id, Class: class, IdempotencyKey: "k", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(4 * time.Second), Attempts: steps, MayHaveRunSince: risk}
 	}
 	lent := []policy.Lent{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
 	<-w.host.Adopt(Passed{Overs: []string{"over"}})
@@ -42,8 +42,8 @@
 		t.Errorf("what the other process keeps was answered %d", got)
 	}
 	w.host.Do(func(h *Host) {
-		if len(h.lent) != 3 || h.table.Live() != 2 {
-			t.Errorf("%v lent, %d held", h.lent, h.table.Live())
+		if len(h.lent) != 3 || h.table.PendingCount() != 2 {
+			t.Errorf("%v lent, %d held", h.lent, h.table.PendingCount())
 		}
 	})
 	// A change of the list that reached the other process only is taken over; one that is older than what this one has is not.
@@ -86,7 +86,7 @@
 	var ids []string
 	most := w.host.set.Slots * w.host.kindOf["broker"].Batch
 	for n := range uint32(most) {
-		m := &memory.Message{Num: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)}
+		m := &memory.Message{Number: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)}
 		all, ids = append(all, m), append(ids, m.ID)
 	}
 	<-w.host.Adopt(Passed{Msgs: all})
@@ -113,7 +113,7 @@
 	var given []*memory.Message
 	var news []*handover.News
 	give := func(b []byte) error {
-		msgs, text, err := journal.Given(b, clock.Scale{})
+		msgs, text, err := journal.DecodeTransfer(b, clock.Scale{})
 		if err != nil {
 			return err
 		}
@@ -128,7 +128,7 @@
 	w.host.Do(func(h *Host) { h.endpoints["s-1"].gate.hold(time.Minute); h.relay.Wait(h.now(), "s-1", time.Minute) })
 	w.client(hand("alert", "held", "", "b", 4000))
 	waitFor(t, "the host to hear that its client was told", func() (told bool) {
-		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.New })
+		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.Unanswered })
 		return told
 	})
 	if err := w.host.HandOver(give, true, 1<<20); err != nil {
@@ -159,7 +159,7 @@
 	w.empty()
 	mu.Lock()
 	defer mu.Unlock()
-	if i := slices.IndexFunc(given, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 || given[i].Steps != 1 || given[i].RiskAt.IsZero() {
+	if i := slices.IndexFunc(given, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 || given[i].Attempts != 1 || given[i].MayHaveRunSince.IsZero() {
 		t.Errorf("what its call left undone: %+v", given)
 	}
 	if w.Lock(); len(w.calls) != 1 || len(w.notices) > 0 {
@@ -231,18 +231,18 @@
 	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	ids := map[string]int{}
 	give := func(b []byte) error {
-		msgs, _, err := journal.Given(b, clock.Scale{})
+		msgs, _, err := journal.DecodeTransfer(b, clock.Scale{})
 		for _, m := range msgs {
 			ids[m.ID]++ // on the host's goroutine
 		}
 		return err
 	}
 	var before uint32 // a number ahead of the message whose call is out
-	w.host.Do(func(h *Host) { before = h.table.Next() })
+	w.host.Do(func(h *Host) { before = h.table.NextNumber() })
 	w.client(hand("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
 	w.until("the call", func() bool { return len(w.calls) == 1 })
 	w.host.Do(func(h *Host) {
-		h.journal.Kept(h.table, &memory.Message{Num: before, ID: "held", Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)})
+		h.journal.AppendTransferred(h.table, &memory.Message{Number: before, ID: "held", Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)})
 	})
 	if err := w.host.HandOver(give, false, 0); err != nil {
 		t.Fatal(err)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -127,7 +127,7 @@
 	ConnectTimeout time.Duration
 	IdleMost       int  // connections to endpoints that may stand idle
 	Reports        bool // answers may hold load reports
-	Known          memory.PoolConfig
+	Known          memory.EndpointList
 	DiskBytes      int64 // that the journal may take; read by Reload
 	Table          *memory.Table
 	Journal        *journal.Journal
@@ -228,7 +228,7 @@
 		}
 		h.set, h.reports, h.dialTimeout, h.idleMost, h.sharing = c.Settings, c.Reports, c.ConnectTimeout, c.IdleMost, 0
 		h.name(c.Settings)
-		h.journal.Resize(c.DiskBytes)
+		h.journal.SetBudget(c.DiskBytes)
 		h.follow(discovery)
 		h.pending = append(h.pending, policy.Woke{})
 	})
@@ -244,10 +244,10 @@
 	for _, m := range h.table.All() {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 	open, wall := 0, time.Now()
 	for _, m := range all {
-		if m.Owed != nil && again || m.Out != nil || m.New {
+		if m.Notification != nil && again || m.InFlight != nil || m.Unanswered {
 			continue // its notice is on the way; its call's end, or its client's answer, will bring it
 		}
 		if h.resume(m, wall) {
@@ -261,23 +261,23 @@
 
 // resume goes on with a message of an earlier life, and tells whether it has yet to end.
 func (h *Host) resume(m *memory.Message, wall time.Time) bool {
-	if m.Owed != nil {
+	if m.Notification != nil {
 		h.owe(m)
 		return false
 	}
-	if m.Unkept && m.Body == nil {
+	if m.MemoryOnly && m.Body == nil {
 		// Its body was lost with the process: it can't be sent any more.
-		h.finish(m.Num, h.failedBy(limits.Refuse, m))
+		h.finish(m.Number, h.failedBy(limits.Refuse, m))
 		return false
 	}
 	class, known := h.classes[m.Class]
 	if !known {
 		// Guards against holding for ever what the module would not know: the settings have lost its class.
 		h.log.Warn("class is not in the settings any more, its message is ended", "class", m.Class, "message", m.ID)
-		h.finish(m.Num, h.failedBy(limits.Refuse, m))
+		h.finish(m.Number, h.failedBy(limits.Refuse, m))
 		return false
 	}
-	m.Kept = true
+	m.Recovered = true
 	// Guards against a clock that was set back between two lives: no message has longer than its class.
 	if m.Deadline.Sub(wall) > class.Deadline {
 		m.Deadline = wall.Add(class.Deadline)
@@ -336,7 +336,7 @@
 			h.upkeep(now)
 		}
 		h.commit()
-		h.figures.InProgress(h.table.Live())
+		h.figures.InProgress(h.table.PendingCount())
 		h.flushNotices()
 		timer.Reset(max(0, h.next()-h.now()))
 	}
@@ -389,11 +389,11 @@
 			return // Guards against late news of an address that a reload has replaced
 		}
 		kind := policy.ListChanges
-		if e.Whole {
+		if e.Complete {
 			kind = policy.ListWhole
 		}
 		h.listed, h.firstBy = true, 0
-		h.poolNews(e.PoolConfig, kind)
+		h.poolNews(e.EndpointList, kind)
 	case noteHeard:
 		out, err := h.pool.Hear(h.now(), e.from, e.note)
 		if err != nil {
@@ -422,9 +422,9 @@
 			h.closeOldest()
 		}
 	}
-	h.journal.Tend()
+	h.journal.Maintain()
 	if h.refused > 0 {
-		h.log.Warn("hand-ins turned away", "count", h.refused, "held", h.table.Live())
+		h.log.Warn("hand-ins turned away", "count", h.refused, "held", h.table.PendingCount())
 		h.refused = 0
 	}
 }
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -252,7 +252,7 @@
 func bare(t *testing.T) *Host { return bareOn(t, journal.Dir(t.TempDir())) }
 
 func (h *Host) message(id string, dest, size int) *memory.Message {
-	m := &memory.Message{Num: h.table.Next(), ID: id, Class: "alert", Dest: dest, Body: make([]byte, size), Deadline: time.Now().Add(time.Hour)}
+	m := &memory.Message{Number: h.table.NextNumber(), ID: id, Class: "alert", Dest: dest, Body: make([]byte, size), Deadline: time.Now().Add(time.Hour)}
 	h.table.Add(m)
 	return m
 }
@@ -262,8 +262,8 @@
 	h := bare(t)
 	h.pending = nil
 	other, out := h.message("other", 8, 1), h.message("out", 7, 1)
-	out.Out = &memory.Out{}
-	for i, a := range []policy.Send{{ID: other.Num, Endpoint: "s-1"}, {ID: out.Num, Endpoint: "s-1"}, {ID: h.message("x", 7, 1).Num, Endpoint: "s-9"}} {
+	out.InFlight = &memory.Attempt{}
+	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.message("x", 7, 1).Number, Endpoint: "s-9"}} {
 		if calls := h.send(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pending) != i+1 ||
 			h.pending[i].(policy.Ended).Outcome != policy.Unsent {
 			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pending)
@@ -290,7 +290,7 @@
 		}
 		open, calls := map[string]*call{}, []*call(nil)
 		for i, size := range c.sizes {
-			calls = h.send(0, time.Now(), policy.Send{ID: h.message(fmt.Sprint(i), 7, size).Num, Endpoint: "s-1"}, open, calls)
+			calls = h.send(0, time.Now(), policy.Send{ID: h.message(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
 		}
 		var got []int
 		for _, cl := range calls {
@@ -313,8 +313,8 @@
 	wall := time.Now()
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
-	calls := h.send(0, wall, policy.Send{ID: short.Num, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
-	calls = h.send(0, wall, policy.Send{ID: long.Num, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
+	calls := h.send(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
+	calls = h.send(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
 	h.pending = nil
 	h.begin(cl)
@@ -324,8 +324,8 @@
 	}
 	h.expire(time.Second)
 	h.callEnded(callEnded{call: cl, ends: alike(cl, end{outcome: policy.Delivered})})
-	if len(h.pending) != 2 || h.pending[0].(policy.Ended).Outcome != policy.TimedOut || h.pending[0].(policy.Ended).ID != short.Num ||
-		h.pending[1].(policy.Ended).ID != long.Num {
+	if len(h.pending) != 2 || h.pending[0].(policy.Ended).Outcome != policy.TimedOut || h.pending[0].(policy.Ended).ID != short.Number ||
+		h.pending[1].(policy.Ended).ID != long.Number {
 		t.Fatalf("told %+v", h.pending)
 	}
 }
@@ -335,7 +335,7 @@
 	h := bare(t)
 	m, wall := h.message("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
-	cl := h.send(0, wall, policy.Send{ID: m.Num, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
+	cl := h.send(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
 	h.pending = nil
 	h.begin(cl)
 	if h.expire(2 * time.Second); len(h.pending) != 0 {
@@ -357,7 +357,7 @@
 		t.Fatalf("%d idle", len(idle))
 	}
 	news := func(addr, lifecycle string) {
-		pc, err := memory.ParsePoolConfig(pool(addr, lifecycle, 2))
+		pc, err := memory.ParseEndpointList(pool(addr, lifecycle, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,12 +391,12 @@
 	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false}, {"alert", 4500 * time.Millisecond, true}} {
 		m := h.message(fmt.Sprint(c), 7, 10)
 		if m.Class = c.class; c.risk > 0 {
-			m.RiskAt = now.Add(-c.risk)
+			m.MayHaveRunSince = now.Add(-c.risk)
 		}
 		other := h.message(fmt.Sprint("other ", c), 7, 10)
 		open := map[string]*call{}
-		calls := h.send(0, now, policy.Send{ID: m.Num, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
-		calls = h.send(0, now, policy.Send{ID: other.Num, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
+		calls := h.send(0, now, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
+		calls = h.send(0, now, policy.Send{ID: other.Number, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
 		if !calls[0].inTime(now.Add(600 * time.Millisecond)) {
 			t.Errorf("%v: nothing goes", c)
 		}
@@ -416,18 +416,18 @@
 	h.kindOf["apart"] = policy.Kind{Name: "apart", Batch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
 		dest := map[string]int{"broker": 7, "apart": 9}[kind]
-		h.member(memory.Member{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
+		h.member(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
 	}
 	h.endpoints["s-1"].gate.hold(time.Hour)
 	h.endpoints["a-1"].gate.hold(time.Hour)
-	h.member(memory.Member{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
+	h.member(memory.EndpointEntry{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
 	for id, closed := range map[string]bool{"s-1": true, "s-2": true, "a-1": true, "a-2": false} {
 		if h.endpoints[id].gate.closed() != closed {
 			t.Errorf("%s: closed %v", id, !closed)
 		}
 	}
 	h.rebuild(h.now())
-	if h.poolNews(memory.PoolConfig{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
+	if h.poolNews(memory.EndpointList{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
 		t.Errorf("steps from %v on", h.stepAt())
 	}
 }
@@ -469,7 +469,7 @@
 	addr, events := agent.Listener.Addr().String(), make(chan any)
 	go watch(t.Context(), watching{addr: addr, have: -1, fleet: 1}, events, quiet)
 	first, second := (<-events).(poolNews), (<-events).(poolNews)
-	if !first.Whole || first.Generation != 41 || second.Whole || second.Members[0].State != policy.Draining {
+	if !first.Complete || first.Generation != 41 || second.Complete || second.Entries[0].State != policy.Draining {
 		t.Errorf("news %+v, then %+v", first, second)
 	}
 	go func() {
@@ -483,7 +483,7 @@
 	mu.Unlock()
 	in, acks := make(chan owed, 3), make(chan any, 3)
 	for i, id := range []string{"a", "bad", "c\"\n"} {
-		in <- owed{uint32(i), id, memory.Notice{Refused: i == 2, Advice: 500 * time.Millisecond}}
+		in <- owed{uint32(i), id, memory.Notification{Returned: i == 2, RetryAfter: 500 * time.Millisecond}}
 	}
 	var at atomic.Pointer[string]
 	at.Store(&addr)
@@ -512,7 +512,7 @@
 	if v := ask("a", 8); v.taken || v.nowhere || v.retry == 0 {
 		t.Errorf("before the list: %+v", v)
 	}
-	known, _ := memory.ParsePoolConfig(pool("127.0.0.1:1", "in_service", 2))
+	known, _ := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 2))
 	old, end := context.WithCancel(context.Background())
 	defer end()
 	h.watching = context.Background()
@@ -531,13 +531,13 @@
 	if v := ask("a", 7); !v.known {
 		t.Errorf("again: %+v", v)
 	}
-	if h.take(handedIn{m.Num, false}); h.table.ByID("a") != m {
+	if h.take(handedIn{m.Number, false}); h.table.ByID("a") != m {
 		t.Error("lost what was answered as taken")
 	}
 	if v := ask("b", 7); !v.taken {
 		t.Errorf("other: %+v", v)
 	}
-	h.take(handedIn{h.table.ByID("b").Num, false})
+	h.take(handedIn{h.table.ByID("b").Number, false})
 	if v := ask("b", 7); !v.taken { // nobody heard of it the first time
 		t.Errorf("anew: %+v", v)
 	}
@@ -551,7 +551,7 @@
 func TestClockSetBack(t *testing.T) {
 	h := bare(t)
 	m := h.message("back", 7, 1)
-	m.RiskAt, h.arrivals = time.Now().Add(time.Hour), nil
+	m.MayHaveRunSince, h.arrivals = time.Now().Add(time.Hour), nil
 	h.restore(false)
 	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline || h.classes["alert"].Deadline == 0 {
 		t.Fatalf("%d arrivals, %v left of %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
@@ -567,14 +567,14 @@
 	for outcome, ran := range map[policy.Outcome]bool{policy.CutShort: false, policy.ConnectFailed: false, policy.Broken: true, policy.TimedOut: true} {
 		h := bare(t)
 		m := h.message("m", 7, 1)
-		calls := h.send(0, time.Now(), policy.Send{ID: m.Num, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
-		if len(calls) != 1 || m.Out == nil {
-			t.Fatalf("%d calls, %+v", len(calls), m.Out)
+		calls := h.send(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+		if len(calls) != 1 || m.InFlight == nil {
+			t.Fatalf("%d calls, %+v", len(calls), m.InFlight)
 		}
 		h.pending = nil
 		h.callEnded(callEnded{call: calls[0], ends: alike(calls[0], end{outcome: outcome})})
-		if m.Out != nil || m.RiskAt.IsZero() == ran {
-			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.Out, m.RiskAt)
+		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
+			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
 		if len(h.pending) != 1 || h.pending[0].(policy.Ended).Outcome != outcome {
 			t.Errorf("outcome %v: the module is told %v", outcome, h.pending)
--- a/internal/wire/killed_test.go
+++ b/internal/wire/killed_test.go
@@ -133,17 +133,17 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	known, _ := memory.ParsePoolConfig(pool("127.0.0.1:1", "in_service", 1))
+	known, _ := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 1))
 	h, err := NewHost(HostConfig{Settings: testSettings(), Known: known, Table: table, Journal: kept, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := table.ByID("m")
-	owed := m != nil && m.Owed != nil
+	owed := m != nil && m.Notification != nil
 	h.step(h.now())
 	goes, notices := len(h.begun), len(h.unsent)
 	switch {
-	case m == nil && table.Over("m"):
+	case m == nil && table.RecentlyCompleted("m"):
 		if !s.called {
 			t.Errorf("%s: over, and nobody was called", at)
 		}
@@ -161,13 +161,13 @@
 			t.Errorf("%s: ended, and %d calls, %d notices, called: %v", at, goes, notices, s.called)
 		}
 		return "owed"
-	case m.RiskAt.IsZero():
+	case m.MayHaveRunSince.IsZero():
 		if goes != 1 || notices != 0 || s.called {
 			t.Errorf("%s: untried, and %d calls, %d notices, called: %v", at, goes, notices, s.called)
 		}
 		return "untried"
 	case class == "fee":
-		if goes != 0 || notices != 1 || m.Owed.Refused {
+		if goes != 0 || notices != 1 || m.Notification.Returned {
 			t.Errorf("%s: a charge that may have run, and %d calls, %d notices", at, goes, notices)
 		}
 	case goes != 1 || notices != 0:
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -203,7 +203,7 @@
 	if got := <-s.asked; got != "/v1/endpoints" {
 		t.Errorf("asks %s", got)
 	}
-	if n := (<-events).(poolNews); n.Generation != 41 || !n.Whole || len(n.Members) != 1 {
+	if n := (<-events).(poolNews); n.Generation != 41 || !n.Complete || len(n.Entries) != 1 {
 		t.Errorf("hears %+v", n)
 	}
 	kept, half := <-dialled, "HTTP/1.1 200 OK\r\nContent-Len"
@@ -238,7 +238,7 @@
 	s.say <- lists(pool("127.0.0.1:1", "terminating", 42))
 	s.say <- lists(pool("127.0.0.1:1", "in_service", 3))
 	for _, want := range []int64{41, 42, 3} {
-		if n := (<-events).(poolNews); n.Generation != want || !n.Whole {
+		if n := (<-events).(poolNews); n.Generation != want || !n.Complete {
 			t.Errorf("hears %+v, want %d", n, want)
 		}
 	}
@@ -286,7 +286,7 @@
 		<-s.asked
 	}
 	s.say <- lists(pool("127.0.0.1:1", "in_service", 41))
-	if n := (<-events).(poolNews); n.Generation != 41 || !n.Whole {
+	if n := (<-events).(poolNews); n.Generation != 41 || !n.Complete {
 		t.Errorf("hears %+v", n)
 	}
 }
@@ -333,7 +333,7 @@
 			}()
 		}
 	}()
-	if n := (<-events).(poolNews); n.Generation != 5 || !n.Whole {
+	if n := (<-events).(poolNews); n.Generation != 5 || !n.Complete {
 		t.Errorf("hears %+v", n)
 	}
 }
--- a/internal/wire/notice.go
+++ b/internal/wire/notice.go
@@ -27,7 +27,7 @@
 type owed struct {
 	num uint32
 	id  string
-	memory.Notice
+	memory.Notification
 }
 
 // noticed tells the host which notices the platform has taken.
@@ -177,9 +177,9 @@
 	var body []byte
 	for _, n := range list {
 		body = gjson.AppendJSONString(append(body, `{"message":`...), n.id)
-		if n.Refused {
+		if n.Returned {
 			body = append(body, `,"outcome":"handed_back"`...)
-			if ms := n.Advice.Milliseconds(); ms > 0 {
+			if ms := n.RetryAfter.Milliseconds(); ms > 0 {
 				body = strconv.AppendInt(append(body, `,"retry_in_ms":`...), ms, 10)
 			}
 		} else {
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -39,13 +39,13 @@
 }
 
 func placeOf(m *memory.Message) sequence.Message {
-	return sequence.Message{ID: m.ID, Subject: m.Subject, Num: m.Num}
+	return sequence.Message{ID: m.ID, Subject: m.OrderingKey, Num: m.Number}
 }
 
 // release passes on what was held back and need not be any more.
 func (h *Host) release(nums []uint32) {
 	for _, num := range nums {
-		if m := h.table.Get(num); m != nil && m.Owed == nil {
+		if m := h.table.Get(num); m != nil && m.Notification == nil {
 			h.arrivals = append(h.arrivals, m)
 		}
 	}
@@ -64,10 +64,10 @@
 func (h *Host) owes(given []*memory.Message) (list []sequence.Message) {
 	gives := make(map[uint32]struct{}, len(given))
 	for _, m := range given {
-		gives[m.Num] = struct{}{}
+		gives[m.Number] = struct{}{}
 	}
 	for _, m := range h.table.All() {
-		if _, now := gives[m.Num]; !now && m.Subject != "" {
+		if _, now := gives[m.Number]; !now && m.OrderingKey != "" {
 			list = append(list, placeOf(m))
 		}
 	}
@@ -88,7 +88,7 @@
 	for _, r := range h.replies {
 		if ordered(r) {
 			h.end(r.msg, true)
-			h.table.Forget(r.msg.ID)
+			h.table.ForgetCompleted(r.msg.ID)
 			h.inTurn(r.msg, false)
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // ordered tells whether a hand-in was taken on in an ordered class.
-func ordered(r heldReply) bool { return r.v.taken && r.msg.Subject != "" }
+func ordered(r heldReply) bool { return r.v.taken && r.msg.OrderingKey != "" }
 
 // heldUntil is when the first message's time is up that is held back; at where that is later.
 func (h *Host) heldUntil(at policy.Time) policy.Time {
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -40,7 +40,7 @@
 func (w *world) steps(id string) (n int, there bool) {
 	w.host.Do(func(h *Host) {
 		if m := h.table.ByID(id); m != nil {
-			n, there = m.Steps, true
+			n, there = m.Attempts, true
 		}
 	})
 	return n, there
@@ -101,7 +101,7 @@
 	o.spool = nil
 	o.mu.Unlock()
 	for _, raw := range files {
-		msgs, text, err := journal.Given(raw, clock.Scale{})
+		msgs, text, err := journal.DecodeTransfer(raw, clock.Scale{})
 		if err != nil {
 			o.t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 func (o *overlap) heldIn(w *world, id string) {
 	o.t.Helper()
 	waitFor(o.t, id+" to be told", func() (told bool) {
-		w.host.Do(func(h *Host) { m := h.table.ByID(id); told = m != nil && !m.New })
+		w.host.Do(func(h *Host) { m := h.table.ByID(id); told = m != nil && !m.Unanswered })
 		return told
 	})
 }
@@ -248,7 +248,7 @@
 		for _, m := range h.table.All() {
 			all = append(all, m)
 		}
-		slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+		slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 		for _, m := range all {
 			got = append(got, m.ID)
 		}
@@ -307,7 +307,7 @@
 func TestNotAnnouncedIsNotTakenOn(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.handOver()
-	o.old.host.Do(func(h *Host) { h.giving = func([]byte) error { return journal.ErrSick } })
+	o.old.host.Do(func(h *Host) { h.giving = func([]byte) error { return journal.ErrUnavailable } })
 	if got := o.old.client(ofSubject("a")); got != 503 && got != 429 {
 		t.Errorf("answered %d", got)
 	}
--- a/internal/wire/parked.go
+++ b/internal/wire/parked.go
@@ -15,27 +15,27 @@
 
 // awaitNotice books that m is over only once the platform has answered its notice.
 func (h *Host) awaitNotice(m *memory.Message) {
-	if m.Subject == "" {
+	if m.OrderingKey == "" {
 		return
 	}
-	if h.awaited[m.Subject] == nil {
-		h.awaited[m.Subject] = map[uint32]struct{}{}
+	if h.awaited[m.OrderingKey] == nil {
+		h.awaited[m.OrderingKey] = map[uint32]struct{}{}
 	}
-	h.awaited[m.Subject][m.Num] = struct{}{}
+	h.awaited[m.OrderingKey][m.Number] = struct{}{}
 }
 
 // noticeAnswered books that m is over.
 func (h *Host) noticeAnswered(m *memory.Message) {
-	waiting := h.awaited[m.Subject]
-	if delete(waiting, m.Num); len(waiting) == 0 {
-		delete(h.awaited, m.Subject)
+	waiting := h.awaited[m.OrderingKey]
+	if delete(waiting, m.Number); len(waiting) == 0 {
+		delete(h.awaited, m.OrderingKey)
 	}
 }
 
 // behindNotice tells whether an earlier message of the subject of m is ended by a notice that the platform has not answered yet.
 func (h *Host) behindNotice(m *memory.Message) bool {
-	for num := range h.awaited[m.Subject] {
-		if num < m.Num {
+	for num := range h.awaited[m.OrderingKey] {
+		if num < m.Number {
 			return true
 		}
 	}
--- a/internal/wire/parked_test.go
+++ b/internal/wire/parked_test.go
@@ -55,9 +55,9 @@
 	h := bare(t)
 	h.pending = nil
 	a, b := h.message("a", 7, 1), h.message("b", 7, 1)
-	a.Subject, b.Subject = "s", "s"
-	h.finish(a.Num, memory.Notice{})
-	calls := h.send(0, time.Now(), policy.Send{ID: b.Num, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+	a.OrderingKey, b.OrderingKey = "s", "s"
+	h.finish(a.Number, memory.Notification{})
+	calls := h.send(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
 	h.begin(calls[0])
 	if len(h.parked) != 1 || len(h.begun) != 0 {
 		t.Fatalf("%d parked, %d begun", len(h.parked), len(h.begun))
@@ -67,7 +67,7 @@
 		t.Fatalf("before its time: %d parked, %v", len(h.parked), h.pending)
 	}
 	h.unpark(time.Second)
-	if e, ok := h.pending[0].(policy.Ended); len(h.parked) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.Out != nil {
+	if e, ok := h.pending[0].(policy.Ended); len(h.parked) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
 		t.Errorf("%d parked, %d out, %+v", len(h.parked), len(h.calls), h.pending)
 	}
 }
@@ -76,8 +76,8 @@
 func TestRestoredNoticeHoldsTheNext(t *testing.T) {
 	h := bare(t)
 	before, a, b, other := h.message("before", 7, 1), h.message("a", 7, 1), h.message("b", 7, 1), h.message("other", 7, 1)
-	before.Subject, a.Subject, b.Subject, other.Subject = "s", "s", "s", "t"
-	h.table.Owe(a, memory.Notice{})
+	before.OrderingKey, a.OrderingKey, b.OrderingKey, other.OrderingKey = "s", "s", "s", "t"
+	h.table.MarkUndelivered(a, memory.Notification{})
 	h.restore(false)
 	if !h.behindNotice(b) || h.behindNotice(before) || h.behindNotice(other) {
 		t.Error("the wrong ones wait")
@@ -93,12 +93,12 @@
 	h := bare(t)
 	h.pending = nil
 	a, b := h.message("a", 7, 1), h.message("b", 7, 1)
-	a.Subject, b.Subject = "s", "s"
-	h.finish(a.Num, memory.Notice{})
+	a.OrderingKey, b.OrderingKey = "s", "s"
+	h.finish(a.Number, memory.Notification{})
 	open := map[string]*call{}
 	var calls []*call
 	for _, m := range []*memory.Message{h.message("c", 7, 1), b, h.message("d", 7, 1)} {
-		calls = h.send(0, time.Now(), policy.Send{ID: m.Num, Endpoint: "s-1", Timeout: time.Second}, open, calls)
+		calls = h.send(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, open, calls)
 	}
 	if len(calls) != 2 || len(calls[0].items) != 2 || calls[1].items[0].id != "b" {
 		t.Errorf("%d calls", len(calls))
@@ -106,8 +106,8 @@
 	for len(h.calls) < h.set.Slots {
 		h.calls[&call{ep: calls[0].ep}] = struct{}{}
 	}
-	b.Out = nil
-	if calls = h.send(0, time.Now(), policy.Send{ID: b.Num, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pending) != 1 {
+	b.InFlight = nil
+	if calls = h.send(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pending) != 1 {
 		t.Errorf("%d calls without a slot, %v", len(calls), h.pending)
 	}
 }
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -24,14 +24,14 @@
 	for n := 1; n < 20; n++ {
 		d.Fail(d.Ops()+n, disk.Error)
 	}
-	h.finish(early.Num, memory.Notice{Refused: true})
-	h.finish(late.Num, memory.Notice{})
+	h.finish(early.Number, memory.Notification{Returned: true})
+	h.finish(late.Number, memory.Notification{})
 	h.commit()
 	h.flushNotices()
 	if n := len(h.notices); n != 1 || (<-h.notices).id != "late" {
 		t.Fatalf("%d notices went out without a record", n)
 	}
-	for h.journal.Pending() { // the disk is well again behind its failures
+	for h.journal.HasUnwritten() { // the disk is well again behind its failures
 		h.commit()
 	}
 	h.flushNotices()
@@ -50,7 +50,7 @@
 	answers := map[string]chan verdict{}
 	for id, subject := range map[string]string{"plain": "", "ordered": "s"} {
 		m := &memory.Message{ID: id, Class: "alert", Dest: 7, Deadline: time.Now().Add(time.Hour), Body: []byte("b")}
-		m.Subject = subject
+		m.OrderingKey = subject
 		answers[id] = make(chan verdict, 1)
 		h.take(handIn{m, answers[id]})
 	}
@@ -66,11 +66,11 @@
 // bareOn returns a host that nobody runs, whose journal is in that folder.
 func bareOn(t *testing.T, fs journal.FS) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: quiet, Inline: true})
+	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: quiet, CompactInline: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, err := memory.ParsePoolConfig(pool("127.0.0.1:1", "in_service", 1))
+	known, err := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/requests.go
+++ b/internal/wire/requests.go
@@ -23,7 +23,7 @@
 // inTurn books how the answer to a hand-in went, and tells the module of all whose turn it is. Guards against one that overtakes another of
 // its subject between its client's answer and the module, on goroutines of two connections.
 func (h *Host) inTurn(m *memory.Message, told bool) {
-	queue, ours := h.turns[m.Subject], &turn{msg: m}
+	queue, ours := h.turns[m.OrderingKey], &turn{msg: m}
 	for _, t := range queue {
 		if t.msg == m {
 			ours = t
@@ -37,24 +37,24 @@
 		h.answered(queue[0].msg, queue[0].told)
 		queue = queue[1:]
 	}
-	if h.turns[m.Subject] = queue; len(queue) == 0 {
-		delete(h.turns, m.Subject)
+	if h.turns[m.OrderingKey] = queue; len(queue) == 0 {
+		delete(h.turns, m.OrderingKey)
 	}
 }
 
 // answered goes on with a message whose client has been answered, or could not be.
 func (h *Host) answered(m *memory.Message, told bool) {
-	if h.table.Get(m.Num) != m {
+	if h.table.Get(m.Number) != m {
 		return // it was not written, or is over
 	}
 	// Guards against losing what was handed in again meanwhile, and answered as taken.
-	if told || m.Asked {
-		m.New = false
+	if told || m.Resubmitted {
+		m.Unanswered = false
 		h.onward(m, false)
 		return
 	}
 	h.end(m, true) // the client never heard of it, and may hand it in again
-	h.table.Forget(m.ID)
+	h.table.ForgetCompleted(m.ID)
 }
 
 // heldReply is what a hand-in is answered with, and the message that it is about; nil where it is about none that is held.
@@ -67,9 +67,9 @@
 // handIn takes a message on. Its client hears of it when the turn is in the journal.
 func (h *Host) handIn(e handIn) (*memory.Message, verdict) {
 	_, elsewhere := h.elsewhere[e.msg.ID]
-	if m := h.table.ByID(e.msg.ID); m != nil || elsewhere || h.sequence.OwedElsewhere(e.msg.ID) || h.table.Over(e.msg.ID) {
+	if m := h.table.ByID(e.msg.ID); m != nil || elsewhere || h.sequence.OwedElsewhere(e.msg.ID) || h.table.RecentlyCompleted(e.msg.ID) {
 		if m != nil {
-			m.Asked = true
+			m.Resubmitted = true
 		}
 		return m, verdict{known: true} // the same hand-in once more: it is taken already
 	}
@@ -80,10 +80,10 @@
 	} else if !named && len(h.kinds) > 0 {
 		return nil, h.refuse()
 	}
-	if h.table.Live() < h.set.MaxHeld {
-		e.msg.Num, e.msg.New = h.table.Next(), true
-		if h.journal.Taken(h.table, e.msg, e.msg.Effect == policy.Safe) == nil { // a full budget or disk is counted below, like a full hold
-			if s := e.msg.Subject; s != "" {
+	if h.table.PendingCount() < h.set.MaxHeld {
+		e.msg.Number, e.msg.Unanswered = h.table.NextNumber(), true
+		if h.journal.AppendAccepted(h.table, e.msg, e.msg.Effect == policy.Safe) == nil { // a full budget or disk is counted below, like a full hold
+			if s := e.msg.OrderingKey; s != "" {
 				h.turns[s] = append(h.turns[s], &turn{msg: e.msg})
 			}
 			return e.msg, verdict{taken: true}
@@ -101,14 +101,14 @@
 		for i := range cl.items {
 			msgs[i] = h.table.Get(cl.items[i].num)
 		}
-		h.journal.Out(wall, msgs)
+		h.journal.AppendAttempt(wall, msgs)
 	}
 	err, outErr := h.journal.Commit()
 	if err != nil {
 		for _, r := range h.replies {
 			if r.v.taken {
 				h.table.Remove(r.msg)
-				h.table.Forget(r.msg.ID)
+				h.table.ForgetCompleted(r.msg.ID)
 				h.inTurn(r.msg, false)
 			}
 		}
@@ -129,7 +129,7 @@
 		}
 		h.dispatch(cl)
 	}
-	if len(h.adopted) > 0 && !h.journal.Pending() {
+	if len(h.adopted) > 0 && !h.journal.HasUnwritten() {
 		for _, done := range h.adopted {
 			close(done)
 		}
@@ -139,14 +139,14 @@
 
 // settled is the answer to a hand-in behind the turn's write. failed: some of the turn were not taken on after all, which the table tells.
 func (h *Host) settled(r heldReply, failed bool) verdict {
-	gone := r.msg != nil && h.table.Get(r.msg.Num) != r.msg
+	gone := r.msg != nil && h.table.Get(r.msg.Number) != r.msg
 	switch {
 	case failed && gone:
 		// Guards against answering the same hand-in once more as taken while it is not.
 		return h.refuse()
 	case r.v.taken && !gone:
 		h.logTaken(r.msg)
-		h.journal.Settle(h.table, r.msg)
+		h.journal.LimitBodyMemory(h.table, r.msg)
 	}
 	return r.v
 }
@@ -154,7 +154,7 @@
 // logTaken names a message that this process owes from now on, so that one can be followed by its id through every process that held it.
 func (h *Host) logTaken(m *memory.Message) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("taken on", "message", m.ID, "dest", m.Dest, "class", m.Class, "subject", m.Subject, "left", time.Until(m.Deadline))
+		h.log.Debug("taken on", "message", m.ID, "dest", m.Dest, "class", m.Class, "subject", m.OrderingKey, "left", time.Until(m.Deadline))
 	}
 }
 
@@ -173,41 +173,41 @@
 
 // end does so; anew says that its id may be taken on again.
 func (h *Host) end(m *memory.Message, anew bool) {
-	if h.table.Get(m.Num) == m {
+	if h.table.Get(m.Number) == m {
 		h.table.Remove(m)
-		h.journal.Over(m, anew)
+		h.journal.AppendCompleted(m, anew)
 		h.noticeAnswered(m)
 	}
 }
 
 // finish ends m by a notice. It is owed until the platform has taken it, also after a restart.
-func (h *Host) finish(num uint32, n memory.Notice) {
+func (h *Host) finish(num uint32, n memory.Notification) {
 	m := h.table.Get(num)
-	if m == nil || m.Owed != nil {
+	if m == nil || m.Notification != nil {
 		return
 	}
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("ended by notice", "message", m.ID, "dest", m.Dest, "class", m.Class, "steps", m.Steps, "left", time.Until(m.Deadline),
-			"handed_back", n.Refused, "advice", n.Advice)
+		h.log.Debug("ended by notice", "message", m.ID, "dest", m.Dest, "class", m.Class, "steps", m.Attempts, "left", time.Until(m.Deadline),
+			"handed_back", n.Returned, "advice", n.RetryAfter)
 	}
-	if n.Refused {
+	if n.Returned {
 		h.figures.Ended(m.Class, figures.HandedBack)
 	} else {
 		h.figures.Ended(m.Class, figures.GivenUp)
 	}
-	h.table.Owe(m, n)
-	h.journal.Owed(m)
+	h.table.MarkUndelivered(m, n)
+	h.journal.AppendUndelivered(m)
 	h.owe(m)
 }
 
 func (h *Host) owe(m *memory.Message) {
 	h.awaitNotice(m)
-	h.unsent = append(h.unsent, owed{m.Num, m.ID, *m.Owed})
+	h.unsent = append(h.unsent, owed{m.Number, m.ID, *m.Notification})
 }
 
 // flushNotices passes on the notices that may go out.
 func (h *Host) flushNotices() {
-	wait, wall := h.journal.Pending(), time.Now()
+	wait, wall := h.journal.HasUnwritten(), time.Now()
 	var kept []owed
 	for i, n := range h.unsent {
 		if wait && h.mayGoOn(n.num, wall) {
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -14,7 +14,7 @@
 func TestPlanSites(t *testing.T) {
 	h := bare(t)
 	for id, zone := range map[string]string{"a-1": "a", "b-1": "b"} {
-		h.member(memory.Member{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
+		h.member(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
 	}
 	if h.Sites() != nil {
 		t.Fatal("sites without a plan")
--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -16,18 +16,18 @@
 // Tenant and subject come in as the platform names them, are in the journal with the effect and window that bind the message, and come back
 // from it to the module.
 func TestTermsOutliveTheProcess(t *testing.T) {
-	dir, want := t.TempDir(), memory.Terms{Effect: policy.Keyed, Window: 7 * time.Second, ZoneOnly: true, Tenant: "north", Subject: "a/b"}
+	dir, want := t.TempDir(), memory.Terms{Effect: policy.Keyed, RepeatWindow: 7 * time.Second, ZoneOnly: true, Tenant: "north", OrderingKey: "a/b"}
 	j, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, terms := range []memory.Terms{want, {}, {Effect: policy.Unsafe}} {
-		m := &memory.Message{Num: table.Next(), ID: fmt.Sprint("m", i), Class: "fee", Deadline: time.Now().Add(time.Minute), Terms: terms}
-		if err := j.Taken(table, m, false); err != nil {
+		m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("m", i), Class: "fee", Deadline: time.Now().Add(time.Minute), Terms: terms}
+		if err := j.AppendAccepted(table, m, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	given, _, err := journal.Given(journal.Give([]*memory.Message{table.ByID("m0"), table.ByID("m1")}, nil, clock.Scale{}), clock.Scale{})
+	given, _, err := journal.DecodeTransfer(journal.EncodeTransfer([]*memory.Message{table.ByID("m0"), table.ByID("m1")}, nil, clock.Scale{}), clock.Scale{})
 	if err != nil || len(given) != 2 || given[0].Terms != want || given[1].Terms != (memory.Terms{}) {
 		t.Errorf("given to another process: %+v, %v", given, err)
 	}
@@ -42,12 +42,12 @@
 	defer j.Close()
 	for i, terms := range []memory.Terms{want, {}, {Effect: policy.Unsafe}} {
 		m := table.ByID(fmt.Sprint("m", i))
-		if m == nil || m.Terms != terms || !m.Kept {
+		if m == nil || m.Terms != terms || !m.Recovered {
 			t.Fatalf("m%d comes back as %+v", i, m)
 		}
 	}
 	a := arrived(table.ByID("m0"), time.Now())
-	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.Window != want.Window || !a.Terms.ZoneOnly || !a.Kept {
+	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.Window != want.RepeatWindow || !a.Terms.ZoneOnly || !a.Kept {
 		t.Errorf("the module is told %+v", a)
 	}
 }
@@ -65,11 +65,11 @@
 		want                 memory.Terms
 		bad                  string
 	}{
-		{"/posting", "subject=a%2Fb", "north", memory.Terms{Effect: policy.Unsafe, Tenant: "north", Subject: "a/b"}, ""},
+		{"/posting", "subject=a%2Fb", "north", memory.Terms{Effect: policy.Unsafe, Tenant: "north", OrderingKey: "a/b"}, ""},
 		{"/posting", "", "", memory.Terms{Effect: policy.Unsafe}, ""},
 		{"/alert", "subject=x", "b", memory.Terms{Tenant: "b"}, ""},
 		{"/alert", "%zz", "", memory.Terms{}, ""},
-		{"/order", "", "", memory.Terms{Effect: policy.Keyed, Window: time.Second, ZoneOnly: true}, ""},
+		{"/order", "", "", memory.Terms{Effect: policy.Keyed, RepeatWindow: time.Second, ZoneOnly: true}, ""},
 		{"/posting", "subject=a&subject=b", "", memory.Terms{}, "subject"},
 		{"/posting", "subject=%zz", "", memory.Terms{}, "subject"},
 		{"/posting", "subject=" + strings.Repeat("x", maxID+1), "", memory.Terms{}, "subject"},
@@ -140,9 +140,9 @@
 		want bool
 	}{{time.Time{}, true}, {time.Now(), false}} {
 		m := h.message("m"+fmt.Sprint(c.want), 7, 1)
-		m.Class, m.RiskAt, m.Effect = "gone", c.risk, policy.Unsafe
-		if h.resume(m, time.Now()) || m.Owed == nil || m.Owed.Refused != c.want {
-			t.Errorf("risk %v: ended by %+v, want handed back %v", c.risk, m.Owed, c.want)
+		m.Class, m.MayHaveRunSince, m.Effect = "gone", c.risk, policy.Unsafe
+		if h.resume(m, time.Now()) || m.Notification == nil || m.Notification.Returned != c.want {
+			t.Errorf("risk %v: ended by %+v, want handed back %v", c.risk, m.Notification, c.want)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		var msgs []*memory.Message
 		for i, subject := range []string{"s", "other", "s", ""} {
 			m := &memory.Message{ID: fmt.Sprint("m", i), Class: "fee", Dest: 7, Deadline: time.Now().Add(time.Minute)}
-			m.Subject = subject
+			m.OrderingKey = subject
 			h.take(handIn{m, make(chan verdict, 1)})
 			msgs = append(msgs, m)
 		}
@@ -170,12 +170,12 @@
 				t.Errorf("the module hears of %v, want %v", got, want)
 			}
 		}
-		h.take(handedIn{msgs[2].Num, true})
+		h.take(handedIn{msgs[2].Number, true})
 		heard()
-		h.take(handedIn{msgs[3].Num, true})
-		h.take(handedIn{msgs[1].Num, true})
+		h.take(handedIn{msgs[3].Number, true})
+		h.take(handedIn{msgs[1].Number, true})
 		heard("m3", "m1")
-		if h.take(handedIn{msgs[0].Num, told}); told {
+		if h.take(handedIn{msgs[0].Number, told}); told {
 			heard("m3", "m1", "m0", "m2")
 		} else {
 			heard("m3", "m1", "m2")
@@ -254,7 +254,7 @@
 	h := bare(t)
 	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	tell := func(id string, state policy.EndpointState) {
-		h.poolNews(memory.PoolConfig{Generation: 2, Members: []memory.Member{{HostPort: "127.0.0.1:1",
+		h.poolNews(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 			Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
 	}
 	tell("r1", policy.Listed)
--- a/internal/wire/waits_test.go
+++ b/internal/wire/waits_test.go
@@ -248,7 +248,7 @@
 // apart tells a host of a route of its own, and hands its endpoint out.
 func apart(h *Host, id string, state policy.EndpointState) *endpoint {
 	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
-	h.poolNews(memory.PoolConfig{Generation: 2, Members: []memory.Member{{HostPort: "127.0.0.1:1",
+	h.poolNews(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 		Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
 	return h.endpoints[id]
 }
@@ -294,7 +294,7 @@
 	m := h.message("m", ep.dest, 1)
 	h.arrivals = append(h.arrivals, m)
 	h.step(h.now())
-	if len(h.begun) > 0 || m.Steps > 0 {
+	if len(h.begun) > 0 || m.Attempts > 0 {
 		t.Errorf("%d calls into a closed gate", len(h.begun))
 	}
 }
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -66,7 +66,7 @@
 
 // poolNews is an answer of discovery to one watch.
 type poolNews struct {
-	memory.PoolConfig
+	memory.EndpointList
 	watch context.Context
 }
 
@@ -87,21 +87,21 @@
 		}
 		a, err := p.ask(ctx, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, w.addr), watchHold+watchSlack)
 		silent := errors.Is(err, os.ErrDeadlineExceeded)
-		var pc memory.PoolConfig
+		var pc memory.EndpointList
 		if err == nil && a.status != 200 {
 			err = fmt.Errorf("status %d", a.status)
 		}
 		if err == nil {
-			pc, err = memory.ParsePoolConfig(string(a.body))
+			pc, err = memory.ParseEndpointList(string(a.body))
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && !pc.Whole && pc.Generation < have {
+		if err == nil && !pc.Complete && pc.Generation < have {
 			// Guards against changes from before what is known: they would bring back what has drained or gone since.
 			err, have = fmt.Errorf("generation %d after %d", pc.Generation, have), -1
 		}
-		log.Debug("asked discovery", "path", path, "generation", pc.Generation, "entries", len(pc.Members), "err", err)
+		log.Debug("asked discovery", "path", path, "generation", pc.Generation, "entries", len(pc.Entries), "err", err)
 		if err != nil {
 			if !failing {
 				log.Warn("discovery fails, the pool config stays as it is", "address", w.addr, "err", err)
@@ -121,9 +121,9 @@
 		failing = false
 		w.pauses.Worked()
 		if have < 0 {
-			pc.Whole = true
+			pc.Complete = true
 		}
-		if have = pc.Generation; !told || pc.Whole || len(pc.Members) > 0 {
+		if have = pc.Generation; !told || pc.Complete || len(pc.Entries) > 0 {
 			told = true
 			events <- poolNews{pc, ctx}
 		}
