--- a/internal/daemon/choices.go
+++ b/internal/daemon/choices.go
@@ -50,15 +50,15 @@
 		return nil
 	}
 	now := host.Now()
-	out := choicesJSON{Self: c.Me, Choices: c.Set.String(), Place: c.Place, Live: c.Live, AgeMs: max(0, now-c.At).Milliseconds(), Subsets: []subsetJSON{}, Beyond: c.Beyond, News: []newsJSON{}}
-	for _, k := range c.Kept {
-		s := subsetJSON{Destination: k.Dest, Of: k.Of, Why: fmt.Sprintf("place %d of %d relays, %d of %d endpoints", c.Place, c.Live, len(k.Mine), k.Of)}
-		for _, e := range k.Mine {
+	out := choicesJSON{Self: c.Me, Choices: c.Set.String(), Place: c.Place, Live: c.Live, AgeMs: max(0, now-c.At).Milliseconds(), Subsets: []subsetJSON{}, Beyond: c.Omitted, News: []newsJSON{}}
+	for _, k := range c.Subsets {
+		s := subsetJSON{Destination: k.Dest, Of: k.Total, Why: fmt.Sprintf("place %d of %d relays, %d of %d endpoints", c.Place, c.Live, len(k.Endpoints), k.Total)}
+		for _, e := range k.Endpoints {
 			s.Endpoints = append(s.Endpoints, e.Address)
 		}
 		out.Subsets = append(out.Subsets, s)
 	}
-	for _, s := range c.Shown {
+	for _, s := range c.Destinations {
 		n := newsJSON{Destination: s.Dest, AgeMs: max(0, now-s.At).Milliseconds(), Holders: s.Holders, Holds: s.Holds, Down: s.Down, Allowed: s.Allowed, Slice: s.Slice,
 			Own: s.Own, Mean: s.Mean, Voices: s.Voices, WaitMs: s.Wait.Milliseconds()}
 		switch {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -50,7 +50,7 @@
 // connections to endpoints and up to half clients' connections. Clients use a third, the rest is for crowds that say
 // nothing. Guards against calls that fail for want of a descriptor, where slots are many.
 func sockets(c *config.Config) (clients, idle int) {
-	own := ownFiles + wire.LateMost
+	own := ownFiles + wire.MaxLateListeners
 	if c.Admin != "" {
 		own += admin.Most + 1 + besides
 	}
@@ -73,7 +73,7 @@
 	zones             []string                   // names, as configured at the start
 	front             atomic.Pointer[wire.Front] // nil: it does not serve yet
 	standby           atomic.Bool                // it could, and waits for the baton
-	notes             *wire.Notes
+	notes             *wire.GossipSocket
 	holder            *plugin.Holder
 	count             *figures.Set
 	loading           <-chan plug // plug-ins of a reload
@@ -385,9 +385,9 @@
 	if len(r.c.Peers) == 0 {
 		return
 	}
-	var notes *wire.Notes
+	var notes *wire.GossipSocket
 	err := patiently("no notes between relays", time.Second, func() bool { return len(r.terminate) > 0 }, r.log, func() (err error) {
-		notes, err = wire.ListenNotes(r.c.PeerListen, r.c.Peers, r.log)
+		notes, err = wire.ListenGossip(r.c.PeerListen, r.c.Peers, r.log)
 		return err
 	})
 	if err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,7 +13,7 @@
 		cfg := &config.Config{Sockets: c.sockets}
 		cfg.Settings.Slots = c.slots
 		clients, idle := sockets(cfg)
-		if clients+idle+c.slots+ownFiles+wire.LateMost > c.sockets || clients < c.sockets/3 || idle < c.slots/2 {
+		if clients+idle+c.slots+ownFiles+wire.MaxLateListeners > c.sockets || clients < c.sockets/3 || idle < c.slots/2 {
 			t.Errorf("%+v: %d clients, %d idle", c, clients, idle)
 		}
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -106,7 +106,7 @@
 	}
 	if p.set != nil {
 		r.holder.Put(p.set)
-		r.host.PlanSites(p.sites, r.home())
+		r.host.SetSitePlan(p.sites, r.home())
 		r.log.Info("plug-ins reloaded", "count", len(p.set.Plugins()))
 	}
 }
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -54,7 +54,7 @@
 	}
 	for _, s := range v.All {
 		if s.Zone == zone {
-			return true, host.TakeOut(wire.ByHand{Zone: zone, Out: out})
+			return true, host.SubmitSiteCommand(wire.SiteCommand{Zone: zone, Out: out})
 		}
 	}
 	return false, false
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -29,7 +29,7 @@
 		return // it still makes calls
 	}
 	r.toldDrain = drained
-	r.host.Leaving(drained)
+	r.host.SetLeaving(drained)
 }
 
 // markDrain keeps in the state folder whether the operators have emptied the relay, so that a crash does not end a drain. It waits for the disk, on a
@@ -49,7 +49,7 @@
 	began := time.Now()
 	log.Info("stopping")
 	front.Turn(drain.Stop)
-	host.Leaving(true)
+	host.SetLeaving(true)
 	time.Sleep(drain.ServeOn)
 	leaving, quiet, read := false, false, false
 	for time.Since(began) < leaveBy {
--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -22,31 +22,31 @@
 	Answered              // the first line of the answer was read
 )
 
-// StepError is the end of a route step without an answer. What it means for a repeat follows from the stage.
-type StepError struct {
+// AttemptError is the end of a route step without an answer. What it means for a repeat follows from the stage.
+type AttemptError struct {
 	Stage Stage
 	Err   error
 }
 
-func (e *StepError) Error() string {
+func (e *AttemptError) Error() string {
 	return fmt.Sprintf("%s: %v", [...]string{"not dialled", "dialled", "written", "answered"}[e.Stage], e.Err)
 }
 
-func (e *StepError) Unwrap() error { return e.Err }
+func (e *AttemptError) Unwrap() error { return e.Err }
 
 // NeverRan tells whether the error proves that the endpoint has not run the call.
-func (e *StepError) NeverRan() bool { return e.Stage < Written }
+func (e *AttemptError) NeverRan() bool { return e.Stage < Written }
 
 // Outcome is what the module is told.
-func (e *StepError) Outcome() policy.Outcome {
+func (e *AttemptError) Outcome() policy.Outcome {
 	switch {
-	case errors.Is(e.Err, errHeldBack), errors.Is(e.Err, errCutOff), e.Stage == Started && transient.Resource(e.Err):
+	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut), e.Stage == Started && transient.Resource(e.Err):
 		return policy.Unsent // it tells nothing of the endpoint
-	case errors.Is(e.Err, errCutAtOnce):
+	case errors.Is(e.Err, errNewConnectionCut):
 		return policy.CutShort
 	case e.NeverRan():
 		return policy.ConnectFailed
-	case e.Stage == Answered, spoilt(e.Err):
+	case e.Stage == Answered, malformedAnswer(e.Err):
 		// An answer came, but it tells nothing: unlike a lost one it says nothing against idle connections.
 		return policy.Errored
 	case errors.Is(e.Err, os.ErrDeadlineExceeded):
@@ -55,8 +55,8 @@
 	return policy.Broken
 }
 
-// spoilt tells whether the bytes that came were no answer.
-func spoilt(err error) bool {
+// malformedAnswer tells whether the bytes that came were no answer.
+func malformedAnswer(err error) bool {
 	for _, e := range []error{errLine, errHeader, errLength, errTooLong, errHead, errInterim} {
 		if errors.Is(err, e) {
 			return true
@@ -65,31 +65,31 @@
 	return false
 }
 
-// errHeldBack ends a call whose destination told a wait, or whose endpoint was drained, while it was dialled.
-var errHeldBack = errors.New("destination may not be sent to now")
+// errBlocked ends a call whose destination told a wait, or whose endpoint was drained, while it was dialled.
+var errBlocked = errors.New("destination may not be sent to now")
 
-// errCutOff ends a call whose connection spoke before the last byte was written, or ended so and had served other calls. It tells of
+// errConnectionCut ends a call whose connection spoke before the last byte was written, or ended so and had served other calls. It tells of
 // that connection, not of the endpoint's health.
-var errCutOff = errors.New("connection cut before the last byte")
+var errConnectionCut = errors.New("connection cut before the last byte")
 
-// errCutAtOnce ends a call whose new connection ended before the last byte was written: nothing gets through to the endpoint.
-var errCutAtOnce = errors.New("new connection cut before the last byte")
+// errNewConnectionCut ends a call whose new connection ended before the last byte was written: nothing gets through to the endpoint.
+var errNewConnectionCut = errors.New("new connection cut before the last byte")
 
-// cutOff names what a connection's end, or first byte, before the last byte of a call tells. err is nil where the endpoint spoke.
+// earlyEndError names what a connection's end, or first byte, before the last byte of a call tells. err is nil where the endpoint spoke.
 // Risk: an endpoint that takes connections and resets each uses up all attempts of a charge within a moment, and is never taken for out.
-func (c *routeConn) cutOff(err error) error {
-	if err != nil && c.answered.IsZero() {
-		return errCutAtOnce
+func (c *endpointConn) earlyEndError(err error) error {
+	if err != nil && c.lastAnswerAt.IsZero() {
+		return errNewConnectionCut
 	}
-	return errCutOff
+	return errConnectionCut
 }
 
-// errTableFull ends a call whose endpoint holds as many connections as it can.
-var errTableFull = errors.New("endpoint takes no further connection")
+// errConnectionLimit ends a call whose endpoint holds as many connections as it can.
+var errConnectionLimit = errors.New("endpoint takes no further connection")
 
-// tableFull tells whether an answer, the first on its connection, says that the endpoint takes no more of them: it turns the call away,
+// atConnectionLimit tells whether an answer, the first on its connection, says that the endpoint takes no more of them: it turns the call away,
 // tells no wait and closes. Risk: taken for a refusal above the limit, it lengthens the slot, while the relays that hold idle
 // connections keep the endpoint to themselves.
-func tableFull(a *answer) bool {
+func atConnectionLimit(a *answer) bool {
 	return a.status == 503 && !a.keep && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
 }
--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -13,31 +13,31 @@
 	"oatfold/policy"
 )
 
-// told is what an answer proves when all of it could be read.
-var told = []struct {
+// completeAnswers is what an answer proves when all of it could be read.
+var completeAnswers = []struct {
 	write string
 	items int
 	want  policy.Outcome
 	wait  bool
 }{
-	{rep("200 OK", "done"), 1, policy.Delivered, false},
+	{httpResponse("200 OK", "done"), 1, policy.Delivered, false},
 	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 1, policy.Delivered, false},
-	{rep("429 Slow\r\nWait-Ms: 60000", "no"), 1, policy.Rejected, true},
-	{rep("503 Full", "no"), 1, policy.Rejected, false},
-	{rep("503 Full\r\nSlots-Taken: 1", ""), 1, policy.Unsent, false},
-	{rep("410 Gone", "x"), 1, policy.Unsent, false},
-	{"HTTP/1.1 102 X\r\n\r\n" + rep("504 X", "no"), 1, policy.Unsent, false},
-	{rep("500 X", "boom"), 1, policy.Errored, false},
+	{httpResponse("429 Slow\r\nWait-Ms: 60000", "no"), 1, policy.Rejected, true},
+	{httpResponse("503 Full", "no"), 1, policy.Rejected, false},
+	{httpResponse("503 Full\r\nSlots-Taken: 1", ""), 1, policy.Unsent, false},
+	{httpResponse("410 Gone", "x"), 1, policy.Unsent, false},
+	{"HTTP/1.1 102 X\r\n\r\n" + httpResponse("504 X", "no"), 1, policy.Unsent, false},
+	{httpResponse("500 X", "boom"), 1, policy.Errored, false},
 	{"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n", 1, policy.Rejected, false},
-	{rep("200 OK", `[{"id":"a","state":"later"},{"id":"b","state":"later"}]`), 2, policy.Rejected, false},
-	{rep("429 X\r\nWait-Ms: 60000", "no"), 2, policy.Rejected, true},
+	{httpResponse("200 OK", `[{"id":"a","state":"later"},{"id":"b","state":"later"}]`), 2, policy.Rejected, false},
+	{httpResponse("429 X\r\nWait-Ms: 60000", "no"), 2, policy.Rejected, true},
 }
 
 // An answer that is cut at any byte, in its status line, head, length, chunk or body, proves nothing: the call may have run. Only a first line with
 // 200 that came whole, to a call with one message, stands by itself. A wait binds from the byte on that ends its line, and not before; the
 // connection is not used again.
 func TestAnswerCutAtEachByte(t *testing.T) {
-	for _, a := range told {
+	for _, a := range completeAnswers {
 		line := strings.Index(a.write, "200 OK\r\n")
 		waitLine := "Wait-Ms: 60000\r\n"
 		bound := strings.Index(a.write, waitLine) + len(waitLine)
@@ -58,16 +58,16 @@
 				readBody(r, length, false, maxAnswer)
 				io.WriteString(sock, a.write[:n])
 			}()
-			ep := &endpoint{addr: ln.Addr().String(), gate: &gate{}}
-			c := &routeConn{ep: ep, dialTimeout: time.Minute}
-			cl := &call{ep: ep, items: []item{{id: "a"}, {id: "b"}}[:a.items], deadline: time.Now().Add(time.Minute)}
-			res := c.carry(cl)
-			c.drop()
+			ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
+			c := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+			cl := &call{endpoint: ep, items: []callItem{{id: "a"}, {id: "b"}}[:a.items], deadline: time.Now().Add(time.Minute)}
+			res := c.makeCall(cl)
+			c.close()
 			ln.Close()
-			got := res.ends[0].outcome
+			got := res.results[0].outcome
 			switch whole := n == len(a.write); {
-			case whole && (got != a.want || (res.wait > 0) != a.wait):
-				t.Errorf("%q: outcome %v, wait %v", a.write, got, res.wait)
+			case whole && (got != a.want || (res.retryAfter > 0) != a.wait):
+				t.Errorf("%q: outcome %v, wait %v", a.write, got, res.retryAfter)
 			case whole:
 			case a.items == 1 && line == len("HTTP/1.1 ") && n >= line+len("200 OK\r\n"):
 				if got != policy.Delivered {
@@ -75,11 +75,11 @@
 				}
 			case got != policy.Errored && got != policy.Broken:
 				t.Errorf("%q: outcome %v of a cut answer", a.write[:n], got)
-			case res.keep:
+			case res.reusable:
 				t.Errorf("%q: kept", a.write[:n])
 			}
-			if wait := a.wait && n >= bound; ep.gate.closed() != wait || (res.wait > 0) != wait {
-				t.Errorf("%q: gate closed %v, wait %v", a.write[:n], ep.gate.closed(), res.wait)
+			if wait := a.wait && n >= bound; ep.backoff.active() != wait || (res.retryAfter > 0) != wait {
+				t.Errorf("%q: gate closed %v, wait %v", a.write[:n], ep.backoff.active(), res.retryAfter)
 			}
 		}
 	}
@@ -104,9 +104,9 @@
 		`[]`:                                                                                                         {may, may, may},
 		``:                                                                                                           {may, may, may},
 	} {
-		cl := &call{items: []item{{id: "a"}, {id: "b"}, {id: "c"}}}
+		cl := &call{items: []callItem{{id: "a"}, {id: "b"}, {id: "c"}}}
 		var got []policy.Outcome
-		for _, e := range manyEnds(cl, []byte(body)) {
+		for _, e := range batchResults(cl, []byte(body)) {
 			got = append(got, e.outcome)
 		}
 		if !slices.Equal(got, want) {
@@ -118,7 +118,7 @@
 // What is left over on a connection that stands idle, from one byte to a whole second answer, or its close, is never read as the answer to the next
 // call: that goes on a connection of its own.
 func TestLeftoverOfAnIdleConnection(t *testing.T) {
-	second := rep("200 OK", "")
+	second := httpResponse("200 OK", "")
 	for _, left := range []string{"H", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", second, "close"} {
 		ln := listen(t)
 		socks := make(chan net.Conn, 2)
@@ -140,13 +140,13 @@
 				}()
 			}
 		}()
-		ep := &endpoint{addr: ln.Addr().String(), gate: &gate{}}
-		c := &routeConn{ep: ep, dialTimeout: time.Minute}
-		carry := func(answer string) callEnded {
+		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
+		c := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+		carry := func(answer string) callResult {
 			answers <- answer
-			return c.carry(&call{ep: ep, items: []item{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
+			return c.makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
 		}
-		if res := carry(rep("200 OK", "")); !res.keep {
+		if res := carry(httpResponse("200 OK", "")); !res.reusable {
 			t.Fatalf("%q: %+v", left, res)
 		}
 		if sock := <-socks; left == "close" {
@@ -155,13 +155,13 @@
 			fmt.Fprint(sock, left)
 		}
 		waitFor(t, "what is left over to come", func() bool { return stale(c.sock) })
-		if res := carry(rep("503 X", "")); res.ends[0].outcome != policy.Rejected {
-			t.Errorf("%q: the next call ends as %v", left, res.ends[0].outcome)
+		if res := carry(httpResponse("503 X", "")); res.results[0].outcome != policy.Rejected {
+			t.Errorf("%q: the next call ends as %v", left, res.results[0].outcome)
 		}
 		if len(socks) != 1 {
 			t.Errorf("%q: the next call has no connection of its own", left)
 		}
-		c.drop()
+		c.close()
 	}
 }
 
@@ -172,22 +172,22 @@
 		h := bare(t)
 		ep := h.endpoints["s-1"]
 		m := h.message("m", 7, 1)
-		calls := h.send(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour}, map[string]*call{}, nil)
+		calls := h.planSend(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour}, map[string]*call{}, nil)
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
 		cl := calls[0]
-		cl.items[0].until = h.now() + time.Millisecond
+		cl.items[0].expiresAt = h.now() + time.Millisecond
 		cl.timeout = time.Hour
-		h.begin(cl)
+		h.registerCall(cl)
 		h.begun, h.pending = nil, nil
 		late := h.now() + time.Hour
-		answer := func() { h.take(callEnded{call: cl, ends: []end{{outcome: policy.Delivered}}}) }
+		answer := func() { h.take(callResult{call: cl, results: []itemResult{{outcome: policy.Delivered}}}) }
 		if answerFirst {
 			answer()
-			h.expire(late)
+			h.expireItems(late)
 		} else {
-			h.expire(late)
+			h.expireItems(late)
 			answer()
 		}
 		var ends []policy.Ended
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -18,8 +18,8 @@
 		return
 	}
 	out, turned := h.pool.Turn(now)
-	h.putNotes(out)
-	h.members(now)
+	h.sendGossip(out)
+	h.updateMembersView(now)
 	if !turned {
 		return
 	}
@@ -31,16 +31,16 @@
 	if h.watch != nil {
 		h.watch.Heard(now, news.Usual)
 	}
-	h.subsets(now)
+	h.updateSubsets(now)
 }
 
 // shared books the end of a call for the notes.
-func (h *Host) shared(e callEnded) {
-	if len(e.ends) == 0 || errors.Is(e.err, errTableFull) {
+func (h *Host) shared(e callResult) {
+	if len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
 		return // that tells of other relays' idle connections only
 	}
 	how := peers.Failed
-	switch e.ends[0].outcome {
+	switch e.results[0].outcome {
 	case policy.Delivered, policy.Errored:
 		how = peers.Taken
 	case policy.Rejected:
@@ -48,7 +48,7 @@
 	case policy.Unsent:
 		return // it tells nothing of the destination
 	}
-	h.pool.Ended(h.targets.Of(e.call.ep.id, e.call.ep.dest), how)
+	h.pool.Ended(h.targets.Of(e.call.endpoint.id, e.call.endpoint.dest), how)
 }
 
 func (h *Host) step(now policy.Time) {
@@ -75,7 +75,7 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case policy.Send:
-			calls = h.send(now, wall, a, open, calls)
+			calls = h.planSend(now, wall, a, open, calls)
 		case policy.Refuse:
 			h.finish(a.ID, memory.Notification{Returned: true, RetryAfter: a.RetryAfter})
 		case policy.Fail:
@@ -84,14 +84,14 @@
 			h.wakeAt = now + a.Delay
 		case policy.CloseIdle:
 			if ep := h.endpoints[a.Endpoint]; ep != nil {
-				h.closeIdle(ep)
+				h.closeIdleConns(ep)
 			}
 		case policy.Note:
 			h.log.Info("module", "note", a.Text)
 		}
 	}
 	for _, cl := range calls {
-		h.begin(cl)
+		h.registerCall(cl)
 	}
 }
 
@@ -141,11 +141,11 @@
 		h.pending = append(h.pending, policy.Sites{Reach: h.watch})
 	}
 	for _, ep := range h.endpoints {
-		h.holdTil = max(h.holdTil, now+ep.gate.left())
+		h.holdTil = max(h.holdTil, now+ep.backoff.remaining())
 	}
 	for cl := range h.calls {
 		for i := range cl.items {
-			cl.items[i].ended, cl.items[i].anew = true, true
+			cl.items[i].reported, cl.items[i].resubmit = true, true
 		}
 	}
 	h.sequence.Drop()
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -23,9 +23,9 @@
 	"oatfold/policy"
 )
 
-// deployment returns the settings of one of two deployments that share no name: "alerts" has no tenants, "postings" has
+// loadDeployment returns the settings of one of two deployments that share no name: "alerts" has no tenants, "postings" has
 // tenants, charges in order and routes apart.
-func deployment(t *testing.T, name string) policy.Settings {
+func loadDeployment(t *testing.T, name string) policy.Settings {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "daemon", "config", "testdata", name+".json"))
 	if err != nil {
@@ -38,26 +38,26 @@
 	return set
 }
 
-// swapped is each deployment beside the other.
-func swapped(t *testing.T) [2][2]policy.Settings {
+// deploymentPairs is each deployment beside the other.
+func deploymentPairs(t *testing.T) [2][2]policy.Settings {
 	t.Helper()
-	alerts, postings := deployment(t, "alerts"), deployment(t, "postings")
+	alerts, postings := loadDeployment(t, "alerts"), loadDeployment(t, "postings")
 	return [2][2]policy.Settings{{alerts, postings}, {postings, alerts}}
 }
 
-// logged is a log that the test reads.
-type logged struct {
+// logBuffer is a log that the test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) lines(with string) (found []string) {
+func (l *logBuffer) lines(with string) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range strings.Split(l.text.String(), "\n") {
@@ -68,10 +68,10 @@
 	return found
 }
 
-func (l *logged) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
+func (l *logBuffer) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
-// handInAs is a whole hand-in of a class for a tenant; empty: it names none.
-func handInAs(class, tenant, id string) string {
+// requestAs is a whole hand-in of a class for a tenant; empty: it names none.
+func requestAs(class, tenant, id string) string {
 	more := "Idempotency-Key: k-" + id + "\r\n"
 	if tenant != "" {
 		more += "X-Account: " + tenant + "\r\n"
@@ -82,7 +82,7 @@
 // A class or tenant of another deployment is refused with 400 and its name in the answer. The connection goes on, and what
 // this deployment names is taken on over it. Where the settings name no tenants, X-Account is not read.
 func TestNamesOfAnotherDeploymentAreRefused(t *testing.T) {
-	for _, pair := range swapped(t) {
+	for _, pair := range deploymentPairs(t) {
 		own, other := pair[0], pair[1]
 		front, host, ln := startFront(t, 100, 10)
 		front.Configure(&own, 10)
@@ -92,7 +92,7 @@
 		ask := func(class, tenant string) (int, string) {
 			t.Helper()
 			sent++
-			io.WriteString(sock, handInAs(class, tenant, fmt.Sprint("m", sent)))
+			io.WriteString(sock, requestAs(class, tenant, fmt.Sprint("m", sent)))
 			a, err := readStatus(r)
 			if err == nil {
 				err = a.readRest(r, maxBody)
@@ -153,8 +153,8 @@
 	}
 }
 
-// hostOf is a host without its loop under these settings, with what the journal in dir holds.
-func hostOf(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
+// newIdleHost is a host without its loop under these settings, with what the journal in dir holds.
+func newIdleHost(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
 	t.Helper()
 	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
 	if err != nil {
@@ -168,8 +168,8 @@
 	return h
 }
 
-// endpointOf is an endpoint of destination 7 in the terms of a deployment.
-func endpointOf(set policy.Settings) memory.EndpointEntry {
+// listedEndpoint is an endpoint of destination 7 in the terms of a deployment.
+func listedEndpoint(set policy.Settings) memory.EndpointEntry {
 	return memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: "s-1", Destination: 7,
 		Kind: set.Kinds[0].Name, Zone: set.Zones[0].Name, State: policy.Listed}}
 }
@@ -177,12 +177,12 @@
 // A list with kinds and zones of another deployment is named in the log, once, and its endpoints are used: one message in
 // a call.
 func TestKindsOfAnotherDeploymentAreNamedAndServed(t *testing.T) {
-	for _, pair := range swapped(t) {
-		own, other, log := pair[0], pair[1], &logged{}
-		h := hostOf(t, own, t.TempDir(), log.logger())
-		list := memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{endpointOf(other)}}
-		h.poolNews(list, policy.ListWhole)
-		h.poolNews(list, policy.ListWhole)
+	for _, pair := range deploymentPairs(t) {
+		own, other, log := pair[0], pair[1], &logBuffer{}
+		h := newIdleHost(t, own, t.TempDir(), log.logger())
+		list := memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}
+		h.applyEndpointList(list, policy.ListWhole)
+		h.applyEndpointList(list, policy.ListWhole)
 		for key, name := range map[string]string{"kinds": other.Kinds[0].Name, "zones": other.Zones[0].Name} {
 			lines := log.lines("pool config has " + key)
 			if len(lines) != 1 || !strings.Contains(lines[0], name) {
@@ -210,8 +210,8 @@
 // A restart under the settings of another deployment ends each message that the journal holds, once, by a notice, and
 // names the class that is gone.
 func TestRestartUnderAnotherDeploymentsSettings(t *testing.T) {
-	for _, pair := range swapped(t) {
-		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logged{}
+	for _, pair := range deploymentPairs(t) {
+		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logBuffer{}
 		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
 		if err != nil {
 			t.Fatal(err)
@@ -227,8 +227,8 @@
 			t.Fatal(err)
 		}
 		kept.Close()
-		h := hostOf(t, other, dir, log.logger())
-		h.poolNews(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{endpointOf(other)}}, policy.ListWhole)
+		h := newIdleHost(t, other, dir, log.logger())
+		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListWhole)
 		h.step(h.now())
 		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
 			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
@@ -255,13 +255,13 @@
 			t.Fatalf("%s: answered %d", class.Name, status)
 		}
 	}
-	other := deployment(t, "postings")
+	other := loadDeployment(t, "postings")
 	if err := w.host.Reload(HostConfig{Settings: other, DiskBytes: 3e6, ConnectTimeout: time.Second, IdleMost: 8}, w.agent.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	w.front.Configure(&other, 100)
 	for _, class := range old {
-		if status := w.client(handInAs(class.Name, "", "new-"+class.Name)); status != 400 {
+		if status := w.client(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
 			t.Errorf("%s: answered %d after the reload", class.Name, status)
 		}
 	}
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -30,15 +30,15 @@
 		{syscall.ECONNREFUSED, 1, policy.ConnectFailed}, {syscall.EHOSTUNREACH, 1, policy.ConnectFailed},
 	} {
 		dials := 0
-		conn := &routeConn{ep: &endpoint{addr: addr, gate: &gate{}}, dialTimeout: 200 * time.Millisecond, dial: func(addr string, limit time.Duration) (net.Conn, error) {
+		conn := &endpointConn{endpoint: &endpoint{addr: addr, backoff: &backoff{}}, dialTimeout: 200 * time.Millisecond, dial: func(addr string, limit time.Duration) (net.Conn, error) {
 			if dials++; dials <= c.failing {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.errno)}
 			}
 			return net.DialTimeout("tcp", addr, limit)
 		}}
-		res := conn.carry(&call{ep: conn.ep, items: []item{{id: "m"}}, deadline: time.Now().Add(time.Minute)})
-		conn.drop()
-		if got := res.ends[0].outcome; got != c.want {
+		res := conn.makeCall(&call{endpoint: conn.endpoint, items: []callItem{{id: "m"}}, deadline: time.Now().Add(time.Minute)})
+		conn.close()
+		if got := res.results[0].outcome; got != c.want {
 			t.Errorf("%v %d times: %v, %v, want %v", c.errno, c.failing, got, res.err, c.want)
 		}
 	}
@@ -51,10 +51,10 @@
 		err  error
 		ends bool
 	}{{syscall.EIO, false}, {syscall.EMFILE, false}, {journal.ErrBodyLost, true}} {
-		conn := &routeConn{ep: &endpoint{gate: &gate{}}}
+		conn := &endpointConn{endpoint: &endpoint{backoff: &backoff{}}}
 		load := func() ([]byte, error) { return nil, fmt.Errorf("body: %w", c.err) }
-		res := conn.carry(&call{ep: conn.ep, items: []item{{id: "m", load: load}}, deadline: time.Now().Add(time.Minute)})
-		if got := res.ends[0]; got.outcome != policy.Unsent || (got.then != nil) != c.ends {
+		res := conn.makeCall(&call{endpoint: conn.endpoint, items: []callItem{{id: "m", loadBody: load}}, deadline: time.Now().Add(time.Minute)})
+		if got := res.results[0]; got.outcome != policy.Unsent || (got.pluginFailure != nil) != c.ends {
 			t.Errorf("%v: %+v", c.err, got)
 		}
 	}
--- a/internal/wire/endings_test.go
+++ b/internal/wire/endings_test.go
@@ -75,26 +75,26 @@
 // A call states what is left of its time as it is written, and ends with the step's time-out, however long journal and dial took.
 func TestCallStatesWhatIsLeft(t *testing.T) {
 	ln := listen(t)
-	scripts, seen, bodies := make(chan script, 1), make(chan *head, 1), make(chan []byte, 1)
-	go partner(ln, scripts, seen, bodies)
-	rc := &routeConn{ep: &endpoint{addr: ln.Addr().String(), gate: &gate{}}, dialTimeout: time.Minute}
-	scripts <- script{write: rep("200 OK", "")}
-	cl := &call{ep: rc.ep, timeout: time.Hour, deadline: time.Now().Add(time.Minute), items: []item{{id: "a"}}}
-	if res := rc.carry(cl); res.ends[0].outcome != policy.Delivered {
-		t.Fatalf("ends %+v, %v", res.ends, res.err)
+	scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
+	go serveScripts(ln, scripts, seen, bodies)
+	rc := &endpointConn{endpoint: &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
+	scripts <- endpointScript{write: httpResponse("200 OK", "")}
+	cl := &call{endpoint: rc.endpoint, timeout: time.Hour, deadline: time.Now().Add(time.Minute), items: []callItem{{id: "a"}}}
+	if res := rc.makeCall(cl); res.results[0].outcome != policy.Delivered {
+		t.Fatalf("ends %+v, %v", res.results, res.err)
 	}
 	if n, err := strconv.Atoi((<-seen).get("X-Time-Left-Ms")); err != nil || n > 60_000 {
 		t.Errorf("stated %d ms of a minute, %v", n, err)
 	}
-	rc.drop()
+	rc.close()
 
 	h := bare(t)
 	m := h.message("m", 7, 1)
 	began := h.now() - time.Second // the journal took a second
-	one := h.send(began, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, map[string]*call{}, nil)[0]
-	c := &routeConn{ep: one.ep, calls: make(chan *call, 1)}
-	one.ep.idle = append(one.ep.idle, c)
-	c.place = h.idle.Push(c)
+	one := h.planSend(began, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, map[string]*call{}, nil)[0]
+	c := &endpointConn{endpoint: one.endpoint, calls: make(chan *call, 1)}
+	one.endpoint.idle = append(one.endpoint.idle, c)
+	c.idleNode = h.idle.Push(c)
 	h.dispatch(one)
 	if left := time.Until(one.deadline); left > 2*time.Second {
 		t.Errorf("%v left of a call that began a second ago and has three", left)
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -10,7 +10,7 @@
 
 // What the host knows of endpoints: the pool config, and the connections to them that stand idle.
 
-func (h *Host) poolNews(pc memory.EndpointList, kind policy.ListKind) {
+func (h *Host) applyEndpointList(pc memory.EndpointList, kind policy.ListKind) {
 	news := policy.ListNews{Kind: kind}
 	named := map[string]bool{}
 	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
@@ -20,7 +20,7 @@
 	for _, mb := range pc.Entries {
 		named[mb.Address] = true
 		news.Entries = append(news.Entries, mb.Endpoint)
-		h.member(mb)
+		h.applyEndpoint(mb)
 	}
 	if kind != policy.ListChanges {
 		for id, ep := range h.endpoints {
@@ -30,12 +30,12 @@
 		}
 	}
 	for id, ep := range h.endpoints {
-		if ep.gone() {
-			h.closeIdle(ep)
+		if ep.removed() {
+			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
 			h.targets.Remove(id, ep.dest)
-			if maps.DeleteFunc(h.routes, func(_ string, g *gate) bool { return !g.closed() }); ep.gate.closed() && ep.gate != h.gates[ep.dest] {
-				h.routes[id] = ep.gate
+			if maps.DeleteFunc(h.routes, func(_ string, g *backoff) bool { return !g.active() }); ep.backoff.active() && ep.backoff != h.gates[ep.dest] {
+				h.routes[id] = ep.backoff
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	return slices.ContainsFunc(h.set.Zones, func(z policy.Zone) bool { return z.Name == name })
 }
 
-func (h *Host) member(mb memory.EndpointEntry) {
+func (h *Host) applyEndpoint(mb memory.EndpointEntry) {
 	ep := h.endpoints[mb.Address]
 	if mb.State == policy.Removed {
 		if ep != nil {
@@ -95,22 +95,22 @@
 	if ep == nil || ep.addr != mb.HostPort || ep.dest != mb.Destination {
 		if ep != nil {
 			ep.state.Store(int32(policy.Removed)) // its connections lead elsewhere now
-			h.closeIdle(ep)
+			h.closeIdleConns(ep)
 		}
 		g := h.gates[mb.Destination]
 		if ep != nil && ep.dest == mb.Destination {
-			g = ep.gate
+			g = ep.backoff
 		} else if h.kindOf[mb.Kind].SeparateRoutes {
 			// Where routes are apart, a wait binds the one endpoint, also if it leaves the list and comes back.
 			if g = h.routes[mb.Address]; g == nil {
-				g = &gate{}
+				g = &backoff{}
 			}
 		} else if g == nil {
-			g = &gate{}
+			g = &backoff{}
 			h.gates[mb.Destination] = g
 		}
 		delete(h.routes, mb.Address)
-		ep = &endpoint{id: mb.Address, addr: mb.HostPort, dest: mb.Destination, gate: g}
+		ep = &endpoint{id: mb.Address, addr: mb.HostPort, dest: mb.Destination, backoff: g}
 		h.endpoints[mb.Address] = ep
 	}
 	ep.zone, ep.rate = mb.Zone, mb.Rate
@@ -120,40 +120,40 @@
 	}
 }
 
-func (ep *endpoint) gone() bool { return policy.EndpointState(ep.state.Load()) == policy.Removed }
+func (ep *endpoint) removed() bool { return policy.EndpointState(ep.state.Load()) == policy.Removed }
 
-// pick takes the idle connection to ep that was used last, if there is one.
-func (h *Host) pick(ep *endpoint) *routeConn {
+// takeIdleConn takes the idle connection to ep that was used last, if there is one.
+func (h *Host) takeIdleConn(ep *endpoint) *endpointConn {
 	n := len(ep.idle)
 	if n == 0 {
 		return nil
 	}
 	c := ep.idle[n-1]
 	ep.idle = ep.idle[:n-1]
-	h.idle.Remove(c.place)
+	h.idle.Remove(c.idleNode)
 	return c
 }
 
-// closeIdle closes the connections to ep that carry no call.
-func (h *Host) closeIdle(ep *endpoint) {
+// closeIdleConns closes the connections to ep that carry no call.
+func (h *Host) closeIdleConns(ep *endpoint) {
 	for _, c := range ep.idle {
-		h.idle.Remove(c.place)
+		h.idle.Remove(c.idleNode)
 		close(c.calls)
 	}
 	ep.idle = nil
 }
 
-// closeOldest closes the idle connection that was used longest ago. It is the first of its endpoint's.
-func (h *Host) closeOldest() {
+// closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its endpoint's.
+func (h *Host) closeOldestIdleConn() {
 	c := h.idle.First().Value
-	h.idle.Remove(c.place)
-	c.ep.idle = c.ep.idle[1:]
+	h.idle.Remove(c.idleNode)
+	c.endpoint.idle = c.endpoint.idle[1:]
 	close(c.calls)
 }
 
-// spare bounds the descriptors that idle connections hold.
-func (h *Host) spare() {
+// limitIdleConns bounds the descriptors that idle connections hold.
+func (h *Host) limitIdleConns() {
 	if h.idle.Len() > h.idleMost {
-		h.closeOldest()
+		h.closeOldestIdleConn()
 	}
 }
--- a/internal/wire/front_end_test.go
+++ b/internal/wire/front_end_test.go
@@ -380,19 +380,19 @@
 		check("client", c.sock)
 	}
 	e.mu.Unlock()
-	p := &peer{addr: e.ln.Addr().String()}
-	if _, err := p.ask(t.Context(), []byte(ready), time.Minute); err != nil {
+	p := &agentConn{addr: e.ln.Addr().String()}
+	if _, err := p.roundTrip(t.Context(), []byte(ready), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	check("platform", p.sock)
 	p.close()
-	c := &routeConn{ep: &endpoint{addr: e.ln.Addr().String(), gate: &gate{}}, dialTimeout: time.Minute}
-	res := c.carry(&call{ep: c.ep, items: []item{{id: "m"}}, deadline: time.Now().Add(time.Minute)})
+	c := &endpointConn{endpoint: &endpoint{addr: e.ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
+	res := c.makeCall(&call{endpoint: c.endpoint, items: []callItem{{id: "m"}}, deadline: time.Now().Add(time.Minute)})
 	if c.sock == nil {
 		t.Fatal(res.err)
 	}
 	check("endpoint", c.sock)
-	c.drop()
+	c.close()
 }
 
 // A request that was read is answered also where reading it panics, which nothing is known to do; the next connection is served.
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -102,7 +102,7 @@
 			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listed = true
-		h.poolNews(pc, policy.ListWhole)
+		h.applyEndpointList(pc, policy.ListWhole)
 	}
 	if n.Learned != nil {
 		h.learned = *n.Learned
@@ -131,18 +131,18 @@
 // heldBack heeds waits that the process before was told.
 func (h *Host) heldBack(waits []handover.Wait) {
 	for _, w := range waits {
-		left := min(time.Until(h.dates.Time(w.Until.UnixMicro())), maxWaitMs*time.Millisecond)
+		left := min(time.Until(h.dates.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
 		if left <= 0 {
 			continue
 		}
 		g := h.gates[w.Dest]
 		if ep := h.endpoints[w.Endpoint]; ep != nil {
-			g = ep.gate
+			g = ep.backoff
 		} else if g == nil {
-			g = &gate{}
+			g = &backoff{}
 			h.gates[w.Dest] = g
 		}
-		g.hold(left)
+		g.extend(left)
 		h.relay.Wait(h.now(), w.Endpoint, left)
 	}
 }
@@ -190,8 +190,8 @@
 		for _, ep := range h.endpoints {
 			news.List.Members = append(news.List.Members, handover.Member{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
 				Kind: h.kinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
-			if ep.gate.closed() {
-				h.waits = append(h.waits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.date(ep.gate.left())})
+			if ep.backoff.active() {
+				h.waits = append(h.waits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.date(ep.backoff.remaining())})
 			}
 		}
 		h.left = nil
@@ -214,11 +214,11 @@
 		h.table.UseSharedNumbering(numbers)
 		for cl := range h.calls {
 			for i := range cl.items {
-				cl.items[i].ended, cl.items[i].anew = true, true // what they leave undone is given
+				cl.items[i].reported, cl.items[i].resubmit = true, true // what they leave undone is given
 			}
 		}
 		for _, ep := range h.endpoints {
-			h.closeIdle(ep)
+			h.closeIdleConns(ep)
 		}
 	})
 	return err
@@ -261,7 +261,7 @@
 	}
 	news.Waits, news.Owes = h.waits, owes
 	for cl := range h.calls {
-		news.Out = append(news.Out, policy.Lent{Endpoint: cl.ep.id, Age: h.now() - cl.began})
+		news.Out = append(news.Out, policy.Lent{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dates)); err != nil {
 		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
@@ -303,12 +303,12 @@
 }
 
 // Tell has the host tell other relays what it sees, from now on.
-func (h *Host) Tell(notes *Notes, among Among) {
+func (h *Host) Tell(notes *GossipSocket, among Among) {
 	h.Do(func(h *Host) {
 		h.notes = notes
-		h.join(among)
-		go notes.hear(h.events)
-		go notes.send()
+		h.joinFleet(among)
+		go notes.receiveLoop(h.events)
+		go notes.sendLoop()
 	})
 }
 
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -125,7 +125,10 @@
 	}
 	w.client(hand("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
 	w.until("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) { h.endpoints["s-1"].gate.hold(time.Minute); h.relay.Wait(h.now(), "s-1", time.Minute) })
+	w.host.Do(func(h *Host) {
+		h.endpoints["s-1"].backoff.extend(time.Minute)
+		h.relay.Wait(h.now(), "s-1", time.Minute)
+	})
 	w.client(hand("alert", "held", "", "b", 4000))
 	waitFor(t, "the host to hear that its client was told", func() (told bool) {
 		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.Unanswered })
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -48,10 +48,10 @@
 	table       *memory.Table
 	journal     *journal.Journal
 	log         *slog.Logger
-	pool        *peers.Pool // what this relay tells others and hears of them
-	notes       *Notes      // nil: it tells none
-	sharing     int         // relays that may be calling, as the module was told last; 0: nothing
-	among       Among       // what it is among the relays
+	pool        *peers.Pool   // what this relay tells others and hears of them
+	notes       *GossipSocket // nil: it tells none
+	sharing     int           // relays that may be calling, as the module was told last; 0: nothing
+	among       Among         // what it is among the relays
 	view        atomic.Pointer[members.View]
 	viewAt      policy.Time // when that was made
 	choices     atomic.Pointer[Choices]
@@ -62,15 +62,15 @@
 	sitesView   *members.View // that the watch was last told of
 	sitesHome   string
 	zones       []string // names, by number
-	byHand      chan ByHand
+	byHand      chan SiteCommand
 	dialTimeout time.Duration
 	dates       clock.Scale // of what is left to other processes
 	start       time.Time
 	seed        int64 // of this relay's own draws
 	generation  int64 // of the pool config; -1: none
 	events      chan any
-	notices     chan owed
-	unsent      []owed // notices that did not fit the channel yet
+	notices     chan pendingNotification
+	unsent      []pendingNotification // notices that did not fit the channel yet
 	agent       atomic.Pointer[string]
 	watching    context.Context // of the watch in force
 	unwatch     context.CancelFunc
@@ -83,8 +83,8 @@
 	leaving   atomic.Int32       // a leaveStage, which connections look at as they write
 	turns     map[string][]*turn // by subject, in the order in which they were taken on
 	endpoints map[string]*endpoint
-	gates     map[int]*gate
-	routes    map[string]*gate // of routes apart that have left the list and still bind
+	gates     map[int]*backoff
+	routes    map[string]*backoff // of routes apart that have left the list and still bind
 	targets   peers.Targets
 	calls     map[*call]struct{}
 	kindOf    map[string]policy.Kind
@@ -94,28 +94,28 @@
 	lastStep  policy.Time
 	wakeAt    policy.Time // 0: none asked for
 	upkeepAt  policy.Time
-	firstBy   policy.Time            // the first step waits until then for the pool config
-	holdTil   policy.Time            // and the first of a module that starts anew for the end of told waits
-	standby   bool                   // another process of this relay makes the steps
-	giving    func([]byte) error     // another process takes this one's place: what is not out goes there
-	left      []*memory.Message      // that are still to be given
-	waits     []handover.Wait        // that the other process has yet to hear of, or this one's module
-	toldOut   int                    // calls out as it was told last
-	lent      []policy.Lent          // calls that the process before still has out
-	learned   policy.Learned         // of the process before, until the steps begin
-	drained   bool                   // that one was drained
-	elsewhere map[string]struct{}    // ids that it took on and keeps
-	sequence  sequence.Sequencer     // what waits for messages that other processes still owe
-	toldOwes  []sequence.Message     // what this one still owes, as it was told last
-	parked    []*call                // that wait for the answer to a notice
-	awaited   awaitedNotices         // whose answers they wait for
-	adopted   []chan<- struct{}      // closed once what was taken over is in the journal
-	quiet     bool                   // no further steps: the rest stays in the journal
-	listed    bool                   // discovery has told its whole list in this life
-	reports   bool                   // answers may hold load reports
-	idleMost  int                    // connections to endpoints that may stand idle
-	idle      index.List[*routeConn] // these, the one that was used longest ago first
-	expiries  index.Heap[expiry]     // messages whose own time is up before their call's
+	firstBy   policy.Time               // the first step waits until then for the pool config
+	holdTil   policy.Time               // and the first of a module that starts anew for the end of told waits
+	standby   bool                      // another process of this relay makes the steps
+	giving    func([]byte) error        // another process takes this one's place: what is not out goes there
+	left      []*memory.Message         // that are still to be given
+	waits     []handover.Wait           // that the other process has yet to hear of, or this one's module
+	toldOut   int                       // calls out as it was told last
+	lent      []policy.Lent             // calls that the process before still has out
+	learned   policy.Learned            // of the process before, until the steps begin
+	drained   bool                      // that one was drained
+	elsewhere map[string]struct{}       // ids that it took on and keeps
+	sequence  sequence.Sequencer        // what waits for messages that other processes still owe
+	toldOwes  []sequence.Message        // what this one still owes, as it was told last
+	parked    []*call                   // that wait for the answer to a notice
+	awaited   awaitedNotices            // whose answers they wait for
+	adopted   []chan<- struct{}         // closed once what was taken over is in the journal
+	quiet     bool                      // no further steps: the rest stays in the journal
+	listed    bool                      // discovery has told its whole list in this life
+	reports   bool                      // answers may hold load reports
+	idleMost  int                       // connections to endpoints that may stand idle
+	idle      index.List[*endpointConn] // these, the one that was used longest ago first
+	expiries  index.Heap[itemExpiry]    // messages whose own time is up before their call's
 	figures   *figures.Set
 	refused   int // hand-ins turned away since the last log line
 }
@@ -132,7 +132,7 @@
 	Table          *memory.Table
 	Journal        *journal.Journal
 	Plugins        *plugin.Holder // nil: none
-	Notes          *Notes         // nil: this relay tells others nothing
+	Notes          *GossipSocket  // nil: this relay tells others nothing
 	Among          Among          // what it is among them
 	Zones          []string       // names of zones, by number
 	Home           string         // this relay's own; empty: not known
@@ -161,18 +161,18 @@
 	}
 	h := &Host{set: c.Settings, relay: relay, table: c.Table, journal: c.Journal, log: c.Log, plugins: c.Plugins, seed: c.Seed,
 		reports: c.Reports, dialTimeout: c.ConnectTimeout, dates: c.Dates, idleMost: c.IdleMost, start: start, events: make(chan any, eventRoom),
-		notices: make(chan owed, eventRoom), endpoints: map[string]*endpoint{}, gates: map[int]*gate{}, routes: map[string]*gate{},
+		notices: make(chan pendingNotification, eventRoom), endpoints: map[string]*endpoint{}, gates: map[int]*backoff{}, routes: map[string]*backoff{},
 		calls: map[*call]struct{}{}, turns: map[string][]*turn{}, awaited: awaitedNotices{}, kindOf: map[string]policy.Kind{}, kinds: map[int]string{}, figures: c.Figures}
-	h.zones, h.byHand = c.Zones, make(chan ByHand, sitesByHand)
+	h.zones, h.byHand = c.Zones, make(chan SiteCommand, siteCommandQueueSize)
 	h.name(c.Settings)
 	h.pool = peers.New(0, 0, c.Seed)
 	if h.notes = c.Notes; h.notes != nil {
-		h.join(c.Among)
+		h.joinFleet(c.Among)
 	}
 	h.lastStep = -c.Settings.Tick
-	h.poolNews(c.Known, policy.ListRestored)
+	h.applyEndpointList(c.Known, policy.ListRestored)
 	if c.Sites != nil {
-		h.planSites(c.Sites, c.Home)
+		h.applySitePlan(c.Sites, c.Home)
 	}
 	h.firstBy = listPatience
 	h.standby, h.quiet = c.Standby, c.Standby
@@ -198,10 +198,10 @@
 // Watch starts what talks to the platform: the watch of the pool config and the notices. It comes before Run.
 func (h *Host) Watch(discovery string) {
 	h.follow(discovery)
-	go notify(&h.agent, h.notices, h.events, h.log)
+	go runNotifier(&h.agent, h.notices, h.events, h.log)
 	if h.notes != nil {
-		go h.notes.hear(h.events)
-		go h.notes.send()
+		go h.notes.receiveLoop(h.events)
+		go h.notes.sendLoop()
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 	h.agent.Store(&discovery)
 	h.watching, h.unwatch = context.WithCancel(context.Background())
-	go watch(h.watching, watching{addr: discovery, have: h.generation, fleet: h.set.Senders, asked: h.set.AskForList, seed: h.seed}, h.events, h.log)
+	go watchEndpointList(h.watching, listWatcher{addr: discovery, generation: h.generation, fleetSize: h.set.Senders, polled: h.set.AskForList, seed: h.seed}, h.events, h.log)
 }
 
 // Reload puts a new configuration in force, which was checked: settings and limits at once, and discovery's new
@@ -267,14 +267,14 @@
 	}
 	if m.MemoryOnly && m.Body == nil {
 		// Its body was lost with the process: it can't be sent any more.
-		h.finish(m.Number, h.failedBy(limits.Refuse, m))
+		h.finish(m.Number, h.failureNotification(limits.Refuse, m))
 		return false
 	}
 	class, known := h.classes[m.Class]
 	if !known {
 		// Guards against holding for ever what the module would not know: the settings have lost its class.
 		h.log.Warn("class is not in the settings any more, its message is ended", "class", m.Class, "message", m.ID)
-		h.finish(m.Number, h.failedBy(limits.Refuse, m))
+		h.finish(m.Number, h.failureNotification(limits.Refuse, m))
 		return false
 	}
 	m.Recovered = true
@@ -322,13 +322,13 @@
 			h.left, h.arrivals = append(h.left, h.arrivals...), nil
 		}
 		now := h.now()
-		h.expire(now)
+		h.expireItems(now)
 		h.expireHeld(now)
 		if h.wakeAt > 0 && now >= h.wakeAt {
 			h.wakeAt, h.pending = 0, append(h.pending, policy.Woke{})
 		}
 		h.share(now)
-		h.look(now)
+		h.updateSites(now)
 		if h.due() && now >= h.stepAt() {
 			h.step(now)
 		}
@@ -380,12 +380,12 @@
 		if m := h.table.Get(e.num); m != nil {
 			h.inTurn(m, e.told)
 		}
-	case callEnded:
-		h.callEnded(e)
-	case lateWait:
-		h.lateWait(e)
-	case poolNews:
-		if e.watch != h.watching {
+	case callResult:
+		h.handleCallResult(e)
+	case lateRetryAfter:
+		h.handleLateRetryAfter(e)
+	case endpointListUpdate:
+		if e.watchCtx != h.watching {
 			return // Guards against late news of an address that a reload has replaced
 		}
 		kind := policy.ListChanges
@@ -393,14 +393,14 @@
 			kind = policy.ListWhole
 		}
 		h.listed, h.firstBy = true, 0
-		h.poolNews(e.EndpointList, kind)
-	case noteHeard:
-		out, err := h.pool.Hear(h.now(), e.from, e.note)
+		h.applyEndpointList(e.EndpointList, kind)
+	case gossipReceived:
+		out, err := h.pool.Hear(h.now(), e.from, e.payload)
 		if err != nil {
 			h.log.Debug("note not taken", "from", e.from, "err", err)
 		}
-		h.putNotes(out)
-	case noticed:
+		h.sendGossip(out)
+	case notificationsAccepted:
 		for _, num := range e.nums {
 			if m := h.table.Get(num); m != nil {
 				h.over(m)
@@ -418,8 +418,8 @@
 	h.upkeepAt = now + upkeepTurn
 	if h.set.ConnIdle > 0 {
 		limit := time.Duration(float64(h.set.ConnIdle) * idleShare)
-		for h.idle.Len() > 0 && time.Since(h.idle.First().Value.usedAt) > limit {
-			h.closeOldest()
+		for h.idle.Len() > 0 && time.Since(h.idle.First().Value.lastUsed) > limit {
+			h.closeOldestIdleConn()
 		}
 	}
 	h.journal.Maintain()
@@ -438,13 +438,13 @@
 
 // Leave tells the module that the process ends soon: what may not be repeated waits for the next start.
 func (h *Host) Leave() {
-	h.leaving.Store(noRisk)
+	h.leaving.Store(shutdownNoUnsafeCalls)
 	h.Do(func(h *Host) { h.pending = append(h.pending, policy.Stopping{}) })
 }
 
 // Quiet ends the steps: calls out are still finished, the rest stays in the journal.
 func (h *Host) Quiet() {
-	h.leaving.Store(noCalls)
+	h.leaving.Store(shutdownNoCalls)
 	h.Do(func(h *Host) { h.quiet = true })
 }
 
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -264,7 +264,7 @@
 	other, out := h.message("other", 8, 1), h.message("out", 7, 1)
 	out.InFlight = &memory.Attempt{}
 	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.message("x", 7, 1).Number, Endpoint: "s-9"}} {
-		if calls := h.send(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pending) != i+1 ||
+		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pending) != i+1 ||
 			h.pending[i].(policy.Ended).Outcome != policy.Unsent {
 			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pending)
 		}
@@ -290,12 +290,12 @@
 		}
 		open, calls := map[string]*call{}, []*call(nil)
 		for i, size := range c.sizes {
-			calls = h.send(0, time.Now(), policy.Send{ID: h.message(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
+			calls = h.planSend(0, time.Now(), policy.Send{ID: h.message(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
 		}
 		var got []int
 		for _, cl := range calls {
 			got = append(got, len(cl.items))
-			if body := appendCall(nil, cl, time.Second); len(cl.items) > 1 && len(body) > maxBody+maxLine {
+			if body := appendRequest(nil, cl, time.Second); len(cl.items) > 1 && len(body) > maxBody+maxLine {
 				t.Errorf("%s: a batch of %d bytes", name, len(body))
 			}
 		}
@@ -313,17 +313,17 @@
 	wall := time.Now()
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
-	calls := h.send(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
-	calls = h.send(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
+	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
+	calls = h.planSend(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
 	h.pending = nil
-	h.begin(cl)
-	h.expire(time.Second - 1)
+	h.registerCall(cl)
+	h.expireItems(time.Second - 1)
 	if len(h.pending) != 0 {
 		t.Fatalf("too early: %v", h.pending)
 	}
-	h.expire(time.Second)
-	h.callEnded(callEnded{call: cl, ends: alike(cl, end{outcome: policy.Delivered})})
+	h.expireItems(time.Second)
+	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Delivered})})
 	if len(h.pending) != 2 || h.pending[0].(policy.Ended).Outcome != policy.TimedOut || h.pending[0].(policy.Ended).ID != short.Number ||
 		h.pending[1].(policy.Ended).ID != long.Number {
 		t.Fatalf("told %+v", h.pending)
@@ -335,10 +335,10 @@
 	h := bare(t)
 	m, wall := h.message("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
-	cl := h.send(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
+	cl := h.planSend(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
 	h.pending = nil
-	h.begin(cl)
-	if h.expire(2 * time.Second); len(h.pending) != 0 {
+	h.registerCall(cl)
+	if h.expireItems(2 * time.Second); len(h.pending) != 0 {
 		t.Fatalf("told %+v", h.pending)
 	}
 }
@@ -350,7 +350,7 @@
 	h.idleMost = 2
 	ep := h.endpoints["s-1"]
 	for range 3 {
-		h.callEnded(callEnded{conn: &routeConn{ep: ep, calls: make(chan *call, 1)}, call: &call{ep: ep}, keep: true})
+		h.handleCallResult(callResult{conn: &endpointConn{endpoint: ep, calls: make(chan *call, 1)}, call: &call{endpoint: ep}, reusable: true})
 	}
 	idle := ep.idle
 	if len(idle) != 2 {
@@ -361,14 +361,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.poolNews(pc, policy.ListChanges)
+		h.applyEndpointList(pc, policy.ListChanges)
 	}
 	news("127.0.0.1:1", "terminating")
 	if policy.EndpointState(ep.state.Load()) != policy.Draining || len(ep.idle) != 2 {
 		t.Errorf("draining: state %v, %d idle", ep.state.Load(), len(ep.idle))
 	}
 	news("127.0.0.1:2", "in_service")
-	if _, open := <-idle[0].calls; open || h.endpoints["s-1"] == ep || !ep.gone() {
+	if _, open := <-idle[0].calls; open || h.endpoints["s-1"] == ep || !ep.removed() {
 		t.Error("moved: the old connections stay")
 	}
 	news("127.0.0.1:2", "terminated")
@@ -395,15 +395,15 @@
 		}
 		other := h.message(fmt.Sprint("other ", c), 7, 10)
 		open := map[string]*call{}
-		calls := h.send(0, now, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
-		calls = h.send(0, now, policy.Send{ID: other.Number, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
-		if !calls[0].inTime(now.Add(600 * time.Millisecond)) {
+		calls := h.planSend(0, now, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
+		calls = h.planSend(0, now, policy.Send{ID: other.Number, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
+		if !calls[0].excludeExpired(now.Add(600 * time.Millisecond)) {
 			t.Errorf("%v: nothing goes", c)
 		}
-		if got := !calls[0].items[0].late; got != c.goes || calls[0].items[1].late {
+		if got := !calls[0].items[0].tooLate; got != c.goes || calls[0].items[1].tooLate {
 			t.Errorf("%v: goes %v", c, got)
 		}
-		if all := calls[0].heldBack(alike(calls[0], end{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes || all[1].outcome != policy.Delivered {
+		if all := calls[0].markExcluded(uniformResults(calls[0], itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes || all[1].outcome != policy.Delivered {
 			t.Errorf("%v: ends %v", c, all)
 		}
 	}
@@ -416,18 +416,18 @@
 	h.kindOf["apart"] = policy.Kind{Name: "apart", Batch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
 		dest := map[string]int{"broker": 7, "apart": 9}[kind]
-		h.member(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
+		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
 	}
-	h.endpoints["s-1"].gate.hold(time.Hour)
-	h.endpoints["a-1"].gate.hold(time.Hour)
-	h.member(memory.EndpointEntry{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
+	h.endpoints["s-1"].backoff.extend(time.Hour)
+	h.endpoints["a-1"].backoff.extend(time.Hour)
+	h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
 	for id, closed := range map[string]bool{"s-1": true, "s-2": true, "a-1": true, "a-2": false} {
-		if h.endpoints[id].gate.closed() != closed {
+		if h.endpoints[id].backoff.active() != closed {
 			t.Errorf("%s: closed %v", id, !closed)
 		}
 	}
 	h.rebuild(h.now())
-	if h.poolNews(memory.EndpointList{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
+	if h.applyEndpointList(memory.EndpointList{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
 		t.Errorf("steps from %v on", h.stepAt())
 	}
 }
@@ -467,8 +467,8 @@
 	}))
 	defer agent.Close()
 	addr, events := agent.Listener.Addr().String(), make(chan any)
-	go watch(t.Context(), watching{addr: addr, have: -1, fleet: 1}, events, quiet)
-	first, second := (<-events).(poolNews), (<-events).(poolNews)
+	go watchEndpointList(t.Context(), listWatcher{addr: addr, generation: -1, fleetSize: 1}, events, quiet)
+	first, second := (<-events).(endpointListUpdate), (<-events).(endpointListUpdate)
 	if !first.Complete || first.Generation != 41 || second.Complete || second.Entries[0].State != policy.Draining {
 		t.Errorf("news %+v, then %+v", first, second)
 	}
@@ -481,16 +481,16 @@
 		t.Errorf("asked %q", asked)
 	}
 	mu.Unlock()
-	in, acks := make(chan owed, 3), make(chan any, 3)
+	in, acks := make(chan pendingNotification, 3), make(chan any, 3)
 	for i, id := range []string{"a", "bad", "c\"\n"} {
-		in <- owed{uint32(i), id, memory.Notification{Returned: i == 2, RetryAfter: 500 * time.Millisecond}}
+		in <- pendingNotification{uint32(i), id, memory.Notification{Returned: i == 2, RetryAfter: 500 * time.Millisecond}}
 	}
 	var at atomic.Pointer[string]
 	at.Store(&addr)
-	go notify(&at, in, acks, quiet)
+	go runNotifier(&at, in, acks, quiet)
 	got := map[uint32]bool{}
 	for len(got) < 3 {
-		for _, n := range (<-acks).(noticed).nums {
+		for _, n := range (<-acks).(notificationsAccepted).nums {
 			got[n] = true
 		}
 	}
@@ -516,11 +516,11 @@
 	old, end := context.WithCancel(context.Background())
 	defer end()
 	h.watching = context.Background()
-	h.take(poolNews{known, old})
+	h.take(endpointListUpdate{known, old})
 	if h.listed {
 		t.Error("late news of another watch counts")
 	}
-	h.take(poolNews{known, h.watching})
+	h.take(endpointListUpdate{known, h.watching})
 	if v := ask("a", 8); !v.nowhere {
 		t.Errorf("nowhere: %+v", v)
 	}
@@ -567,12 +567,12 @@
 	for outcome, ran := range map[policy.Outcome]bool{policy.CutShort: false, policy.ConnectFailed: false, policy.Broken: true, policy.TimedOut: true} {
 		h := bare(t)
 		m := h.message("m", 7, 1)
-		calls := h.send(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+		calls := h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
 		if len(calls) != 1 || m.InFlight == nil {
 			t.Fatalf("%d calls, %+v", len(calls), m.InFlight)
 		}
 		h.pending = nil
-		h.callEnded(callEnded{call: calls[0], ends: alike(calls[0], end{outcome: outcome})})
+		h.handleCallResult(callResult{call: calls[0], results: uniformResults(calls[0], itemResult{outcome: outcome})})
 		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
 			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	viewTurn  = members.Period / 3 // between two views that operators see, where something has changed
-	viewStale = 5 * members.Period // and where nothing has
+	membersViewInterval = members.Period / 3 // between two views that operators see, where something has changed
+	membersViewMaxAge   = 5 * members.Period // and where nothing has
 )
 
-// join makes the pool anew for a relay that has its notes' socket.
-func (h *Host) join(among Among) {
+// joinFleet makes the pool anew for a relay that has its notes' socket.
+func (h *Host) joinFleet(among Among) {
 	h.among = among
 	h.pool = peers.New(among.Me, len(h.notes.peers), h.seed)
 	if among.Members {
@@ -24,41 +24,41 @@
 	h.pool.Choose(among.Choices)
 }
 
-// putNotes hands notes over to the socket.
-func (h *Host) putNotes(out []members.Out) {
+// sendGossip hands notes over to the socket.
+func (h *Host) sendGossip(out []members.Out) {
 	for _, o := range out {
-		h.notes.put(o)
+		h.notes.enqueue(o)
 	}
 }
 
-// members makes a view for those who ask, now and then, and logs the changes that it shows. Whoever reads of a change in the log and then
+// updateMembersView makes a view for those who ask, now and then, and logs the changes that it shows. Whoever reads of a change in the log and then
 // asks has to find it in the answer, so no change is logged before its view is there.
-func (h *Host) members(now policy.Time) {
+func (h *Host) updateMembersView(now policy.Time) {
 	list := h.pool.Members()
-	if list == nil || !h.viewDue(list, now) {
+	if list == nil || !h.membersViewDue(list, now) {
 		return
 	}
-	h.showMembers(list.View(now))
+	h.publishMembersView(list.View(now))
 	h.viewAt = now
 	for _, c := range list.Changes() {
-		h.logChange(c)
+		h.logMemberChange(c)
 	}
 }
 
-// viewDue tells whether it is time for another view of the members.
-func (h *Host) viewDue(list *members.List, now policy.Time) bool {
+// membersViewDue tells whether it is time for another view of the members.
+func (h *Host) membersViewDue(list *members.List, now policy.Time) bool {
 	shown := h.view.Load()
 	if shown == nil {
 		return true
 	}
 	if shown.Version == list.Version() {
-		return now >= h.viewAt+viewStale
+		return now >= h.viewAt+membersViewMaxAge
 	}
-	return now >= h.viewAt+viewTurn
+	return now >= h.viewAt+membersViewInterval
 }
 
-// showMembers puts a view in place of the last one, and warns where this relay has begun to doubt itself.
-func (h *Host) showMembers(v *members.View) {
+// publishMembersView puts a view in place of the last one, and warns where this relay has begun to doubt itself.
+func (h *Host) publishMembersView(v *members.View) {
 	was := h.view.Swap(v)
 	if was != nil && was.Deaf == v.Deaf && was.Rival == v.Rival {
 		return
@@ -71,8 +71,8 @@
 	}
 }
 
-// logChange logs what a member is taken for from now on.
-func (h *Host) logChange(c members.Change) {
+// logMemberChange logs what a member is taken for from now on.
+func (h *Host) logMemberChange(c members.Change) {
 	level := slog.LevelInfo
 	if c.To == members.Suspect || c.From == members.Suspect && c.To == members.Alive {
 		level = slog.LevelDebug // a doubt that may pass
@@ -83,8 +83,8 @@
 // Members is the latest view of the fleet; nil: who lives is not asked. Anyone may call it: it waits for nothing.
 func (h *Host) Members() *members.View { return h.view.Load() }
 
-// Leaving tells the fleet that this relay ends, or is empty; or that it is back.
-func (h *Host) Leaving(on bool) {
+// SetLeaving tells the fleet that this relay ends, or is empty; or that it is back.
+func (h *Host) SetLeaving(on bool) {
 	h.Do(func(h *Host) {
 		if on {
 			h.pool.Leave(h.now())
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -11,15 +11,15 @@
 	"oatfold/policy"
 )
 
-// memberLog calls logged for each change of a member that is logged.
-type memberLog struct {
+// memberLogHandler calls logged for each change of a member that is logged.
+type memberLogHandler struct {
 	slog.Handler
 	logged func(number int64, state string)
 }
 
-func (l memberLog) Enabled(context.Context, slog.Level) bool { return true }
+func (l memberLogHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-func (l memberLog) Handle(_ context.Context, record slog.Record) error {
+func (l memberLogHandler) Handle(_ context.Context, record slog.Record) error {
 	if record.Message != "member" {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	h := &Host{pool: peers.New(0, 2, 1), watching: context.Background()}
 	h.pool.Join(0, 1)
 	var logged []string
-	h.log = slog.New(memberLog{quiet.Handler(), func(number int64, state string) {
+	h.log = slog.New(memberLogHandler{quiet.Handler(), func(number int64, state string) {
 		logged = append(logged, state)
 		if shown := h.Members(); shown == nil || shown.Members[number].State.String() != state {
 			t.Errorf("member %d is logged as %s before the view shows it", number, state)
@@ -60,7 +60,7 @@
 		}
 	}
 	hear(0)
-	h.members(0)
+	h.updateMembersView(0)
 	other.Leave(time.Millisecond)
 	left := time.Millisecond
 	for ; h.pool.Members().State(1) != members.Left; left += members.Period {
@@ -70,11 +70,11 @@
 		hear(left)
 	}
 	h.viewAt = left // a view was made just now
-	h.members(left)
+	h.updateMembersView(left)
 	if len(logged) > 0 {
 		t.Errorf("logged %v, and the view is not due", logged)
 	}
-	h.members(left + viewTurn)
+	h.updateMembersView(left + membersViewInterval)
 	if len(logged) == 0 || logged[len(logged)-1] != "left" {
 		t.Errorf("logged %v, not that the other left", logged)
 	}
--- a/internal/wire/notes.go
+++ b/internal/wire/notes.go
@@ -11,29 +11,29 @@
 	"oatfold/internal/peers/members"
 )
 
-// noteRoom is how many notes may wait to go out; more are dropped, as the network may drop them.
-const noteRoom = 256
+// gossipQueueSize is how many notes may wait to go out; more are dropped, as the network may drop them.
+const gossipQueueSize = 256
 
-// hearAgain is the pause behind a read that failed.
-const hearAgain = 20 * time.Millisecond
+// gossipReadRetryDelay is the pause behind a read that failed.
+const gossipReadRetryDelay = 20 * time.Millisecond
 
-// noteHeard is a datagram of another relay.
-type noteHeard struct {
-	from int
-	note []byte
+// gossipReceived is a datagram of another relay.
+type gossipReceived struct {
+	from    int
+	payload []byte
 }
 
-// Notes is the socket between relays. What it carries may be lost, late or senseless; it decides nothing.
-type Notes struct {
+// GossipSocket is the socket between relays. What it carries may be lost, late or senseless; it decides nothing.
+type GossipSocket struct {
 	sock  *net.UDPConn
 	peers []netip.AddrPort
-	out   chan members.Out
+	queue chan members.Out
 	log   *slog.Logger
 }
 
-// ListenNotes opens the socket at listen. all holds the address of each relay, by number.
-func ListenNotes(listen string, all []string, log *slog.Logger) (*Notes, error) {
-	n := &Notes{out: make(chan members.Out, noteRoom), log: log}
+// ListenGossip opens the socket at listen. all holds the address of each relay, by number.
+func ListenGossip(listen string, all []string, log *slog.Logger) (*GossipSocket, error) {
+	n := &GossipSocket{queue: make(chan members.Out, gossipQueueSize), log: log}
 	for _, a := range all {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -52,10 +52,10 @@
 }
 
 // Close ends both goroutines.
-func (n *Notes) Close() { n.sock.Close(); close(n.out) }
+func (n *GossipSocket) Close() { n.sock.Close(); close(n.queue) }
 
-// hear reports what comes in until the socket is closed. Only relays that the configuration names are heard.
-func (n *Notes) hear(events chan<- any) {
+// receiveLoop reports what comes in until the socket is closed. Only relays that the configuration names are heard.
+func (n *GossipSocket) receiveLoop(events chan<- any) {
 	who := map[netip.AddrPort]int{}
 	for i, at := range n.peers {
 		who[at] = i
@@ -69,7 +69,7 @@
 		if err != nil {
 			// Guards against a relay that hears nobody for good, for a read that failed for a moment.
 			n.log.Debug("no note read", "err", err)
-			time.Sleep(hearAgain)
+			time.Sleep(gossipReadRetryDelay)
 			continue
 		}
 		i, known := who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
@@ -77,23 +77,23 @@
 			n.log.Debug("note of nobody", "from", from, "bytes", size)
 			continue
 		}
-		events <- noteHeard{i, append([]byte(nil), buf[:size]...)}
+		events <- gossipReceived{i, append([]byte(nil), buf[:size]...)}
 	}
 }
 
-// send writes what the host has put out. It does so on a goroutine of its own: the host never waits for a socket.
-func (n *Notes) send() {
-	for o := range n.out {
+// sendLoop writes what the host has put out. It does so on a goroutine of its own: the host never waits for a socket.
+func (n *GossipSocket) sendLoop() {
+	for o := range n.queue {
 		if _, err := n.sock.WriteToUDPAddrPort(o.Note, n.peers[o.To]); err != nil {
 			n.log.Debug("note not sent", "to", o.To, "err", err)
 		}
 	}
 }
 
-// put hands a note over, or drops it.
-func (n *Notes) put(o members.Out) {
+// enqueue hands a note over, or drops it.
+func (n *GossipSocket) enqueue(o members.Out) {
 	select {
-	case n.out <- o:
+	case n.queue <- o:
 	default:
 	}
 }
--- a/internal/wire/notes_test.go
+++ b/internal/wire/notes_test.go
@@ -21,17 +21,17 @@
 		return c.LocalAddr().String()
 	}
 	all := []string{free(), free(), free()}
-	var socks []*Notes
+	var socks []*GossipSocket
 	var heard []chan any
 	for _, at := range all {
-		n, err := ListenNotes(at, all, quiet)
+		n, err := ListenGossip(at, all, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer n.Close()
 		events := make(chan any, 16)
-		go n.hear(events)
-		go n.send()
+		go n.receiveLoop(events)
+		go n.sendLoop()
 		socks, heard = append(socks, n), append(heard, events)
 	}
 	stranger, err := net.Dial("udp4", all[1])
@@ -40,13 +40,13 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("stranger"))
-	socks[2].put(members.Out{To: 1, Note: make([]byte, peers.MaxNote+1)})
-	socks[0].put(members.Out{To: 1, Note: []byte("hello")})
-	socks[0].put(members.Out{To: 2, Note: []byte("hello")})
+	socks[2].enqueue(members.Out{To: 1, Note: make([]byte, peers.MaxNote+1)})
+	socks[0].enqueue(members.Out{To: 1, Note: []byte("hello")})
+	socks[0].enqueue(members.Out{To: 2, Note: []byte("hello")})
 	for _, events := range heard[1:] {
 		select {
 		case e := <-events:
-			if n, ok := e.(noteHeard); !ok || n.from != 0 || string(n.note) != "hello" {
+			if n, ok := e.(gossipReceived); !ok || n.from != 0 || string(n.payload) != "hello" {
 				t.Errorf("heard %+v", e)
 			}
 		case <-time.After(10 * time.Second):
@@ -56,14 +56,14 @@
 	if len(heard[0]) > 0 {
 		t.Error("told itself")
 	}
-	for range 2 * noteRoom { // never blocks, however many
-		socks[1].put(members.Out{To: 1, Note: []byte("x")})
+	for range 2 * gossipQueueSize { // never blocks, however many
+		socks[1].enqueue(members.Out{To: 1, Note: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
-		if _, err := ListenNotes(bad, all, quiet); err == nil && bad != "" {
+		if _, err := ListenGossip(bad, all, quiet); err == nil && bad != "" {
 			t.Errorf("listens at %q", bad)
 		}
-		if _, err := ListenNotes(all[0], []string{bad}, quiet); err == nil {
+		if _, err := ListenGossip(all[0], []string{bad}, quiet); err == nil {
 			t.Errorf("a relay at %q", bad)
 		}
 	}
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -55,7 +55,7 @@
 func (h *Host) expireHeld(now policy.Time) {
 	for _, num := range h.sequence.Expired(now) {
 		if m := h.table.Get(num); m != nil {
-			h.finish(num, h.failedBy(limits.Refuse, m))
+			h.finish(num, h.failureNotification(limits.Refuse, m))
 		}
 	}
 }
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -230,8 +230,14 @@
 // Numbers of messages grow in the order of hand-in over both processes, so that a restart finds that order in the journal, whichever came here first.
 func TestNumbersKeepTheOrderOfHandIn(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
-	o.new.host.Do(func(h *Host) { h.endpoints["s-1"].gate.hold(time.Minute); h.relay.Wait(h.now(), "s-1", time.Minute) })
-	o.old.host.Do(func(h *Host) { h.endpoints["s-1"].gate.hold(time.Minute); h.relay.Wait(h.now(), "s-1", time.Minute) })
+	o.new.host.Do(func(h *Host) {
+		h.endpoints["s-1"].backoff.extend(time.Minute)
+		h.relay.Wait(h.now(), "s-1", time.Minute)
+	})
+	o.old.host.Do(func(h *Host) {
+		h.endpoints["s-1"].backoff.extend(time.Minute)
+		h.relay.Wait(h.now(), "s-1", time.Minute)
+	})
 	o.take(o.old, "a")
 	o.heldIn(o.old, "a")
 	o.handOver()
--- a/internal/wire/parked.go
+++ b/internal/wire/parked.go
@@ -44,7 +44,7 @@
 
 // parks tells whether a call has to wait for the answer to a notice.
 func (h *Host) parks(cl *call) bool {
-	return slices.ContainsFunc(cl.items, func(it item) bool {
+	return slices.ContainsFunc(cl.items, func(it callItem) bool {
 		m := h.table.Get(it.num)
 		return m != nil && h.behindNotice(m)
 	})
@@ -52,7 +52,7 @@
 
 // parksOne tells whether one of these calls goes to ep and has to wait.
 func (h *Host) parksOne(calls []*call, ep *endpoint) bool {
-	return slices.ContainsFunc(calls, func(cl *call) bool { return cl.ep == ep && h.parks(cl) })
+	return slices.ContainsFunc(calls, func(cl *call) bool { return cl.endpoint == ep && h.parks(cl) })
 }
 
 // unpark makes the calls that wait for no notice any more. One whose time is up has not been sent.
@@ -63,7 +63,7 @@
 		switch {
 		case !h.parks(cl):
 			h.begun = append(h.begun, cl)
-		case now >= cl.began+cl.timeout:
+		case now >= cl.startedAt+cl.timeout:
 			h.endParked(cl)
 		default:
 			h.parked = append(h.parked, cl)
@@ -74,13 +74,13 @@
 // endParked ends a call that was not made: it is in no journal.
 func (h *Host) endParked(cl *call) {
 	cl.unrecorded = true
-	h.callEnded(callEnded{call: cl, ends: alike(cl, end{outcome: policy.Unsent})})
+	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Unsent})})
 }
 
 // parkedUntil is when the first call's time is up that waits for a notice; at where that is later.
 func (h *Host) parkedUntil(at policy.Time) policy.Time {
 	for _, cl := range h.parked {
-		at = min(at, cl.began+cl.timeout)
+		at = min(at, cl.startedAt+cl.timeout)
 	}
 	return at
 }
--- a/internal/wire/parked_test.go
+++ b/internal/wire/parked_test.go
@@ -57,8 +57,8 @@
 	a, b := h.message("a", 7, 1), h.message("b", 7, 1)
 	a.OrderingKey, b.OrderingKey = "s", "s"
 	h.finish(a.Number, memory.Notification{})
-	calls := h.send(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
-	h.begin(calls[0])
+	calls := h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+	h.registerCall(calls[0])
 	if len(h.parked) != 1 || len(h.begun) != 0 {
 		t.Fatalf("%d parked, %d begun", len(h.parked), len(h.begun))
 	}
@@ -98,16 +98,16 @@
 	open := map[string]*call{}
 	var calls []*call
 	for _, m := range []*memory.Message{h.message("c", 7, 1), b, h.message("d", 7, 1)} {
-		calls = h.send(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, open, calls)
+		calls = h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, open, calls)
 	}
 	if len(calls) != 2 || len(calls[0].items) != 2 || calls[1].items[0].id != "b" {
 		t.Errorf("%d calls", len(calls))
 	}
 	for len(h.calls) < h.set.Slots {
-		h.calls[&call{ep: calls[0].ep}] = struct{}{}
+		h.calls[&call{endpoint: calls[0].endpoint}] = struct{}{}
 	}
 	b.InFlight = nil
-	if calls = h.send(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pending) != 1 {
+	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pending) != 1 {
 		t.Errorf("%d calls without a slot, %v", len(calls), h.pending)
 	}
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// peer is a kept connection to the platform's agent, for one request at a time.
-type peer struct {
-	addr string
-	sock net.Conn
-	r    *bufio.Reader
-	dial dialContext // nil but in tests
+// agentConn is a kept connection to the platform's agent, for one request at a time.
+type agentConn struct {
+	addr   string
+	sock   net.Conn
+	reader *bufio.Reader
+	dial   dialFunc // nil but in tests
 }
 
-// dialContext opens a connection as net.Dialer does.
-type dialContext func(ctx context.Context, network, addr string) (net.Conn, error)
+// dialFunc opens a connection as net.Dialer does.
+type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-const agentDial = 2 * time.Second
+const agentDialTimeout = 2 * time.Second
 
-// ask sends one request and reads its answer within limit, or until ctx ends. Any error closes the connection.
-func (p *peer) ask(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
+// roundTrip sends one request and reads its answer within limit, or until ctx ends. Any error closes the connection.
+func (p *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
 	if p.sock != nil && stale(p.sock) {
 		p.close()
 	}
 	if p.sock == nil {
 		dial := p.dial
 		if dial == nil {
-			dial = (&net.Dialer{Timeout: min(limit, agentDial), KeepAlive: -1}).DialContext
+			dial = (&net.Dialer{Timeout: min(limit, agentDialTimeout), KeepAlive: -1}).DialContext
 		}
 		sock, err := dial(ctx, "tcp", p.addr)
 		if err != nil {
-			return nil, &StepError{Started, err}
+			return nil, &AttemptError{Started, err}
 		}
-		p.sock, p.r = sock, bufio.NewReaderSize(sock, maxLine)
+		p.sock, p.reader = sock, bufio.NewReaderSize(sock, maxLine)
 	}
 	sock := p.sock
 	sock.SetDeadline(time.Now().Add(limit))
@@ -42,23 +42,23 @@
 	defer context.AfterFunc(ctx, func() { sock.SetDeadline(time.Unix(1, 0)) })()
 	if _, err := sock.Write(request); err != nil {
 		p.close()
-		return nil, &StepError{Dialled, err}
+		return nil, &AttemptError{Dialled, err}
 	}
-	a, err := readStatus(p.r)
+	a, err := readStatus(p.reader)
 	if err == nil {
-		err = a.readRest(p.r, maxAnswer)
+		err = a.readRest(p.reader, maxAnswer)
 	}
 	if err != nil {
 		p.close()
-		return nil, &StepError{Written, err}
+		return nil, &AttemptError{Written, err}
 	}
-	if !a.keep || p.r.Buffered() > 0 {
+	if !a.keep || p.reader.Buffered() > 0 {
 		p.close()
 	}
 	return a, nil
 }
 
-func (p *peer) close() {
+func (p *agentConn) close() {
 	if p.sock != nil {
 		p.sock.Close()
 		p.sock = nil
--- a/internal/wire/requests.go
+++ b/internal/wire/requests.go
@@ -124,7 +124,7 @@
 	for _, cl := range calls {
 		if outErr != nil {
 			cl.unrecorded = true
-			h.callEnded(callEnded{call: cl, ends: alike(cl, end{outcome: policy.Unsent}), err: outErr})
+			h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Unsent}), err: outErr})
 			continue
 		}
 		h.dispatch(cl)
@@ -202,13 +202,13 @@
 
 func (h *Host) owe(m *memory.Message) {
 	h.awaitNotice(m)
-	h.unsent = append(h.unsent, owed{m.Number, m.ID, *m.Notification})
+	h.unsent = append(h.unsent, pendingNotification{m.Number, m.ID, *m.Notification})
 }
 
 // flushNotices passes on the notices that may go out.
 func (h *Host) flushNotices() {
 	wait, wall := h.journal.HasUnwritten(), time.Now()
-	var kept []owed
+	var kept []pendingNotification
 	for i, n := range h.unsent {
 		if wait && h.mayGoOn(n.num, wall) {
 			kept = append(kept, n)
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -25,39 +25,39 @@
 	"oatfold/policy"
 )
 
-// item is one message of a call.
-type item struct {
-	num     uint32
-	step    int
-	id, key string
-	class   string
-	notes   []byte                 // of plug-ins, as it came in
-	body    []byte                 // as it goes out
-	load    func() ([]byte, error) // reads the body first, where it is not in memory
-	headers [][2]string            // that plug-ins add
-	then    *then                  // a plug-in failed it: it does not go out
-	until   policy.Time            // when its own time is up
-	by      time.Time              // when it may be written at the latest, on the wall; zero: at any time
-	late    bool                   // it is up, or nearly, before the call could be written, or its body is not at hand: it does not go out
-	expiry  *index.Entry[expiry]   // of that time, where the call goes on beyond it
-	ended   bool                   // its end was told to the module
-	anew    bool                   // the module started anew since: it is told of the message instead
+// callItem is one message of a call.
+type callItem struct {
+	num           uint32
+	attempt       int
+	id, key       string
+	class         string
+	pluginNotes   []byte                   // of plug-ins, as it came in
+	body          []byte                   // as it goes out
+	loadBody      func() ([]byte, error)   // reads the body first, where it is not in memory
+	headers       [][2]string              // that plug-ins add
+	pluginFailure *pluginFailure           // a plug-in failed it: it does not go out
+	expiresAt     policy.Time              // when its own time is up
+	writeBy       time.Time                // when it may be written at the latest, on the wall; zero: at any time
+	tooLate       bool                     // it is up, or nearly, before the call could be written, or its body is not at hand: it does not go out
+	expiry        *index.Entry[itemExpiry] // of that time, where the call goes on beyond it
+	reported      bool                     // its end was told to the module
+	resubmit      bool                     // the module started anew since: it is told of the message instead
 }
 
-// then is what the operator wants of a message that a plug-in failed before it went out.
-type then struct{ limits.Then }
+// pluginFailure is what the operator wants of a message that a plug-in failed before it went out.
+type pluginFailure struct{ limits.Then }
 
 // call is one route step on its way: one message, or several of one step to one endpoint.
 type call struct {
-	ep         *endpoint
-	kind       string // of the destination
-	items      []item
-	size       int // bytes that the body of a batch takes, at most
-	began      policy.Time
-	unrecorded bool          // the journal did not take it: it was not made
-	careful    time.Duration // how long to look whether the connection holds before the last byte; 0: not at all
-	timeout    time.Duration
-	deadline   time.Time
+	endpoint      *endpoint
+	kind          string // of the destination
+	items         []callItem
+	batchSize     int // bytes that the body of a batch takes, at most
+	startedAt     policy.Time
+	unrecorded    bool          // the journal did not take it: it was not made
+	lastByteDelay time.Duration // how long to look whether the connection holds before the last byte; 0: not at all
+	timeout       time.Duration
+	deadline      time.Time
 }
 
 // ids names the messages of the call.
@@ -68,109 +68,109 @@
 	return ids
 }
 
-// end is how one item of a call ended.
-type end struct {
-	outcome policy.Outcome
-	over    bool // the endpoint says that nothing more is owed
-	then    *then
+// itemResult is how one item of a call ended.
+type itemResult struct {
+	outcome       policy.Outcome
+	final         bool // the endpoint says that nothing more is owed
+	pluginFailure *pluginFailure
 }
 
-// callEnded is what a connection reports of a call.
-type callEnded struct {
-	conn   *routeConn
-	call   *call
-	ends   []end // one for each item
-	wait   time.Duration
-	report *policy.Report
-	err    error
-	keep   bool // the connection is idle now
+// callResult is what a connection reports of a call.
+type callResult struct {
+	conn       *endpointConn
+	call       *call
+	results    []itemResult // one for each item
+	retryAfter time.Duration
+	report     *policy.Report
+	err        error
+	reusable   bool // the connection is idle now
 }
 
-// routeConn is one connection to an endpoint; its goroutine carries one call at a time.
-type routeConn struct {
-	ep          *endpoint
-	calls       chan *call
-	sock        net.Conn
-	r           *bufio.Reader
-	usedAt      time.Time               // owned by the host
-	place       *index.Node[*routeConn] // among idle ones, owned by the host
-	answered    time.Time               // when its last answer was read; zero: it has had none
-	dialTimeout time.Duration
-	listening   *atomic.Int32                                            // connections listened to behind their calls' end; nil: not counted
-	leaving     *atomic.Int32                                            // how far the process has come in its stop, a leaveStage; nil: it does not stop
-	dial        func(addr string, limit time.Duration) (net.Conn, error) // nil but in tests
-	plugins     *plugin.Holder
-	figures     *figures.Set // nil: none are kept
-	buf         []byte
+// endpointConn is one connection to an endpoint; its goroutine carries one call at a time.
+type endpointConn struct {
+	endpoint      *endpoint
+	calls         chan *call
+	sock          net.Conn
+	reader        *bufio.Reader
+	lastUsed      time.Time                  // owned by the host
+	idleNode      *index.Node[*endpointConn] // among idle ones, owned by the host
+	lastAnswerAt  time.Time                  // when its last answer was read; zero: it has had none
+	dialTimeout   time.Duration
+	lateListeners *atomic.Int32                                            // connections listened to behind their calls' end; nil: not counted
+	shutdown      *atomic.Int32                                            // how far the process has come in its stop, a leaveStage; nil: it does not stop
+	dial          func(addr string, limit time.Duration) (net.Conn, error) // nil but in tests
+	plugins       *plugin.Holder
+	metrics       *figures.Set // nil: none are kept
+	buf           []byte
 }
 
 // run carries calls until the channel is closed or the connection is of no more use.
-func (c *routeConn) run(events chan<- any) {
+func (c *endpointConn) run(events chan<- any) {
 	for cl := range c.calls {
-		res := c.carry(cl)
-		listen := !res.keep && c.endSending(res)
-		if !res.keep && !listen {
-			c.drop()
+		res := c.makeCall(cl)
+		listen := !res.reusable && c.closeSending(res)
+		if !res.reusable && !listen {
+			c.close()
 		}
 		events <- res
 		if listen {
 			// Guards against a wait that crosses the end of its call: it binds from when it was written.
-			if wait := c.hearLate(); wait > 0 {
-				events <- lateWait{c.ep, wait}
+			if wait := c.readLateRetryAfter(); wait > 0 {
+				events <- lateRetryAfter{c.endpoint, wait}
 			}
-			c.drop()
-			c.endListening()
+			c.close()
+			c.releaseListener()
 		}
-		if !res.keep {
+		if !res.reusable {
 			return
 		}
 	}
-	c.drop()
+	c.close()
 }
 
-func (c *routeConn) drop() {
+func (c *endpointConn) close() {
 	if c.sock != nil {
 		c.sock.Close()
-		c.sock, c.answered = nil, time.Time{}
+		c.sock, c.lastAnswerAt = nil, time.Time{}
 	}
 }
 
-// carry makes one call. A panic ends the connection and the call, nothing else.
-func (c *routeConn) carry(cl *call) (res callEnded) {
-	res = callEnded{conn: c, call: cl}
+// makeCall makes one call. A panic ends the connection and the call, nothing else.
+func (c *endpointConn) makeCall(cl *call) (res callResult) {
+	res = callResult{conn: c, call: cl}
 	stage := Started
 	fail := func(err error) {
-		se := &StepError{stage, err}
-		res.err, res.keep, res.ends = se, false, cl.heldBack(alike(cl, end{outcome: se.Outcome()}))
+		se := &AttemptError{stage, err}
+		res.err, res.reusable, res.results = se, false, cl.markExcluded(uniformResults(cl, itemResult{outcome: se.Outcome()}))
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			fail(fmt.Errorf("panic: %v", p))
 		}
 	}()
-	if err := cl.fetch(); cl.going() == 0 {
-		res.ends, res.keep = cl.heldBack(alike(cl, end{outcome: policy.Unsent})), c.sock != nil
+	if err := cl.loadBodies(); cl.includedCount() == 0 {
+		res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})), c.sock != nil
 		res.err = err
 		return res
 	}
 	plugins := c.plugins.Use()
 	if plugins != nil {
 		defer plugins.Done()
-		if cl.shape(plugins) == 0 || !time.Now().Before(cl.deadline) {
+		if cl.shapeRequests(plugins) == 0 || !time.Now().Before(cl.deadline) {
 			// Guards against booking to the endpoint what plug-ins have spent.
-			res.ends, res.keep = cl.heldBack(alike(cl, end{outcome: policy.Unsent})), c.sock != nil
+			res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})), c.sock != nil
 			return res
 		}
 	}
 	if c.sock != nil {
 		// Guards against a second copy or noise that comes right behind an answer, and would be read as the next
 		// call's: what belongs to the last answer has come when the next call is written, and shows as stale.
-		time.Sleep(settle - time.Since(c.answered))
+		time.Sleep(settleDelay - time.Since(c.lastAnswerAt))
 	}
 	if c.sock != nil && stale(c.sock) {
 		// Guards against a request written to a connection that the endpoint closed while it stood idle:
 		// that would end as a reset, and the message might have run.
-		c.drop()
+		c.close()
 	}
 	if c.sock == nil {
 		limit := min(c.dialTimeout, time.Until(cl.deadline))
@@ -178,46 +178,46 @@
 			fail(os.ErrDeadlineExceeded)
 			return res
 		}
-		sock, err := c.connect(limit)
+		sock, err := c.dialWithRetry(limit)
 		if err != nil {
 			fail(err)
 			return res
 		}
-		c.sock, c.r = sock, bufio.NewReaderSize(sock, maxLine)
+		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
 	}
 	stage = Dialled
-	if !cl.inTime(time.Now()) {
-		fail(errHeldBack)
+	if !cl.excludeExpired(time.Now()) {
+		fail(errBlocked)
 		return res
 	}
 	c.sock.SetDeadline(cl.deadline)
 	// Guards against an answer that comes in the time that is told, and that nobody waits for any more: the dial has used some of it up.
-	c.buf = appendCall(c.buf[:0], cl, time.Until(cl.deadline))
+	c.buf = appendRequest(c.buf[:0], cl, time.Until(cl.deadline))
 	last := len(c.buf)
 	// Guards against breaking a told wait or a drain that was learned while this call was dialled or built, and against a call that is cut
 	// by the process's end just after its last byte: it waits for the next start instead.
-	if c.held(cl) || cl.ep.shut() {
-		fail(errHeldBack)
+	if c.blockedByShutdown(cl) || cl.endpoint.blocked() {
+		fail(errBlocked)
 		return res
 	}
-	if cl.careful > 0 {
+	if cl.lastByteDelay > 0 {
 		last--
 	}
 	if _, err := c.sock.Write(c.buf[:last]); err != nil {
 		fail(err)
 		return res
 	}
-	if cl.careful > 0 {
+	if cl.lastByteDelay > 0 {
 		// Guards against losing a charge to a connection that is reset as its request comes: until the last byte is
 		// written, the call has not run and may be made again.
-		c.sock.SetReadDeadline(time.Now().Add(cl.careful))
-		if _, err := c.r.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-			fail(c.cutOff(err))
+		c.sock.SetReadDeadline(time.Now().Add(cl.lastByteDelay))
+		if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+			fail(c.earlyEndError(err))
 			return res
 		}
 		// Guards against a wait, a drain or the process's end in the time of that look.
-		if c.held(cl) || cl.ep.shut() {
-			fail(errHeldBack)
+		if c.blockedByShutdown(cl) || cl.endpoint.blocked() {
+			fail(errBlocked)
 			return res
 		}
 		c.sock.SetReadDeadline(cl.deadline)
@@ -227,52 +227,52 @@
 		}
 	}
 	stage = Written
-	c.figures.Tried(cl.going())
-	a, err := readStatusWith(c.r, func() {
+	c.metrics.Tried(cl.includedCount())
+	a, err := readStatusWith(c.reader, func() {
 		// Guards against a head or a body that never ends: once an answer has begun, all of it follows at once,
 		// or it is spoilt and its slot is free.
-		c.sock.SetReadDeadline(earlier(cl.deadline, time.Now().Add(restLimit)))
+		c.sock.SetReadDeadline(earlier(cl.deadline, time.Now().Add(answerRestTimeout)))
 	})
 	if a != nil {
 		stage = Answered
 		// Guards against a wait that binds only once its answer's body has come, or not at all where that is cut or spoilt.
-		res.wait = cl.ep.heed(&a.head)
+		res.retryAfter = cl.endpoint.recordRetryAfter(&a.head)
 	}
-	single, first := cl.going() == 1, c.answered.IsZero()
+	single, first := cl.includedCount() == 1, c.lastAnswerAt.IsZero()
 	if err != nil {
 		if fail(err); a != nil && a.status == 200 && single {
 			// Guards against failing, or sending again, what a first line with 200 has delivered.
-			res.ends = cl.heldBack(alike(cl, end{outcome: policy.Delivered}))
+			res.results = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Delivered}))
 		}
 		return res
 	}
-	rest := a.readRest(c.r, maxBody)
-	res.report = loadReport(a.get("X-Backend-Load"))
+	rest := a.readRest(c.reader, maxBody)
+	res.report = parseLoadReport(a.get("X-Backend-Load"))
 	if rest != nil && !(a.status == 200 && single) {
 		// Guards against resending a charge that was run: a refusal counts as one only if all of it could be read.
 		fail(rest)
 		return res
 	}
 	// Guards against taking what an endpoint wrote past its answer for the answer to the next call.
-	res.keep = rest == nil && a.keep && c.r.Buffered() == 0
-	res.ends, c.answered = cl.heldBack(ends(cl, a)), time.Now()
-	if first && tableFull(a) && rest == nil {
-		res.ends, res.err = cl.heldBack(alike(cl, end{outcome: policy.ConnectFailed})), errTableFull
+	res.reusable = rest == nil && a.keep && c.reader.Buffered() == 0
+	res.results, c.lastAnswerAt = cl.markExcluded(itemResults(cl, a)), time.Now()
+	if first && atConnectionLimit(a) && rest == nil {
+		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})), errConnectionLimit
 	}
 	if plugins != nil && rest == nil && plugins.Asks(abi.ReadAnswer) {
-		if w := cl.read(plugins, a, res.ends, res.wait); w > res.wait {
-			res.wait = w
-			cl.ep.gate.hold(w)
+		if w := cl.readAnswer(plugins, a, res.results, res.retryAfter); w > res.retryAfter {
+			res.retryAfter = w
+			cl.endpoint.backoff.extend(w)
 		}
 	}
 	return res
 }
 
-// dialAgain is the pause behind a dial that this machine had no room or no way for.
-const dialAgain = 20 * time.Millisecond
+// dialRetryDelay is the pause behind a dial that this machine had no room or no way for.
+const dialRetryDelay = 20 * time.Millisecond
 
-// connect dials within limit. Guards against booking to the endpoint what passes on this machine: it dials again.
-func (c *routeConn) connect(limit time.Duration) (net.Conn, error) {
+// dialWithRetry dials within limit. Guards against booking to the endpoint what passes on this machine: it dials again.
+func (c *endpointConn) dialWithRetry(limit time.Duration) (net.Conn, error) {
 	dial := c.dial
 	if dial == nil {
 		dial = func(addr string, limit time.Duration) (net.Conn, error) {
@@ -280,135 +280,135 @@
 		}
 	}
 	for by := time.Now().Add(limit); ; {
-		sock, err := dial(c.ep.addr, limit)
-		if limit = time.Until(by); err == nil || !transient.Is(err) || limit <= dialAgain {
+		sock, err := dial(c.endpoint.addr, limit)
+		if limit = time.Until(by); err == nil || !transient.Is(err) || limit <= dialRetryDelay {
 			return sock, err
 		}
-		time.Sleep(dialAgain)
-		limit -= dialAgain
+		time.Sleep(dialRetryDelay)
+		limit -= dialRetryDelay
 	}
 }
 
-// leaveStage is how far a planned stop has come.
-type leaveStage = int32
+// shutdownStage is how far a planned stop has come.
+type shutdownStage = int32
 
 const (
-	staying leaveStage = iota
-	noRisk             // nothing is written any more that may not be repeated
-	noCalls            // nothing at all
+	shutdownNone          shutdownStage = iota
+	shutdownNoUnsafeCalls               // nothing is written any more that may not be repeated
+	shutdownNoCalls                     // nothing at all
 )
 
-// held tells whether the call is held back by the process's stop.
-func (c *routeConn) held(cl *call) bool {
-	if c.leaving == nil {
+// blockedByShutdown tells whether the call is held back by the process's stop.
+func (c *endpointConn) blockedByShutdown(cl *call) bool {
+	if c.shutdown == nil {
 		return false
 	}
-	stage := c.leaving.Load()
-	return stage >= noCalls || stage >= noRisk && cl.careful > 0
+	stage := c.shutdown.Load()
+	return stage >= shutdownNoCalls || stage >= shutdownNoUnsafeCalls && cl.lastByteDelay > 0
 }
 
-// fetch reads the bodies that are not in memory. A message whose body is lost does not go out, and ends.
-func (cl *call) fetch() (err error) {
+// loadBodies reads the bodies that are not in memory. A message whose body is lost does not go out, and ends.
+func (cl *call) loadBodies() (err error) {
 	for i := range cl.items {
 		it := &cl.items[i]
-		if it.load == nil {
+		if it.loadBody == nil {
 			continue
 		}
 		var bad error
-		if it.body, bad = it.load(); bad == nil {
+		if it.body, bad = it.loadBody(); bad == nil {
 			continue
 		}
 		err = fmt.Errorf("%s: %w", it.id, bad)
 		if transient.Is(bad) {
 			// Guards against ending a message whose body a disk in trouble does not give now: it goes out later.
-			it.late = true
-			time.Sleep(dialAgain)
+			it.tooLate = true
+			time.Sleep(dialRetryDelay)
 			continue
 		}
-		it.then = &then{limits.Refuse}
+		it.pluginFailure = &pluginFailure{limits.Refuse}
 	}
 	return err
 }
 
 // --- plug-ins ---
 
-// told is what plug-ins are told of an item.
-func (cl *call) told(it *item) *plugin.Message {
-	return &plugin.Message{Class: it.class, Kind: cl.kind, ID: it.id, Key: it.key, Dest: cl.ep.dest, Attempt: it.step,
-		Left: time.Until(cl.deadline), Notes: it.notes, Body: it.body}
+// pluginMessage is what plug-ins are told of an item.
+func (cl *call) pluginMessage(it *callItem) *plugin.Message {
+	return &plugin.Message{Class: it.class, Kind: cl.kind, ID: it.id, Key: it.key, Dest: cl.endpoint.dest, Attempt: it.attempt,
+		Left: time.Until(cl.deadline), Notes: it.pluginNotes, Body: it.body}
 }
 
-// shape asks plug-ins for the body and the headers of each item, before anything of the call goes out. It returns how
+// shapeRequests asks plug-ins for the body and the headers of each item, before anything of the call goes out. It returns how
 // many items still go.
-func (cl *call) shape(set *plugin.Set) int {
+func (cl *call) shapeRequests(set *plugin.Set) int {
 	if !set.Asks(abi.ShapeRequest) {
 		return len(cl.items)
 	}
 	size := len("[]")
 	for i := range cl.items {
 		it := &cl.items[i]
-		if it.out() {
+		if it.excluded() {
 			continue
 		}
-		body, headers, failed := set.Shape(cl.told(it))
-		if failed == nil && len(cl.items) > 1 && size+itemSize(it.id, it.key, len(body)) > maxBody {
+		body, headers, failed := set.Shape(cl.pluginMessage(it))
+		if failed == nil && len(cl.items) > 1 && size+maxItemSize(it.id, it.key, len(body)) > maxBody {
 			// Guards against a batch that shaping made longer than any body may be.
 			failed = &plugin.Failed{Then: limits.Refuse}
 		}
 		if failed != nil {
-			it.then = &then{failed.Then}
+			it.pluginFailure = &pluginFailure{failed.Then}
 			continue
 		}
-		it.body, it.headers, size = body, headers, size+itemSize(it.id, it.key, len(body))
+		it.body, it.headers, size = body, headers, size+maxItemSize(it.id, it.key, len(body))
 	}
 	cl.timeout = time.Until(cl.deadline) // what is left is what the call states
-	return cl.going()
+	return cl.includedCount()
 }
 
-// going counts the items that go out.
-func (cl *call) going() (n int) {
+// includedCount counts the items that go out.
+func (cl *call) includedCount() (n int) {
 	for i := range cl.items {
-		if !cl.items[i].out() {
+		if !cl.items[i].excluded() {
 			n++
 		}
 	}
 	return n
 }
 
-// out tells whether the item does not go out.
-func (it *item) out() bool { return it.then != nil || it.late }
+// excluded tells whether the item does not go out.
+func (it *callItem) excluded() bool { return it.pluginFailure != nil || it.tooLate }
 
-// leastLeft is what an item must have left as its call is written: no partner answers in less, and what is over is not sent.
-const leastLeft = 20 * time.Millisecond
+// minTimeLeft is what an item must have left as its call is written: no partner answers in less, and what is over is not sent.
+const minTimeLeft = 20 * time.Millisecond
 
-// inTime takes out the items whose time was up while the call was dialled, and tells whether any still goes. Guards against sending what
+// excludeExpired takes out the items whose time was up while the call was dialled, and tells whether any still goes. Guards against sending what
 // has had its final answer: one item of a batch may end while the call lasts as long as its most patient one.
-func (cl *call) inTime(now time.Time) bool {
+func (cl *call) excludeExpired(now time.Time) bool {
 	for i := range cl.items {
 		it := &cl.items[i]
-		it.late = it.late || !it.by.IsZero() && it.by.Sub(now) < leastLeft
+		it.tooLate = it.tooLate || !it.writeBy.IsZero() && it.writeBy.Sub(now) < minTimeLeft
 	}
-	return cl.going() > 0
+	return cl.includedCount() > 0
 }
 
-// heldBack puts right the ends of items that plug-ins held back: nothing of them went out.
-func (cl *call) heldBack(all []end) []end {
+// markExcluded puts right the ends of items that plug-ins held back: nothing of them went out.
+func (cl *call) markExcluded(all []itemResult) []itemResult {
 	for i := range cl.items {
-		if it := &cl.items[i]; it.out() {
-			all[i] = end{outcome: policy.Unsent, then: it.then}
+		if it := &cl.items[i]; it.excluded() {
+			all[i] = itemResult{outcome: policy.Unsent, pluginFailure: it.pluginFailure}
 		}
 	}
 	return all
 }
 
-// read asks plug-ins what an answer means for each item, and for how long to wait.
-func (cl *call) read(set *plugin.Set, a *answer, all []end, wait time.Duration) time.Duration {
+// readAnswer asks plug-ins what an answer means for each item, and for how long to wait.
+func (cl *call) readAnswer(set *plugin.Set, a *answer, all []itemResult, wait time.Duration) time.Duration {
 	in := plugin.Answer{Status: a.status, Body: a.body, Wait: wait}
 	for _, f := range a.fields {
 		in.Headers = append(in.Headers, [2]string{f.name, f.value})
 	}
 	for i := range all {
-		if cl.items[i].out() || all[i].over {
+		if cl.items[i].excluded() || all[i].final {
 			continue
 		}
 		switch all[i].outcome {
@@ -420,17 +420,17 @@
 			in.Outcome = abi.MayHave
 		}
 		was := in.Outcome
-		if in.Outcome, in.Wait = set.Read(cl.told(&cl.items[i]), in); in.Outcome != was {
-			all[i] = end{outcome: policy.Errored}
+		if in.Outcome, in.Wait = set.Read(cl.pluginMessage(&cl.items[i]), in); in.Outcome != was {
+			all[i] = itemResult{outcome: policy.Errored}
 		}
 	}
 	return in.Wait
 }
 
 const (
-	restLimit = 500 * time.Millisecond // for the rest of an answer, from its first line on
-	lookFor   = 4 * time.Millisecond   // before the last byte of what must not run twice, whether the connection holds
-	settle    = 10 * time.Millisecond  // from an answer to the next call on its connection
+	answerRestTimeout = 500 * time.Millisecond // for the rest of an answer, from its first line on
+	lastByteDelay     = 4 * time.Millisecond   // before the last byte of what must not run twice, whether the connection holds
+	settleDelay       = 10 * time.Millisecond  // from an answer to the next call on its connection
 )
 
 func earlier(a, b time.Time) time.Time {
@@ -440,54 +440,54 @@
 	return b
 }
 
-func alike(cl *call, e end) []end {
-	out := make([]end, len(cl.items))
+func uniformResults(cl *call, e itemResult) []itemResult {
+	out := make([]itemResult, len(cl.items))
 	for i := range out {
 		out[i] = e
 	}
 	return out
 }
 
-// ends reads how each item of the call ended.
-func ends(cl *call, a *answer) []end {
+// itemResults reads how each item of the call ended.
+func itemResults(cl *call, a *answer) []itemResult {
 	switch a.status {
 	case 200:
-		if cl.going() == 1 {
-			return alike(cl, end{outcome: policy.Delivered}) // the body means nothing
+		if cl.includedCount() == 1 {
+			return uniformResults(cl, itemResult{outcome: policy.Delivered}) // the body means nothing
 		}
-		return manyEnds(cl, a.body)
+		return batchResults(cl, a.body)
 	case 429:
-		return alike(cl, end{outcome: policy.Rejected})
+		return uniformResults(cl, itemResult{outcome: policy.Rejected})
 	case 503:
 		if a.get("Slots-Taken") == "1" {
-			return alike(cl, end{outcome: policy.Unsent})
+			return uniformResults(cl, itemResult{outcome: policy.Unsent})
 		}
-		return alike(cl, end{outcome: policy.Rejected})
+		return uniformResults(cl, itemResult{outcome: policy.Rejected})
 	case 410:
-		return alike(cl, end{outcome: policy.Unsent, over: true})
+		return uniformResults(cl, itemResult{outcome: policy.Unsent, final: true})
 	case 400, 404, 413, 504:
-		return alike(cl, end{outcome: policy.Unsent})
+		return uniformResults(cl, itemResult{outcome: policy.Unsent})
 	}
-	return alike(cl, end{outcome: policy.Errored})
+	return uniformResults(cl, itemResult{outcome: policy.Errored})
 }
 
-var states = map[string]end{
+var batchItemStates = map[string]itemResult{
 	"ok": {outcome: policy.Delivered}, "error": {outcome: policy.Errored}, "later": {outcome: policy.Rejected},
-	"gone": {outcome: policy.Unsent, over: true}, "exhausted": {outcome: policy.Unsent},
+	"gone": {outcome: policy.Unsent, final: true}, "exhausted": {outcome: policy.Unsent},
 }
 
-// manyEnds reads the answer to several: what it says of each message that it names once. Any other may have run.
-func manyEnds(cl *call, body []byte) []end {
-	out := alike(cl, end{outcome: policy.Errored})
+// batchResults reads the answer to several: what it says of each message that it names once. Any other may have run.
+func batchResults(cl *call, body []byte) []itemResult {
+	out := uniformResults(cl, itemResult{outcome: policy.Errored})
 	all := gjson.ParseBytes(body)
 	if !gjson.ValidBytes(body) || !all.IsArray() {
 		return out
 	}
-	named, told := map[string]int{}, map[string]end{}
+	named, told := map[string]int{}, map[string]itemResult{}
 	for _, v := range all.Array() {
 		id := v.Get("id").Str
 		named[id]++
-		if e, ok := states[v.Get("state").Str]; ok {
+		if e, ok := batchItemStates[v.Get("state").Str]; ok {
 			told[id] = e
 		}
 	}
@@ -500,8 +500,8 @@
 	return out
 }
 
-// loadReport reads a line like x0=0.4,x1=25; nil where it tells no limit or can't be read.
-func loadReport(s string) *policy.Report {
+// parseLoadReport reads a line like x0=0.4,x1=25; nil where it tells no limit or can't be read.
+func parseLoadReport(s string) *policy.Report {
 	if s == "" {
 		return nil
 	}
@@ -526,13 +526,13 @@
 	return &rep
 }
 
-// appendCall writes the request, which is waited for so long: of one message as it came, of several as a JSON array.
-func appendCall(b []byte, cl *call, wait time.Duration) []byte {
+// appendRequest writes the request, which is waited for so long: of one message as it came, of several as a JSON array.
+func appendRequest(b []byte, cl *call, wait time.Duration) []byte {
 	left := strconv.FormatInt(max(1, wait.Milliseconds()), 10)
-	if cl.going() == 1 {
-		it := &cl.items[slices.IndexFunc(cl.items, func(it item) bool { return !it.out() })]
+	if cl.includedCount() == 1 {
+		it := &cl.items[slices.IndexFunc(cl.items, func(it callItem) bool { return !it.excluded() })]
 		b = append(b, "POST /hook HTTP/1.1\r\n"...)
-		b = appendField(appendField(b, "Host", cl.ep.addr), "X-Correlation-Id", it.id)
+		b = appendField(appendField(b, "Host", cl.endpoint.addr), "X-Correlation-Id", it.id)
 		if it.key != "" {
 			b = appendField(b, "Idempotency-Key", it.key)
 		}
@@ -545,7 +545,7 @@
 	body := []byte{'['}
 	for i := range cl.items {
 		it := &cl.items[i]
-		if it.out() {
+		if it.excluded() {
 			continue
 		}
 		if len(body) > 1 {
@@ -560,7 +560,7 @@
 	}
 	body = append(body, ']')
 	b = append(b, "POST /hook/batch HTTP/1.1\r\n"...)
-	b = appendField(appendField(b, "Host", cl.ep.addr), "Content-Type", "application/json")
+	b = appendField(appendField(b, "Host", cl.endpoint.addr), "Content-Type", "application/json")
 	b = appendLength(appendField(b, "X-Time-Left-Ms", left), len(body))
 	return append(b, body...)
 }
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -18,77 +18,77 @@
 	"oatfold/policy"
 )
 
-// script is what an endpoint does with one call: the bytes it writes, then whether it closes.
-type script struct {
+// endpointScript is what an endpoint does with one call: the bytes it writes, then whether it closes.
+type endpointScript struct {
 	write  string
 	close  bool
 	silent bool // it neither answers nor closes
 	stalls bool // it begins an answer, and neither ends it nor closes
 
-	ends []policy.Outcome // what must come of it, for one message or for three
-	over bool
-	wait bool
-	keep bool
+	outcomes   []policy.Outcome // what must come of it, for one message or for three
+	final      bool
+	retryAfter bool
+	reusable   bool
 }
 
-func rep(head string, body string) string {
+func httpResponse(head string, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-func one(o policy.Outcome) []policy.Outcome   { return []policy.Outcome{o} }
-func three(o policy.Outcome) []policy.Outcome { return []policy.Outcome{o, o, o} }
+func oneOutcome(o policy.Outcome) []policy.Outcome    { return []policy.Outcome{o} }
+func threeOutcomes(o policy.Outcome) []policy.Outcome { return []policy.Outcome{o, o, o} }
 
 // The model of an endpoint's connection: each way a call may end, and whether the connection carries another.
-var model = []script{
-	{write: rep("200 OK", "hello"), ends: one(policy.Delivered), keep: true},
-	{write: rep("503 X", "") + rep("200 OK", ""), ends: one(policy.Rejected)}, // more than one answer
-	{write: rep("200 OK\r\nConnection: close", ""), ends: one(policy.Delivered)},
-	{write: rep("429 X\r\nWait-Ms: 60000", ""), ends: one(policy.Rejected), wait: true, keep: true},
-	{write: rep("503 X", ""), ends: one(policy.Rejected), keep: true},
-	{write: rep("503 X\r\nSlots-Taken: 1", ""), ends: one(policy.Unsent), keep: true},
-	{write: rep("504 X", ""), ends: one(policy.Unsent), keep: true},
-	{write: rep("410 X", ""), ends: one(policy.Unsent), over: true, keep: true},
-	{write: rep("500 X", "boom"), ends: one(policy.Errored), keep: true},
-	{close: true, ends: one(policy.Broken)},
-	{write: "HTTP/1.1 200 OK\r\n", close: true, ends: one(policy.Delivered)},
-	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", close: true, ends: one(policy.Delivered)},
-	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", stalls: true, ends: one(policy.Delivered)}, // the rest never comes
-	{write: "HTTP/1.1 503 X\r\nWa", close: true, ends: one(policy.Errored)},
-	{write: "nonsense\r\n\r\n", ends: one(policy.Errored)},
-	{silent: true, ends: one(policy.TimedOut)},
-	{write: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", ends: one(policy.Delivered), keep: true},
-	{write: rep("200 OK", "closes while it stands idle"), close: true, ends: one(policy.Delivered), keep: true},
-	{write: "HTTP/1.0 200 OK\r\n\r\nuntil the end", close: true, ends: one(policy.Delivered)},
+var endpointScripts = []endpointScript{
+	{write: httpResponse("200 OK", "hello"), outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: httpResponse("503 X", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Rejected)}, // more than one answer
+	{write: httpResponse("200 OK\r\nConnection: close", ""), outcomes: oneOutcome(policy.Delivered)},
+	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: oneOutcome(policy.Rejected), retryAfter: true, reusable: true},
+	{write: httpResponse("503 X", ""), outcomes: oneOutcome(policy.Rejected), reusable: true},
+	{write: httpResponse("503 X\r\nSlots-Taken: 1", ""), outcomes: oneOutcome(policy.Unsent), reusable: true},
+	{write: httpResponse("504 X", ""), outcomes: oneOutcome(policy.Unsent), reusable: true},
+	{write: httpResponse("410 X", ""), outcomes: oneOutcome(policy.Unsent), final: true, reusable: true},
+	{write: httpResponse("500 X", "boom"), outcomes: oneOutcome(policy.Errored), reusable: true},
+	{close: true, outcomes: oneOutcome(policy.Broken)},
+	{write: "HTTP/1.1 200 OK\r\n", close: true, outcomes: oneOutcome(policy.Delivered)},
+	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", close: true, outcomes: oneOutcome(policy.Delivered)},
+	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // the rest never comes
+	{write: "HTTP/1.1 503 X\r\nWa", close: true, outcomes: oneOutcome(policy.Errored)},
+	{write: "nonsense\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
+	{silent: true, outcomes: oneOutcome(policy.TimedOut)},
+	{write: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: httpResponse("200 OK", "closes while it stands idle"), close: true, outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: "HTTP/1.0 200 OK\r\n\r\nuntil the end", close: true, outcomes: oneOutcome(policy.Delivered)},
 
-	{write: rep("200 OK", `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
-		ends: []policy.Outcome{policy.Delivered, policy.Rejected, policy.Errored}, keep: true},
-	{write: rep("200 OK\r\nWait-Ms: 60000", `[{"id":"a","state":"exhausted"},{"id":"b","state":"ok"}]`),
-		ends: []policy.Outcome{policy.Unsent, policy.Delivered, policy.Errored}, wait: true, keep: true},
-	{write: rep("200 OK", `[{"id":`), ends: three(policy.Errored), keep: true},
-	{write: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[", close: true, ends: three(policy.Errored)},
-	{write: rep("429 X\r\nWait-Ms: 60000", ""), ends: three(policy.Rejected), wait: true, keep: true},
-	{write: rep("413 X", ""), ends: three(policy.Unsent), keep: true},
-	{silent: true, ends: three(policy.TimedOut)},
+	{write: httpResponse("200 OK", `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
+		outcomes: []policy.Outcome{policy.Delivered, policy.Rejected, policy.Errored}, reusable: true},
+	{write: httpResponse("200 OK\r\nWait-Ms: 60000", `[{"id":"a","state":"exhausted"},{"id":"b","state":"ok"}]`),
+		outcomes: []policy.Outcome{policy.Unsent, policy.Delivered, policy.Errored}, retryAfter: true, reusable: true},
+	{write: httpResponse("200 OK", `[{"id":`), outcomes: threeOutcomes(policy.Errored), reusable: true},
+	{write: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[", close: true, outcomes: threeOutcomes(policy.Errored)},
+	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: threeOutcomes(policy.Rejected), retryAfter: true, reusable: true},
+	{write: httpResponse("413 X", ""), outcomes: threeOutcomes(policy.Unsent), reusable: true},
+	{silent: true, outcomes: threeOutcomes(policy.TimedOut)},
 
 	// Spoilt answers: all may have run, unless a first line with 200 answers one message.
-	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, ends: one(policy.Errored)},
-	{write: "HTTP/1.1 429 X\r\nContent-Length: 3000000000\r\n\r\nkeeps coming", ends: one(policy.Errored)},
-	{write: "HTTP/1.1 410 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhey", ends: one(policy.Errored)},
-	{write: "HTTP/1.1 504 X\r\nContent-Length: -1\r\n\r\n", ends: one(policy.Errored)},
-	{write: "HTTP/1.1 503 X\r\n\r\n" + strings.Repeat("x", maxBody+1), ends: one(policy.Errored)}, // no end in sight
-	{write: "HTTP/1.1 503 X\r\nno colon\r\n\r\n", ends: one(policy.Errored)},
-	{write: "HTTP/1.1 503 X\r\nA: " + strings.Repeat("x", maxLine), ends: one(policy.Errored)},
-	{write: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", ends: one(policy.Delivered)},
-	{write: "HTTP/1.1 200 OK\r\nA: b\r\n", stalls: true, ends: one(policy.Delivered)}, // its head never ends
-	{write: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n[", ends: three(policy.Errored)},
-	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, ends: three(policy.Errored)},
-	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterim+1) + rep("200 OK", ""), ends: one(policy.Errored)},
-	{write: rep("200 OK", "") + rep("200 OK", ""), ends: one(policy.Delivered)}, // a second copy
-	{write: rep("200 OK\r\nX-Backend-Load: x0=nan,x1=1e999", ""), ends: one(policy.Delivered), keep: true},
+	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 429 X\r\nContent-Length: 3000000000\r\n\r\nkeeps coming", outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 410 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhey", outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 504 X\r\nContent-Length: -1\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 503 X\r\n\r\n" + strings.Repeat("x", maxBody+1), outcomes: oneOutcome(policy.Errored)}, // no end in sight
+	{write: "HTTP/1.1 503 X\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 503 X\r\nA: " + strings.Repeat("x", maxLine), outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Delivered)},
+	{write: "HTTP/1.1 200 OK\r\nA: b\r\n", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // its head never ends
+	{write: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n[", outcomes: threeOutcomes(policy.Errored)},
+	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: threeOutcomes(policy.Errored)},
+	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterim+1) + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Errored)},
+	{write: httpResponse("200 OK", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Delivered)}, // a second copy
+	{write: httpResponse("200 OK\r\nX-Backend-Load: x0=nan,x1=1e999", ""), outcomes: oneOutcome(policy.Delivered), reusable: true},
 }
 
-// partner serves scripts on every connection and hands on what it read.
-func partner(ln net.Listener, scripts <-chan script, seen chan<- *head, bodies chan<- []byte) {
+// serveScripts serves scripts on every connection and hands on what it read.
+func serveScripts(ln net.Listener, scripts <-chan endpointScript, seen chan<- *head, bodies chan<- []byte) {
 	for {
 		sock, err := ln.Accept()
 		if err != nil {
@@ -142,10 +142,10 @@
 	f.Add([]byte{13, 0, 14, 0, 15, 16, 0, 16, 18, 17, 0, 18, 19, 20, 21, 22, 23, 24, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		ln := listen(t)
-		scripts, seen, bodies := make(chan script, 1), make(chan *head, 1), make(chan []byte, 1)
-		go partner(ln, scripts, seen, bodies)
-		ep := &endpoint{id: "e", addr: ln.Addr().String(), gate: &gate{}}
-		c := &routeConn{ep: ep, dialTimeout: 20 * time.Second}
+		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
+		go serveScripts(ln, scripts, seen, bodies)
+		ep := &endpoint{id: "e", addr: ln.Addr().String(), backoff: &backoff{}}
+		c := &endpointConn{endpoint: ep, dialTimeout: 20 * time.Second}
 		stalls := false
 		c.dial = func(addr string, limit time.Duration) (net.Conn, error) {
 			sock, err := net.DialTimeout("tcp", addr, limit)
@@ -154,60 +154,60 @@
 			}
 			return &stallingConn{TCPConn: sock.(*net.TCPConn), stalls: stalls}, nil
 		}
-		defer func() { c.drop() }()
+		defer func() { c.close() }()
 		for _, b := range steps[:min(len(steps), 24)] {
-			s := model[int(b)%len(model)]
-			cl := &call{ep: ep, timeout: 20 * time.Second}
-			for i := range s.ends {
-				cl.items = append(cl.items, item{id: string("abc"[i]), key: "k", body: []byte{0, '\n', b}})
+			s := endpointScripts[int(b)%len(endpointScripts)]
+			cl := &call{endpoint: ep, timeout: 20 * time.Second}
+			for i := range s.outcomes {
+				cl.items = append(cl.items, callItem{id: string("abc"[i]), key: "k", body: []byte{0, '\n', b}})
 			}
 			cl.deadline = time.Now().Add(cl.timeout)
 			if stalls = s.stalls; c.sock != nil {
 				c.sock.(*stallingConn).stalls = stalls
 			}
 			scripts <- s
-			done := make(chan callEnded, 1)
-			go func() { done <- c.carry(cl) }()
+			done := make(chan callResult, 1)
+			go func() { done <- c.makeCall(cl) }()
 			h, body := <-seen, <-bodies
 			if s.silent { // the time is up as soon as the call was read, however slow the machine is
 				c.sock.SetReadDeadline(time.Unix(1, 0))
 			}
 			res := <-done
-			if sock, _ := c.sock.(*stallingConn); s.stalls && (sock == nil || !sock.bounded || sock.waits > restLimit) {
+			if sock, _ := c.sock.(*stallingConn); s.stalls && (sock == nil || !sock.bounded || sock.waits > answerRestTimeout) {
 				t.Fatalf("step %d: a stalled answer is waited for: %+v", b, sock)
 			}
-			if len(s.ends) == 1 && (h.line[1] != "/hook" || h.get("X-Correlation-Id") != "a" || h.get("Idempotency-Key") != "k" ||
+			if len(s.outcomes) == 1 && (h.line[1] != "/hook" || h.get("X-Correlation-Id") != "a" || h.get("Idempotency-Key") != "k" ||
 				string(body) != string(cl.items[0].body)) {
 				t.Fatalf("call %+v with body %q", h, body)
 			}
-			if list := gjson.ParseBytes(body).Array(); len(s.ends) == 3 && (h.line[1] != "/hook/batch" || len(list) != 3 ||
+			if list := gjson.ParseBytes(body).Array(); len(s.outcomes) == 3 && (h.line[1] != "/hook/batch" || len(list) != 3 ||
 				list[2].Get("id").Str != "c" || list[2].Get("key").Str != "k" ||
 				list[2].Get("body").Str != base64.StdEncoding.EncodeToString(cl.items[2].body)) {
 				t.Fatalf("batch %+v with body %q", h, body)
 			}
 			var got []policy.Outcome
-			for _, e := range res.ends {
+			for _, e := range res.results {
 				got = append(got, e.outcome)
-				if e.over != s.over {
-					t.Fatalf("step %d: over %v", b, e.over)
+				if e.final != s.final {
+					t.Fatalf("step %d: over %v", b, e.final)
 				}
 			}
-			if !slices.Equal(got, s.ends) || res.keep != s.keep || (res.wait > 0) != s.wait || ep.gate.closed() != s.wait {
-				t.Fatalf("step %d: ends %v, keep %v, wait %v, error %v; want %+v", b, got, res.keep, res.wait, res.err, s)
+			if !slices.Equal(got, s.outcomes) || res.reusable != s.reusable || (res.retryAfter > 0) != s.retryAfter || ep.backoff.active() != s.retryAfter {
+				t.Fatalf("step %d: ends %v, keep %v, wait %v, error %v; want %+v", b, got, res.reusable, res.retryAfter, res.err, s)
 			}
-			var se *StepError
+			var se *AttemptError
 			if errors.As(res.err, &se) && se.Stage < Written {
 				t.Fatalf("step %d: stage %d of a call that was read", b, se.Stage)
 			}
-			if s.wait { // a call that was on its way meets the closed gate, and nothing of it is written
-				held := c.carry(cl)
-				if held.ends[0].outcome != policy.Unsent || !errors.Is(held.err, errHeldBack) || len(seen) > 0 {
+			if s.retryAfter { // a call that was on its way meets the closed gate, and nothing of it is written
+				held := c.makeCall(cl)
+				if held.results[0].outcome != policy.Unsent || !errors.Is(held.err, errBlocked) || len(seen) > 0 {
 					t.Fatalf("sent in spite of a wait: %+v", held)
 				}
-				c.drop()
-				ep.gate.until.Store(0)
-			} else if !res.keep {
-				c.drop()
+				c.close()
+				ep.backoff.until.Store(0)
+			} else if !res.reusable {
+				c.close()
 			} else if s.close {
 				waitFor(t, "the close to be noticed", func() bool { return stale(c.sock) })
 			}
@@ -218,40 +218,40 @@
 // An endpoint that holds as many connections as it can says so in its first answer on a new one, and closes. That tells nothing of its limit: it is
 // a connection that could not be had. One that was used before, a told wait, or an answer that keeps the connection is a refusal.
 func TestConnectionTableFull(t *testing.T) {
-	full := rep("503 X\r\nConnection: close", "")
+	full := httpResponse("503 X\r\nConnection: close", "")
 	for name, c := range map[string]struct {
 		before, answer string
 		want           policy.Outcome
 	}{
 		"full":           {"", full, policy.ConnectFailed},
-		"in use before":  {rep("200 OK", ""), full, policy.Rejected},
-		"tells a wait":   {"", rep("503 X\r\nWait-Ms: 9\r\nConnection: close", ""), policy.Rejected},
-		"keeps it":       {"", rep("503 X", ""), policy.Rejected},
-		"a limit":        {"", rep("429 X\r\nConnection: close", ""), policy.Rejected},
-		"no slot":        {"", rep("503 X\r\nSlots-Taken: 1\r\nConnection: close", ""), policy.Unsent},
+		"in use before":  {httpResponse("200 OK", ""), full, policy.Rejected},
+		"tells a wait":   {"", httpResponse("503 X\r\nWait-Ms: 9\r\nConnection: close", ""), policy.Rejected},
+		"keeps it":       {"", httpResponse("503 X", ""), policy.Rejected},
+		"a limit":        {"", httpResponse("429 X\r\nConnection: close", ""), policy.Rejected},
+		"no slot":        {"", httpResponse("503 X\r\nSlots-Taken: 1\r\nConnection: close", ""), policy.Unsent},
 		"spoilt":         {"", "HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 3000000000\r\n\r\n", policy.Errored},
 		"dialled anew":   {"drop", full, policy.ConnectFailed},
 		"an interim one": {"", "HTTP/1.1 102 X\r\n\r\n" + full, policy.ConnectFailed},
 	} {
 		ln := listen(t)
-		scripts, seen, bodies := make(chan script, 1), make(chan *head, 9), make(chan []byte, 9)
-		go partner(ln, scripts, seen, bodies)
-		ep := &endpoint{addr: ln.Addr().String(), gate: &gate{}}
-		rc := &routeConn{ep: ep, dialTimeout: time.Minute}
-		carry := func(answer string) callEnded {
-			scripts <- script{write: answer}
-			return rc.carry(&call{ep: ep, items: []item{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
+		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
+		go serveScripts(ln, scripts, seen, bodies)
+		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
+		rc := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+		carry := func(answer string) callResult {
+			scripts <- endpointScript{write: answer}
+			return rc.makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
 		}
 		if c.before == "drop" {
-			carry(rep("200 OK", ""))
-			rc.drop()
+			carry(httpResponse("200 OK", ""))
+			rc.close()
 		} else if c.before != "" {
 			carry(c.before)
 		}
-		if res := carry(c.answer); res.ends[0].outcome != c.want {
-			t.Errorf("%s: outcome %v, %v", name, res.ends[0].outcome, res.err)
+		if res := carry(c.answer); res.results[0].outcome != c.want {
+			t.Errorf("%s: outcome %v, %v", name, res.results[0].outcome, res.err)
 		}
-		rc.drop()
+		rc.close()
 	}
 }
 
@@ -264,11 +264,11 @@
 		never bool
 	}{
 		{Started, os.ErrDeadlineExceeded, policy.ConnectFailed, true}, {Dialled, io.ErrShortWrite, policy.ConnectFailed, true},
-		{Dialled, errHeldBack, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
+		{Dialled, errBlocked, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
 		{Written, io.EOF, policy.Broken, false}, {Answered, io.EOF, policy.Errored, false},
 		{Written, errLine, policy.Errored, false}, {Answered, os.ErrDeadlineExceeded, policy.Errored, false},
 	} {
-		e := &StepError{c.stage, c.err}
+		e := &AttemptError{c.stage, c.err}
 		if e.Outcome() != c.want || e.NeverRan() != c.never || !strings.Contains(e.Error(), c.err.Error()) {
 			t.Errorf("%v: outcome %v, never ran %v", e, e.Outcome(), e.NeverRan())
 		}
@@ -280,18 +280,18 @@
 	ln := listen(t)
 	addr := ln.Addr().String()
 	ln.Close()
-	call := func(ep *endpoint) callEnded {
-		return (&routeConn{ep: ep, dialTimeout: time.Second}).carry(&call{ep: ep, items: []item{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
+	call := func(ep *endpoint) callResult {
+		return (&endpointConn{endpoint: ep, dialTimeout: time.Second}).makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
 	}
-	if got := call(&endpoint{addr: addr, gate: &gate{}}); got.ends[0].outcome != policy.ConnectFailed || got.keep {
+	if got := call(&endpoint{addr: addr, backoff: &backoff{}}); got.results[0].outcome != policy.ConnectFailed || got.reusable {
 		t.Errorf("nobody listens: %+v", got)
 	}
-	drained := &endpoint{addr: listen(t).Addr().String(), gate: &gate{}}
+	drained := &endpoint{addr: listen(t).Addr().String(), backoff: &backoff{}}
 	drained.state.Store(int32(policy.Draining))
-	if got := call(drained); got.ends[0].outcome != policy.Unsent {
+	if got := call(drained); got.results[0].outcome != policy.Unsent {
 		t.Errorf("drained: %+v", got)
 	}
-	if got := call(&endpoint{addr: listen(t).Addr().String()}); got.ends[0].outcome != policy.ConnectFailed || !strings.Contains(got.err.Error(), "panic") {
+	if got := call(&endpoint{addr: listen(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed || !strings.Contains(got.err.Error(), "panic") {
 		t.Errorf("panic: %+v", got)
 	}
 }
@@ -300,24 +300,24 @@
 // waits for any more does not go at all.
 func TestWhatIsOverDoesNotGo(t *testing.T) {
 	ln := listen(t)
-	scripts, seen, bodies := make(chan script, 1), make(chan *head, 9), make(chan []byte, 9)
-	go partner(ln, scripts, seen, bodies)
+	scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
+	go serveScripts(ln, scripts, seen, bodies)
 	now := time.Now()
-	rc := &routeConn{ep: &endpoint{addr: ln.Addr().String(), gate: &gate{}}, dialTimeout: time.Minute}
-	scripts <- script{write: rep("200 OK", "")}
-	res := rc.carry(&call{ep: rc.ep, deadline: now.Add(time.Minute), items: []item{{id: "late", by: now}, {id: "kept", body: []byte("x"), by: now.Add(time.Minute)}}})
+	rc := &endpointConn{endpoint: &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
+	scripts <- endpointScript{write: httpResponse("200 OK", "")}
+	res := rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute), items: []callItem{{id: "late", writeBy: now}, {id: "kept", body: []byte("x"), writeBy: now.Add(time.Minute)}}})
 	h, body := <-seen, <-bodies
 	if h.line[1] != "/hook" || h.get("X-Correlation-Id") != "kept" || string(body) != "x" {
 		t.Errorf("sent %v with %q", h, body)
 	}
-	if res.ends[0].outcome != policy.Unsent || res.ends[1].outcome != policy.Delivered {
-		t.Errorf("ends %+v, %v", res.ends, res.err)
+	if res.results[0].outcome != policy.Unsent || res.results[1].outcome != policy.Delivered {
+		t.Errorf("ends %+v, %v", res.results, res.err)
 	}
-	res = rc.carry(&call{ep: rc.ep, deadline: now.Add(time.Minute), items: []item{{id: "late", by: now}}})
-	if res.ends[0].outcome != policy.Unsent || len(seen) > 0 {
-		t.Errorf("alone: %+v, %d calls seen", res.ends, len(seen))
+	res = rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute), items: []callItem{{id: "late", writeBy: now}}})
+	if res.results[0].outcome != policy.Unsent || len(seen) > 0 {
+		t.Errorf("alone: %+v, %d calls seen", res.results, len(seen))
 	}
-	rc.drop()
+	rc.close()
 }
 
 // A connection that is reset, or speaks, as the request of a charge comes proves that it never ran; one that holds gets
@@ -330,12 +330,12 @@
 		look   time.Duration // a minute is a bound for a hang, not a measure
 		want   policy.Outcome
 	}{
-		"holds":               {rep("200 OK", ""), false, false, time.Millisecond, policy.Delivered},
+		"holds":               {httpResponse("200 OK", ""), false, false, time.Millisecond, policy.Delivered},
 		"cut":                 {"", true, false, time.Minute, policy.CutShort},
-		"speaks":              {rep("200 OK", ""), true, false, time.Minute, policy.Unsent},
-		"served, then holds":  {rep("200 OK", ""), false, true, time.Millisecond, policy.Delivered},
+		"speaks":              {httpResponse("200 OK", ""), true, false, time.Minute, policy.Unsent},
+		"served, then holds":  {httpResponse("200 OK", ""), false, true, time.Millisecond, policy.Delivered},
 		"served, then cut":    {"", true, true, time.Minute, policy.Unsent},
-		"served, then speaks": {rep("200 OK", ""), true, true, time.Minute, policy.Unsent},
+		"served, then speaks": {httpResponse("200 OK", ""), true, true, time.Minute, policy.Unsent},
 	} {
 		ln, read := listen(t), make(chan string, 1)
 		go func() {
@@ -352,7 +352,7 @@
 						return
 					}
 				}
-				io.WriteString(sock, rep("200 OK", ""))
+				io.WriteString(sock, httpResponse("200 OK", ""))
 			}
 			n, _ := sock.Read(b) // all but the last byte: it comes only when the connection was seen to hold
 			if !c.close {
@@ -362,20 +362,20 @@
 			read <- string(b[:n])
 			io.WriteString(sock, c.answer)
 		}()
-		ep := &endpoint{addr: ln.Addr().String(), gate: &gate{}}
-		rc := &routeConn{ep: ep, dialTimeout: time.Minute}
-		carry := func(id, body string, careful time.Duration) callEnded {
-			return rc.carry(&call{ep: ep, careful: careful, items: []item{{id: id, body: []byte(body)}}, deadline: time.Now().Add(2 * time.Minute)})
+		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
+		rc := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+		carry := func(id, body string, careful time.Duration) callResult {
+			return rc.makeCall(&call{endpoint: ep, lastByteDelay: careful, items: []callItem{{id: id, body: []byte(body)}}, deadline: time.Now().Add(2 * time.Minute)})
 		}
 		if c.served {
-			if res := carry("b", "before", 0); !res.keep {
-				t.Fatalf("%s: first call: %+v, %v", name, res.ends, res.err)
+			if res := carry("b", "before", 0); !res.reusable {
+				t.Fatalf("%s: first call: %+v, %v", name, res.results, res.err)
 			}
 		}
 		res := carry("a", "hello", c.look)
-		rc.drop()
-		if got := <-read; res.ends[0].outcome != c.want || strings.HasSuffix(got, "hello") == c.close {
-			t.Errorf("%s: outcome %v, %v; read %q", name, res.ends[0].outcome, res.err, got)
+		rc.close()
+		if got := <-read; res.results[0].outcome != c.want || strings.HasSuffix(got, "hello") == c.close {
+			t.Errorf("%s: outcome %v, %v; read %q", name, res.results[0].outcome, res.err, got)
 		}
 	}
 }
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	sitesTurn   = members.Period / 4 // between two looks at sites, and two views that operators see
-	sitesByHand = 16                 // words of operators that may wait for a look
+	sitesInterval        = members.Period / 4 // between two looks at sites, and two views that operators see
+	siteCommandQueueSize = 16                 // words of operators that may wait for a look
 )
 
-// ByHand is the word of an operator that a site is out, or may come back.
-type ByHand struct {
+// SiteCommand is the word of an operator that a site is out, or may come back.
+type SiteCommand struct {
 	Zone string
 	Out  bool
 }
@@ -27,8 +27,8 @@
 	All  []sites.Standing
 }
 
-// planSites has the host act on a plan; nil: on none. Sites that operators have taken out stay out.
-func (h *Host) planSites(plan *sites.Plan, home string) {
+// applySitePlan has the host act on a plan; nil: on none. Sites that operators have taken out stay out.
+func (h *Host) applySitePlan(plan *sites.Plan, home string) {
 	was := h.watch
 	if was != nil && was.Keeps(plan, home) {
 		return // what it has seen stays, also in the middle of a loss
@@ -55,20 +55,20 @@
 	}
 	h.pending = append(h.pending, policy.Sites{Reach: h.watch})
 	h.viewAt, h.sitesAt = 0, 0
-	h.look(h.now())
+	h.updateSites(h.now())
 }
 
-// PlanSites puts a plan in force. Anyone but the owner may call it.
-func (h *Host) PlanSites(plan *sites.Plan, home string) {
-	h.Do(func(h *Host) { h.planSites(plan, home) })
+// SetSitePlan puts a plan in force. Anyone but the owner may call it.
+func (h *Host) SetSitePlan(plan *sites.Plan, home string) {
+	h.Do(func(h *Host) { h.applySitePlan(plan, home) })
 }
 
-// look looks at sites, hears what operators say of them, and makes a view for those who ask.
-func (h *Host) look(now policy.Time) {
+// updateSites looks at sites, hears what operators say of them, and makes a view for those who ask.
+func (h *Host) updateSites(now policy.Time) {
 	if h.watch == nil || now < h.sitesAt {
 		return
 	}
-	h.sitesAt = now + sitesTurn
+	h.sitesAt = now + sitesInterval
 	for more := true; more; {
 		select {
 		case w := <-h.byHand:
@@ -92,7 +92,7 @@
 			h.watch.Members(z, n, alive[z])
 		}
 	}
-	h.siteWords(now)
+	h.exchangeSiteReports(now)
 	h.watch.Turn(now)
 	if changes := h.watch.Changes(); len(changes) > 0 {
 		for _, c := range changes {
@@ -103,8 +103,8 @@
 	h.sites.Store(&Sites{At: now, Home: h.sitesHome, All: h.watch.Standings()})
 }
 
-// siteWords takes what others say of sites, and has this relay say what it sees.
-func (h *Host) siteWords(now policy.Time) {
+// exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
+func (h *Host) exchangeSiteReports(now policy.Time) {
 	lost, levels := map[int]int{}, map[int][]float64{}
 	h.pool.Said(now, func(one peers.Word) {
 		if one.Level == 0 {
@@ -123,13 +123,13 @@
 	h.pool.Words(mine)
 }
 
-// siteEnded tells the watch how a call ended.
-func (h *Host) siteEnded(e callEnded, now policy.Time) {
-	if h.watch == nil || len(e.ends) == 0 || errors.Is(e.err, errTableFull) {
+// recordSiteResult tells the watch how a call ended.
+func (h *Host) recordSiteResult(e callResult, now policy.Time) {
+	if h.watch == nil || len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
 		return
 	}
 	how := sites.Failed
-	switch e.ends[0].outcome {
+	switch e.results[0].outcome {
 	case policy.Delivered, policy.Errored:
 		how = sites.Taken
 	case policy.Rejected:
@@ -137,20 +137,20 @@
 	case policy.TimedOut:
 		how = sites.Silent
 	case policy.ConnectFailed:
-		if now-e.call.began >= min(h.dialTimeout, e.call.timeout) { // nobody said no
+		if now-e.call.startedAt >= min(h.dialTimeout, e.call.timeout) { // nobody said no
 			how = sites.Silent
 		}
 	case policy.Unsent:
 		return
 	}
-	h.watch.Ended(now, e.call.began, e.call.ep.id, how)
+	h.watch.Ended(now, e.call.startedAt, e.call.endpoint.id, how)
 }
 
 // Sites is the latest view; nil: no plan is in force. Anyone may call it: it waits for nothing.
 func (h *Host) Sites() *Sites { return h.sites.Load() }
 
-// TakeOut hands an operator's word to the owner, without waiting for it; it is false where too many wait.
-func (h *Host) TakeOut(w ByHand) bool {
+// SubmitSiteCommand hands an operator's word to the owner, without waiting for it; it is false where too many wait.
+func (h *Host) SubmitSiteCommand(w SiteCommand) bool {
 	select {
 	case h.byHand <- w:
 		return true
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -14,7 +14,7 @@
 func TestPlanSites(t *testing.T) {
 	h := bare(t)
 	for id, zone := range map[string]string{"a-1": "a", "b-1": "b"} {
-		h.member(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
+		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
 	}
 	if h.Sites() != nil {
 		t.Fatal("sites without a plan")
@@ -22,50 +22,50 @@
 	plan := func() *sites.Plan {
 		return &sites.Plan{Ramp: time.Second, Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, Spill: 1}}}, {Zone: "b"}}}
 	}
-	h.planSites(plan(), "b")
+	h.applySitePlan(plan(), "b")
 	if v := h.Sites(); v == nil || v.Home != "b" || len(v.All) != 2 || v.All[0].Endpoint != 1 || v.All[1].Tier != 0 {
 		t.Fatalf("%+v", v)
 	}
 	look := func() sites.Standing {
 		h.sitesAt = 0
-		h.look(h.now())
+		h.updateSites(h.now())
 		return h.Sites().All[0]
 	}
-	for range sitesByHand {
-		if !h.TakeOut(ByHand{"a", true}) {
+	for range siteCommandQueueSize {
+		if !h.SubmitSiteCommand(SiteCommand{"a", true}) {
 			t.Fatal("no room for a word")
 		}
 	}
-	if h.TakeOut(ByHand{"a", true}) {
+	if h.SubmitSiteCommand(SiteCommand{"a", true}) {
 		t.Error("words wait without bound")
 	}
 	if st := look(); !st.Out || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
 	since := h.watch
-	if h.planSites(plan(), "b"); h.watch != since {
+	if h.applySitePlan(plan(), "b"); h.watch != since {
 		t.Error("the same plan is another")
 	}
 	other := plan()
 	other.Ramp++
-	if h.planSites(other, "b"); h.watch == since || !look().Out {
+	if h.applySitePlan(other, "b"); h.watch == since || !look().Out {
 		t.Error("another plan lets in what is out by hand")
 	}
 	if h.watch.Open(7, "a", false) || !h.watch.Open(7, "b", true) {
 		t.Error("what may go where")
 	}
 	// Ends of calls are told by what they prove of the site.
-	h.TakeOut(ByHand{"a", false})
+	h.SubmitSiteCommand(SiteCommand{"a", false})
 	look()
 	for _, o := range []policy.Outcome{policy.ConnectFailed, policy.Unsent, policy.Rejected, policy.Delivered, policy.TimedOut, policy.Broken} {
-		h.siteEnded(callEnded{call: &call{ep: h.endpoints["a-1"], began: h.now(), timeout: time.Minute}, ends: []end{{outcome: o}}}, h.now())
+		h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute}, results: []itemResult{{outcome: o}}}, h.now())
 	}
-	h.siteEnded(callEnded{call: &call{ep: h.endpoints["a-1"], began: h.now()}, ends: []end{{outcome: policy.ConnectFailed}}, err: errTableFull}, h.now())
+	h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now()}, results: []itemResult{{outcome: policy.ConnectFailed}}, err: errConnectionLimit}, h.now())
 	if st := h.watch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
 		t.Errorf("%+v", st)
 	}
 	h.pending = nil
-	if h.planSites(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.Sites{}) {
+	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.Sites{}) {
 		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pending)
 	}
 }
--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -254,18 +254,18 @@
 	h := bare(t)
 	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	tell := func(id string, state policy.EndpointState) {
-		h.poolNews(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
+		h.applyEndpointList(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 			Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
 	}
 	tell("r1", policy.Listed)
-	h.endpoints["r1"].gate.hold(time.Hour)
+	h.endpoints["r1"].backoff.extend(time.Hour)
 	tell("r1", policy.Removed)
 	tell("r2", policy.Listed)
 	tell("r1", policy.Listed)
-	if !h.endpoints["r1"].gate.closed() || h.endpoints["r2"].gate.closed() {
-		t.Errorf("closed: r1 %v, r2 %v", h.endpoints["r1"].gate.closed(), h.endpoints["r2"].gate.closed())
+	if !h.endpoints["r1"].backoff.active() || h.endpoints["r2"].backoff.active() {
+		t.Errorf("closed: r1 %v, r2 %v", h.endpoints["r1"].backoff.active(), h.endpoints["r2"].backoff.active())
 	}
-	h.endpoints["r1"].gate.until.Store(0)
+	h.endpoints["r1"].backoff.until.Store(0)
 	tell("r1", policy.Removed)
 	if len(h.routes) > 0 {
 		t.Errorf("%d waits are kept that are over", len(h.routes))
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -15,30 +15,30 @@
 // the endpoint writes it, so it is read as early as it can be, and also behind the end of its call.
 
 const (
-	maxWaitMs = 600_000 // a longer wait is taken for this one
+	maxRetryAfterMs = 600_000 // a longer wait is taken for this one
 
-	// crossing is for how long a call that timed out is listened to, from the end of our sending on. An answer that was
+	// lateAnswerWindow is for how long a call that timed out is listened to, from the end of our sending on. An answer that was
 	// written before the endpoint saw that end arrives within a round trip.
-	crossing = 200 * time.Millisecond
+	lateAnswerWindow = 200 * time.Millisecond
 )
 
-// LateMost is how many connections at once are listened to behind the end of their calls: descriptors that nothing else
+// MaxLateListeners is how many connections at once are listened to behind the end of their calls: descriptors that nothing else
 // may count on. The next ones are closed at once, and a wait that crosses there is lost.
-const LateMost = 16
+const MaxLateListeners = 16
 
-// toldWait is the longest wait that the fields of an answer tell, rounded up to a millisecond; 0: none.
-func (h *head) toldWait() time.Duration {
+// retryAfter is the longest wait that the fields of an answer tell, rounded up to a millisecond; 0: none.
+func (h *head) retryAfter() time.Duration {
 	var longest time.Duration
 	for _, f := range h.fields {
 		if strings.EqualFold(f.name, "Wait-Ms") {
-			longest = max(longest, parseWait(f.value))
+			longest = max(longest, parseWaitMs(f.value))
 		}
 	}
 	return longest
 }
 
-// parseWait reads milliseconds, whole or decimal; 0 for what is no such number.
-func parseWait(s string) time.Duration {
+// parseWaitMs reads milliseconds, whole or decimal; 0 for what is no such number.
+func parseWaitMs(s string) time.Duration {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0 // neither a sign nor an exponent, and no name of a number
 	}
@@ -46,64 +46,64 @@
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
 		return 0
 	}
-	return time.Duration(math.Ceil(min(ms, maxWaitMs))) * time.Millisecond
+	return time.Duration(math.Ceil(min(ms, maxRetryAfterMs))) * time.Millisecond
 }
 
-// lateWait is a wait that came behind the end of its call.
-type lateWait struct {
-	ep   *endpoint
-	wait time.Duration
+// lateRetryAfter is a wait that came behind the end of its call.
+type lateRetryAfter struct {
+	endpoint   *endpoint
+	retryAfter time.Duration
 }
 
-// endSending gives up a call that timed out by ending our side of its connection, and tells whether the other side may
+// closeSending gives up a call that timed out by ending our side of its connection, and tells whether the other side may
 // still be listened to.
-func (c *routeConn) endSending(res callEnded) bool {
-	var step *StepError
+func (c *endpointConn) closeSending(res callResult) bool {
+	var step *AttemptError
 	if !errors.As(res.err, &step) || step.Stage != Written || !errors.Is(step.Err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	if c.listening != nil && c.listening.Add(1) > LateMost {
-		c.listening.Add(-1)
+	if c.lateListeners != nil && c.lateListeners.Add(1) > MaxLateListeners {
+		c.lateListeners.Add(-1)
 		return false
 	}
 	sock, ok := c.sock.(interface{ CloseWrite() error })
 	if !ok || sock.CloseWrite() != nil {
-		c.endListening()
+		c.releaseListener()
 		return false
 	}
 	return true
 }
 
-// endListening makes room for another connection to be listened to.
-func (c *routeConn) endListening() {
-	if c.listening != nil {
-		c.listening.Add(-1)
+// releaseListener makes room for another connection to be listened to.
+func (c *endpointConn) releaseListener() {
+	if c.lateListeners != nil {
+		c.lateListeners.Add(-1)
 	}
 }
 
-// hearLate listens to a connection whose sending was ended, closes the gate for a wait that its answer tells, and
+// readLateRetryAfter listens to a connection whose sending was ended, closes the gate for a wait that its answer tells, and
 // returns that wait; 0: none. The rest of such an answer proves nothing any more: its call has had its end.
-func (c *routeConn) hearLate() time.Duration {
-	c.sock.SetReadDeadline(time.Now().Add(crossing))
-	a, _ := readStatus(c.r)
+func (c *endpointConn) readLateRetryAfter() time.Duration {
+	c.sock.SetReadDeadline(time.Now().Add(lateAnswerWindow))
+	a, _ := readStatus(c.reader)
 	if a == nil {
 		return 0
 	}
-	return c.ep.heed(&a.head)
+	return c.endpoint.recordRetryAfter(&a.head)
 }
 
-// heed closes the gate for the wait that the head of an answer tells, as far as it was read, and returns that wait.
-func (ep *endpoint) heed(h *head) time.Duration {
-	wait := h.toldWait()
+// recordRetryAfter closes the gate for the wait that the head of an answer tells, as far as it was read, and returns that wait.
+func (ep *endpoint) recordRetryAfter(h *head) time.Duration {
+	wait := h.retryAfter()
 	if wait > 0 {
-		ep.gate.hold(wait)
+		ep.backoff.extend(wait)
 	}
 	return wait
 }
 
-// waitTold passes a wait on: to other relays, to the process that takes this one's place, and to what stands in the
+// applyRetryAfter passes a wait on: to other relays, to the process that takes this one's place, and to what stands in the
 // list for ep now, which may have left it while its call was out. The gate is closed already.
-func (h *Host) waitTold(ep *endpoint, wait time.Duration) {
+func (h *Host) applyRetryAfter(ep *endpoint, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
@@ -113,19 +113,19 @@
 	}
 	listed := h.endpoints[ep.id]
 	switch {
-	case ep.gate == h.gates[ep.dest]:
+	case ep.backoff == h.gates[ep.dest]:
 		// The destination's own gate outlasts its endpoints.
 	case listed == nil:
-		h.routes[ep.id] = ep.gate
-	case listed.dest == ep.dest && listed.gate != ep.gate:
-		listed.gate.hold(wait)
+		h.routes[ep.id] = ep.backoff
+	case listed.dest == ep.dest && listed.backoff != ep.backoff:
+		listed.backoff.extend(wait)
 	}
 }
 
-// lateWait tells the module of a wait that came behind the end of its call. Guards against calls that it would send
+// handleLateRetryAfter tells the module of a wait that came behind the end of its call. Guards against calls that it would send
 // into the closed gate, each of which would use up an attempt.
-func (h *Host) lateWait(e lateWait) {
-	h.log.Debug("wait told behind the end of its call", "endpoint", e.ep.id, "dest", e.ep.dest, "wait", e.wait)
-	h.waitTold(e.ep, e.wait)
-	h.relay.Wait(h.now(), e.ep.id, e.wait)
+func (h *Host) handleLateRetryAfter(e lateRetryAfter) {
+	h.log.Debug("wait told behind the end of its call", "endpoint", e.endpoint.id, "dest", e.endpoint.dest, "wait", e.retryAfter)
+	h.applyRetryAfter(e.endpoint, e.retryAfter)
+	h.relay.Wait(h.now(), e.endpoint.id, e.retryAfter)
 }
--- a/internal/wire/waits_test.go
+++ b/internal/wire/waits_test.go
@@ -14,8 +14,8 @@
 	"oatfold/policy"
 )
 
-// onePartner takes one connection, reads a call without a body from it, and hands the connection on once it was read whole.
-func onePartner(t *testing.T) (addr string, called <-chan net.Conn) {
+// acceptOneCall takes one connection, reads a call without a body from it, and hands the connection on once it was read whole.
+func acceptOneCall(t *testing.T) (addr string, called <-chan net.Conn) {
 	ln, socks := listen(t), make(chan net.Conn, 1)
 	go func() {
 		defer close(socks)
@@ -32,10 +32,10 @@
 	return ln.Addr().String(), socks
 }
 
-// startCall makes one call with an empty body to ep on a connection of its own, which wrap may replace.
-func startCall(ep *endpoint, listening *atomic.Int32, wrap func(net.Conn) net.Conn) (c *routeConn, events chan any) {
+// startTestCall makes one call with an empty body to ep on a connection of its own, which wrap may replace.
+func startTestCall(ep *endpoint, listening *atomic.Int32, wrap func(net.Conn) net.Conn) (c *endpointConn, events chan any) {
 	events = make(chan any, 9)
-	c = &routeConn{ep: ep, calls: make(chan *call, 1), dialTimeout: time.Minute, listening: listening}
+	c = &endpointConn{endpoint: ep, calls: make(chan *call, 1), dialTimeout: time.Minute, lateListeners: listening}
 	c.dial = func(addr string, _ time.Duration) (net.Conn, error) {
 		sock, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -44,14 +44,14 @@
 		return wrap(sock), nil
 	}
 	go c.run(events)
-	c.calls <- &call{ep: ep, items: []item{{id: "a"}}, deadline: time.Now().Add(time.Minute)}
+	c.calls <- &call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)}
 	return c, events
 }
 
-func unwrapped(sock net.Conn) net.Conn { return sock }
+func unwrappedConn(sock net.Conn) net.Conn { return sock }
 
-// next is the next event, which must come.
-func next[E any](t *testing.T, events <-chan any) (e E) {
+// nextEvent is the next event, which must come.
+func nextEvent[E any](t *testing.T, events <-chan any) (e E) {
 	t.Helper()
 	select {
 	case got := <-events:
@@ -66,27 +66,27 @@
 	return e
 }
 
-// partly is a connection on which each read brings the next part of an answer, and none is late.
-type partly struct {
+// chunkedReadConn is a connection on which each read brings the next part of an answer, and none is late.
+type chunkedReadConn struct {
 	net.Conn
 	parts chan string
 }
 
-func (p partly) Read(b []byte) (int, error) { return copy(b, <-p.parts), nil }
+func (p chunkedReadConn) Read(b []byte) (int, error) { return copy(b, <-p.parts), nil }
 
 // A wait binds once its line has come, however long the body of its answer takes.
 func TestWaitBindsBeforeItsBody(t *testing.T) {
 	for _, line := range []string{"200 OK", "429 X", "503 X", "500 X"} {
-		addr, _ := onePartner(t)
-		ep := &endpoint{addr: addr, gate: &gate{}}
+		addr, _ := acceptOneCall(t)
+		ep := &endpoint{addr: addr, backoff: &backoff{}}
 		parts := make(chan string, 1)
-		c, events := startCall(ep, nil, func(sock net.Conn) net.Conn { return partly{sock, parts} })
+		c, events := startTestCall(ep, nil, func(sock net.Conn) net.Conn { return chunkedReadConn{sock, parts} })
 		parts <- "HTTP/1.1 " + line + "\r\nWait-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo"
-		waitFor(t, "the gate to close", ep.gate.closed)
+		waitFor(t, "the gate to close", ep.backoff.active)
 		parts <- "dy"
-		res := next[callEnded](t, events)
-		if res.wait != time.Minute || !res.keep {
-			t.Errorf("%s: wait %v, kept %v, %v", line, res.wait, res.keep, res.err)
+		res := nextEvent[callResult](t, events)
+		if res.retryAfter != time.Minute || !res.reusable {
+			t.Errorf("%s: wait %v, kept %v, %v", line, res.retryAfter, res.reusable, res.err)
 		}
 		close(c.calls)
 	}
@@ -104,41 +104,41 @@
 		"chunk cut":           "Transfer-Encoding: chunked\r\n\r\n9\r\nhel",
 		"more than an answer": "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
-		addr, called := onePartner(t)
-		ep := &endpoint{addr: addr, gate: &gate{}}
-		_, events := startCall(ep, nil, unwrapped)
+		addr, called := acceptOneCall(t)
+		ep := &endpoint{addr: addr, backoff: &backoff{}}
+		_, events := startTestCall(ep, nil, unwrappedConn)
 		sock := <-called
 		io.WriteString(sock, "HTTP/1.1 429 X\r\nWait-Ms: 60000\r\n"+rest)
 		sock.Close()
-		res := next[callEnded](t, events)
-		if res.wait != time.Minute || !ep.gate.closed() || res.keep {
-			t.Errorf("%s: wait %v, gate closed %v, kept %v", name, res.wait, ep.gate.closed(), res.keep)
+		res := nextEvent[callResult](t, events)
+		if res.retryAfter != time.Minute || !ep.backoff.active() || res.reusable {
+			t.Errorf("%s: wait %v, gate closed %v, kept %v", name, res.retryAfter, ep.backoff.active(), res.reusable)
 		}
 	}
 }
 
 // A call that times out is given up at once, and a wait that its late answer tells binds all the same.
 func TestWaitBehindTheEndOfItsCall(t *testing.T) {
-	addr, called := onePartner(t)
-	ep := &endpoint{addr: addr, gate: &gate{}}
+	addr, called := acceptOneCall(t)
+	ep := &endpoint{addr: addr, backoff: &backoff{}}
 	dialled := make(chan net.Conn, 1)
 	var listening atomic.Int32
-	_, events := startCall(ep, &listening, func(sock net.Conn) net.Conn {
+	_, events := startTestCall(ep, &listening, func(sock net.Conn) net.Conn {
 		dialled <- sock
 		return sock
 	})
 	sock := <-called
 	(<-dialled).SetReadDeadline(time.Unix(1, 0))
-	res := next[callEnded](t, events)
-	if res.ends[0].outcome != policy.TimedOut || res.keep || ep.gate.closed() {
-		t.Fatalf("%+v, gate closed %v", res, ep.gate.closed())
+	res := nextEvent[callResult](t, events)
+	if res.results[0].outcome != policy.TimedOut || res.reusable || ep.backoff.active() {
+		t.Fatalf("%+v, gate closed %v", res, ep.backoff.active())
 	}
 	if _, err := sock.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the call is not given up: %v", err)
 	}
-	io.WriteString(sock, rep("429 X\r\nWait-Ms: 60000", ""))
-	if late := next[lateWait](t, events); late.wait != time.Minute || late.ep != ep || !ep.gate.closed() {
-		t.Errorf("%+v, gate closed %v", late, ep.gate.closed())
+	io.WriteString(sock, httpResponse("429 X\r\nWait-Ms: 60000", ""))
+	if late := nextEvent[lateRetryAfter](t, events); late.retryAfter != time.Minute || late.endpoint != ep || !ep.backoff.active() {
+		t.Errorf("%+v, gate closed %v", late, ep.backoff.active())
 	}
 	if n, err := sock.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("the connection goes on: %d bytes, %v", n, err)
@@ -148,64 +148,67 @@
 
 // No more connections are listened to behind the end of their calls than descriptors are kept for: the next is closed.
 func TestLateListenersAreBounded(t *testing.T) {
-	addr, called := onePartner(t)
+	addr, called := acceptOneCall(t)
 	var listening atomic.Int32
-	listening.Store(LateMost)
+	listening.Store(MaxLateListeners)
 	dialled := make(chan net.Conn, 1)
-	_, events := startCall(&endpoint{addr: addr, gate: &gate{}}, &listening, func(sock net.Conn) net.Conn {
+	_, events := startTestCall(&endpoint{addr: addr, backoff: &backoff{}}, &listening, func(sock net.Conn) net.Conn {
 		dialled <- sock
 		return sock
 	})
 	<-called
 	ours := <-dialled
 	ours.SetReadDeadline(time.Unix(1, 0))
-	if res := next[callEnded](t, events); res.ends[0].outcome != policy.TimedOut {
+	if res := nextEvent[callResult](t, events); res.results[0].outcome != policy.TimedOut {
 		t.Errorf("%+v", res)
 	}
-	if ours.SetDeadline(time.Time{}) == nil || listening.Load() != LateMost {
+	if ours.SetDeadline(time.Time{}) == nil || listening.Load() != MaxLateListeners {
 		t.Errorf("its descriptor is open, %d are listened to", listening.Load())
 	}
 }
 
-// hooked is a connection that tells of each deadline that is set for it, and of that for reads only.
-type hooked struct {
+// deadlineHookConn is a connection that tells of each deadline that is set for it, and of that for reads only.
+type deadlineHookConn struct {
 	net.Conn
 	both, reads func()
 }
 
-func (h hooked) SetDeadline(at time.Time) error     { h.both(); return h.Conn.SetDeadline(at) }
-func (h hooked) SetReadDeadline(at time.Time) error { h.reads(); return h.Conn.SetReadDeadline(at) }
+func (h deadlineHookConn) SetDeadline(at time.Time) error { h.both(); return h.Conn.SetDeadline(at) }
+func (h deadlineHookConn) SetReadDeadline(at time.Time) error {
+	h.reads()
+	return h.Conn.SetReadDeadline(at)
+}
 
 // A wait, or a drain, that is learned as the call is built, or in the look before the last byte of a charge, keeps that
 // byte back: the call never ran.
 func TestWaitCrossesTheWrite(t *testing.T) {
 	none := func() {}
 	for name, shut := range map[string]func(*endpoint){
-		"wait":  func(ep *endpoint) { ep.gate.hold(time.Hour) },
+		"wait":  func(ep *endpoint) { ep.backoff.extend(time.Hour) },
 		"drain": func(ep *endpoint) { ep.state.Store(int32(policy.Draining)) },
 	} {
 		for _, careful := range []time.Duration{0, time.Millisecond} {
-			addr, called := onePartner(t)
-			ep := &endpoint{addr: addr, gate: &gate{}}
-			hook := hooked{both: func() { shut(ep) }, reads: none}
+			addr, called := acceptOneCall(t)
+			ep := &endpoint{addr: addr, backoff: &backoff{}}
+			hook := deadlineHookConn{both: func() { shut(ep) }, reads: none}
 			if careful > 0 {
 				hook.both, hook.reads = none, hook.both
 			}
-			c := &routeConn{ep: ep, dialTimeout: time.Minute}
+			c := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
 			c.dial = func(addr string, _ time.Duration) (net.Conn, error) {
 				sock, err := net.Dial("tcp", addr)
 				hook.Conn = sock
 				return hook, err
 			}
-			cl := &call{ep: ep, careful: careful, items: []item{{id: "a"}}, deadline: time.Now().Add(time.Minute)}
+			cl := &call{endpoint: ep, lastByteDelay: careful, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)}
 			go func() {
 				if sock := <-called; sock != nil {
-					io.WriteString(sock, rep("200 OK", ""))
+					io.WriteString(sock, httpResponse("200 OK", ""))
 				}
 			}()
-			res := c.carry(cl)
-			c.drop()
-			if res.ends[0].outcome != policy.Unsent || !errors.Is(res.err, errHeldBack) || res.keep {
+			res := c.makeCall(cl)
+			c.close()
+			if res.results[0].outcome != policy.Unsent || !errors.Is(res.err, errBlocked) || res.reusable {
 				t.Errorf("%s, careful %v: %+v", name, careful, res)
 			}
 		}
@@ -225,8 +228,8 @@
 		"Wait-Ms: .5\r\n":                  time.Millisecond,
 		"Wait-Ms: 250\r\nWait-Ms: 900\r\n": 900 * time.Millisecond,
 		"Wait-Ms: 900\r\nWait-Ms: x\r\n":   900 * time.Millisecond,
-		"Wait-Ms: 600001\r\n":              maxWaitMs * time.Millisecond,
-		"Wait-Ms: 1" + strings.Repeat("0", 400) + "\r\n": maxWaitMs * time.Millisecond,
+		"Wait-Ms: 600001\r\n":              maxRetryAfterMs * time.Millisecond,
+		"Wait-Ms: 1" + strings.Repeat("0", 400) + "\r\n": maxRetryAfterMs * time.Millisecond,
 		"Wait-Ms: -5\r\n":    0,
 		"Wait-Ms: +5\r\n":    0,
 		"Wait-Ms: 1e3\r\n":   0,
@@ -239,16 +242,16 @@
 		"Retry-After: 3\r\n": 0,
 	} {
 		a, err := readStatus(bufio.NewReader(strings.NewReader("HTTP/1.1 429 X\r\n" + fields + "\r\n")))
-		if err != nil || a.toldWait() != want {
-			t.Errorf("%.60q: %v, %v, want %v", fields, a.toldWait(), err, want)
+		if err != nil || a.retryAfter() != want {
+			t.Errorf("%.60q: %v, %v, want %v", fields, a.retryAfter(), err, want)
 		}
 	}
 }
 
-// apart tells a host of a route of its own, and hands its endpoint out.
-func apart(h *Host, id string, state policy.EndpointState) *endpoint {
+// setSeparateRoute tells a host of a route of its own, and hands its endpoint out.
+func setSeparateRoute(h *Host, id string, state policy.EndpointState) *endpoint {
 	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
-	h.poolNews(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
+	h.applyEndpointList(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 		Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
 	return h.endpoints[id]
 }
@@ -259,25 +262,25 @@
 	for _, back := range []string{"before", "behind"} {
 		for _, late := range []bool{false, true} {
 			h := bare(t)
-			was := apart(h, "r1", policy.Listed)
-			cl := &call{ep: was}
-			apart(h, "r1", policy.Removed)
+			was := setSeparateRoute(h, "r1", policy.Listed)
+			cl := &call{endpoint: was}
+			setSeparateRoute(h, "r1", policy.Removed)
 			if back == "before" {
-				apart(h, "r1", policy.Listed)
+				setSeparateRoute(h, "r1", policy.Listed)
 			}
-			was.gate.hold(time.Hour) // as its connection does
+			was.backoff.extend(time.Hour) // as its connection does
 			if late {
-				h.take(lateWait{was, time.Hour})
+				h.take(lateRetryAfter{was, time.Hour})
 			} else {
-				h.take(callEnded{call: cl, wait: time.Hour})
+				h.take(callResult{call: cl, retryAfter: time.Hour})
 			}
 			if back == "behind" {
-				apart(h, "r1", policy.Listed)
+				setSeparateRoute(h, "r1", policy.Listed)
 			}
-			if ep := h.endpoints["r1"]; ep == was || !ep.gate.closed() {
-				t.Errorf("back %s the end, late %v: gate closed %v", back, late, ep.gate.closed())
+			if ep := h.endpoints["r1"]; ep == was || !ep.backoff.active() {
+				t.Errorf("back %s the end, late %v: gate closed %v", back, late, ep.backoff.active())
 			}
-			if other := apart(h, "r2", policy.Listed); other.gate.closed() {
+			if other := setSeparateRoute(h, "r2", policy.Listed); other.backoff.active() {
 				t.Errorf("back %s the end, late %v: another is bound", back, late)
 			}
 		}
@@ -289,8 +292,8 @@
 	h := bare(t)
 	h.step(h.now()) // it knows the list
 	ep := h.endpoints["s-1"]
-	ep.gate.hold(time.Hour)
-	h.take(lateWait{ep, time.Hour})
+	ep.backoff.extend(time.Hour)
+	h.take(lateRetryAfter{ep, time.Hour})
 	m := h.message("m", ep.dest, 1)
 	h.arrivals = append(h.arrivals, m)
 	h.step(h.now())
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -15,77 +15,77 @@
 // What discovery has to tell counts as told after 6 s even if it did not arrive: a watch that hangs unseen must
 // be given up, and asked anew, well before that.
 const (
-	watchHold  = 3 * time.Second // how long a watch may wait for news
-	watchSlack = time.Second     // and how much longer we wait for its answer
+	watchHold         = 3 * time.Second // how long a watch may wait for news
+	watchAnswerMargin = time.Second     // and how much longer we wait for its answer
 
-	watchBackoff = 100 * time.Millisecond // after a failure; under the 200 ms that keep a watch going
-	watchAnew    = 50 * time.Millisecond  // the same after a silent one, which was a pause by itself
-	watchShare   = 25 * time.Millisecond  // of the longest pause for each relay of the fleet
+	minWatchBackoff      = 100 * time.Millisecond // after a failure; under the 200 ms that keep a watch going
+	silentWatchBackoff   = 50 * time.Millisecond  // the same after a silent one, which was a pause by itself
+	watchBackoffPerRelay = 25 * time.Millisecond  // of the longest pause for each relay of the fleet
 
-	// watchMost is the pause after many failures, and half as long again at most. Guards against a change that counts as told 6 s after
+	// maxWatchBackoff is the pause after many failures, and half as long again at most. Guards against a change that counts as told 6 s after
 	// discovery had it, whatever failed before: a question that hangs for all of its time, fails and is followed by the longest pause ends
 	// within 5 s.
-	watchMost = 500 * time.Millisecond
-	askShare  = 100 * time.Millisecond // of discovery's time for each relay, where lists are asked for and not pushed
-	askMost   = 9 * time.Second        // before the first question: who has not asked for 10 s counts as told
+	maxWatchBackoff   = 500 * time.Millisecond
+	pollTimePerRelay  = 100 * time.Millisecond // of discovery's time for each relay, where lists are asked for and not pushed
+	maxFirstPollDelay = 9 * time.Second        // before the first question: who has not asked for 10 s counts as told
 
-	// askPause is the pause after many failures where lists are asked for, unless discovery needs longer for the whole fleet.
-	askPause = time.Second
+	// maxPollBackoff is the pause after many failures where lists are asked for, unless discovery needs longer for the whole fleet.
+	maxPollBackoff = time.Second
 )
 
-// watching says how a watch goes about its questions.
-type watching struct {
-	addr   string
-	have   int64 // generation of the list that the relay was given, -1: none
-	fleet  int   // relays that share discovery
-	asked  bool  // lists come only to those that ask, and discovery serves so many a second
-	seed   int64 // of this relay's own draws
-	pauses *spread.Backoff
-	anew   *spread.Backoff
-	rested func(time.Duration) // nil but in tests: told of each pause
-	dial   dialContext         // nil but in tests
+// listWatcher says how a watch goes about its questions.
+type listWatcher struct {
+	addr           string
+	generation     int64 // generation of the list that the relay was given, -1: none
+	fleetSize      int   // relays that share discovery
+	polled         bool  // lists come only to those that ask, and discovery serves so many a second
+	seed           int64 // of this relay's own draws
+	failureBackoff *spread.Backoff
+	silenceBackoff *spread.Backoff
+	onPause        func(time.Duration) // nil but in tests: told of each pause
+	dial           dialFunc            // nil but in tests
 }
 
-// first is when the first question goes out. Risk: all relays of a release start at once, discovery serves some ten of their questions
+// firstDelay is when the first question goes out. Risk: all relays of a release start at once, discovery serves some ten of their questions
 // a second, turns the others away, and what it turns away uses up its time as well: most relays then never hear of a change.
 // So each takes a moment of its own in the time that discovery needs for all of them; a fleet that it pushes to need not.
-func (w *watching) first() time.Duration {
-	fleet, least := time.Duration(min(max(1, w.fleet), 1000)), watchBackoff
-	most := min(max(watchBackoff, fleet*watchShare), watchMost)
+func (w *listWatcher) firstDelay() time.Duration {
+	fleet, least := time.Duration(min(max(1, w.fleetSize), 1000)), minWatchBackoff
+	most := min(max(minWatchBackoff, fleet*watchBackoffPerRelay), maxWatchBackoff)
 	var first time.Duration
-	if w.asked && fleet > 1 {
-		least = min(max(watchBackoff, fleet*askShare), askMost)
-		if most = askPause; least > askPause {
-			most = 2 * askMost // so many would keep it shut
+	if w.polled && fleet > 1 {
+		least = min(max(minWatchBackoff, fleet*pollTimePerRelay), maxFirstPollDelay)
+		if most = maxPollBackoff; least > maxPollBackoff {
+			most = 2 * maxFirstPollDelay // so many would keep it shut
 		}
 		first = spread.Within(least, w.seed)
 	}
-	w.pauses, w.anew = spread.NewBackoff(least, most, w.seed), spread.NewBackoff(watchAnew, watchAnew, w.seed)
+	w.failureBackoff, w.silenceBackoff = spread.NewBackoff(least, most, w.seed), spread.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
 	return first
 }
 
-// poolNews is an answer of discovery to one watch.
-type poolNews struct {
+// endpointListUpdate is an answer of discovery to one watch.
+type endpointListUpdate struct {
 	memory.EndpointList
-	watch context.Context
+	watchCtx context.Context
 }
 
-// watch keeps the pool config up to date until ctx ends: the whole list first, or what has changed in the one that the relay was
+// watchEndpointList keeps the pool config up to date until ctx ends: the whole list first, or what has changed in the one that the relay was
 // given, then changes. A silent or failing discovery changes nothing but the log.
-func watch(ctx context.Context, w watching, events chan<- any, log *slog.Logger) {
-	p := &peer{addr: w.addr, dial: w.dial}
+func watchEndpointList(ctx context.Context, w listWatcher, events chan<- any, log *slog.Logger) {
+	p := &agentConn{addr: w.addr, dial: w.dial}
 	defer p.close()
 	have, failing, told := int64(-1), false, false
-	rest(ctx, w.first())
-	if w.asked {
-		have = w.have // one question in place of two
+	sleep(ctx, w.firstDelay())
+	if w.polled {
+		have = w.generation // one question in place of two
 	}
 	for ctx.Err() == nil {
 		path := "/v1/endpoints"
 		if have >= 0 {
 			path = fmt.Sprintf("/v1/endpoints?from=%d&hold_ms=%d", have, watchHold.Milliseconds())
 		}
-		a, err := p.ask(ctx, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, w.addr), watchHold+watchSlack)
+		a, err := p.roundTrip(ctx, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, w.addr), watchHold+watchAnswerMargin)
 		silent := errors.Is(err, os.ErrDeadlineExceeded)
 		var pc memory.EndpointList
 		if err == nil && a.status != 200 {
@@ -107,38 +107,38 @@
 				log.Warn("discovery fails, the pool config stays as it is", "address", w.addr, "err", err)
 			}
 			failing = true
-			if silent && !w.asked {
+			if silent && !w.polled {
 				// Guards against the news of an agent that comes back while nobody asks: they count as told at once.
-				w.rest(ctx, w.anew.Failed())
+				w.pause(ctx, w.silenceBackoff.Failed())
 				continue
 			}
-			w.rest(ctx, w.pauses.Failed())
+			w.pause(ctx, w.failureBackoff.Failed())
 			continue
 		}
 		if failing {
 			log.Info("discovery answers again", "generation", pc.Generation)
 		}
 		failing = false
-		w.pauses.Worked()
+		w.failureBackoff.Worked()
 		if have < 0 {
 			pc.Complete = true
 		}
 		if have = pc.Generation; !told || pc.Complete || len(pc.Entries) > 0 {
 			told = true
-			events <- poolNews{pc, ctx}
+			events <- endpointListUpdate{pc, ctx}
 		}
 	}
 }
 
-func (w *watching) rest(ctx context.Context, d time.Duration) {
-	if w.rested != nil {
-		w.rested(d)
+func (w *listWatcher) pause(ctx context.Context, d time.Duration) {
+	if w.onPause != nil {
+		w.onPause(d)
 	}
-	rest(ctx, d)
+	sleep(ctx, d)
 }
 
-// rest waits for d, or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/wire/watch_test.go
+++ b/internal/wire/watch_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// overbooked is a discovery that serves so many questions a second; what it turns away uses its time up as well.
-type overbooked struct {
+// rateLimitedDiscovery is a discovery that serves so many questions a second; what it turns away uses its time up as well.
+type rateLimitedDiscovery struct {
 	rate, room, tokens float64
 	at                 time.Duration
 }
 
-func (o *overbooked) serves(now time.Duration) bool {
+func (o *rateLimitedDiscovery) serves(now time.Duration) bool {
 	o.tokens, o.at = min(o.room, o.tokens+o.rate*(now-o.at).Seconds()), now
 	ok := o.tokens >= 1
 	o.tokens = max(0, o.tokens-1)
 	return ok
 }
 
-// asks plays the first questions of a fleet whose relays all start at once, and returns how many were served by the given time.
-func asks(fleet int, by time.Duration, asked bool) (served, turnedAway int) {
+// simulateFirstPolls plays the first questions of a fleet whose relays all start at once, and returns how many were served by the given time.
+func simulateFirstPolls(fleet int, by time.Duration, asked bool) (served, turnedAway int) {
 	type relay struct {
-		w    watching
+		w    listWatcher
 		next time.Duration
 	}
 	var all []*relay
 	for n := range fleet {
-		r := &relay{w: watching{fleet: fleet, asked: asked, seed: int64(n)*7919 + 1}}
-		r.next = r.w.first()
+		r := &relay{w: listWatcher{fleetSize: fleet, polled: asked, seed: int64(n)*7919 + 1}}
+		r.next = r.w.firstDelay()
 		all = append(all, r)
 	}
-	d := &overbooked{rate: 10, room: 10, tokens: 10}
+	d := &rateLimitedDiscovery{rate: 10, room: 10, tokens: 10}
 	for len(all) > 0 {
 		slices.SortFunc(all, func(a, b *relay) int { return int(a.next - b.next) })
 		r := all[0]
@@ -42,7 +42,7 @@
 			served, all = served+1, all[1:]
 		} else {
 			turnedAway++
-			r.next += r.w.pauses.Failed()
+			r.next += r.w.failureBackoff.Failed()
 		}
 	}
 	return served, turnedAway
@@ -52,12 +52,12 @@
 // that are turned away would keep it shut.
 func TestListQuestionsTakeTurns(t *testing.T) {
 	for _, fleet := range []int{1, 3, 80, 200} {
-		by := time.Duration(fleet)*askShare*5/2 + time.Second
-		if served, away := asks(fleet, by, true); served < fleet*95/100 || away > 2*fleet {
+		by := time.Duration(fleet)*pollTimePerRelay*5/2 + time.Second
+		if served, away := simulateFirstPolls(fleet, by, true); served < fleet*95/100 || away > 2*fleet {
 			t.Errorf("%d relays: %d served within %v, %d turned away", fleet, served, by, away)
 		}
 	}
-	if served, _ := asks(80, 20*time.Second, false); served > 40 {
+	if served, _ := simulateFirstPolls(80, 20*time.Second, false); served > 40 {
 		t.Errorf("without turns %d of 80 are served: the model shows no trouble", served)
 	}
 }
@@ -65,21 +65,21 @@
 // A fleet told nothing of its size, or something senseless, asks all the same, and a fleet that is pushed to asks at once.
 func TestFirstQuestion(t *testing.T) {
 	for _, fleet := range []int{-1, 0, 1} {
-		w := watching{fleet: fleet, asked: true}
-		if d := w.first(); d != 0 {
+		w := listWatcher{fleetSize: fleet, polled: true}
+		if d := w.firstDelay(); d != 0 {
 			t.Errorf("fleet of %d: %v", fleet, d)
 		}
 	}
-	if w := (watching{fleet: 80}); w.first() != 0 {
+	if w := (listWatcher{fleetSize: 80}); w.firstDelay() != 0 {
 		t.Error("a pushed list waits")
 	}
-	if w := (watching{fleet: 1 << 40, asked: true}); w.first() > askMost || w.pauses.Failed() > 3*askMost {
+	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay || w.failureBackoff.Failed() > 3*maxFirstPollDelay {
 		t.Error("a huge fleet waits longer than any relay may")
 	}
 }
 
-// newsWithin is how long after discovery has a change, and can be reached, it counts as told.
-const newsWithin = 6 * time.Second
+// updateDeadline is how long after discovery has a change, and can be reached, it counts as told.
+const updateDeadline = 6 * time.Second
 
 // Whatever failed before, a question that hangs for all of its time as discovery comes back, fails and is followed by the longest pause leaves
 // time for the next one to be answered. Where lists are asked for, that holds for fleets that discovery can serve.
@@ -87,17 +87,17 @@
 	const answered = 500 * time.Millisecond // that the next question may take
 	for _, asked := range []bool{false, true} {
 		for _, fleet := range []int{0, 1, 3, 8, 300, 1000} {
-			if asked && time.Duration(fleet)*askShare > askPause {
+			if asked && time.Duration(fleet)*pollTimePerRelay > maxPollBackoff {
 				continue
 			}
-			w := watching{fleet: fleet, asked: asked, seed: int64(fleet)}
-			w.first()
+			w := listWatcher{fleetSize: fleet, polled: asked, seed: int64(fleet)}
+			w.firstDelay()
 			var longest time.Duration
 			for range 1000 {
-				longest = max(longest, w.pauses.Failed(), w.anew.Failed())
+				longest = max(longest, w.failureBackoff.Failed(), w.silenceBackoff.Failed())
 			}
-			hangs := max(watchHold+watchSlack, agentDial)
-			if hangs+longest+answered > newsWithin {
+			hangs := max(watchHold+watchAnswerMargin, agentDialTimeout)
+			if hangs+longest+answered > updateDeadline {
 				t.Errorf("fleet of %d, asked %v: a pause of %v behind a question of %v", fleet, asked, longest, hangs)
 			}
 		}
