--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -13,66 +13,66 @@
 	"time"
 )
 
-// Set says which choices are shared. The zero value shares none.
-type Set struct {
-	Subset  int  // endpoints of a destination that a relay keeps connections to; 0: all
-	Turns   bool // a few at a time try a destination that is out
-	Slices  bool // what a partner takes is dealt out by demand
-	Signals bool // told waits are passed on, and what others saw counts by how many saw it
+// Options says which choices are shared. The zero value shares none.
+type Options struct {
+	SubsetSize   int  // endpoints of a destination that a relay keeps connections to; 0: all
+	TimeSlots    bool // a few at a time try a destination that is out
+	DemandShares bool // what a partner takes is dealt out by demand
+	Signals      bool // told waits are passed on, and what others saw counts by how many saw it
 }
 
 // Bounds of Set.
 const (
-	UsualSubset = 8
-	LeastSubset = 2 // one endpoint that is down must not leave a relay with none
-	MostSubset  = 1000
+	DefaultSubsetSize = 8
+	MinSubsetSize     = 2 // one endpoint that is down must not leave a relay with none
+	MaxSubsetSize     = 1000
 )
 
 // Parse reads a Set: "off", "all", or some of "subset" or "subset=K", "turns", "slices", "signals", with commas.
-func Parse(text string) (s Set, err error) {
+func Parse(text string) (s Options, err error) {
 	switch text {
 	case "", "off":
 		return s, nil
 	case "all":
-		return Set{UsualSubset, true, true, true}, nil
+		return Options{DefaultSubsetSize, true, true, true}, nil
 	}
 	for word := range strings.SplitSeq(text, ",") {
 		name, value, has := strings.Cut(word, "=")
 		switch {
 		case name == "subset":
-			s.Subset = UsualSubset
+			s.SubsetSize = DefaultSubsetSize
 			if has {
-				if s.Subset, err = strconv.Atoi(value); err != nil || s.Subset < LeastSubset || s.Subset > MostSubset {
-					return Set{}, fmt.Errorf("subset: %q is not a number from %d to %d", value, LeastSubset, MostSubset)
+				if s.SubsetSize, err = strconv.Atoi(value); err != nil || s.SubsetSize < MinSubsetSize || s.SubsetSize > MaxSubsetSize {
+					return Options{}, fmt.Errorf("subset: %q is not a number from %d to %d", value, MinSubsetSize, MaxSubsetSize)
 				}
 			}
 		case has:
-			return Set{}, fmt.Errorf("%q: only subset takes a number", word)
+			return Options{}, fmt.Errorf("%q: only subset takes a number", word)
 		case name == "turns":
-			s.Turns = true
+			s.TimeSlots = true
 		case name == "slices":
-			s.Slices = true
+			s.DemandShares = true
 		case name == "signals":
 			s.Signals = true
 		default:
-			return Set{}, fmt.Errorf("%q is none of off, all, subset, subset=K, turns, slices, signals", word)
+			return Options{}, fmt.Errorf("%q is none of off, all, subset, subset=K, turns, slices, signals", word)
 		}
 	}
 	return s, nil
 }
 
 // Any tells whether anything is shared.
-func (s Set) Any() bool { return s != Set{} }
+func (s Options) Any() bool { return s != Options{} }
 
-func (s Set) String() string {
+func (s Options) String() string {
 	var all []string
-	if s.Subset > 0 {
-		all = append(all, fmt.Sprintf("subset=%d", s.Subset))
+	if s.SubsetSize > 0 {
+		all = append(all, fmt.Sprintf("subset=%d", s.SubsetSize))
 	}
 	for _, w := range []struct {
 		on   bool
 		name string
-	}{{s.Turns, "turns"}, {s.Slices, "slices"}, {s.Signals, "signals"}} {
+	}{{s.TimeSlots, "turns"}, {s.DemandShares, "slices"}, {s.Signals, "signals"}} {
 		if w.on {
 			all = append(all, w.name)
 		}
--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -25,7 +25,7 @@
 
 // share deals out endpoints: what each relay keeps, and how many relays there are on the emptiest and on the fullest.
 func share(live []bool, eps []Endpoint, k int) (of []map[string]bool, least, most int) {
-	p, r, per := Place(live, Seed), NewRing(eps, 1), map[string]int{}
+	p, r, per := AssignPlaces(live, Seed), NewRing(eps, 1), map[string]int{}
 	of = make([]map[string]bool, len(live))
 	for n, l := range live {
 		if !l {
@@ -94,7 +94,7 @@
 	for _, n := range []int{80, 300, 1000} {
 		check := func(what string, live []bool, allow float64) []map[string]bool {
 			of, least, most := share(live, endpoints(m), k)
-			mean := float64(Place(live, Seed).Live()*k) / m
+			mean := float64(AssignPlaces(live, Seed).LiveCount()*k) / m
 			if far := max(float64(most)-mean, mean-float64(least)); far > max(2.5, allow*mean) {
 				t.Errorf("%d relays, %s: %d to %d about %.1f", n, what, least, most, mean)
 			}
@@ -150,7 +150,7 @@
 		live := rapid.SliceOfN(rapid.Bool(), 1, 60).Draw(t, "live")
 		eps := endpoints(rapid.IntRange(1, 50).Draw(t, "endpoints"))
 		k := rapid.IntRange(1, 12).Draw(t, "k")
-		p, r := Place(live, Seed), NewRing(eps, 3)
+		p, r := AssignPlaces(live, Seed), NewRing(eps, 3)
 		other := NewRing(rapid.Permutation(append(eps, eps[0])).Draw(t, "order"), 3)
 		seen := map[int]bool{}
 		for n, l := range live {
@@ -176,9 +176,9 @@
 // TestTurns: about as many hold one at any size; each holds some; the next epoch passes over who does not use it; clocks that differ change nothing.
 func TestTurns(t *testing.T) {
 	for _, n := range []int{3, 80, 300, 1000} {
-		want := Holders(n, 10)
-		if want < 1 || want > 4 || Holders(n, 0) < Holders(n, 10) || Holders(n, 0) > n {
-			t.Fatalf("%d relays: %d hold a turn, %d where nothing comes in", n, want, Holders(n, 0))
+		want := SlotHolders(n, 10)
+		if want < 1 || want > 4 || SlotHolders(n, 0) < SlotHolders(n, 10) || SlotHolders(n, 0) > n {
+			t.Fatalf("%d relays: %d hold a turn, %d where nothing comes in", n, want, SlotHolders(n, 0))
 		}
 		ever, same, worst, sum := map[int]bool{}, 0, 0, 0
 		var before []int
@@ -186,11 +186,11 @@
 		for e := range uint64(epochs) {
 			var who, skewed []int
 			for i := range n {
-				if Holds(i, all(n), 7, e, want) {
+				if HoldsSlot(i, all(n), 7, e, want) {
 					who = append(who, i)
 					ever[i] = true
 				}
-				if Holds(i, all(n), 7, e+uint64(i%5), want) { // clocks up to four epochs off
+				if HoldsSlot(i, all(n), 7, e+uint64(i%5), want) { // clocks up to four epochs off
 					skewed = append(skewed, i)
 				}
 			}
@@ -212,10 +212,10 @@
 			t.Errorf("%d relays: only %d ever held it", n, len(ever))
 		}
 	}
-	if EpochOf(time.UnixMilli(3999)) != 1 || EpochOf(time.UnixMilli(4000)) != 2 {
+	if SlotAt(time.UnixMilli(3999)) != 1 || SlotAt(time.UnixMilli(4000)) != 2 {
 		t.Error("epochs")
 	}
-	if !Holds(9, all(3), 1, 1, 1) {
+	if !HoldsSlot(9, all(3), 1, 1, 1) {
 		t.Error("who is not of the fleet has to try alone")
 	}
 }
@@ -231,10 +231,10 @@
 				if i%2 == 0 {
 					view = b
 				}
-				if Holds(i, view, 3, e, 2) {
+				if HoldsSlot(i, view, 3, e, 2) {
 					split++
 				}
-				if Holds(i, without(all(n), (i+1)%3, 3), 3, e, 2) {
+				if HoldsSlot(i, without(all(n), (i+1)%3, 3), 3, e, 2) {
 					third++
 				}
 			}
@@ -248,9 +248,9 @@
 // TestSlices: with one relay that has ten times the mean, slices follow demand, none is empty, and together they are no more than even ones.
 func TestSlices(t *testing.T) {
 	const n = 40
-	all, mean := make([]*Slices, n), 0.0
+	all, mean := make([]*DemandShares, n), 0.0
 	for i := range all {
-		all[i] = NewSlices()
+		all[i] = NewDemandShares()
 		for s := range 60 {
 			wanted := map[int]int{1: 2}
 			if i == 0 {
@@ -259,51 +259,51 @@
 			if i >= n/2 {
 				wanted = nil
 			}
-			all[i].Wanted(Time(s+1)*time.Second, time.Second, wanted)
+			all[i].Record(Time(s+1)*time.Second, time.Second, wanted)
 		}
-		mean += all[i].Own(1) / n
+		mean += all[i].Demand(1) / n
 	}
 	sum := 0.0
 	for _, s := range all {
-		sum += s.Of(1, mean)
+		sum += s.Share(1, mean)
 	}
-	if hot, usual, idle := all[0].Of(1, mean), all[1].Of(1, mean), all[n-1].Of(1, mean); hot != mostSlice || usual < 1 || idle != leastSlice {
+	if hot, usual, idle := all[0].Share(1, mean), all[1].Share(1, mean), all[n-1].Share(1, mean); hot != mostSlice || usual < 1 || idle != leastSlice {
 		t.Errorf("slices %.2f, %.2f and %.2f", hot, usual, idle)
 	}
 	if sum > n*1.0001 || sum < 0.7*n {
 		t.Errorf("%d slices come to %.2f", n, sum)
 	}
 	// What came in long ago is forgotten, and a relay whose news are gone takes the even one.
-	all[0].Wanted(10*time.Minute, time.Second, nil)
-	if all[0].Own(1) != 0 || all[0].Of(1, 0) != 1 {
-		t.Errorf("%v messages a second after minutes of none", all[0].Own(1))
+	all[0].Record(10*time.Minute, time.Second, nil)
+	if all[0].Demand(1) != 0 || all[0].Share(1, 0) != 1 {
+		t.Errorf("%v messages a second after minutes of none", all[0].Demand(1))
 	}
 	// A young relay's part is no smaller than an old one's to which as much comes.
-	young := NewSlices()
-	young.Wanted(time.Hour, time.Second, map[int]int{1: 2})
-	if own := young.Own(1); math.Abs(own-2) > 0.2 {
+	young := NewDemandShares()
+	young.Record(time.Hour, time.Second, map[int]int{1: 2})
+	if own := young.Demand(1); math.Abs(own-2) > 0.2 {
 		t.Errorf("two messages in the first second are %.2f a second", own)
 	}
 }
 
 // TestLiar: a relay that says much, or that all is down, or that all have to wait, is one voice.
 func TestLiar(t *testing.T) {
-	honest := slices.Repeat([]Voice{{Calls: 3}}, 9)
-	h := Hear(append(slices.Clone(honest), Voice{Calls: 10000, Failed: 10000, Wait: time.Hour}))
-	if got := h.Weights[9] * 10000; math.Abs(got-alone) > 0.01 || h.Weights[0] != 1 || h.Failing != 1 || h.Wait != LongestOne {
+	honest := slices.Repeat([]Report{{Calls: 3}}, 9)
+	h := CombineReports(append(slices.Clone(honest), Report{Calls: 10000, Failed: 10000, RetryAfter: time.Hour}))
+	if got := h.Weights[9] * 10000; math.Abs(got-alone) > 0.01 || h.Weights[0] != 1 || h.FailingReporters != 1 || h.RetryAfter != MaxUnconfirmedRetryAfter {
 		t.Errorf("%+v", h)
 	}
-	h = Hear(append(slices.Clone(honest), Voice{Wait: time.Hour}, Voice{Wait: 4 * time.Second}, Voice{Wait: 2 * time.Second}))
-	if h.Wait != 4*time.Second {
-		t.Errorf("waits of an hour, 4 s and 2 s come to %v", h.Wait)
+	h = CombineReports(append(slices.Clone(honest), Report{RetryAfter: time.Hour}, Report{RetryAfter: 4 * time.Second}, Report{RetryAfter: 2 * time.Second}))
+	if h.RetryAfter != 4*time.Second {
+		t.Errorf("waits of an hour, 4 s and 2 s come to %v", h.RetryAfter)
 	}
-	if h = Hear([]Voice{{Wait: time.Hour}, {Wait: time.Hour}}); h.Wait != Longest {
-		t.Errorf("two hours come to %v", h.Wait)
+	if h = CombineReports([]Report{{RetryAfter: time.Hour}, {RetryAfter: time.Hour}}); h.RetryAfter != MaxRetryAfter {
+		t.Errorf("two hours come to %v", h.RetryAfter)
 	}
-	if h = Hear([]Voice{{Calls: 50, Failed: 50}}); h.Weights[0] != 1 {
+	if h = CombineReports([]Report{{Calls: 50, Failed: 50}}); h.Weights[0] != 1 {
 		t.Errorf("the only one that calls counts for %v", h.Weights[0])
 	}
-	if h = Hear(nil); h.Wait != 0 || h.Failing != 0 {
+	if h = CombineReports(nil); h.RetryAfter != 0 || h.FailingReporters != 0 {
 		t.Errorf("silence: %+v", h)
 	}
 }
@@ -312,9 +312,9 @@
 func TestKeeper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const me, k, seed = 2, 3, Seed
-		c, told, listed := NewKeeper(me, k), map[int][]string{}, map[int]map[string]bool{}
+		c, told, listed := NewSubsetTracker(me, k), map[int][]string{}, map[int]map[string]bool{}
 		live := all(12)
-		c.Live(Place(live, seed))
+		c.UpdatePlaces(AssignPlaces(live, seed))
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			kind := rapid.SampledFrom([]policy.ListKind{policy.ListChanges, policy.ListChanges, policy.ListWhole, policy.ListUnavailable}).Draw(t, "kind")
 			news := policy.ListNews{Kind: kind}
@@ -335,17 +335,17 @@
 					delete(listed[d], e.Address)
 				}
 			}
-			c.List(news)
+			c.UpdateEndpoints(news)
 			if rapid.Bool().Draw(t, "change") {
 				n := rapid.IntRange(0, 11).Draw(t, "member")
 				live[n] = !live[n] || n == me
-				c.Live(Place(live, seed))
+				c.UpdatePlaces(AssignPlaces(live, seed))
 			}
 			if rapid.Bool().Draw(t, "again") {
-				c.Again()
+				c.ResendAll()
 				clear(told)
 			}
-			for _, s := range c.Changed() {
+			for _, s := range c.ChangedSubsets() {
 				if slices.Equal(told[s.Destination], s.Endpoints) {
 					t.Fatalf("told twice: %+v", s)
 				}
@@ -353,14 +353,14 @@
 			}
 			for d, eps := range listed {
 				var want []string
-				if place := Place(live, seed); len(eps) > k && place.Live() > 1 {
+				if place := AssignPlaces(live, seed); len(eps) > k && place.LiveCount() > 1 {
 					var ring []Endpoint
 					for a := range eps {
 						ring = append(ring, Endpoint{Address: a})
 					}
 					made := NewRing(ring, seed^mix(uint64(d)))
 					wide := k // at least three relays on an endpoint, in steps of the fleet's size
-					for 1<<bits.Len(uint(place.Live())/2)*wide < 3*made.steps {
+					for 1<<bits.Len(uint(place.LiveCount())/2)*wide < 3*made.steps {
 						wide++
 					}
 					for _, e := range made.Subset(place.Of(me), wide) {
--- a/internal/choice/keeper.go
+++ b/internal/choice/keeper.go
@@ -11,8 +11,8 @@
 // leastPer is how many relays shall be on each endpoint at least, or each keeps all.
 const leastPer = 3
 
-// Keeper keeps the subsets of one relay: it is told of lists and of who lives, and tells what has changed. It belongs to whoever calls it.
-type Keeper struct {
+// SubsetTracker keeps the subsets of one relay: it is told of lists and of who lives, and tells what has changed. It belongs to whoever calls it.
+type SubsetTracker struct {
 	k, me int
 	seed  uint64
 	place int // -1: not known, and then no subset is kept
@@ -30,13 +30,13 @@
 // Seed is what all relays draw from. It is the same everywhere: who has other numbers has other answers.
 const Seed = 0x6f61_7466_6f6c_64
 
-// NewKeeper returns a keeper of subsets of k endpoints for member me; 0: of none.
-func NewKeeper(me, k int) *Keeper {
-	return &Keeper{k: k, me: me, seed: Seed, place: -1, dests: map[int]*kept{}, due: map[int]bool{}}
+// NewSubsetTracker returns a keeper of subsets of k endpoints for member me; 0: of none.
+func NewSubsetTracker(me, k int) *SubsetTracker {
+	return &SubsetTracker{k: k, me: me, seed: Seed, place: -1, dests: map[int]*kept{}, due: map[int]bool{}}
 }
 
-// List takes list news in.
-func (c *Keeper) List(news policy.ListNews) {
+// UpdateEndpoints takes list news in.
+func (c *SubsetTracker) UpdateEndpoints(news policy.ListNews) {
 	if c.k == 0 || news.Kind == policy.ListUnavailable {
 		return
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// Live takes in who lives.
-func (c *Keeper) Live(p *Places) {
+// UpdatePlaces takes in who lives.
+func (c *SubsetTracker) UpdatePlaces(p *Places) {
 	place, live := -1, 0
 	if p != nil && p.live > 1 {
 		place, live = p.Of(c.me), 1<<(bits.Len(uint(p.live))-1)
@@ -87,22 +87,22 @@
 
 // of is how many endpoints of a ring are kept: more than asked for where there are so few relays that some endpoint would have hardly any. Risk: what
 // an endpoint that no relay keeps can do is lost.
-func (c *Keeper) of(r *Ring) int {
+func (c *SubsetTracker) of(r *Ring) int {
 	return max(c.k, (leastPer*r.steps+c.live-1)/c.live)
 }
 
-// Again has all subsets told anew.
-func (c *Keeper) Again() {
+// ResendAll has all subsets told anew.
+func (c *SubsetTracker) ResendAll() {
 	for id, d := range c.dests {
 		d.mine, c.due[id] = nil, true
 	}
 }
 
 // Place is where this relay stands; -1: not known.
-func (c *Keeper) Place() int { return c.place }
+func (c *SubsetTracker) Place() int { return c.place }
 
-// Changed tells what has changed since it was last asked, in order of destinations. It costs as much as has changed.
-func (c *Keeper) Changed() (out []policy.Subset) {
+// ChangedSubsets tells what has changed since it was last asked, in order of destinations. It costs as much as has changed.
+func (c *SubsetTracker) ChangedSubsets() (out []policy.Subset) {
 	if c.k == 0 || len(c.due) == 0 {
 		return nil
 	}
@@ -140,15 +140,15 @@
 }
 
 // Subset is what is kept of a destination; nil: all.
-func (c *Keeper) Subset(dest int) (mine []Endpoint, of int) {
+func (c *SubsetTracker) Subset(dest int) (mine []Endpoint, of int) {
 	if d := c.dests[dest]; d != nil {
 		return d.mine, len(d.eps)
 	}
 	return nil, 0
 }
 
-// Each calls f for every destination of which not all endpoints are kept, until it says no.
-func (c *Keeper) Each(f func(dest int, mine []Endpoint, of int) bool) {
+// EachSubset calls f for every destination of which not all endpoints are kept, until it says no.
+func (c *SubsetTracker) EachSubset(f func(dest int, mine []Endpoint, of int) bool) {
 	for id, d := range c.dests {
 		if d.mine != nil && !f(id, d.mine, len(d.eps)) {
 			return
--- a/internal/choice/place.go
+++ b/internal/choice/place.go
@@ -18,10 +18,10 @@
 	live int
 }
 
-// Place gives each member that lives a place. Who lives and has a number below the cut stands there. The others take the places of those that
+// AssignPlaces gives each member that lives a place. Who lives and has a number below the cut stands there. The others take the places of those that
 // do not live, in an order and by draws of their own, which don't depend on who else lives: a change moves one or two, and who they push out.
 // The work grows with the fleet; it is for changes of the fleet, not for messages.
-func Place(live []bool, seed uint64) *Places {
+func AssignPlaces(live []bool, seed uint64) *Places {
 	p := &Places{at: make([]int32, len(live))}
 	for _, l := range live {
 		if l {
@@ -74,5 +74,5 @@
 	return int(p.at[n])
 }
 
-// Live is how many live.
-func (p *Places) Live() int { return p.live }
+// LiveCount is how many live.
+func (p *Places) LiveCount() int { return p.live }
--- a/internal/choice/slice.go
+++ b/internal/choice/slice.go
@@ -12,8 +12,8 @@
 	forgetSum  = 0.01            // messages of which so little is left are nothing
 )
 
-// Slices are the parts of what each destination takes that fall to one relay: in proportion to what comes in here for it.
-type Slices struct {
+// DemandShares are the parts of what each destination takes that fall to one relay: in proportion to what comes in here for it.
+type DemandShares struct {
 	own   map[int]*demand
 	since Time // when this relay began to count
 	begun bool
@@ -24,11 +24,11 @@
 	at  Time
 }
 
-// NewSlices returns slices of a relay that knows nothing of its demand.
-func NewSlices() *Slices { return &Slices{own: map[int]*demand{}} }
+// NewDemandShares returns slices of a relay that knows nothing of its demand.
+func NewDemandShares() *DemandShares { return &DemandShares{own: map[int]*demand{}} }
 
-// Wanted books what came in for destinations in a span that ended now.
-func (s *Slices) Wanted(now Time, span time.Duration, counts map[int]int) {
+// Record books what came in for destinations in a span that ended now.
+func (s *DemandShares) Record(now Time, span time.Duration, counts map[int]int) {
 	if span <= 0 {
 		return
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// Own is the messages a second that come in here for a destination.
-func (s *Slices) Own(dest int) float64 {
+// Demand is the messages a second that come in here for a destination.
+func (s *DemandShares) Demand(dest int) float64 {
 	o := s.own[dest]
 	if o == nil {
 		return 0
@@ -58,11 +58,11 @@
 	return o.sum / (sliceSpan.Seconds() * (1 - math.Exp(-(o.at-s.since).Seconds()/sliceSpan.Seconds())))
 }
 
-// Of is this relay's slice in parts of an even one. mean is what comes in at the usual relay. Over all relays slices come to as much as even ones: the
+// Share is this relay's slice in parts of an even one. mean is what comes in at the usual relay. Over all relays slices come to as much as even ones: the
 // bounds take from the largest and give to the smallest, which leave most of it.
-func (s *Slices) Of(dest int, mean float64) float64 {
+func (s *DemandShares) Share(dest int, mean float64) float64 {
 	if !(mean > 0) {
 		return 1
 	}
-	return max(leastSlice, min(mostSlice, leastSlice+(1-leastSlice)*s.Own(dest)/mean))
+	return max(leastSlice, min(mostSlice, leastSlice+(1-leastSlice)*s.Demand(dest)/mean))
 }
--- a/internal/choice/turn.go
+++ b/internal/choice/turn.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Epoch is how long a turn lasts. Whoever holds one and can't use it is passed over when it ends.
-const Epoch = 2 * time.Second
+// SlotDuration is how long a turn lasts. Whoever holds one and can't use it is passed over when it ends.
+const SlotDuration = 2 * time.Second
 
 const (
 	triers    = 2    // relays that shall try a destination in one epoch
@@ -15,19 +15,21 @@
 	epochSalt = 0x74_75_72_6e
 )
 
-// Holders is how many relays hold the turn of a destination at once, so that about two of them have work for it: wanted is the messages a second
+// SlotHolders is how many relays hold the turn of a destination at once, so that about two of them have work for it: wanted is the messages a second
 // that come in for it at the usual relay.
-func Holders(live int, wanted float64) int {
-	working := max(someWork, 1-math.Exp(-max(0, wanted)*heldFor*Epoch.Seconds()))
+func SlotHolders(live int, wanted float64) int {
+	working := max(someWork, 1-math.Exp(-max(0, wanted)*heldFor*SlotDuration.Seconds()))
 	return min(max(1, live), int(math.Ceil(triers/working)))
 }
 
-// EpochOf is the epoch of a moment of the wall clock. Relays whose clocks differ take each other's turns: as many hold one as else.
-func EpochOf(wall time.Time) uint64 { return uint64(wall.UnixMilli()) / uint64(Epoch.Milliseconds()) }
+// SlotAt is the epoch of a moment of the wall clock. Relays whose clocks differ take each other's turns: as many hold one as else.
+func SlotAt(wall time.Time) uint64 {
+	return uint64(wall.UnixMilli()) / uint64(SlotDuration.Milliseconds())
+}
 
-// Holds tells whether a member holds the turn for a thing in an epoch, among those that live. It costs about as much as there are holders,
+// HoldsSlot tells whether a member holds the turn for a thing in an epoch, among those that live. It costs about as much as there are holders,
 // however large the fleet is.
-func Holds(me int, live []bool, thing, epoch uint64, holders int) bool {
+func HoldsSlot(me int, live []bool, thing, epoch uint64, holders int) bool {
 	if me < 0 || me >= len(live) {
 		return true // not of the fleet: alone
 	}
--- a/internal/daemon/choices.go
+++ b/internal/daemon/choices.go
@@ -59,17 +59,17 @@
 		out.Subsets = append(out.Subsets, s)
 	}
 	for _, s := range c.Destinations {
-		n := newsJSON{Destination: s.Dest, AgeMs: max(0, now-s.At).Milliseconds(), Holders: s.Holders, Holds: s.Holds, Down: s.Down, Allowed: s.Allowed, Slice: s.Slice,
-			Own: s.Own, Mean: s.Mean, Voices: s.Voices, WaitMs: s.Wait.Milliseconds()}
+		n := newsJSON{Destination: s.Dest, AgeMs: max(0, now-s.At).Milliseconds(), Holders: s.SlotHolders, Holds: s.HoldsSlot, Down: s.Down, Allowed: s.Allowed, Slice: s.DemandShare,
+			Own: s.OwnDemand, Mean: s.MeanDemand, Voices: s.Reporters, WaitMs: s.RetryAfter.Milliseconds()}
 		switch {
-		case s.Wait > 0:
+		case s.RetryAfter > 0:
 			n.Why = "other relays were told to wait"
-		case s.Down && !s.Holds:
+		case s.Down && !s.HoldsSlot:
 			n.Why = "nobody gets through: others try it in this turn"
 		case s.Down:
 			n.Why = "nobody gets through: this relay is one of those that try it in this turn"
-		case s.Allowed > 0 && s.Slice > 0:
-			n.Why = fmt.Sprintf("%.2f calls a second: %.2f of an even part, by what comes in here", s.Allowed*s.Slice, s.Slice)
+		case s.Allowed > 0 && s.DemandShare > 0:
+			n.Why = fmt.Sprintf("%.2f calls a second: %.2f of an even part, by what comes in here", s.Allowed*s.DemandShare, s.DemandShare)
 		default:
 			n.Why = "nothing holds it back"
 		}
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -36,7 +36,7 @@
 	Peers                          []string // their addresses by number, this one's included; none: no notes
 	Me                             int      // this one's number
 	Members                        bool     // relays ask one another who lives
-	Choices                        choice.Set
+	Choices                        choice.Options
 	Zone                           int      // this one's, among settings.zones; members.NoZone: not named
 	Zones                          []string // their names
 }
@@ -151,8 +151,8 @@
 	}
 	switch want := text("ROUTER_CHOICES", "choices"); want {
 	case "", "auto":
-		if c.Members && len(c.Peers) >= peers.Least {
-			c.Choices = choice.Set{Slices: true, Signals: true}
+		if c.Members && len(c.Peers) >= peers.MinFleetSize {
+			c.Choices = choice.Options{DemandShares: true, Signals: true}
 		}
 	default:
 		if c.Choices, err = choice.Parse(want); err != nil {
@@ -196,12 +196,12 @@
 	if c.Zone = slices.Index(c.Zones, doc.Get("settings.myZone").Str); c.Zone < 0 || c.Zone >= members.NoZone {
 		c.Zone = members.NoZone
 	}
-	least := peers.Least
+	least := peers.MinFleetSize
 	switch want {
 	case "on":
 		c.Members, least = len(all) > 1, 2 // by counts alone a small fleet has no need of notes
 	case "", "auto":
-		c.Members = len(all) >= peers.Least
+		c.Members = len(all) >= peers.MinFleetSize
 	}
 	c.PeerListen = doc.Get("peer_listen").Str
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -38,7 +38,7 @@
 	if v == nil {
 		return nil
 	}
-	out := membersJSON{Self: v.Self, Version: v.Version, Sharing: v.Sharing, Deaf: v.Deaf, Rival: v.Rival}
+	out := membersJSON{Self: v.Self, Version: v.Version, Sharing: v.PossibleCallers, Deaf: v.Isolated, Rival: v.DuplicateNumber}
 	zone := func(n int) string {
 		if n < len(r.zones) {
 			return r.zones[n]
@@ -46,12 +46,12 @@
 		return ""
 	}
 	for _, z := range v.Zones {
-		if z.Cut {
+		if z.CutOff {
 			out.CutOff = append(out.CutOff, zone(z.Zone))
 		}
 	}
 	for _, m := range v.Members {
-		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, v.At-m.Since).Milliseconds(), m.Why})
+		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, v.At-m.Since).Milliseconds(), m.Reason})
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
@@ -78,12 +78,12 @@
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"members_sharing", v.Sharing}, {"members_asked", v.Counts.Asked}, {"members_unanswered", v.Counts.Unanswered},
-		{"members_accused", v.Counts.Accused}, {"members_contradicted", v.Counts.Refuted}, {"members_notes_refused", v.Counts.Refused}} {
+	}{{"members_sharing", v.PossibleCallers}, {"members_asked", v.Counts.Probes}, {"members_unanswered", v.Counts.ProbeTimeouts},
+		{"members_accused", v.Counts.Suspicions}, {"members_contradicted", v.Counts.Refutations}, {"members_notes_refused", v.Counts.Rejected}} {
 		b = figures.Line(b, f.name, "", "", int64(f.n))
 	}
 	deaf := int64(0)
-	if v.Deaf {
+	if v.Isolated {
 		deaf = 1
 	}
 	return figures.Line(b, "members_deaf", "", "", deaf)
--- a/internal/lab/capacity/events.go
+++ b/internal/lab/capacity/events.go
@@ -152,7 +152,7 @@
 }
 
 func (w *lossWatch) see(e gossip.Event) {
-	if !w.on || e.To != members.Away {
+	if !w.on || e.To != members.Dead {
 		return
 	}
 	if w.lost[e.By] == w.lost[e.Number] {
--- a/internal/lab/capacity/membership.go
+++ b/internal/lab/capacity/membership.go
@@ -15,7 +15,7 @@
 
 func membersKnown(size int, seed uint64) (float64, error) {
 	return heapOf(func() (any, error) {
-		return members.New(members.Config{Me: 0, Fleet: size, Zone: 0, Seed: int64(seed >> 1)}), nil
+		return members.New(members.Config{Self: 0, FleetSize: size, Zone: 0, Seed: int64(seed >> 1)}), nil
 	})
 }
 
--- a/internal/lab/command/subsets.go
+++ b/internal/lab/command/subsets.go
@@ -51,7 +51,7 @@
 
 // inService is the way that relays have.
 func inService(p *subsetPlan) []map[string]bool {
-	places, ring := choice.Place(p.live, p.seed), choice.NewRing(p.eps, p.seed)
+	places, ring := choice.AssignPlaces(p.live, p.seed), choice.NewRing(p.eps, p.seed)
 	all := make([]map[string]bool, len(p.live))
 	for n, l := range p.live {
 		if !l {
@@ -167,7 +167,7 @@
 			for _, c := range []struct {
 				name          string
 				n, least, top int
-			}{{"relays", relays, 2, 4000}, {"endpoints", endpoints, 2, 20000}, {"subset", k, 1, choice.MostSubset}, {"zones", zones, 1, 30}, {"dead", dead, 0, 4000}} {
+			}{{"relays", relays, 2, 4000}, {"endpoints", endpoints, 2, 20000}, {"subset", k, 1, choice.MaxSubsetSize}, {"zones", zones, 1, 30}, {"dead", dead, 0, 4000}} {
 				if c.n < c.least || c.n > c.top {
 					return fmt.Errorf("%s: %d does not lie within %d and %d", c.name, c.n, c.least, c.top)
 				}
@@ -198,7 +198,7 @@
 		}}
 	cmd.Flags().IntVar(&relays, "relays", 300, "relays that live")
 	cmd.Flags().IntVar(&endpoints, "endpoints", 100, "endpoints of a partner")
-	cmd.Flags().IntVar(&k, "subset", choice.UsualSubset, "endpoints that a relay keeps connections to")
+	cmd.Flags().IntVar(&k, "subset", choice.DefaultSubsetSize, "endpoints that a relay keeps connections to")
 	cmd.Flags().IntVar(&zones, "zones", 1, "zones that the endpoints lie in, evenly")
 	cmd.Flags().IntVar(&dead, "dead", 0, "further relays that are down")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -12,7 +12,7 @@
 	"oatfold/internal/lab/site"
 )
 
-var everything = choice.Set{Subset: 4, Turns: true, Slices: true, Signals: true}
+var everything = choice.Options{SubsetSize: 4, TimeSlots: true, DemandShares: true, Signals: true}
 
 // fleetOf is a day of n relays that share choices, with as many slots and as much traffic for all together as the site has. One relay's clients hand in ten
 // times the mean.
@@ -99,7 +99,7 @@
 					return
 				}
 				alone := fleetOf(t, n, 71, troubles(n)...)
-				alone.Choices = choice.Set{}
+				alone.Choices = choice.Options{}
 				if was := play(t, alone, emu.Options{}); res.G < was.G-0.08 {
 					t.Errorf("G %.3f, %.3f with nothing shared", res.G, was.G)
 				}
@@ -139,7 +139,7 @@
 		d.Dests[i].Endpoints = []emu.Endpoint{e}
 	}
 	with := play(t, d, emu.Options{})
-	d.Choices.Subset = 0
+	d.Choices.SubsetSize = 0
 	if without := play(t, d, emu.Options{}); !with.Good() || with.Calls != without.Calls || with.G != without.G {
 		t.Errorf("a subset of one endpoint changes something: %d calls and %d, %v", with.Calls, without.Calls, with.Breaks)
 	}
@@ -152,7 +152,7 @@
 	for _, n := range []int{80, 240} {
 		for arm := range 2 {
 			d := fleetOf(t, n, 81, emu.Trouble{Kind: emu.Crash, At: 6 * time.Second, Len: 16 * time.Second, Dests: []int{0, 1, 2}})
-			d.Choices = choice.Set{Turns: arm == 1}
+			d.Choices = choice.Options{TimeSlots: arm == 1}
 			play(t, d, emu.Options{Log: func(e rules.Event) {
 				if e.Kind == rules.Sent && e.Call > 0 && e.Dest < 3 && e.At > 10*time.Second && e.At < 22*time.Second {
 					probes[n+arm]++
--- a/internal/lab/emu/day.go
+++ b/internal/lab/emu/day.go
@@ -52,16 +52,16 @@
 	DrainGrace     time.Duration
 	Prices         Prices
 	Troubles       []Trouble
-	Notes          bool          // relays tell one another what they see
-	Alone          bool          // relays know that they may not tell one another anything; not with Notes
-	NoteLoss       float64       // share of these that are lost
-	Members        bool          // and ask one another who lives
-	Settle         time.Duration // relays run on for so long behind the last message, until all agree who lives; 0: not
-	Zones          int           // of relays, dealt to them in turn; 0: 1
-	Choices        choice.Set    // that relays share; they need Members
-	Sites          *sites.Plan   // that relays act on; nil: none
-	Tallied        time.Duration // classes count messages that come in from then on
-	Busy           float64       // times the mean that clients hand in at relay 0; 0: once
+	Notes          bool           // relays tell one another what they see
+	Alone          bool           // relays know that they may not tell one another anything; not with Notes
+	NoteLoss       float64        // share of these that are lost
+	Members        bool           // and ask one another who lives
+	Settle         time.Duration  // relays run on for so long behind the last message, until all agree who lives; 0: not
+	Zones          int            // of relays, dealt to them in turn; 0: 1
+	Choices        choice.Options // that relays share; they need Members
+	Sites          *sites.Plan    // that relays act on; nil: none
+	Tallied        time.Duration  // classes count messages that come in from then on
+	Busy           float64        // times the mean that clients hand in at relay 0; 0: once
 }
 
 // Point is a place of a curve.
--- a/internal/lab/emu/notes.go
+++ b/internal/lab/emu/notes.go
@@ -140,7 +140,7 @@
 }
 
 // carry takes a relay's notes to the others.
-func (r *relay) carry(out []members.Out) {
+func (r *relay) carry(out []members.Datagram) {
 	w := r.w
 	for _, o := range out {
 		other := w.relays[o.To]
@@ -153,13 +153,13 @@
 			times = 2
 		}
 		for range times {
-			w.res.NoteBytes += len(o.Note)
+			w.res.NoteBytes += len(o.Payload)
 			late := 2*time.Millisecond + part(29*time.Millisecond, w.notes.Float64())
 			if w.between.late > 0 {
 				late += part(w.between.late, w.notes.Float64())
 			}
 			life := other.life
-			w.after(late, func() { other.heard(r.no, life, o.Note) })
+			w.after(late, func() { other.heard(r.no, life, o.Payload) })
 		}
 	}
 }
@@ -174,7 +174,7 @@
 		w.at(r.stalled, func() { r.heard(from, life, note) })
 		return
 	}
-	out, _ := r.pool.Hear(w.now, from, note)
+	out, _ := r.pool.Receive(w.now, from, note)
 	r.carry(out)
 	r.changed()
 }
@@ -187,7 +187,7 @@
 	}
 	w := r.w
 	for _, c := range list.Changes() {
-		w.res.Members = append(w.res.Members, MemberChange{w.now, r.no, c.Number, c.From.String(), c.To.String(), c.Incarnation, c.Why})
+		w.res.Members = append(w.res.Members, MemberChange{w.now, r.no, c.Number, c.From.String(), c.To.String(), c.Incarnation, c.Reason})
 	}
 }
 
@@ -201,7 +201,7 @@
 			continue
 		}
 		for _, o := range w.relays {
-			if s := r.pool.Members().State(o.no); o != r && (o.mod != nil && s != members.Alive || o.mod == nil && s < members.Away) {
+			if s := r.pool.Members().State(o.no); o != r && (o.mod != nil && s != members.Alive || o.mod == nil && s < members.Dead) {
 				return false
 			}
 		}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -40,7 +40,7 @@
 	idle    map[*endpoint][]*conn
 	told    map[int]policy.EndpointState // endpoints that it heard are going
 	sharing int                          // relays that may be calling, as the module was told
-	pool    *peers.Pool                  // what it tells others and hears of them
+	pool    *peers.Gossiper              // what it tells others and hears of them
 	watch   *sites.Watch                 // nil: no plan for sites
 }
 
@@ -111,12 +111,12 @@
 	r.told = map[int]policy.EndpointState{}
 	r.pool = peers.New(r.no, r.w.fleet(), int64(chance(r.w.day.Seed, "notes", uint64(r.no), uint64(r.life)).Uint64()>>1))
 	if r.sharing = 0; r.w.day.Members {
-		r.pool.Join(r.w.day.ZoneOf(r.no), int64(chance(r.w.day.Seed, "members", uint64(r.no), uint64(r.life)).Uint64()>>1))
+		r.pool.EnableMembership(r.w.day.ZoneOf(r.no), int64(chance(r.w.day.Seed, "members", uint64(r.no), uint64(r.life)).Uint64()>>1))
 		r.w.res.Members = append(r.w.res.Members, MemberChange{At: r.w.now, By: r.no, Number: r.no, To: "started"})
 	}
-	r.pool.Choose(r.w.day.Choices)
+	r.pool.EnableChoices(r.w.day.Choices)
 	if r.pool.Active() {
-		r.tellAt(r.w.now + r.pool.Next())
+		r.tellAt(r.w.now + r.pool.NextTick())
 	}
 	if r.watch = nil; r.w.day.Sites != nil {
 		r.watch = sites.NewWatch(r.w.day.Sites, zoneName(r.w.day.ZoneOf(r.no)), int64(chance(r.w.day.Seed, "sites", uint64(r.no), uint64(r.life)).Uint64()>>1))
@@ -136,7 +136,7 @@
 
 // listed gives list news to the module, and to whoever keeps the subsets.
 func (r *relay) listed(news policy.ListNews) {
-	r.pool.List(news)
+	r.pool.UpdateEndpoints(news)
 	if r.watch != nil {
 		r.watch.List(news)
 	}
@@ -164,12 +164,12 @@
 			r.tellAt(r.stalled)
 			return
 		}
-		out, turned := r.pool.Turn(w.now)
+		out, turned := r.pool.Tick(w.now)
 		r.carry(out)
 		r.changed()
 		if turned {
-			news := policy.FleetNews{Usual: r.pool.News(w.now, w.wallOf(r.no)), Senders: r.pool.Sharing(w.now)}
-			w.targets.Name(news.Usual)
+			news := policy.FleetNews{Usual: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Senders: r.pool.PossibleCallers(w.now)}
+			w.targets.ResolveEndpoints(news.Usual)
 			if r.watch != nil {
 				r.watch.Heard(w.now, news.Usual)
 			}
@@ -177,11 +177,11 @@
 				r.sharing = news.Senders
 				r.hear(news)
 			}
-			for _, s := range r.pool.Subsets(w.now) {
+			for _, s := range r.pool.ChangedSubsets(w.now) {
 				r.hear(s)
 			}
 		}
-		r.tellAt(r.pool.Next())
+		r.tellAt(r.pool.NextTick())
 	})
 }
 
@@ -201,7 +201,7 @@
 				for _, o := range w.relays {
 					if o != r {
 						z := zoneName(w.day.ZoneOf(o.no))
-						if relays[z]++; list.State(o.no) < members.Away {
+						if relays[z]++; list.State(o.no) < members.Dead {
 							alive[z]++
 						}
 					}
@@ -230,23 +230,23 @@
 		levels []float64
 	}
 	all := make([]said, max(1, r.w.day.Zones))
-	r.pool.Said(r.w.now, func(one peers.Word) {
+	r.pool.EachSiteReport(r.w.now, func(one peers.SiteReport) {
 		if one.Zone >= len(all) {
 			return
-		} else if one.Level == 0 {
+		} else if one.LoadFraction == 0 {
 			all[one.Zone].lost++
 		} else {
-			all[one.Zone].levels = append(all[one.Zone].levels, one.Level)
+			all[one.Zone].levels = append(all[one.Zone].levels, one.LoadFraction)
 		}
 	})
-	var mine []peers.Word
+	var mine []peers.SiteReport
 	for z, s := range all {
 		r.watch.Said(zoneName(z), s.lost, s.levels)
 		if level, ok := r.watch.Word(zoneName(z)); ok {
-			mine = append(mine, peers.Word{Zone: z, Level: level})
+			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	r.pool.Words(mine)
+	r.pool.SetSiteReports(mine)
 }
 
 // zoneName is the name of a zone of relays.
@@ -486,8 +486,8 @@
 	r, e := c.relay, c.ep
 	c.answered = true
 	if r.life == c.rlife && r.mod != nil {
-		target := w.targets.Of(e.address, e.dest.no)
-		r.pool.Told(w.now, target, wait)
+		target := w.targets.Key(e.address, e.dest.no)
+		r.pool.RecordRetryAfter(w.now, target, wait)
 		if r.watch != nil {
 			how := siteEnd(out)
 			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.Connect {
@@ -497,11 +497,11 @@
 		}
 		switch out {
 		case policy.Delivered, policy.Errored:
-			r.pool.Ended(target, peers.Taken)
+			r.pool.RecordCall(target, peers.Accepted)
 		case policy.Rejected:
-			r.pool.Ended(target, peers.Refused)
+			r.pool.RecordCall(target, peers.Rejected)
 		default:
-			r.pool.Ended(target, peers.Failed)
+			r.pool.RecordCall(target, peers.Failed)
 		}
 	}
 	if k := c.conn; k != nil && !c.closed && r.life == c.rlife && r.mod != nil && out != policy.Broken && out != policy.ConnectFailed {
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/world.go
@@ -38,7 +38,7 @@
 	relays    []*relay
 	dests     []*dest
 	byAddress map[string]*endpoint
-	targets   peers.Targets // the same at all relays
+	targets   peers.ReportKeys // the same at all relays
 	endpoints int
 	lastID    uint32
 	callNo    uint64
@@ -360,7 +360,7 @@
 		w.res.Relays[r.no].Asked += q.class.Worth
 		effect := rules.Effect(q.class.Effect)
 		w.log(rules.Event{Kind: rules.Taken, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, Window: q.class.Window, Until: q.deadline})
-		w.targets.Wanted(q.dest.no, r.pool.Wanted)
+		w.targets.EachKey(q.dest.no, r.pool.RecordArrival)
 		r.hear(policy.Arrived{ID: m.id, Class: q.class.Name, Destination: q.dest.no, Left: q.deadline - w.now})
 		life := r.life
 		w.at(q.deadline+w.day.AnswerSlack+w.day.Tick, func() {
@@ -597,7 +597,7 @@
 		w.at(t.At, func() {
 			if t.Kind == RelayStop && r.mod != nil {
 				r.pool.Leave(w.now)
-				out, _ := r.pool.Turn(w.now)
+				out, _ := r.pool.Tick(w.now)
 				r.carry(out)
 			}
 			r.die()
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -57,7 +57,7 @@
 	for i, d := range r.day.Dests {
 		eps[1+i] = len(d.Endpoints)
 	}
-	return judgeChoices(all, eps, r.day.Choices.Subset)
+	return judgeChoices(all, eps, r.day.Choices.SubsetSize)
 }
 
 // judgeChoices holds the choices of the relays that are up against one another: each has a place of its own among as many as there are, and k of a
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -38,7 +38,7 @@
 		return nil, ctx.Err()
 	}
 	why := r.disagreement()
-	if r.day.Choices.Subset > 0 {
+	if r.day.Choices.SubsetSize > 0 {
 		if r.until(ctx, "all relays to share endpoints alike", func() bool { return len(r.unshared()) == 0 }) != nil {
 			for _, text := range r.unshared() {
 				r.fault("%s", text)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -378,11 +378,11 @@
 	r.down[3] = true
 	await("all to miss the killed one", r.agreed)
 	liar, ghost := at(listen[9]), at(listen[3])
-	lies := members.New(members.Config{Me: 9, Fleet: 10, Seed: 1})
+	lies := members.New(members.Config{Self: 9, FleetSize: 10, Seed: 1})
 	began := time.Now()
 	for k := range 120 {
 		for to := range 3 {
-			lie := append([]byte{3}, lies.Lie(time.Since(began), k)...)
+			lie := append([]byte{3}, lies.FalseGossip(time.Since(began), k)...)
 			for _, note := range [][]byte{lie, lie, lie[:len(lie)/2], make([]byte, 257)} {
 				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(ways.Peers(9)[to]))
 			}
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	d.Choices.Subset, d.Length, d.Troubles = 0, 46*time.Second, troubles
+	d.Choices.SubsetSize, d.Length, d.Troubles = 0, 46*time.Second, troubles
 	return d
 }
 
--- a/internal/lab/gossip/gossip.go
+++ b/internal/lab/gossip/gossip.go
@@ -129,7 +129,7 @@
 	d := w.Nodes[n]
 	d.Life++
 	d.up, d.paused, d.waiting = true, 0, nil
-	d.List = members.New(members.Config{Me: n, Fleet: w.set.Relays, Zone: d.Zone, Seed: int64(w.set.Seed)*1_000_003 + int64(n)*101 + int64(d.Life)})
+	d.List = members.New(members.Config{Self: n, FleetSize: w.set.Relays, Zone: d.Zone, Seed: int64(w.set.Seed)*1_000_003 + int64(n)*101 + int64(d.Life)})
 	d.turnAt = w.Now + time.Duration(w.rng.Int64N(int64(members.Period)))
 	w.wake(d, w.Now)
 }
@@ -180,13 +180,13 @@
 			d.turnAt = w.Now + members.Period/2 + time.Duration(w.rng.Int64N(int64(members.Period)))
 		}
 		w.changes(d)
-		w.wake(d, min(d.turnAt, d.List.Next()))
+		w.wake(d, min(d.turnAt, d.List.NextTick()))
 	})
 }
 
 func (w *World) turn(d *Node) {
-	for _, t := range d.List.Turn(w.Now, w.set.Fan) {
-		w.send(d, []members.Out{{To: t.To, Note: d.List.Section(t, members.Room)}})
+	for _, t := range d.List.GossipTargets(w.Now, w.set.Fan) {
+		w.send(d, []members.Datagram{{To: t.To, Payload: d.List.Section(t, members.MaxPiggybackBytes)}})
 	}
 }
 
@@ -198,11 +198,11 @@
 	}
 }
 
-func (w *World) send(d *Node, out []members.Out) {
+func (w *World) send(d *Node, out []members.Datagram) {
 	for _, o := range out {
-		d.Bytes += len(o.Note)
+		d.Bytes += len(o.Payload)
 		d.Notes++
-		w.carry(d.Number, o.To, o.Note)
+		w.carry(d.Number, o.To, o.Payload)
 	}
 }
 
@@ -240,7 +240,7 @@
 	if w.Heard != nil && w.Heard(from, d.Number, note) != nil {
 		return
 	}
-	out, _ := d.List.Heard(w.Now, from, note)
+	out, _ := d.List.Receive(w.Now, from, note)
 	w.send(d, out)
 	w.changes(d)
 }
@@ -252,7 +252,7 @@
 			continue
 		}
 		for n, o := range w.Nodes {
-			if s := d.List.State(n); i != n && (o.up && s != members.Alive || !o.up && s < members.Away) {
+			if s := d.List.State(n); i != n && (o.up && s != members.Alive || !o.up && s < members.Dead) {
 				return false, i, n
 			}
 		}
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -43,7 +43,7 @@
 // false deaths are live members that were taken for away.
 func (s *seen) falseDeaths() (all []Event) {
 	for _, e := range s.events {
-		if e.To == members.Away && s.w.Up(e.Number) && !s.exempt[e.Number] {
+		if e.To == members.Dead && s.w.Up(e.Number) && !s.exempt[e.Number] {
 			all = append(all, e)
 		}
 	}
@@ -54,7 +54,7 @@
 	t.Helper()
 	if !w.Until(w.Now+within, func() bool { ok, _, _ := w.Agree(); return ok }) {
 		_, by, of := w.Agree()
-		t.Errorf("after %v relay %d takes %d for %v (%s)", within, by, of, w.Nodes[by].List.State(of), w.Nodes[by].List.View(w.Now).Members[of].Why)
+		t.Errorf("after %v relay %d takes %d for %v (%s)", within, by, of, w.Nodes[by].List.State(of), w.Nodes[by].List.View(w.Now).Members[of].Reason)
 	}
 }
 
@@ -168,7 +168,7 @@
 			t.Fatalf("it accuses: %+v", e)
 		}
 	}
-	if !w.Nodes[1].List.Deaf() {
+	if !w.Nodes[1].List.Isolated() {
 		t.Error("it does not know that it is deaf")
 	}
 }
@@ -194,14 +194,14 @@
 		w, s := fleet(t, n, Config{Seed: 19})
 		w.Cut = func(from, to int) bool { return to == 1 }
 		w.Run(w.Now + 9*period)
-		if !w.Nodes[1].List.Deaf() {
+		if !w.Nodes[1].List.Isolated() {
 			t.Error("it does not know that it is deaf")
 		}
 		for _, e := range s.events {
 			if e.By == 1 && e.To != members.Alive {
 				t.Errorf("the deaf one accuses: %+v", e)
 			}
-			if e.Number == 1 && e.To == members.Away {
+			if e.Number == 1 && e.To == members.Dead {
 				t.Errorf("the deaf one is taken for away: %+v", e)
 			}
 		}
@@ -210,11 +210,11 @@
 
 		s.events = nil
 		w.Cut = func(from, to int) bool { return from == 1 }
-		if !w.Until(w.Now+3*spanOf(n), func() bool { return w.Nodes[0].List.State(1) == members.Away }) {
+		if !w.Until(w.Now+3*spanOf(n), func() bool { return w.Nodes[0].List.State(1) == members.Dead }) {
 			t.Error("nobody misses the mute one")
 		}
 		for _, e := range s.events {
-			if e.By == 1 && e.To == members.Away {
+			if e.By == 1 && e.To == members.Dead {
 				t.Errorf("the mute one, who hears all, takes another for away: %+v", e)
 			}
 		}
@@ -245,17 +245,17 @@
 		for i, d := range w.Nodes {
 			v := d.List.View(w.Now)
 			for _, m := range v.Members {
-				if apart := in(i) != in(m.Number); apart != (m.State == members.Away) && m.Number != i {
-					t.Fatalf("relay %d takes %d for %v (%s)", i, m.Number, m.State, m.Why)
+				if apart := in(i) != in(m.Number); apart != (m.State == members.Dead) && m.Number != i {
+					t.Fatalf("relay %d takes %d for %v (%s)", i, m.Number, m.State, m.Reason)
 				}
 			}
 			for _, z := range v.Zones {
-				if z.Members >= 2 && !in(i) && z.Cut != (z.Zone == 2) {
+				if z.Members >= 2 && !in(i) && z.CutOff != (z.Zone == 2) {
 					t.Errorf("relay %d on zone %d: %+v", i, z.Zone, z)
 				}
 			}
-			if n >= 10 && v.Sharing != n {
-				t.Errorf("relay %d takes its share of %d members, though the others may go on", i, v.Sharing)
+			if n >= 10 && v.PossibleCallers != n {
+				t.Errorf("relay %d takes its share of %d members, though the others may go on", i, v.PossibleCallers)
 			}
 		}
 		w.Cut = nil
@@ -272,7 +272,7 @@
 		for range 12 {
 			w.Run(w.Now + 5*period)
 			for i, d := range w.Nodes {
-				if got := d.List.Sharing(w.Now); got != n {
+				if got := d.List.PossibleCallers(w.Now); got != n {
 					t.Fatalf("relay %d reckons with %d of %d that may be calling", i, got, n)
 				}
 			}
@@ -298,8 +298,8 @@
 	w.Cut = func(from, to int) bool { return from == 4 || to == 4 }
 	w.Run(w.Now + 60*period)
 	v := w.Nodes[4].List.View(w.Now)
-	if !v.Deaf || v.Sharing != 80 {
-		t.Errorf("deaf %v, shares with %d", v.Deaf, v.Sharing)
+	if !v.Isolated || v.PossibleCallers != 80 {
+		t.Errorf("deaf %v, shares with %d", v.Isolated, v.PossibleCallers)
 	}
 	w.Cut = nil
 	agree(t, w, spanOf(80))
@@ -353,7 +353,9 @@
 func twoUnderOneNumber(t *testing.T, alike bool) {
 	w, s := fleet(t, 10, Config{Seed: 41})
 	s.exempt[3] = true
-	life := func(w *World) byte { return w.Nodes[3].List.Section(members.Target{To: 1}, members.Room)[1] }
+	life := func(w *World) byte {
+		return w.Nodes[3].List.Section(members.Target{To: 1}, members.MaxPiggybackBytes)[1]
+	}
 	seed := uint64(99)
 	second := New(Config{Relays: 10, Zones: 3, Seed: seed}) // its number 3 speaks into the first world
 	for alike && life(second) != life(w) {
@@ -366,30 +368,30 @@
 	for w.Now < 200*period {
 		w.Run(w.Now + period/4)
 		for _, out := range double.List.Tick(w.Now) {
-			w.Arrive(3, out.To, out.Note)
+			w.Arrive(3, out.To, out.Payload)
 		}
 		if w.Now >= next {
 			next = w.Now + period
-			for _, to := range double.List.Turn(w.Now, 10) {
-				w.Arrive(3, to.To, double.List.Section(to, members.Room))
+			for _, to := range double.List.GossipTargets(w.Now, 10) {
+				w.Arrive(3, to.To, double.List.Section(to, members.MaxPiggybackBytes))
 			}
 		}
 		w.Heard = func(from, to int, note []byte) error {
 			if to == 3 { // what goes to the number reaches both
-				for _, out := range must(double.List.Heard(w.Now, from, note)) {
-					w.At(w.Now+period/50, func() { w.Arrive(3, out.To, out.Note) })
+				for _, out := range must(double.List.Receive(w.Now, from, note)) {
+					w.At(w.Now+period/50, func() { w.Arrive(3, out.To, out.Payload) })
 				}
 			}
 			return nil
 		}
-		noticed = noticed || w.Nodes[3].List.Rival() || double.List.Rival()
+		noticed = noticed || w.Nodes[3].List.DuplicateNumber() || double.List.DuplicateNumber()
 	}
 	if !noticed {
 		t.Error("neither notices")
 	}
 	said := false
 	for _, e := range w.Nodes[0].List.View(w.Now).Members {
-		said = said || e.Number == 3 && e.Why == "two processes speak under its number"
+		said = said || e.Number == 3 && e.Reason == "two processes speak under its number"
 	}
 	if !said {
 		t.Error("the others don't say so")
@@ -399,7 +401,7 @@
 	}
 }
 
-func must(out []members.Out, _ error) []members.Out { return out }
+func must(out []members.Datagram, _ error) []members.Datagram { return out }
 
 // A relay that lies says each moment that all others are away, or have left, or stand at wild incarnations; one that floods sends a thousand notes; one plays
 // old notes again: nobody who lives is away, and the dead stay dead.
@@ -409,7 +411,7 @@
 			return // of three, a liar is half of the others
 		}
 		w, s := fleet(t, n, Config{Seed: 43})
-		liar := members.New(members.Config{Me: 2, Fleet: n, Seed: 1})
+		liar := members.New(members.Config{Self: 2, FleetSize: n, Seed: 1})
 		var old [][]byte
 		w.Heard = func(from, to int, note []byte) error {
 			if from == 5 && len(old) < 200 {
@@ -424,10 +426,10 @@
 				if to == 2 {
 					continue
 				}
-				w.Arrive(2, to, liar.Lie(w.Now, k))
+				w.Arrive(2, to, liar.FalseGossip(w.Now, k))
 			}
 			for range 50 {
-				w.Arrive(2, 0, liar.Lie(w.Now, k))
+				w.Arrive(2, 0, liar.FalseGossip(w.Now, k))
 			}
 			if len(old) > 0 {
 				w.Arrive(5, k%n, old[k%len(old)])
@@ -439,11 +441,11 @@
 		if dead := s.falseDeaths(); len(dead) > 0 {
 			t.Errorf("%d false deaths, the first: %+v", len(dead), dead[0])
 		}
-		if s := w.Nodes[0].List.State(5); s < members.Away { // what a liar can do is to have its death called a departure
+		if s := w.Nodes[0].List.State(5); s < members.Dead { // what a liar can do is to have its death called a departure
 			t.Errorf("replayed notes hold a dead member for %v", s)
 		}
-		if c := w.Nodes[0].List.Counts(); c.Refused < 1000 {
-			t.Errorf("%d notes of a flood refused", c.Refused)
+		if c := w.Nodes[0].List.Counts(); c.Rejected < 1000 {
+			t.Errorf("%d notes of a flood refused", c.Rejected)
 		}
 	})
 }
@@ -481,11 +483,11 @@
 	w.Run(60 * period)
 	agree(t, w, 1)
 	v := w.Nodes[0].List.View(w.Now)
-	if m := v.Members[11]; m.State != members.Away || m.Incarnation != 0 {
+	if m := v.Members[11]; m.State != members.Dead || m.Incarnation != 0 {
 		t.Errorf("%+v", m)
 	}
-	if v.Sharing != 12 {
-		t.Errorf("%d share: who was never heard of may call all the same", v.Sharing)
+	if v.PossibleCallers != 12 {
+		t.Errorf("%d share: who was never heard of may call all the same", v.PossibleCallers)
 	}
 	if dead := s.falseDeaths(); len(dead) > 0 {
 		t.Errorf("%+v", dead[0])
@@ -511,16 +513,16 @@
 	w, _ := fleet(t, 40, Config{Seed: 59})
 	w.Kill(1)
 	w.Run(w.Now + 20*period)
-	if n := w.Nodes[0].List.Sharing(w.Now); n != 40 || w.Nodes[0].List.State(1) != members.Away {
+	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 40 || w.Nodes[0].List.State(1) != members.Dead {
 		t.Fatalf("%d share just after a death, %v", n, w.Nodes[0].List.State(1))
 	}
 	w.Run(w.Now + 40*time.Second)
-	if n := w.Nodes[0].List.Sharing(w.Now); n != 39 {
+	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 39 {
 		t.Fatalf("%d share long after", n)
 	}
 	w.Start(1)
 	w.Run(w.Now + 5*period)
-	if n := w.Nodes[0].List.Sharing(w.Now); n != 40 {
+	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 40 {
 		t.Fatalf("%d share with the member back", n)
 	}
 }
@@ -561,7 +563,7 @@
 // One that dies keeps its place for a while, so that a restart changes nothing, and then has none; where half die at once they keep it for longer; one that left gives it up soon.
 func TestPlaced(t *testing.T) {
 	placed := func(w *World, by int) (n int) {
-		for _, l := range w.Nodes[by].List.Placed(w.Now) {
+		for _, l := range w.Nodes[by].List.PlacementEligible(w.Now) {
 			if l {
 				n++
 			}
@@ -576,7 +578,7 @@
 			t.Errorf("%d relays: %d have a place 12 s after a death", n, got)
 		}
 		w.Run(w.Now + 60*period)
-		if got := placed(w, 1); got != n-1 || w.Nodes[1].List.Placed(w.Now)[3] {
+		if got := placed(w, 1); got != n-1 || w.Nodes[1].List.PlacementEligible(w.Now)[3] {
 			t.Errorf("%d relays: %d have a place 48 s after a death", n, got)
 		}
 		w.Start(3)
--- a/internal/lab/gossip/measure.go
+++ b/internal/lab/gossip/measure.go
@@ -34,14 +34,14 @@
 	w.Seen = func(e Event) {
 		switch {
 		case w.Now < warm:
-		case dead[e.Number] && e.To == members.Away:
+		case dead[e.Number] && e.To == members.Dead:
 			if _, known := first[e.Number]; !known {
 				first[e.Number] = e.At - died
 			}
 			took = append(took, e.At-died)
 		case !dead[e.Number] && e.To == members.Suspect:
 			suspected++
-		case !dead[e.Number] && e.To == members.Away:
+		case !dead[e.Number] && e.To == members.Dead:
 			wrong++
 		}
 	}
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -100,7 +100,7 @@
 		Relays: max(1, set.Relays) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, Client: time.Millisecond, Jitter: 0.2, Handshake: 2, Idle: 15 * time.Second,
 		Connect: time.Second, AnswerSlack: 300 * time.Millisecond, Retries: 2, Backoff: time.Second, Honour: 0.8, MaxAdvice: 5 * time.Second, Again: time.Second, FrontNotice: time.Second,
 		Notice: 2 * time.Second, Spread: 300 * time.Millisecond, Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2, FallFor: 3 * time.Second, DrainGrace: time.Second,
-		Notes: true, Members: true, NoteLoss: 0.02, Choices: choice.Set{Slices: true, Signals: true}, Prices: emu.Prices{Waste: 0.042, Handshake: 0.04, LateFail: 0.02, Refused: 0.05, Note: 0.01},
+		Notes: true, Members: true, NoteLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Prices: emu.Prices{Waste: 0.042, Handshake: 0.04, LateFail: 0.02, Refused: 0.05, Note: 0.01},
 		Kinds: []emu.Kind{{Name: "partner", Batch: 1, Limit: emu.NoLimit, ColdFrom: 0.2, Cold: 10 * time.Second, CancelsQueued: true}}}
 	if set.Act {
 		d.Sites = p
--- a/internal/peers/choices.go
+++ b/internal/peers/choices.go
@@ -12,85 +12,85 @@
 const lookAgain = 3 * time.Second
 
 const (
-	seenBy  = 2                // relays that have to see calls fail, where none is taken, before only a few try
-	toldFor = 12 * time.Second // for how long a failure is told again
-	downFor = 5 * choice.Epoch // after which it ends where nobody saw any call
+	seenBy  = 2                       // relays that have to see calls fail, where none is taken, before only a few try
+	toldFor = 12 * time.Second        // for how long a failure is told again
+	downFor = 5 * choice.SlotDuration // after which it ends where nobody saw any call
 )
 
 // sharing is what a pool keeps for choices that relays share.
 type sharing struct {
-	set    choice.Set
-	slices *choice.Slices
-	keeper *choice.Keeper
+	set    choice.Options
+	slices *choice.DemandShares
+	keeper *choice.SubsetTracker
 	live   []bool
 	lookAt time.Duration
 	places *choice.Places
 	waits  map[int]time.Duration // ends of waits that this relay was told, by destination
 	failed map[int]time.Duration // destinations that this relay last saw fail, and when
 	down   map[int]time.Duration // destinations that nobody gets through to, and when calls were last seen to fail
-	shown  map[int]Shown
+	shown  map[int]DestinationStatus
 }
 
-// Shown is what was last made of a destination's news, for staff.
-type Shown struct {
-	At        time.Duration
-	Live      int
-	Holders   int  // of its turn; 0: turns are not shared
-	Holds     bool // this relay is one
-	Down      bool // nobody gets through: only holders try
-	Allowed   float64
-	Slice     float64 // this relay's, in parts of an even one; 0: slices are not shared
-	Voices    int
-	Wait      time.Duration
-	Own, Mean float64 // messages a second that come in for it
+// DestinationStatus is what was last made of a destination's news, for staff.
+type DestinationStatus struct {
+	At                    time.Duration
+	LiveRelays            int
+	SlotHolders           int  // of its turn; 0: turns are not shared
+	HoldsSlot             bool // this relay is one
+	Down                  bool // nobody gets through: only holders try
+	Allowed               float64
+	DemandShare           float64 // this relay's, in parts of an even one; 0: slices are not shared
+	Reporters             int
+	RetryAfter            time.Duration
+	OwnDemand, MeanDemand float64 // messages a second that come in for it
 }
 
-// Choose has the pool share choices. Without membership there is nothing that they could follow from.
-func (p *Pool) Choose(set choice.Set) {
+// EnableChoices has the pool share choices. Without membership there is nothing that they could follow from.
+func (p *Gossiper) EnableChoices(set choice.Options) {
 	if p.list == nil {
-		set = choice.Set{}
+		set = choice.Options{}
 	}
-	p.sharing = sharing{set: set, slices: choice.NewSlices(), keeper: choice.NewKeeper(p.me, set.Subset), waits: map[int]time.Duration{}, failed: map[int]time.Duration{}, down: map[int]time.Duration{}, shown: map[int]Shown{}}
+	p.sharing = sharing{set: set, slices: choice.NewDemandShares(), keeper: choice.NewSubsetTracker(p.me, set.SubsetSize), waits: map[int]time.Duration{}, failed: map[int]time.Duration{}, down: map[int]time.Duration{}, shown: map[int]DestinationStatus{}}
 }
 
-// Shares is which choices are shared.
-func (p *Pool) Shares() choice.Set { return p.sharing.set }
+// Choices is which choices are shared.
+func (p *Gossiper) Choices() choice.Options { return p.sharing.set }
 
-// List takes list news in, for subsets.
-func (p *Pool) List(news policy.ListNews) {
-	if p.sharing.set.Subset > 0 {
-		p.sharing.keeper.List(news)
+// UpdateEndpoints takes list news in, for subsets.
+func (p *Gossiper) UpdateEndpoints(news policy.ListNews) {
+	if p.sharing.set.SubsetSize > 0 {
+		p.sharing.keeper.UpdateEndpoints(news)
 	}
 }
 
-// Told books a wait that a destination told this relay.
-func (p *Pool) Told(now time.Duration, dest int, wait time.Duration) {
-	if p.sharing.set.Signals && wait >= choice.LeastTold && (p.sharing.waits[dest] > 0 || len(p.sharing.waits) < mostPaces) {
-		p.sharing.waits[dest] = max(p.sharing.waits[dest], now+min(wait, choice.Longest))
+// RecordRetryAfter books a wait that a destination told this relay.
+func (p *Gossiper) RecordRetryAfter(now time.Duration, dest int, wait time.Duration) {
+	if p.sharing.set.Signals && wait >= choice.MinRetryAfter && (p.sharing.waits[dest] > 0 || len(p.sharing.waits) < mostPaces) {
+		p.sharing.waits[dest] = max(p.sharing.waits[dest], now+min(wait, choice.MaxRetryAfter))
 	}
 }
 
-// Subsets are the subsets that have changed since it was last asked.
-func (p *Pool) Subsets(now time.Duration) []policy.Subset {
+// ChangedSubsets are the subsets that have changed since it was last asked.
+func (p *Gossiper) ChangedSubsets(now time.Duration) []policy.Subset {
 	s := &p.sharing
 	if !s.set.Any() {
 		return nil
 	}
 	if s.live == nil || now-s.lookAt >= lookAgain {
-		live := p.list.Placed(now)
+		live := p.list.PlacementEligible(now)
 		if s.lookAt = now; s.places == nil || !same(live, s.live) {
-			s.places = choice.Place(live, choice.Seed)
-			s.keeper.Live(s.places)
+			s.places = choice.AssignPlaces(live, choice.Seed)
+			s.keeper.UpdatePlaces(s.places)
 		}
 		s.live = live
 	}
-	return s.keeper.Changed()
+	return s.keeper.ChangedSubsets()
 }
 
-// Again has all subsets told anew: whoever knew them is gone.
-func (p *Pool) Again() {
+// ResendSubsets has all subsets told anew: whoever knew them is gone.
+func (p *Gossiper) ResendSubsets() {
 	if p.sharing.keeper != nil {
-		p.sharing.keeper.Again()
+		p.sharing.keeper.ResendAll()
 	}
 }
 
@@ -107,14 +107,14 @@
 }
 
 // booked takes what came in here in the span that ends now, and adds the waits that still run to what is told.
-func (p *Pool) booked(now, span time.Duration) {
+func (p *Gossiper) booked(now, span time.Duration) {
 	s := &p.sharing
-	if s.set.Slices {
+	if s.set.DemandShares {
 		wanted := map[int]int{}
 		for d, c := range p.mine {
-			wanted[d] = c.Wanted
+			wanted[d] = c.Arrived
 		}
-		s.slices.Wanted(now, span, wanted)
+		s.slices.Record(now, span, wanted)
 	}
 	if s.set.Signals {
 		s.tellFailures(now, p.mine)
@@ -122,7 +122,7 @@
 	for d, til := range s.waits {
 		if left := til - now; left >= waitUnit {
 			c := p.mine[d]
-			c.Wait = left
+			c.RetryAfter = left
 			p.mine[d] = c
 		} else {
 			delete(s.waits, d)
@@ -132,9 +132,9 @@
 
 // tellFailures adds to what is told that a destination failed here, if that was the last that became of a call to it. Risk: in a large fleet the outage is seen by many, but each makes hardly a call
 // then; who hears only of the calls of the last seconds hears of none, and sends as to a warm destination when it returns.
-func (s *sharing) tellFailures(now time.Duration, mine map[int]Count) {
+func (s *sharing) tellFailures(now time.Duration, mine map[int]DestinationCounts) {
 	for d, c := range mine {
-		if c.Taken > 0 {
+		if c.Accepted > 0 {
 			delete(s.failed, d)
 		} else if c.Failed > 0 && (s.failed[d] > 0 || len(s.failed) < mostPaces) {
 			s.failed[d] = now
@@ -153,12 +153,12 @@
 // said is what one relay said of one destination, all its accounts together.
 type said struct {
 	from              int
-	c                 Count
+	c                 DestinationCounts
 	allowed, allowing float64 // sum of logarithms
 	wait              time.Duration
 }
 
-func add(all []said, a account, c Count, now time.Duration) []said {
+func add(all []said, a account, c DestinationCounts, now time.Duration) []said {
 	at := -1
 	for i := range all {
 		if all[i].from == a.from {
@@ -169,30 +169,30 @@
 		all, at = append(all, said{from: a.from}), len(all)
 	}
 	s := &all[at]
-	s.c = Count{Wanted: s.c.Wanted + c.Wanted, Taken: s.c.Taken + c.Taken, Refused: s.c.Refused + c.Refused, Failed: s.c.Failed + c.Failed}
+	s.c = DestinationCounts{Arrived: s.c.Arrived + c.Arrived, Accepted: s.c.Accepted + c.Accepted, Rejected: s.c.Rejected + c.Rejected, Failed: s.c.Failed + c.Failed}
 	if c.Allowed > 0 {
 		s.allowed, s.allowing = s.allowed+math.Log(c.Allowed), s.allowing+1
 	}
-	s.wait = max(s.wait, c.Wait-(now-a.at))
+	s.wait = max(s.wait, c.RetryAfter-(now-a.at))
 	return all
 }
 
 // usual is what the usual relay sees of a destination.
-func (p *Pool) usual(now time.Duration, dest int, all []said, spans float64) policy.Usual {
-	var h choice.Heard
-	if p.sharing.set.Signals || p.sharing.set.Turns {
-		voices := make([]choice.Voice, len(all))
+func (p *Gossiper) usual(now time.Duration, dest int, all []said, spans float64) policy.Usual {
+	var h choice.CombinedReports
+	if p.sharing.set.Signals || p.sharing.set.TimeSlots {
+		voices := make([]choice.Report, len(all))
 		for i, s := range all {
-			voices[i] = choice.Voice{Calls: s.c.Taken + s.c.Refused + s.c.Failed, Failed: s.c.Failed}
+			voices[i] = choice.Report{Calls: s.c.Accepted + s.c.Rejected + s.c.Failed, Failed: s.c.Failed}
 			if s.from != p.me {
-				voices[i].Wait = max(0, s.wait)
+				voices[i].RetryAfter = max(0, s.wait)
 			}
 		}
-		h = choice.Hear(voices)
+		h = choice.CombineReports(voices)
 	}
-	failing := h.Failing
+	failing := h.FailingReporters
 	if !p.sharing.set.Signals {
-		h = choice.Heard{}
+		h = choice.CombinedReports{}
 	}
 	var wanted, taken, refused, failed float64
 	for i, s := range all {
@@ -200,13 +200,13 @@
 		if h.Weights != nil {
 			w = h.Weights[i]
 		}
-		wanted += float64(s.c.Wanted)
-		taken, refused, failed = taken+w*float64(s.c.Taken), refused+w*float64(s.c.Refused), failed+w*float64(s.c.Failed)
+		wanted += float64(s.c.Arrived)
+		taken, refused, failed = taken+w*float64(s.c.Accepted), refused+w*float64(s.c.Rejected), failed+w*float64(s.c.Failed)
 	}
 	if taken > 0 {
 		delete(p.sharing.failed, dest)
 	}
-	if p.sharing.set.Turns {
+	if p.sharing.set.TimeSlots {
 		if taken > 0 {
 			delete(p.sharing.down, dest)
 		} else if _, known := p.sharing.down[dest]; failing >= seenBy || known && failing > 0 {
@@ -214,31 +214,31 @@
 		}
 	}
 	return policy.Usual{Destination: dest, Wanted: wanted / spans, Taken: taken / spans, Refused: refused / spans, Failed: failed / spans,
-		Calls: int(math.Round(taken + refused + failed)), Voices: h.Failing, Wait: h.Wait}
+		Calls: int(math.Round(taken + refused + failed)), Voices: h.FailingReporters, Wait: h.RetryAfter}
 }
 
 // choose makes out of what the usual relay sees what falls to this one.
-func (p *Pool) choose(now time.Duration, wall time.Time, u *policy.Usual, relays int) {
+func (p *Gossiper) choose(now time.Duration, wall time.Time, u *policy.Usual, relays int) {
 	s := &p.sharing
 	if !s.set.Any() {
 		return
 	}
-	show := Shown{At: now, Allowed: u.Allowed, Voices: u.Voices, Wait: u.Wait, Mean: u.Wanted}
-	if s.set.Slices {
-		show.Own, show.Slice = s.slices.Own(u.Destination), s.slices.Of(u.Destination, u.Wanted)
-		u.Allowed *= show.Slice
+	show := DestinationStatus{At: now, Allowed: u.Allowed, Reporters: u.Voices, RetryAfter: u.Wait, MeanDemand: u.Wanted}
+	if s.set.DemandShares {
+		show.OwnDemand, show.DemandShare = s.slices.Demand(u.Destination), s.slices.Share(u.Destination, u.Wanted)
+		u.Allowed *= show.DemandShare
 	}
-	if s.set.Turns && s.live != nil {
-		show.Live = s.places.Live()
-		show.Holders = choice.Holders(show.Live, u.Wanted)
-		show.Holds = choice.Holds(p.me, s.live, uint64(u.Destination), choice.EpochOf(wall), show.Holders)
+	if s.set.TimeSlots && s.live != nil {
+		show.LiveRelays = s.places.LiveCount()
+		show.SlotHolders = choice.SlotHolders(show.LiveRelays, u.Wanted)
+		show.HoldsSlot = choice.HoldsSlot(p.me, s.live, uint64(u.Destination), choice.SlotAt(wall), show.SlotHolders)
 		at, down := s.down[u.Destination]
 		if down && now-at > downFor {
 			delete(s.down, u.Destination) // nobody has tried: each may
 			down = false
 		}
 		show.Down = down
-		u.OthersTry = down && !show.Holds
+		u.OthersTry = down && !show.HoldsSlot
 	}
 	if _, had := s.shown[u.Destination]; had || len(s.shown) < mostPaces {
 		s.shown[u.Destination] = show
@@ -246,19 +246,19 @@
 }
 
 // Place is where this relay stands among those that live, and how many do; -1: not known.
-func (p *Pool) Place() (place, live int) {
+func (p *Gossiper) Place() (place, live int) {
 	if p.sharing.places == nil {
 		return -1, 0
 	}
-	return p.sharing.places.Of(p.me), p.sharing.places.Live()
+	return p.sharing.places.Of(p.me), p.sharing.places.LiveCount()
 }
 
-// Kept calls f for the subset of each destination of which not all endpoints are kept, until it says no.
-func (p *Pool) Kept(f func(dest int, mine []choice.Endpoint, of int) bool) {
+// EachSubset calls f for the subset of each destination of which not all endpoints are kept, until it says no.
+func (p *Gossiper) EachSubset(f func(dest int, mine []choice.Endpoint, of int) bool) {
 	if p.sharing.keeper != nil {
-		p.sharing.keeper.Each(f)
+		p.sharing.keeper.EachSubset(f)
 	}
 }
 
-// Shown is what was last made of each destination's news.
-func (p *Pool) Shown() map[int]Shown { return p.sharing.shown }
+// DestinationStatuses is what was last made of each destination's news.
+func (p *Gossiper) DestinationStatuses() map[int]DestinationStatus { return p.sharing.shown }
--- a/internal/peers/choices_test.go
+++ b/internal/peers/choices_test.go
@@ -9,24 +9,24 @@
 )
 
 // choosing is a pool of relay 0 among ten that knows all to live and shares all choices.
-func choosing(t *testing.T) *Pool {
+func choosing(t *testing.T) *Gossiper {
 	t.Helper()
 	p := joined(10)[0]
-	p.Choose(choice.Set{Subset: 2, Turns: true, Slices: true, Signals: true})
+	p.EnableChoices(choice.Options{SubsetSize: 2, TimeSlots: true, DemandShares: true, Signals: true})
 	return p
 }
 
 // tells has another relay tell counts of a destination.
-func tells(t *testing.T, p *Pool, from int, now time.Duration, c Count) {
+func tells(t *testing.T, p *Gossiper, from int, now time.Duration, c DestinationCounts) {
 	t.Helper()
-	note := encode(1, uint16(now/time.Millisecond), account{span: time.Second, counts: map[int]Count{7: c}}, MaxNote)
-	if err := p.Heard(now, from, note); err != nil {
+	note := encode(1, uint16(now/time.Millisecond), account{span: time.Second, counts: map[int]DestinationCounts{7: c}}, MaxDatagramBytes)
+	if err := p.ReceiveCounts(now, from, note); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func about(p *Pool, now time.Duration) (u policy.Usual) {
-	for _, u = range p.News(now, time.UnixMilli(now.Milliseconds())) {
+func about(p *Gossiper, now time.Duration) (u policy.Usual) {
+	for _, u = range p.FleetAverages(now, time.UnixMilli(now.Milliseconds())) {
 		if u.Destination == 7 {
 			return u
 		}
@@ -37,23 +37,23 @@
 // Told waits go out in notes of a form of their own, run on, are believed of two, and the old form stays where there is none.
 func TestWaitsAreTold(t *testing.T) {
 	p := choosing(t)
-	p.Told(0, 7, 200*time.Millisecond) // nothing to pass on
-	p.Wanted(7)
-	if note, _ := p.Tell(p.next); note[0] != version {
+	p.RecordRetryAfter(0, 7, 200*time.Millisecond) // nothing to pass on
+	p.RecordArrival(7)
+	if note, _ := p.Report(p.next); note[0] != version {
 		t.Errorf("form %d without a wait", note[0])
 	}
 	now := p.next
-	p.Told(now-time.Second, 7, 4*time.Second)
-	p.Wanted(7)
-	note, _ := p.Tell(now)
+	p.RecordRetryAfter(now-time.Second, 7, 4*time.Second)
+	p.RecordArrival(7)
+	note, _ := p.Report(now)
 	_, _, a, err := decode(note)
-	if err != nil || note[0] != waiting || a.counts[7].Wait.Round(100*time.Millisecond) != 3*time.Second {
+	if err != nil || note[0] != waiting || a.counts[7].RetryAfter.Round(100*time.Millisecond) != 3*time.Second {
 		t.Fatalf("form %d, %+v, %v", note[0], a.counts, err)
 	}
 	q := choosing(t)
 	for from, wait := range []time.Duration{0, 3 * time.Second, time.Hour, 0, 0, 0} {
 		if from > 0 {
-			tells(t, q, from, time.Second, Count{Wanted: 1, Wait: min(wait, 900*time.Second)})
+			tells(t, q, from, time.Second, DestinationCounts{Arrived: 1, RetryAfter: min(wait, 900*time.Second)})
 		}
 	}
 	if u := about(q, 1500*time.Millisecond); u.Wait != 2500*time.Millisecond {
@@ -63,8 +63,8 @@
 		t.Errorf("it grows: %v", u.Wait)
 	}
 	// Its own wait is no news to itself.
-	q.Told(time.Second, 7, 9*time.Second)
-	q.Tell(1600 * time.Millisecond)
+	q.RecordRetryAfter(time.Second, 7, 9*time.Second)
+	q.Report(1600 * time.Millisecond)
 	if u := about(q, 1600*time.Millisecond); u.Wait != 2400*time.Millisecond {
 		t.Errorf("it hears itself: %v", u.Wait)
 	}
@@ -72,19 +72,19 @@
 
 // A failure is told again while it is the last that became of a call here, for a while, and until others get through.
 func TestFailuresAreToldAgain(t *testing.T) {
-	told := func(p *Pool) int {
-		p.Wanted(9)
-		note, _ := p.Tell(p.next)
+	told := func(p *Gossiper) int {
+		p.RecordArrival(9)
+		note, _ := p.Report(p.next)
 		_, _, a, err := decode(note)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return a.counts[7].Failed
 	}
-	fails := func() *Pool {
+	fails := func() *Gossiper {
 		p := choosing(t)
-		p.Ended(7, Failed)
-		p.Ended(7, Failed)
+		p.RecordCall(7, Failed)
+		p.RecordCall(7, Failed)
 		if n := told(p); n != 2 {
 			t.Fatalf("%d of 2 failures told", n)
 		}
@@ -100,7 +100,7 @@
 		t.Error("told for ever")
 	}
 	p = fails()
-	p.Ended(7, Taken)
+	p.RecordCall(7, Accepted)
 	for range 2 {
 		if told(p) != 0 {
 			t.Error("told although a call was taken")
@@ -108,7 +108,7 @@
 	}
 	p = fails()
 	for from := 1; from < 6; from++ {
-		tells(t, p, from, p.next, Count{Wanted: 1, Taken: min(1, from/5)})
+		tells(t, p, from, p.next, DestinationCounts{Arrived: 1, Accepted: min(1, from/5)})
 	}
 	if about(p, p.next); told(p) != 0 {
 		t.Error("told although others get through")
@@ -125,9 +125,9 @@
 		p := choosing(t)
 		p.sharing.set.Signals = signals
 		for from := 1; from < 10; from++ {
-			c := Count{Wanted: 2, Taken: 2}
+			c := DestinationCounts{Arrived: 2, Accepted: 2}
 			if from == 9 {
-				c = Count{Failed: 9999}
+				c = DestinationCounts{Failed: 9999}
 			}
 			tells(t, p, from, time.Second, c)
 		}
@@ -142,7 +142,7 @@
 func TestSliceFollowsDemand(t *testing.T) {
 	p := choosing(t)
 	for from := 1; from < 10; from++ {
-		tells(t, p, from, time.Second, Count{Wanted: 9, Taken: 4, Refused: 4, Allowed: 2})
+		tells(t, p, from, time.Second, DestinationCounts{Arrived: 9, Accepted: 4, Rejected: 4, Allowed: 2})
 	}
 	u := about(p, time.Second)
 	if own := p.paces[7].allow; own <= 0 || u.Allowed != own*0.25 {
@@ -157,13 +157,13 @@
 	for _, a := range []string{"a", "b", "c", "d", "e"} {
 		list = append(list, policy.Endpoint{Address: a, Destination: 7})
 	}
-	p.List(policy.ListNews{Kind: policy.ListWhole, Entries: list})
-	s := p.Subsets(time.Second)
-	if len(s) != 1 || s[0].Destination != 7 || len(s[0].Endpoints) != 3 || len(p.Subsets(2*time.Second)) > 0 {
+	p.UpdateEndpoints(policy.ListNews{Kind: policy.ListWhole, Entries: list})
+	s := p.ChangedSubsets(time.Second)
+	if len(s) != 1 || s[0].Destination != 7 || len(s[0].Endpoints) != 3 || len(p.ChangedSubsets(2*time.Second)) > 0 {
 		t.Fatalf("%+v", s)
 	}
-	p.Again()
-	if again := p.Subsets(2 * time.Second); len(again) != 1 || again[0].Endpoints[0] != s[0].Endpoints[0] {
+	p.ResendSubsets()
+	if again := p.ChangedSubsets(2 * time.Second); len(again) != 1 || again[0].Endpoints[0] != s[0].Endpoints[0] {
 		t.Errorf("told again: %+v", again)
 	}
 	if place, live := p.Place(); place != 0 || live != 10 {
@@ -171,9 +171,9 @@
 	}
 	turns := 0
 	for e := range 60 {
-		now := time.Second + time.Duration(e)*choice.Epoch
+		now := time.Second + time.Duration(e)*choice.SlotDuration
 		for from := 1; from < 6; from++ {
-			tells(t, p, from, now, Count{Wanted: 9, Failed: from / 4}) // two saw it
+			tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 4}) // two saw it
 		}
 		if !about(p, now).OthersTry {
 			turns++
@@ -184,9 +184,9 @@
 	}
 	// One call that is taken ends it; one voice alone does not begin it.
 	now := 200 * time.Second
-	tells(t, p, 1, now, Count{Wanted: 9, Taken: 1})
+	tells(t, p, 1, now, DestinationCounts{Arrived: 9, Accepted: 1})
 	for from := 2; from < 6; from++ {
-		tells(t, p, from, now, Count{Wanted: 9, Failed: from / 5})
+		tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 5})
 	}
 	if u := about(p, now); u.OthersTry {
 		t.Error("somebody got through")
@@ -194,18 +194,18 @@
 	for e := range 20 {
 		now += 2 * memory
 		for from := 1; from < 6; from++ {
-			tells(t, p, from, now, Count{Wanted: 9, Failed: from / 5})
+			tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 5})
 		}
 		if u := about(p, now); u.OthersTry {
 			t.Errorf("one voice makes an outage, in round %d", e)
 		}
 	}
-	if n := len(p.Shown()); n != 1 {
+	if n := len(p.DestinationStatuses()); n != 1 {
 		t.Errorf("%d destinations shown", n)
 	}
 	// Without membership nothing is shared.
 	q := New(0, 10, 1)
-	if q.Choose(choice.Set{Subset: 2, Turns: true}); q.Shares().Any() || q.Subsets(time.Second) != nil {
+	if q.EnableChoices(choice.Options{SubsetSize: 2, TimeSlots: true}); q.Choices().Any() || q.ChangedSubsets(time.Second) != nil {
 		t.Error("choices without members")
 	}
 }
@@ -214,10 +214,10 @@
 func TestWordsOfSites(t *testing.T) {
 	all := joined(10)
 	p, q := all[0], all[1]
-	words := func(p *Pool, now time.Duration) (notes [][]byte) {
+	words := func(p *Gossiper, now time.Duration) (notes [][]byte) {
 		for _, o := range p.tellWords() {
-			if o.Note[0] == ofSites && o.To != p.me {
-				notes = append(notes, o.Note)
+			if o.Payload[0] == ofSites && o.To != p.me {
+				notes = append(notes, o.Payload)
 			}
 		}
 		return notes
@@ -225,27 +225,27 @@
 	if n := len(words(p, 0)); n != 0 {
 		t.Fatalf("%d notes about nothing", n)
 	}
-	p.Words([]Word{{Zone: 2, Level: 0}, {Zone: 1, Level: 0.25}})
+	p.SetSiteReports([]SiteReport{{Zone: 2, LoadFraction: 0}, {Zone: 1, LoadFraction: 0.25}})
 	first, second := words(p, 0), words(p, time.Second)
-	if len(first) == 0 || len(first) > wordFan || len(first[0]) > MaxNote {
+	if len(first) == 0 || len(first) > wordFan || len(first[0]) > MaxDatagramBytes {
 		t.Fatalf("%d notes", len(first))
 	}
-	heard := func(now time.Duration) (all []Word) {
-		q.Said(now, func(w Word) { all = append(all, w) })
+	heard := func(now time.Duration) (all []SiteReport) {
+		q.EachSiteReport(now, func(w SiteReport) { all = append(all, w) })
 		return all
 	}
-	if _, err := q.Hear(time.Second, 0, second[0]); err != nil || len(heard(time.Second)) != 2 || heard(time.Second)[1].Level != 0.25 || heard(time.Second)[0] != (Word{2, 0}) {
+	if _, err := q.Receive(time.Second, 0, second[0]); err != nil || len(heard(time.Second)) != 2 || heard(time.Second)[1].LoadFraction != 0.25 || heard(time.Second)[0] != (SiteReport{2, 0}) {
 		t.Fatalf("heard %v, %v", heard(time.Second), err)
 	}
 	for name, note := range map[string][]byte{"late": first[0], "twice": second[0], "half": second[0][:5], "short": second[0][:3], "over": {ofSites, 1, 9, 9, 1, 201}, "long": make([]byte, 200)} {
 		if name == "long" {
 			note[0] = ofSites
 		}
-		if _, err := q.Hear(2*time.Second, 0, note); err == nil {
+		if _, err := q.Receive(2*time.Second, 0, note); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if _, err := q.Hear(2*time.Second, 99, second[0]); err == nil {
+	if _, err := q.Receive(2*time.Second, 99, second[0]); err == nil {
 		t.Error("taken from nobody of the fleet")
 	}
 	if n := len(heard(time.Second + wordFor)); n != 2 {
--- a/internal/peers/members/hear.go
+++ b/internal/peers/members/hear.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// Heard takes the membership part of a note that came from a member's address, and returns what goes out at once. One that can't be read,
+// Receive takes the membership part of a note that came from a member's address, and returns what goes out at once. One that can't be read,
 // is not newer than the last of its sender or one of too many changes nothing.
-func (l *List) Heard(now Time, from int, b []byte) (out []Out, err error) {
+func (l *List) Receive(now Time, from int, b []byte) (out []Datagram, err error) {
 	l.advance(now)
-	if from < 0 || from >= len(l.all) || from == l.set.Me {
-		l.counts.Refused++
-		return nil, ErrNobody
+	if from < 0 || from >= len(l.all) || from == l.set.Self {
+		l.counts.Rejected++
+		return nil, ErrUnknownSender
 	}
 	m := &l.all[from]
 	if l.now-m.bucketAt >= Period {
 		m.bucket, m.bucketAt = 0, l.now
 	}
 	if m.bucket++; m.bucket > flood {
-		l.counts.Refused++
-		return nil, ErrFlood
+		l.counts.Rejected++
+		return nil, ErrRateLimited
 	}
 	s, err := read(b, len(l.all))
 	if err != nil {
-		l.counts.Refused++
+		l.counts.Rejected++
 		return nil, err
 	}
 	if err := l.proves(m, &s); err != nil {
-		l.counts.Refused++
-		if err == ErrOther && s.life == m.life && int16(s.seq-m.seq) > 0 {
+		l.counts.Rejected++
+		if err == ErrOtherProcess && s.life == m.life && int16(s.seq-m.seq) > 0 {
 			m.seq, m.signAt = s.seq, l.now // it lives, and has not heard what is said of it
 		}
-		if err == ErrOther && l.now-m.toldAt >= Period/4 {
+		if err == ErrOtherProcess && l.now-m.toldAt >= Period/4 {
 			above := section{facts: []fact{l.fact(from)}}
 			if s.inc == m.inc {
 				above.flags = flagAbove
@@ -43,7 +43,7 @@
 	case s.flags&flagAnswer != 0:
 		out = l.answered(out, from, &s)
 	case s.flags&flagAsk != 0 && s.flags&flagFor != 0:
-		if s.about == l.set.Me || s.about == from || len(l.questions) >= onBehalf {
+		if s.about == l.set.Self || s.about == from || len(l.questions) >= onBehalf {
 			break
 		}
 		l.nonce++
@@ -54,7 +54,7 @@
 	}
 	for _, f := range s.facts {
 		switch {
-		case f.number == l.set.Me:
+		case f.number == l.set.Self:
 			out = l.accused(out, from, f, s.flags&flagAbove != 0)
 		case f.number == from:
 		case s.flags&flagDeaf != 0 && f.state != Alive: // it doubts itself
@@ -71,9 +71,11 @@
 }
 
 // reply adds a note to what goes out at once. Risk: after a pause all questions of that time are there at once, and a burst of answers goes out.
-func (l *List) reply(out []Out, to int, s section) []Out { return l.replyIn(out, to, s, MaxNote/4) }
+func (l *List) reply(out []Datagram, to int, s section) []Datagram {
+	return l.replyIn(out, to, s, MaxDatagramBytes/4)
+}
 
-func (l *List) replyIn(out []Out, to int, s section, room int) []Out {
+func (l *List) replyIn(out []Datagram, to int, s section, room int) []Datagram {
 	if l.now-l.budgetAt >= Period {
 		l.budget, l.budgetAt = answers+len(l.all)/8, l.now
 		l.budget = min(l.budget, 4*answers)
@@ -82,7 +84,7 @@
 		return out
 	}
 	l.budget--
-	return append(out, Out{to, l.note(to, s, room)})
+	return append(out, Datagram{to, l.note(to, s, room)})
 }
 
 // proves decides whether a note shows that its sender lives: it has a higher incarnation than is known, or is the next of the process that is
@@ -94,12 +96,12 @@
 	case s.life == m.life && s.inc == m.inc && int16(m.seq-s.seq) > farBack:
 		// Risk: of two processes under one number one in 256 pairs has drawn the same life, and the one behind is taken for old notes for ever.
 		m.swapped(l.now)
-		return ErrOther
+		return ErrOtherProcess
 	case s.life == m.life && int16(s.seq-m.seq) <= 0:
-		return ErrOld
+		return ErrStale
 	case s.inc == m.inc && s.life == m.life:
 	default:
-		return ErrOther
+		return ErrOtherProcess
 	}
 	if m.heardAt >= 0 && s.life != m.life {
 		m.swapped(l.now)
@@ -117,7 +119,7 @@
 }
 
 // firstHand takes in what a note proves of its sender.
-func (l *List) firstHand(out []Out, from int, s *section) []Out {
+func (l *List) firstHand(out []Datagram, from int, s *section) []Datagram {
 	m := &l.all[from]
 	before := m.inc
 	m.inc, m.heardAt, l.heardAny = s.inc, l.now, l.now
@@ -165,7 +167,7 @@
 }
 
 // answered takes in an answer to a question, or one to another's.
-func (l *List) answered(out []Out, from int, s *section) []Out {
+func (l *List) answered(out []Datagram, from int, s *section) []Datagram {
 	of := from
 	if s.flags&flagFor != 0 {
 		of = s.about
@@ -187,7 +189,7 @@
 }
 
 // accused takes in what is said of this relay itself. It contradicts, unless it is true.
-func (l *List) accused(out []Out, from int, f fact, above bool) []Out {
+func (l *List) accused(out []Datagram, from int, f fact, above bool) []Datagram {
 	against := f.state != Alive && f.inc >= l.inc || f.inc > l.inc || above && f.inc >= l.inc
 	if !against || l.leaving {
 		return out
@@ -202,7 +204,7 @@
 		}
 		l.rivalAt = l.now
 	} else {
-		l.counts.Refuted++
+		l.counts.Refutations++
 	}
 	if most := uint32(leap); f.inc > l.inc+most && (l.inc > 1 || f.inc > leap*leap/16) {
 		return out // nobody has seen this relay there
@@ -213,7 +215,7 @@
 }
 
 // told takes in what one relay says of another. A liar is one voice: what it says starts the time in which the other may contradict.
-func (l *List) told(out []Out, from int, f fact) []Out {
+func (l *List) told(out []Datagram, from int, f fact) []Datagram {
 	m := &l.all[f.number]
 	if f.inc < m.inc || f.inc > m.inc+leap {
 		return out
@@ -261,14 +263,14 @@
 		return out
 	}
 	switch {
-	case m.state == Alive && f.state == Suspect, m.state >= Away && newer && f.state == Suspect:
+	case m.state == Alive && f.state == Suspect, m.state >= Dead && newer && f.state == Suspect:
 		l.become(f.number, Suspect, false, fmt.Sprintf("doubted by %d", from))
 	case m.state == Alive:
 		l.become(f.number, Suspect, false, fmt.Sprintf("said by %d to be %v", from, f.state))
 	}
 	if f.own && m.state == Suspect {
 		l.voice(m, from)
-		if f.state >= Away && len(l.all) > 2*voicesFor && len(m.voices) >= voicesFor && l.now-m.at >= Period {
+		if f.state >= Dead && len(l.all) > 2*voicesFor && len(m.voices) >= voicesFor && l.now-m.at >= Period {
 			l.become(f.number, f.state, false, fmt.Sprintf("%v, by what %d say at first hand", f.state, len(m.voices)))
 		}
 	}
@@ -276,17 +278,17 @@
 }
 
 // tellAll tells one that has just begun who is not alive, from a place drawn anew so that several tell of different ones.
-func (l *List) tellAll(out []Out, to int) []Out {
+func (l *List) tellAll(out []Datagram, to int) []Datagram {
 	if len(l.lost) == 0 {
 		return out
 	}
 	s, from := section{}, l.rng.IntN(len(l.lost))
-	for i := range min(len(l.lost), MaxNote/5) {
+	for i := range min(len(l.lost), MaxDatagramBytes/5) {
 		if n := l.lost[(from+i)%len(l.lost)]; n != to && l.all[n].inc > 0 {
 			f := l.fact(n)
 			f.own = false
 			s.facts = append(s.facts, f)
 		}
 	}
-	return l.replyIn(out, to, s, MaxNote-4)
+	return l.replyIn(out, to, s, MaxDatagramBytes-4)
 }
--- a/internal/peers/members/lie.go
+++ b/internal/peers/members/lie.go
@@ -1,7 +1,7 @@
 package members
 
-// Lie writes the k-th lie of a relay that says of all others what is not so. It is for tests of those who hear it.
-func (l *List) Lie(now Time, k int) []byte {
+// FalseGossip writes the k-th lie of a relay that says of all others what is not so. It is for tests of those who hear it.
+func (l *List) FalseGossip(now Time, k int) []byte {
 	l.advance(now)
 	l.seq++
 	s := section{life: l.life, seq: l.seq, inc: 50 + uint32(k), zone: NoZone}
@@ -12,5 +12,5 @@
 		}
 		s.facts = append(s.facts, f)
 	}
-	return s.append(nil, MaxNote)
+	return s.append(nil, MaxDatagramBytes)
 }
--- a/internal/peers/members/members.go
+++ b/internal/peers/members/members.go
@@ -22,11 +22,11 @@
 // Period is the time from one question of a relay to its next, in the mean. Bounds are counted in it.
 const Period = 600 * time.Millisecond
 
-// Room is the most bytes that membership takes of a note which goes out anyway.
-const Room = 64
+// MaxPiggybackBytes is the most bytes that membership takes of a note which goes out anyway.
+const MaxPiggybackBytes = 64
 
-// Most is how many members a fleet may have.
-const Most = 1 << 14
+// MaxMembers is how many members a fleet may have.
+const MaxMembers = 1 << 14
 
 // Open values, chosen by measurement (docs/design/membership.md).
 const (
@@ -81,7 +81,7 @@
 const (
 	Alive   State = iota
 	Suspect       // it gave no answer; it has time to contradict
-	Away          // it is dead, or can't be heard from here
+	Dead          // it is dead, or can't be heard from here
 	Left          // it said so
 )
 
@@ -89,15 +89,15 @@
 
 // Config is what a list is made from.
 type Config struct {
-	Me, Fleet int
-	Zone      int // its number; NoZone: not known
-	Seed      int64
+	Self, FleetSize int
+	Zone            int // its number; NoZone: not known
+	Seed            int64
 }
 
-// Out is a note that holds nothing but membership, and whom it goes to.
-type Out struct {
-	To   int
-	Note []byte
+// Datagram is a note that holds nothing but membership, and whom it goes to.
+type Datagram struct {
+	To      int
+	Payload []byte
 }
 
 // Change is a member's new state.
@@ -105,13 +105,13 @@
 	Number      int
 	From, To    State
 	Incarnation uint32
-	Why         string
+	Reason      string
 }
 
 // Counts is what the list has done so far.
 type Counts struct {
-	Asked, Unanswered, Accused, Refuted int // questions, those without an answer, members accused by this one, and own accusations contradicted
-	Refused                             int // notes that were not taken
+	Probes, ProbeTimeouts, Suspicions, Refutations int // questions, those without an answer, members accused by this one, and own accusations contradicted
+	Rejected                                       int // notes that were not taken
 }
 
 // member is what is known of one relay.
@@ -197,24 +197,24 @@
 
 // New returns the list of one relay, which takes all for alive and has heard of nobody. A fleet of no sensible size has one member.
 func New(set Config) *List {
-	if set.Fleet < 1 || set.Fleet > Most || set.Me < 0 || set.Me >= set.Fleet {
-		set.Me, set.Fleet = 0, 1
+	if set.FleetSize < 1 || set.FleetSize > MaxMembers || set.Self < 0 || set.Self >= set.FleetSize {
+		set.Self, set.FleetSize = 0, 1
 	}
 	if set.Zone < 0 || set.Zone > NoZone {
 		set.Zone = NoZone
 	}
 	rng := rand.New(rand.NewPCG(uint64(set.Seed), 0x3e3b))
-	l := &List{set: set, rng: rng, inc: 1, life: uint8(rng.Uint32()), seq: uint16(rng.Uint32()), nonce: uint8(rng.Uint32()), all: make([]member, set.Fleet),
-		place: make([]int, set.Fleet), sharing: set.Fleet, version: 1, bumpAt: -Period, deafBump: -Period, accusedAt: -accuseTurn, budgetAt: -Period}
+	l := &List{set: set, rng: rng, inc: 1, life: uint8(rng.Uint32()), seq: uint16(rng.Uint32()), nonce: uint8(rng.Uint32()), all: make([]member, set.FleetSize),
+		place: make([]int, set.FleetSize), sharing: set.FleetSize, version: 1, bumpAt: -Period, deafBump: -Period, accusedAt: -accuseTurn, budgetAt: -Period}
 	for i := range l.all {
 		l.all[i] = member{zone: NoZone, heardAt: -1, toldAt: -pause, why: "not heard of yet"}
-		if i != set.Me {
+		if i != set.Self {
 			l.place[i] = len(l.live)
 			l.live = append(l.live, i)
 			l.ring = append(l.ring, i)
 		}
 	}
-	l.all[set.Me] = member{zone: uint8(set.Zone), inc: 1, lived: true, why: "this relay"}
+	l.all[set.Self] = member{zone: uint8(set.Zone), inc: 1, lived: true, why: "this relay"}
 	l.shuffle()
 	return l
 }
@@ -254,14 +254,14 @@
 		l.inc = topInc
 	}
 	l.bumpAt = l.now
-	l.all[l.set.Me].inc = l.inc
+	l.all[l.set.Self].inc = l.inc
 }
 
-// Deaf tells whether nobody has been heard for so long that this relay doubts itself.
-func (l *List) Deaf() bool { return len(l.all) > 1 && l.now-l.heardAny > deafAfter }
+// Isolated tells whether nobody has been heard for so long that this relay doubts itself.
+func (l *List) Isolated() bool { return len(l.all) > 1 && l.now-l.heardAny > deafAfter }
 
-// Rival tells whether another process speaks under this relay's number.
-func (l *List) Rival() bool { return l.rivals >= rivalry && l.now-l.rivalAt < rivalSpan }
+// DuplicateNumber tells whether another process speaks under this relay's number.
+func (l *List) DuplicateNumber() bool { return l.rivals >= rivalry && l.now-l.rivalAt < rivalSpan }
 
 // Counts tells what the list has done so far.
 func (l *List) Counts() Counts { return l.counts }
@@ -289,8 +289,8 @@
 	if was != s {
 		l.changes = append(l.changes, Change{n, was, s, m.inc, why})
 		m.since = l.now
-		if (was >= Away) != (s >= Away) {
-			l.move(n, s >= Away)
+		if (was >= Dead) != (s >= Dead) {
+			l.move(n, s >= Dead)
 		}
 		if s == Suspect {
 			m.at, m.voices, m.checked = l.now, m.voices[:0], false
@@ -327,7 +327,7 @@
 // spread has what is known of n passed on. What nobody has heard of is not told.
 func (l *List) spread(n int) {
 	m := &l.all[n]
-	if m.inc == 0 || m.state != Alive && l.Deaf() {
+	if m.inc == 0 || m.state != Alive && l.Isolated() {
 		return // nobody has heard of it; or a deaf relay's doubts, which are its own
 	}
 	l.queue(n, fresh, min(int(copies*(1+l.loss)), 4*(len(l.all)-1)))
@@ -387,13 +387,13 @@
 
 // Target is a relay that a turn's note goes to; Ask says that it is asked for an answer.
 type Target struct {
-	To  int
-	Ask bool
+	To   int
+	Ping bool
 }
 
-// Turn begins a turn: whom its notes go to, up to so many, the one that is asked first. One that is away is among them, so that groups that
+// GossipTargets begins a turn: whom its notes go to, up to so many, the one that is asked first. One that is away is among them, so that groups that
 // lost sight of each other meet again.
-func (l *List) Turn(now Time, most int) (to []Target) {
+func (l *List) GossipTargets(now Time, most int) (to []Target) {
 	l.advance(now)
 	if len(l.all) < 2 {
 		return nil
@@ -437,15 +437,15 @@
 		}
 		n := l.ring[l.ringAt]
 		l.ringAt++
-		if l.all[n].state < Away && !l.asking(n, false) {
+		if l.all[n].state < Dead && !l.asking(n, false) {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// Next is when Tick wants to be called again.
-func (l *List) Next() Time {
+// NextTick is when Tick wants to be called again.
+func (l *List) NextTick() Time {
 	at := l.now + Period
 	for _, q := range l.questions {
 		if !q.helped && !q.check && q.origin < 0 {
@@ -460,7 +460,7 @@
 }
 
 // Tick does what is due: others are asked to ask, silence is held against a member, a suspicion ends.
-func (l *List) Tick(now Time) (out []Out) {
+func (l *List) Tick(now Time) (out []Datagram) {
 	l.advance(now)
 	kept := l.questions[:0]
 	for _, q := range l.questions {
@@ -472,7 +472,7 @@
 				l.recent |= 1
 			}
 			if q.check && q.tries >= l.enough() {
-				l.voice(&l.all[q.to], l.set.Me)
+				l.voice(&l.all[q.to], l.set.Self)
 				continue
 			}
 			if q.tries >= l.enough() && l.now-l.accusedAt >= accuseTurn {
@@ -483,18 +483,18 @@
 			}
 			l.nonce++
 			q.nonce, q.at, q.helped = l.nonce, l.now, false
-			out = append(out, Out{q.to, l.note(q.to, section{flags: flagAsk, nonce: q.nonce}, Room)})
+			out = append(out, Datagram{q.to, l.note(q.to, section{flags: flagAsk, nonce: q.nonce}, MaxPiggybackBytes)})
 		case q.origin < 0 && !q.helped && !q.check && l.now >= q.at+answerBy:
 			q.helped = true
-			l.counts.Unanswered++
+			l.counts.ProbeTimeouts++
 			for _, n := range l.helpersFor(q.to) {
-				out = append(out, Out{n, l.note(n, section{flags: flagAsk | flagFor, nonce: q.nonce, about: q.to}, MaxNote/2)})
+				out = append(out, Datagram{n, l.note(n, section{flags: flagAsk | flagFor, nonce: q.nonce, about: q.to}, MaxDatagramBytes/2)})
 			}
 		}
 		kept = append(kept, q)
 	}
 	l.questions = kept
-	if l.Deaf() && l.now-l.deafBump >= 2*Period {
+	if l.Isolated() && l.now-l.deafBump >= 2*Period {
 		// Risk: who hears nothing can't contradict what is said of it; so it contradicts unasked.
 		l.deafBump = l.now
 		l.bump(l.inc)
@@ -511,7 +511,7 @@
 			if m.checked = true; !l.asking(n, false) {
 				l.nonce++
 				l.questions = append(l.questions, question{to: n, nonce: l.nonce, at: l.now, origin: -1, check: true})
-				out = append(out, Out{n, l.note(n, section{flags: flagAsk, nonce: l.nonce}, Room)})
+				out = append(out, Datagram{n, l.note(n, section{flags: flagAsk, nonce: l.nonce}, MaxPiggybackBytes)})
 			}
 			continue
 		} else if l.now-m.at < span || l.asking(n, true) {
@@ -520,10 +520,10 @@
 		switch {
 		case m.said == Left:
 			l.become(n, Left, false, "said to have left, and no sign of it since")
-		case l.Deaf():
-			l.become(n, Away, false, "nobody is heard: this relay may be the one that is cut off")
+		case l.Isolated():
+			l.become(n, Dead, false, "nobody is heard: this relay may be the one that is cut off")
 		default:
-			l.become(n, Away, true, m.why+fmt.Sprintf(", and did not contradict for %.1f s", (l.now-m.at).Seconds()))
+			l.become(n, Dead, true, m.why+fmt.Sprintf(", and did not contradict for %.1f s", (l.now-m.at).Seconds()))
 		}
 	}
 	return out
@@ -557,10 +557,10 @@
 // silent takes in that n gave no answer, neither itself nor through others, and tells whether this relay holds it against it.
 func (l *List) silent(n int) (accused bool) {
 	m := &l.all[n]
-	if since := l.now - l.heardAny; since >= Period && since < deafFor || l.now < l.quietTil || m.state >= Away {
+	if since := l.now - l.heardAny; since >= Period && since < deafFor || l.now < l.quietTil || m.state >= Dead {
 		return false // a relay that is deaf or has just woken doubts itself first
 	}
-	l.counts.Accused++
+	l.counts.Suspicions++
 	m.mine = true
 	why := fmt.Sprintf("no answer in %.1f s, nor through others", accuseBy.Seconds())
 	if m.inc == 0 {
@@ -572,7 +572,7 @@
 		m.own = true
 		l.spread(n)
 	}
-	l.voice(m, l.set.Me)
+	l.voice(m, l.set.Self)
 	return true
 }
 
@@ -594,7 +594,7 @@
 		periods += (doubled - 1) * low * (1 - math.Log(v)/math.Log(enough))
 	}
 	periods *= 1 + lossSlows*l.loss
-	if l.Deaf() {
+	if l.Isolated() {
 		periods *= deafSlows
 	}
 	return time.Duration(periods * float64(Period))
@@ -604,16 +604,16 @@
 func (l *List) Leave(now Time) {
 	l.advance(now)
 	l.leaving = true
-	l.all[l.set.Me].state = Left
+	l.all[l.set.Self].state = Left
 	l.version++
 }
 
-// Stay takes that back.
-func (l *List) Stay(now Time) {
+// CancelLeave takes that back.
+func (l *List) CancelLeave(now Time) {
 	l.advance(now)
 	if l.leaving {
 		l.leaving = false
-		l.all[l.set.Me].state = Alive
+		l.all[l.set.Self].state = Alive
 		l.bump(l.inc)
 		l.version++
 	}
--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -23,7 +23,7 @@
 			s.facts = append(s.facts, fact{rapid.IntRange(0, fleet-1).Draw(t, "number"), State(rapid.IntRange(0, 3).Draw(t, "state")), rapid.Bool().Draw(t, "own"),
 				uint8(rapid.IntRange(0, NoZone).Draw(t, "of")), rapid.Uint32Range(1, topInc).Draw(t, "incarnation")})
 		}
-		b := s.append(nil, MaxNote)
+		b := s.append(nil, MaxDatagramBytes)
 		got, err := read(b, fleet)
 		if err != nil || got.flags != s.flags || got.life != s.life || got.seq != s.seq || got.zone != s.zone || got.inc != s.inc || got.nonce != s.nonce || got.about != s.about || len(got.facts) != len(s.facts) {
 			t.Fatalf("%+v became %+v, %v", s, got, err)
@@ -36,7 +36,7 @@
 		if room := rapid.IntRange(20, 60).Draw(t, "room"); len(s.append(nil, room)) > max(room, 14) {
 			t.Fatalf("%d bytes of %d", len(s.append(nil, room)), room)
 		}
-		if _, err := read(append(b, make([]byte, MaxNote)...), fleet); err == nil {
+		if _, err := read(append(b, make([]byte, MaxDatagramBytes)...), fleet); err == nil {
 			t.Fatal("a long one is read")
 		}
 	})
@@ -44,23 +44,23 @@
 
 // No bytes end the process or change who is taken for alive at once.
 func FuzzHeard(f *testing.F) {
-	l := New(Config{Me: 1, Fleet: 5, Seed: 1})
-	f.Add(l.note(0, section{flags: flagAsk, nonce: 3}, Room))
-	f.Add(l.note(0, section{flags: flagAsk | flagFor, about: 2, facts: []fact{{2, Away, true, 1, 7}}}, Room))
+	l := New(Config{Self: 1, FleetSize: 5, Seed: 1})
+	f.Add(l.note(0, section{flags: flagAsk, nonce: 3}, MaxPiggybackBytes))
+	f.Add(l.note(0, section{flags: flagAsk | flagFor, about: 2, facts: []fact{{2, Dead, true, 1, 7}}}, MaxPiggybackBytes))
 	f.Add([]byte{0xff, 0, 0, 0, 0, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		l := New(Config{Me: 0, Fleet: 5, Seed: 1})
+		l := New(Config{Self: 0, FleetSize: 5, Seed: 1})
 		l.Tick(0)
 		for range 3 {
-			out, _ := l.Heard(time.Millisecond, 1, b)
+			out, _ := l.Receive(time.Millisecond, 1, b)
 			for _, o := range out {
-				if len(o.Note) > MaxNote || o.To < 0 || o.To > 4 || o.To == 0 {
+				if len(o.Payload) > MaxDatagramBytes || o.To < 0 || o.To > 4 || o.To == 0 {
 					t.Fatalf("answers %+v", o)
 				}
 			}
 		}
 		for n := range 5 {
-			if l.State(n) == Away {
+			if l.State(n) == Dead {
 				t.Fatalf("one note takes %d away", n)
 			}
 		}
@@ -82,14 +82,14 @@
 	m := &machine{inc: map[[2]int]uint32{}}
 	for i := range n {
 		m.up = append(m.up, true)
-		m.lists = append(m.lists, New(Config{Me: i, Fleet: n, Seed: int64(i) + 1}))
+		m.lists = append(m.lists, New(Config{Self: i, FleetSize: n, Seed: int64(i) + 1}))
 	}
 	return m
 }
 
-func (m *machine) put(from int, out []Out) {
+func (m *machine) put(from int, out []Datagram) {
 	for _, o := range out {
-		m.ways = append(m.ways, append([]byte{byte(o.To), byte(from)}, o.Note...))
+		m.ways = append(m.ways, append([]byte{byte(o.To), byte(from)}, o.Payload...))
 	}
 }
 
@@ -99,8 +99,8 @@
 	}
 	l := m.lists[i]
 	m.put(i, l.Tick(m.now))
-	for _, t := range l.Turn(m.now, 10) {
-		m.put(i, []Out{{t.To, l.Section(t, Room)}})
+	for _, t := range l.GossipTargets(m.now, 10) {
+		m.put(i, []Datagram{{t.To, l.Section(t, MaxPiggybackBytes)}})
 	}
 }
 
@@ -115,7 +115,7 @@
 		m.ways = append(m.ways[:k:k], m.ways[k+1:]...)
 	}
 	if to := int(w[0]); m.up[to] {
-		out, _ := m.lists[to].Heard(m.now, int(w[1]), w[2:])
+		out, _ := m.lists[to].Receive(m.now, int(w[1]), w[2:])
 		m.put(to, out)
 	}
 }
@@ -164,7 +164,7 @@
 	}
 	for i, l := range m.lists {
 		for n := range m.lists {
-			if s := l.State(n); m.up[i] && i != n && (m.up[n] && s != Alive || !m.up[n] && s < Away) {
+			if s := l.State(n); m.up[i] && i != n && (m.up[n] && s != Alive || !m.up[n] && s < Dead) {
 				t.Fatalf("healed for %d periods, relay %d takes %d (up: %v) for %v: %s", periods, i, n, m.up[n], s, l.all[n].why)
 			}
 		}
@@ -194,7 +194,7 @@
 			"start": func(t *rapid.T) {
 				i := rapid.IntRange(0, n-1).Draw(t, "relay")
 				m.lives++
-				m.up[i], m.lists[i] = true, New(Config{Me: i, Fleet: n, Seed: int64(100 + m.lives)})
+				m.up[i], m.lists[i] = true, New(Config{Self: i, FleetSize: n, Seed: int64(100 + m.lives)})
 				for k := range m.inc {
 					if k[0] == i {
 						delete(m.inc, k) // a new process remembers nothing
@@ -240,7 +240,7 @@
 				case what == 8:
 					m.up[1] = false
 				case what == 9:
-					m.up[1], m.lists[1] = true, New(Config{Me: 1, Fleet: 3, Seed: int64(1000 + len(prefix))})
+					m.up[1], m.lists[1] = true, New(Config{Self: 1, FleetSize: 3, Seed: int64(1000 + len(prefix))})
 					for k := range m.inc {
 						if k[0] == 1 {
 							delete(m.inc, k)
--- a/internal/peers/members/note.go
+++ b/internal/peers/members/note.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// MaxNote is the most bytes of a note.
-const MaxNote = 256
+// MaxDatagramBytes is the most bytes of a note.
+const MaxDatagramBytes = 256
 
 // Flags of a section.
 const (
@@ -42,11 +42,11 @@
 
 // Reasons why a note changes nothing.
 var (
-	ErrNote   = errors.New("members: can't be read")
-	ErrNobody = errors.New("members: from nobody of the fleet")
-	ErrOld    = errors.New("members: not newer than the last")
-	ErrFlood  = errors.New("members: too many notes")
-	ErrOther  = errors.New("members: of an earlier process, or of a second one under this number")
+	ErrMalformed     = errors.New("members: can't be read")
+	ErrUnknownSender = errors.New("members: from nobody of the fleet")
+	ErrStale         = errors.New("members: not newer than the last")
+	ErrRateLimited   = errors.New("members: too many notes")
+	ErrOtherProcess  = errors.New("members: of an earlier process, or of a second one under this number")
 )
 
 // append writes the section, with as many facts as there is room for in all.
@@ -79,8 +79,8 @@
 
 // read reads a section of a fleet of so many.
 func read(b []byte, fleet int) (s section, err error) {
-	if len(b) < 6 || len(b) > MaxNote {
-		return s, ErrNote
+	if len(b) < 6 || len(b) > MaxDatagramBytes {
+		return s, ErrMalformed
 	}
 	s.flags, s.life, s.seq, s.zone = b[0], b[1], binary.BigEndian.Uint16(b[2:]), b[4]
 	b = b[5:]
@@ -122,7 +122,7 @@
 		s.facts = append(s.facts, f)
 	}
 	if bad {
-		return section{}, ErrNote
+		return section{}, ErrMalformed
 	}
 	return s, nil
 }
@@ -130,12 +130,12 @@
 // Section writes what goes out about membership to one relay, in so many bytes at most.
 func (l *List) Section(to Target, room int) []byte {
 	var s section
-	if to.Ask {
+	if to.Ping {
 		l.nonce++
 		s.flags, s.nonce = flagAsk, l.nonce
 		l.recent <<= 1
 		l.questions = append(l.questions, question{to: to.To, nonce: l.nonce, at: l.now, origin: -1})
-		l.counts.Asked++
+		l.counts.Probes++
 	}
 	return l.note(to.To, s, room)
 }
@@ -144,7 +144,7 @@
 func (l *List) note(to int, s section, room int) []byte {
 	l.seq++
 	s.life, s.seq, s.inc, s.zone = l.life, l.seq, l.inc, uint8(l.set.Zone)
-	if l.Deaf() {
+	if l.Isolated() {
 		s.flags |= flagDeaf
 	}
 	if l.leaving {
@@ -159,7 +159,7 @@
 	}
 	most := max(0, (room-16)/5-len(s.facts))
 	add := func(n int) {
-		if n != to && n != l.set.Me {
+		if n != to && n != l.set.Self {
 			s.facts = append(s.facts, l.fact(n))
 		}
 		most--
--- a/internal/peers/members/view.go
+++ b/internal/peers/members/view.go
@@ -9,40 +9,40 @@
 	Zone        int // NoZone: not known
 	Incarnation uint32
 	Since       Time
-	Why         string
+	Reason      string
 }
 
 // ZoneView is one zone as a view shows it.
 type ZoneView struct {
 	Zone          int
-	Members, Away int
-	Doubted       int  // away, or suspect
-	Cut           bool // most of it is away at once: it is cut off, or lost as a whole
+	Members, Dead int
+	DeadOrSuspect int  // away, or suspect
+	CutOff        bool // most of it is away at once: it is cut off, or lost as a whole
 }
 
 // View is who is taken for what at a moment. It does not change any more.
 type View struct {
-	At      Time
-	Self    int
-	Version uint64
-	Deaf    bool // this relay hears nobody, and doubts itself
-	Rival   bool // another process speaks under its number
-	Sharing int  // members that may be calling
-	Members []Member
-	Zones   []ZoneView
-	Counts  Counts
+	At              Time
+	Self            int
+	Version         uint64
+	Isolated        bool // this relay hears nobody, and doubts itself
+	DuplicateNumber bool // another process speaks under its number
+	PossibleCallers int  // members that may be calling
+	Members         []Member
+	Zones           []ZoneView
+	Counts          Counts
 }
 
 // View tells who is taken for what.
 func (l *List) View(now Time) *View {
 	l.advance(now)
-	v := &View{At: l.now, Self: l.set.Me, Version: l.version, Deaf: l.Deaf(), Rival: l.Rival(), Counts: l.counts, Members: make([]Member, len(l.all))}
+	v := &View{At: l.now, Self: l.set.Self, Version: l.version, Isolated: l.Isolated(), DuplicateNumber: l.DuplicateNumber(), Counts: l.counts, Members: make([]Member, len(l.all))}
 	zones := l.zones()
 	for i := range l.all {
 		m := &l.all[i]
 		v.Members[i] = Member{i, m.state, int(m.zone), m.inc, m.since, m.why}
-		if m.state == Away && zones[m.zone].Cut {
-			v.Members[i].Why += "; so are most of its zone: cut off or lost as a whole"
+		if m.state == Dead && zones[m.zone].CutOff {
+			v.Members[i].Reason += "; so are most of its zone: cut off or lost as a whole"
 		}
 	}
 	for _, z := range zones {
@@ -50,12 +50,12 @@
 			v.Zones = append(v.Zones, z)
 		}
 	}
-	v.Sharing = l.share(zones)
+	v.PossibleCallers = l.share(zones)
 	return v
 }
 
-// Sharing is how many members may be calling, this one counted. It is worked out anew some times in a second at most.
-func (l *List) Sharing(now Time) int {
+// PossibleCallers is how many members may be calling, this one counted. It is worked out anew some times in a second at most.
+func (l *List) PossibleCallers(now Time) int {
 	l.advance(now)
 	if l.now-l.countedAt >= Period || l.countedAt == 0 {
 		l.countedAt = l.now
@@ -70,16 +70,16 @@
 		z.Zone = int(l.all[i].zone)
 		z.Members++
 		switch l.all[i].state {
-		case Away:
-			z.Away++
-			z.Doubted++
+		case Dead:
+			z.Dead++
+			z.DeadOrSuspect++
 		case Suspect:
-			z.Doubted++
+			z.DeadOrSuspect++
 		}
 	}
 	for i := range zones[:NoZone] {
 		z := &zones[i]
-		z.Cut = z.Away >= 2 && 2*z.Away > z.Members
+		z.CutOff = z.Dead >= 2 && 2*z.Dead > z.Members
 	}
 	return zones
 }
@@ -94,15 +94,15 @@
 		switch {
 		case m.state == Left && l.now-m.since > leftOn:
 			gone++
-		case m.state == Away && m.inc > 0: // one that nobody has heard of may call all the same
+		case m.state == Dead && m.inc > 0: // one that nobody has heard of may call all the same
 			// Risk: a zone that is heard and hears nothing falls into doubt one by one, and goes on calling.
-			if away++; l.now-max(m.since, m.signAt, m.heardAt) > patience && !zones[m.zone].Cut && zones[m.zone].Doubted <= 1+zones[m.zone].Members/doubtShare {
+			if away++; l.now-max(m.since, m.signAt, m.heardAt) > patience && !zones[m.zone].CutOff && zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/doubtShare {
 				gone++
 			}
 		}
 	}
 	want := len(l.all) - gone
-	if cutShare*away > len(l.all) || l.Deaf() {
+	if cutShare*away > len(l.all) || l.Isolated() {
 		want = len(l.all)
 	}
 	if want >= l.sharing {
@@ -123,23 +123,23 @@
 	cutOn    = time.Minute      // the same where many are away at once, who may live out of sight
 )
 
-// Placed tells of each member whether it is counted among those that share endpoints. That goes slower than who lives: a restart changes nothing.
-func (l *List) Placed(now Time) []bool {
+// PlacementEligible tells of each member whether it is counted among those that share endpoints. That goes slower than who lives: a restart changes nothing.
+func (l *List) PlacementEligible(now Time) []bool {
 	l.advance(now)
 	zones, away, all := l.zones(), 0, make([]bool, len(l.all))
 	for i := range l.all {
-		if l.all[i].state == Away {
+		if l.all[i].state == Dead {
 			away++
 		}
 	}
 	for i := range l.all {
 		m := &l.all[i]
 		patience := placedOn
-		if cutShare*away > len(l.all) || zones[m.zone].Cut {
+		if cutShare*away > len(l.all) || zones[m.zone].CutOff {
 			patience = cutOn
 		}
-		gone := m.state == Left && l.now-m.since > leftOn || m.state == Away && m.inc > 0 && l.now-max(m.since, m.signAt, m.heardAt) > patience
-		all[i] = !gone || l.Deaf()
+		gone := m.state == Left && l.now-m.since > leftOn || m.state == Dead && m.inc > 0 && l.now-max(m.since, m.signAt, m.heardAt) > patience
+		all[i] = !gone || l.Isolated()
 	}
 	return all
 }
--- a/internal/peers/pace.go
+++ b/internal/peers/pace.go
@@ -48,12 +48,12 @@
 }
 
 // book adds what one relay counted in a span that began at since.
-func (p *pace) book(since time.Duration, c Count) {
+func (p *pace) book(since time.Duration, c DestinationCounts) {
 	if p.cutAt > 0 && since < p.cutAt {
 		return // some of these calls were made before the cut
 	}
-	p.calls += c.Taken + c.Refused
-	p.refused += c.Refused
+	p.calls += c.Accepted + c.Rejected
+	p.refused += c.Rejected
 }
 
 // changed begins to count anew.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -23,8 +23,8 @@
 
 // Bounds of the notes.
 const (
-	MaxNote = members.MaxNote // bytes; the platform takes none that is longer
-	Least   = 8               // relays; a smaller fleet sees enough by itself, and tells nothing
+	MaxDatagramBytes = members.MaxDatagramBytes // bytes; the platform takes none that is longer
+	MinFleetSize     = 8                        // relays; a smaller fleet sees enough by itself, and tells nothing
 
 	turn      = 600 * time.Millisecond // from one note of a relay to its next, in the mean
 	fan       = 10                     // relays that it goes to
@@ -43,15 +43,15 @@
 	waitUnit  = 100 * time.Millisecond
 )
 
-// Count is what became of messages and calls for one destination.
-type Count struct {
-	Wanted  int // messages that came in
-	Taken   int // calls that were taken
-	Refused int // calls that were turned away
-	Failed  int // calls that did not come through, or had no answer
+// DestinationCounts is what became of messages and calls for one destination.
+type DestinationCounts struct {
+	Arrived  int // messages that came in
+	Accepted int // calls that were taken
+	Rejected int // calls that were turned away
+	Failed   int // calls that did not come through, or had no answer
 
-	Allowed float64       // calls a second that the relay allows itself; 0: any
-	Wait    time.Duration // that it was told to keep, and still has to
+	Allowed    float64       // calls a second that the relay allows itself; 0: any
+	RetryAfter time.Duration // that it was told to keep, and still has to
 }
 
 // account is what one relay told, or saw, of a span that ended at at.
@@ -59,16 +59,16 @@
 	from   int
 	at     time.Duration
 	span   time.Duration
-	counts map[int]Count
+	counts map[int]DestinationCounts
 }
 
-// Pool gathers what one relay sees and what it hears.
-type Pool struct {
+// Gossiper gathers what one relay sees and what it hears.
+type Gossiper struct {
 	me, fleet int
 	rng       *rand.Rand
 	life      uint8 // tells this life's notes from an earlier one's
 	seq       uint16
-	mine      map[int]Count
+	mine      map[int]DestinationCounts
 	paces     map[int]*pace
 	since     time.Duration // when mine began
 	next      time.Duration
@@ -88,9 +88,9 @@
 }
 
 // New returns a pool for relay me of a fleet. A fleet that is too small to need it, or of no sensible size, tells and hears nothing.
-func New(me, fleet int, seed int64) *Pool {
+func New(me, fleet int, seed int64) *Gossiper {
 	rng := rand.New(rand.NewPCG(uint64(seed), 0x9ee2))
-	p := &Pool{me: me, fleet: fleet, rng: rng, life: uint8(rng.Uint32()), mine: map[int]Count{}, paces: map[int]*pace{}, last: map[int]mark{}}
+	p := &Gossiper{me: me, fleet: fleet, rng: rng, life: uint8(rng.Uint32()), mine: map[int]DestinationCounts{}, paces: map[int]*pace{}, last: map[int]mark{}}
 	if me < 0 || me >= fleet || fleet > math.MaxUint16 {
 		p.fleet = 0 // what does not fit together is no fleet
 	}
@@ -98,64 +98,64 @@
 	return p
 }
 
-// Join has the pool ask who lives, from its first note on. zone is this relay's own. seed has to differ from that of any other process under this
+// EnableMembership has the pool ask who lives, from its first note on. zone is this relay's own. seed has to differ from that of any other process under this
 // relay's number: it is what tells their notes apart.
-func (p *Pool) Join(zone int, seed int64) {
+func (p *Gossiper) EnableMembership(zone int, seed int64) {
 	if p.fleet > 1 {
-		p.list = members.New(members.Config{Me: p.me, Fleet: p.fleet, Zone: zone, Seed: seed})
+		p.list = members.New(members.Config{Self: p.me, FleetSize: p.fleet, Zone: zone, Seed: seed})
 	}
 }
 
 // Members is who lives, as far as this relay knows; nil: it is not asked.
-func (p *Pool) Members() *members.List { return p.list }
+func (p *Gossiper) Members() *members.List { return p.list }
 
 // counts tells whether the fleet is large enough for counts to be worth their bytes.
-func (p *Pool) counts() bool { return p.fleet >= Least }
+func (p *Gossiper) counts() bool { return p.fleet >= MinFleetSize }
 
 // Active tells whether the pool tells and hears anything.
-func (p *Pool) Active() bool { return p.counts() || p.list != nil }
+func (p *Gossiper) Active() bool { return p.counts() || p.list != nil }
 
-// Wanted books a message that came in.
-func (p *Pool) Wanted(dest int) {
+// RecordArrival books a message that came in.
+func (p *Gossiper) RecordArrival(dest int) {
 	c := p.mine[dest]
-	c.Wanted++
+	c.Arrived++
 	p.mine[dest] = c
 }
 
-// End is how a call ended.
-type End int
+// CallResult is how a call ended.
+type CallResult int
 
 // The ends of a call.
 const (
-	Taken   End = iota // whatever became of it then
-	Refused            // turned away
-	Failed             // it did not come through, or had no answer
+	Accepted CallResult = iota // whatever became of it then
+	Rejected                   // turned away
+	Failed                     // it did not come through, or had no answer
 )
 
-// Ended books the end of a call.
-func (p *Pool) Ended(dest int, how End) {
+// RecordCall books the end of a call.
+func (p *Gossiper) RecordCall(dest int, how CallResult) {
 	c := p.mine[dest]
 	switch how {
-	case Taken:
-		c.Taken++
-	case Refused:
-		c.Refused++
+	case Accepted:
+		c.Accepted++
+	case Rejected:
+		c.Rejected++
 	case Failed:
 		c.Failed++
 	}
 	p.mine[dest] = c
 }
 
-// Next is when the pool wants to tell again.
-func (p *Pool) Next() time.Duration {
+// NextTick is when the pool wants to tell again.
+func (p *Gossiper) NextTick() time.Duration {
 	if p.list != nil {
-		return min(p.next, p.list.Next())
+		return min(p.next, p.list.NextTick())
 	}
 	return p.next
 }
 
-// Turn returns what goes out now, to whom, and whether that was a turn, behind which News is to be asked; nothing before Next.
-func (p *Pool) Turn(now time.Duration) (out []members.Out, turned bool) {
+// Tick returns what goes out now, to whom, and whether that was a turn, behind which News is to be asked; nothing before Next.
+func (p *Gossiper) Tick(now time.Duration) (out []members.Datagram, turned bool) {
 	if p.list != nil {
 		out = bareNotes(p.list.Tick(now))
 	}
@@ -163,10 +163,10 @@
 		return out, false
 	}
 	out = append(out, p.tellWords()...)
-	note, to := p.Tell(now)
+	note, to := p.Report(now)
 	if p.list == nil {
 		for _, n := range to {
-			out = append(out, members.Out{To: n, Note: note})
+			out = append(out, members.Datagram{To: n, Payload: note})
 		}
 		return out, true
 	}
@@ -174,81 +174,81 @@
 	if note == nil {
 		most = quietFan
 	}
-	for _, t := range p.list.Turn(now, most) {
-		if note == nil || p.list.State(t.To) >= members.Away { // counts are of no use to one that does not hear
-			out = append(out, members.Out{To: t.To, Note: append([]byte{bare}, p.list.Section(t, members.Room)...)})
+	for _, t := range p.list.GossipTargets(now, most) {
+		if note == nil || p.list.State(t.To) >= members.Dead { // counts are of no use to one that does not hear
+			out = append(out, members.Datagram{To: t.To, Payload: append([]byte{bare}, p.list.Section(t, members.MaxPiggybackBytes)...)})
 			continue
 		}
-		about := p.list.Section(t, min(members.Room, MaxNote-2-len(note)))
-		out = append(out, members.Out{To: t.To, Note: slices.Concat([]byte{both, byte(len(about))}, about, note)})
+		about := p.list.Section(t, min(members.MaxPiggybackBytes, MaxDatagramBytes-2-len(note)))
+		out = append(out, members.Datagram{To: t.To, Payload: slices.Concat([]byte{both, byte(len(about))}, about, note)})
 	}
 	return out, true
 }
 
-func bareNotes(out []members.Out) []members.Out {
+func bareNotes(out []members.Datagram) []members.Datagram {
 	for i, o := range out {
-		out[i].Note = append([]byte{bare}, o.Note...)
+		out[i].Payload = append([]byte{bare}, o.Payload...)
 	}
 	return out
 }
 
 // Leave has the fleet told, with the next note and at once, that this relay ends or is empty; Stay takes it back.
-func (p *Pool) Leave(now time.Duration) {
+func (p *Gossiper) Leave(now time.Duration) {
 	if p.list != nil {
 		p.list.Leave(now)
 		p.next = now
 	}
 }
 
-// Stay takes it back.
-func (p *Pool) Stay(now time.Duration) {
+// CancelLeave takes it back.
+func (p *Gossiper) CancelLeave(now time.Duration) {
 	if p.list != nil {
-		p.list.Stay(now)
+		p.list.CancelLeave(now)
 		p.next = now
 	}
 }
 
-// Sharing is how many relays may be calling; 0: nobody asks.
-func (p *Pool) Sharing(now time.Duration) int {
+// PossibleCallers is how many relays may be calling; 0: nobody asks.
+func (p *Gossiper) PossibleCallers(now time.Duration) int {
 	if p.list == nil {
 		return 0
 	}
-	return p.list.Sharing(now)
+	return p.list.PossibleCallers(now)
 }
 
-// Hear takes any note of another relay, and returns what goes out at once.
-func (p *Pool) Hear(now time.Duration, from int, note []byte) (out []members.Out, err error) {
+// Receive takes any note of another relay, and returns what goes out at once.
+func (p *Gossiper) Receive(now time.Duration, from int, note []byte) (out []members.Datagram, err error) {
 	switch {
-	case len(note) == 0 || len(note) > MaxNote:
+	case len(note) == 0 || len(note) > MaxDatagramBytes:
 		return nil, errNote
 	case note[0] == version || note[0] == waiting:
-		return nil, p.Heard(now, from, note)
+		return nil, p.ReceiveCounts(now, from, note)
 	case note[0] == ofSites && p.Active():
 		return nil, p.hearWords(now, from, note)
 	case p.list == nil || note[0] != bare && note[0] != both:
 		return nil, errNote
 	case note[0] == bare:
-		out, err = p.list.Heard(now, from, note[1:])
+		out, err = p.list.Receive(now, from, note[1:])
 		return bareNotes(out), err
 	case len(note) < 2 || len(note) < 2+int(note[1]):
 		return nil, errNote
 	}
 	about, counts := note[2:2+int(note[1])], note[2+int(note[1]):]
-	if out, err = p.list.Heard(now, from, about); err == nil && p.counts() {
-		err = p.Heard(now, from, counts)
+	if out, err = p.list.Receive(now, from, about); err == nil && p.counts() {
+		err = p.ReceiveCounts(now, from, counts)
 	}
 	return bareNotes(out), err
 }
 
-// Tell returns the note of counts that is due and the numbers of the relays that it goes to; none before its time.
-func (p *Pool) Tell(now time.Duration) (note []byte, to []int) {
+// Report returns the note of counts that is due and the numbers of the relays that it goes to; none before its time.
+func (p *Gossiper) Report(now time.Duration) (note []byte, to []int) {
 	if !p.Active() || now < p.next {
 		return nil, nil
 	}
 	p.next = now + turn/2 + time.Duration(p.rng.Int64N(int64(turn)))
 	a := account{from: p.me, at: now, span: min(now-p.since, longest), counts: p.mine}
 	p.booked(now, now-p.since)
-	p.mine, p.since = map[int]Count{}, now
+	p.mine, p.since = map[int]DestinationCounts{}, now
 	for d, v := range p.paces {
 		if v.tells() {
 			c := a.counts[d]
@@ -262,13 +262,13 @@
 	}
 	p.seq++
 	if p.list != nil {
-		return encode(p.life, p.seq, a, MaxNote-2-leastRoom), nil
+		return encode(p.life, p.seq, a, MaxDatagramBytes-2-leastRoom), nil
 	}
-	return encode(p.life, p.seq, a, MaxNote), p.draw()
+	return encode(p.life, p.seq, a, MaxDatagramBytes), p.draw()
 }
 
 // quietOf tells whether the last notes of this relay told of nothing either.
-func (p *Pool) quietOf(now time.Duration) bool {
+func (p *Gossiper) quietOf(now time.Duration) bool {
 	for _, a := range p.all {
 		if a.from == p.me && a.at > now-memory && a.at < now && len(a.counts) > 0 {
 			return false
@@ -278,7 +278,7 @@
 }
 
 // draw picks some other relays.
-func (p *Pool) draw() (to []int) {
+func (p *Gossiper) draw() (to []int) {
 	for len(to) < min(fan, p.fleet-1) {
 		if n := p.rng.IntN(p.fleet); n != p.me && !slices.Contains(to, n) {
 			to = append(to, n)
@@ -287,9 +287,9 @@
 	return to
 }
 
-// Heard takes a note of counts of another relay. One that can't be read, is not newer than the last of its sender, or comes from nobody of the
+// ReceiveCounts takes a note of counts of another relay. One that can't be read, is not newer than the last of its sender, or comes from nobody of the
 // fleet, changes nothing.
-func (p *Pool) Heard(now time.Duration, from int, note []byte) error {
+func (p *Gossiper) ReceiveCounts(now time.Duration, from int, note []byte) error {
 	if !p.counts() {
 		return errIdle
 	}
@@ -320,7 +320,7 @@
 )
 
 // keep remembers an account and forgets what is old.
-func (p *Pool) keep(a account) {
+func (p *Gossiper) keep(a account) {
 	old := 0
 	for old < len(p.all) && p.all[old].at < a.at-memory {
 		old++
@@ -333,13 +333,13 @@
 	}
 }
 
-// News is what the relays heard of see in the mean, in order of destinations, and what each may make of it. It comes once after each Tell; nothing
+// FleetAverages is what the relays heard of see in the mean, in order of destinations, and what each may make of it. It comes once after each Tell; nothing
 // is told while fewer than a few relays are heard of. wall is the time of day, by which turns go.
-func (p *Pool) News(now time.Duration, wall time.Time) (out []policy.Usual) {
+func (p *Gossiper) FleetAverages(now time.Duration, wall time.Time) (out []policy.Usual) {
 	relays, spans := map[int]bool{}, 0.0
 	told := map[int][]said{} // by destination, one of each relay
 	for _, a := range p.all {
-		if a.at < now-memory || p.list != nil && a.from != p.me && p.list.State(a.from) >= members.Away {
+		if a.at < now-memory || p.list != nil && a.from != p.me && p.list.State(a.from) >= members.Dead {
 			continue
 		}
 		relays[a.from] = true
@@ -348,7 +348,7 @@
 			told[d] = add(told[d], a, c, now)
 		}
 	}
-	if len(relays) < Least/2 || spans <= 0 {
+	if len(relays) < MinFleetSize/2 || spans <= 0 {
 		return nil
 	}
 	p.looks++
@@ -375,7 +375,7 @@
 	}
 	maps.DeleteFunc(p.paces, func(_ int, own *pace) bool { return now-own.seen > forgotten })
 	maps.DeleteFunc(p.sharing.down, func(_ int, at time.Duration) bool { return now-at > forgotten })
-	maps.DeleteFunc(p.sharing.shown, func(_ int, o Shown) bool { return now-o.At > forgotten })
+	maps.DeleteFunc(p.sharing.shown, func(_ int, o DestinationStatus) bool { return now-o.At > forgotten })
 	slices.SortFunc(out, func(a, b policy.Usual) int { return a.Destination - b.Destination })
 	return out
 }
@@ -385,7 +385,7 @@
 func encode(life uint8, seq uint16, a account, room int) []byte {
 	b := []byte{version, life}
 	for _, c := range a.counts {
-		if c.Wait > 0 {
+		if c.RetryAfter > 0 {
 			b[0] = waiting
 		}
 	}
@@ -401,7 +401,7 @@
 	for _, d := range dests {
 		c := a.counts[d]
 		one := binary.AppendUvarint(nil, uint64(d))
-		rare := []int{c.Failed, int(math.Round(c.Allowed * allowUnit)), int(c.Wait / waitUnit)}
+		rare := []int{c.Failed, int(math.Round(c.Allowed * allowUnit)), int(c.RetryAfter / waitUnit)}
 		if b[0] == version {
 			rare = rare[:2]
 		}
@@ -409,7 +409,7 @@
 		for _, n := range rare {
 			has |= min(1, n)
 		}
-		for _, n := range append([]int{c.Wanted, c.Taken, c.Refused<<1 | has}, rare[:len(rare)*has]...) {
+		for _, n := range append([]int{c.Arrived, c.Accepted, c.Rejected<<1 | has}, rare[:len(rare)*has]...) {
 			one = binary.AppendUvarint(one, uint64(n))
 		}
 		if len(b)+len(one) > room {
@@ -421,10 +421,10 @@
 }
 
 func decode(b []byte) (life uint8, seq uint16, a account, err error) {
-	if len(b) < 5 || len(b) > MaxNote || b[0] != version && b[0] != waiting {
+	if len(b) < 5 || len(b) > MaxDatagramBytes || b[0] != version && b[0] != waiting {
 		return 0, 0, a, errNote
 	}
-	a.span, a.counts = time.Duration(b[4])*50*time.Millisecond, map[int]Count{}
+	a.span, a.counts = time.Duration(b[4])*50*time.Millisecond, map[int]DestinationCounts{}
 	life, seq = b[1], binary.BigEndian.Uint16(b[2:4])
 	if a.span > longest {
 		return 0, 0, a, errNote
@@ -451,7 +451,7 @@
 		if _, twice := a.counts[int(v[0])]; twice || len(a.counts) >= most {
 			return 0, 0, a, errNote
 		}
-		a.counts[int(v[0])] = Count{int(v[1]), int(v[2]), int(v[3]), int(v[4]), float64(v[5]) / allowUnit, time.Duration(v[6]) * waitUnit}
+		a.counts[int(v[0])] = DestinationCounts{int(v[1]), int(v[2]), int(v[3]), int(v[4]), float64(v[5]) / allowUnit, time.Duration(v[6]) * waitUnit}
 	}
 	return life, seq, a, nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -11,7 +11,7 @@
 const s = time.Second
 
 // fleet is as many pools, each told of the others.
-func fleet(n int) (all []*Pool) {
+func fleet(n int) (all []*Gossiper) {
 	for i := range n {
 		all = append(all, New(i, n, int64(i)+1))
 	}
@@ -22,17 +22,17 @@
 func TestTells(t *testing.T) {
 	firsts := map[time.Duration]bool{}
 	for _, p := range fleet(80) {
-		firsts[p.Next().Truncate(turn/20)] = true
-		if note, to := p.Tell(p.Next() - 1); note != nil || to != nil {
+		firsts[p.NextTick().Truncate(turn/20)] = true
+		if note, to := p.Report(p.NextTick() - 1); note != nil || to != nil {
 			t.Fatal("told before its time")
 		}
-		p.Wanted(3)
-		p.Wanted(3)
-		p.Ended(3, Taken)
-		p.Ended(7, Refused)
-		p.Ended(9, Failed)
-		at := p.Next()
-		note, to := p.Tell(at)
+		p.RecordArrival(3)
+		p.RecordArrival(3)
+		p.RecordCall(3, Accepted)
+		p.RecordCall(7, Rejected)
+		p.RecordCall(9, Failed)
+		at := p.NextTick()
+		note, to := p.Report(at)
 		seen := map[int]bool{p.me: true}
 		for _, n := range to {
 			if seen[n] || n < 0 || n >= 80 {
@@ -41,10 +41,10 @@
 			seen[n] = true
 		}
 		_, _, a, err := decode(note)
-		if err != nil || len(to) != fan || a.counts[3] != (Count{Wanted: 2, Taken: 1}) || a.counts[7] != (Count{Refused: 1}) || a.counts[9] != (Count{Failed: 1}) {
+		if err != nil || len(to) != fan || a.counts[3] != (DestinationCounts{Arrived: 2, Accepted: 1}) || a.counts[7] != (DestinationCounts{Rejected: 1}) || a.counts[9] != (DestinationCounts{Failed: 1}) {
 			t.Fatalf("%v, %v: %+v", to, err, a)
 		}
-		if gap := p.Next() - at; gap < turn/2 || gap > turn*3/2 {
+		if gap := p.NextTick() - at; gap < turn/2 || gap > turn*3/2 {
 			t.Fatalf("next after %v", gap)
 		}
 	}
@@ -58,17 +58,17 @@
 	p := New(0, 80, 1)
 	for d := range 500 {
 		for range 300 {
-			p.Wanted(d)
+			p.RecordArrival(d)
 		}
-		p.Ended(d, Failed)
+		p.RecordCall(d, Failed)
 	}
-	note, _ := p.Tell(p.Next())
+	note, _ := p.Report(p.NextTick())
 	_, _, a, err := decode(note)
-	if len(note) > MaxNote || len(note) < MaxNote-20 || err != nil || len(a.counts) < 30 {
+	if len(note) > MaxDatagramBytes || len(note) < MaxDatagramBytes-20 || err != nil || len(a.counts) < 30 {
 		t.Fatalf("%d bytes, %d destinations, %v", len(note), len(a.counts), err)
 	}
 	for d, c := range a.counts {
-		if c != (Count{Wanted: 300, Failed: 1}) {
+		if c != (DestinationCounts{Arrived: 300, Failed: 1}) {
 			t.Fatalf("destination %d: %+v", d, c)
 		}
 	}
@@ -78,13 +78,13 @@
 func TestHeard(t *testing.T) {
 	all := fleet(9)
 	p, from := all[0], all[1]
-	from.Ended(4, Refused)
-	first, _ := from.Tell(from.Next())
-	from.Ended(4, Refused)
-	second, _ := from.Tell(from.Next())
+	from.RecordCall(4, Rejected)
+	first, _ := from.Report(from.NextTick())
+	from.RecordCall(4, Rejected)
+	second, _ := from.Report(from.NextTick())
 	again := New(1, 9, 77)
-	again.Ended(4, Refused)
-	anew, _ := again.Tell(again.Next())
+	again.RecordCall(4, Rejected)
+	anew, _ := again.Report(again.NextTick())
 	entries := func() int { return len(p.all) }
 	for _, c := range []struct {
 		name string
@@ -101,7 +101,7 @@
 		{"of a minute", 2, append([]byte{version, 1, 0, 1, 255}, second[5:]...), false},
 	} {
 		was := entries()
-		if err := p.Heard(s, c.from, c.note); (err == nil) != c.take || (entries() > was) != c.take {
+		if err := p.ReceiveCounts(s, c.from, c.note); (err == nil) != c.take || (entries() > was) != c.take {
 			t.Errorf("%s: %v, %d entries after %d", c.name, err, entries(), was)
 		}
 	}
@@ -109,20 +109,20 @@
 
 // Numbers that do not fit together, and fleets that see enough by themselves, tell and hear nothing; nor does what is remembered grow.
 func TestNoFleet(t *testing.T) {
-	for _, c := range [][2]int{{0, 0}, {0, 1}, {0, Least - 1}, {-1, 80}, {80, 80}, {3, -5}, {0, 1 << 40}} {
+	for _, c := range [][2]int{{0, 0}, {0, 1}, {0, MinFleetSize - 1}, {-1, 80}, {80, 80}, {3, -5}, {0, 1 << 40}} {
 		p := New(c[0], c[1], 1)
-		p.Wanted(1)
-		if note, to := p.Tell(time.Hour); p.Active() || note != nil || to != nil || p.Heard(0, 2, []byte{1}) == nil || p.News(time.Hour, time.Time{}) != nil {
+		p.RecordArrival(1)
+		if note, to := p.Report(time.Hour); p.Active() || note != nil || to != nil || p.ReceiveCounts(0, 2, []byte{1}) == nil || p.FleetAverages(time.Hour, time.Time{}) != nil {
 			t.Errorf("relay %d of %d is active", c[0], c[1])
 		}
 	}
 	all := fleet(200)
 	for now := time.Duration(0); now < 30*s; now += 100 * time.Millisecond {
 		for _, p := range all[:20] {
-			p.Wanted(1)
-			note, _ := p.Tell(now)
+			p.RecordArrival(1)
+			note, _ := p.Report(now)
 			if note != nil {
-				all[199].Heard(now, p.me, note)
+				all[199].ReceiveCounts(now, p.me, note)
 			}
 		}
 	}
@@ -137,25 +137,25 @@
 	p := all[0]
 	for _, o := range all[1:40] {
 		for range 4 {
-			o.Wanted(2)
+			o.RecordArrival(2)
 		}
-		o.Ended(2, Taken)
-		o.Ended(2, Refused)
+		o.RecordCall(2, Accepted)
+		o.RecordCall(2, Rejected)
 		o.since = 0
 		o.next = 2 * s
-		note, _ := o.Tell(2 * s)
-		if o.me == 2 && p.News(2*s, time.Time{}) != nil {
+		note, _ := o.Report(2 * s)
+		if o.me == 2 && p.FleetAverages(2*s, time.Time{}) != nil {
 			t.Fatal("news of one relay")
 		}
-		if err := p.Heard(2*s, o.me, note); err != nil {
+		if err := p.ReceiveCounts(2*s, o.me, note); err != nil {
 			t.Fatal(err)
 		}
 	}
-	news := p.News(2*s, time.Time{})
+	news := p.FleetAverages(2*s, time.Time{})
 	if len(news) != 1 || news[0].Wanted != 2 || news[0].Taken != 0.5 || news[0].Refused != 0.5 || news[0].Calls != 78 {
 		t.Fatalf("%+v", news)
 	}
-	if news := p.News(2*s+memory+1, time.Time{}); news != nil {
+	if news := p.FleetAverages(2*s+memory+1, time.Time{}); news != nil {
 		t.Fatalf("old news: %+v", news)
 	}
 }
@@ -263,27 +263,27 @@
 	for i := range 60 {
 		now := time.Duration(i+1) * 100 * time.Millisecond
 		for _, o := range all[1:5] {
-			o.mine, o.next = map[int]Count{}, now
+			o.mine, o.next = map[int]DestinationCounts{}, now
 			for range 40 {
 				dest++
-				o.Ended(dest, Refused)
+				o.RecordCall(dest, Rejected)
 			}
-			if note, _ := o.Tell(now); p.Heard(now, o.me, note) != nil {
+			if note, _ := o.Report(now); p.ReceiveCounts(now, o.me, note) != nil {
 				t.Fatal("a note is not taken")
 			}
 		}
-		p.News(now, time.Time{})
+		p.FleetAverages(now, time.Time{})
 	}
 	if n := len(p.paces); n == 0 || n > mostPaces {
 		t.Fatalf("%d allowances kept of %d destinations", n, dest)
 	}
 	now := 10 * time.Minute
 	for _, o := range all[1:5] {
-		o.mine, o.next = map[int]Count{1: {Taken: 1}}, now
-		note, _ := o.Tell(now)
-		p.Heard(now, o.me, note)
+		o.mine, o.next = map[int]DestinationCounts{1: {Accepted: 1}}, now
+		note, _ := o.Report(now)
+		p.ReceiveCounts(now, o.me, note)
 	}
-	if p.News(now, time.Time{}); len(p.paces) != 1 {
+	if p.FleetAverages(now, time.Time{}); len(p.paces) != 1 {
 		t.Fatalf("%d allowances kept of one destination", len(p.paces))
 	}
 }
--- a/internal/peers/route_test.go
+++ b/internal/peers/route_test.go
@@ -24,9 +24,9 @@
 	}
 	p := New(0, 80, 1)
 	for id := range 30 {
-		p.Ended(RouteKey(fmt.Sprintf("s-%08x", id)), Refused)
+		p.RecordCall(RouteKey(fmt.Sprintf("s-%08x", id)), Rejected)
 	}
-	note, _ := p.Tell(p.Next())
+	note, _ := p.Report(p.NextTick())
 	if _, _, a, err := decode(note); err != nil || len(a.counts) != 30 {
 		t.Fatalf("%d of 30 routes told in %d bytes, %v", len(a.counts), len(note), err)
 	}
@@ -37,7 +37,7 @@
 	p, now := &pace{}, time.Duration(0)
 	look := func(taken, refused int) float64 {
 		now += settle
-		p.book(now-settle/2, Count{Taken: taken, Refused: refused})
+		p.book(now-settle/2, DestinationCounts{Accepted: taken, Rejected: refused})
 		span := settle.Seconds()
 		return p.follow(now, policy.Usual{Taken: float64(taken) / span, Refused: float64(refused) / span, Wanted: 4, Calls: taken + refused}, 0, 0, false)
 	}
@@ -58,7 +58,7 @@
 	if look(1, 0) <= cut {
 		t.Fatal("not raised after three calls that were taken")
 	}
-	p.book(p.cutAt-1, Count{Refused: 50})
+	p.book(p.cutAt-1, DestinationCounts{Rejected: 50})
 	if p.refused != 0 {
 		t.Fatal("calls made before a cut count against what it allows")
 	}
--- a/internal/peers/targets.go
+++ b/internal/peers/targets.go
@@ -6,15 +6,15 @@
 	"oatfold/policy"
 )
 
-// Targets knows under which number a relay tells others of an endpoint: its destination's, or where routes are separate one of its
+// ReportKeys knows under which number a relay tells others of an endpoint: its destination's, or where routes are separate one of its
 // own. The zero value knows no separate routes. It belongs to the goroutine that the Pool does.
-type Targets struct {
+type ReportKeys struct {
 	endpoints map[int]string // by the number of a route
 	routes    map[int][]int  // numbers of a destination's routes; none: they share a limit
 }
 
 // Add takes in an endpoint of a destination whose routes are separate.
-func (t *Targets) Add(endpoint string, dest int) {
+func (t *ReportKeys) Add(endpoint string, dest int) {
 	if t.endpoints == nil {
 		t.endpoints, t.routes = map[int]string{}, map[int][]int{}
 	}
@@ -26,7 +26,7 @@
 }
 
 // Remove forgets an endpoint that has left the list.
-func (t *Targets) Remove(endpoint string, dest int) {
+func (t *ReportKeys) Remove(endpoint string, dest int) {
 	key := RouteKey(endpoint)
 	if t.endpoints[key] != endpoint {
 		return
@@ -38,16 +38,16 @@
 	}
 }
 
-// Of is the number for calls to an endpoint.
-func (t *Targets) Of(endpoint string, dest int) int {
+// Key is the number for calls to an endpoint.
+func (t *ReportKeys) Key(endpoint string, dest int) int {
 	if key := RouteKey(endpoint); t.endpoints[key] != "" {
 		return key
 	}
 	return dest
 }
 
-// Wanted calls f with each number that a message for a destination counts under.
-func (t *Targets) Wanted(dest int, f func(target int)) {
+// EachKey calls f with each number that a message for a destination counts under.
+func (t *ReportKeys) EachKey(dest int, f func(target int)) {
 	if len(t.routes[dest]) == 0 {
 		f(dest)
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// Name puts the endpoint into news of a route.
-func (t *Targets) Name(news []policy.Usual) {
+// ResolveEndpoints puts the endpoint into news of a route.
+func (t *ReportKeys) ResolveEndpoints(news []policy.Usual) {
 	for i := range news {
 		news[i].Endpoint = t.endpoints[news[i].Destination]
 	}
--- a/internal/peers/turn_test.go
+++ b/internal/peers/turn_test.go
@@ -8,10 +8,10 @@
 )
 
 // joined is a fleet whose relays ask who lives as well.
-func joined(n int) (all []*Pool) {
+func joined(n int) (all []*Gossiper) {
 	all = fleet(n)
 	for i, p := range all {
-		p.Join(i%3, int64(i)+1)
+		p.EnableMembership(i%3, int64(i)+1)
 	}
 	return all
 }
@@ -24,45 +24,45 @@
 		p := all[0]
 		for d := range dests {
 			for range 300 {
-				p.Wanted(d)
+				p.RecordArrival(d)
 			}
 		}
-		out, turned := p.Turn(p.next)
+		out, turned := p.Tick(p.next)
 		if !turned || len(out) < fan {
 			t.Fatalf("%d notes, turned %v", len(out), turned)
 		}
 		for _, o := range out {
-			if len(o.Note) > MaxNote || o.Note[0] != both {
-				t.Fatalf("a note of %d bytes, form %d", len(o.Note), o.Note[0])
+			if len(o.Payload) > MaxDatagramBytes || o.Payload[0] != both {
+				t.Fatalf("a note of %d bytes, form %d", len(o.Payload), o.Payload[0])
 			}
 			other := all[o.To]
-			if _, err := other.Hear(time.Second, 0, o.Note); err != nil {
+			if _, err := other.Receive(time.Second, 0, o.Payload); err != nil {
 				t.Fatal(err)
 			}
-			if len(other.all) != 1 || len(other.all[0].counts) != min(dests, len(other.all[0].counts)) || other.all[0].counts[0].Wanted != 300 {
+			if len(other.all) != 1 || len(other.all[0].counts) != min(dests, len(other.all[0].counts)) || other.all[0].counts[0].Arrived != 300 {
 				t.Fatalf("heard %+v", other.all)
 			}
 			if other.Members().View(time.Second).Members[0].Incarnation != 1 {
 				t.Fatal("the sender is not known")
 			}
-			if _, err := other.Hear(time.Second, 0, o.Note); err == nil {
+			if _, err := other.Receive(time.Second, 0, o.Payload); err == nil {
 				t.Fatal("heard the same note twice")
 			}
-			for cut := range o.Note {
-				joined(20)[1].Hear(time.Second, 0, o.Note[:cut]) // any length is borne
+			for cut := range o.Payload {
+				joined(20)[1].Receive(time.Second, 0, o.Payload[:cut]) // any length is borne
 			}
-			if _, err := fleet(20)[o.To].Hear(time.Second, 0, o.Note); err == nil {
+			if _, err := fleet(20)[o.To].Receive(time.Second, 0, o.Payload); err == nil {
 				t.Fatal("taken by one that asks nobody")
 			}
 		}
 	}
 	plain, p := fleet(20)[1], joined(20)[0]
-	plain.Wanted(3)
-	note, _ := plain.Tell(plain.Next())
-	if _, err := p.Hear(time.Second, 1, note); err != nil || len(p.all) != 1 {
+	plain.RecordArrival(3)
+	note, _ := plain.Report(plain.NextTick())
+	if _, err := p.Receive(time.Second, 1, note); err != nil || len(p.all) != 1 {
 		t.Fatalf("the older form: %v", err)
 	}
-	if _, err := p.Hear(time.Second, 1, nil); err == nil {
+	if _, err := p.Receive(time.Second, 1, nil); err == nil {
 		t.Fatal("an empty note is taken")
 	}
 }
@@ -72,18 +72,18 @@
 	for _, n := range []int{3, 20} {
 		p := joined(n)[0]
 		if n == 3 {
-			p.Wanted(1)
+			p.RecordArrival(1)
 		}
-		out, turned := p.Turn(p.next)
+		out, turned := p.Tick(p.next)
 		if !turned || len(out) != min(n-1, quietFan) {
 			t.Fatalf("%d relays: %d notes", n, len(out))
 		}
 		for _, o := range out {
-			if o.Note[0] != bare || len(o.Note) > 40 {
-				t.Errorf("%d relays: form %d, %d bytes", n, o.Note[0], len(o.Note))
+			if o.Payload[0] != bare || len(o.Payload) > 40 {
+				t.Errorf("%d relays: form %d, %d bytes", n, o.Payload[0], len(o.Payload))
 			}
 		}
-		if p.News(time.Second, time.Time{}) != nil {
+		if p.FleetAverages(time.Second, time.Time{}) != nil {
 			t.Error("news out of nothing")
 		}
 	}
@@ -97,42 +97,42 @@
 	for now < 60*members.Period {
 		now += members.Period / 10
 		for i, q := range all {
-			if i == 9 && now > 20*members.Period || now < q.Next() {
+			if i == 9 && now > 20*members.Period || now < q.NextTick() {
 				continue
 			}
-			q.Wanted(1)
-			out, _ := q.Turn(now)
+			q.RecordArrival(1)
+			out, _ := q.Tick(now)
 			for len(out) > 0 {
 				o := out[0]
 				out = out[1:]
 				if o.To == 9 && now > 20*members.Period {
 					continue
 				}
-				more, _ := all[o.To].Hear(now, i, o.Note)
+				more, _ := all[o.To].Receive(now, i, o.Payload)
 				for _, m := range more {
 					if m.To != 9 || now <= 20*members.Period {
-						all[m.To].Hear(now, o.To, m.Note)
+						all[m.To].Receive(now, o.To, m.Payload)
 					}
 				}
 			}
 		}
 	}
-	if s := p.Members().State(9); s != members.Away {
+	if s := p.Members().State(9); s != members.Dead {
 		t.Fatalf("the dead one is %v", s)
 	}
-	p.keep(account{from: 9, at: now, span: time.Second, counts: map[int]Count{77: {Wanted: 1000}}})
-	for _, u := range p.News(now, time.Time{}) {
+	p.keep(account{from: 9, at: now, span: time.Second, counts: map[int]DestinationCounts{77: {Arrived: 1000}}})
+	for _, u := range p.FleetAverages(now, time.Time{}) {
 		if u.Destination == 77 {
 			t.Error("the dead one's counts are in the news")
 		}
 	}
-	p.Wanted(1)
+	p.RecordArrival(1)
 	for range 40 {
 		now = p.next
-		p.Wanted(1)
-		out, _ := p.Turn(now)
+		p.RecordArrival(1)
+		out, _ := p.Tick(now)
 		for _, o := range out {
-			if o.To == 9 && o.Note[0] != bare {
+			if o.To == 9 && o.Payload[0] != bare {
 				t.Error("counts go to one that does not hear")
 			}
 		}
--- a/internal/peers/words.go
+++ b/internal/peers/words.go
@@ -16,29 +16,29 @@
 	wholeIs  = 200
 )
 
-// Word is what a relay says of a zone by calls of its own.
-type Word struct {
-	Zone  int
-	Level float64 // part of its load that it gives the zone; 0: nothing gets through
+// SiteReport is what a relay says of a zone by calls of its own.
+type SiteReport struct {
+	Zone         int
+	LoadFraction float64 // part of its load that it gives the zone; 0: nothing gets through
 }
 
 // words is what is told and heard of sites.
 type words struct {
-	mine  []Word
+	mine  []SiteReport
 	heard map[int]heardWords // by relay
 	seq   uint16
 }
 
 type heardWords struct {
 	mark
-	all []Word
+	all []SiteReport
 }
 
-// Words has the pool tell this of sites from now on; none: nothing is told.
-func (p *Pool) Words(mine []Word) { p.words.mine = mine }
+// SetSiteReports has the pool tell this of sites from now on; none: nothing is told.
+func (p *Gossiper) SetSiteReports(mine []SiteReport) { p.words.mine = mine }
 
 // tellWords returns the notes about sites that go with a turn.
-func (p *Pool) tellWords() (out []members.Out) {
+func (p *Gossiper) tellWords() (out []members.Datagram) {
 	w := &p.words
 	if len(w.mine) == 0 || p.fleet < 2 {
 		return nil
@@ -47,7 +47,7 @@
 	note := binary.BigEndian.AppendUint16([]byte{ofSites, p.life}, w.seq)
 	for _, one := range w.mine[:min(len(w.mine), mostWord)] {
 		if one.Zone >= 0 && one.Zone <= 255 {
-			note = append(note, byte(one.Zone), byte(max(0, min(wholeIs, one.Level*wholeIs))))
+			note = append(note, byte(one.Zone), byte(max(0, min(wholeIs, one.LoadFraction*wholeIs))))
 		}
 	}
 	to := map[int]bool{}
@@ -57,13 +57,13 @@
 			continue
 		}
 		to[n] = true
-		out = append(out, members.Out{To: n, Note: note})
+		out = append(out, members.Datagram{To: n, Payload: note})
 	}
 	return out
 }
 
 // hearWords takes a note about sites.
-func (p *Pool) hearWords(now time.Duration, from int, note []byte) error {
+func (p *Gossiper) hearWords(now time.Duration, from int, note []byte) error {
 	if from < 0 || from >= p.fleet || from == p.me {
 		return errNobody
 	}
@@ -75,7 +75,7 @@
 		if b[1] > wholeIs {
 			return errNote
 		}
-		h.all = append(h.all, Word{int(b[0]), float64(b[1]) / wholeIs})
+		h.all = append(h.all, SiteReport{int(b[0]), float64(b[1]) / wholeIs})
 	}
 	if was, known := p.words.heard[from]; known && was.life == h.life && int16(h.seq-was.seq) <= 0 {
 		return errOld
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// Said calls f for what each relay said of sites lately.
-func (p *Pool) Said(now time.Duration, f func(Word)) {
+// EachSiteReport calls f for what each relay said of sites lately.
+func (p *Gossiper) EachSiteReport(now time.Duration, f func(SiteReport)) {
 	for from, h := range p.words.heard {
 		if now-h.at > wordFor {
 			delete(p.words.heard, from)
--- a/internal/wire/choices.go
+++ b/internal/wire/choices.go
@@ -16,7 +16,7 @@
 
 // Choices is what this relay made of what it knows of the fleet, as operators see it.
 type Choices struct {
-	Set          choice.Set
+	Set          choice.Options
 	Me           int
 	Place        int // -1: not known
 	Live         int
@@ -35,24 +35,24 @@
 // DestinationState is what was last made of a destination's news.
 type DestinationState struct {
 	Dest int
-	peers.Shown
+	peers.DestinationStatus
 }
 
 // updateSubsets tells the module which endpoints it keeps connections to, where that has changed.
 func (h *Host) updateSubsets(now policy.Time) {
-	for _, s := range h.pool.Subsets(now) {
+	for _, s := range h.pool.ChangedSubsets(now) {
 		h.pending = append(h.pending, s)
 	}
-	if h.pool.Shares().Any() && now >= h.choicesAt+choicesInterval {
+	if h.pool.Choices().Any() && now >= h.choicesAt+choicesInterval {
 		h.choicesAt = now
 		h.choices.Store(h.buildChoices(now))
 	}
 }
 
 func (h *Host) buildChoices(now policy.Time) *Choices {
-	c := &Choices{Set: h.pool.Shares(), Me: h.among.Me, At: now}
+	c := &Choices{Set: h.pool.Choices(), Me: h.among.Me, At: now}
 	c.Place, c.Live = h.pool.Place()
-	h.pool.Kept(func(dest int, mine []choice.Endpoint, of int) bool {
+	h.pool.EachSubset(func(dest int, mine []choice.Endpoint, of int) bool {
 		if len(c.Subsets) == maxChoices {
 			c.Omitted++
 			return c.Omitted < maxChoices // no more than it takes to say that there are many
@@ -60,7 +60,7 @@
 		c.Subsets = append(c.Subsets, Subset{dest, of, mine})
 		return true
 	})
-	for dest, s := range h.pool.Shown() {
+	for dest, s := range h.pool.DestinationStatuses() {
 		c.Destinations = append(c.Destinations, DestinationState{dest, s})
 	}
 	slices.SortFunc(c.Subsets, func(a, b Subset) int { return a.Dest - b.Dest })
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -14,17 +14,17 @@
 
 // share tells others what this relay saw, when that is due, and the module what all see.
 func (h *Host) share(now policy.Time) {
-	if !h.pool.Active() || h.quiet || now < h.pool.Next() {
+	if !h.pool.Active() || h.quiet || now < h.pool.NextTick() {
 		return
 	}
-	out, turned := h.pool.Turn(now)
+	out, turned := h.pool.Tick(now)
 	h.sendGossip(out)
 	h.updateMembersView(now)
 	if !turned {
 		return
 	}
-	news := policy.FleetNews{Usual: h.pool.News(now, time.Now()), Senders: h.pool.Sharing(now)}
-	h.targets.Name(news.Usual)
+	news := policy.FleetNews{Usual: h.pool.FleetAverages(now, time.Now()), Senders: h.pool.PossibleCallers(now)}
+	h.targets.ResolveEndpoints(news.Usual)
 	if len(news.Usual) > 0 || news.Senders != h.sharing { // no step for news of nothing
 		h.sharing, h.pending = news.Senders, append(h.pending, news)
 	}
@@ -42,13 +42,13 @@
 	how := peers.Failed
 	switch e.results[0].outcome {
 	case policy.Delivered, policy.Errored:
-		how = peers.Taken
+		how = peers.Accepted
 	case policy.Rejected:
-		how = peers.Refused
+		how = peers.Rejected
 	case policy.Unsent:
 		return // it tells nothing of the destination
 	}
-	h.pool.Ended(h.targets.Of(e.call.endpoint.id, e.call.endpoint.dest), how)
+	h.pool.RecordCall(h.targets.Key(e.call.endpoint.id, e.call.endpoint.dest), how)
 }
 
 func (h *Host) step(now policy.Time) {
@@ -58,7 +58,7 @@
 			continue // over before the module heard of it
 		}
 		if m.Attempts == 0 {
-			h.targets.Wanted(m.Dest, h.pool.Wanted)
+			h.targets.EachKey(m.Dest, h.pool.RecordArrival)
 		}
 		h.pending = append(h.pending, arrived(m, wall))
 	}
@@ -136,7 +136,7 @@
 			Kind: h.kinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
 	}
 	h.pending = append(h.pending, whole)
-	h.pool.Again()
+	h.pool.ResendSubsets()
 	if h.watch != nil {
 		h.pending = append(h.pending, policy.Sites{Reach: h.watch})
 	}
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -44,7 +44,7 @@
 		h.log.Warn("pool config has entries that can't be read", "count", pc.Skipped, "generation", pc.Generation)
 	}
 	h.pending = append(h.pending, news)
-	h.pool.List(news)
+	h.pool.UpdateEndpoints(news)
 	if h.watch != nil {
 		h.watch.List(news)
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -48,10 +48,10 @@
 	table       *memory.Table
 	journal     *journal.Journal
 	log         *slog.Logger
-	pool        *peers.Pool   // what this relay tells others and hears of them
-	notes       *GossipSocket // nil: it tells none
-	sharing     int           // relays that may be calling, as the module was told last; 0: nothing
-	among       Among         // what it is among the relays
+	pool        *peers.Gossiper // what this relay tells others and hears of them
+	notes       *GossipSocket   // nil: it tells none
+	sharing     int             // relays that may be calling, as the module was told last; 0: nothing
+	among       Among           // what it is among the relays
 	view        atomic.Pointer[members.View]
 	viewAt      policy.Time // when that was made
 	choices     atomic.Pointer[Choices]
@@ -85,7 +85,7 @@
 	endpoints map[string]*endpoint
 	gates     map[int]*backoff
 	routes    map[string]*backoff // of routes apart that have left the list and still bind
-	targets   peers.Targets
+	targets   peers.ReportKeys
 	calls     map[*call]struct{}
 	kindOf    map[string]policy.Kind
 	classes   map[string]policy.Class // by name, as the settings have them now
@@ -147,7 +147,7 @@
 type Among struct {
 	Me      int  // its number
 	Members bool // it asks who lives
-	Choices choice.Set
+	Choices choice.Options
 	Zone    int // members.NoZone: not known
 }
 
@@ -360,7 +360,7 @@
 		at = min(at, e.At())
 	}
 	if h.pool.Active() && !h.quiet {
-		at = min(at, h.pool.Next())
+		at = min(at, h.pool.NextTick())
 	}
 	if len(h.unsent) > 0 {
 		at = min(at, h.now()+h.set.Tick)
@@ -395,7 +395,7 @@
 		h.listed, h.firstBy = true, 0
 		h.applyEndpointList(e.EndpointList, kind)
 	case gossipReceived:
-		out, err := h.pool.Hear(h.now(), e.from, e.payload)
+		out, err := h.pool.Receive(h.now(), e.from, e.payload)
 		if err != nil {
 			h.log.Debug("note not taken", "from", e.from, "err", err)
 		}
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -19,13 +19,13 @@
 	h.pool = peers.New(among.Me, len(h.notes.peers), h.seed)
 	if among.Members {
 		// Guards against a configuration that gives two processes one seed: the second would be taken for the first one's old notes.
-		h.pool.Join(among.Zone, h.seed^h.start.UnixNano())
+		h.pool.EnableMembership(among.Zone, h.seed^h.start.UnixNano())
 	}
-	h.pool.Choose(among.Choices)
+	h.pool.EnableChoices(among.Choices)
 }
 
 // sendGossip hands notes over to the socket.
-func (h *Host) sendGossip(out []members.Out) {
+func (h *Host) sendGossip(out []members.Datagram) {
 	for _, o := range out {
 		h.notes.enqueue(o)
 	}
@@ -60,13 +60,13 @@
 // publishMembersView puts a view in place of the last one, and warns where this relay has begun to doubt itself.
 func (h *Host) publishMembersView(v *members.View) {
 	was := h.view.Swap(v)
-	if was != nil && was.Deaf == v.Deaf && was.Rival == v.Rival {
+	if was != nil && was.Isolated == v.Isolated && was.DuplicateNumber == v.DuplicateNumber {
 		return
 	}
-	if v.Deaf {
+	if v.Isolated {
 		h.log.Warn("no other relay is heard: this one may be cut off")
 	}
-	if v.Rival {
+	if v.DuplicateNumber {
 		h.log.Error("another process speaks under this relay's number", "number", h.among.Me)
 	}
 }
@@ -77,7 +77,7 @@
 	if c.To == members.Suspect || c.From == members.Suspect && c.To == members.Alive {
 		level = slog.LevelDebug // a doubt that may pass
 	}
-	h.log.Log(h.watching, level, "member", "number", c.Number, "state", c.To.String(), "was", c.From.String(), "incarnation", c.Incarnation, "why", c.Why)
+	h.log.Log(h.watching, level, "member", "number", c.Number, "state", c.To.String(), "was", c.From.String(), "incarnation", c.Incarnation, "why", c.Reason)
 }
 
 // Members is the latest view of the fleet; nil: who lives is not asked. Anyone may call it: it waits for nothing.
@@ -89,7 +89,7 @@
 		if on {
 			h.pool.Leave(h.now())
 		} else {
-			h.pool.Stay(h.now())
+			h.pool.CancelLeave(h.now())
 		}
 	})
 }
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -41,9 +41,9 @@
 // Whoever reads of a change in the log finds it in the view, also where the change comes right behind an earlier view.
 func TestLoggedChangeIsInTheView(t *testing.T) {
 	other := peers.New(1, 2, 2)
-	other.Join(0, 2)
+	other.EnableMembership(0, 2)
 	h := &Host{pool: peers.New(0, 2, 1), watching: context.Background()}
-	h.pool.Join(0, 1)
+	h.pool.EnableMembership(0, 1)
 	var logged []string
 	h.log = slog.New(memberLogHandler{quiet.Handler(), func(number int64, state string) {
 		logged = append(logged, state)
@@ -52,9 +52,9 @@
 		}
 	}})
 	hear := func(now policy.Time) {
-		out, _ := other.Turn(now)
+		out, _ := other.Tick(now)
 		for _, o := range out {
-			if _, err := h.pool.Hear(now, 1, o.Note); err != nil {
+			if _, err := h.pool.Receive(now, 1, o.Payload); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/wire/notes.go
+++ b/internal/wire/notes.go
@@ -27,13 +27,13 @@
 type GossipSocket struct {
 	sock  *net.UDPConn
 	peers []netip.AddrPort
-	queue chan members.Out
+	queue chan members.Datagram
 	log   *slog.Logger
 }
 
 // ListenGossip opens the socket at listen. all holds the address of each relay, by number.
 func ListenGossip(listen string, all []string, log *slog.Logger) (*GossipSocket, error) {
-	n := &GossipSocket{queue: make(chan members.Out, gossipQueueSize), log: log}
+	n := &GossipSocket{queue: make(chan members.Datagram, gossipQueueSize), log: log}
 	for _, a := range all {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -60,7 +60,7 @@
 	for i, at := range n.peers {
 		who[at] = i
 	}
-	buf := make([]byte, 4*peers.MaxNote)
+	buf := make([]byte, 4*peers.MaxDatagramBytes)
 	for {
 		size, from, err := n.sock.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -73,7 +73,7 @@
 			continue
 		}
 		i, known := who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !known || size > peers.MaxNote {
+		if !known || size > peers.MaxDatagramBytes {
 			n.log.Debug("note of nobody", "from", from, "bytes", size)
 			continue
 		}
@@ -84,14 +84,14 @@
 // sendLoop writes what the host has put out. It does so on a goroutine of its own: the host never waits for a socket.
 func (n *GossipSocket) sendLoop() {
 	for o := range n.queue {
-		if _, err := n.sock.WriteToUDPAddrPort(o.Note, n.peers[o.To]); err != nil {
+		if _, err := n.sock.WriteToUDPAddrPort(o.Payload, n.peers[o.To]); err != nil {
 			n.log.Debug("note not sent", "to", o.To, "err", err)
 		}
 	}
 }
 
 // enqueue hands a note over, or drops it.
-func (n *GossipSocket) enqueue(o members.Out) {
+func (n *GossipSocket) enqueue(o members.Datagram) {
 	select {
 	case n.queue <- o:
 	default:
--- a/internal/wire/notes_test.go
+++ b/internal/wire/notes_test.go
@@ -40,9 +40,9 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("stranger"))
-	socks[2].enqueue(members.Out{To: 1, Note: make([]byte, peers.MaxNote+1)})
-	socks[0].enqueue(members.Out{To: 1, Note: []byte("hello")})
-	socks[0].enqueue(members.Out{To: 2, Note: []byte("hello")})
+	socks[2].enqueue(members.Datagram{To: 1, Payload: make([]byte, peers.MaxDatagramBytes+1)})
+	socks[0].enqueue(members.Datagram{To: 1, Payload: []byte("hello")})
+	socks[0].enqueue(members.Datagram{To: 2, Payload: []byte("hello")})
 	for _, events := range heard[1:] {
 		select {
 		case e := <-events:
@@ -57,7 +57,7 @@
 		t.Error("told itself")
 	}
 	for range 2 * gossipQueueSize { // never blocks, however many
-		socks[1].enqueue(members.Out{To: 1, Note: []byte("x")})
+		socks[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
 		if _, err := ListenGossip(bad, all, quiet); err == nil && bad != "" {
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -84,7 +84,7 @@
 			if m.Number == v.Self || m.Zone >= len(h.zones) {
 				continue
 			}
-			if relays[h.zones[m.Zone]]++; m.State < members.Away {
+			if relays[h.zones[m.Zone]]++; m.State < members.Dead {
 				alive[h.zones[m.Zone]]++
 			}
 		}
@@ -106,21 +106,21 @@
 // exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
 func (h *Host) exchangeSiteReports(now policy.Time) {
 	lost, levels := map[int]int{}, map[int][]float64{}
-	h.pool.Said(now, func(one peers.Word) {
-		if one.Level == 0 {
+	h.pool.EachSiteReport(now, func(one peers.SiteReport) {
+		if one.LoadFraction == 0 {
 			lost[one.Zone]++
 		} else {
-			levels[one.Zone] = append(levels[one.Zone], one.Level)
+			levels[one.Zone] = append(levels[one.Zone], one.LoadFraction)
 		}
 	})
-	var mine []peers.Word
+	var mine []peers.SiteReport
 	for z, name := range h.zones {
 		h.watch.Said(name, lost[z], levels[z])
 		if level, ok := h.watch.Word(name); ok {
-			mine = append(mine, peers.Word{Zone: z, Level: level})
+			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	h.pool.Words(mine)
+	h.pool.SetSiteReports(mine)
 }
 
 // recordSiteResult tells the watch how a call ended.
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -107,7 +107,7 @@
 	if wait <= 0 {
 		return
 	}
-	h.pool.Told(h.now(), h.targets.Of(ep.id, ep.dest), wait)
+	h.pool.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
 	if h.giving != nil {
 		h.waits = append(h.waits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.date(wait)})
 	}
