--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -316,9 +316,9 @@
 		live := all(12)
 		c.UpdatePlaces(AssignPlaces(live, seed))
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			kind := rapid.SampledFrom([]policy.ListKind{policy.ListChanges, policy.ListChanges, policy.ListWhole, policy.ListUnavailable}).Draw(t, "kind")
-			news := policy.ListNews{Kind: kind}
-			if kind == policy.ListWhole {
+			kind := rapid.SampledFrom([]policy.ListUpdateKind{policy.ListChanges, policy.ListChanges, policy.ListSnapshot, policy.ListUnavailable}).Draw(t, "kind")
+			news := policy.EndpointListUpdate{Kind: kind}
+			if kind == policy.ListSnapshot {
 				clear(listed)
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "entries") {
--- a/internal/choice/keeper.go
+++ b/internal/choice/keeper.go
@@ -36,7 +36,7 @@
 }
 
 // UpdateEndpoints takes list news in.
-func (c *SubsetTracker) UpdateEndpoints(news policy.ListNews) {
+func (c *SubsetTracker) UpdateEndpoints(news policy.EndpointListUpdate) {
 	if c.k == 0 || news.Kind == policy.ListUnavailable {
 		return
 	}
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:1" || c.MemoryBytes != 192e6 || c.DiskBytes != 3e6 ||
-		c.ConnectTimeout != 1500*time.Millisecond || c.Settings.Slots != 4 || len(c.Settings.Classes) != 3 ||
-		c.Settings.Classes[1].Window != 5*time.Second || c.Settings.Kinds[0].Batch != 5 || c.Seed == 0 {
+		c.ConnectTimeout != 1500*time.Millisecond || c.Settings.MaxConcurrentCalls != 4 || len(c.Settings.Classes) != 3 ||
+		c.Settings.Classes[1].RepeatWindow != 5*time.Second || c.Settings.Kinds[0].MaxBatch != 5 || c.Seed == 0 {
 		t.Errorf("%+v", c)
 	}
 	c, err = load(t, func(s string) string {
--- a/internal/daemon/config/names_test.go
+++ b/internal/daemon/config/names_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := c.Settings.Kinds[1]; k.Batch != 1 || k.SeparateRoutes {
+	if k := c.Settings.Kinds[1]; k.MaxBatch != 1 || k.SeparateRoutes {
 		t.Errorf("%+v", k)
 	}
 }
--- a/internal/daemon/config/settings.go
+++ b/internal/daemon/config/settings.go
@@ -38,18 +38,18 @@
 	}
 	lim, g, fam := doc.Get("policyLimits"), doc.Get("guarantees"), doc.Get("familyInfo")
 	s = policy.Settings{
-		Senders: int(doc.Get("fleetSize").Int()), Slots: int(fam.Get("callSlots").Int()),
-		MaxHeld: int(lim.Get("maxOpen").Int()), MaxAttempts: int(lim.Get("maxAttempts").Int()),
-		AskForList: doc.Get("discovery").Str == "ask", AskWithin: us(g.Get("askWithinUs")),
-		RetryAdvice: lim.Get("retryAfter").Bool(), MaxRetryAdvice: us(lim.Get("maxRetryAfterUs")),
-		Tick: us(doc.Get("tickUs")), ConnIdle: us(lim.Get("connIdleUs")), ColdFrom: g.Get("coldFrom").Float(),
-		ColdTime: us(g.Get("coldUs")), OverloadFactor: g.Get("overloadFactor").Float(),
-		OverloadTime: us(g.Get("fallUs")), KeyQuiet: us(g.Get("keyQuietUs")),
-		Alone:          lim.Get("peers").Type == gjson.False,
-		OverShareWorth: doc.Get("overShareWorth").Float(), HalvingWorth: fam.Get("decay").Str == "halving",
+		Relays: int(doc.Get("fleetSize").Int()), MaxConcurrentCalls: int(fam.Get("callSlots").Int()),
+		MaxPending: int(lim.Get("maxOpen").Int()), MaxAttempts: int(lim.Get("maxAttempts").Int()),
+		MustSubscribe: doc.Get("discovery").Str == "ask", MaxSubscribeInterval: us(g.Get("askWithinUs")),
+		SendRetryAfter: lim.Get("retryAfter").Bool(), MaxRetryAfter: us(lim.Get("maxRetryAfterUs")),
+		Tick: us(doc.Get("tickUs")), IdleConnTimeout: us(lim.Get("connIdleUs")), ColdStartShare: g.Get("coldFrom").Float(),
+		WarmUpTime: us(g.Get("coldUs")), OverloadFactor: g.Get("overloadFactor").Float(),
+		OverloadTime: us(g.Get("fallUs")), KeyQuietTime: us(g.Get("keyQuietUs")),
+		NoGossip:       lim.Get("peers").Type == gjson.False,
+		OverQuotaValue: doc.Get("overShareWorth").Float(), ExponentialDecay: fam.Get("decay").Str == "halving",
 	}
 	if me := doc.Get("me"); me.Type == gjson.Number {
-		s.Turns = pacing.New(int(me.Int()), s.Senders)
+		s.TimeSlots = pacing.New(int(me.Int()), s.Relays)
 	}
 	weights := doc.Get("weightSource").Str
 	s.RatesListed = weights == "nominal" || weights == "rough"
@@ -60,9 +60,9 @@
 			return s, nil, fmt.Errorf("class %q has unknown effect %q", name, c.Get("effect").Str)
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: name, Effect: effect,
-			ZoneOnly: effect == policy.Keyed && c.Get("group").Str != "all", Window: us(c.Get("repeatWindowUs")),
-			Ordered: c.Get("inTurn").Bool(), Aim: us(c.Get("promiseUs")), Deadline: us(c.Get("deadlineUs")),
-			Worth: c.Get("credit").Float(), LateWorth: c.Get("lateValue").Float()})
+			ZoneOnly: effect == policy.Keyed && c.Get("group").Str != "all", RepeatWindow: us(c.Get("repeatWindowUs")),
+			Ordered: c.Get("inTurn").Bool(), TargetLatency: us(c.Get("promiseUs")), Deadline: us(c.Get("deadlineUs")),
+			Value: c.Get("credit").Float(), LateValue: c.Get("lateValue").Float()})
 	}
 	for _, t := range doc.Get("tenants").Array() {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Get("name").Str, Share: t.Get("share").Float(),
@@ -70,9 +70,9 @@
 	}
 	batch, apart, fees := fam.Get("batchByKind").Array(), fam.Get("separateRoutes").Array(), fam.Get("feeByZone").Array()
 	for i, name := range doc.Get("kinds").Array() {
-		k := policy.Kind{Name: name.Str, Batch: 1}
+		k := policy.Kind{Name: name.Str, MaxBatch: 1}
 		if i < len(batch) {
-			k.Batch = int(batch[i].Int())
+			k.MaxBatch = int(batch[i].Int())
 		}
 		if i < len(apart) {
 			k.SeparateRoutes = apart[i].Bool()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 	if c.Admin != "" {
 		own += admin.Most + 1 + besides
 	}
-	rest := max(2, c.Sockets-own-c.Settings.Slots)
+	rest := max(2, c.Sockets-own-c.Settings.MaxConcurrentCalls)
 	idle = min(c.Sockets/4, rest/3)
 	return max(1, min(c.Sockets/2, rest-idle)), idle
 }
@@ -368,7 +368,7 @@
 	if err := r.room.Say(rooms.Serving); err != nil {
 		r.log.Warn("the state folder takes no word: an upgrade won't be seen", "err", err)
 	}
-	r.log.Info("ready", "name", r.c.Name, "listen", r.c.Listen, "discovery", r.c.Discovery, "slots", r.c.Settings.Slots, "held_most", r.c.Settings.MaxHeld)
+	r.log.Info("ready", "name", r.c.Name, "listen", r.c.Listen, "discovery", r.c.Discovery, "slots", r.c.Settings.MaxConcurrentCalls, "held_most", r.c.Settings.MaxPending)
 	if leaving {
 		r.inheriting.Store(true)
 		work.Go(successor.follow)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -143,6 +143,6 @@
 	if clients, _ := sockets(c); front != nil {
 		front.Configure(&c.Settings, clients)
 	}
-	log.Info("reloaded", "discovery", c.Discovery, "slots", c.Settings.Slots, "held_most", c.Settings.MaxHeld)
+	log.Info("reloaded", "discovery", c.Discovery, "slots", c.Settings.MaxConcurrentCalls, "held_most", c.Settings.MaxPending)
 	return c
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, err := wire.NewHost(wire.HostConfig{Settings: policy.Settings{Senders: 1, Slots: 1, MaxHeld: 9, MaxAttempts: 1, Tick: 1,
-		Classes: []policy.Class{{Name: "fee", Effect: policy.Unsafe, Ordered: true, Aim: 1, Deadline: 1 << 40, Worth: 1}}},
+	host, err := wire.NewHost(wire.HostConfig{Settings: policy.Settings{Relays: 1, MaxConcurrentCalls: 1, MaxPending: 9, MaxAttempts: 1, Tick: 1,
+		Classes: []policy.Class{{Name: "fee", Effect: policy.Unsafe, Ordered: true, TargetLatency: 1, Deadline: 1 << 40, Value: 1}}},
 		Table: table, Journal: kept, Standby: true, Log: log})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -14,12 +14,12 @@
 
 // News is what the process that leaves tells beside messages.
 type News struct {
-	Out     []policy.Lent   `json:"out,omitempty"`     // calls that it has out
-	Waits   []Wait          `json:"waits,omitempty"`   // told waits that are not over
-	Known   []string        `json:"known,omitempty"`   // ids that it took on and keeps: their calls are out
-	Learned *policy.Learned `json:"learned,omitempty"` // what the module knows
-	List    *List           `json:"list,omitempty"`    // the pool config
-	Drained bool            `json:"drained,omitempty"` // the operators have emptied the relay
+	Out     []policy.InheritedCall `json:"out,omitempty"`     // calls that it has out
+	Waits   []Wait                 `json:"waits,omitempty"`   // told waits that are not over
+	Known   []string               `json:"known,omitempty"`   // ids that it took on and keeps: their calls are out
+	Learned *policy.LearnedState   `json:"learned,omitempty"` // what the module knows
+	List    *List                  `json:"list,omitempty"`    // the pool config
+	Drained bool                   `json:"drained,omitempty"` // the operators have emptied the relay
 
 	Owes    []sequence.Message      `json:"owes,omitempty"`    // of ordered classes: all that it still owes and does not give here
 	Numbers *memory.SharedNumbering `json:"numbers,omitempty"` // how both number messages from now on
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestNewsComesThrough(t *testing.T) {
-	n := &News{Out: []policy.Lent{{Endpoint: "e", Age: time.Second}}, Waits: []Wait{{"e", 7, time.Unix(5, 6).UTC()}}, Known: []string{"a"}, Learned: &policy.Learned{Pace: 3, Lines: []policy.Line{{Endpoint: "e", Gap: time.Second}}},
+	n := &News{Out: []policy.InheritedCall{{Endpoint: "e", Age: time.Second}}, Waits: []Wait{{"e", 7, time.Unix(5, 6).UTC()}}, Known: []string{"a"}, Learned: &policy.LearnedState{CompletionRate: 3, Routes: []policy.RouteState{{Endpoint: "e", Interval: time.Second}}},
 		List: &List{4, []Member{{policy.Endpoint{Address: "e", State: policy.Draining}, "127.0.0.1:1"}}}, Drained: true}
 	got, err := Decode(n.Encode())
 	if err != nil || !reflect.DeepEqual(got, n) {
--- a/internal/lab/capacity/relay.go
+++ b/internal/lab/capacity/relay.go
@@ -17,16 +17,16 @@
 
 // settings are those of a relay that has room for so many messages and calls.
 func settings(messages int) policy.Settings {
-	return policy.Settings{Senders: 3, Slots: max(4, messages), MaxHeld: max(8, 2*messages), MaxAttempts: 8, Tick: time.Millisecond,
-		ConnIdle: 15 * time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second,
-		Classes: []policy.Class{{Name: "notice", Aim: 3 * time.Second, Deadline: deadline, Worth: 1, LateWorth: 0.5},
-			{Name: "charge", Effect: policy.Unsafe, Ordered: true, Aim: 4 * time.Second, Deadline: deadline, Worth: 1, LateWorth: 0.5}},
-		Kinds: []policy.Kind{{Name: "partner", Batch: 1}}}
+	return policy.Settings{Relays: 3, MaxConcurrentCalls: max(4, messages), MaxPending: max(8, 2*messages), MaxAttempts: 8, Tick: time.Millisecond,
+		IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second,
+		Classes: []policy.Class{{Name: "notice", TargetLatency: 3 * time.Second, Deadline: deadline, Value: 1, LateValue: 0.5},
+			{Name: "charge", Effect: policy.Unsafe, Ordered: true, TargetLatency: 4 * time.Second, Deadline: deadline, Value: 1, LateValue: 0.5}},
+		Kinds: []policy.Kind{{Name: "partner", MaxBatch: 1}}}
 }
 
 // listOf is a whole list of so many destinations with so many endpoints each.
-func listOf(destinations, endpoints int) policy.ListNews {
-	news := policy.ListNews{Kind: policy.ListWhole}
+func listOf(destinations, endpoints int) policy.EndpointListUpdate {
+	news := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for d := range destinations {
 		for e := range endpoints {
 			news.Entries = append(news.Entries, policy.Endpoint{Address: address(d, e), Destination: d, Kind: "partner", Zone: "zone-1"})
@@ -67,7 +67,7 @@
 		now := time.Duration(0)
 		for d := range size {
 			now += time.Millisecond
-			acts := relay.Step(now, []policy.Event{policy.Arrived{ID: uint32(d + 1), Class: "notice", Destination: d, Left: deadline}})
+			acts := relay.Step(now, []policy.Event{policy.Submitted{ID: uint32(d + 1), Class: "notice", Destination: d, TimeLeft: deadline}})
 			now += time.Millisecond
 			relay.Step(now, delivered(acts))
 		}
@@ -79,7 +79,7 @@
 func delivered(acts []policy.Action) (events []policy.Event) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
-			events = append(events, policy.Ended{ID: s.ID, Endpoint: s.Endpoint, Outcome: policy.Delivered, Took: time.Millisecond, Final: true})
+			events = append(events, policy.AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: policy.Delivered, Duration: time.Millisecond, Final: true})
 		}
 	}
 	return events
@@ -93,7 +93,7 @@
 	}
 	events := make([]policy.Event, 0, messages)
 	for i := range messages {
-		m := policy.Arrived{ID: uint32(i + 1), Class: "notice", Destination: 9, Left: deadline}
+		m := policy.Submitted{ID: uint32(i + 1), Class: "notice", Destination: 9, TimeLeft: deadline}
 		if keyed {
 			m.Class, m.Key = "charge", fmt.Sprintf("%016x", i)
 		}
@@ -145,7 +145,7 @@
 	now := time.Duration(0)
 	return mean(func() error {
 		now += time.Millisecond
-		relay.Step(now, []policy.Event{policy.ListNews{Kind: policy.ListChanges, Entries: listOf(1, 1).Entries}})
+		relay.Step(now, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: listOf(1, 1).Entries}})
 		return nil
 	})
 }
@@ -168,7 +168,7 @@
 	now, id := time.Millisecond, uint32(size)
 	return mean(func() error {
 		now, id = now+time.Millisecond, id+1
-		relay.Step(now, []policy.Event{policy.Arrived{ID: id, Class: "notice", Destination: 9, Left: deadline}})
+		relay.Step(now, []policy.Event{policy.Submitted{ID: id, Class: "notice", Destination: 9, TimeLeft: deadline}})
 		return nil
 	})
 }
--- a/internal/lab/emu/day.go
+++ b/internal/lab/emu/day.go
@@ -217,8 +217,8 @@
 	for i, c := range d.Classes {
 		at := fmt.Sprintf("classes[%d].", i)
 		figures = append(figures, figure{at + "share", c.Share, 0, inf}, figure{at + "work", secs(c.Work), 1e-6, 1e4}, figure{at + "cv", c.CV, 0, 100},
-			figure{at + "noise", c.Noise, 0, 100}, figure{at + "worth", c.Worth, 0, inf}, figure{at + "late_worth", c.LateWorth, 0, 1},
-			figure{at + "aim", secs(c.Aim), 1e-3, secs(c.Deadline)})
+			figure{at + "noise", c.Noise, 0, 100}, figure{at + "worth", c.Value, 0, inf}, figure{at + "late_worth", c.LateValue, 0, 1},
+			figure{at + "aim", secs(c.TargetLatency), 1e-3, secs(c.Deadline)})
 	}
 	for i, k := range d.Kinds {
 		at := fmt.Sprintf("kinds[%d].", i)
@@ -306,13 +306,13 @@
 
 // Settings are what the relays of the day are told.
 func (d *Day) Settings() policy.Settings {
-	set := policy.Settings{Senders: d.Relays, Alone: d.Alone, Slots: d.Slots, MaxHeld: d.Hold, MaxAttempts: d.MaxAttempts, RetryAdvice: true, MaxRetryAdvice: d.MaxAdvice,
-		Tick: d.Tick, ConnIdle: d.Idle, ColdFrom: d.ColdFrom, ColdTime: d.Cold, OverloadFactor: d.FallMultiple, OverloadTime: d.FallFor}
+	set := policy.Settings{Relays: d.Relays, NoGossip: d.Alone, MaxConcurrentCalls: d.Slots, MaxPending: d.Hold, MaxAttempts: d.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: d.MaxAdvice,
+		Tick: d.Tick, IdleConnTimeout: d.Idle, ColdStartShare: d.ColdFrom, WarmUpTime: d.Cold, OverloadFactor: d.FallMultiple, OverloadTime: d.FallFor}
 	for _, c := range d.Classes {
 		set.Classes = append(set.Classes, c.Class)
 	}
 	for _, k := range d.Kinds {
-		set.Kinds = append(set.Kinds, policy.Kind{Name: k.Name, Batch: k.Batch, SeparateRoutes: k.SeparateRoutes})
+		set.Kinds = append(set.Kinds, policy.Kind{Name: k.Name, MaxBatch: k.Batch, SeparateRoutes: k.SeparateRoutes})
 	}
 	for _, z := range d.zones() {
 		set.Zones = append(set.Zones, policy.Zone{Name: z})
@@ -339,12 +339,12 @@
 // worth is what a message is worth that is delivered so long after it was first handed in.
 func (c *Class) worth(after time.Duration) float64 {
 	switch {
-	case after <= c.Aim:
-		return c.Worth
+	case after <= c.TargetLatency:
+		return c.Value
 	case after > c.Deadline:
 		return 0
-	case c.Deadline == c.Aim:
-		return c.Worth
+	case c.Deadline == c.TargetLatency:
+		return c.Value
 	}
-	return c.Worth * (1 - (1-c.LateWorth)*float64(after-c.Aim)/float64(c.Deadline-c.Aim))
+	return c.Value * (1 - (1-c.LateValue)*float64(after-c.TargetLatency)/float64(c.Deadline-c.TargetLatency))
 }
--- a/internal/lab/emu/dest.go
+++ b/internal/lab/emu/dest.go
@@ -174,12 +174,12 @@
 		return // nobody hears of it until its time is up
 	}
 	if e.health == crashed || e.lives != c.life || e.gone {
-		w.answer(c, policy.Broken, 0)
+		w.answer(c, policy.ConnectionLost, 0)
 		return
 	}
 	w.reached(d, c.relay, 1+d.kind.ItemCost*float64(len(c.items)-1))
 	if w.reachedSite(e, 1+d.kind.ItemCost*float64(len(c.items)-1)); e.health == crashed {
-		w.answer(c, policy.Broken, 0)
+		w.answer(c, policy.ConnectionLost, 0)
 		return
 	}
 	c.report = e.limit.report(now, d.rng)
@@ -267,7 +267,7 @@
 	w.res.Work += c.work
 	switch {
 	case e.dest.rng.Float64() < e.lost:
-		w.answer(c, policy.Broken, 0)
+		w.answer(c, policy.ConnectionLost, 0)
 	case e.dest.rng.Float64() < e.dest.kind.ErrorRate:
 		w.answer(c, policy.Errored, 0)
 	default:
@@ -300,7 +300,7 @@
 	e.lives++
 	for _, c := range all {
 		if h == crashed {
-			w.answer(c, policy.Broken, 0) // a machine that vanished says nothing
+			w.answer(c, policy.ConnectionLost, 0) // a machine that vanished says nothing
 		}
 	}
 }
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -227,7 +227,7 @@
 			}
 		},
 		"dests[0].endpoints[0].sp": func(d *emu.Day) { d.Dests[0].Endpoints[0].Speed = 0 },
-		"classes[1].aim":           func(d *emu.Day) { d.Classes[1].Aim = d.Classes[1].Deadline * 2 },
+		"classes[1].aim":           func(d *emu.Day) { d.Classes[1].TargetLatency = d.Classes[1].Deadline * 2 },
 		"troubles[0].kind":         func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: "flood", Dests: []int{0}}} },
 		"troubles[0].parts":        func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.Crash, Parts: [][2]int{{0, 99}}}} },
 		"troubles[0].relays":       func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.RelayStall, Relays: []int{99}}} },
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -83,18 +83,18 @@
 }
 
 // report is what an answer tells of the limit now; nil where the kind tells nothing. The limit is off by up to reportError.
-func (l *limiter) report(now time.Duration, rng *rand.Rand) *policy.Report {
+func (l *limiter) report(now time.Duration, rng *rand.Rand) *policy.LimitReport {
 	if !l.kind.Reports {
 		return nil
 	}
 	l.advance(now)
 	switch l.kind.Limit {
 	case RateLimit:
-		return &policy.Report{Left: l.tokens / l.burst(), Limit: inexact(l.rate(), rng)}
+		return &policy.LimitReport{Remaining: l.tokens / l.burst(), Limit: inexact(l.rate(), rng)}
 	case WindowLimit:
-		return &policy.Report{Left: max(0, 1-l.count/max(1, l.room())), Limit: inexact(l.rate(), rng)}
+		return &policy.LimitReport{Remaining: max(0, 1-l.count/max(1, l.room())), Limit: inexact(l.rate(), rng)}
 	}
-	return &policy.Report{Left: 1}
+	return &policy.LimitReport{Remaining: 1}
 }
 
 // inexact draws a figure within reportError of v.
--- a/internal/lab/emu/limiter_test.go
+++ b/internal/lab/emu/limiter_test.go
@@ -58,12 +58,12 @@
 	rng := chance(1, "report")
 	for _, kind := range []Limit{RateLimit, WindowLimit} {
 		l := newLimiter(&Kind{Limit: kind, Window: time.Second, Reports: true}, 10, 0)
-		full := l.report(0, rng).Left
+		full := l.report(0, rng).Remaining
 		for l.admits(0) {
 		}
 		spent := l.report(0, rng)
-		if full != 1 || spent.Left > 0.1 {
-			t.Errorf("limit %d: %g left at first, %g once it is spent", kind, full, spent.Left)
+		if full != 1 || spent.Remaining > 0.1 {
+			t.Errorf("limit %d: %g left at first, %g once it is spent", kind, full, spent.Remaining)
 		}
 		if off := math.Abs(spent.Limit/10 - 1); off > reportError || off == 0 {
 			t.Errorf("limit %d: told to be %g, is 10", kind, spent.Limit)
--- a/internal/lab/emu/partners_test.go
+++ b/internal/lab/emu/partners_test.go
@@ -15,7 +15,7 @@
 	day := &emu.Day{Name: "limited", Seed: 4, Length: 20 * time.Second, Tail: 20 * time.Second, Tick: 5 * time.Millisecond, Relays: 2, Slots: 20, Hold: 200, MaxAttempts: 8,
 		Rate: 20 * float64(kind.Batch), RTT: 30 * time.Millisecond, Client: time.Millisecond, Idle: 15 * time.Second, Connect: time.Second, Backoff: time.Second,
 		AnswerSlack: 20 * time.Millisecond, MaxAdvice: time.Second, ColdFrom: 0.2, Cold: 10 * time.Second, FallMultiple: 2, FallFor: 3 * time.Second}
-	day.Classes = []emu.Class{{Class: policy.Class{Name: "notice", Aim: 3 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 0.5}, Share: 1, Work: 100 * time.Millisecond}}
+	day.Classes = []emu.Class{{Class: policy.Class{Name: "notice", TargetLatency: 3 * time.Second, Deadline: 10 * time.Second, Value: 1, LateValue: 0.5}, Share: 1, Work: 100 * time.Millisecond}}
 	day.Kinds = []emu.Kind{kind}
 	dest := emu.Dest{Share: 1, Limit: 10, Zone: "zone-1"}
 	for range routes {
@@ -28,12 +28,12 @@
 // heard is a module that keeps a record of what its relay hears of its attempts.
 type heard struct {
 	emu.Module
-	ends *[]policy.Ended
+	ends *[]policy.AttemptEnded
 }
 
 func (h heard) Step(now time.Duration, events []policy.Event) []policy.Action {
 	for _, e := range events {
-		if end, ok := e.(policy.Ended); ok {
+		if end, ok := e.(policy.AttemptEnded); ok {
 			*h.ends = append(*h.ends, end)
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 // endsOf plays a day and returns the ends of all attempts.
-func endsOf(t *testing.T, day *emu.Day) (ends []policy.Ended, res *emu.Result) {
+func endsOf(t *testing.T, day *emu.Day) (ends []policy.AttemptEnded, res *emu.Result) {
 	t.Helper()
 	res = play(t, day, emu.Options{Make: func(set policy.Settings, seed int64) (emu.Module, error) {
 		m, err := emu.Service(set, seed)
@@ -64,8 +64,8 @@
 			}
 			if e.Outcome == policy.Rejected {
 				refused++
-				if reports && e.Report.Left > 0.2 {
-					t.Errorf("refused with %g of the limit left", e.Report.Left)
+				if reports && e.Report.Remaining > 0.2 {
+					t.Errorf("refused with %g of the limit left", e.Report.Remaining)
 				}
 			}
 		}
@@ -117,7 +117,7 @@
 	ends, res := endsOf(t, day)
 	failed := map[string]int{}
 	for _, e := range ends {
-		if e.Outcome == policy.ConnectFailed || e.Outcome == policy.Broken {
+		if e.Outcome == policy.ConnectFailed || e.Outcome == policy.ConnectionLost {
 			failed[e.Endpoint]++
 		}
 	}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -85,11 +85,11 @@
 	closed   bool
 	answered bool
 	work     float64
-	report   *policy.Report // of the limit, as the call came to it
+	report   *policy.LimitReport // of the limit, as the call came to it
 }
 
 // tells is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
-func (c *call) tells(out policy.Outcome) *policy.Report {
+func (c *call) tells(out policy.Outcome) *policy.LimitReport {
 	switch out {
 	case policy.Delivered, policy.Errored, policy.Rejected:
 		return c.report
@@ -101,7 +101,7 @@
 func (r *relay) boot() {
 	r.life++
 	set := r.w.day.Settings()
-	set.Turns = pacing.New(r.no, r.w.day.Relays)
+	set.TimeSlots = pacing.New(r.no, r.w.day.Relays)
 	mod, err := r.w.make(set, int64(chance(r.w.day.Seed, "module", uint64(r.no), uint64(r.life)).Uint64()>>1))
 	if err != nil {
 		r.w.fault(fmt.Sprintf("relay %d does not start: %v", r.no, err))
@@ -120,7 +120,7 @@
 	}
 	if r.watch = nil; r.w.day.Sites != nil {
 		r.watch = sites.NewWatch(r.w.day.Sites, zoneName(r.w.day.ZoneOf(r.no)), int64(chance(r.w.day.Seed, "sites", uint64(r.no), uint64(r.life)).Uint64()>>1))
-		r.hear(policy.Sites{Reach: r.watch})
+		r.hear(policy.SitesUpdate{Plan: r.watch})
 		r.lookAt(r.w.now + time.Duration(chance(r.w.day.Seed, "look", uint64(r.no)).Int64N(int64(lookTurn))))
 	}
 	var list []policy.Endpoint
@@ -131,11 +131,11 @@
 			}
 		}
 	}
-	r.listed(policy.ListNews{Kind: policy.ListRestored, Entries: list})
+	r.listed(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
 }
 
 // listed gives list news to the module, and to whoever keeps the subsets.
-func (r *relay) listed(news policy.ListNews) {
+func (r *relay) listed(news policy.EndpointListUpdate) {
 	r.pool.UpdateEndpoints(news)
 	if r.watch != nil {
 		r.watch.List(news)
@@ -168,13 +168,13 @@
 		r.carry(out)
 		r.changed()
 		if turned {
-			news := policy.FleetNews{Usual: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Senders: r.pool.PossibleCallers(w.now)}
-			w.targets.ResolveEndpoints(news.Usual)
+			news := policy.FleetUpdate{Routes: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Relays: r.pool.PossibleCallers(w.now)}
+			w.targets.ResolveEndpoints(news.Routes)
 			if r.watch != nil {
-				r.watch.Heard(w.now, news.Usual)
+				r.watch.Heard(w.now, news.Routes)
 			}
-			if len(news.Usual) > 0 || news.Senders != r.sharing {
-				r.sharing = news.Senders
+			if len(news.Routes) > 0 || news.Relays != r.sharing {
+				r.sharing = news.Relays
 				r.hear(news)
 			}
 			for _, s := range r.pool.ChangedSubsets(w.now) {
@@ -330,12 +330,12 @@
 			if !withdrawn(events, a.ID) {
 				r.final(a.ID, rules.Failed, 0)
 			}
-		case policy.WakeAfter:
+		case policy.SetTimer:
 			r.wake++
 			wake, life := r.wake, r.life
 			r.w.after(max(a.Delay, r.w.day.Tick), func() {
 				if r.wake == wake && r.life == life && r.mod != nil {
-					r.hear(policy.Woke{})
+					r.hear(policy.TimerFired{})
 				}
 			})
 		case policy.CloseIdle:
@@ -345,7 +345,7 @@
 				}
 				delete(r.idle, e)
 			}
-		case policy.Note:
+		case policy.LogLine:
 			r.w.res.Notes++
 		}
 	}
@@ -504,7 +504,7 @@
 			r.pool.RecordCall(target, peers.Failed)
 		}
 	}
-	if k := c.conn; k != nil && !c.closed && r.life == c.rlife && r.mod != nil && out != policy.Broken && out != policy.ConnectFailed {
+	if k := c.conn; k != nil && !c.closed && r.life == c.rlife && r.mod != nil && out != policy.ConnectionLost && out != policy.ConnectFailed {
 		k.usedAt = w.now
 		r.idle[e] = append(r.idle[e], k)
 	} else if k != nil && k.life == e.lives {
@@ -550,7 +550,7 @@
 	if m.item == it {
 		m.item = nil
 	}
-	proved := out == policy.Rejected || out == policy.ConnectFailed || out == policy.CutShort || out == policy.Unsent
+	proved := out == policy.Rejected || out == policy.ConnectFailed || out == policy.RequestIncomplete || out == policy.Unsent
 	if !proved {
 		m.mayHave = true
 	}
@@ -565,7 +565,7 @@
 		e.dest.failed[r.no] = true
 	}
 	w.log(rules.Event{Kind: rules.Ended, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, Proved: proved, OK: ok, Wait: wait, Route: e.route()})
-	r.hear(policy.Ended{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Took: w.now - c.sentAt, Final: m.over, Wait: wait, Report: c.tells(out)})
+	r.hear(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.over, RetryAfter: wait, Report: c.tells(out)})
 }
 
 // final is a relay's last word on a message.
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -104,7 +104,7 @@
 }
 
 func (r *Result) asked(w *world, q *request) {
-	worth := q.class.Worth
+	worth := q.class.Value
 	r.Seconds[int(q.at/time.Second)].Asked += worth
 	if t := &r.ByClass[q.classNo]; q.at >= w.day.Tallied {
 		t.Requests++
@@ -127,7 +127,7 @@
 		t.Served += worth
 		t.Delivered++
 		r.Delivered++
-		if after <= q.class.Aim {
+		if after <= q.class.TargetLatency {
 			t.InAim++
 			r.InAim++
 		}
@@ -145,8 +145,8 @@
 	case endLost:
 		r.Lost++
 	}
-	if after > q.class.Aim {
-		r.lateFail += q.class.Worth
+	if after > q.class.TargetLatency {
+		r.lateFail += q.class.Value
 	}
 }
 
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/world.go
@@ -357,11 +357,11 @@
 		m := &message{id: w.lastID, req: q, relay: r, life: r.life}
 		r.held[m.id] = m
 		w.res.HandIns++
-		w.res.Relays[r.no].Asked += q.class.Worth
+		w.res.Relays[r.no].Asked += q.class.Value
 		effect := rules.Effect(q.class.Effect)
-		w.log(rules.Event{Kind: rules.Taken, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, Window: q.class.Window, Until: q.deadline})
+		w.log(rules.Event{Kind: rules.Taken, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, Window: q.class.RepeatWindow, Until: q.deadline})
 		w.targets.EachKey(q.dest.no, r.pool.RecordArrival)
-		r.hear(policy.Arrived{ID: m.id, Class: q.class.Name, Destination: q.dest.no, Left: q.deadline - w.now})
+		r.hear(policy.Submitted{ID: m.id, Class: q.class.Name, Destination: q.dest.no, TimeLeft: q.deadline - w.now})
 		life := r.life
 		w.at(q.deadline+w.day.AnswerSlack+w.day.Tick, func() {
 			if m.over || r.life != life || r.mod == nil {
@@ -646,7 +646,7 @@
 			if state != policy.Listed {
 				w.log(rules.Event{Kind: rules.Leaving, Relay: r.no, Endpoint: e.no})
 			}
-			r.listed(policy.ListNews{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.entry(e, state)}})
+			r.listed(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.entry(e, state)}})
 		}
 		w.after(late+part(w.day.Spread, w.net.Float64()), func() {
 			if w.newsOut > 0 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -167,8 +167,8 @@
 
 func (r *run) classes() (all []standin.Class) {
 	for _, c := range r.day.Classes {
-		all = append(all, standin.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], Aim: c.Aim, Deadline: c.Deadline, Window: max(c.Window, time.Second),
-			Worth: c.Worth, LateWorth: c.LateWorth})
+		all = append(all, standin.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], Aim: c.TargetLatency, Deadline: c.Deadline, Window: max(c.RepeatWindow, time.Second),
+			Worth: c.Value, LateWorth: c.LateValue})
 	}
 	return all
 }
--- a/internal/lab/fleet/offer.go
+++ b/internal/lab/fleet/offer.go
@@ -54,7 +54,7 @@
 		class := r.day.Classes[n%len(r.day.Classes)]
 		name := fmt.Sprintf("%s/%d", class.Name, n)
 		m := client.Message{Class: class.Name, Dest: 1 + n%len(r.day.Dests), Effect: client.Effect(map[int]client.Effect{0: client.Safe, 1: client.Keyed, 2: client.Unsafe}[int(class.Effect)]),
-			Window: class.Window, TimeLeft: class.Deadline * 9 / 10, Body: []byte(name + "\n")}
+			Window: class.RepeatWindow, TimeLeft: class.Deadline * 9 / 10, Body: []byte(name + "\n")}
 		if err := clients[r.upFrom(n)].HandIn(ctx, m, func(res client.Result, _ error) {
 			r.mu.Lock()
 			r.hands = append(r.hands, Hand{name, class.Name, res.ID, res.Outcome})
--- a/internal/lab/overload/cell.go
+++ b/internal/lab/overload/cell.go
@@ -223,7 +223,7 @@
 		Notes: c.Notes, Alone: !c.Notes, Zones: 1,
 	}
 	day.Classes = []emu.Class{{
-		Class: policy.Class{Name: "notice", Effect: policy.Safe, Aim: set.Aim, Deadline: set.Deadline, Worth: 1, LateWorth: 0.5},
+		Class: policy.Class{Name: "notice", Effect: policy.Safe, TargetLatency: set.Aim, Deadline: set.Deadline, Value: 1, LateValue: 0.5},
 		Share: 1, Work: workTime, CV: workSpread, Noise: 0.2,
 	}}
 	day.Kinds = []emu.Kind{set.kind(c)}
--- a/internal/lab/overload/overload_test.go
+++ b/internal/lab/overload/overload_test.go
@@ -24,9 +24,9 @@
 func (s *informed) Step(now time.Duration, events []policy.Event) (acts []policy.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case policy.ListNews:
+		case policy.EndpointListUpdate:
 			s.endpoint = e.Entries[0].Address
-		case policy.Arrived:
+		case policy.Submitted:
 			s.waiting = append(s.waiting, e.ID)
 		case policy.Withdrawn:
 			s.forget(e.ID)
@@ -39,7 +39,7 @@
 		acts = s.call()
 		s.next = max(s.next, now-s.interval) + s.interval
 	}
-	return append(acts, policy.WakeAfter{Delay: max(s.next-now, time.Millisecond)})
+	return append(acts, policy.SetTimer{Delay: max(s.next-now, time.Millisecond)})
 }
 
 // call sends one call.
--- a/internal/lab/overload/reach_test.go
+++ b/internal/lab/overload/reach_test.go
@@ -25,7 +25,7 @@
 	}
 	moved := false
 	for _, e := range events {
-		end, ok := e.(policy.Ended)
+		end, ok := e.(policy.AttemptEnded)
 		if !ok || !s.back[end.ID] {
 			continue
 		}
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -73,9 +73,9 @@
 
 // usual are classes whose names the plan shares with the deployment; others are safe to repeat, and as urgent as an alert.
 var usual = []policy.Class{
-	{Name: "price-alert", Effect: policy.Safe, Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 1},
-	{Name: "order-relay", Effect: policy.Keyed, Window: 5 * time.Second, Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 2, LateWorth: 0.3},
-	{Name: "fee-charge", Effect: policy.Unsafe, Aim: 2500 * time.Millisecond, Deadline: 20 * time.Second, Worth: 5, LateWorth: 0.3},
+	{Name: "price-alert", Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1},
+	{Name: "order-relay", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2, LateValue: 0.3},
+	{Name: "fee-charge", Effect: policy.Unsafe, TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, Value: 5, LateValue: 0.3},
 }
 
 // Day builds the day. Zones have the laboratory's names, in the plan's order.
@@ -223,7 +223,7 @@
 		if n, ok := classes[name]; ok {
 			return n
 		}
-		c := policy.Class{Name: name, Effect: policy.Safe, Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 1}
+		c := policy.Class{Name: name, Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1}
 		for _, u := range usual {
 			if u.Name == name {
 				c = u
--- a/internal/lab/site/draw.go
+++ b/internal/lab/site/draw.go
@@ -92,7 +92,7 @@
 	day.Busy = s.Busy
 	mean, share := 0.0, 0.0
 	for i, c := range s.Class {
-		one := emu.Class{Class: policy.Class{Name: c.Name, Effect: policy.Effect(c.Effect), Window: secs(c.WindowS), Aim: secs(c.AimS), Deadline: secs(c.DeadlineS), Worth: c.Worth, LateWorth: c.LateWorth},
+		one := emu.Class{Class: policy.Class{Name: c.Name, Effect: policy.Effect(c.Effect), RepeatWindow: secs(c.WindowS), TargetLatency: secs(c.AimS), Deadline: secs(c.DeadlineS), Value: c.Worth, LateValue: c.LateWorth},
 			Share: d.draw("class.share", c.Share, 1, i), Work: ms(d.draw("class.work_ms", c.WorkMs, 150, i)), CV: d.draw("class.cv", c.Cv, 0.8, i),
 			Noise: d.draw("class.noise", c.Noise, 0.2, i), Exp: c.Exponential}
 		day.Classes = append(day.Classes, one)
--- a/internal/lab/site/simday.go
+++ b/internal/lab/site/simday.go
@@ -43,8 +43,8 @@
 	effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 	micros := func(v gjson.Result) time.Duration { return time.Duration(v.Float() * float64(time.Microsecond)) }
 	for _, c := range doc.Get("classes").Array() {
-		d.Classes = append(d.Classes, emu.Class{Class: policy.Class{Name: c.Get("name").Str, Effect: effects[c.Get("effect").Str], Window: micros(c.Get("window")),
-			Aim: micros(c.Get("aim")), Deadline: micros(c.Get("deadline")), Worth: c.Get("worth").Float(), LateWorth: c.Get("late_worth").Float()},
+		d.Classes = append(d.Classes, emu.Class{Class: policy.Class{Name: c.Get("name").Str, Effect: effects[c.Get("effect").Str], RepeatWindow: micros(c.Get("window")),
+			TargetLatency: micros(c.Get("aim")), Deadline: micros(c.Get("deadline")), Value: c.Get("worth").Float(), LateValue: c.Get("late_worth").Float()},
 			Share: c.Get("share").Float(), Work: micros(c.Get("work")), CV: c.Get("cv").Float(), Noise: c.Get("attempt_noise").Float(), Exp: c.Get("dist").Str == "exp"})
 	}
 	habits := doc.Get("fam.habits").Array()
--- a/internal/lab/study/study.go
+++ b/internal/lab/study/study.go
@@ -101,7 +101,7 @@
 // share makes the module in service with another share of the slots for one destination.
 func share(of float64) emu.Maker {
 	return func(set policy.Settings, seed int64) (emu.Module, error) {
-		set.SlotShare = of
+		set.MaxDestinationShare = of
 		return emu.Service(set, seed)
 	}
 }
--- a/internal/peers/choices.go
+++ b/internal/peers/choices.go
@@ -57,7 +57,7 @@
 func (p *Gossiper) Choices() choice.Options { return p.sharing.set }
 
 // UpdateEndpoints takes list news in, for subsets.
-func (p *Gossiper) UpdateEndpoints(news policy.ListNews) {
+func (p *Gossiper) UpdateEndpoints(news policy.EndpointListUpdate) {
 	if p.sharing.set.SubsetSize > 0 {
 		p.sharing.keeper.UpdateEndpoints(news)
 	}
@@ -178,7 +178,7 @@
 }
 
 // usual is what the usual relay sees of a destination.
-func (p *Gossiper) usual(now time.Duration, dest int, all []said, spans float64) policy.Usual {
+func (p *Gossiper) usual(now time.Duration, dest int, all []said, spans float64) policy.RouteStats {
 	var h choice.CombinedReports
 	if p.sharing.set.Signals || p.sharing.set.TimeSlots {
 		voices := make([]choice.Report, len(all))
@@ -213,24 +213,24 @@
 			p.sharing.down[dest] = now
 		}
 	}
-	return policy.Usual{Destination: dest, Wanted: wanted / spans, Taken: taken / spans, Refused: refused / spans, Failed: failed / spans,
-		Calls: int(math.Round(taken + refused + failed)), Voices: h.FailingReporters, Wait: h.RetryAfter}
+	return policy.RouteStats{Destination: dest, Demand: wanted / spans, Accepted: taken / spans, Rejected: refused / spans, Failed: failed / spans,
+		Calls: int(math.Round(taken + refused + failed)), Reporters: h.FailingReporters, RetryAfter: h.RetryAfter}
 }
 
 // choose makes out of what the usual relay sees what falls to this one.
-func (p *Gossiper) choose(now time.Duration, wall time.Time, u *policy.Usual, relays int) {
+func (p *Gossiper) choose(now time.Duration, wall time.Time, u *policy.RouteStats, relays int) {
 	s := &p.sharing
 	if !s.set.Any() {
 		return
 	}
-	show := DestinationStatus{At: now, Allowed: u.Allowed, Reporters: u.Voices, RetryAfter: u.Wait, MeanDemand: u.Wanted}
+	show := DestinationStatus{At: now, Allowed: u.Allowance, Reporters: u.Reporters, RetryAfter: u.RetryAfter, MeanDemand: u.Demand}
 	if s.set.DemandShares {
-		show.OwnDemand, show.DemandShare = s.slices.Demand(u.Destination), s.slices.Share(u.Destination, u.Wanted)
-		u.Allowed *= show.DemandShare
+		show.OwnDemand, show.DemandShare = s.slices.Demand(u.Destination), s.slices.Share(u.Destination, u.Demand)
+		u.Allowance *= show.DemandShare
 	}
 	if s.set.TimeSlots && s.live != nil {
 		show.LiveRelays = s.places.LiveCount()
-		show.SlotHolders = choice.SlotHolders(show.LiveRelays, u.Wanted)
+		show.SlotHolders = choice.SlotHolders(show.LiveRelays, u.Demand)
 		show.HoldsSlot = choice.HoldsSlot(p.me, s.live, uint64(u.Destination), choice.SlotAt(wall), show.SlotHolders)
 		at, down := s.down[u.Destination]
 		if down && now-at > downFor {
@@ -238,7 +238,7 @@
 			down = false
 		}
 		show.Down = down
-		u.OthersTry = down && !show.HoldsSlot
+		u.OthersProbe = down && !show.HoldsSlot
 	}
 	if _, had := s.shown[u.Destination]; had || len(s.shown) < mostPaces {
 		s.shown[u.Destination] = show
--- a/internal/peers/choices_test.go
+++ b/internal/peers/choices_test.go
@@ -25,13 +25,13 @@
 	}
 }
 
-func about(p *Gossiper, now time.Duration) (u policy.Usual) {
+func about(p *Gossiper, now time.Duration) (u policy.RouteStats) {
 	for _, u = range p.FleetAverages(now, time.UnixMilli(now.Milliseconds())) {
 		if u.Destination == 7 {
 			return u
 		}
 	}
-	return policy.Usual{}
+	return policy.RouteStats{}
 }
 
 // Told waits go out in notes of a form of their own, run on, are believed of two, and the old form stays where there is none.
@@ -56,17 +56,17 @@
 			tells(t, q, from, time.Second, DestinationCounts{Arrived: 1, RetryAfter: min(wait, 900*time.Second)})
 		}
 	}
-	if u := about(q, 1500*time.Millisecond); u.Wait != 2500*time.Millisecond {
-		t.Errorf("two were told, half a second ago 3 s: %v", u.Wait)
+	if u := about(q, 1500*time.Millisecond); u.RetryAfter != 2500*time.Millisecond {
+		t.Errorf("two were told, half a second ago 3 s: %v", u.RetryAfter)
 	}
-	if u := about(q, 1500*time.Millisecond); u.Wait > 2500*time.Millisecond {
-		t.Errorf("it grows: %v", u.Wait)
+	if u := about(q, 1500*time.Millisecond); u.RetryAfter > 2500*time.Millisecond {
+		t.Errorf("it grows: %v", u.RetryAfter)
 	}
 	// Its own wait is no news to itself.
 	q.RecordRetryAfter(time.Second, 7, 9*time.Second)
 	q.Report(1600 * time.Millisecond)
-	if u := about(q, 1600*time.Millisecond); u.Wait != 2400*time.Millisecond {
-		t.Errorf("it hears itself: %v", u.Wait)
+	if u := about(q, 1600*time.Millisecond); u.RetryAfter != 2400*time.Millisecond {
+		t.Errorf("it hears itself: %v", u.RetryAfter)
 	}
 }
 
@@ -132,7 +132,7 @@
 			tells(t, p, from, time.Second, c)
 		}
 		u := about(p, time.Second)
-		if drowned := u.Failed > u.Taken; drowned == signals || signals && u.Voices != 1 {
+		if drowned := u.Failed > u.Accepted; drowned == signals || signals && u.Reporters != 1 {
 			t.Errorf("signals %v: %+v", signals, u)
 		}
 	}
@@ -145,8 +145,8 @@
 		tells(t, p, from, time.Second, DestinationCounts{Arrived: 9, Accepted: 4, Rejected: 4, Allowed: 2})
 	}
 	u := about(p, time.Second)
-	if own := p.paces[7].allow; own <= 0 || u.Allowed != own*0.25 {
-		t.Errorf("allowed %.2f of %.2f", u.Allowed, own)
+	if own := p.paces[7].allow; own <= 0 || u.Allowance != own*0.25 {
+		t.Errorf("allowed %.2f of %.2f", u.Allowance, own)
 	}
 }
 
@@ -157,7 +157,7 @@
 	for _, a := range []string{"a", "b", "c", "d", "e"} {
 		list = append(list, policy.Endpoint{Address: a, Destination: 7})
 	}
-	p.UpdateEndpoints(policy.ListNews{Kind: policy.ListWhole, Entries: list})
+	p.UpdateEndpoints(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: list})
 	s := p.ChangedSubsets(time.Second)
 	if len(s) != 1 || s[0].Destination != 7 || len(s[0].Endpoints) != 3 || len(p.ChangedSubsets(2*time.Second)) > 0 {
 		t.Fatalf("%+v", s)
@@ -175,7 +175,7 @@
 		for from := 1; from < 6; from++ {
 			tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 4}) // two saw it
 		}
-		if !about(p, now).OthersTry {
+		if !about(p, now).OthersProbe {
 			turns++
 		}
 	}
@@ -188,7 +188,7 @@
 	for from := 2; from < 6; from++ {
 		tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 5})
 	}
-	if u := about(p, now); u.OthersTry {
+	if u := about(p, now); u.OthersProbe {
 		t.Error("somebody got through")
 	}
 	for e := range 20 {
@@ -196,7 +196,7 @@
 		for from := 1; from < 6; from++ {
 			tells(t, p, from, now, DestinationCounts{Arrived: 9, Failed: from / 5})
 		}
-		if u := about(p, now); u.OthersTry {
+		if u := about(p, now); u.OthersProbe {
 			t.Errorf("one voice makes an outage, in round %d", e)
 		}
 	}
--- a/internal/peers/pace.go
+++ b/internal/peers/pace.go
@@ -68,11 +68,11 @@
 //
 // Cuts are in proportion to what is refused, and one is given time to show before the next. Raises are quick where nothing was refused
 // yet and slow about the place where it began: where refused calls use up a limit, a little too much takes nearly all of it away.
-func (p *pace) follow(now time.Duration, u policy.Usual, others float64, by int, young bool) float64 {
+func (p *pace) follow(now time.Duration, u policy.RouteStats, others float64, by int, young bool) float64 {
 	copy(p.past[:], p.past[1:])
 	p.past[seenLate-1] = p.allow
-	calls := u.Taken + u.Refused
-	refused := u.Refused / max(calls, 1e-9)
+	calls := u.Accepted + u.Rejected
+	refused := u.Rejected / max(calls, 1e-9)
 	// Risk: a relay that starts while a destination is out, or as it returns, sees no refusals; many of them together push it over.
 	if young && p.allow == 0 && by >= tellers {
 		p.allow, p.cutAt = others, now
@@ -102,7 +102,7 @@
 		p.allow = min(p.allow, max(calls, p.allow*0.6)) * max(deepest, 1-refused)
 		p.changed()
 	case refused < looseShare && p.allow > 0 && now-p.cutAt >= settle:
-		if p.allow > plenty*max(calls, u.Wanted) && now-p.cutAt >= kept {
+		if p.allow > plenty*max(calls, u.Demand) && now-p.cutAt >= kept {
 			p.allow = 0
 		} else if calls < binding*p.allow || p.calls > 0 && p.calls < leastRaise {
 			break
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -335,7 +335,7 @@
 
 // FleetAverages is what the relays heard of see in the mean, in order of destinations, and what each may make of it. It comes once after each Tell; nothing
 // is told while fewer than a few relays are heard of. wall is the time of day, by which turns go.
-func (p *Gossiper) FleetAverages(now time.Duration, wall time.Time) (out []policy.Usual) {
+func (p *Gossiper) FleetAverages(now time.Duration, wall time.Time) (out []policy.RouteStats) {
 	relays, spans := map[int]bool{}, 0.0
 	told := map[int][]said{} // by destination, one of each relay
 	for _, a := range p.all {
@@ -368,7 +368,7 @@
 			p.paces[d] = &pace{}
 		}
 		if own := p.paces[d]; own != nil {
-			own.seen, u.Allowed = now, own.follow(now, u, others, by, p.looks <= newcomer)
+			own.seen, u.Allowance = now, own.follow(now, u, others, by, p.looks <= newcomer)
 		}
 		p.choose(now, wall, &u, len(relays))
 		out = append(out, u)
@@ -376,7 +376,7 @@
 	maps.DeleteFunc(p.paces, func(_ int, own *pace) bool { return now-own.seen > forgotten })
 	maps.DeleteFunc(p.sharing.down, func(_ int, at time.Duration) bool { return now-at > forgotten })
 	maps.DeleteFunc(p.sharing.shown, func(_ int, o DestinationStatus) bool { return now-o.At > forgotten })
-	slices.SortFunc(out, func(a, b policy.Usual) int { return a.Destination - b.Destination })
+	slices.SortFunc(out, func(a, b policy.RouteStats) int { return a.Destination - b.Destination })
 	return out
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -152,7 +152,7 @@
 		}
 	}
 	news := p.FleetAverages(2*s, time.Time{})
-	if len(news) != 1 || news[0].Wanted != 2 || news[0].Taken != 0.5 || news[0].Refused != 0.5 || news[0].Calls != 78 {
+	if len(news) != 1 || news[0].Demand != 2 || news[0].Accepted != 0.5 || news[0].Rejected != 0.5 || news[0].Calls != 78 {
 		t.Fatalf("%+v", news)
 	}
 	if news := p.FleetAverages(2*s+memory+1, time.Time{}); news != nil {
@@ -167,7 +167,7 @@
 	now := time.Duration(0)
 	look := func(taken, refused, failed, wanted, others float64, calls int) float64 {
 		now += settle / 2
-		return p.follow(now, policy.Usual{Taken: taken, Refused: refused, Failed: failed, Wanted: wanted, Calls: calls}, others, 1, true)
+		return p.follow(now, policy.RouteStats{Accepted: taken, Rejected: refused, Failed: failed, Demand: wanted, Calls: calls}, others, 1, true)
 	}
 	if look(1, 0, 0, 1, 0, 50) != 0 || look(1, 0, 0, 1, 0.3, 50) != 0 {
 		t.Fatal("bound without refusals, or by what one other tells")
@@ -208,12 +208,12 @@
 		t.Fatal("bound with plenty left")
 	}
 	fresh := &pace{}
-	if v := fresh.follow(now, policy.Usual{Taken: 0.5, Refused: 0.4, Wanted: 1, Calls: 2}, 0.25, 1, true); v != 0.25 {
+	if v := fresh.follow(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.4, Demand: 1, Calls: 2}, 0.25, 1, true); v != 0.25 {
 		t.Fatalf("one that starts anew takes %v", v)
 	}
 	// In an outage, or as it ends, nothing is refused: who starts then takes what several others tell, who has been there for long does not.
 	young, old := &pace{}, &pace{}
-	for _, u := range []policy.Usual{{Failed: 3, Wanted: 1, Calls: 9}, {Taken: 1, Wanted: 1, Calls: 9}} {
+	for _, u := range []policy.RouteStats{{Failed: 3, Demand: 1, Calls: 9}, {Accepted: 1, Demand: 1, Calls: 9}} {
 		if v := old.follow(now, u, 0.25, tellers, false); v != 0 {
 			t.Fatalf("%+v: one that has been there allows itself %v", u, v)
 		}
@@ -225,7 +225,7 @@
 		}
 	}
 	deep := &pace{}
-	if v := deep.follow(now, policy.Usual{Refused: 4, Wanted: 1, Calls: 300}, 0, 0, false); v < 2*0.99 || v > 2.01 {
+	if v := deep.follow(now, policy.RouteStats{Rejected: 4, Demand: 1, Calls: 300}, 0, 0, false); v < 2*0.99 || v > 2.01 {
 		t.Fatalf("all refused: %v of 4", v)
 	}
 }
@@ -239,19 +239,19 @@
 	for range 6 {
 		allowed = append(allowed, p.allow)
 		now += turn
-		p.follow(now, policy.Usual{Taken: p.allow, Wanted: 1, Calls: 50}, 0, 0, false)
+		p.follow(now, policy.RouteStats{Accepted: p.allow, Demand: 1, Calls: 50}, 0, 0, false)
 	}
 	if p.allow < 2*allowed[0] {
 		t.Fatalf("raised from %v to %v only", allowed[0], p.allow)
 	}
 	began := allowed[len(allowed)-seenLate+1] // the one that tells of refusals and two looks before it
 	now += turn
-	p.follow(now, policy.Usual{Taken: 0.1, Refused: 0.2, Wanted: 1, Calls: 50}, 0, 0, false)
+	p.follow(now, policy.RouteStats{Accepted: 0.1, Rejected: 0.2, Demand: 1, Calls: 50}, 0, 0, false)
 	if p.edge != began {
 		t.Errorf("refusals are taken to begin at %v, want %v; allowed were %v", p.edge, began, allowed)
 	}
 	anew := &pace{}
-	if anew.follow(now, policy.Usual{Taken: 0.5, Refused: 0.5, Wanted: 1, Calls: 50}, 0, 0, false); anew.edge != 1 {
+	if anew.follow(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.5, Demand: 1, Calls: 50}, 0, 0, false); anew.edge != 1 {
 		t.Errorf("with no allowance before, refusals begin at the calls that are made, not at %v", anew.edge)
 	}
 }
--- a/internal/peers/route_test.go
+++ b/internal/peers/route_test.go
@@ -39,7 +39,7 @@
 		now += settle
 		p.book(now-settle/2, DestinationCounts{Accepted: taken, Rejected: refused})
 		span := settle.Seconds()
-		return p.follow(now, policy.Usual{Taken: float64(taken) / span, Refused: float64(refused) / span, Wanted: 4, Calls: taken + refused}, 0, 0, false)
+		return p.follow(now, policy.RouteStats{Accepted: float64(taken) / span, Rejected: float64(refused) / span, Demand: 4, Calls: taken + refused}, 0, 0, false)
 	}
 	for range 2 {
 		if look(1, 1) != 0 {
--- a/internal/peers/targets.go
+++ b/internal/peers/targets.go
@@ -57,7 +57,7 @@
 }
 
 // ResolveEndpoints puts the endpoint into news of a route.
-func (t *ReportKeys) ResolveEndpoints(news []policy.Usual) {
+func (t *ReportKeys) ResolveEndpoints(news []policy.RouteStats) {
 	for i := range news {
 		news[i].Endpoint = t.endpoints[news[i].Destination]
 	}
--- a/internal/peers/targets_test.go
+++ b/internal/peers/targets_test.go
@@ -27,7 +27,7 @@
 	if got := wanted(9); !slices.Equal(got, []int{9}) {
 		t.Errorf("a message for a shared limit counts under %v", got)
 	}
-	news := []policy.Usual{{Destination: two}, {Destination: 9}}
+	news := []policy.RouteStats{{Destination: two}, {Destination: 9}}
 	known.ResolveEndpoints(news)
 	if news[0].Endpoint != "s-2" || news[1].Endpoint != "" {
 		t.Errorf("named %+v", news)
--- a/internal/sites/reach.go
+++ b/internal/sites/reach.go
@@ -8,10 +8,10 @@
 
 // What the decision module asks of sites is answered here: which endpoints calls may go to, and what is refused first.
 
-var _ policy.Reach = (*Watch)(nil)
+var _ policy.SitePlan = (*Watch)(nil)
 
-// Open tells whether a call for a destination may go to a zone's endpoint now. Where all that is left of a destination is there, its own trickle and ramp are bound enough.
-func (w *Watch) Open(dest int, zone string, unsafe bool) bool {
+// Allows tells whether a call for a destination may go to a zone's endpoint now. Where all that is left of a destination is there, its own trickle and ramp are bound enough.
+func (w *Watch) Allows(dest int, zone string, unsafe bool) bool {
 	s := w.by[zone]
 	if w.lost == 0 || s == nil {
 		return true
@@ -38,8 +38,8 @@
 	return false
 }
 
-// Sent books a call. A returning site has its part of each destination's calls, by how many of its endpoints are there: so the ramps of all relays follow their demand.
-func (w *Watch) Sent(dest int, zone string) {
+// CallSent books a call. A returning site has its part of each destination's calls, by how many of its endpoints are there: so the ramps of all relays follow their demand.
+func (w *Watch) CallSent(dest int, zone string) {
 	if w.lost == 0 {
 		return
 	}
@@ -64,9 +64,9 @@
 	}
 }
 
-// Cost is what an endpoint of a zone costs beside others, in parts of the slots. Only while a site is lost, when what goes to each zone is bounded: preferred without a bound, the
+// EndpointCost is what an endpoint of a zone costs beside others, in parts of the slots. Only while a site is lost, when what goes to each zone is bounded: preferred without a bound, the
 // endpoints of a zone to which another's clients have come fill up while others stand idle.
-func (w *Watch) Cost(zone string) float64 {
+func (w *Watch) EndpointCost(zone string) float64 {
 	s := w.by[zone]
 	switch {
 	case s == nil || w.lost == 0:
@@ -79,8 +79,8 @@
 	return tierCost * float64(max(0, s.tier))
 }
 
-// First is how soon a class is refused where not all can be served, while a site is lost; larger is sooner, 0: by worth alone.
-func (w *Watch) First(class string) float64 {
+// ShedPriority is how soon a class is refused where not all can be served, while a site is lost; larger is sooner, 0: by worth alone.
+func (w *Watch) ShedPriority(class string) float64 {
 	if w.lost == 0 || len(w.plan.RefuseFirst) == 0 {
 		return 0
 	}
@@ -90,13 +90,13 @@
 	return float64(len(w.plan.RefuseFirst))
 }
 
-// Attempts is how many attempts a message has: half while a site is lost, two at least. What has endpoints at lost sites only takes nothing from survivors, and keeps all of them until those are back.
-func (w *Watch) Attempts(dest, most int) int {
+// MaxAttempts is how many attempts a message has: half while a site is lost, two at least. What has endpoints at lost sites only takes nothing from survivors, and keeps all of them until those are back.
+func (w *Watch) MaxAttempts(dest, most int) int {
 	if w.lost == 0 || !w.elsewhere(dest, "") {
 		return most
 	}
 	return min(most, max(2, (most+1)/2))
 }
 
-// Lossy tells whether a site is lost or returns: advice when to come again is drawn apart.
-func (w *Watch) Lossy() bool { return w.lost > 0 }
+// SiteLost tells whether a site is lost or returns: advice when to come again is drawn apart.
+func (w *Watch) SiteLost() bool { return w.lost > 0 }
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -84,13 +84,13 @@
 }
 
 // News is what the module is told of a change.
-func (c Change) News(w *Watch) policy.Sites {
-	news := policy.Sites{Reach: w}
+func (c Change) News(w *Watch) policy.SitesUpdate {
+	news := policy.SitesUpdate{Plan: w}
 	switch {
 	case c.To == Returning && c.From == Lost:
-		news.Back = c.Zone
+		news.ReturnedZone = c.Zone
 	case c.said:
-		news.Cold = c.Zone
+		news.ColdZone = c.Zone
 	}
 	return news
 }
@@ -218,7 +218,7 @@
 }
 
 // List takes news of the pool config.
-func (w *Watch) List(news policy.ListNews) {
+func (w *Watch) List(news policy.EndpointListUpdate) {
 	if news.Kind == policy.ListUnavailable {
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 // Heard takes what the relays of the fleet see in the mean. What a destination with endpoints in one zone only tells is evidence of that zone.
-func (w *Watch) Heard(now Time, usual []policy.Usual) {
+func (w *Watch) Heard(now Time, usual []policy.RouteStats) {
 	for _, u := range usual {
 		if len(w.dests[u.Destination]) != 1 {
 			continue
@@ -279,9 +279,9 @@
 		for zone := range w.dests[u.Destination] {
 			if s := w.by[zone]; s == nil {
 				continue
-			} else if u.Taken > 0 {
+			} else if u.Accepted > 0 {
 				s.othersOK = now
-			} else if u.Failed > 0 && u.Voices != 1 {
+			} else if u.Failed > 0 && u.Reporters != 1 {
 				s.othersNo = now
 			}
 		}
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -22,7 +22,7 @@
 	for i, z := range []string{"a", "b", "c", "a", "b", "c"} {
 		list = append(list, policy.Endpoint{Address: fmt.Sprint(z, i), Destination: 1, Zone: z})
 	}
-	w.List(policy.ListNews{Kind: policy.ListWhole, Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"})})
+	w.List(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"})})
 	for _, z := range []string{"a", "b", "c"} {
 		w.Members(z, 4, 4)
 	}
@@ -76,7 +76,7 @@
 		{"others get through all the time", func(w *Watch, now *Time) {
 			for range 12 {
 				run(w, now, 500*time.Millisecond, "a0", Failed)
-				w.Heard(*now+3*s, []policy.Usual{{Destination: 2, Taken: 1}}) // news of what comes after this relay's first failure
+				w.Heard(*now+3*s, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // news of what comes after this relay's first failure
 			}
 		}, Thin, "cut off from here alone", false},
 	} {
@@ -93,7 +93,7 @@
 func TestZoneWithoutEndpoints(t *testing.T) {
 	w := watched()
 	for i := range 6 {
-		w.List(policy.ListNews{Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}}})
+		w.List(policy.EndpointListUpdate{Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}}})
 	}
 	if n := w.Standings()[2].Endpoint; n != 0 {
 		t.Fatalf("%d endpoints left", n)
@@ -117,14 +117,14 @@
 func TestReturn(t *testing.T) {
 	w, now := watched(), Time(0)
 	lose(w, &now)
-	if w.State("a") != Lost || w.Level("a") != 0 || !w.Lossy() {
+	if w.State("a") != Lost || w.Level("a") != 0 || !w.SiteLost() {
 		t.Fatal("not lost")
 	}
 	w.Ended(now, now, "a0", Taken)
 	if w.State("a") != Returning || w.Level("a") != firstLevel {
 		t.Fatalf("%v at %v", w.State("a"), w.Level("a"))
 	}
-	if got := w.Changes(); len(got) != 3 || got[2].News(w).Back != "a" || got[1].News(w).Back != "" {
+	if got := w.Changes(); len(got) != 3 || got[2].News(w).ReturnedZone != "a" || got[1].News(w).ReturnedZone != "" {
 		t.Errorf("changes %+v", got)
 	}
 	run(w, &now, 5*s, "a0", Taken)
@@ -163,7 +163,7 @@
 	}
 	w.Members("a", 4, 4)
 	run(w, &now, holdMost+slowest*10*s+2*s, "a0", Taken)
-	if w.State("a") != Whole || w.Level("a") != 1 || w.Lossy() {
+	if w.State("a") != Whole || w.Level("a") != 1 || w.SiteLost() {
 		t.Errorf("%+v", w.Standings()[0])
 	}
 }
@@ -172,7 +172,7 @@
 func TestPartOfCalls(t *testing.T) {
 	w, now := watched(), Time(0)
 	lose(w, &now)
-	if w.Open(1, "a", true) || !w.Open(2, "a", true) || !w.Open(1, "b", true) || w.Cost("b") != 0 || w.Cost("c") <= 0 {
+	if w.Allows(1, "a", true) || !w.Allows(2, "a", true) || !w.Allows(1, "b", true) || w.EndpointCost("b") != 0 || w.EndpointCost("c") <= 0 {
 		t.Error("lost: who may go where")
 	}
 	w.Ended(now, now, "a0", Taken)
@@ -180,20 +180,20 @@
 	there := 0
 	for range 1000 {
 		zone := "b"
-		if w.Open(1, "a", false) {
+		if w.Allows(1, "a", false) {
 			zone = "a"
 			there++
 		}
-		if w.Open(1, "a", true) {
+		if w.Allows(1, "a", true) {
 			t.Fatal("a charge goes to what is not proved")
 		}
-		w.Sent(1, zone)
+		w.CallSent(1, zone)
 	}
 	if there < 95 || there > 105 { // a third of the endpoints, at 0.3
 		t.Errorf("%d of 1000 calls", there)
 	}
 	w.by["a"].level, w.by["a"].credit = 0.6, 1
-	if !w.Open(1, "a", true) {
+	if !w.Allows(1, "a", true) {
 		t.Error("no charge goes to what is proved")
 	}
 }
@@ -205,7 +205,7 @@
 		for n := range 2 * each {
 			plan := watched().plan
 			w := NewWatch(plan, "b", int64(n))
-			w.List(policy.ListNews{Kind: policy.ListWhole, Entries: []policy.Endpoint{{Address: "a0", Destination: 1, Zone: "a"}, {Address: "b0", Destination: 1, Zone: "b"}}})
+			w.List(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{{Address: "a0", Destination: 1, Zone: "a"}, {Address: "b0", Destination: 1, Zone: "b"}}})
 			w.Members("a", each, 0)
 			w.Members("b", each-1, each-1)
 			w.Members("c", each, each)
@@ -214,11 +214,11 @@
 			now := Time(0)
 			for now < 300*s {
 				now += 250 * time.Millisecond
-				if w.Turn(now); w.Open(1, "a", false) {
-					if w.Open(1, "a", true) || w.Cost("a") != dueCost {
+				if w.Turn(now); w.Allows(1, "a", false) {
+					if w.Allows(1, "a", true) || w.EndpointCost("a") != dueCost {
 						t.Fatal("a charge, or not the first choice")
 					}
-					w.Sent(1, "a")
+					w.CallSent(1, "a")
 					w.Ended(now, now, "a0", Failed)
 					tries++
 				}
@@ -274,8 +274,8 @@
 	}
 	sent := 0
 	for range 200 { // a burst meets the bound
-		if first.Open(1, "c", false) {
-			first.Sent(1, "c")
+		if first.Allows(1, "c", false) {
+			first.CallSent(1, "c")
 			sent++
 		}
 	}
@@ -305,7 +305,7 @@
 		t.Fatal("not taken out")
 	}
 	run(w, &now, 30*s, "a0", Taken) // calls that are out end well
-	if w.State("a") != Lost || w.Open(1, "a", false) || w.Open(2, "a", false) {
+	if w.State("a") != Lost || w.Allows(1, "a", false) || w.Allows(2, "a", false) {
 		t.Error("it is in again")
 	}
 	if _, says := w.Word("a"); says {
@@ -320,11 +320,11 @@
 // Order of refusal, attempts and words.
 func TestWhileLost(t *testing.T) {
 	w, now := watched(), Time(0)
-	if w.First("alert") != 0 || w.Attempts(1, 6) != 6 || w.Lossy() {
+	if w.ShedPriority("alert") != 0 || w.MaxAttempts(1, 6) != 6 || w.SiteLost() {
 		t.Error("nothing is lost")
 	}
 	lose(w, &now)
-	if !(w.First("unnamed") > w.First("alert") && w.First("alert") > w.First("order") && w.First("order") > w.First("charge") && w.First("charge") == 0) || w.Attempts(1, 6) != 3 || w.Attempts(1, 1) != 1 || w.Attempts(2, 6) != 6 {
+	if !(w.ShedPriority("unnamed") > w.ShedPriority("alert") && w.ShedPriority("alert") > w.ShedPriority("order") && w.ShedPriority("order") > w.ShedPriority("charge") && w.ShedPriority("charge") == 0) || w.MaxAttempts(1, 6) != 3 || w.MaxAttempts(1, 1) != 1 || w.MaxAttempts(2, 6) != 6 {
 		t.Error("order or attempts")
 	}
 	if l, ok := w.Word("a"); !ok || l != 0 {
@@ -349,7 +349,7 @@
 	young := watched()
 	young.Said("a", voices, nil)
 	young.Turn(s)
-	if c := young.Changes(); len(c) != 1 || c[0].News(young).Cold != "a" || young.State("a") != Whole {
+	if c := young.Changes(); len(c) != 1 || c[0].News(young).ColdZone != "a" || young.State("a") != Whole {
 		t.Errorf("%+v", c)
 	}
 }
@@ -374,14 +374,14 @@
 					t.Fatalf("%+v", st)
 				}
 				lossy = lossy || st.State == "lost" || st.State == "returning"
-				if st.Out && w.Open(1, st.Zone, false) {
+				if st.Out && w.Allows(1, st.Zone, false) {
 					t.Fatal("out, and open")
 				}
 			}
-			if lossy != w.Lossy() {
-				t.Fatalf("lossy %v: %+v", w.Lossy(), w.Standings())
+			if lossy != w.SiteLost() {
+				t.Fatalf("lossy %v: %+v", w.SiteLost(), w.Standings())
 			}
-			if !lossy && !(w.Open(1, "a", true) && w.Open(1, "b", true) && w.Attempts(1, 6) == 6) {
+			if !lossy && !(w.Allows(1, "a", true) && w.Allows(1, "b", true) && w.MaxAttempts(1, 6) == 6) {
 				t.Fatal("nothing is lost, and something is shut")
 			}
 		}
@@ -397,7 +397,7 @@
 			case 5:
 				w.ByHand(now, z, rapid.Bool().Draw(t, "out"))
 			case 6:
-				w.Heard(now, []policy.Usual{{Destination: 2, Taken: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Voices: 2}})
+				w.Heard(now, []policy.RouteStats{{Destination: 2, Accepted: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Reporters: 2}})
 			}
 			look()
 		}
--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -43,7 +43,7 @@
 	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut), e.Stage == Started && transient.Resource(e.Err):
 		return policy.Unsent // it tells nothing of the endpoint
 	case errors.Is(e.Err, errNewConnectionCut):
-		return policy.CutShort
+		return policy.RequestIncomplete
 	case e.NeverRan():
 		return policy.ConnectFailed
 	case e.Stage == Answered, malformedAnswer(e.Err):
@@ -52,7 +52,7 @@
 	case errors.Is(e.Err, os.ErrDeadlineExceeded):
 		return policy.TimedOut
 	}
-	return policy.Broken
+	return policy.ConnectionLost
 }
 
 // malformedAnswer tells whether the bytes that came were no answer.
--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -24,22 +24,22 @@
 	if ep == nil || ep.dest != m.Dest || m.InFlight != nil || m.Notification != nil {
 		// Guards against a call to an endpoint of another destination or a second copy, whatever the module says.
 		h.log.Error("send not made", "message", m.ID, "endpoint", a.Endpoint)
-		h.pending = append(h.pending, policy.Ended{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
 		m.Attempts++
 		return calls
 	}
 	cl, apart := open[a.Endpoint], h.behindNotice(m)
-	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].Batch && cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
+	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].MaxBatch && cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
 	if tooLong || apart || cl == nil && h.parksOne(calls, ep) {
 		// Guards against a batch whose body is longer than any body may be, or all of which waits for one message's notice: it takes a
 		// slot of its own, if there is one.
-		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.Slots {
-			h.pending = append(h.pending, policy.Ended{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.MaxConcurrentCalls {
+			h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
 			m.Attempts++
 			return calls
 		}
 	}
-	if cl == nil || len(cl.items) >= max(1, h.kindOf[h.kinds[m.Dest]].Batch) {
+	if cl == nil || len(cl.items) >= max(1, h.kindOf[h.kinds[m.Dest]].MaxBatch) {
 		cl = &call{endpoint: ep, kind: h.kinds[m.Dest], startedAt: now}
 		if calls = append(calls, cl); !apart {
 			open[a.Endpoint] = cl
@@ -74,7 +74,7 @@
 
 // repeatWindow is for how long a partner can be counted on to drop repeats of m; 0: no such bound.
 func (h *Host) repeatWindow(m *memory.Message) time.Duration {
-	was, now := m.RepeatWindow, h.classes[m.Class].Window
+	was, now := m.RepeatWindow, h.classes[m.Class].RepeatWindow
 	switch {
 	case m.Effect != policy.Keyed && h.classes[m.Class].Effect != policy.Keyed:
 		return 0
@@ -174,7 +174,7 @@
 		m.InFlight = nil
 		switch r.outcome {
 		case policy.Delivered:
-		case policy.Rejected, policy.ConnectFailed, policy.CutShort, policy.Unsent:
+		case policy.Rejected, policy.ConnectFailed, policy.RequestIncomplete, policy.Unsent:
 			// Guards against a proof for a step that is not in the journal: it would count for the one before.
 			if !e.call.unrecorded {
 				h.journal.AppendNotRun(m)
@@ -202,17 +202,17 @@
 		return
 	}
 	it.reported = true
-	h.pending = append(h.pending, policy.Ended{ID: it.num, Attempt: it.attempt, Endpoint: e.call.endpoint.id,
-		Outcome: r.outcome, Took: now - e.call.startedAt, Final: r.outcome == policy.Delivered || r.final || r.pluginFailure != nil,
-		Wait: e.retryAfter, Report: e.report})
+	h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.call.endpoint.id,
+		Outcome: r.outcome, Duration: now - e.call.startedAt, Final: r.outcome == policy.Delivered || r.final || r.pluginFailure != nil,
+		RetryAfter: e.retryAfter, Report: e.report})
 }
 
 // failureNotification is the notice of a message that a plug-in failed before it went out. Guards against handing back, as if it
 // had never run, what an earlier step may have run: its client would hand it in again.
 func (h *Host) failureNotification(t limits.Then, m *memory.Message) memory.Notification {
 	n := memory.Notification{Returned: t == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe)}
-	if n.Returned && h.set.RetryAdvice {
-		n.RetryAfter = h.set.MaxRetryAdvice
+	if n.Returned && h.set.SendRetryAfter {
+		n.RetryAfter = h.set.MaxRetryAfter
 	}
 	return n
 }
@@ -224,8 +224,8 @@
 		h.expiries.Remove(e)
 		if it := e.Value.item; !it.reported {
 			it.reported = true
-			h.pending = append(h.pending, policy.Ended{ID: it.num, Attempt: it.attempt, Endpoint: e.Value.endpoint.id,
-				Outcome: policy.TimedOut, Took: now - e.Value.startedAt})
+			h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.Value.endpoint.id,
+				Outcome: policy.TimedOut, Duration: now - e.Value.startedAt})
 		}
 	}
 }
--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -73,7 +73,7 @@
 				if got != policy.Delivered {
 					t.Errorf("%q: outcome %v behind a first line with 200", a.write[:n], got)
 				}
-			case got != policy.Errored && got != policy.Broken:
+			case got != policy.Errored && got != policy.ConnectionLost:
 				t.Errorf("%q: outcome %v of a cut answer", a.write[:n], got)
 			case res.reusable:
 				t.Errorf("%q: kept", a.write[:n])
@@ -190,9 +190,9 @@
 			h.expireItems(late)
 			answer()
 		}
-		var ends []policy.Ended
+		var ends []policy.AttemptEnded
 		for _, e := range h.pending {
-			if e, ok := e.(policy.Ended); ok {
+			if e, ok := e.(policy.AttemptEnded); ok {
 				ends = append(ends, e)
 			}
 		}
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -23,13 +23,13 @@
 	if !turned {
 		return
 	}
-	news := policy.FleetNews{Usual: h.pool.FleetAverages(now, time.Now()), Senders: h.pool.PossibleCallers(now)}
-	h.targets.ResolveEndpoints(news.Usual)
-	if len(news.Usual) > 0 || news.Senders != h.sharing { // no step for news of nothing
-		h.sharing, h.pending = news.Senders, append(h.pending, news)
+	news := policy.FleetUpdate{Routes: h.pool.FleetAverages(now, time.Now()), Relays: h.pool.PossibleCallers(now)}
+	h.targets.ResolveEndpoints(news.Routes)
+	if len(news.Routes) > 0 || news.Relays != h.sharing { // no step for news of nothing
+		h.sharing, h.pending = news.Relays, append(h.pending, news)
 	}
 	if h.watch != nil {
-		h.watch.Heard(now, news.Usual)
+		h.watch.Heard(now, news.Routes)
 	}
 	h.updateSubsets(now)
 }
@@ -69,7 +69,7 @@
 		h.rebuild(now)
 		return
 	}
-	h.figures.Endpoints(len(h.endpoints), h.relay.Skipped())
+	h.figures.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	var calls []*call
 	open := map[string]*call{}
 	for _, a := range acts {
@@ -80,13 +80,13 @@
 			h.finish(a.ID, memory.Notification{Returned: true, RetryAfter: a.RetryAfter})
 		case policy.Fail:
 			h.finish(a.ID, memory.Notification{})
-		case policy.WakeAfter:
+		case policy.SetTimer:
 			h.wakeAt = now + a.Delay
 		case policy.CloseIdle:
 			if ep := h.endpoints[a.Endpoint]; ep != nil {
 				h.closeIdleConns(ep)
 			}
-		case policy.Note:
+		case policy.LogLine:
 			h.log.Info("module", "note", a.Text)
 		}
 	}
@@ -96,17 +96,17 @@
 }
 
 // arrived is what the module is told of a message, with what earlier lives did with it.
-func arrived(m *memory.Message, wall time.Time) policy.Arrived {
+func arrived(m *memory.Message, wall time.Time) policy.Submitted {
 	// Guards against an answer in the very moment in which the time is up: whoever counts from when the client sent the message is a little
 	// earlier than this relay, takes the answer for late, and waits for a notice that never comes.
 	left := m.Deadline.Sub(wall) - endBefore
-	a := policy.Arrived{ID: m.Number, Class: m.Class, Destination: m.Dest, Left: left, Tries: m.Attempts, Kept: m.Recovered,
-		Tenant: m.Tenant, Key: m.OrderingKey, Terms: policy.Class{Effect: m.Effect, Window: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
+	a := policy.Submitted{ID: m.Number, Class: m.Class, Destination: m.Dest, TimeLeft: left, Attempts: m.Attempts, Recovered: m.Recovered,
+		Tenant: m.Tenant, Key: m.OrderingKey, Terms: policy.Class{Effect: m.Effect, RepeatWindow: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
 	if !m.MayHaveRunSince.IsZero() {
-		if a.MayHave, a.RiskAge = true, wall.Sub(m.MayHaveRunSince); a.RiskAge < 0 {
+		if a.MayHaveRun, a.UncertainAge = true, wall.Sub(m.MayHaveRunSince); a.UncertainAge < 0 {
 			// Guards against a clock that was set back between two lives: how long ago it was is not known, so that no
 			// partner can be counted on to drop a repeat.
-			a.RiskAge = unknownAge
+			a.UncertainAge = unknownAge
 		}
 	}
 	return a
@@ -130,7 +130,7 @@
 		return // the settings were good at the start
 	}
 	h.relay, h.wakeAt, h.pending, h.arrivals, h.sharing = relay, 0, nil, nil, 0
-	whole := policy.ListNews{Kind: policy.ListRestored}
+	whole := policy.EndpointListUpdate{Kind: policy.ListRestored}
 	for _, ep := range h.endpoints {
 		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest,
 			Kind: h.kinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
@@ -138,7 +138,7 @@
 	h.pending = append(h.pending, whole)
 	h.pool.ResendSubsets()
 	if h.watch != nil {
-		h.pending = append(h.pending, policy.Sites{Reach: h.watch})
+		h.pending = append(h.pending, policy.SitesUpdate{Plan: h.watch})
 	}
 	for _, ep := range h.endpoints {
 		h.holdTil = max(h.holdTil, now+ep.backoff.remaining())
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -181,8 +181,8 @@
 		own, other, log := pair[0], pair[1], &logBuffer{}
 		h := newIdleHost(t, own, t.TempDir(), log.logger())
 		list := memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}
-		h.applyEndpointList(list, policy.ListWhole)
-		h.applyEndpointList(list, policy.ListWhole)
+		h.applyEndpointList(list, policy.ListSnapshot)
+		h.applyEndpointList(list, policy.ListSnapshot)
 		for key, name := range map[string]string{"kinds": other.Kinds[0].Name, "zones": other.Zones[0].Name} {
 			lines := log.lines("pool config has " + key)
 			if len(lines) != 1 || !strings.Contains(lines[0], name) {
@@ -218,7 +218,7 @@
 		}
 		for i, class := range own.Classes {
 			m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("m", i), Class: class.Name, Dest: 7, Body: []byte("body"),
-				Deadline: time.Now().Add(class.Deadline), Terms: memory.Terms{Effect: class.Effect, RepeatWindow: class.Window}}
+				Deadline: time.Now().Add(class.Deadline), Terms: memory.Terms{Effect: class.Effect, RepeatWindow: class.RepeatWindow}}
 			if err := kept.AppendAccepted(table, m, false); err != nil {
 				t.Fatal(err)
 			}
@@ -228,7 +228,7 @@
 		}
 		kept.Close()
 		h := newIdleHost(t, other, dir, log.logger())
-		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListWhole)
+		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
 		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
 			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
--- a/internal/wire/endings_test.go
+++ b/internal/wire/endings_test.go
@@ -67,7 +67,7 @@
 	h := bare(t)
 	m, wall := h.message("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
-	if got := arrived(m, wall).Left; got > time.Second-endBefore || got < time.Second-2*endBefore {
+	if got := arrived(m, wall).TimeLeft; got > time.Second-endBefore || got < time.Second-2*endBefore {
 		t.Errorf("told %v of a second", got)
 	}
 }
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -10,8 +10,8 @@
 
 // What the host knows of endpoints: the pool config, and the connections to them that stand idle.
 
-func (h *Host) applyEndpointList(pc memory.EndpointList, kind policy.ListKind) {
-	news := policy.ListNews{Kind: kind}
+func (h *Host) applyEndpointList(pc memory.EndpointList, kind policy.ListUpdateKind) {
+	news := policy.EndpointListUpdate{Kind: kind}
 	named := map[string]bool{}
 	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
 		h.generation = -1
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	h.figures.Endpoints(len(h.endpoints), h.relay.Skipped())
+	h.figures.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	if pc.Skipped > 0 {
 		h.log.Warn("pool config has entries that can't be read", "count", pc.Skipped, "generation", pc.Generation)
 	}
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -92,8 +92,8 @@
 		tenants[t.Name] = true
 	}
 	f.tenants.Store(&tenants)
-	if f.advice.Store(0); set.RetryAdvice {
-		f.advice.Store(int64(set.MaxRetryAdvice))
+	if f.advice.Store(0); set.SendRetryAfter {
+		f.advice.Store(int64(set.MaxRetryAfter))
 	}
 	f.mu.Lock()
 	f.most = most
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -24,13 +24,13 @@
 var quiet = slog.New(slog.DiscardHandler)
 
 func testSettings() policy.Settings {
-	return policy.Settings{Senders: 1, Slots: 4, MaxHeld: 8, MaxAttempts: 6, RetryAdvice: true, MaxRetryAdvice: 3 * time.Second,
-		Tick: time.Millisecond, ConnIdle: 15 * time.Second, ColdFrom: 0.2, ColdTime: time.Second, OverloadFactor: 2,
+	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
+		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: time.Second, OverloadFactor: 2,
 		OverloadTime: 3 * time.Second, Classes: []policy.Class{
-			{Name: "alert", Effect: policy.Safe, Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1},
-			{Name: "order", Effect: policy.Keyed, Window: 5 * time.Second, Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 2},
-			{Name: "fee", Effect: policy.Unsafe, Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 5}},
-		Kinds: []policy.Kind{{Name: "broker", Batch: 5}, {Name: "small", Batch: 1}}, Zones: []policy.Zone{{Name: "z"}}}
+			{Name: "alert", Effect: policy.Safe, TargetLatency: 2 * time.Second, Deadline: 6 * time.Second, Value: 1},
+			{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2},
+			{Name: "fee", Effect: policy.Unsafe, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 5}},
+		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}}, Zones: []policy.Zone{{Name: "z"}}}
 }
 
 // ownLoopback is a loopback address that no other process listens on. Guards against strangers: whoever asks again at a
--- a/internal/wire/handin.go
+++ b/internal/wire/handin.go
@@ -182,7 +182,7 @@
 	}
 	m := &memory.Message{ID: id, Class: name, IdempotencyKey: key, Dest: dest, Body: body}
 	if m.Effect, m.Tenant = class.Effect, tenant; class.Effect == policy.Keyed {
-		m.RepeatWindow, m.ZoneOnly = class.Window, class.ZoneOnly
+		m.RepeatWindow, m.ZoneOnly = class.RepeatWindow, class.ZoneOnly
 	}
 	if class.Ordered {
 		m.OrderingKey = subject
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -102,7 +102,7 @@
 			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listed = true
-		h.applyEndpointList(pc, policy.ListWhole)
+		h.applyEndpointList(pc, policy.ListSnapshot)
 	}
 	if n.Learned != nil {
 		h.learned = *n.Learned
@@ -143,15 +143,15 @@
 			h.gates[w.Dest] = g
 		}
 		g.extend(left)
-		h.relay.Wait(h.now(), w.Endpoint, left)
+		h.relay.ApplyRetryAfter(h.now(), w.Endpoint, left)
 	}
 }
 
 // lend books the calls that the process before still has out.
-func (h *Host) lend(out []policy.Lent) {
+func (h *Host) lend(out []policy.InheritedCall) {
 	h.lent = out
-	h.relay.Lend(h.now(), out)
-	h.pending = append(h.pending, policy.Woke{})
+	h.relay.SetInheritedCalls(h.now(), out)
+	h.pending = append(h.pending, policy.TimerFired{})
 }
 
 // Activate begins the steps of a host that stood by, and tells whether the relay was drained by its operators.
@@ -166,12 +166,12 @@
 		if h.firstBy = 0; !h.listed {
 			h.firstBy = h.now() + listPatience
 		}
-		h.relay.Learn(h.now(), list, h.learned)
-		h.relay.Lend(h.now(), h.lent)
+		h.relay.ImportState(h.now(), list, h.learned)
+		h.relay.SetInheritedCalls(h.now(), h.lent)
 		h.standby, h.quiet, drained = false, false, h.drained
 		h.heldBack(h.waits)
-		h.learned, h.waits = policy.Learned{}, nil
-		h.pending = append(h.pending, policy.Woke{})
+		h.learned, h.waits = policy.LearnedState{}, nil
+		h.pending = append(h.pending, policy.TimerFired{})
 	})
 	return drained
 }
@@ -185,7 +185,7 @@
 		for _, cl := range parked {
 			h.endParked(cl) // its messages are given
 		}
-		learned, numbers := h.relay.Learned(h.now()), h.table.NewSharedNumbering()
+		learned, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
 		news := &handover.News{Drained: drained, Learned: &learned, List: &handover.List{Generation: h.generation}, Numbers: &numbers}
 		for _, ep := range h.endpoints {
 			news.List.Members = append(news.List.Members, handover.Member{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
@@ -261,7 +261,7 @@
 	}
 	news.Waits, news.Owes = h.waits, owes
 	for cl := range h.calls {
-		news.Out = append(news.Out, policy.Lent{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		news.Out = append(news.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dates)); err != nil {
 		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -33,7 +33,7 @@
 	msg := func(class, id string, steps int, risk time.Time) *memory.Message {
 		return &memory.Message{Number: 77, ID: id, Class: class, IdempotencyKey: "k", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(4 * time.Second), Attempts: steps, MayHaveRunSince: risk}
 	}
-	lent := []policy.Lent{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
+	lent := []policy.InheritedCall{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
 	<-w.host.Adopt(Passed{Overs: []string{"over"}})
 	<-w.host.Adopt(Passed{Msgs: []*memory.Message{msg("alert", "a", 0, time.Time{}), msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
 		News: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
@@ -84,7 +84,7 @@
 	w.host.Do(func(h *Host) { h.standby, h.quiet = true, true })
 	var all []*memory.Message
 	var ids []string
-	most := w.host.set.Slots * w.host.kindOf["broker"].Batch
+	most := w.host.set.MaxConcurrentCalls * w.host.kindOf["broker"].MaxBatch
 	for n := range uint32(most) {
 		m := &memory.Message{Number: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)}
 		all, ids = append(all, m), append(ids, m.ID)
@@ -127,7 +127,7 @@
 	w.until("the call", func() bool { return len(w.calls) == 1 })
 	w.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
-		h.relay.Wait(h.now(), "s-1", time.Minute)
+		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
 	w.client(hand("alert", "held", "", "b", 4000))
 	waitFor(t, "the host to hear that its client was told", func() (told bool) {
@@ -176,19 +176,19 @@
 	set := testSettings()
 	old, _ := policy.New(set, 1)
 	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}}
-	old.Step(time.Second, []policy.Event{policy.ListNews{Kind: policy.ListWhole, Entries: list}, policy.Arrived{ID: 1, Class: "order", Destination: 7, Left: 20 * time.Second}})
-	old.Step(2*time.Second, []policy.Event{policy.Ended{ID: 1, Endpoint: "e", Outcome: policy.Rejected, Wait: 2 * time.Second}})
-	learned := old.Learned(2500 * time.Millisecond)
-	if l := learned.Lines; len(l) != 1 || l[0].Wait < 1500*time.Millisecond || l[0].Claimed != 1500*time.Millisecond {
+	old.Step(time.Second, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: list}, policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
+	old.Step(2*time.Second, []policy.Event{policy.AttemptEnded{ID: 1, Endpoint: "e", Outcome: policy.Rejected, RetryAfter: 2 * time.Second}})
+	learned := old.ExportState(2500 * time.Millisecond)
+	if l := learned.Routes; len(l) != 1 || l[0].RetryAfter < 1500*time.Millisecond || l[0].SinceCall != 1500*time.Millisecond {
 		t.Fatalf("%+v", learned)
 	}
 	next, _ := policy.New(set, 2)
-	next.Learn(time.Hour, list, learned)
-	acts := next.Step(time.Hour, []policy.Event{policy.Arrived{ID: 1, Class: "order", Destination: 7, Left: 20 * time.Second}})
+	next.ImportState(time.Hour, list, learned)
+	acts := next.Step(time.Hour, []policy.Event{policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
 	if slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
 		t.Errorf("sent while the wait ran: %v", acts)
 	}
-	acts = next.Step(time.Hour+5*time.Second, []policy.Event{policy.Woke{}})
+	acts = next.Step(time.Hour+5*time.Second, []policy.Event{policy.TimerFired{}})
 	if !slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
 		t.Errorf("not sent after it: %v", acts)
 	}
@@ -200,12 +200,12 @@
 	set := testSettings() // four slots, three for a destination
 	r, _ := policy.New(set, 1)
 	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}, {Address: "f", Destination: 8, Kind: "small"}}
-	r.Learn(time.Second, list, policy.Learned{Pace: 20, Short: time.Second})
-	if got := r.Learned(time.Second); got.Pace != 20 || got.Short != time.Second {
+	r.ImportState(time.Second, list, policy.LearnedState{CompletionRate: 20, Shortage: time.Second})
+	if got := r.ExportState(time.Second); got.CompletionRate != 20 || got.Shortage != time.Second {
 		t.Errorf("%+v", got)
 	}
-	sends := func(now time.Duration, lent []policy.Lent, events ...policy.Event) (to []string) {
-		r.Lend(now, lent)
+	sends := func(now time.Duration, lent []policy.InheritedCall, events ...policy.Event) (to []string) {
+		r.SetInheritedCalls(now, lent)
 		for _, a := range r.Step(now, events) {
 			if s, ok := a.(policy.Send); ok {
 				to = append(to, s.Endpoint)
@@ -214,16 +214,16 @@
 		return to
 	}
 	msg := func(id uint32, dest int) policy.Event {
-		return policy.Arrived{ID: id, Class: "order", Destination: dest, Left: 20 * time.Second}
+		return policy.Submitted{ID: id, Class: "order", Destination: dest, TimeLeft: 20 * time.Second}
 	}
-	three := []policy.Lent{{Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "gone"}}
+	three := []policy.InheritedCall{{Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "gone"}}
 	if to := sends(2*time.Second, three, msg(1, 7), msg(2, 8), msg(3, 8)); !slices.Equal(to, []string{"f"}) {
 		t.Errorf("with three lent: %v", to)
 	}
-	if to := sends(3*time.Second, three[:2], policy.Woke{}); !slices.Equal(to, []string{"e"}) {
+	if to := sends(3*time.Second, three[:2], policy.TimerFired{}); !slices.Equal(to, []string{"e"}) {
 		t.Errorf("with two lent: %v", to)
 	}
-	if to := sends(4*time.Second, nil, policy.Woke{}); !slices.Equal(to, []string{"f"}) {
+	if to := sends(4*time.Second, nil, policy.TimerFired{}); !slices.Equal(to, []string{"f"}) {
 		t.Errorf("with none: %v", to)
 	}
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -101,8 +101,8 @@
 	left      []*memory.Message         // that are still to be given
 	waits     []handover.Wait           // that the other process has yet to hear of, or this one's module
 	toldOut   int                       // calls out as it was told last
-	lent      []policy.Lent             // calls that the process before still has out
-	learned   policy.Learned            // of the process before, until the steps begin
+	lent      []policy.InheritedCall    // calls that the process before still has out
+	learned   policy.LearnedState       // of the process before, until the steps begin
 	drained   bool                      // that one was drained
 	elsewhere map[string]struct{}       // ids that it took on and keeps
 	sequence  sequence.Sequencer        // what waits for messages that other processes still owe
@@ -154,7 +154,7 @@
 // NewHost returns a host that holds again what the table holds.
 func NewHost(c HostConfig) (*Host, error) {
 	start := time.Now()
-	c.Settings.Epoch = time.Duration(start.UnixNano())
+	c.Settings.ClockOffset = time.Duration(start.UnixNano())
 	relay, err := policy.New(c.Settings, c.Seed)
 	if err != nil {
 		return nil, err
@@ -215,14 +215,14 @@
 	}
 	h.agent.Store(&discovery)
 	h.watching, h.unwatch = context.WithCancel(context.Background())
-	go watchEndpointList(h.watching, listWatcher{addr: discovery, generation: h.generation, fleetSize: h.set.Senders, polled: h.set.AskForList, seed: h.seed}, h.events, h.log)
+	go watchEndpointList(h.watching, listWatcher{addr: discovery, generation: h.generation, fleetSize: h.set.Relays, polled: h.set.MustSubscribe, seed: h.seed}, h.events, h.log)
 }
 
 // Reload puts a new configuration in force, which was checked: settings and limits at once, and discovery's new
 // address. What is held, out or known stays; the pool config stays until the new address has told its own.
 func (h *Host) Reload(c HostConfig, discovery string) (err error) {
 	h.Do(func(h *Host) {
-		c.Settings.Epoch = h.set.Epoch
+		c.Settings.ClockOffset = h.set.ClockOffset
 		if err = h.relay.Reconfigure(c.Settings); err != nil {
 			return
 		}
@@ -230,7 +230,7 @@
 		h.name(c.Settings)
 		h.journal.SetBudget(c.DiskBytes)
 		h.follow(discovery)
-		h.pending = append(h.pending, policy.Woke{})
+		h.pending = append(h.pending, policy.TimerFired{})
 	})
 	return err
 }
@@ -325,7 +325,7 @@
 		h.expireItems(now)
 		h.expireHeld(now)
 		if h.wakeAt > 0 && now >= h.wakeAt {
-			h.wakeAt, h.pending = 0, append(h.pending, policy.Woke{})
+			h.wakeAt, h.pending = 0, append(h.pending, policy.TimerFired{})
 		}
 		h.share(now)
 		h.updateSites(now)
@@ -390,7 +390,7 @@
 		}
 		kind := policy.ListChanges
 		if e.Complete {
-			kind = policy.ListWhole
+			kind = policy.ListSnapshot
 		}
 		h.listed, h.firstBy = true, 0
 		h.applyEndpointList(e.EndpointList, kind)
@@ -416,8 +416,8 @@
 // upkeep closes connections well before the other side would.
 func (h *Host) upkeep(now policy.Time) {
 	h.upkeepAt = now + upkeepTurn
-	if h.set.ConnIdle > 0 {
-		limit := time.Duration(float64(h.set.ConnIdle) * idleShare)
+	if h.set.IdleConnTimeout > 0 {
+		limit := time.Duration(float64(h.set.IdleConnTimeout) * idleShare)
 		for h.idle.Len() > 0 && time.Since(h.idle.First().Value.lastUsed) > limit {
 			h.closeOldestIdleConn()
 		}
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -222,7 +222,7 @@
 	w.empty()
 	w.Lock()
 	defer w.Unlock()
-	held := testSettings().MaxHeld
+	held := testSettings().MaxPending
 	if statuses[202] != held || statuses[503] != handIns-held {
 		t.Errorf("answers by status: %v, want %d taken on and the rest refused", statuses, held)
 	}
@@ -238,7 +238,7 @@
 	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
 	w.client(hand("fee", "out", "", "b", 19000))
 	w.until("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) { h.relay = nil; h.pending = append(h.pending, policy.Woke{}) })
+	w.host.Do(func(h *Host) { h.relay = nil; h.pending = append(h.pending, policy.TimerFired{}) })
 	w.client(hand("alert", "next", "", "b", 5000))
 	close(release)
 	w.empty()
@@ -265,7 +265,7 @@
 	out.InFlight = &memory.Attempt{}
 	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.message("x", 7, 1).Number, Endpoint: "s-9"}} {
 		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pending) != i+1 ||
-			h.pending[i].(policy.Ended).Outcome != policy.Unsent {
+			h.pending[i].(policy.AttemptEnded).Outcome != policy.Unsent {
 			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pending)
 		}
 	}
@@ -324,8 +324,8 @@
 	}
 	h.expireItems(time.Second)
 	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Delivered})})
-	if len(h.pending) != 2 || h.pending[0].(policy.Ended).Outcome != policy.TimedOut || h.pending[0].(policy.Ended).ID != short.Number ||
-		h.pending[1].(policy.Ended).ID != long.Number {
+	if len(h.pending) != 2 || h.pending[0].(policy.AttemptEnded).Outcome != policy.TimedOut || h.pending[0].(policy.AttemptEnded).ID != short.Number ||
+		h.pending[1].(policy.AttemptEnded).ID != long.Number {
 		t.Fatalf("told %+v", h.pending)
 	}
 }
@@ -381,7 +381,7 @@
 func TestRepeatOutsideItsWindow(t *testing.T) {
 	h := bare(t)
 	set := testSettings()
-	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, Window: 5 * time.Second, Aim: time.Second, Deadline: time.Hour})
+	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: time.Second, Deadline: time.Hour})
 	h.name(set)
 	now := time.Now()
 	for _, c := range []struct {
@@ -413,7 +413,7 @@
 // anew sends nothing before its end.
 func TestGates(t *testing.T) {
 	h := bare(t)
-	h.kindOf["apart"] = policy.Kind{Name: "apart", Batch: 1, SeparateRoutes: true}
+	h.kindOf["apart"] = policy.Kind{Name: "apart", MaxBatch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
 		dest := map[string]int{"broker": 7, "apart": 9}[kind]
 		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
@@ -556,7 +556,7 @@
 	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline || h.classes["alert"].Deadline == 0 {
 		t.Fatalf("%d arrivals, %v left of %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
 	}
-	if a := arrived(m, time.Now()); !a.MayHave || a.RiskAge != unknownAge {
+	if a := arrived(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownAge {
 		t.Errorf("%+v", a)
 	}
 }
@@ -564,7 +564,7 @@
 // A call that was cut short never ran: the journal says so, and a restart may try its message again. One that broke behind its last byte may
 // have run.
 func TestCutShortProvesThatNothingRan(t *testing.T) {
-	for outcome, ran := range map[policy.Outcome]bool{policy.CutShort: false, policy.ConnectFailed: false, policy.Broken: true, policy.TimedOut: true} {
+	for outcome, ran := range map[policy.Outcome]bool{policy.RequestIncomplete: false, policy.ConnectFailed: false, policy.ConnectionLost: true, policy.TimedOut: true} {
 		h := bare(t)
 		m := h.message("m", 7, 1)
 		calls := h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
@@ -576,7 +576,7 @@
 		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
 			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
-		if len(h.pending) != 1 || h.pending[0].(policy.Ended).Outcome != outcome {
+		if len(h.pending) != 1 || h.pending[0].(policy.AttemptEnded).Outcome != outcome {
 			t.Errorf("outcome %v: the module is told %v", outcome, h.pending)
 		}
 	}
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -17,7 +17,7 @@
 // order puts all classes of a world in order by subject, each message in a call of its own.
 func (w *world) order() {
 	s := testSettings()
-	s.Kinds[0].Batch = 1
+	s.Kinds[0].MaxBatch = 1
 	for i := range s.Classes {
 		s.Classes[i].Ordered = true
 	}
@@ -232,11 +232,11 @@
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.new.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
-		h.relay.Wait(h.now(), "s-1", time.Minute)
+		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
 	o.old.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
-		h.relay.Wait(h.now(), "s-1", time.Minute)
+		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
 	o.take(o.old, "a")
 	o.heldIn(o.old, "a")
--- a/internal/wire/parked_test.go
+++ b/internal/wire/parked_test.go
@@ -67,7 +67,7 @@
 		t.Fatalf("before its time: %d parked, %v", len(h.parked), h.pending)
 	}
 	h.unpark(time.Second)
-	if e, ok := h.pending[0].(policy.Ended); len(h.parked) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
+	if e, ok := h.pending[0].(policy.AttemptEnded); len(h.parked) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
 		t.Errorf("%d parked, %d out, %+v", len(h.parked), len(h.calls), h.pending)
 	}
 }
@@ -103,7 +103,7 @@
 	if len(calls) != 2 || len(calls[0].items) != 2 || calls[1].items[0].id != "b" {
 		t.Errorf("%d calls", len(calls))
 	}
-	for len(h.calls) < h.set.Slots {
+	for len(h.calls) < h.set.MaxConcurrentCalls {
 		h.calls[&call{endpoint: calls[0].endpoint}] = struct{}{}
 	}
 	b.InFlight = nil
--- a/internal/wire/requests.go
+++ b/internal/wire/requests.go
@@ -80,7 +80,7 @@
 	} else if !named && len(h.kinds) > 0 {
 		return nil, h.refuse()
 	}
-	if h.table.PendingCount() < h.set.MaxHeld {
+	if h.table.PendingCount() < h.set.MaxPending {
 		e.msg.Number, e.msg.Unanswered = h.table.NextNumber(), true
 		if h.journal.AppendAccepted(h.table, e.msg, e.msg.Effect == policy.Safe) == nil { // a full budget or disk is counted below, like a full hold
 			if s := e.msg.OrderingKey; s != "" {
@@ -162,8 +162,8 @@
 func (h *Host) refuse() verdict {
 	h.refused++
 	v := verdict{}
-	if h.set.RetryAdvice {
-		v.retry = h.set.MaxRetryAdvice
+	if h.set.SendRetryAfter {
+		v.retry = h.set.MaxRetryAfter
 	}
 	return v
 }
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -81,7 +81,7 @@
 	call       *call
 	results    []itemResult // one for each item
 	retryAfter time.Duration
-	report     *policy.Report
+	report     *policy.LimitReport
 	err        error
 	reusable   bool // the connection is idle now
 }
@@ -501,11 +501,11 @@
 }
 
 // parseLoadReport reads a line like x0=0.4,x1=25; nil where it tells no limit or can't be read.
-func parseLoadReport(s string) *policy.Report {
+func parseLoadReport(s string) *policy.LimitReport {
 	if s == "" {
 		return nil
 	}
-	var rep policy.Report
+	var rep policy.LimitReport
 	told := false
 	for _, part := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -515,7 +515,7 @@
 		}
 		switch name {
 		case "x0":
-			rep.Left = v
+			rep.Remaining = v
 		case "x1":
 			rep.Limit, told = v, true
 		}
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -49,7 +49,7 @@
 	{write: httpResponse("504 X", ""), outcomes: oneOutcome(policy.Unsent), reusable: true},
 	{write: httpResponse("410 X", ""), outcomes: oneOutcome(policy.Unsent), final: true, reusable: true},
 	{write: httpResponse("500 X", "boom"), outcomes: oneOutcome(policy.Errored), reusable: true},
-	{close: true, outcomes: oneOutcome(policy.Broken)},
+	{close: true, outcomes: oneOutcome(policy.ConnectionLost)},
 	{write: "HTTP/1.1 200 OK\r\n", close: true, outcomes: oneOutcome(policy.Delivered)},
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", close: true, outcomes: oneOutcome(policy.Delivered)},
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // the rest never comes
@@ -265,7 +265,7 @@
 	}{
 		{Started, os.ErrDeadlineExceeded, policy.ConnectFailed, true}, {Dialled, io.ErrShortWrite, policy.ConnectFailed, true},
 		{Dialled, errBlocked, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
-		{Written, io.EOF, policy.Broken, false}, {Answered, io.EOF, policy.Errored, false},
+		{Written, io.EOF, policy.ConnectionLost, false}, {Answered, io.EOF, policy.Errored, false},
 		{Written, errLine, policy.Errored, false}, {Answered, os.ErrDeadlineExceeded, policy.Errored, false},
 	} {
 		e := &AttemptError{c.stage, c.err}
@@ -331,7 +331,7 @@
 		want   policy.Outcome
 	}{
 		"holds":               {httpResponse("200 OK", ""), false, false, time.Millisecond, policy.Delivered},
-		"cut":                 {"", true, false, time.Minute, policy.CutShort},
+		"cut":                 {"", true, false, time.Minute, policy.RequestIncomplete},
 		"speaks":              {httpResponse("200 OK", ""), true, false, time.Minute, policy.Unsent},
 		"served, then holds":  {httpResponse("200 OK", ""), false, true, time.Millisecond, policy.Delivered},
 		"served, then cut":    {"", true, true, time.Minute, policy.Unsent},
--- a/internal/wire/sim/wire.go
+++ b/internal/wire/sim/wire.go
@@ -110,12 +110,12 @@
 
 var outcomes = map[string]policy.Outcome{
 	"delivered": policy.Delivered, "app_error": policy.Errored, "shed": policy.Rejected,
-	"expired": policy.TimedOut, "dial_failed": policy.ConnectFailed, "dropped": policy.Broken,
+	"expired": policy.TimedOut, "dial_failed": policy.ConnectFailed, "dropped": policy.ConnectionLost,
 	"revoked": policy.Cancelled, "unused": policy.Unsent,
 }
 
-var listKinds = map[string]policy.ListKind{
-	"update": policy.ListChanges, "replace": policy.ListWhole,
+var listKinds = map[string]policy.ListUpdateKind{
+	"update": policy.ListChanges, "replace": policy.ListSnapshot,
 	"restored": policy.ListRestored, "unavailable": policy.ListUnavailable,
 }
 
@@ -131,8 +131,8 @@
 func (e *Event) Translate(sheet []Entry, columns []string) (policy.Event, error) {
 	switch e.What {
 	case "KNOCK":
-		ev := policy.Arrived{ID: *e.Req, Class: e.Category, Tenant: text(e.UserGroup),
-			Destination: *e.Destination, Left: us(e.LeftUs)}
+		ev := policy.Submitted{ID: *e.Req, Class: e.Category, Tenant: text(e.UserGroup),
+			Destination: *e.Destination, TimeLeft: us(e.LeftUs)}
 		if e.Item != nil {
 			ev.Key = *e.Item
 		}
@@ -142,17 +142,17 @@
 		if !ok {
 			return nil, fmt.Errorf("FINISHED with unknown code %q", e.Code)
 		}
-		ev := policy.Ended{ID: *e.Req, Attempt: e.SeqNo, Endpoint: e.Endpoint, Outcome: code,
-			Took: us(e.LagUs), Final: e.Closed}
+		ev := policy.AttemptEnded{ID: *e.Req, Attempt: e.SeqNo, Endpoint: e.Endpoint, Outcome: code,
+			Duration: us(e.LagUs), Final: e.Closed}
 		if code == policy.Rejected {
-			ev.Wait = time.Duration(e.HoldMs) * time.Millisecond
+			ev.RetryAfter = time.Duration(e.HoldMs) * time.Millisecond
 		}
 		ev.Report = e.report(columns)
 		return ev, nil
 	case "EXPIRED":
 		return policy.Withdrawn{ID: *e.Req}, nil
 	case "ALARM":
-		return policy.Woke{}, nil
+		return policy.TimerFired{}, nil
 	case "DIRECTORY_UPDATE":
 		return e.listNews(sheet)
 	}
@@ -160,8 +160,8 @@
 }
 
 // report picks what is told of a limit; nil where that is not told.
-func (e *Event) report(columns []string) *policy.Report {
-	var rep policy.Report
+func (e *Event) report(columns []string) *policy.LimitReport {
+	var rep policy.LimitReport
 	told := false
 	for i, v := range e.Report {
 		if i >= len(columns) || v == nil {
@@ -169,7 +169,7 @@
 		}
 		switch columns[i] {
 		case "x0":
-			rep.Left = *v
+			rep.Remaining = *v
 		case "x1":
 			rep.Limit, told = *v, true
 		}
@@ -185,7 +185,7 @@
 	if !ok {
 		return nil, fmt.Errorf("DIRECTORY_UPDATE with unknown kind %q", e.Kind)
 	}
-	ev := policy.ListNews{Kind: kind}
+	ev := policy.EndpointListUpdate{Kind: kind}
 	if kind == policy.ListUnavailable {
 		return ev, nil
 	}
@@ -220,14 +220,14 @@
 		out.What, out.Req, out.CoolDownUs = "NOT_NOW", id(a.ID), a.RetryAfter.Microseconds()
 	case policy.Fail:
 		out.What, out.Req = "SURRENDER", id(a.ID)
-	case policy.WakeAfter:
+	case policy.SetTimer:
 		d := a.Delay.Microseconds()
 		out.What, out.DelayUs, out.Cookie = "REMIND", &d, "w"
 	case policy.Subscribe:
 		out.What, out.On = "TRACK", true
 	case policy.CloseIdle:
 		out.What, out.Endpoint = "CLOSE_IDLE", a.Endpoint
-	case policy.Note:
+	case policy.LogLine:
 		out.What, out.NoteText = "TRACE", a.Text
 	}
 	return out
--- a/internal/wire/sim/wire_test.go
+++ b/internal/wire/sim/wire_test.go
@@ -187,15 +187,15 @@
 func TestReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		columns, row string
-		want         *policy.Report
+		want         *policy.LimitReport
 	}{
-		"as told":        {`["x0","x1"]`, `[0.5,40]`, &policy.Report{Left: 0.5, Limit: 40}},
-		"other order":    {`["x1","nobody_knows","x0"]`, `[40,7,0.5]`, &policy.Report{Left: 0.5, Limit: 40}},
-		"no limit":       {`["x0","x1"]`, `[0,0]`, &policy.Report{}},
+		"as told":        {`["x0","x1"]`, `[0.5,40]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
+		"other order":    {`["x1","nobody_knows","x0"]`, `[40,7,0.5]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
+		"no limit":       {`["x0","x1"]`, `[0,0]`, &policy.LimitReport{}},
 		"no report":      {`["x0","x1"]`, `null`, nil},
 		"short row":      {`["x0","x1"]`, `[0.5]`, nil},
-		"null value":     {`["x0","x1"]`, `[null,40]`, &policy.Report{Limit: 40}},
-		"longer row":     {`["x0","x1"]`, `[0.5,40,3]`, &policy.Report{Left: 0.5, Limit: 40}},
+		"null value":     {`["x0","x1"]`, `[null,40]`, &policy.LimitReport{Limit: 40}},
+		"longer row":     {`["x0","x1"]`, `[0.5,40,3]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
 		"no such column": {`["cpu"]`, `[0.5]`, nil},
 		"no columns":     {`[]`, `[0.5,40]`, nil},
 	} {
@@ -208,7 +208,7 @@
 			t.Fatal(err)
 		}
 		ev, err := b.Events[0].Translate(nil, columns)
-		if got := ev.(policy.Ended).Report; err != nil || !reflect.DeepEqual(got, c.want) {
+		if got := ev.(policy.AttemptEnded).Report; err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, %v, want %v", name, got, err, c.want)
 		}
 	}
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -36,12 +36,12 @@
 	if h.watch = nil; plan == nil {
 		h.sites.Store(nil)
 		if was != nil {
-			h.pending = append(h.pending, policy.Sites{})
+			h.pending = append(h.pending, policy.SitesUpdate{})
 		}
 		return
 	}
 	h.watch, h.sitesHome = sites.NewWatch(plan, home, h.seed^h.start.UnixNano()), home
-	whole := policy.ListNews{Kind: policy.ListWhole}
+	whole := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for _, ep := range h.endpoints {
 		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest, Zone: ep.zone, State: policy.EndpointState(ep.state.Load())})
 	}
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	h.pending = append(h.pending, policy.Sites{Reach: h.watch})
+	h.pending = append(h.pending, policy.SitesUpdate{Plan: h.watch})
 	h.viewAt, h.sitesAt = 0, 0
 	h.updateSites(h.now())
 }
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -51,13 +51,13 @@
 	if h.applySitePlan(other, "b"); h.watch == since || !look().Out {
 		t.Error("another plan lets in what is out by hand")
 	}
-	if h.watch.Open(7, "a", false) || !h.watch.Open(7, "b", true) {
+	if h.watch.Allows(7, "a", false) || !h.watch.Allows(7, "b", true) {
 		t.Error("what may go where")
 	}
 	// Ends of calls are told by what they prove of the site.
 	h.SubmitSiteCommand(SiteCommand{"a", false})
 	look()
-	for _, o := range []policy.Outcome{policy.ConnectFailed, policy.Unsent, policy.Rejected, policy.Delivered, policy.TimedOut, policy.Broken} {
+	for _, o := range []policy.Outcome{policy.ConnectFailed, policy.Unsent, policy.Rejected, policy.Delivered, policy.TimedOut, policy.ConnectionLost} {
 		h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute}, results: []itemResult{{outcome: o}}}, h.now())
 	}
 	h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now()}, results: []itemResult{{outcome: policy.ConnectFailed}}, err: errConnectionLimit}, h.now())
@@ -65,7 +65,7 @@
 		t.Errorf("%+v", st)
 	}
 	h.pending = nil
-	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.Sites{}) {
+	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.SitesUpdate{}) {
 		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pending)
 	}
 }
--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	a := arrived(table.ByID("m0"), time.Now())
-	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.Window != want.RepeatWindow || !a.Terms.ZoneOnly || !a.Kept {
+	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.RepeatWindow != want.RepeatWindow || !a.Terms.ZoneOnly || !a.Recovered {
 		t.Errorf("the module is told %+v", a)
 	}
 }
@@ -55,7 +55,7 @@
 // What the platform names tenant and subject is read, for the classes that have one; what can't be read is refused by name.
 func TestTenantsAndSubjectsAreRead(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "posting", Effect: policy.Unsafe, Ordered: true, Deadline: time.Minute},
-		{Name: "alert", Deadline: time.Minute}, {Name: "order", Effect: policy.Keyed, Window: time.Second, ZoneOnly: true, Deadline: time.Minute}}, Tenants: []policy.Tenant{{Name: "north"}, {Name: "b"}}}
+		{Name: "alert", Deadline: time.Minute}, {Name: "order", Effect: policy.Keyed, RepeatWindow: time.Second, ZoneOnly: true, Deadline: time.Minute}}, Tenants: []policy.Tenant{{Name: "north"}, {Name: "b"}}}
 	f := NewFront(listen(t), set, 10, nil, quiet)
 	head := func(account string) *head {
 		return &head{fields: []field{{"X-Correlation-Id", "i"}, {"X-Time-Left-Ms", "1000"}, {"Envelope", "dest=1"}, {"Idempotency-Key", "k"}, {"X-Account", account}}}
@@ -205,13 +205,13 @@
 		w.front.Configure(&s, 100)
 	}
 	configure(a, func(s *policy.Settings) {
-		s.Classes = []policy.Class{{Name: "fee", Effect: policy.Safe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}}
+		s.Classes = []policy.Class{{Name: "fee", Effect: policy.Safe, TargetLatency: time.Second, Deadline: 10 * time.Second, Value: 1}}
 		s.MaxAttempts = 2
 	})
 	configure(b, func(s *policy.Settings) {
-		s.Classes = []policy.Class{{Name: "fee", Effect: policy.Unsafe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1},
-			{Name: "alert", Effect: policy.Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}
-		s.MaxHeld = 1
+		s.Classes = []policy.Class{{Name: "fee", Effect: policy.Unsafe, TargetLatency: time.Second, Deadline: 10 * time.Second, Value: 1},
+			{Name: "alert", Effect: policy.Keyed, RepeatWindow: time.Second, TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1}}
+		s.MaxPending = 1
 	})
 	for w, calls := range map[*world]int{a: 2, b: 1} {
 		if status := w.client(hand("fee", "m", "", "x", 9000)); status != 202 {
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -127,5 +127,5 @@
 func (h *Host) handleLateRetryAfter(e lateRetryAfter) {
 	h.log.Debug("wait told behind the end of its call", "endpoint", e.endpoint.id, "dest", e.endpoint.dest, "wait", e.retryAfter)
 	h.applyRetryAfter(e.endpoint, e.retryAfter)
-	h.relay.Wait(h.now(), e.endpoint.id, e.retryAfter)
+	h.relay.ApplyRetryAfter(h.now(), e.endpoint.id, e.retryAfter)
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -11,32 +11,32 @@
 
 // Settings is what a relay is told when it starts. It never changes afterwards.
 type Settings struct {
-	Senders        int             // relays that share the destinations, this one counted
-	Turns          pacing.Schedule // this relay's among them; the zero value: it keeps none
-	Epoch          time.Duration   // what the clock that all relays share shows at Time 0
-	Slots          int             // calls this relay may have out at once
-	Alone          bool            // relays may not tell one another anything
-	SlotShare      float64         // most of them that one destination may hold; 0: three quarters
-	MaxHeld        int             // messages it may hold, sent or not
-	MaxAttempts    int             // attempts for one message, unused ones counted
-	AskForList     bool            // endpoint news comes only to those that subscribe
-	AskWithin      time.Duration   // an unsubscribed relay has to ask at least this often
-	RetryAdvice    bool            // clients hear Refuse.RetryAfter
-	MaxRetryAdvice time.Duration   // the longest advice that a client observes
-	Tick           time.Duration   // shortest time between two steps
-	ConnIdle       time.Duration   // connections unused for this long close by themselves
-	RatesListed    bool            // Endpoint.Rate holds the destination's calls a second
-	ColdFrom       float64         // share of its capacity that a returning destination has at once
-	ColdTime       time.Duration   // and all of it after this
-	OverloadFactor float64         // more than this multiple of its present capacity ...
-	OverloadTime   time.Duration   // ... for this long knocks a cold destination over
-	KeyQuiet       time.Duration   // rest of an ordered key after an attempt that may still run
-	HalvingWorth   bool            // worth halves with each further aim; else it falls evenly to the deadline
-	OverShareWorth float64         // worth of a message past its tenant's share
-	Classes        []Class
-	Tenants        []Tenant
-	Kinds          []Kind
-	Zones          []Zone
+	Relays               int             // relays that share the destinations, this one counted
+	TimeSlots            pacing.Schedule // this relay's among them; the zero value: it keeps none
+	ClockOffset          time.Duration   // what the clock that all relays share shows at Time 0
+	MaxConcurrentCalls   int             // calls this relay may have out at once
+	NoGossip             bool            // relays may not tell one another anything
+	MaxDestinationShare  float64         // most of them that one destination may hold; 0: three quarters
+	MaxPending           int             // messages it may hold, sent or not
+	MaxAttempts          int             // attempts for one message, unused ones counted
+	MustSubscribe        bool            // endpoint news comes only to those that subscribe
+	MaxSubscribeInterval time.Duration   // an unsubscribed relay has to ask at least this often
+	SendRetryAfter       bool            // clients hear Refuse.RetryAfter
+	MaxRetryAfter        time.Duration   // the longest advice that a client observes
+	Tick                 time.Duration   // shortest time between two steps
+	IdleConnTimeout      time.Duration   // connections unused for this long close by themselves
+	RatesListed          bool            // Endpoint.Rate holds the destination's calls a second
+	ColdStartShare       float64         // share of its capacity that a returning destination has at once
+	WarmUpTime           time.Duration   // and all of it after this
+	OverloadFactor       float64         // more than this multiple of its present capacity ...
+	OverloadTime         time.Duration   // ... for this long knocks a cold destination over
+	KeyQuietTime         time.Duration   // rest of an ordered key after an attempt that may still run
+	ExponentialDecay     bool            // worth halves with each further aim; else it falls evenly to the deadline
+	OverQuotaValue       float64         // worth of a message past its tenant's share
+	Classes              []Class
+	Tenants              []Tenant
+	Kinds                []Kind
+	Zones                []Zone
 }
 
 // Effect says what repeating a message does.
@@ -51,15 +51,15 @@
 
 // Class is a class of message.
 type Class struct {
-	Name      string
-	Effect    Effect
-	ZoneOnly  bool          // Keyed: only endpoints of one zone drop repeats of each other
-	Window    time.Duration // Keyed: for how long repeats are dropped
-	Ordered   bool          // messages with one key go one at a time
-	Aim       time.Duration // full worth until then
-	Deadline  time.Duration // no worth after it
-	Worth     float64
-	LateWorth float64 // share of the worth left at the deadline
+	Name          string
+	Effect        Effect
+	ZoneOnly      bool          // Keyed: only endpoints of one zone drop repeats of each other
+	RepeatWindow  time.Duration // Keyed: for how long repeats are dropped
+	Ordered       bool          // messages with one key go one at a time
+	TargetLatency time.Duration // full worth until then
+	Deadline      time.Duration // no worth after it
+	Value         float64
+	LateValue     float64 // share of the worth left at the deadline
 }
 
 // Tenant is a customer with a share of the service.
@@ -72,7 +72,7 @@
 // Kind is a kind of destination.
 type Kind struct {
 	Name           string
-	Batch          int  // messages in one call at most
+	MaxBatch       int  // messages in one call at most
 	SeparateRoutes bool // each endpoint has its own limit, pace and outages
 }
 
@@ -105,21 +105,21 @@
 // Event is something that a relay learns: one of the types below.
 type Event interface{ event() }
 
-// Arrived hands a message to the relay, which now owes it one final answer.
-type Arrived struct {
+// Submitted hands a message to the relay, which now owes it one final answer.
+type Submitted struct {
 	ID          uint32
 	Class       string
 	Tenant      string
 	Key         string // ordered classes: what the message is about
 	Destination int
-	Left        time.Duration // how long it may still be delivered
+	TimeLeft    time.Duration // how long it may still be delivered
 
 	// Of a message that an earlier life of this relay left behind:
-	Tries   int           // attempts made
-	MayHave bool          // one of them may have run
-	RiskAge time.Duration // time since the first such attempt was sent
-	Kept    bool          // that life took it on
-	Terms   Class         // Effect, Window and ZoneOnly that it was taken on under; Safe: none of its own
+	Attempts     int           // attempts made
+	MayHaveRun   bool          // one of them may have run
+	UncertainAge time.Duration // time since the first such attempt was sent
+	Recovered    bool          // that life took it on
+	Terms        Class         // Effect, Window and ZoneOnly that it was taken on under; Safe: none of its own
 }
 
 // Outcome is how an attempt ended.
@@ -127,55 +127,55 @@
 
 // The outcomes of an attempt.
 const (
-	Delivered     Outcome = iota
-	Errored               // the destination answered with an error; it may have run
-	Rejected              // turned away unseen; it never ran
-	TimedOut              // no answer in time; it may have run
-	ConnectFailed         // no connection; it never ran
-	Broken                // the connection broke; it may have run
-	Cancelled             // called off; it may have run
-	Unsent                // never sent
-	CutShort              // a new connection ended before all of the call was written; it never ran
+	Delivered         Outcome = iota
+	Errored                   // the destination answered with an error; it may have run
+	Rejected                  // turned away unseen; it never ran
+	TimedOut                  // no answer in time; it may have run
+	ConnectFailed             // no connection; it never ran
+	ConnectionLost            // the connection broke; it may have run
+	Cancelled                 // called off; it may have run
+	Unsent                    // never sent
+	RequestIncomplete         // a new connection ended before all of the call was written; it never ran
 )
 
-// Ended reports the end of an attempt. Each Send gets exactly one.
-type Ended struct {
-	ID       uint32
-	Attempt  int // counted from 0
-	Endpoint string
-	Outcome  Outcome
-	Took     time.Duration
-	Final    bool          // the message has had its final answer
-	Wait     time.Duration // Rejected: wait told by the destination
-	Report   *Report       // what the destination told of its limit, nil if nothing
+// AttemptEnded reports the end of an attempt. Each Send gets exactly one.
+type AttemptEnded struct {
+	ID         uint32
+	Attempt    int // counted from 0
+	Endpoint   string
+	Outcome    Outcome
+	Duration   time.Duration
+	Final      bool          // the message has had its final answer
+	RetryAfter time.Duration // Rejected: wait told by the destination
+	Report     *LimitReport  // what the destination told of its limit, nil if nothing
 }
 
-// Report is what an answer tells of a destination's limit, some time old and not exact.
-type Report struct {
-	Left  float64 // share of the limit that is left
-	Limit float64 // calls a second from all senders; 0 if there is no limit
+// LimitReport is what an answer tells of a destination's limit, some time old and not exact.
+type LimitReport struct {
+	Remaining float64 // share of the limit that is left
+	Limit     float64 // calls a second from all senders; 0 if there is no limit
 }
 
-// FleetNews tells what the relays of the fleet see. It may be late, or never come.
-type FleetNews struct {
-	Usual   []Usual
-	Senders int // relays that may be calling, in place of Settings.Senders; 0: not told
+// FleetUpdate tells what the relays of the fleet see. It may be late, or never come.
+type FleetUpdate struct {
+	Routes []RouteStats
+	Relays int // relays that may be calling, in place of Settings.Senders; 0: not told
 }
 
-// Usual is what a relay of the fleet sees of a destination in the mean, each second.
-type Usual struct {
+// RouteStats is what a relay of the fleet sees of a destination in the mean, each second.
+type RouteStats struct {
 	Destination int
 	Endpoint    string  // a separate route that the rest is about; empty: the destination
-	Wanted      float64 // messages that come in
-	Taken       float64 // calls that the destination takes
-	Refused     float64 // calls that it turns away
+	Demand      float64 // messages that come in
+	Accepted    float64 // calls that the destination takes
+	Rejected    float64 // calls that it turns away
 	Failed      float64 // calls that do not come through, or whose answer is lost
 	Calls       int     // calls that the figures come from
-	Allowed     float64 // calls that this relay may make; 0: any
+	Allowance   float64 // calls that this relay may make; 0: any
 
-	OthersTry bool          // it is out, and it is for others to try it
-	Voices    int           // relays that saw calls fail; 0: not counted
-	Wait      time.Duration // that others were told to keep, and still have to
+	OthersProbe bool          // it is out, and it is for others to try it
+	Reporters   int           // relays that saw calls fail; 0: not counted
+	RetryAfter  time.Duration // that others were told to keep, and still have to
 }
 
 // Subset tells which endpoints of a destination this relay keeps connections to. Others are for when
@@ -185,22 +185,22 @@
 	Endpoints   []string // none: all
 }
 
-// Sites says what holds for sites from now on, by the operator's plan; nil: there is none.
-type Sites struct {
-	Reach Reach
-	Back  string // the zone answers again: what failed at its endpoints is forgotten; empty: none
-	Cold  string // the zone was lost, and this relay saw nothing of it; empty: none
+// SitesUpdate says what holds for sites from now on, by the operator's plan; nil: there is none.
+type SitesUpdate struct {
+	Plan         SitePlan
+	ReturnedZone string // the zone answers again: what failed at its endpoints is forgotten; empty: none
+	ColdZone     string // the zone was lost, and this relay saw nothing of it; empty: none
 }
 
-// Reach is asked which sites calls may go to, and what is refused first, while a site is lost or returns. It
+// SitePlan is asked which sites calls may go to, and what is refused first, while a site is lost or returns. It
 // answers at once, and belongs to the goroutine that the module does.
-type Reach interface {
-	Open(dest int, zone string, unsafe bool) bool // a call for dest may go to the zone's endpoints now
-	Sent(dest int, zone string)                   // one went there
-	Cost(zone string) float64                     // of an endpoint there beside others, in parts of the slots
-	First(class string) float64                   // the class is refused before those of a smaller figure
-	Attempts(dest, most int) int                  // that a message for dest may have, of so many
-	Lossy() bool                                  // a site is lost: those refused come again apart
+type SitePlan interface {
+	Allows(dest int, zone string, unsafe bool) bool // a call for dest may go to the zone's endpoints now
+	CallSent(dest int, zone string)                 // one went there
+	EndpointCost(zone string) float64               // of an endpoint there beside others, in parts of the slots
+	ShedPriority(class string) float64              // the class is refused before those of a smaller figure
+	MaxAttempts(dest, most int) int                 // that a message for dest may have, of so many
+	SiteLost() bool                                 // a site is lost: those refused come again apart
 }
 
 // Withdrawn says that nothing more is owed for a message.
@@ -210,35 +210,35 @@
 // that is cut off may have run.
 type Stopping struct{}
 
-// Woke answers a WakeAfter.
-type Woke struct{}
+// TimerFired answers a WakeAfter.
+type TimerFired struct{}
 
-// ListKind is the kind of a piece of news about the endpoint list.
-type ListKind int
+// ListUpdateKind is the kind of a piece of news about the endpoint list.
+type ListUpdateKind int
 
 // The kinds of list news.
 const (
-	ListChanges     ListKind = iota // changed entries only
-	ListWhole                       // everything; what is missing is gone
-	ListRestored                    // the list as this relay last held it, perhaps stale
-	ListUnavailable                 // a subscription failed or broke; keep the old list
+	ListChanges     ListUpdateKind = iota // changed entries only
+	ListSnapshot                          // everything; what is missing is gone
+	ListRestored                          // the list as this relay last held it, perhaps stale
+	ListUnavailable                       // a subscription failed or broke; keep the old list
 )
 
-// ListNews is news of the endpoint list.
-type ListNews struct {
-	Kind    ListKind
+// EndpointListUpdate is news of the endpoint list.
+type EndpointListUpdate struct {
+	Kind    ListUpdateKind
 	Entries []Endpoint
 }
 
-func (Arrived) event()   {}
-func (Ended) event()     {}
-func (Withdrawn) event() {}
-func (Woke) event()      {}
-func (Stopping) event()  {}
-func (ListNews) event()  {}
-func (FleetNews) event() {}
-func (Subset) event()    {}
-func (Sites) event()     {}
+func (Submitted) event()          {}
+func (AttemptEnded) event()       {}
+func (Withdrawn) event()          {}
+func (TimerFired) event()         {}
+func (Stopping) event()           {}
+func (EndpointListUpdate) event() {}
+func (FleetUpdate) event()        {}
+func (Subset) event()             {}
+func (SitesUpdate) event()        {}
 
 // Action is something that a relay wants done: one of the types below.
 type Action interface{ action() }
@@ -259,8 +259,8 @@
 // Fail ends a message; whether it took effect is not told.
 type Fail struct{ ID uint32 }
 
-// WakeAfter asks for a Woke after the given time. Only the latest one needs to be kept.
-type WakeAfter struct{ Delay time.Duration }
+// SetTimer asks for a Woke after the given time. Only the latest one needs to be kept.
+type SetTimer struct{ Delay time.Duration }
 
 // Subscribe asks for the changes of the endpoint list from now on.
 type Subscribe struct{}
@@ -268,13 +268,13 @@
 // CloseIdle closes the connections to an endpoint that carry no call.
 type CloseIdle struct{ Endpoint string }
 
-// Note is a line for the relay's log.
-type Note struct{ Text string }
+// LogLine is a line for the relay's log.
+type LogLine struct{ Text string }
 
 func (Send) action()      {}
 func (Refuse) action()    {}
 func (Fail) action()      {}
-func (WakeAfter) action() {}
+func (SetTimer) action()  {}
 func (Subscribe) action() {}
 func (CloseIdle) action() {}
-func (Note) action()      {}
+func (LogLine) action()   {}
--- a/policy/choices_test.go
+++ b/policy/choices_test.go
@@ -14,7 +14,7 @@
 	for _, a := range []string{"a", "b", "c", "d"} {
 		list = append(list, Endpoint{Address: a, Destination: 1, Kind: "k"})
 	}
-	r.Step(time.Millisecond, []Event{ListNews{Kind: ListWhole, Entries: list}})
+	r.Step(time.Millisecond, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: list}})
 	return r
 }
 
@@ -72,12 +72,12 @@
 	if _, closed := to(r.Step(20*time.Millisecond, []Event{Subset{Destination: 1, Endpoints: rest[:2]}})); len(closed) > 0 {
 		t.Fatalf("%v closed under a call", closed)
 	}
-	ended := Ended{ID: 1, Endpoint: at, Outcome: Delivered, Took: 50 * time.Millisecond, Final: true}
+	ended := AttemptEnded{ID: 1, Endpoint: at, Outcome: Delivered, Duration: 50 * time.Millisecond, Final: true}
 	if _, closed := to(r.Step(60*time.Millisecond, []Event{ended})); !slices.Equal(closed, []string{at}) {
 		t.Errorf("as the call ended %v were closed", closed)
 	}
 	sent, _ = to(r.Step(200*time.Millisecond, []Event{arriving(2)}))
-	ended = Ended{ID: 2, Endpoint: sent[0], Outcome: Delivered, Took: 50 * time.Millisecond, Final: true}
+	ended = AttemptEnded{ID: 2, Endpoint: sent[0], Outcome: Delivered, Duration: 50 * time.Millisecond, Final: true}
 	if _, closed := to(r.Step(260*time.Millisecond, []Event{ended})); len(closed) > 0 {
 		t.Fatalf("%v of the subset closed", closed)
 	}
@@ -88,7 +88,7 @@
 
 // Who does not hold the turn does not try what is out while its news are fresh, and goes on by itself when they are old. Who has just got through is not held back.
 func TestOthersTry(t *testing.T) {
-	news := FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Failed: 2, Calls: 9, OthersTry: true}}}
+	news := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 2, Calls: 9, OthersProbe: true}}}
 	for _, through := range []bool{false, true} {
 		for after, want := range map[time.Duration]int{100 * time.Millisecond: 0, newsLife + 50*time.Millisecond: 1} {
 			r := fleetRelay(t)
@@ -115,9 +115,9 @@
 		r.rng.Seed(seed)
 		l := r.dests[1].lines[0]
 		wait := func(at, w time.Duration) {
-			r.Step(at, []Event{FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Calls: 1, Wait: w}}}})
+			r.Step(at, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Calls: 1, RetryAfter: w}}}})
 		}
-		r.Step(500*time.Millisecond, []Event{FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Taken: 1, Calls: 1, Wait: time.Minute}}}})
+		r.Step(500*time.Millisecond, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Accepted: 1, Calls: 1, RetryAfter: time.Minute}}}})
 		if l.waitTil > 0 {
 			t.Error("a wait binds all while others get through")
 		}
@@ -144,7 +144,7 @@
 func TestOneVoice(t *testing.T) {
 	for voices, want := range map[int]lineState{0: out, 1: healthy, 2: out} {
 		r := fleetRelay(t)
-		r.Step(3*time.Second, []Event{FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Failed: 9, Calls: 40, Voices: voices}}}})
+		r.Step(3*time.Second, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 9, Calls: 40, Reporters: voices}}}})
 		if s := r.dests[1].lines[0].state; s != want {
 			t.Errorf("%d voices: state %v", voices, s)
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,11 +10,11 @@
 // A relay loads the module, tells it what happens and carries out what it answers.
 func Example() {
 	relay, err := policy.New(policy.Settings{
-		Senders: 1, Slots: 4, MaxHeld: 100, MaxAttempts: 6, Tick: 5 * time.Millisecond,
-		RatesListed: true, ColdFrom: 0.25, ColdTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 2 * time.Second,
-		Classes: []policy.Class{{Name: "invoice", Effect: policy.Unsafe, Aim: 2 * time.Second,
-			Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.3}},
-		Kinds: []policy.Kind{{Name: "bank", Batch: 1}},
+		Relays: 1, MaxConcurrentCalls: 4, MaxPending: 100, MaxAttempts: 6, Tick: 5 * time.Millisecond,
+		RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 2 * time.Second,
+		Classes: []policy.Class{{Name: "invoice", Effect: policy.Unsafe, TargetLatency: 2 * time.Second,
+			Deadline: 20 * time.Second, Value: 1, LateValue: 0.3}},
+		Kinds: []policy.Kind{{Name: "bank", MaxBatch: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -22,9 +22,9 @@
 	}
 	started := time.Duration(0) // time.Since(start) in a real relay
 	actions := relay.Step(started, []policy.Event{
-		policy.ListNews{Kind: policy.ListWhole, Entries: []policy.Endpoint{
+		policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{
 			{Address: "192.0.2.7:443", Destination: 1, Kind: "bank", Rate: 10}}},
-		policy.Arrived{ID: 1, Class: "invoice", Destination: 1, Left: 20 * time.Second},
+		policy.Submitted{ID: 1, Class: "invoice", Destination: 1, TimeLeft: 20 * time.Second},
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -32,9 +32,9 @@
 			fmt.Println("send", a.ID, "to", a.Endpoint, "within", a.Timeout)
 		case policy.Refuse: // tell the client to come again
 		case policy.Fail: // tell the client that it failed
-		case policy.WakeAfter: // set the one timer; report it with Woke
+		case policy.SetTimer: // set the one timer; report it with Woke
 		case policy.Subscribe: // ask for the endpoint list
-		case policy.Note: // log it
+		case policy.LogLine: // log it
 		}
 	}
 	// Output: send 1 to 192.0.2.7:443 within 20s
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,14 +8,14 @@
 // fleetRelay is one of eighty relays, with a destination that has served it at times.
 func fleetRelay(t *testing.T) *Relay {
 	t.Helper()
-	s := Settings{Senders: 80, Slots: 6, MaxHeld: 80, MaxAttempts: 6, Tick: time.Millisecond, ConnIdle: 15 * time.Second, ColdFrom: 0.2,
-		ColdTime: 11 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second, MaxRetryAdvice: 3 * time.Second,
-		Classes: []Class{{Name: "alert", Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 1}}, Kinds: []Kind{{Name: "k", Batch: 1}}}
+	s := Settings{Relays: 80, MaxConcurrentCalls: 6, MaxPending: 80, MaxAttempts: 6, Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2,
+		WarmUpTime: 11 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second, MaxRetryAfter: 3 * time.Second,
+		Classes: []Class{{Name: "alert", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1}}, Kinds: []Kind{{Name: "k", MaxBatch: 1}}}
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, []Event{ListNews{Kind: ListWhole, Entries: []Endpoint{{Address: "a", Destination: 1, Kind: "k"}}}})
+	r.Step(0, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: []Endpoint{{Address: "a", Destination: 1, Kind: "k"}}}})
 	return r
 }
 
@@ -29,33 +29,33 @@
 }
 
 func arriving(id uint32) Event {
-	return Arrived{ID: id, Class: "alert", Destination: 1, Left: 6 * time.Second}
+	return Submitted{ID: id, Class: "alert", Destination: 1, TimeLeft: 6 * time.Second}
 }
 
 func delivered(id uint32) Event {
-	return Ended{ID: id, Endpoint: "a", Outcome: Delivered, Took: 50 * time.Millisecond, Final: true}
+	return AttemptEnded{ID: id, Endpoint: "a", Outcome: Delivered, Duration: 50 * time.Millisecond, Final: true}
 }
 
 // What the fleet allows spaces the calls of a relay that saw no refusal itself; old news do not, and none speeds a relay up.
 func TestNewsSpaceCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		news  []Usual
+		news  []RouteStats
 		after time.Duration // from the first call on, and from the news
 		want  int           // further calls
 	}{
 		{"no news", nil, 200 * time.Millisecond, 1},
-		{"allowed two a second, at once", []Usual{{Destination: 1, Wanted: 3, Taken: 2, Refused: 1, Calls: 40, Allowed: 2}}, 200 * time.Millisecond, 0},
-		{"allowed two a second, later", []Usual{{Destination: 1, Wanted: 3, Taken: 2, Refused: 1, Calls: 40, Allowed: 2}}, 600 * time.Millisecond, 1},
-		{"any number", []Usual{{Destination: 1, Wanted: 3, Taken: 2, Calls: 40}}, 200 * time.Millisecond, 1},
-		{"of a destination that nobody named", []Usual{{Destination: 9, Allowed: 0.01}}, 200 * time.Millisecond, 1},
-		{"old", []Usual{{Destination: 1, Wanted: 3, Taken: 2, Calls: 40, Allowed: 0.1}}, 4500 * time.Millisecond, 1},
+		{"allowed two a second, at once", []RouteStats{{Destination: 1, Demand: 3, Accepted: 2, Rejected: 1, Calls: 40, Allowance: 2}}, 200 * time.Millisecond, 0},
+		{"allowed two a second, later", []RouteStats{{Destination: 1, Demand: 3, Accepted: 2, Rejected: 1, Calls: 40, Allowance: 2}}, 600 * time.Millisecond, 1},
+		{"any number", []RouteStats{{Destination: 1, Demand: 3, Accepted: 2, Calls: 40}}, 200 * time.Millisecond, 1},
+		{"of a destination that nobody named", []RouteStats{{Destination: 9, Allowance: 0.01}}, 200 * time.Millisecond, 1},
+		{"old", []RouteStats{{Destination: 1, Demand: 3, Accepted: 2, Calls: 40, Allowance: 0.1}}, 4500 * time.Millisecond, 1},
 	} {
 		r := fleetRelay(t)
 		if sends(r.Step(time.Second, []Event{arriving(1)})) != 1 {
 			t.Fatal("no first call")
 		}
-		r.Step(1050*time.Millisecond, []Event{delivered(1), FleetNews{Usual: c.news}})
+		r.Step(1050*time.Millisecond, []Event{delivered(1), FleetUpdate{Routes: c.news}})
 		if n := sends(r.Step(time.Second+c.after, []Event{arriving(2)})); n != c.want {
 			t.Errorf("%s: %d calls, want %d", c.name, n, c.want)
 		}
@@ -65,12 +65,12 @@
 // A relay that saw one failure takes the fleet's word for an outage, and does not while others get through; when others get through again it
 // begins its ramp with a call at a moment of its own.
 func TestNewsOfOutage(t *testing.T) {
-	down := FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Failed: 2, Calls: 5}}}
-	some := FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Taken: 0.1, Failed: 2, Calls: 5}}}
-	fails := func(news FleetNews) *Relay {
+	down := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 2, Calls: 5}}}
+	some := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Accepted: 0.1, Failed: 2, Calls: 5}}}
+	fails := func(news FleetUpdate) *Relay {
 		r := fleetRelay(t)
 		r.Step(2*time.Second, []Event{arriving(1)})
-		r.Step(2050*time.Millisecond, []Event{Ended{ID: 1, Endpoint: "a", Outcome: ConnectFailed, Took: 50 * time.Millisecond}})
+		r.Step(2050*time.Millisecond, []Event{AttemptEnded{ID: 1, Endpoint: "a", Outcome: ConnectFailed, Duration: 50 * time.Millisecond}})
 		r.Step(2100*time.Millisecond, []Event{news})
 		return r
 	}
@@ -95,8 +95,8 @@
 
 // Risk: a destination fails again while it is ramped up. A relay that makes no call meanwhile hears of it, and begins its ramp anew.
 func TestNewsOfAnotherOutageInTheRamp(t *testing.T) {
-	down := FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Failed: 2, Calls: newsCalls}}}
-	some := FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Taken: 0.1, Failed: 2, Calls: newsCalls}}}
+	down := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 2, Calls: newsCalls}}}
+	some := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Accepted: 0.1, Failed: 2, Calls: newsCalls}}}
 	r := fleetRelay(t)
 	l := r.dests[1].lines[0]
 	r.Step(4*time.Second, []Event{down})
@@ -130,7 +130,7 @@
 			r.Step(time.Second, []Event{arriving(1)})
 			r.Step(1050*time.Millisecond, []Event{delivered(1)})
 		}
-		r.Step(4*time.Second, []Event{FleetNews{Usual: []Usual{{Destination: 1, Wanted: 1, Failed: 2, Calls: 3, Voices: c.voices}}}})
+		r.Step(4*time.Second, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 2, Calls: 3, Reporters: c.voices}}}})
 		if l := r.dests[1].lines[0]; l.state != c.want {
 			t.Errorf("%+v: state %d", c, l.state)
 		}
@@ -143,16 +143,16 @@
 	r.dests[1].lines[0].rate = 80
 	part := func() float64 { return r.even(r.dests[1].lines[0]) }
 	for i, c := range []struct {
-		news FleetNews
+		news FleetUpdate
 		want float64
-	}{{FleetNews{}, 1}, {FleetNews{Senders: 40}, 2}, {FleetNews{}, 2}, {FleetNews{Senders: 80}, 1}, {FleetNews{Senders: 20}, 4}} {
+	}{{FleetUpdate{}, 1}, {FleetUpdate{Relays: 40}, 2}, {FleetUpdate{}, 2}, {FleetUpdate{Relays: 80}, 1}, {FleetUpdate{Relays: 20}, 4}} {
 		r.Step(time.Duration(i)*time.Second, []Event{c.news})
 		if got := part(); got != c.want {
 			t.Errorf("%+v: %v a second, want %v", c.news, got, c.want)
 		}
 	}
 	set := r.set
-	set.Senders = 80
+	set.Relays = 80
 	if err := r.Reconfigure(set); err != nil || part() != 1 {
 		t.Errorf("%v, %v a second", err, part())
 	}
@@ -162,14 +162,14 @@
 // back. Guards against relays with few calls that saw it back before it failed again, and take it for warm as it returns.
 func TestFailureBeginsTheRampAnew(t *testing.T) {
 	const since = 4 * time.Second // that the line has been ramping
-	for outcome, want := range map[Outcome]time.Duration{ConnectFailed: 0, TimedOut: 0, Broken: 0, Errored: since, Delivered: since, Rejected: since} {
+	for outcome, want := range map[Outcome]time.Duration{ConnectFailed: 0, TimedOut: 0, ConnectionLost: 0, Errored: since, Delivered: since, Rejected: since} {
 		r := fleetRelay(t)
 		r.Step(time.Second, []Event{arriving(1)})
 		l := r.dests[1].lines[0]
 		r.become(l, ramping)
 		now := time.Second + since
 		l.rampAt = now - since
-		r.Step(now, []Event{Ended{ID: 1, Endpoint: "a", Outcome: outcome, Took: 50 * time.Millisecond, Final: outcome == Delivered}})
+		r.Step(now, []Event{AttemptEnded{ID: 1, Endpoint: "a", Outcome: outcome, Duration: 50 * time.Millisecond, Final: outcome == Delivered}})
 		if got := now - l.rampAt; got != want {
 			t.Errorf("outcome %d: the ramp has gone on for %v, want %v", outcome, got, want)
 		}
--- a/policy/input_test.go
+++ b/policy/input_test.go
@@ -14,12 +14,12 @@
 func TestListNamesTwiceAndMoves(t *testing.T) {
 	b := start(t, nil)
 	e := entries()[5]
-	b.step(ListNews{Kind: ListChanges, Entries: []Endpoint{e, e}})
+	b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e, e}})
 	if n := len(b.r.dests[4].lines[0].eps); n != 1 {
 		t.Fatalf("%d endpoints, want 1", n)
 	}
 	e.Destination = 7
-	b.step(ListNews{Kind: ListChanges, Entries: []Endpoint{e}})
+	b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e}})
 	b.sent(b.step(b.msg("safe", 4, ""), b.msg("safe", 7, "")), 2)
 }
 
@@ -28,7 +28,7 @@
 	b := start(t, nil)
 	for _, left := range []Time{0, -sec} {
 		m := b.msg("safe", 1, "")
-		m.Left = left
+		m.TimeLeft = left
 		acts := b.step(m)
 		b.sent(acts)
 		if len(pick[Refuse](acts)) != 1 {
@@ -43,7 +43,7 @@
 	b.sent(b.step(b.msg("unsafe", 1, "k")), 1)
 	b.now -= sec / 2
 	for range 100 {
-		if acts := b.step(Woke{}); len(acts) != 0 {
+		if acts := b.step(TimerFired{}); len(acts) != 0 {
 			t.Fatalf("acted again: %v", acts)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 	acts := b.step(in...)
 	answered := len(pick[Refuse](acts)) + len(pick[Fail](acts))
-	if answered+len(b.r.held) != len(in) || len(b.r.held) > b.r.set.MaxHeld {
+	if answered+len(b.r.held) != len(in) || len(b.r.held) > b.r.set.MaxPending {
 		t.Fatalf("%d answered, %d held of %d", answered, len(b.r.held), len(in))
 	}
 }
@@ -106,8 +106,8 @@
 // answered once, and a jump ends what was held at once.
 func TestExtremeFleetsAndClock(t *testing.T) {
 	for _, senders := range []int{1, 10000} {
-		b := start(t, func(s *Settings) { s.Senders = senders })
-		b.step(ListNews{Kind: ListChanges, Entries: []Endpoint{
+		b := start(t, func(s *Settings) { s.Relays = senders })
+		b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{
 			{Address: "n1", Destination: 9, Kind: "plain", Zone: "z1", Rate: 0},
 			{Address: "gone", Destination: 77, State: Removed}}})
 		s := b.sent(b.step(b.msg("safe", 9, "")), 1)
@@ -115,7 +115,7 @@
 			t.Fatalf("%d senders: sent to %s", senders, s[0].Endpoint)
 		}
 		b.after(10*ms, end(1, 0, Rejected), b.msg("safe", 99, ""))
-		acts := b.after(24*3600*sec, Woke{})
+		acts := b.after(24*3600*sec, TimerFired{})
 		if n := len(pick[Refuse](acts)) + len(pick[Fail](acts)); n != 2 || len(pick[Send](acts)) != 0 {
 			t.Fatalf("%d senders: %d answers after the jump: %v", senders, n, acts)
 		}
@@ -143,7 +143,7 @@
 	} {
 		b := start(t, nil)
 		m := b.msg(c.class, 1, "k")
-		m.Tries, m.MayHave, m.RiskAge = c.tries, c.mayHave, c.age
+		m.Attempts, m.MayHaveRun, m.UncertainAge = c.tries, c.mayHave, c.age
 		acts := b.step(m)
 		if s, f, h := len(pick[Send](acts)), len(pick[Fail](acts)), len(pick[Refuse](acts)); s != c.sent || f != c.failed || h != c.handed {
 			t.Errorf("%s: %d sent, %d failed, %d handed back", name, s, f, h)
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -11,29 +11,29 @@
 // limited starts a relay, the given one of six, with a destination whose routes are separate and take several messages in a call.
 func limited(t *testing.T, number int) *Relay {
 	t.Helper()
-	s := Settings{Senders: 6, Turns: pacing.New(number, 6), Epoch: 1000 * time.Hour, Slots: 8, MaxHeld: 80, MaxAttempts: 200,
-		Tick: time.Millisecond, ConnIdle: 15 * time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, OverloadFactor: 2,
-		OverloadTime: 3 * time.Second, MaxRetryAdvice: 3 * time.Second,
-		Classes: []Class{{Name: "log", Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5}},
-		Kinds:   []Kind{{Name: "host", Batch: 20, SeparateRoutes: true}}}
+	s := Settings{Relays: 6, TimeSlots: pacing.New(number, 6), ClockOffset: 1000 * time.Hour, MaxConcurrentCalls: 8, MaxPending: 80, MaxAttempts: 200,
+		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2,
+		OverloadTime: 3 * time.Second, MaxRetryAfter: 3 * time.Second,
+		Classes: []Class{{Name: "log", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, LateValue: 0.5}},
+		Kinds:   []Kind{{Name: "host", MaxBatch: 20, SeparateRoutes: true}}}
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, []Event{ListNews{Kind: ListWhole, Entries: []Endpoint{
+	r.Step(0, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: []Endpoint{
 		{Address: "a", Destination: 1, Kind: "host"}, {Address: "b", Destination: 1, Kind: "host"}}}})
 	return r
 }
 
 func logged(id uint32, left time.Duration) Event {
-	return Arrived{ID: id, Class: "log", Destination: 1, Left: left}
+	return Submitted{ID: id, Class: "log", Destination: 1, TimeLeft: left}
 }
 
 // refuse has the line's calls refused, one after the other.
 func refuse(r *Relay, l *line, times int) {
 	for range times {
 		r.now += 30 * time.Second
-		r.judge(&call{ep: l.eps[0], sentAt: r.now}, Ended{Outcome: Rejected})
+		r.judge(&call{ep: l.eps[0], sentAt: r.now}, AttemptEnded{Outcome: Rejected})
 		r.now += time.Second
 	}
 }
@@ -67,7 +67,7 @@
 func TestFailuresTellNothingOfALimit(t *testing.T) {
 	r := limited(t, 0)
 	failing, mixed := r.dests[1].lines[0], r.dests[1].lines[1]
-	r.failed(failing, &call{ep: failing.eps[0], sentAt: r.now}, Broken)
+	r.failed(failing, &call{ep: failing.eps[0], sentAt: r.now}, ConnectionLost)
 	if refuse(r, failing, 2*spentRun); r.counts(failing) {
 		t.Error("a line that fails is taken for one whose refused calls count")
 	}
@@ -92,7 +92,7 @@
 		l := r.dests[1].lines[0]
 		l.gap, l.countsTil, l.dest.demand = slot, r.now+time.Minute, 10
 		l.claimed = r.now - slot/2 - time.Duration(number)*time.Millisecond
-		step = r.set.Turns.Step(slot)
+		step = r.set.TimeSlots.Step(slot)
 		at := r.freeAt(l)
 		if at < l.claimed+part(slot, 0.9) || at > l.claimed+3*slot {
 			t.Fatalf("sender %d called at %v and may again at %v", number, l.claimed, at)
@@ -142,16 +142,16 @@
 // News of a separate route are about it alone, and news of a destination are not about its separate routes.
 func TestNewsOfOneRoute(t *testing.T) {
 	for name, c := range map[string]struct {
-		news Usual
+		news RouteStats
 		want []time.Duration
 	}{
-		"of a route":             {Usual{Destination: 1 << 24, Endpoint: "b", Allowed: 0.1}, []time.Duration{0, 10 * time.Second}},
-		"of the destination":     {Usual{Destination: 1, Allowed: 0.1}, []time.Duration{0, 0}},
-		"of a route that left":   {Usual{Destination: 1 << 24, Endpoint: "gone", Allowed: 0.1}, []time.Duration{0, 0}},
-		"of another destination": {Usual{Destination: 7, Allowed: 0.1}, []time.Duration{0, 0}},
+		"of a route":             {RouteStats{Destination: 1 << 24, Endpoint: "b", Allowance: 0.1}, []time.Duration{0, 10 * time.Second}},
+		"of the destination":     {RouteStats{Destination: 1, Allowance: 0.1}, []time.Duration{0, 0}},
+		"of a route that left":   {RouteStats{Destination: 1 << 24, Endpoint: "gone", Allowance: 0.1}, []time.Duration{0, 0}},
+		"of another destination": {RouteStats{Destination: 7, Allowance: 0.1}, []time.Duration{0, 0}},
 	} {
 		r := limited(t, 0)
-		r.Step(time.Second, []Event{FleetNews{Usual: []Usual{c.news}}})
+		r.Step(time.Second, []Event{FleetUpdate{Routes: []RouteStats{c.news}}})
 		for i, want := range c.want {
 			if got := r.slot(r.dests[1].lines[i]); got != want {
 				t.Errorf("%s: slot of route %d is %v, want %v", name, i, got, want)
@@ -166,7 +166,7 @@
 	l := old.dests[1].lines[0]
 	l.claimed = time.Second
 	refuse(old, l, 2*spentRun)
-	young.Learn(time.Second, nil, old.Learned(old.now))
+	young.ImportState(time.Second, nil, old.ExportState(old.now))
 	if m := young.dests[1].lines[0]; !young.counts(m) || m.gap != l.gap {
 		t.Errorf("counts %v, slot %v of %v", young.counts(m), m.gap, l.gap)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -72,11 +72,11 @@
 
 // configure takes settings over: destinations keep their kinds, and messages what they were taken on under.
 func (r *Relay) configure(s Settings) {
-	r.set, r.aim, r.quota = s, s.Classes[0].Aim, 0
-	r.idle.Most = s.ConnIdle
+	r.set, r.aim, r.quota = s, s.Classes[0].TargetLatency, 0
+	r.idle.Most = s.IdleConnTimeout
 	for _, c := range s.Classes {
 		r.classes[c.Name] = &c
-		r.aim, r.patience = min(r.aim, c.Aim), max(r.patience, c.Deadline)
+		r.aim, r.patience = min(r.aim, c.TargetLatency), max(r.patience, c.Deadline)
 	}
 	for _, m := range r.held {
 		m.class = r.classes[m.class.Name].under(*m.class)
@@ -114,29 +114,29 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Arrived:
+		case Submitted:
 			r.arrive(e)
-		case Ended:
+		case AttemptEnded:
 			r.ended(e)
 		case Withdrawn:
 			if m := r.msgs[e.ID]; m != nil {
 				r.finish(m)
 			}
-		case Woke:
+		case TimerFired:
 			r.wakeAt = 0 // Risk: a timer that fires a little early would be the last one
 		case Stopping:
 			r.stopping = true
-		case ListNews:
+		case EndpointListUpdate:
 			r.listNews(e)
-		case FleetNews:
+		case FleetUpdate:
 			r.fleetNews(e)
 		case Subset:
 			r.keepTo(e)
-		case Sites:
+		case SitesUpdate:
 			r.sites(e)
 		}
 	}
-	if r.set.AskForList && r.askAt >= 0 && r.now >= r.askAt {
+	if r.set.MustSubscribe && r.askAt >= 0 && r.now >= r.askAt {
 		r.do(Subscribe{})
 		r.askAt = -1
 	}
@@ -155,11 +155,11 @@
 
 // --- the endpoint list ---
 
-func (r *Relay) listNews(e ListNews) {
+func (r *Relay) listNews(e EndpointListUpdate) {
 	if e.Kind == ListUnavailable {
 		// Risk: a list out of reach, asked for by all relays at once. Backoff doubles, with jitter.
-		base := max(r.set.AskWithin/16, 4*r.set.Tick)
-		wait := min(base<<min(r.askTries, 4), max(r.set.AskWithin/2, base))
+		base := max(r.set.MaxSubscribeInterval/16, 4*r.set.Tick)
+		wait := min(base<<min(r.askTries, 4), max(r.set.MaxSubscribeInterval/2, base))
 		r.askTries++
 		r.askAt = r.now + wait/2 + time.Duration(r.rng.Int63n(int64(wait/2)+1))
 		return
@@ -224,16 +224,16 @@
 
 // --- messages come and go ---
 
-func (r *Relay) arrive(e Arrived) {
+func (r *Relay) arrive(e Submitted) {
 	c := r.classes[e.Class]
 	if c == nil || r.msgs[e.ID] != nil {
 		return
 	}
 	d := r.dest(e.Destination)
 	d.demand, d.lastIn = r.average(d.demand, d.lastIn), r.now
-	m := &message{id: e.ID, class: c.under(e.Terms), dest: d, tenant: r.tenants[e.Tenant], kept: e.Kept,
-		arrived: r.now, deadline: r.now + e.Left, aimAt: r.now + e.Left - c.Deadline + c.Aim,
-		tries: e.Tries, mayHave: e.MayHave, firstRisk: r.now - e.RiskAge}
+	m := &message{id: e.ID, class: c.under(e.Terms), dest: d, tenant: r.tenants[e.Tenant], kept: e.Recovered,
+		arrived: r.now, deadline: r.now + e.TimeLeft, aimAt: r.now + e.TimeLeft - c.Deadline + c.TargetLatency,
+		tries: e.Attempts, mayHave: e.MayHaveRun, firstRisk: r.now - e.UncertainAge}
 	r.msgs[m.id], r.held = m, append(r.held, m)
 	if c.Ordered && e.Key != "" {
 		k := r.keys[e.Key]
@@ -254,7 +254,7 @@
 	if t == nil {
 		return len(r.tenants) > 0 // nobody's share
 	}
-	rate := max(r.quota/float64(r.set.Senders), r.arriving) * t.Share
+	rate := max(r.quota/float64(r.set.Relays), r.arriving) * t.Share
 	t.tokens, t.updated = min(4*rate+4, t.tokens+rate*(r.now-t.updated).Seconds()), r.now
 	if t.tokens < 1 {
 		return true
@@ -279,22 +279,22 @@
 
 // mayRepeat tells whether another attempt is allowed now.
 func (r *Relay) mayRepeat(m *message) bool {
-	if m.call != nil || m.answered || m.tries >= r.reach.Attempts(m.dest.id, r.set.MaxAttempts) {
+	if m.call != nil || m.answered || m.tries >= r.reach.MaxAttempts(m.dest.id, r.set.MaxAttempts) {
 		return false
 	}
 	if !m.mayHave || m.class.Effect == Safe {
 		return true
 	}
-	return m.class.Effect == Keyed && r.now-m.firstRisk < part(m.class.Window, sendMargin)
+	return m.class.Effect == Keyed && r.now-m.firstRisk < part(m.class.RepeatWindow, sendMargin)
 }
 
 // answer ends m now: refused where that is allowed, else failed.
 func (r *Relay) answer(m *message, advice time.Duration) {
 	if m.mayRefuse() {
-		if !r.set.RetryAdvice {
+		if !r.set.SendRetryAfter {
 			advice = 0
 		}
-		r.do(Refuse{m.id, max(0, min(r.apart(advice), r.set.MaxRetryAdvice))})
+		r.do(Refuse{m.id, max(0, min(r.apart(advice), r.set.MaxRetryAfter))})
 		if m.tenant != nil && !m.extra {
 			m.tenant.tokens++ // it may come again, and is no second message of its tenant
 		}
@@ -305,7 +305,7 @@
 	r.finish(m)
 }
 
-func (r *Relay) ended(e Ended) {
+func (r *Relay) ended(e AttemptEnded) {
 	m := r.msgs[e.ID]
 	if m == nil || m.call == nil || e.Attempt != m.tries-1 {
 		return
@@ -320,12 +320,12 @@
 		c.ep.line.calls, r.out = without(c.ep.line.calls, c), without(r.out, c)
 	}
 	switch e.Outcome {
-	case Errored, TimedOut, Broken, Cancelled:
+	case Errored, TimedOut, ConnectionLost, Cancelled:
 		if !m.mayHave {
 			m.mayHave, m.firstRisk, m.riskZone = true, m.sentAt, c.ep.Zone
 		}
 		if e.Outcome != Errored && m.key != nil {
-			m.key.quiet, m.key.quietBy = max(m.key.quiet, r.now+r.set.KeyQuiet), m
+			m.key.quiet, m.key.quietBy = max(m.key.quiet, r.now+r.set.KeyQuietTime), m
 		}
 	}
 	r.hold(c, e)
@@ -337,7 +337,7 @@
 	case e.Final || m.answered:
 		r.finish(m)
 	case !r.mayRepeat(m):
-		r.answer(m, r.set.MaxRetryAdvice)
+		r.answer(m, r.set.MaxRetryAfter)
 	}
 }
 
@@ -346,22 +346,22 @@
 // limit is left, or a wait is told where there is no limit. Risk: a destination that is shut refuses like one
 // at its limit, and all that it refused come back as it opens, cold; so each comes at a time of its own. A
 // report may be old: the first such refusal, perhaps of a clump, is held for a part of the cold time at most.
-func (r *Relay) hold(c *call, e Ended) {
+func (r *Relay) hold(c *call, e AttemptEnded) {
 	l, rep := c.ep.line, e.Report
 	unspent := e.Outcome == Rejected && rep != nil &&
-		(rep.Left > unspentShare || rep.Limit == 0 && e.Wait > 0)
-	if e.Wait <= 0 && !unspent {
+		(rep.Remaining > unspentShare || rep.Limit == 0 && e.RetryAfter > 0)
+	if e.RetryAfter <= 0 && !unspent {
 		return
 	}
-	shut := e.Wait > r.set.OverloadTime || unspent && (rep.Limit == 0 || l.run > 0 && c.sentAt >= l.runAt)
+	shut := e.RetryAfter > r.set.OverloadTime || unspent && (rep.Limit == 0 || l.run > 0 && c.sentAt >= l.runAt)
 	// Risk: all that a full span told come back as the next begins, fill the queue, and what that refuses
 	// uses up the span; so each comes up to a fair slot later, or as long again as it was told.
-	end, spread := r.now+e.Wait, min(e.Wait, seconds(1/r.even(l)))
+	end, spread := r.now+e.RetryAfter, min(e.RetryAfter, seconds(1/r.even(l)))
 	switch {
 	case shut:
 		spread = r.coldGap(l) / 2
 	case unspent:
-		spread = min(r.coldGap(l)/2, r.set.ColdTime)
+		spread = min(r.coldGap(l)/2, r.set.WarmUpTime)
 	}
 	r.wait(l, end, spread, shut)
 }
@@ -380,26 +380,26 @@
 
 // fleetNews takes what all relays see for each line. Risk: where traffic is thin, a relay learns of a limit
 // that all together keep shut, or of an outage, only when the day is over.
-func (r *Relay) fleetNews(e FleetNews) {
-	r.set.Senders = cmp.Or(e.Senders, r.set.Senders)
-	for _, u := range e.Usual {
-		l, all := r.lineOf(u), u.Taken+u.Refused+u.Failed
+func (r *Relay) fleetNews(e FleetUpdate) {
+	r.set.Relays = cmp.Or(e.Relays, r.set.Relays)
+	for _, u := range e.Routes {
+		l, all := r.lineOf(u), u.Accepted+u.Rejected+u.Failed
 		if l == nil {
 			continue
 		}
 		l.usual, l.heardAt = u, r.now
-		if u.Wait > 0 && u.Taken == 0 { // nobody gets through: it binds all of them
-			r.wait(l, r.now+u.Wait, r.coldGap(l)/2, true)
+		if u.RetryAfter > 0 && u.Accepted == 0 { // nobody gets through: it binds all of them
+			r.wait(l, r.now+u.RetryAfter, r.coldGap(l)/2, true)
 		}
 		switch {
-		case l.state == out && u.Taken > 0:
+		case l.state == out && u.Accepted > 0:
 			l.run = 0 // others get through: it is back
 			r.stateOf(l)
 			// Risk: all hear of it at once, each with a slot free: first calls are spread over one.
 			l.claimed, l.jitter = r.now-part(r.slot(l), r.rng.Float64()), 1
-		case l.state != out && u.Taken == 0 && u.Voices != 1 && u.Failed > outageShare*all &&
+		case l.state != out && u.Accepted == 0 && u.Reporters != 1 && u.Failed > outageShare*all &&
 			r.now-l.lastOK > newsSpan && (u.Calls >= newsCalls || l.hardRun > 0 && u.Calls > 1 ||
-			u.Voices > 2 || l.lastOK == 0 && u.Voices > 1):
+			u.Reporters > 2 || l.lastOK == 0 && u.Reporters > 1):
 			// Risk: relays that did not see the outage send as if it were warm when it returns.
 			r.enterOut(l)
 			l.run, l.runAt = outageRun, r.now
@@ -414,18 +414,18 @@
 // if that is more. Risk: with hundreds of senders an even part is less than one call in a client's patience,
 // while most of them have nothing to send; what comes in at all of them adds up to what the line can expect.
 func (r *Relay) share(l *line) float64 {
-	return max(r.even(l), l.dest.demand/float64(len(l.dest.lines)*max(1, l.dest.kind.Batch)))
+	return max(r.even(l), l.dest.demand/float64(len(l.dest.lines)*max(1, l.dest.kind.MaxBatch)))
 }
 
 func (r *Relay) even(l *line) float64 {
-	senders := float64(r.set.Senders)
+	senders := float64(r.set.Relays)
 	return cmp.Or(l.rate/senders, l.ownRate, 1/(defaultSpacing.Seconds()*senders))
 }
 
 // turnGap is a slot in which a message can still use a few attempts within its aim. Risk: with hundreds of
 // senders spacing times senders is longer than any client waits, though few of them have work for the line.
 func (r *Relay) turnGap(l *line) time.Duration {
-	return min(seconds(1/r.share(l)), r.turn*time.Duration(max(1, l.dest.kind.Batch)))
+	return min(seconds(1/r.share(l)), r.turn*time.Duration(max(1, l.dest.kind.MaxBatch)))
 }
 
 // fairGap is the slot at which all senders together keep the spacing: spacing times senders, where answers
@@ -448,12 +448,12 @@
 // coldGap is the slot for a line that is out, or ramping: by its mean warmth since the last call. Risk: by
 // that of now, slots of many senders with a call each end together: more than their rates add up to.
 func (r *Relay) coldGap(l *line) time.Duration {
-	warm := max(r.set.ColdFrom, 0.05)
+	warm := max(r.set.ColdStartShare, 0.05)
 	if l.state == ramping {
-		warm = min(1, warm+(1-warm)*l.meanRamp(r.now)/float64(max(r.set.ColdTime, 1)))
+		warm = min(1, warm+(1-warm)*l.meanRamp(r.now)/float64(max(r.set.WarmUpTime, 1)))
 	}
-	if l.usual.Allowed > 0 {
-		return seconds(1 / (l.usual.Allowed * warm * coldNews)) // not by demand: that may be more
+	if l.usual.Allowance > 0 {
+		return seconds(1 / (l.usual.Allowance * warm * coldNews)) // not by demand: that may be more
 	}
 	return seconds(1 / (r.share(l) * warm * max(1, coldBoost*r.set.OverloadFactor)))
 }
@@ -461,8 +461,8 @@
 // slot is the line's slot length now: grown by refusals, longer while it is out, in doubt or cold.
 func (r *Relay) slot(l *line) time.Duration {
 	g := l.gap
-	if l.usual.Allowed > 0 && r.informed(l) {
-		g = max(g, seconds(1/l.usual.Allowed))
+	if l.usual.Allowance > 0 && r.informed(l) {
+		g = max(g, seconds(1/l.usual.Allowance))
 	}
 	switch {
 	case l.state != healthy:
@@ -481,33 +481,33 @@
 
 func (r *Relay) overdue(l *line) time.Duration {
 	if l.latency == 0 {
-		return r.set.Classes[0].Aim
+		return r.set.Classes[0].TargetLatency
 	}
 	// Risk: a destination that answers within a moment gets time-outs that a pause of either side outlasts.
 	return max(doubtLatencies*max(l.recent, l.latency), leastOverdue*r.set.Tick)
 }
 
 // judge takes a call's outcome into the health of its line and endpoint.
-func (r *Relay) judge(c *call, e Ended) {
+func (r *Relay) judge(c *call, e AttemptEnded) {
 	l, ep := c.ep.line, c.ep
 	r.learn(l)
 	l.heed(e.Report)
 	if again := r.again[l.dest.kind]; c.again && e.Outcome == Delivered {
 		r.again[l.dest.kind] += (1 - again) * lossWeight
-	} else if c.again && e.Outcome == Rejected && e.Report != nil && e.Report.Left < spentShare {
+	} else if c.again && e.Outcome == Rejected && e.Report != nil && e.Report.Remaining < spentShare {
 		r.again[l.dest.kind] -= again * lossWeight
 	}
-	if r.stale(c, e.Outcome == TimedOut || e.Outcome == Broken) {
+	if r.stale(c, e.Outcome == TimedOut || e.Outcome == ConnectionLost) {
 		return // the connection was stale, the line may be well
 	}
 	switch e.Outcome {
 	case Delivered:
-		r.success(l, ep, e.Took)
+		r.success(l, ep, e.Duration)
 	case Rejected:
 		l.refusedAt = r.now
 		l.pressed, ep.whim = true, unusedCost*(2+r.rng.Float64()) // another endpoint may have room
 		r.grow(l, c, Rejected)
-	case Errored, TimedOut, ConnectFailed, Broken, CutShort:
+	case Errored, TimedOut, ConnectFailed, ConnectionLost, RequestIncomplete:
 		r.failed(l, c, e.Outcome)
 	}
 	r.stateOf(l)
@@ -515,7 +515,7 @@
 
 // heed takes the limit that an answer tells of for the line's rate: fresher than a list, and all there is
 // where none lists it. Each figure is a little wrong, so the latest only moves it.
-func (l *line) heed(rep *Report) {
+func (l *line) heed(rep *LimitReport) {
 	if rep == nil || !(rep.Limit > 0) || math.IsInf(rep.Limit, 1) {
 		return
 	}
@@ -527,7 +527,7 @@
 
 func (r *Relay) success(l *line, ep *endpoint, took time.Duration) {
 	l.served, l.dest.price = l.served+1, l.dest.price*cutPerSuccess
-	if ep.noConnAt > 0 && r.now-ep.noConnAt < r.set.Classes[0].Aim {
+	if ep.noConnAt > 0 && r.now-ep.noConnAt < r.set.Classes[0].TargetLatency {
 		ep.noConnAt = 0
 		r.soon[l.dest.kind] += (1 - r.soon[l.dest.kind]) * lossWeight
 	}
@@ -578,7 +578,7 @@
 	down := o == ConnectFailed && (r.soon[l.dest.kind] < downShare || r.now-c.sentAt >= r.atOnce)
 	if l.gap == 0 && !down { //first
 		if l.gap = fair; !r.counts(l) {
-			l.gap = min(max(seconds(1/(r.even(l)*float64(r.set.Senders))), r.turn), fair)
+			l.gap = min(max(seconds(1/(r.even(l)*float64(r.set.Relays))), r.turn), fair)
 		}
 		return
 	}
@@ -638,7 +638,7 @@
 		}
 	case l.state == ramping && (l.hardRun >= outageRun || l.hardRun > 0 && l.bad > outageShare):
 		r.become(l, out)
-	case l.state == ramping && r.now-l.rampAt > r.set.ColdTime:
+	case l.state == ramping && r.now-l.rampAt > r.set.WarmUpTime:
 		l.bad = 0
 		r.become(l, healthy)
 		r.note("destination %d: warm again", l.dest.id)
@@ -682,7 +682,7 @@
 			return 0
 		}
 	}
-	return sum * float64(max(1, d.kind.Batch))
+	return sum * float64(max(1, d.kind.MaxBatch))
 }
 
 // freeAt is when the line's slot and any told wait end.
@@ -694,9 +694,9 @@
 	if !r.takesTurns(l, slot) {
 		return max(from, l.claimed+part(slot, l.jitter))
 	}
-	step := r.set.Turns.Step(slot)
+	step := r.set.TimeSlots.Step(slot)
 	from = max(from, l.claimed+part(slot, 0.9), r.now-max(step, 2*r.set.Tick)) // one just begun will do
-	return r.set.Turns.Next(from+r.set.Epoch, step, l.hash) - r.set.Epoch
+	return r.set.TimeSlots.Next(from+r.set.ClockOffset, step, l.hash) - r.set.ClockOffset
 }
 
 // takesTurns tells whether this sender calls the line in turns of its own. Risk: where refused calls use up a
@@ -719,7 +719,7 @@
 // sites has its own order. What a restart found untried is tried while it has time.
 func (r *Relay) shed() {
 	span := r.now - r.shedAt
-	if r.shedAt = r.now; r.calls < r.set.Slots {
+	if r.shedAt = r.now; r.calls < r.set.MaxConcurrentCalls {
 		span = -span
 	} else {
 		span = min(span, sweepEvery) // a relay that stood still itself was not short of slots
@@ -732,7 +732,7 @@
 		}
 		if m.deadline-r.now <= 2*r.set.Tick || !r.mayRepeat(m) {
 			m.dest.turnedAway(m, false)
-			r.answer(m, r.set.MaxRetryAdvice)
+			r.answer(m, r.set.MaxRetryAfter)
 			continue
 		}
 		d := m.dest
@@ -745,21 +745,21 @@
 		if d.pace > 0 { // the first waits for the slot's end only
 			wait = max(0, d.freeAt-r.now) + seconds(float64(d.queue-1)/d.pace)
 		}
-		bound := min(worthWhile*max(1, r.reach.First(m.class.Name)), 1-worthWhile)
+		bound := min(worthWhile*max(1, r.reach.ShedPriority(m.class.Name)), 1-worthWhile)
 		if r.short > 0 && r.pace > 0 {
 			wait = max(wait, seconds(float64(all)/r.pace))
 			bound = max(bound, (1-r.worthAt(m, m.aimAt+time.Second))*r.short.Seconds()/2)
 		}
 		worth := r.worthAt(m, r.now+wait) / max(r.worthAt(m, m.arrived), 1e-9)
-		if m.extra && wait > m.class.Aim {
-			worth *= r.set.OverShareWorth
+		if m.extra && wait > m.class.TargetLatency {
+			worth *= r.set.OverQuotaValue
 		}
 		late := worth < min(bound, 1)
-		priced := r.set.Alone || r.reach == anywhere{} && m.class.LateWorth > worthWhile
-		low := priced && wait > 0 && m.class.Worth*worth < d.price
+		priced := r.set.NoGossip || r.reach == anywhere{} && m.class.LateValue > worthWhile
+		low := priced && wait > 0 && m.class.Value*worth < d.price
 		if (late || low) && m.mayRefuse() && !m.owedTry() {
-			if late || r.set.Alone {
-				d.turnedAway(m, r.set.Alone)
+			if late || r.set.NoGossip {
+				d.turnedAway(m, r.set.NoGossip)
 			}
 			r.answer(m, wait)
 			d.queue--
@@ -777,7 +777,7 @@
 			open++
 		}
 	}
-	limit := max(1, int(float64(r.set.MaxHeld)*holdPart)) // a hold of one is not always full
+	limit := max(1, int(float64(r.set.MaxPending)*holdPart)) // a hold of one is not always full
 	for ; open > limit; open-- {
 		var victim *message
 		var best, least float64
@@ -785,10 +785,10 @@
 			if m.answered || m.call != nil || !m.mayRefuse() || m.owedTry() {
 				continue
 			}
-			score := float64(m.dest.queue) + r.reach.First(m.class.Name)*float64(2*r.set.MaxHeld)
-			worth := m.class.Worth * r.worthAt(m, r.now)
+			score := float64(m.dest.queue) + r.reach.ShedPriority(m.class.Name)*float64(2*r.set.MaxPending)
+			worth := m.class.Value * r.worthAt(m, r.now)
 			if m.extra {
-				score += float64(r.set.MaxHeld)
+				score += float64(r.set.MaxPending)
 			}
 			if victim == nil || score > best || score == best && worth <= least {
 				victim, best, least = m, score, worth
@@ -798,7 +798,7 @@
 			return
 		}
 		victim.dest.queue--
-		r.answer(victim, r.set.MaxRetryAdvice)
+		r.answer(victim, r.set.MaxRetryAfter)
 	}
 }
 
@@ -807,7 +807,7 @@
 // dispatch sends what may go, longest waiting first over all destinations.
 func (r *Relay) dispatch() {
 	for i, m := range r.held {
-		if r.calls >= r.set.Slots {
+		if r.calls >= r.set.MaxConcurrentCalls {
 			return
 		}
 		if !r.eligible(m) {
@@ -840,7 +840,7 @@
 	}
 	batch, until := []*message{m}, m.deadline
 	for _, o := range rest {
-		if len(batch) >= m.dest.kind.Batch {
+		if len(batch) >= m.dest.kind.MaxBatch {
 			break
 		}
 		if o.dest != m.dest || o.deadline < due || !r.eligible(o) || !r.open(o, ep) || !r.suits(o, ep.line) {
@@ -894,14 +894,14 @@
 	case l.state == ramping || l.hardRun > 0 || l.slow() || r.doubt(l):
 		// Risk: two destinations that slow take all slots, and each message for the others is late.
 		if r.short > 0 {
-			return max(1, r.set.Slots/4)
+			return max(1, r.set.MaxConcurrentCalls/4)
 		}
-		return max(1, r.set.Slots/2)
+		return max(1, r.set.MaxConcurrentCalls/2)
 	}
-	if share := r.set.SlotShare; share > 0 {
-		return max(1, int(float64(r.set.Slots)*share))
+	if share := r.set.MaxDestinationShare; share > 0 {
+		return max(1, int(float64(r.set.MaxConcurrentCalls)*share))
 	}
-	return max(1, r.set.Slots*3/4)
+	return max(1, r.set.MaxConcurrentCalls*3/4)
 }
 
 // sick tells whether calls to l are likely to hold their slots for long.
@@ -919,18 +919,18 @@
 			n++
 		}
 	}
-	return n >= max(1, r.set.Slots/2)
+	return n >= max(1, r.set.MaxConcurrentCalls/2)
 }
 
 // free tells whether the line takes a call now. Where it is out and others try it, their news come first.
 func (r *Relay) free(l *line) bool {
-	others := l.usual.OthersTry && r.informed(l) && r.now-l.lastOK > newsSpan
+	others := l.usual.OthersProbe && r.informed(l) && r.now-l.lastOK > newsSpan
 	return !others && r.now >= r.freeAt(l) && len(l.calls) < r.cap(l) && !r.crowdedOut(l)
 }
 
 // choose picks m's endpoint, or none if no slot is free. Scarce calls go to none that is nearly out of time.
 func (r *Relay) choose(m *message) *endpoint {
-	if m.dest.calls >= max(1, r.set.Slots*3/4) {
+	if m.dest.calls >= max(1, r.set.MaxConcurrentCalls*3/4) {
 		return nil
 	}
 	var best *endpoint
@@ -952,7 +952,7 @@
 }
 
 func (r *Relay) cost(ep *endpoint) float64 {
-	cost := float64(ep.calls) / float64(r.set.Slots)
+	cost := float64(ep.calls) / float64(r.set.MaxConcurrentCalls)
 	if ep.fails > 1 && r.now-ep.lastFail < 2*time.Second<<min(ep.fails, 4) {
 		cost += float64(min(ep.fails, 9))
 	}
@@ -960,12 +960,12 @@
 		cost += 10 * r.fees[ep.Zone]
 	}
 	if ep.far { // Risk: a subset that is sick or full; one beyond it costs as much as two more calls here
-		cost += 2/float64(r.set.Slots) + 3*unusedCost
+		cost += 2/float64(r.set.MaxConcurrentCalls) + 3*unusedCost
 	}
 	if ep.calls == 0 && !(r.warm(ep) && r.now-ep.lastUsed < r.idle.Limit(r.now)) {
 		cost += unusedCost
 	}
-	return cost + ep.whim + r.reach.Cost(ep.Zone)
+	return cost + ep.whim + r.reach.EndpointCost(ep.Zone)
 }
 
 func (r *Relay) send(ep *endpoint, batch []*message, until Time) {
@@ -973,7 +973,7 @@
 	c := &call{ep: ep, sentAt: r.now, left: len(batch), again: l.run > 0 && r.now-l.refusedAt < r.aim}
 	l.calls, r.out = append(l.calls, c), append(r.out, c)
 	l.claimed, l.jitter = r.now, 0.95+0.1*r.rng.Float64()
-	if len(batch) < l.dest.kind.Batch {
+	if len(batch) < l.dest.kind.MaxBatch {
 		l.nextAt = r.now + 1 // what else goes there in this step would join the call
 	}
 	if idle := r.now - ep.lastUsed; ep.calls == 0 && r.warm(ep) {
@@ -983,7 +983,7 @@
 			r.do(CloseIdle{ep.Address})
 		}
 	}
-	r.reach.Sent(ep.dest.id, ep.Zone)
+	r.reach.CallSent(ep.dest.id, ep.Zone)
 	r.calls++
 	ep.calls++
 	ep.dest.calls++
@@ -1004,7 +1004,7 @@
 	switch {
 	case r.short > learnSpan:
 		overdue -= overdue / 3 // lost answers hold all slots (i8980d3)
-	case r.calls < r.set.Slots/2:
+	case r.calls < r.set.MaxConcurrentCalls/2:
 		overdue += overdue / 2 // slots are plenty: spare heavy messages a second run
 	}
 	t, repeatable := overdue, m.class.Effect != Unsafe
@@ -1016,15 +1016,15 @@
 		if m.mayHave {
 			since = r.now - m.firstRisk
 		}
-		t = min(t, part(m.class.Window, windowPart))
-		repeatable = overdue <= part(m.class.Window, windowPart) &&
-			since+t <= part(m.class.Window, sendMargin)
+		t = min(t, part(m.class.RepeatWindow, windowPart))
+		repeatable = overdue <= part(m.class.RepeatWindow, windowPart) &&
+			since+t <= part(m.class.RepeatWindow, sendMargin)
 	}
 	switch {
 	case repeatable:
 		return min(left, t)
-	case r.calls >= r.set.Slots/2:
-		return min(left, max(m.class.Aim-r.short, 2*overdue))
+	case r.calls >= r.set.MaxConcurrentCalls/2:
+		return min(left, max(m.class.TargetLatency-r.short, 2*overdue))
 	}
 	return left
 }
@@ -1034,7 +1034,7 @@
 // wake asks for the next step: when a slot, a wait, a quiet time or a deadline ends.
 func (r *Relay) wake() {
 	at := Time(math.MaxInt64)
-	if r.set.AskForList && r.askAt >= 0 {
+	if r.set.MustSubscribe && r.askAt >= 0 {
 		at = r.askAt
 	}
 	for _, m := range r.held {
@@ -1057,6 +1057,6 @@
 	at = max(at, r.now+r.set.Tick)
 	if r.wakeAt == 0 || at < r.wakeAt {
 		r.wakeAt = at
-		r.do(WakeAfter{at - r.now})
+		r.do(SetTimer{at - r.now})
 	}
 }
