--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,19 +20,19 @@
 
 // testSettings is a small relay: a shared kind, a batching kind and one of separate routes.
 func testSettings() Settings {
-	return Settings{Senders: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 6,
-		AskWithin: 8 * sec, RetryAdvice: true, MaxRetryAdvice: 2 * sec, Tick: 5 * ms, ConnIdle: 15 * sec,
-		RatesListed: true, ColdFrom: 0.25, ColdTime: 8 * sec, OverloadFactor: 2, OverloadTime: 2 * sec,
-		KeyQuiet: 100 * ms, OverShareWorth: 0.1,
+	return Settings{Relays: 2, MaxConcurrentCalls: 8, MaxPending: 100, MaxAttempts: 6,
+		MaxSubscribeInterval: 8 * sec, SendRetryAfter: true, MaxRetryAfter: 2 * sec, Tick: 5 * ms, IdleConnTimeout: 15 * sec,
+		RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 8 * sec, OverloadFactor: 2, OverloadTime: 2 * sec,
+		KeyQuietTime: 100 * ms, OverQuotaValue: 0.1,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 2 * sec, Deadline: 12 * sec, Worth: 1, LateWorth: 0.4},
-			{Name: "keyed", Effect: Keyed, Window: 4 * sec, Aim: 2 * sec, Deadline: 12 * sec, Worth: 1},
-			{Name: "zoned", Effect: Keyed, ZoneOnly: true, Window: 4 * sec, Ordered: true, Aim: 2 * sec,
-				Deadline: 12 * sec, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe, Ordered: true, Aim: 2 * sec, Deadline: 12 * sec, Worth: 4},
+			{Name: "safe", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: 0.4},
+			{Name: "keyed", Effect: Keyed, RepeatWindow: 4 * sec, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1},
+			{Name: "zoned", Effect: Keyed, ZoneOnly: true, RepeatWindow: 4 * sec, Ordered: true, TargetLatency: 2 * sec,
+				Deadline: 12 * sec, Value: 1},
+			{Name: "unsafe", Effect: Unsafe, Ordered: true, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 4},
 		},
 		Tenants: []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}},
-		Kinds:   []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "routes", Batch: 1, SeparateRoutes: true}},
+		Kinds:   []Kind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3}, {Name: "routes", MaxBatch: 1, SeparateRoutes: true}},
 		Zones:   []Zone{{Name: "z1"}, {Name: "z2", Fee: 0.05}},
 	}
 }
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, r: r, now: sec}
-	b.step(ListNews{Kind: ListRestored, Entries: entries()})
+	b.step(EndpointListUpdate{Kind: ListRestored, Entries: entries()})
 	return b
 }
 
@@ -78,9 +78,9 @@
 	return b.step(events...)
 }
 
-func (b *bench) msg(class string, dest int, key string) Arrived {
+func (b *bench) msg(class string, dest int, key string) Submitted {
 	b.id++
-	return Arrived{ID: b.id, Class: class, Tenant: "a", Key: key, Destination: dest, Left: 12 * sec}
+	return Submitted{ID: b.id, Class: class, Tenant: "a", Key: key, Destination: dest, TimeLeft: 12 * sec}
 }
 
 func pick[T Action](acts []Action) []T {
@@ -106,8 +106,8 @@
 	return got
 }
 
-func end(id uint32, attempt int, o Outcome) Ended {
-	return Ended{ID: id, Attempt: attempt, Outcome: o, Took: 100 * ms, Final: o == Delivered}
+func end(id uint32, attempt int, o Outcome) AttemptEnded {
+	return AttemptEnded{ID: id, Attempt: attempt, Outcome: o, Duration: 100 * ms, Final: o == Delivered}
 }
 
 func TestSettingsErrors(t *testing.T) {
@@ -115,15 +115,15 @@
 		change func(*Settings)
 		says   string
 	}{
-		"senders":  {func(s *Settings) { s.Senders = 0 }, "Senders"},
-		"slots":    {func(s *Settings) { s.Slots = 0 }, "Slots"},
-		"held":     {func(s *Settings) { s.MaxHeld = -1 }, "MaxHeld"},
+		"senders":  {func(s *Settings) { s.Relays = 0 }, "Senders"},
+		"slots":    {func(s *Settings) { s.MaxConcurrentCalls = 0 }, "Slots"},
+		"held":     {func(s *Settings) { s.MaxPending = -1 }, "MaxHeld"},
 		"attempts": {func(s *Settings) { s.MaxAttempts = 0 }, "MaxAttempts"},
 		"classes":  {func(s *Settings) { s.Classes = nil }, "Classes"},
 		"tick":     {func(s *Settings) { s.Tick = 0 }, "Tick"},
-		"cold":     {func(s *Settings) { s.ColdFrom = 2 }, "ColdFrom"},
-		"aim":      {func(s *Settings) { s.Classes[0].Aim = 0 }, "Aim"},
-		"window":   {func(s *Settings) { s.Classes[1].Window = 0 }, "Window"},
+		"cold":     {func(s *Settings) { s.ColdStartShare = 2 }, "ColdFrom"},
+		"aim":      {func(s *Settings) { s.Classes[0].TargetLatency = 0 }, "Aim"},
+		"window":   {func(s *Settings) { s.Classes[1].RepeatWindow = 0 }, "Window"},
 	} {
 		s := testSettings()
 		c.change(&s)
@@ -139,7 +139,7 @@
 	b.sent(b.step(b.msg("safe", 99, "")))
 	var answers int
 	for range 13 * 200 {
-		acts := b.after(5*ms, Woke{})
+		acts := b.after(5*ms, TimerFired{})
 		answers += len(pick[Refuse](acts)) + len(pick[Fail](acts))
 	}
 	if answers != 1 {
@@ -149,11 +149,11 @@
 
 // Rule 2: what may have run is not sent again for an unsafe message, and it is failed, not refused.
 func TestUnsafeAfterRisk(t *testing.T) {
-	for o, again := range map[Outcome]bool{Errored: false, TimedOut: false, Broken: false, Rejected: true, ConnectFailed: true} {
+	for o, again := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Rejected: true, ConnectFailed: true} {
 		b := start(t, nil)
 		b.sent(b.step(b.msg("unsafe", 1, "k")), 1)
 		acts := b.after(100*ms, end(1, 0, o))
-		acts = append(acts, b.after(sec, Woke{})...)
+		acts = append(acts, b.after(sec, TimerFired{})...)
 		if again {
 			b.sent(acts, 1)
 			continue
@@ -174,11 +174,11 @@
 	other[s[0].Endpoint] = Draining
 	for _, e := range entries()[:2] {
 		e.State = other[e.Address]
-		b.step(ListNews{Kind: ListChanges, Entries: []Endpoint{e}})
+		b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e}})
 	}
 	b.sent(b.after(100*ms, end(1, 0, Errored)))
-	b.sent(b.after(sec, Woke{}))
-	acts := b.after(4*sec, Woke{})
+	b.sent(b.after(sec, TimerFired{}))
+	acts := b.after(4*sec, TimerFired{})
 	if len(pick[Fail](acts)) != 1 {
 		t.Fatalf("after the window: %v, want Fail", acts)
 	}
@@ -198,15 +198,15 @@
 		b := start(t, nil)
 		b.r.short, b.r.pace = rateMemory, 0.01 // all slots are taken, and hardly anything moves
 		m := b.msg("keyed", 1, "k")
-		if m.MayHave, m.Tries, m.RiskAge = mayHave, 1, sec; !mayHave {
-			m.RiskAge = 0
+		if m.MayHaveRun, m.Attempts, m.UncertainAge = mayHave, 1, sec; !mayHave {
+			m.UncertainAge = 0
 		}
 		for _, d := range b.r.dests {
 			for _, l := range d.lines {
 				l.waitTil = 3 * sec
 			}
 		}
-		acts := append(b.step(m), b.after(sec, Woke{})...)
+		acts := append(b.step(m), b.after(sec, TimerFired{})...)
 		if refused := len(pick[Refuse](acts)); (refused == 1) == mayHave || len(pick[Fail](acts)) > 0 {
 			t.Errorf("may have run %v: %d refused, %d failed", mayHave, refused, len(pick[Fail](acts)))
 		}
@@ -218,7 +218,7 @@
 	b := start(t, nil)
 	b.sent(b.step(b.msg("safe", 1, "")), 1)
 	for range 50 {
-		b.sent(b.after(50*ms, Woke{}))
+		b.sent(b.after(50*ms, TimerFired{}))
 	}
 }
 
@@ -227,32 +227,32 @@
 	b := start(t, nil)
 	es := entries()
 	es[3].State = Draining
-	s := b.sent(b.step(b.msg("safe", 3, ""), ListNews{Kind: ListChanges, Entries: es[3:4]}), 1)
+	s := b.sent(b.step(b.msg("safe", 3, ""), EndpointListUpdate{Kind: ListChanges, Entries: es[3:4]}), 1)
 	if s[0].Endpoint != "r2" {
 		t.Fatalf("sent to %s, want r2", s[0].Endpoint)
 	}
-	b.sent(b.step(ListNews{Kind: ListWhole, Entries: entries()[:3]}, b.msg("safe", 3, "")))
+	b.sent(b.step(EndpointListUpdate{Kind: ListSnapshot, Entries: entries()[:3]}, b.msg("safe", 3, "")))
 }
 
 // Rule 3: the list is asked for at the start and again, later and later, after failures.
 func TestSubscribes(t *testing.T) {
-	b := start(t, func(s *Settings) { s.AskForList = true })
+	b := start(t, func(s *Settings) { s.MustSubscribe = true })
 	asked := []Time{}
-	acts := b.step(ListNews{Kind: ListUnavailable})
+	acts := b.step(EndpointListUpdate{Kind: ListUnavailable})
 	for range 4000 {
 		for _, a := range acts {
 			if _, ok := a.(Subscribe); ok {
 				asked = append(asked, b.now)
-				b.step(ListNews{Kind: ListUnavailable})
+				b.step(EndpointListUpdate{Kind: ListUnavailable})
 			}
 		}
-		acts = b.after(5*ms, Woke{})
+		acts = b.after(5*ms, TimerFired{})
 	}
 	if len(asked) < 4 {
 		t.Fatalf("asked %d times in 20 s", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
-		if gap := asked[i] - asked[i-1]; gap > b.r.set.AskWithin {
+		if gap := asked[i] - asked[i-1]; gap > b.r.set.MaxSubscribeInterval {
 			t.Errorf("did not ask for %v", gap)
 		}
 	}
@@ -260,12 +260,12 @@
 
 // Rule 4: during an outage and after the first success, calls keep under the told overload budget.
 func TestReturnIsNotPushedOver(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Senders = 1 })
+	b := start(t, func(s *Settings) { s.Relays = 1 })
 	const rate, cold = 10.0, 8 * sec
 	back := b.now + 10*sec
 	type ev struct {
 		at Time
-		e  Ended
+		e  AttemptEnded
 	}
 	var due []ev
 	var calls []Time
@@ -308,16 +308,16 @@
 	b := start(t, nil)
 	b.sent(b.step(b.msg("safe", 1, "")), 1)
 	e := end(1, 0, Rejected)
-	e.Wait = sec
+	e.RetryAfter = sec
 	b.sent(b.after(50*ms, e, b.msg("safe", 1, "")))
-	b.sent(b.after(990*ms, Woke{}))
-	if len(pick[Send](b.after(220*ms, Woke{}))) == 0 { // a fair slot later at most
+	b.sent(b.after(990*ms, TimerFired{}))
+	if len(pick[Send](b.after(220*ms, TimerFired{}))) == 0 { // a fair slot later at most
 		t.Fatal("nothing sent after the wait")
 	}
 	b = start(t, nil)
 	s := b.sent(b.step(b.msg("safe", 3, "")), 1)
 	e = end(1, 0, Rejected)
-	e.Wait = sec
+	e.RetryAfter = sec
 	again := b.sent(b.after(50*ms, e), 1)
 	if s[0].Endpoint == again[0].Endpoint {
 		t.Fatal("sent into the told wait of a route")
@@ -328,14 +328,14 @@
 func TestKeyOrder(t *testing.T) {
 	b := start(t, nil)
 	b.sent(b.step(b.msg("unsafe", 1, "k"), b.msg("unsafe", 1, "k"), b.msg("unsafe", 1, "j")), 1, 3)
-	b.sent(b.after(100*ms, end(1, 0, Broken)))
-	b.sent(b.after(90*ms, Woke{}))
-	b.sent(b.after(10*ms, Woke{}), 2)
+	b.sent(b.after(100*ms, end(1, 0, ConnectionLost)))
+	b.sent(b.after(90*ms, TimerFired{}))
+	b.sent(b.after(10*ms, TimerFired{}), 2)
 }
 
 // A batch takes the longest waiters, at most the kind's number, and never two of one ordered key.
 func TestBatch(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 1 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 1 })
 	b.sent(b.step(b.msg("safe", 2, "")), 1)
 	acts := b.after(100*ms, end(1, 0, Delivered), b.msg("unsafe", 2, "k"), b.msg("unsafe", 2, "k"),
 		b.msg("safe", 2, ""), b.msg("safe", 2, ""), b.msg("safe", 2, ""))
@@ -348,14 +348,14 @@
 // its most patient message.
 func TestShortOfTimeGoesAlone(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		b := start(t, func(s *Settings) { s.Slots = 1 })
+		b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 1 })
 		b.sent(b.step(b.msg("unsafe", 2, "")), 1)
 		one, two := b.msg("safe", 2, ""), b.msg("safe", 2, "")
 		short := &two
 		if first {
 			short = &one
 		}
-		short.Left = leastOverdue * b.r.set.Tick // an answer of this line is late no sooner
+		short.TimeLeft = leastOverdue * b.r.set.Tick // an answer of this line is late no sooner
 		b.sent(b.after(100*ms, end(1, 0, Delivered), one, two), 2)
 	}
 }
@@ -401,14 +401,14 @@
 	if got := b.r.cap(l); got != 4 {
 		t.Fatalf("slow: share %d, want 4", got)
 	}
-	if b = start(t, func(s *Settings) { s.Slots = 1 }); b.r.cap(b.r.dests[1].lines[0]) != 1 {
+	if b = start(t, func(s *Settings) { s.MaxConcurrentCalls = 1 }); b.r.cap(b.r.dests[1].lines[0]) != 1 {
 		t.Fatal("share under one")
 	}
 }
 
 // Longest waiting first over all destinations with a free slot.
 func TestFIFOAcrossDestinations(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 1 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 1 })
 	b.sent(b.step(b.msg("safe", 1, "")), 1)
 	b.step(b.msg("safe", 4, ""))
 	b.step(b.msg("safe", 1, ""))
@@ -428,7 +428,7 @@
 	if l.state != ramping {
 		t.Errorf("state %v after a call came through", l.state)
 	}
-	b.sent(b.after(2*sec, Woke{}), 2)
+	b.sent(b.after(2*sec, TimerFired{}), 2)
 }
 
 // A line that takes no connection swallows nothing: where nobody tried it for a short while, messages that must not run twice are its trickle,
@@ -437,7 +437,7 @@
 	for _, c := range []struct {
 		last    Outcome
 		trickle bool
-	}{{ConnectFailed, true}, {CutShort, true}, {TimedOut, false}, {Broken, false}, {Errored, false}} {
+	}{{ConnectFailed, true}, {RequestIncomplete, true}, {TimedOut, false}, {ConnectionLost, false}, {Errored, false}} {
 		b := start(t, nil)
 		l := b.r.dests[4].lines[0]
 		for _, o := range []Outcome{ConnectFailed, ConnectFailed, c.last} {
@@ -451,8 +451,8 @@
 		}
 		wait := max(gap, b.r.set.OverloadTime) + 20*ms
 		b.sent(b.step(b.msg("unsafe", 4, "")))
-		b.sent(b.after(wait-40*ms, Woke{})) // not before others had time to
-		acts := b.after(40*ms, Woke{})
+		b.sent(b.after(wait-40*ms, TimerFired{})) // not before others had time to
+		acts := b.after(40*ms, TimerFired{})
 		if c.trickle {
 			b.sent(acts, 1)
 			continue
@@ -472,12 +472,12 @@
 	b := start(t, nil)
 	l := b.r.dests[4].lines[0]
 	b.sent(b.step(b.msg("unsafe", 4, "")), 1)
-	b.sent(b.after(100*ms, end(1, 0, CutShort)), 1) // at once again
-	b.sent(b.after(100*ms, end(1, 1, CutShort)), 1)
+	b.sent(b.after(100*ms, end(1, 0, RequestIncomplete)), 1) // at once again
+	b.sent(b.after(100*ms, end(1, 1, RequestIncomplete)), 1)
 	if l.gap != 0 || l.hardRun != 2 {
 		t.Fatalf("behind two: slot %v, %d in a row", l.gap, l.hardRun)
 	}
-	b.sent(b.after(100*ms, end(1, 2, CutShort)))
+	b.sent(b.after(100*ms, end(1, 2, RequestIncomplete)))
 	if l.gap == 0 || l.state != healthy {
 		t.Fatalf("behind three: slot %v, state %v", l.gap, l.state)
 	}
@@ -485,8 +485,8 @@
 		if n > 5 {
 			t.Fatalf("no outage behind %d", n)
 		}
-		b.sent(b.after(max(l.gap, b.r.set.OverloadTime)+100*ms, Woke{}), 1)
-		b.after(100*ms, end(1, n, CutShort))
+		b.sent(b.after(max(l.gap, b.r.set.OverloadTime)+100*ms, TimerFired{}), 1)
+		b.after(100*ms, end(1, n, RequestIncomplete))
 	}
 	if m := b.r.msgs[1]; m != nil && (m.mayHave || !m.mayRefuse()) {
 		t.Error("what never ran is held to may have run")
@@ -516,7 +516,7 @@
 				events = append(events, end(m.id, m.tries-1, TimedOut))
 			}
 		}
-		if b.after(5*ms, append(events, Woke{})...); l.state == out {
+		if b.after(5*ms, append(events, TimerFired{})...); l.state == out {
 			return
 		}
 	}
@@ -525,7 +525,7 @@
 
 // The hold never fills unattended, and tenants past their share give way first.
 func TestHoldKeepsRoom(t *testing.T) {
-	b := start(t, func(s *Settings) { s.MaxHeld = 20 })
+	b := start(t, func(s *Settings) { s.MaxPending = 20 })
 	refused := map[uint32]bool{}
 	for i := range 60 {
 		m := b.msg("safe", 99, "")
@@ -546,11 +546,11 @@
 
 // A client of little patience is no late message: it is not refused at once when its turn will come.
 func TestShortPatienceIsNotLate(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 1; s.Classes[0].LateWorth = 0 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 1; s.Classes[0].LateValue = 0 })
 	b.sent(b.step(b.msg("safe", 4, "")), 1)
 	b.r.dests[4].lines[0].gap = 200 * ms
 	m := b.msg("safe", 4, "")
-	m.Left = 3 * sec
+	m.TimeLeft = 3 * sec
 	if acts := b.after(10*ms, m); len(pick[Refuse](acts)) != 0 {
 		t.Fatalf("refused at once: %v", acts)
 	}
@@ -558,7 +558,7 @@
 
 // While call slots are short and the backlog lasts, late messages give way so that the rest is in time.
 func TestBacklogGivesWayWhileSlotsAreShort(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 1 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 1 })
 	refused := 0
 	for at := range 8000 {
 		var events []Event
@@ -568,11 +568,11 @@
 		for _, m := range b.r.held {
 			if m.call != nil && b.now-m.sentAt >= 500*ms {
 				e := end(m.id, m.tries-1, Delivered)
-				e.Took = 500 * ms
+				e.Duration = 500 * ms
 				events = append(events, e)
 			}
 		}
-		refused += len(pick[Refuse](b.after(5*ms, append(events, Woke{})...)))
+		refused += len(pick[Refuse](b.after(5*ms, append(events, TimerFired{})...)))
 	}
 	oldest := b.now
 	for _, m := range b.r.held {
@@ -585,7 +585,7 @@
 
 // A refused message that comes again does not use up its tenant's share a second time.
 func TestRefusalGivesTheShareBack(t *testing.T) {
-	b := start(t, func(s *Settings) { s.MaxHeld = 2 })
+	b := start(t, func(s *Settings) { s.MaxPending = 2 })
 	for i := range 200 {
 		b.step(b.msg("safe", 99, ""))
 		if b.r.tenants["a"].tokens < 1 {
@@ -624,14 +624,14 @@
 
 // A relay that restarts with only the restored list sends.
 func TestRestart(t *testing.T) {
-	b := start(t, func(s *Settings) { s.AskForList = true })
+	b := start(t, func(s *Settings) { s.MustSubscribe = true })
 	b.sent(b.step(b.msg("keyed", 1, "")), 1)
 }
 
 // Events for what is not held are ignored.
 func TestUnknownEvents(t *testing.T) {
 	b := start(t, nil)
-	acts := b.step(end(77, 0, Delivered), Withdrawn{78}, Woke{}, end(79, 3, TimedOut))
+	acts := b.step(end(77, 0, Delivered), Withdrawn{78}, TimerFired{}, end(79, 3, TimedOut))
 	if len(acts) != 0 {
 		t.Fatalf("acted: %v", acts)
 	}
@@ -649,7 +649,7 @@
 }
 
 type wmsg struct {
-	Arrived
+	Submitted
 	by       Time
 	class    Class
 	out      bool
@@ -662,7 +662,7 @@
 
 type wend struct {
 	at Time
-	e  Ended
+	e  AttemptEnded
 	s  Send
 	t0 Time
 }
@@ -676,7 +676,7 @@
 }
 
 func play(t *testing.T, seed int64) []string {
-	w := &world{bench: start(t, func(s *Settings) { s.MaxHeld = 60; s.AskForList = seed%2 == 0 }),
+	w := &world{bench: start(t, func(s *Settings) { s.MaxPending = 60; s.MustSubscribe = seed%2 == 0 }),
 		rng: rand.New(rand.NewSource(seed)), open: map[uint32]*wmsg{}, waits: map[string]Time{}, drained: map[string]bool{}}
 	classes := testSettings().Classes
 	for step := range 8000 {
@@ -697,14 +697,14 @@
 		if w.rng.Intn(12) == 0 && step < 5000 {
 			c := classes[w.rng.Intn(len(classes))]
 			a := w.msg(c.Name, 1+w.rng.Intn(5), fmt.Sprint("k", w.rng.Intn(4)))
-			a.Left = time.Duration(w.rng.Int63n(int64(12 * sec)))
-			w.open[a.ID] = &wmsg{Arrived: a, by: w.now + a.Left, class: c}
+			a.TimeLeft = time.Duration(w.rng.Int63n(int64(12 * sec)))
+			w.open[a.ID] = &wmsg{Submitted: a, by: w.now + a.TimeLeft, class: c}
 			events = append(events, a)
 		}
 		if w.rng.Intn(300) == 0 {
 			events = append(events, w.listing())
 		}
-		w.check(w.step(append(events, Woke{})...))
+		w.check(w.step(append(events, TimerFired{})...))
 		w.now += 5 * ms
 	}
 	for id, m := range w.open {
@@ -720,7 +720,7 @@
 	m.out = false
 	e := d.e
 	switch e.Outcome {
-	case Errored, TimedOut, Broken:
+	case Errored, TimedOut, ConnectionLost:
 		if !m.risk {
 			m.risk, m.riskAt, m.zone = true, d.t0, zoneOf(d.s.Endpoint)
 		}
@@ -728,8 +728,8 @@
 		e.Final = !m.answered
 		m.answered = true
 	case Rejected:
-		if e.Wait > 0 {
-			w.waits[lineOf(d.s.Endpoint)] = w.now + e.Wait
+		if e.RetryAfter > 0 {
+			w.waits[lineOf(d.s.Endpoint)] = w.now + e.RetryAfter
 		}
 	}
 	if w.rng.Intn(20) == 0 {
@@ -757,11 +757,11 @@
 func (w *world) listing() Event {
 	e := entries()[w.rng.Intn(len(entries()))]
 	if w.rng.Intn(4) == 0 {
-		return ListNews{Kind: ListUnavailable}
+		return EndpointListUpdate{Kind: ListUnavailable}
 	}
 	if w.rng.Intn(2) == 0 {
 		w.drained = map[string]bool{}
-		return ListNews{Kind: ListWhole, Entries: entries()}
+		return EndpointListUpdate{Kind: ListSnapshot, Entries: entries()}
 	}
 	e.State = Listed
 	w.drained[e.Address] = false
@@ -769,7 +769,7 @@
 		e.State = Draining
 		w.drained[e.Address] = true
 	}
-	return ListNews{Kind: ListChanges, Entries: []Endpoint{e}}
+	return EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e}}
 }
 
 func (w *world) check(acts []Action) {
@@ -790,7 +790,7 @@
 				fail("two attempts of %d", a.ID)
 			case m.risk && m.class.Effect == Unsafe:
 				fail("unsafe %d sent again", a.ID)
-			case m.risk && m.class.Effect == Keyed && w.now-m.riskAt >= m.class.Window:
+			case m.risk && m.class.Effect == Keyed && w.now-m.riskAt >= m.class.RepeatWindow:
 				fail("keyed %d sent after its window", a.ID)
 			case m.risk && m.class.ZoneOnly && zoneOf(a.Endpoint) != m.zone:
 				fail("keyed %d left its zone", a.ID)
@@ -827,10 +827,10 @@
 }
 
 // reports tells whether this world's answers carry reports, sensible ones and others: every other one's do.
-func (w *world) reports() bool { return w.r.set.AskForList }
+func (w *world) reports() bool { return w.r.set.MustSubscribe }
 
 func (w *world) plan(s Send, m *wmsg) {
-	outcomes := []Outcome{Delivered, Delivered, Delivered, Errored, Rejected, ConnectFailed, Broken, TimedOut, Unsent}
+	outcomes := []Outcome{Delivered, Delivered, Delivered, Errored, Rejected, ConnectFailed, ConnectionLost, TimedOut, Unsent}
 	o := outcomes[w.rng.Intn(len(outcomes))]
 	if int(w.now/(10*sec))%3 == 1 {
 		o = outcomes[3+w.rng.Intn(6)]
@@ -842,12 +842,12 @@
 	if left := m.by - w.now; took > left {
 		o, took = TimedOut, left
 	}
-	e := Ended{ID: s.ID, Attempt: m.attempts, Endpoint: s.Endpoint, Outcome: o, Took: took}
+	e := AttemptEnded{ID: s.ID, Attempt: m.attempts, Endpoint: s.Endpoint, Outcome: o, Duration: took}
 	if o == Rejected && w.rng.Intn(2) == 0 {
-		e.Wait = time.Duration(w.rng.Int63n(int64(3 * sec)))
+		e.RetryAfter = time.Duration(w.rng.Int63n(int64(3 * sec)))
 	}
 	if odd := []float64{0, 0.01, 0.9, 1, 7, -3, math.NaN()}; w.reports() && o != ConnectFailed && o != TimedOut {
-		e.Report = &Report{Left: odd[w.rng.Intn(len(odd))], Limit: 10 * odd[w.rng.Intn(len(odd))]}
+		e.Report = &LimitReport{Remaining: odd[w.rng.Intn(len(odd))], Limit: 10 * odd[w.rng.Intn(len(odd))]}
 	}
 	m.attempts++
 	w.due = append(w.due, wend{at: w.now + took, e: e, s: s, t0: w.now})
@@ -881,8 +881,8 @@
 	first := map[string]int{}
 	for seed := range int64(40) {
 		r, _ := New(testSettings(), seed)
-		r.Step(sec, []Event{ListNews{Kind: ListWhole, Entries: entries()}})
-		s := pick[Send](r.Step(2*sec, []Event{Arrived{ID: 1, Class: "safe", Destination: 1, Left: 12 * sec}}))
+		r.Step(sec, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: entries()}})
+		s := pick[Send](r.Step(2*sec, []Event{Submitted{ID: 1, Class: "safe", Destination: 1, TimeLeft: 12 * sec}}))
 		first[s[0].Endpoint]++
 		var again []Send
 		for now := 2 * sec; len(again) == 0; now += 50 * ms {
@@ -913,13 +913,13 @@
 		one := func(pause time.Duration, o Outcome) {
 			var acts []Action
 			for acts = b.after(pause, b.msg("safe", 4, "")); len(pick[Send](acts)) == 0; {
-				acts = b.after(50*ms, Woke{})
+				acts = b.after(50*ms, TimerFired{})
 			}
 			if n := len(pick[CloseIdle](acts)); n > 0 {
 				closed, o = closed+n, c.freshOutcome
 			}
 			for _, s := range pick[Send](acts) {
-				b.after(100*ms, Ended{ID: s.ID, Attempt: b.r.msgs[s.ID].tries - 1, Outcome: o, Final: true})
+				b.after(100*ms, AttemptEnded{ID: s.ID, Attempt: b.r.msgs[s.ID].tries - 1, Outcome: o, Final: true})
 			}
 		}
 		for range 6 {
@@ -938,11 +938,11 @@
 // Risk: a timer that rounds down fires before the time asked for, and none is asked for after it.
 func TestTimerMayFireEarly(t *testing.T) {
 	b := start(t, nil)
-	w := pick[WakeAfter](b.step(b.msg("safe", 99, "")))
+	w := pick[SetTimer](b.step(b.msg("safe", 99, "")))
 	if len(w) != 1 {
 		t.Fatalf("a held message asks for %d timers", len(w))
 	}
-	if len(pick[WakeAfter](b.after(w[0].Delay-time.Nanosecond, Woke{}))) != 1 {
+	if len(pick[SetTimer](b.after(w[0].Delay-time.Nanosecond, TimerFired{}))) != 1 {
 		t.Fatal("no timer after one that fired early")
 	}
 }
@@ -955,11 +955,11 @@
 		took  time.Duration
 		quick bool
 	}{"retries fail too": {0.1, 0, false}, "retries are answered": {0.6, 0, true}, "no answer at all": {0.6, sec, false}} {
-		b := start(t, func(s *Settings) { s.Senders = 500 })
+		b := start(t, func(s *Settings) { s.Relays = 500 })
 		l := b.r.dests[4].lines[0]
 		b.r.soon[l.dest.kind] = c.soon
 		b.r.grow(l, &call{ep: l.eps[0], sentAt: b.now - c.took}, ConnectFailed)
-		if quick := l.gap < b.r.set.ColdTime; quick != c.quick {
+		if quick := l.gap < b.r.set.WarmUpTime; quick != c.quick {
 			t.Errorf("%s: slot %v", name, l.gap)
 		}
 	}
@@ -967,7 +967,7 @@
 
 // Risk: with few slots, a call each to several destinations that answer nothing leaves none for the others.
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 4 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 4 })
 	for _, d := range []int{1, 2, 4} {
 		b.r.dests[d].lines[0].hardRun = 1
 	}
@@ -977,9 +977,9 @@
 
 // Risk: a relay that stood still with all slots taken thinks that they were short for all that time.
 func TestStandstillIsNoShortage(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Slots = 2 })
+	b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 2 })
 	b.sent(b.step(b.msg("safe", 1, ""), b.msg("safe", 4, "")), 1, 2)
-	b.after(3*sec, Woke{})
+	b.after(3*sec, TimerFired{})
 	if b.r.short > sweepEvery {
 		t.Fatalf("short for %v after one late step", b.r.short)
 	}
@@ -990,12 +990,12 @@
 	ends := map[time.Duration]bool{}
 	for seed := range int64(10) {
 		s := testSettings()
-		s.Senders = 500
+		s.Relays = 500
 		r, _ := New(s, seed)
-		r.Step(sec, []Event{ListNews{Kind: ListWhole, Entries: entries()},
-			Arrived{ID: 1, Class: "safe", Destination: 4, Left: 12 * sec}})
+		r.Step(sec, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: entries()},
+			Submitted{ID: 1, Class: "safe", Destination: 4, TimeLeft: 12 * sec}})
 		e := end(1, 0, Rejected)
-		e.Wait = 5 * sec
+		e.RetryAfter = 5 * sec
 		r.Step(2*sec, []Event{e})
 		l := r.dests[4].lines[0]
 		if l.waitTil < 7*sec || l.waitTil > 7*sec+r.coldGap(l)/2 {
@@ -1012,23 +1012,23 @@
 // A refusal with most of the limit left, or a told wait where there is no limit, gives it away.
 func TestRefusalsOfAShutDestinationEndApart(t *testing.T) {
 	for name, c := range map[string]struct {
-		report Report
+		report LimitReport
 		apart  bool
 		state  lineState
 	}{
-		"shut, limit unspent": {Report{Left: 1, Limit: 10}, true, healthy}, // a report may be old
-		"shut, no limit":      {Report{}, true, out},
-		"limit spent":         {Report{Left: 0.1, Limit: 10}, false, healthy},
+		"shut, limit unspent": {LimitReport{Remaining: 1, Limit: 10}, true, healthy}, // a report may be old
+		"shut, no limit":      {LimitReport{}, true, out},
+		"limit spent":         {LimitReport{Remaining: 0.1, Limit: 10}, false, healthy},
 	} {
 		ends := map[time.Duration]bool{}
 		for seed := range int64(10) {
 			s := testSettings()
-			s.Senders = 500
+			s.Relays = 500
 			r, _ := New(s, seed)
-			r.Step(sec, []Event{ListNews{Kind: ListWhole, Entries: entries()},
-				Arrived{ID: 1, Class: "safe", Destination: 4, Left: 12 * sec}})
+			r.Step(sec, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: entries()},
+				Submitted{ID: 1, Class: "safe", Destination: 4, TimeLeft: 12 * sec}})
 			e := end(1, 0, Rejected)
-			e.Wait, e.Report = sec, &c.report
+			e.RetryAfter, e.Report = sec, &c.report
 			r.Step(2*sec, []Event{e})
 			l := r.dests[4].lines[0]
 			if l.state != c.state || l.waitTil < 3*sec {
@@ -1047,13 +1047,13 @@
 	b := start(t, nil)
 	l := b.r.dests[4].lines[0]
 	for _, n := range []float64{0, -3, math.NaN(), math.Inf(1)} {
-		if l.heed(&Report{Left: n, Limit: n}); l.rate != 10 || l.told {
+		if l.heed(&LimitReport{Remaining: n, Limit: n}); l.rate != 10 || l.told {
 			t.Fatalf("limit %v made the rate %v", n, l.rate)
 		}
 	}
 	l.heed(nil)
-	l.heed(&Report{Left: -2, Limit: 40})
-	b.step(ListNews{Kind: ListWhole, Entries: entries()})
+	l.heed(&LimitReport{Remaining: -2, Limit: 40})
+	b.step(EndpointListUpdate{Kind: ListSnapshot, Entries: entries()})
 	if l.rate != 40 {
 		t.Fatalf("rate %v, want the told 40", l.rate)
 	}
@@ -1089,13 +1089,13 @@
 		left float64
 		fair bool
 	}{"counted": {0, true}, "not counted": {0.2, false}} {
-		b := start(t, func(s *Settings) { s.Senders = 100 })
+		b := start(t, func(s *Settings) { s.Relays = 100 })
 		for range 8 {
 			l := b.r.dests[1].lines[0]
 			l.run, l.refusedAt, l.gap = 1, b.now, 0
 			for _, s := range pick[Send](b.after(sec, b.msg("safe", 1, ""))) {
 				e := end(s.ID, b.r.msgs[s.ID].tries-1, Rejected)
-				e.Report = &Report{Left: c.left, Limit: 10}
+				e.Report = &LimitReport{Remaining: c.left, Limit: 10}
 				b.after(10*ms, e)
 			}
 		}
@@ -1115,7 +1115,7 @@
 		demand     float64
 		told, kept bool
 	}{"hot": {1, true, true}, "one message lately": {0.05, true, false}, "no limit told": {1, false, false}} {
-		b := start(t, func(s *Settings) { s.Senders = 100 })
+		b := start(t, func(s *Settings) { s.Relays = 100 })
 		l := b.r.dests[4].lines[0]
 		l.dest.demand, l.gap, l.told = c.demand, 4*sec, c.told
 		b.r.success(l, l.eps[0], 100*ms)
@@ -1127,7 +1127,7 @@
 
 // Who gives way in a full hold follows from worth and lateness, not from the order of arrival.
 func TestFullHoldGivesUpTheLeastWorth(t *testing.T) {
-	b := start(t, func(s *Settings) { s.MaxHeld = 10 })
+	b := start(t, func(s *Settings) { s.MaxPending = 10 })
 	b.step(b.msg("keyed", 99, ""), b.msg("safe", 99, ""))
 	var in []Event
 	for range 7 {
@@ -1146,7 +1146,7 @@
 // its limit or hangs. The first slot leaves room for a few within the aim; a quick refusal to connect is as it was.
 func TestManyAttemptsMakeNoShortSlots(t *testing.T) {
 	for attempts, want := range map[int]time.Duration{2: sec, 6: 2 * sec / 3, 12: 2 * sec / 3} {
-		b := start(t, func(s *Settings) { s.MaxAttempts, s.Senders = attempts, 500 })
+		b := start(t, func(s *Settings) { s.MaxAttempts, s.Relays = attempts, 500 })
 		l := b.r.dests[4].lines[0]
 		b.r.grow(l, &call{ep: l.eps[0], sentAt: b.now}, Rejected)
 		if d := l.gap - want; d < -ms || d > ms || b.r.atOnce != 2*sec/time.Duration(attempts) {
@@ -1172,7 +1172,7 @@
 		l := b.r.dests[4].lines[0]
 		for i, o := range c.outcomes {
 			b.r.now += c.lasts * time.Duration(min(i, 1)) / time.Duration(len(c.outcomes)-1)
-			b.r.judge(&call{ep: l.eps[0], sentAt: b.r.now}, Ended{Outcome: o})
+			b.r.judge(&call{ep: l.eps[0], sentAt: b.r.now}, AttemptEnded{Outcome: o})
 		}
 		if l.state != c.want {
 			t.Errorf("%s: state %v, want %v", name, l.state, c.want)
@@ -1218,15 +1218,15 @@
 	b := start(t, nil)
 	b.sent(b.step(b.msg("safe", 2, "")), 1)
 	s := testSettings()
-	s.Classes[0].Window, s.Kinds[1].Batch, s.Slots, s.MaxAttempts = 9*sec, 7, 1, 2
+	s.Classes[0].RepeatWindow, s.Kinds[1].MaxBatch, s.MaxConcurrentCalls, s.MaxAttempts = 9*sec, 7, 1, 2
 	if err := b.r.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
-	if m := b.r.msgs[1]; m.class.Window != 9*sec || m.dest.kind.Batch != 7 || b.r.calls != 1 {
+	if m := b.r.msgs[1]; m.class.RepeatWindow != 9*sec || m.dest.kind.MaxBatch != 7 || b.r.calls != 1 {
 		t.Errorf("class %+v, kind %+v, %d calls", m.class, m.dest.kind, b.r.calls)
 	}
 	b.sent(b.after(sec, b.msg("safe", 1, ""))) // the one slot is taken
-	if s.Slots = 0; b.r.Reconfigure(s) == nil || b.r.set.Slots != 1 {
+	if s.MaxConcurrentCalls = 0; b.r.Reconfigure(s) == nil || b.r.set.MaxConcurrentCalls != 1 {
 		t.Error("settings that can't work are in force")
 	}
 }
@@ -1256,7 +1256,7 @@
 			t.Fatalf("message %d: time-out %v after answers within 0.4ms", n, got)
 		}
 		e := end(m.ID, 0, Delivered)
-		e.Endpoint, e.Took, e.Final = sends[0].Endpoint, 400*time.Microsecond, true
+		e.Endpoint, e.Duration, e.Final = sends[0].Endpoint, 400*time.Microsecond, true
 		b.after(time.Millisecond, e)
 	}
 }
@@ -1268,14 +1268,14 @@
 	classes := []string{"safe", "keyed", "unsafe"}
 	batches, alone := 0, 0
 	for range 500 {
-		b := start(t, func(s *Settings) { s.Slots = 4 + rng.Intn(6) })
+		b := start(t, func(s *Settings) { s.MaxConcurrentCalls = 4 + rng.Intn(6) })
 		b.r.dests[2].lines[0].gap = 0
 		left := map[uint32]time.Duration{}
 		var in []Event
 		for range 2 + rng.Intn(4) {
 			m := b.msg(classes[rng.Intn(3)], 2, "")
-			m.Left = sec/2 + time.Duration(rng.Int63n(int64(m.Left)))
-			left[m.ID], in = m.Left, append(in, m)
+			m.TimeLeft = sec/2 + time.Duration(rng.Int63n(int64(m.TimeLeft)))
+			left[m.ID], in = m.TimeLeft, append(in, m)
 		}
 		sends := pick[Send](b.step(in...))
 		for call := range slices.Chunk(sends, 3) { // as the wire makes them
--- a/policy/promises_test.go
+++ b/policy/promises_test.go
@@ -15,10 +15,10 @@
 
 func patientBesideSoon(t *testing.T, alone bool, least int) {
 	b := start(t, func(s *Settings) {
-		s.Tenants, s.MaxHeld, s.HalvingWorth, s.Alone = nil, 1000, true, alone
+		s.Tenants, s.MaxPending, s.ExponentialDecay, s.NoGossip = nil, 1000, true, alone
 		s.Classes = []Class{
-			{Name: "patient", Effect: Safe, Aim: 4 * sec, Deadline: 12 * sec, Worth: 1, LateWorth: 0.4},
-			{Name: "soon", Effect: Safe, Aim: 800 * ms, Deadline: 6 * sec, Worth: 2, LateWorth: 0.1},
+			{Name: "patient", Effect: Safe, TargetLatency: 4 * sec, Deadline: 12 * sec, Value: 1, LateValue: 0.4},
+			{Name: "soon", Effect: Safe, TargetLatency: 800 * ms, Deadline: 6 * sec, Value: 2, LateValue: 0.1},
 		}
 	})
 	served := map[string]int{}
@@ -36,7 +36,7 @@
 		}
 		for range 1 + turn%2 {
 			m := b.msg(name, 4, "")
-			m.Tenant, m.Left = "", map[string]Time{"patient": 12 * sec, "soon": 6 * sec}[name]
+			m.Tenant, m.TimeLeft = "", map[string]Time{"patient": 12 * sec, "soon": 6 * sec}[name]
 			class[m.ID] = name
 			events = append(events, m)
 		}
@@ -53,8 +53,8 @@
 func TestOverloadDeliversBeforeTheDeadline(t *testing.T) {
 	const deadline = 12 * sec
 	b := start(t, func(s *Settings) {
-		s.Tenants, s.MaxHeld = nil, 1000
-		s.Classes = []Class{{Name: "notice", Effect: Safe, Aim: 2 * sec, Deadline: deadline, Worth: 1, LateWorth: 0.5}}
+		s.Tenants, s.MaxPending = nil, 1000
+		s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: deadline, Value: 1, LateValue: 0.5}}
 	})
 	var out []Send
 	came := map[uint32]Time{}
@@ -70,7 +70,7 @@
 		}
 		for range 1 + turn%2 {
 			m := b.msg("notice", 4, "")
-			m.Tenant, m.Left = "", deadline
+			m.Tenant, m.TimeLeft = "", deadline
 			came[m.ID] = b.now
 			events = append(events, m)
 		}
@@ -94,8 +94,8 @@
 		want  int // of ten that wait, those that are turned away
 	}{{0.5, false, 10}, {0.31, false, 10}, {worthWhile, false, 0}, {0, false, 0}, {0, true, 10}} {
 		b := start(t, func(s *Settings) {
-			s.Tenants, s.Alone = nil, c.alone
-			s.Classes = []Class{{Name: "notice", Effect: Safe, Aim: 2 * sec, Deadline: 12 * sec, Worth: 1, LateWorth: c.late}}
+			s.Tenants, s.NoGossip = nil, c.alone
+			s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: c.late}}
 		})
 		d := b.r.dest(4)
 		d.price = 2 // more than anything here is worth
@@ -103,7 +103,7 @@
 		var events []Event
 		for range 10 {
 			m := b.msg("notice", 4, "")
-			m.Tenant, m.Left = "", 12*sec
+			m.Tenant, m.TimeLeft = "", 12*sec
 			events = append(events, m)
 		}
 		if got := len(pick[Refuse](b.after(b.r.set.Tick, events...))); got != c.want {
@@ -120,7 +120,7 @@
 		var events []Event
 		for range 10 {
 			m := b.msg("safe", 4, "")
-			m.Tenant, m.Left, m.Kept = "", 6*sec, kept
+			m.Tenant, m.TimeLeft, m.Recovered = "", 6*sec, kept
 			events = append(events, m)
 		}
 		gone := pick[Refuse](b.after(b.r.set.Tick, events...))
@@ -134,13 +134,13 @@
 
 // A full hold takes its room from what has come in since, not from what a restart found untried.
 func TestHoldSparesWhatARestartFound(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Tenants, s.MaxHeld, s.Slots = nil, 10, 1 })
+	b := start(t, func(s *Settings) { s.Tenants, s.MaxPending, s.MaxConcurrentCalls = nil, 10, 1 })
 	b.r.dests[4].lines[0].waitTil = b.now + 3*sec
 	var events []Event
 	for i := range 10 {
 		m := b.msg("safe", 4, "")
-		if m.Tenant, m.Kept = "", i < 5; m.Kept {
-			m.Left = 9 * sec // so that it is worth least
+		if m.Tenant, m.Recovered = "", i < 5; m.Recovered {
+			m.TimeLeft = 9 * sec // so that it is worth least
 		}
 		events = append(events, m)
 	}
@@ -164,16 +164,16 @@
 		repeat, refuse bool // after a lost answer: it may go again; it may be handed back
 	}{
 		{"charge to alert", Class{Effect: Unsafe}, Class{Effect: Safe}, 0, false, false},
-		{"charge to order", Class{Effect: Unsafe}, Class{Effect: Keyed, Window: 20 * sec}, 0, false, false},
+		{"charge to order", Class{Effect: Unsafe}, Class{Effect: Keyed, RepeatWindow: 20 * sec}, 0, false, false},
 		{"alert to charge", Class{Effect: Safe}, Class{Effect: Unsafe}, 0, false, false},
-		{"order to alert, in its window", Class{Effect: Keyed, Window: 4 * sec}, Class{Effect: Safe}, 0, true, false},
-		{"order to alert, later", Class{Effect: Keyed, Window: 4 * sec}, Class{Effect: Safe}, 5 * sec, false, false},
-		{"longer window", Class{Effect: Keyed, Window: 4 * sec}, Class{Effect: Keyed, Window: 9 * sec}, 5 * sec, false, false},
-		{"shorter window", Class{Effect: Keyed, Window: 9 * sec}, Class{Effect: Keyed, Window: 4 * sec}, 5 * sec, false, false},
-		{"as it was", Class{Effect: Keyed, Window: 9 * sec}, Class{Effect: Keyed, Window: 9 * sec}, 5 * sec, true, false},
+		{"order to alert, in its window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe}, 0, true, false},
+		{"order to alert, later", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe}, 5 * sec, false, false},
+		{"longer window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec}, 5 * sec, false, false},
+		{"shorter window", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 4 * sec}, 5 * sec, false, false},
+		{"as it was", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec}, 5 * sec, true, false},
 	} {
 		class := func(k Class) Class {
-			k.Name, k.Aim, k.Deadline, k.Worth = "x", 2*sec, 12*sec, 1
+			k.Name, k.TargetLatency, k.Deadline, k.Value = "x", 2*sec, 12*sec, 1
 			return k
 		}
 		set := func(k Class) Settings {
@@ -222,9 +222,9 @@
 	b := start(t, nil)
 	m := b.msg("safe", 4, "")
 	b.sent(b.after(5*ms, m), m.ID)
-	b.after(100*ms, Ended{ID: m.ID, Outcome: Rejected, Took: 100 * ms, Wait: 2 * sec})
-	b.after(5*ms, ListNews{Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
-	b.after(5*ms, ListNews{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
+	b.after(100*ms, AttemptEnded{ID: m.ID, Outcome: Rejected, Duration: 100 * ms, RetryAfter: 2 * sec})
+	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
+	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
 	for range 19 {
 		b.sent(b.after(100 * ms))
 	}
@@ -265,13 +265,13 @@
 	b := start(t, nil)
 	m := b.msg("safe", 3, "")
 	first := b.sent(b.after(5*ms, m), m.ID)[0].Endpoint
-	other := b.sent(b.after(5*ms, Ended{ID: m.ID, Endpoint: first, Outcome: Rejected, Took: 5 * ms, Wait: 5 * sec}), m.ID)[0].Endpoint
+	other := b.sent(b.after(5*ms, AttemptEnded{ID: m.ID, Endpoint: first, Outcome: Rejected, Duration: 5 * ms, RetryAfter: 5 * sec}), m.ID)[0].Endpoint
 	told := b.now
 	b.after(5*ms, end(m.ID, 1, Delivered))
 	for _, address := range []string{first, other} {
-		b.after(5*ms, ListNews{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
+		b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
 	}
-	b.after(5*ms, ListNews{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
+	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
 	m = b.msg("safe", 3, "")
 	b.sent(b.after(5*ms, m))
 	for b.now < told+12*sec {
@@ -287,12 +287,12 @@
 
 // A key that rests after an attempt that may still run goes on resting while a flood of other keys comes and goes, and is forgotten behind its rest.
 func TestKeyRestsThroughAFlood(t *testing.T) {
-	b := start(t, func(s *Settings) { s.KeyQuiet, s.Tenants, s.MaxHeld = 6*sec, nil, 1000 })
+	b := start(t, func(s *Settings) { s.KeyQuietTime, s.Tenants, s.MaxPending = 6*sec, nil, 1000 })
 	first, second := b.msg("unsafe", 4, "rests"), b.msg("unsafe", 4, "rests")
 	first.Tenant, second.Tenant = "", ""
 	b.sent(b.after(5*ms, first), first.ID)
 	lost := b.now
-	b.after(5*ms, Ended{ID: first.ID, Outcome: Broken, Took: 5 * ms})
+	b.after(5*ms, AttemptEnded{ID: first.ID, Outcome: ConnectionLost, Duration: 5 * ms})
 	come := false
 	for b.now < lost+10*sec {
 		var events []Event
@@ -301,7 +301,7 @@
 		}
 		for range 5 {
 			m := b.msg("unsafe", 1, fmt.Sprint("k", b.id))
-			m.Tenant, m.Left = "", 300*ms
+			m.Tenant, m.TimeLeft = "", 300*ms
 			events = append(events, m)
 		}
 		for _, s := range pick[Send](b.after(100*ms, events...)) {
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -9,7 +9,7 @@
 // the ramp began: a slot that shortens while they wait for it lets no more of them go.
 func TestManySendersRampByTheSumOfTheirRates(t *testing.T) {
 	const senders = 400
-	b := start(t, func(s *Settings) { s.Senders = senders })
+	b := start(t, func(s *Settings) { s.Relays = senders })
 	r := b.r
 	base := r.dests[4].lines[0]
 	base.state, base.rampAt = ramping, r.now
@@ -22,9 +22,9 @@
 	}
 	sent, due := 0, 0.0
 	const step = 10 * time.Millisecond
-	for ; r.now < rampAt+r.set.ColdTime; r.now += step {
-		warm := r.set.ColdFrom + (1-r.set.ColdFrom)*float64(r.now-rampAt)/float64(r.set.ColdTime)
-		due += senders * step.Seconds() / first.Seconds() * warm / r.set.ColdFrom
+	for ; r.now < rampAt+r.set.WarmUpTime; r.now += step {
+		warm := r.set.ColdStartShare + (1-r.set.ColdStartShare)*float64(r.now-rampAt)/float64(r.set.WarmUpTime)
+		due += senders * step.Seconds() / first.Seconds() * warm / r.set.ColdStartShare
 		for _, l := range lines {
 			if r.now >= l.claimed+r.coldGap(l) {
 				sent++
@@ -75,7 +75,7 @@
 		b := start(t, func(s *Settings) {
 			for i := range s.Classes {
 				if s.Classes[i].Effect == Keyed {
-					s.Classes[i].Window = time.Second
+					s.Classes[i].RepeatWindow = time.Second
 				}
 			}
 		})
@@ -83,7 +83,7 @@
 		l.latency, l.recent = usual, usual
 		m := b.msg(c.class, 4, "")
 		if c.left > 0 {
-			m.Left = c.left
+			m.TimeLeft = c.left
 		}
 		acts := b.step(m)
 		b.sent(acts, 1)
@@ -102,7 +102,7 @@
 		l := b.r.dests[4].lines[0]
 		l.latency, l.recent = 200*time.Millisecond, 200*time.Millisecond
 		short := b.msg("safe", 4, "")
-		short.Left = 150 * time.Millisecond
+		short.TimeLeft = 150 * time.Millisecond
 		if limited {
 			l.gap, l.claimed, l.jitter = 300*time.Millisecond, b.r.now-time.Second, 1
 			b.sent(b.step(short, b.msg("safe", 4, "")), 2)
--- a/policy/state.go
+++ b/policy/state.go
@@ -111,9 +111,9 @@
 	rate             float64 // calls a second that it takes from all senders, as told or listed; 0 if neither
 	told, pressed    bool    // told: by an answer
 	spanAt           Time
-	ownRate          float64 // calls a second that it has served this relay
-	usual            Usual   // what the fleet sees of it
-	heardAt          Time    // when that was heard; 0: never
+	ownRate          float64    // calls a second that it has served this relay
+	usual            RouteStats // what the fleet sees of it
+	heardAt          Time       // when that was heard; 0: never
 }
 
 type destination struct {
@@ -169,7 +169,7 @@
 	skipped         int               // endpoints that get no usual work
 	steps           int
 	acts            []Action
-	reach           Reach
+	reach           SitePlan
 }
 
 // hash is a number for a line that all relays make alike.
@@ -193,10 +193,10 @@
 
 func (r *Relay) do(a Action) { r.acts = append(r.acts, a) }
 
-func (r *Relay) note(format string, args ...any) { r.do(Note{fmt.Sprintf(format, args...)}) }
+func (r *Relay) note(format string, args ...any) { r.do(LogLine{fmt.Sprintf(format, args...)}) }
 
-// Skipped counts the listed endpoints that get no usual work: they drain, or their line is out.
-func (r *Relay) Skipped() int { return r.skipped }
+// SkippedEndpoints counts the listed endpoints that get no usual work: they drain, or their line is out.
+func (r *Relay) SkippedEndpoints() int { return r.skipped }
 
 // reckon books whether ep is one of them.
 func (r *Relay) reckon(ep *endpoint) {
@@ -212,7 +212,7 @@
 // countFailure books one more failed call in a row.
 func (l *line) countFailure(o Outcome) {
 	l.hardRun++
-	l.swallows = l.swallows || o != ConnectFailed && o != CutShort
+	l.swallows = l.swallows || o != ConnectFailed && o != RequestIncomplete
 }
 
 // meanRamp is for how long the line had ramped, in the mean of all moments since its last call; before its ramp that counts as nought.
@@ -228,7 +228,7 @@
 
 // warm tells whether ep seems to have an open connection.
 func (r *Relay) warm(ep *endpoint) bool {
-	return ep.lastUsed > 0 && (r.set.ConnIdle == 0 || r.now-ep.lastUsed < r.set.ConnIdle)
+	return ep.lastUsed > 0 && (r.set.IdleConnTimeout == 0 || r.now-ep.lastUsed < r.set.IdleConnTimeout)
 }
 
 // become moves the line to another state.
@@ -254,10 +254,10 @@
 		return 1
 	case at >= m.deadline:
 		return 0
-	case r.set.HalvingWorth:
-		return max(c.LateWorth, math.Exp2(-late/float64(c.Aim)))
+	case r.set.ExponentialDecay:
+		return max(c.LateValue, math.Exp2(-late/float64(c.TargetLatency)))
 	}
-	return 1 - (1-c.LateWorth)*late/float64(c.Deadline-c.Aim)
+	return 1 - (1-c.LateValue)*late/float64(c.Deadline-c.TargetLatency)
 }
 
 // owedTry tells whether m was taken on by an earlier process and has not been tried yet.
@@ -268,8 +268,8 @@
 	now := *c
 	if now.Effect = max(c.Effect, was.Effect); now.Effect == Keyed && was.Effect == Keyed {
 		now.ZoneOnly = was.ZoneOnly || c.ZoneOnly
-		if now.Window = was.Window; c.Effect == Keyed {
-			now.Window = min(c.Window, was.Window)
+		if now.RepeatWindow = was.RepeatWindow; c.Effect == Keyed {
+			now.RepeatWindow = min(c.RepeatWindow, was.RepeatWindow)
 		}
 	}
 	if now == *c {
@@ -288,7 +288,7 @@
 }
 
 // lineOf is the line that news tell of; nil: none that this relay knows.
-func (r *Relay) lineOf(u Usual) *line {
+func (r *Relay) lineOf(u RouteStats) *line {
 	if ep := r.eps[u.Endpoint]; ep != nil && ep.dest.kind.SeparateRoutes {
 		return ep.line
 	}
@@ -301,7 +301,7 @@
 func (r *Relay) dest(id int) *destination {
 	d := r.dests[id]
 	if d == nil {
-		d = &destination{id: id, kind: &Kind{Batch: 1}}
+		d = &destination{id: id, kind: &Kind{MaxBatch: 1}}
 		r.dests[id] = d
 	}
 	return d
@@ -358,16 +358,16 @@
 }
 
 // sites takes what holds for sites; without a plan all is open.
-func (r *Relay) sites(e Sites) {
-	if r.reach = e.Reach; r.reach == nil {
+func (r *Relay) sites(e SitesUpdate) {
+	if r.reach = e.Plan; r.reach == nil {
 		r.reach = anywhere{}
 	}
 	for _, ep := range r.eps {
-		if e.Back != "" && ep.Zone == e.Back {
+		if e.ReturnedZone != "" && ep.Zone == e.ReturnedZone {
 			ep.fails = 0
 		}
-		elsewhere := func(o *endpoint) bool { return o.Zone != e.Cold }
-		if l := ep.line; e.Cold != "" && l.state == healthy && !slices.ContainsFunc(l.eps, elsewhere) {
+		elsewhere := func(o *endpoint) bool { return o.Zone != e.ColdZone }
+		if l := ep.line; e.ColdZone != "" && l.state == healthy && !slices.ContainsFunc(l.eps, elsewhere) {
 			l.rampAt = r.now
 			r.become(l, ramping)
 		}
@@ -377,12 +377,12 @@
 // anywhere is the reach of a relay without a plan for sites.
 type anywhere struct{}
 
-func (anywhere) Open(int, string, bool) bool { return true }
-func (anywhere) Sent(int, string)            {}
-func (anywhere) Cost(string) float64         { return 0 }
-func (anywhere) First(string) float64        { return 0 }
-func (anywhere) Attempts(_, most int) int    { return most }
-func (anywhere) Lossy() bool                 { return false }
+func (anywhere) Allows(int, string, bool) bool { return true }
+func (anywhere) CallSent(int, string)          {}
+func (anywhere) EndpointCost(string) float64   { return 0 }
+func (anywhere) ShedPriority(string) float64   { return 0 }
+func (anywhere) MaxAttempts(_, most int) int   { return most }
+func (anywhere) SiteLost() bool                { return false }
 
 // allowed tells whether m may go to ep as far as its group is concerned.
 func allowed(m *message, ep *endpoint) bool {
@@ -391,21 +391,21 @@
 
 // open tells whether m may go to ep now, by its group and by the plan for sites.
 func (r *Relay) open(m *message, ep *endpoint) bool {
-	return allowed(m, ep) && r.reach.Open(m.dest.id, ep.Zone, m.class.Effect == Unsafe)
+	return allowed(m, ep) && r.reach.Allows(m.dest.id, ep.Zone, m.class.Effect == Unsafe)
 }
 
 // apart draws advice when to come again over a third of it, or of the longest that is observed, while a site is lost.
 func (r *Relay) apart(advice time.Duration) time.Duration {
-	if !r.reach.Lossy() {
+	if !r.reach.SiteLost() {
 		return advice
 	}
-	return part(min(advice, part(r.set.MaxRetryAdvice, 0.75)), 1+r.rng.Float64()/3)
+	return part(min(advice, part(r.set.MaxRetryAfter, 0.75)), 1+r.rng.Float64()/3)
 }
 
 // turnedAway books that the destination could not be sent a message in time: what waits for it has to be worth more. A message past its
 // tenant's share counts where any says so.
 func (d *destination) turnedAway(m *message, any bool) {
 	if any || !m.extra {
-		d.price += max(0, m.class.Worth-d.price) * lossWeight
+		d.price += max(0, m.class.Value-d.price) * lossWeight
 	}
 }
