--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -11,7 +11,7 @@
 const seed = 1
 
 // Every quantity that does not depend on the machine's speed grows as it is bounded, at small sizes.
-func TestSlopesStayWithinTheirBounds(t *testing.T) {
+func TestSlopesAreWithinBounds(t *testing.T) {
 	for _, q := range Quantities() {
 		if q.Timed {
 			continue
@@ -48,7 +48,7 @@
 }
 
 // Names are unique, sizes ascend, and what is compared with a bound has one.
-func TestQuantitiesAreWhole(t *testing.T) {
+func TestQuantitiesAreValid(t *testing.T) {
 	names := map[string]bool{}
 	for _, q := range Quantities() {
 		if names[q.Name] || q.Name != strings.ToLower(q.Name) {
--- a/internal/lab/capacity/events.go
+++ b/internal/lab/capacity/events.go
@@ -27,17 +27,17 @@
 // Shape of the fleets that losses are played in.
 const (
 	RackSize          = 40
-	eventZones        = 8
+	lossZones         = 8
 	PartitionDuration = 2 * time.Minute
 
-	settleTime = 20 * time.Second  // before the loss
-	deathWatch = 60 * time.Second  // after a death
-	joinWatch  = 120 * time.Second // after a cut has ended
-	agreeTurn  = members.Period    // between two looks whether all agree
+	settleTime             = 20 * time.Second  // before the loss
+	deathObservation       = 60 * time.Second  // after a death
+	rejoinObservation      = 120 * time.Second // after a cut has ended
+	agreementCheckInterval = members.Period    // between two looks whether all agree
 )
 
 // MinFleetSize is the smallest fleet that losses are played in: two members in each zone.
-const MinFleetSize = 2 * eventZones
+const MinFleetSize = 2 * lossZones
 
 // ErrInvalidLoss says that a fleet is too small, or a loss unknown.
 var ErrInvalidLoss = errors.New("capacity: no such event")
@@ -59,50 +59,50 @@
 }
 
 // RunLoss plays one loss in a fleet of that size. It returns ErrFleet for a fleet of fewer than LeastFleet and for an unknown loss.
-func RunLoss(loss Loss, size int, noteLoss float64, seed uint64) (Outcome, error) {
+func RunLoss(loss Loss, size int, gossipLoss float64, seed uint64) (Outcome, error) {
 	if size < MinFleetSize || !slices.Contains(Losses, loss) {
 		return Outcome{}, fmt.Errorf("%w: %q among %d members, %d at least", ErrInvalidLoss, loss, size, MinFleetSize)
 	}
-	w := gossip.New(gossip.Config{Relays: size, Zones: eventZones, Loss: noteLoss, Seed: seed})
-	lost := loss.members(size)
-	watch := &lossWatch{lost: lost, taken: map[[2]int]bool{}}
-	w.OnChange = watch.see
-	w.Run(settleTime / 2)
-	atStart := sent(w, lost)
-	w.Run(settleTime)
-	atLoss := sent(w, lost)
-	watch.at, watch.on = w.Now, true
-
-	agreeFrom, end := w.Now, w.Now+deathWatch
+	simulation := gossip.New(gossip.Config{Relays: size, Zones: lossZones, Loss: gossipLoss, Seed: seed})
+	lost := loss.lostMembers(size)
+	observer := &lossObserver{lost: lost, detected: map[[2]int]bool{}}
+	simulation.OnChange = observer.observe
+	simulation.Run(settleTime / 2)
+	bytesAtStart := bytesSent(simulation, lost)
+	simulation.Run(settleTime)
+	bytesAtLoss := bytesSent(simulation, lost)
+	observer.lossAt, observer.active = simulation.Now, true
+
+	agreementStart, end := simulation.Now, simulation.Now+deathObservation
 	if loss == Region {
-		w.Blocked = func(from, to int) bool { return lost[from] != lost[to] }
-		w.Run(w.Now + PartitionDuration)
-		w.Blocked = nil
-		agreeFrom, end = w.Now, w.Now+joinWatch
+		simulation.Blocked = func(from, to int) bool { return lost[from] != lost[to] }
+		simulation.Run(simulation.Now + PartitionDuration)
+		simulation.Blocked = nil
+		agreementStart, end = simulation.Now, simulation.Now+rejoinObservation
 	} else {
 		for n := range lost {
-			w.Kill(n)
+			simulation.Kill(n)
 		}
 	}
-	agreed := agreesAt(w, end)
-	w.Run(end)
+	agreed := runUntilAgreement(simulation, end)
+	simulation.Run(end)
 
-	stay := float64(size - len(lost))
-	out := Outcome{Loss: loss, Members: int32(size), LostMembers: int32(len(lost)), GossipLoss: noteLoss, Seed: seed, FalseDeaths: int32(watch.wrong), AgreedSeconds: -1}
-	out.BytesPerSecondBefore = float64(atLoss-atStart) / stay / (settleTime / 2).Seconds()
-	out.BytesPerSecondAfter = float64(sent(w, lost)-atLoss) / stay / (end - watch.at).Seconds()
+	survivors := float64(size - len(lost))
+	out := Outcome{Loss: loss, Members: int32(size), LostMembers: int32(len(lost)), GossipLoss: gossipLoss, Seed: seed, FalseDeaths: int32(observer.falseDeaths), AgreedSeconds: -1}
+	out.BytesPerSecondBefore = float64(bytesAtLoss-bytesAtStart) / survivors / (settleTime / 2).Seconds()
+	out.BytesPerSecondAfter = float64(bytesSent(simulation, lost)-bytesAtLoss) / survivors / (end - observer.lossAt).Seconds()
 	if agreed >= 0 {
-		out.AgreedSeconds = (agreed - agreeFrom).Seconds()
+		out.AgreedSeconds = (agreed - agreementStart).Seconds()
 	}
-	out.MedianSeconds, out.P99Seconds = watch.share(size, 0.5), watch.share(size, 0.99)
+	out.MedianSeconds, out.P99Seconds = observer.timeToDetect(size, 0.5), observer.timeToDetect(size, 0.99)
 	return out, nil
 }
 
-// members are the numbers of those that a loss takes from a fleet.
-func (l Loss) members(size int) map[int]bool {
+// lostMembers are the numbers of those that a loss takes from a fleet.
+func (l Loss) lostMembers(size int) map[int]bool {
 	lost := map[int]bool{}
 	for n := range size {
-		zone := n % eventZones
+		zone := n % lossZones
 		switch l {
 		case OneMember:
 			lost[n] = n == size/2
@@ -120,9 +120,9 @@
 	return lost
 }
 
-// sent is how many bytes those that stay have sent.
-func sent(w *gossip.Simulation, lost map[int]bool) (bytes int) {
-	for n, node := range w.Nodes {
+// bytesSent is how many bytes those that stay have sent.
+func bytesSent(simulation *gossip.Simulation, lost map[int]bool) (bytes int) {
+	for n, node := range simulation.Nodes {
 		if !lost[n] {
 			bytes += node.BytesSent
 		}
@@ -130,50 +130,50 @@
 	return bytes
 }
 
-// agreesAt runs a fleet until all agree who lives and returns when that was; -1 if they do not by the end.
-func agreesAt(w *gossip.Simulation, end time.Duration) time.Duration {
-	for w.Now < end {
-		w.Run(w.Now + agreeTurn)
-		if ok, _, _ := w.CheckAgreement(); ok {
-			return w.Now
+// runUntilAgreement runs a fleet until all agree who lives and returns when that was; -1 if they do not by the end.
+func runUntilAgreement(simulation *gossip.Simulation, end time.Duration) time.Duration {
+	for simulation.Now < end {
+		simulation.Run(simulation.Now + agreementCheckInterval)
+		if ok, _, _ := simulation.CheckAgreement(); ok {
+			return simulation.Now
 		}
 	}
 	return -1
 }
 
-// lossWatch notes when those that stay learn of those that are lost.
-type lossWatch struct {
-	on    bool
-	at    time.Duration
-	lost  map[int]bool
-	taken map[[2]int]bool // pairs that are known
-	took  []time.Duration
-	wrong int
+// lossObserver notes when those that stay learn of those that are lost.
+type lossObserver struct {
+	active      bool
+	lossAt      time.Duration
+	lost        map[int]bool
+	detected    map[[2]int]bool // pairs that are known
+	delays      []time.Duration
+	falseDeaths int
 }
 
-func (w *lossWatch) see(e gossip.Event) {
-	if !w.on || e.To != members.Dead {
+func (o *lossObserver) observe(e gossip.Event) {
+	if !o.active || e.To != members.Dead {
 		return
 	}
-	if w.lost[e.Observer] == w.lost[e.Number] {
-		w.wrong++ // both are on the same side, and dead ones see nothing
+	if o.lost[e.Observer] == o.lost[e.Number] {
+		o.falseDeaths++ // both are on the same side, and dead ones see nothing
 		return
 	}
 	pair := [2]int{e.Observer, e.Number}
-	if w.lost[e.Observer] || w.taken[pair] {
+	if o.lost[e.Observer] || o.detected[pair] {
 		return
 	}
-	w.taken[pair] = true
-	w.took = append(w.took, e.At-w.at)
+	o.detected[pair] = true
+	o.delays = append(o.delays, e.At-o.lossAt)
 }
 
-// share is when that share of all pairs was known, in seconds; -1: never.
-func (w *lossWatch) share(size int, part float64) float64 {
-	pairs := (size - len(w.lost)) * len(w.lost)
-	need := int(float64(pairs)*part + 0.5)
-	if need < 1 || len(w.took) < need {
+// timeToDetect is when that share of all pairs was known, in seconds; -1: never.
+func (o *lossObserver) timeToDetect(size int, share float64) float64 {
+	pairs := (size - len(o.lost)) * len(o.lost)
+	needed := int(float64(pairs)*share + 0.5)
+	if needed < 1 || len(o.delays) < needed {
 		return -1
 	}
-	slices.Sort(w.took)
-	return w.took[need-1].Seconds()
+	slices.Sort(o.delays)
+	return o.delays[needed-1].Seconds()
 }
--- a/internal/lab/capacity/events_test.go
+++ b/internal/lab/capacity/events_test.go
@@ -7,16 +7,16 @@
 
 // Whatever a fleet of 64 loses at once, with and without a tenth of its notes lost: those that stay know within the time that they are
 // watched, nobody accuses one on its own side, and all agree in the end.
-func TestLossesAreNoticedByAll(t *testing.T) {
+func TestLossesAreDetectedByAll(t *testing.T) {
 	for _, loss := range Losses {
-		for _, noteLoss := range []float64{0, 0.1} {
-			out, err := RunLoss(loss, 64, noteLoss, seed)
+		for _, gossipLoss := range []float64{0, 0.1} {
+			out, err := RunLoss(loss, 64, gossipLoss, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%+v", out)
-			if out.LostMembers == 0 || out.MedianSeconds < 0 || out.P99Seconds < out.MedianSeconds || out.P99Seconds > deathWatch.Seconds() || out.AgreedSeconds < 0 || out.FalseDeaths > 0 {
-				t.Errorf("%s, %g of the notes lost: %+v", loss, noteLoss, out)
+			if out.LostMembers == 0 || out.MedianSeconds < 0 || out.P99Seconds < out.MedianSeconds || out.P99Seconds > deathObservation.Seconds() || out.AgreedSeconds < 0 || out.FalseDeaths > 0 {
+				t.Errorf("%s, %g of the notes lost: %+v", loss, gossipLoss, out)
 			}
 			if out.BytesPerSecondBefore <= 0 || out.BytesPerSecondAfter > 3000 {
 				t.Errorf("%s: %.0f bytes a second before, %.0f after", loss, out.BytesPerSecondBefore, out.BytesPerSecondAfter)
@@ -28,11 +28,11 @@
 // Losses take the members that they say.
 func TestLossMembers(t *testing.T) {
 	for loss, want := range map[Loss]int{OneMember: 1, Rack: RackSize, Zone: 200, Region: 400} {
-		if got := len(loss.members(1600)); got != want {
+		if got := len(loss.lostMembers(1600)); got != want {
 			t.Errorf("%s of 1600: %d, want %d", loss, got, want)
 		}
 	}
-	if got := len(Rack.members(64)); got != 16 {
+	if got := len(Rack.lostMembers(64)); got != 16 {
 		t.Errorf("a rack of 64: %d, want a quarter", got)
 	}
 }
--- a/internal/lab/capacity/heap.go
+++ b/internal/lab/capacity/heap.go
@@ -2,8 +2,8 @@
 
 import "runtime"
 
-// heapOf returns the bytes of heap that what build returns keeps alive. Nothing else may allocate meanwhile.
-func heapOf(build func() (any, error)) (float64, error) {
+// measureHeap returns the bytes of heap that what build returns keeps alive. Nothing else may allocate meanwhile.
+func measureHeap(build func() (any, error)) (float64, error) {
 	before := liveHeap()
 	kept, err := build()
 	after := liveHeap()
--- a/internal/lab/capacity/journal.go
+++ b/internal/lab/capacity/journal.go
@@ -19,21 +19,21 @@
 	return journal.Open(journal.Config{FS: journal.Dir(dir), Budget: journalBudget, Log: slog.New(slog.DiscardHandler), CompactInline: true})
 }
 
-// taken is a message as a client hands it in.
-func taken(table *memory.Table) *memory.Message {
+// newMessage is a message as a client hands it in.
+func newMessage(table *memory.Table) *memory.Message {
 	num := table.NextNumber()
 	return &memory.Message{Number: num, ID: fmt.Sprintf("%016x", num), Class: "charge", IdempotencyKey: fmt.Sprintf("%032x", num), Body: make([]byte, bodySize),
 		Deadline: time.Unix(2_000_000_000, 0), Terms: memory.Terms{Effect: policy.Unsafe, Tenant: "customer", OrderingKey: fmt.Sprintf("%016x", num)}}
 }
 
-// fill writes so many messages into a new journal in a folder.
-func fill(dir string, messages int) (*journal.Journal, *memory.Table, error) {
+// fillJournal writes so many messages into a new journal in a folder.
+func fillJournal(dir string, messages int) (*journal.Journal, *memory.Table, error) {
 	j, table, err := openJournal(dir)
 	if err != nil {
 		return nil, nil, err
 	}
 	for range messages {
-		if err := j.AppendAccepted(table, taken(table), false); err != nil {
+		if err := j.AppendAccepted(table, newMessage(table), false); err != nil {
 			return nil, nil, err
 		}
 		if err, _ := j.Commit(); err != nil {
@@ -43,27 +43,27 @@
 	return j, table, nil
 }
 
-// inFolder runs do with a folder of its own, which is removed afterwards.
-func inFolder(do func(dir string) (float64, error)) (float64, error) {
+// inTempDir runs do with a folder of its own, which is removed afterwards.
+func inTempDir(measure func(dir string) (float64, error)) (float64, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	return do(dir)
+	return measure(dir)
 }
 
-// messagesInMemory counts what the message table, the journal's index and the decision module keep of held messages, bodies included.
-func messagesInMemory(size int, seed uint64) (float64, error) {
-	return inFolder(func(dir string) (float64, error) {
+// messageMemory counts what the message table, the journal's index and the decision module keep of held messages, bodies included.
+func messageMemory(size int, seed uint64) (float64, error) {
+	return inTempDir(func(dir string) (float64, error) {
 		var j *journal.Journal
-		bytes, err := heapOf(func() (any, error) {
+		bytes, err := measureHeap(func() (any, error) {
 			var table *memory.Table
 			var err error
-			if j, table, err = fill(dir, size); err != nil {
+			if j, table, err = fillJournal(dir, size); err != nil {
 				return nil, err
 			}
-			relay, err := holding(size, false, seed)
+			relay, err := relayWithPending(size, false, seed)
 			return []any{j, table, relay}, err
 		})
 		if j != nil {
@@ -73,9 +73,9 @@
 	})
 }
 
-func messagesOnDisk(size int, _ uint64) (float64, error) {
-	return inFolder(func(dir string) (float64, error) {
-		j, _, err := fill(dir, size)
+func messageDiskBytes(size int, _ uint64) (float64, error) {
+	return inTempDir(func(dir string) (float64, error) {
+		j, _, err := fillJournal(dir, size)
 		if err != nil {
 			return 0, err
 		}
@@ -86,24 +86,24 @@
 
 // journalReadTime times the start on a journal that holds so many messages.
 func journalReadTime(size int, _ uint64) (float64, error) {
-	return inFolder(func(dir string) (float64, error) {
-		j, _, err := fill(dir, size)
+	return inTempDir(func(dir string) (float64, error) {
+		j, _, err := fillJournal(dir, size)
 		if err != nil {
 			return 0, err
 		}
 		if err := j.Close(); err != nil {
 			return 0, err
 		}
-		began := time.Now()
-		again, table, err := openJournal(dir)
-		took := time.Since(began)
+		start := time.Now()
+		reopened, table, err := openJournal(dir)
+		elapsed := time.Since(start)
 		if err != nil {
 			return 0, err
 		}
-		defer again.Close()
+		defer reopened.Close()
 		if table.PendingCount() != size {
 			return 0, fmt.Errorf("%d of %d messages are there after a restart", table.PendingCount(), size)
 		}
-		return float64(took.Nanoseconds()), nil
+		return float64(elapsed.Nanoseconds()), nil
 	})
 }
--- a/internal/lab/capacity/membership.go
+++ b/internal/lab/capacity/membership.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	fleetZones = 4
-	calmTime   = 15 * time.Second // before a member dies
-	watchTime  = 30 * time.Second // after it
+	fleetZones      = 4
+	steadyTime      = 15 * time.Second // before a member dies
+	observationTime = 30 * time.Second // after it
 )
 
-func membersKnown(size int, seed uint64) (float64, error) {
-	return heapOf(func() (any, error) {
+func memberMemory(size int, seed uint64) (float64, error) {
+	return measureHeap(func() (any, error) {
 		return members.New(members.Config{Self: 0, FleetSize: size, Zone: 0, Seed: int64(seed >> 1)}), nil
 	})
 }
 
-// play is a fleet in which one member dies.
-type play struct {
+// deathRun is a fleet in which one member dies.
+type deathRun struct {
 	size int
 	seed uint64
 }
 
-// deaths keeps what was measured of each play, since several quantities are read from it.
-var deaths = map[play]gossip.Measurement{}
+// deathMeasurements keeps what was measured of each play, since several quantities are read from it.
+var deathMeasurements = map[deathRun]gossip.Measurement{}
 
-// oneDeath plays a fleet in which one member dies, unless it was played before. Quantities are measured one after another.
-func oneDeath(size int, seed uint64) gossip.Measurement {
-	p := play{size, seed}
-	if _, played := deaths[p]; !played {
-		deaths[p] = gossip.Measure(gossip.Config{Relays: size, Zones: fleetZones, Seed: seed}, 1, calmTime, watchTime)
+// measureDeath plays a fleet in which one member dies, unless it was played before. Quantities are measured one after another.
+func measureDeath(size int, seed uint64) gossip.Measurement {
+	run := deathRun{size, seed}
+	if _, measured := deathMeasurements[run]; !measured {
+		deathMeasurements[run] = gossip.Measure(gossip.Config{Relays: size, Zones: fleetZones, Seed: seed}, 1, steadyTime, observationTime)
 	}
-	return deaths[p]
+	return deathMeasurements[run]
 }
 
-// membershipNotes is what each member sends for membership in a calm fleet.
-func membershipNotes(size int, seed uint64) (float64, error) {
-	return oneDeath(size, seed).BytesPerSecond, nil
+// membershipTraffic is what each member sends for membership in a calm fleet.
+func membershipTraffic(size int, seed uint64) (float64, error) {
+	return measureDeath(size, seed).BytesPerSecond, nil
 }
 
-// deathDetected is when the median member knows that one has died.
-func deathDetected(size int, seed uint64) (float64, error) {
-	return oneDeath(size, seed).MedianDetection * members.Period.Seconds(), nil
+// deathDetectionTime is when the median member knows that one has died.
+func deathDetectionTime(size int, seed uint64) (float64, error) {
+	return measureDeath(size, seed).MedianDetection * members.Period.Seconds(), nil
 }
--- a/internal/lab/capacity/relay.go
+++ b/internal/lab/capacity/relay.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	bodySize = 200              // bytes of a message's body
-	deadline = 60 * time.Second // of every message
-	repeats  = 16               // of what is timed, for a mean
+	bodySize     = 200              // bytes of a message's body
+	deadline     = 60 * time.Second // of every message
+	timedRepeats = 16               // of what is timed, for a mean
 )
 
-// settings are those of a relay that has room for so many messages and calls.
-func settings(messages int) policy.Settings {
+// relaySettings are those of a relay that has room for so many messages and calls.
+func relaySettings(messages int) policy.Settings {
 	return policy.Settings{Relays: 3, MaxConcurrentCalls: max(4, messages), MaxPending: max(8, 2*messages), MaxAttempts: 8, Tick: time.Millisecond,
 		IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second,
 		Classes: []policy.Class{{Name: "notice", TargetLatency: 3 * time.Second, Deadline: deadline, Value: 1, LateValue: 0.5},
@@ -24,43 +24,43 @@
 		Kinds: []policy.Kind{{Name: "partner", MaxBatch: 1}}}
 }
 
-// listOf is a whole list of so many destinations with so many endpoints each.
-func listOf(destinations, endpoints int) policy.EndpointListUpdate {
-	news := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
+// endpointSnapshot is a whole list of so many destinations with so many endpoints each.
+func endpointSnapshot(destinations, endpoints int) policy.EndpointListUpdate {
+	update := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for d := range destinations {
 		for e := range endpoints {
-			news.Entries = append(news.Entries, policy.Endpoint{Address: address(d, e), Destination: d, Kind: "partner", Zone: "zone-1"})
+			update.Entries = append(update.Entries, policy.Endpoint{Address: endpointAddress(d, e), Destination: d, Kind: "partner", Zone: "zone-1"})
 		}
 	}
-	return news
+	return update
 }
 
-func address(destination, endpoint int) string {
+func endpointAddress(destination, endpoint int) string {
 	return fmt.Sprintf("s-%08x-%04x", destination, endpoint)
 }
 
-// relayWith returns a relay that knows so many destinations.
-func relayWith(destinations, endpoints, messages int, seed uint64) (*policy.Relay, error) {
-	relay, err := policy.New(settings(messages), int64(seed>>1))
+// newRelay returns a relay that knows so many destinations.
+func newRelay(destinations, endpoints, messages int, seed uint64) (*policy.Relay, error) {
+	relay, err := policy.New(relaySettings(messages), int64(seed>>1))
 	if err != nil {
 		return nil, err
 	}
-	relay.Step(0, []policy.Event{listOf(destinations, endpoints)})
+	relay.Step(0, []policy.Event{endpointSnapshot(destinations, endpoints)})
 	return relay, nil
 }
 
-func destinationsKnown(size int, seed uint64) (float64, error) {
-	return heapOf(func() (any, error) { return relayWith(size, 1, 4, seed) })
+func destinationMemory(size int, seed uint64) (float64, error) {
+	return measureHeap(func() (any, error) { return newRelay(size, 1, 4, seed) })
 }
 
-func endpointsKnown(size int, seed uint64) (float64, error) {
-	return heapOf(func() (any, error) { return relayWith(1, size, 4, seed) })
+func endpointMemory(size int, seed uint64) (float64, error) {
+	return measureHeap(func() (any, error) { return newRelay(1, size, 4, seed) })
 }
 
-// destinationsInUse counts relays that have delivered one message to each destination.
-func destinationsInUse(size int, seed uint64) (float64, error) {
-	return heapOf(func() (any, error) {
-		relay, err := relayWith(size, 1, 4, seed)
+// activeDestinationMemory counts relays that have delivered one message to each destination.
+func activeDestinationMemory(size int, seed uint64) (float64, error) {
+	return measureHeap(func() (any, error) {
+		relay, err := newRelay(size, 1, 4, seed)
 		if err != nil {
 			return nil, err
 		}
@@ -69,14 +69,14 @@
 			now += time.Millisecond
 			acts := relay.Step(now, []policy.Event{policy.Submitted{ID: uint32(d + 1), Class: "notice", Destination: d, TimeLeft: deadline}})
 			now += time.Millisecond
-			relay.Step(now, delivered(acts))
+			relay.Step(now, deliverSends(acts))
 		}
 		return relay, nil
 	})
 }
 
-// delivered ends every attempt among the actions well.
-func delivered(acts []policy.Action) (events []policy.Event) {
+// deliverSends ends every attempt among the actions well.
+func deliverSends(acts []policy.Action) (events []policy.Event) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
 			events = append(events, policy.AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Outcome: policy.Delivered, Duration: time.Millisecond, Final: true})
@@ -85,16 +85,16 @@
 	return events
 }
 
-// holding returns a relay that holds so many messages for a destination without endpoints, each of a key of its own if keyed.
-func holding(messages int, keyed bool, seed uint64) (*policy.Relay, error) {
-	relay, err := relayWith(1, 1, messages, seed)
+// relayWithPending returns a relay that holds so many messages for a destination without endpoints, each of a key of its own if keyed.
+func relayWithPending(messages int, ordered bool, seed uint64) (*policy.Relay, error) {
+	relay, err := newRelay(1, 1, messages, seed)
 	if err != nil {
 		return nil, err
 	}
 	events := make([]policy.Event, 0, messages)
 	for i := range messages {
 		m := policy.Submitted{ID: uint32(i + 1), Class: "notice", Destination: 9, TimeLeft: deadline}
-		if keyed {
+		if ordered {
 			m.Class, m.Key = "charge", fmt.Sprintf("%016x", i)
 		}
 		events = append(events, m)
@@ -103,13 +103,13 @@
 	return relay, nil
 }
 
-// keysHeld counts messages that each have a key of their own, with the keys.
-func keysHeld(size int, seed uint64) (float64, error) {
-	return heapOf(func() (any, error) { return holding(size, true, seed) })
+// orderedMessageMemory counts messages that each have a key of their own, with the keys.
+func orderedMessageMemory(size int, seed uint64) (float64, error) {
+	return measureHeap(func() (any, error) { return relayWithPending(size, true, seed) })
 }
 
-// listText is a whole list of the platform's form.
-func listText(endpoints int) string {
+// snapshotJSON is a whole list of the platform's form.
+func snapshotJSON(endpoints int) string {
 	var text strings.Builder
 	text.WriteString(`{"generation":1,"reset":true,"instances":[`)
 	for e := range endpoints {
@@ -117,72 +117,72 @@
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"instanceId":%q,"hostPort":"127.%d.%d.%d:8080","zone":"zone-1","machineType":"partner","cell":%d,"lifecycle":"in_service","weight":1.0,"startedAtMs":0}`,
-			address(e, 0), e>>16&255, e>>8&255, e&255, e)
+			endpointAddress(e, 0), e>>16&255, e>>8&255, e&255, e)
 	}
 	text.WriteString("]}")
 	return text.String()
 }
 
-func wholeList(size int, _ uint64) (float64, error) { return float64(len(listText(size))), nil }
+func snapshotBytes(size int, _ uint64) (float64, error) { return float64(len(snapshotJSON(size))), nil }
 
-func wholeListTime(size int, seed uint64) (float64, error) {
-	text := listText(size)
-	return mean(func() error {
+func snapshotTime(size int, seed uint64) (float64, error) {
+	text := snapshotJSON(size)
+	return meanDuration(func() error {
 		if _, err := memory.ParseEndpointList(text); err != nil {
 			return err
 		}
-		_, err := relayWith(size, 1, 4, seed)
+		_, err := newRelay(size, 1, 4, seed)
 		return err
 	})
 }
 
 // listChangeTime times a change of one endpoint at a relay that knows so many.
 func listChangeTime(size int, seed uint64) (float64, error) {
-	relay, err := relayWith(size, 1, 4, seed)
+	relay, err := newRelay(size, 1, 4, seed)
 	if err != nil {
 		return 0, err
 	}
 	now := time.Duration(0)
-	return mean(func() error {
+	return meanDuration(func() error {
 		now += time.Millisecond
-		relay.Step(now, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: listOf(1, 1).Entries}})
+		relay.Step(now, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: endpointSnapshot(1, 1).Entries}})
 		return nil
 	})
 }
 
 func reloadTime(size int, seed uint64) (float64, error) {
-	relay, err := holding(size, false, seed)
+	relay, err := relayWithPending(size, false, seed)
 	if err != nil {
 		return 0, err
 	}
-	set := settings(size)
-	return mean(func() error { return relay.Reconfigure(set) })
+	changed := relaySettings(size)
+	return meanDuration(func() error { return relay.Reconfigure(changed) })
 }
 
 // stepTime times a step in which one message comes in at a relay that holds so many.
 func stepTime(size int, seed uint64) (float64, error) {
-	relay, err := holding(size, false, seed)
+	relay, err := relayWithPending(size, false, seed)
 	if err != nil {
 		return 0, err
 	}
 	now, id := time.Millisecond, uint32(size)
-	return mean(func() error {
+	return meanDuration(func() error {
 		now, id = now+time.Millisecond, id+1
 		relay.Step(now, []policy.Event{policy.Submitted{ID: id, Class: "notice", Destination: 9, TimeLeft: deadline}})
 		return nil
 	})
 }
 
-// mean returns the mean time of a few calls, in nanoseconds. The first one is not counted.
-func mean(do func() error) (float64, error) {
+// meanDuration returns the mean time of a few calls, in nanoseconds. The first one is not counted.
+func meanDuration(do func() error) (float64, error) {
 	if err := do(); err != nil {
 		return 0, err
 	}
-	began := time.Now()
-	for range repeats {
+	start := time.Now()
+	for range timedRepeats {
 		if err := do(); err != nil {
 			return 0, err
 		}
 	}
-	return float64(time.Since(began).Nanoseconds()) / repeats, nil
+	return float64(time.Since(start).Nanoseconds()) / timedRepeats, nil
 }
--- a/internal/lab/command/assignment.go
+++ b/internal/lab/command/assignment.go
@@ -11,7 +11,7 @@
 	"oatfold/internal/lab/region"
 )
 
-const mostRegions = 255
+const maxRegions = 255
 
 // assignmentCommand plays what may happen to regions whose relays are assigned by control machines.
 func assignmentCommand() *cobra.Command {
@@ -33,8 +33,8 @@
 	flags.Int64Var(&base.Seed, "seed", 1, "what chance is drawn from")
 	flags.StringVar(&out, "out", "", "write a row for each region and event into a Parquet `file`")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		if regions < 1 || regions > mostRegions {
-			return fmt.Errorf("regions: %d, 1 to %d wanted", regions, mostRegions)
+		if regions < 1 || regions > maxRegions {
+			return fmt.Errorf("regions: %d, 1 to %d wanted", regions, maxRegions)
 		}
 		events := region.Events
 		if len(names) > 0 {
@@ -43,7 +43,7 @@
 				events = append(events, region.Event(name))
 			}
 		}
-		outcomes, err := playEvents(base, regions, events)
+		outcomes, err := runEvents(base, regions, events)
 		if err != nil {
 			return err
 		}
@@ -55,11 +55,11 @@
 	return cmd
 }
 
-// playEvents plays every event in every region, several at a time.
-func playEvents(base region.Config, regions int, events []region.Event) ([]region.Outcome, error) {
+// runEvents plays every event in every region, several at a time.
+func runEvents(base region.Config, regions int, events []region.Event) ([]region.Outcome, error) {
 	outcomes := make([]region.Outcome, regions*len(events))
 	errs := make([]error, len(outcomes))
-	each(len(outcomes), func(i int) {
+	runParallel(len(outcomes), func(i int) {
 		c := base
 		c.Number = uint8(i % regions)
 		outcomes[i], errs[i] = region.RunEvent(c, events[i/regions])
--- a/internal/lab/command/audit.go
+++ b/internal/lab/command/audit.go
@@ -26,8 +26,8 @@
 	Outcome string `parquet:"outcome,dict"`
 }
 
-// auditCommand is what `oatfold journal export --parquet FILE DIR` starts.
-func auditCommand() *cobra.Command {
+// journalExportCommand is what `oatfold journal export --parquet FILE DIR` starts.
+func journalExportCommand() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{Use: "journal-export DIR --out FILE", Short: "Write a journal's records to a Parquet file, for audits; bodies stay out", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
--- a/internal/lab/command/capacity.go
+++ b/internal/lab/command/capacity.go
@@ -40,8 +40,8 @@
 				return err
 			}
 		}
-		if over := printSlopes(cmd.OutOrStdout(), slopes); over > 0 {
-			return exit(exitBad)
+		if over := printFits(cmd.OutOrStdout(), slopes); over > 0 {
+			return exitCode(exitFailed)
 		}
 		return nil
 	}
@@ -65,8 +65,8 @@
 	return points, slopes, nil
 }
 
-// printSlopes prints a line for each slope and returns how many are above their bounds.
-func printSlopes(out io.Writer, slopes []capacity.LinearFit) (over int) {
+// printFits prints a line for each slope and returns how many are above their bounds.
+func printFits(out io.Writer, slopes []capacity.LinearFit) (over int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "quantity\tfrom\tto\tof\teach\tunit\tat none\tresidual\tbound\t")
 	for _, s := range slopes {
--- a/internal/lab/command/capacity_test.go
+++ b/internal/lab/command/capacity_test.go
@@ -11,7 +11,7 @@
 func TestCapacity(t *testing.T) {
 	dir := t.TempDir()
 	rows, plot := filepath.Join(dir, "c.parquet"), filepath.Join(dir, "c.svg")
-	code, out, e := run("capacity", "--short", "--quantity", "endpoint,member known", "--out", rows, "--plot", plot)
+	code, out, e := runLab("capacity", "--short", "--quantity", "endpoint,member known", "--out", rows, "--plot", plot)
 	if code != 0 || !strings.Contains(out, "endpoint") || !strings.Contains(out, "member known") || strings.Contains(out, "OVER") {
 		t.Fatalf("%d %s %s", code, out, e)
 	}
@@ -21,7 +21,7 @@
 	if raw, err := os.ReadFile(rows); err != nil || !strings.HasPrefix(string(raw), "PAR1") {
 		t.Error(err)
 	}
-	if code, _, e := run("capacity", "--quantity", "weight"); code != exitError || !strings.Contains(e, `"weight"`) {
+	if code, _, e := runLab("capacity", "--quantity", "weight"); code != exitError || !strings.Contains(e, `"weight"`) {
 		t.Errorf("%d %s", code, e)
 	}
 }
@@ -29,7 +29,7 @@
 // Losses are printed and written; what can't be played is named.
 func TestLosses(t *testing.T) {
 	rows := filepath.Join(t.TempDir(), "l.parquet")
-	code, out, e := run("losses", "--members", "16", "--loss", "0", "--kind", "zone,member", "--out", rows)
+	code, out, e := runLab("losses", "--members", "16", "--loss", "0", "--kind", "zone,member", "--out", rows)
 	if code != 0 || !strings.Contains(out, "zone") || !strings.Contains(out, "member") {
 		t.Fatalf("%d %s %s", code, out, e)
 	}
@@ -37,7 +37,7 @@
 		t.Error(err)
 	}
 	for want, args := range map[string][]string{"moon": {"losses", "--kind", "moon"}, "3 members": {"losses", "--members", "3"}, "loss": {"losses", "--loss", "1"}} {
-		if code, _, e := run(args...); code != exitError || !strings.Contains(e, want) {
+		if code, _, e := runLab(args...); code != exitError || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s", args, code, e)
 		}
 	}
@@ -47,7 +47,7 @@
 func TestAssignment(t *testing.T) {
 	rows := filepath.Join(t.TempDir(), "a.parquet")
 	fleet := []string{"assignment", "--regions", "2", "--relays", "64", "--rack", "8", "--controls", "3", "--partitions", "64"}
-	code, out, e := run(append(fleet, "--event", "relay,mass start", "--out", rows)...)
+	code, out, e := runLab(append(fleet, "--event", "relay,mass start", "--out", rows)...)
 	if code != 0 || !strings.Contains(out, "relay") || !strings.Contains(out, "mass start") {
 		t.Fatalf("%d %s %s", code, out, e)
 	}
@@ -65,7 +65,7 @@
 		"replicas: 9":   {"--replicas", "9"},
 		"controls: 0":   {"--controls", "0"},
 	} {
-		if code, out, e := run(append(fleet, args...)...); code != exitError || !strings.Contains(e, want) {
+		if code, out, e := runLab(append(fleet, args...)...); code != exitError || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s %s", args, code, out, e)
 		}
 	}
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -30,15 +30,15 @@
 
 // The exit codes.
 const (
-	exitError = 1 // the message says what
-	exitUsage = 2
-	exitWorse = 3 // compare: an arm lost more than allowed
-	exitBad   = 4 // a rule was broken, or a day was at fault
+	exitError      = 1 // the message says what
+	exitUsage      = 2
+	exitRegression = 3 // compare: an arm lost more than allowed
+	exitFailed     = 4 // a rule was broken, or a day was at fault
 )
 
-type exit int
+type exitCode int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 // Run runs the command line and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
@@ -50,11 +50,11 @@
 	root.SetErr(errOut)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
 		fmt.Fprintln(errOut, err)
-		return exit(exitUsage)
+		return exitCode(exitUsage)
 	})
-	root.AddCommand(dayCommand(), daysCommand(), runCommand(), reportCommand(), compareCommand(), agreeCommand(), growthCommand(), auditCommand(), loadCommand(), saturateCommand(), forwardCommand(), fleetCommand(), membersCommand(), subsetsCommand(), siteCommand(), overloadCommand(), capacityCommand(), lossesCommand(), assignmentCommand())
+	root.AddCommand(dayCommand(), daysCommand(), runCommand(), reportCommand(), compareCommand(), agreeCommand(), growthCommand(), journalExportCommand(), loadCommand(), saturateCommand(), forwardCommand(), fleetCommand(), membersCommand(), subsetsCommand(), siteCommand(), overloadCommand(), capacityCommand(), lossesCommand(), assignmentCommand())
 	err := root.ExecuteContext(ctx)
-	var code exit
+	var code exitCode
 	switch {
 	case err == nil:
 		return 0
@@ -65,8 +65,8 @@
 	return exitError
 }
 
-// readDay reads a script, or a day as the operators' simulator prints it.
-func readDay(file, base string, seed uint64) (*emu.Scenario, error) {
+// readScenario reads a script, or a day as the operators' simulator prints it.
+func readScenario(file, base string, seed uint64) (*emu.Scenario, error) {
 	if strings.HasSuffix(file, ".json") {
 		raw, err := os.ReadFile(file)
 		if err != nil {
@@ -78,18 +78,18 @@
 		}
 		return day, nil
 	}
-	s, err := site.ReadScript(file)
+	script, err := site.ReadScript(file)
 	if err != nil {
 		return nil, err
 	}
-	var on *site.Site
-	if s.Site == "" || base != "" {
-		if on, err = site.ReadSite(base); err != nil {
+	var baseSite *site.Site
+	if script.Site == "" || base != "" {
+		if baseSite, err = site.ReadSite(base); err != nil {
 			return nil, err
 		}
-		s.Site = ""
+		script.Site = ""
 	}
-	day, err := s.DrawScenario(on, seed)
+	day, err := script.DrawScenario(baseSite, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -99,51 +99,51 @@
 func dayCommand() *cobra.Command {
 	var seed uint64
 	var base string
-	var whole bool
+	var printJSON bool
 	cmd := &cobra.Command{Use: "day FILE", Short: "Play one day: a script, or a day of the operators' simulator (.json)", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := readDay(args[0], base, seed)
+			day, err := readScenario(args[0], base, seed)
 			if err != nil {
 				return err
 			}
-			began := time.Now()
+			start := time.Now()
 			res, err := emu.Run(day, emu.Options{})
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.ErrOrStderr(), "%.0f times as fast as the clock\n", day.Length.Seconds()/time.Since(began).Seconds())
-			if whole {
+			fmt.Fprintf(cmd.ErrOrStderr(), "%.0f times as fast as the clock\n", day.Length.Seconds()/time.Since(start).Seconds())
+			if printJSON {
 				e := json.NewEncoder(cmd.OutOrStdout())
 				e.SetIndent("", " ")
 				if err := e.Encode(res); err != nil {
 					return err
 				}
 			} else {
-				printDay(cmd.OutOrStdout(), day, res)
+				printScenario(cmd.OutOrStdout(), day, res)
 			}
 			if !res.Passed() {
-				return exit(exitBad)
+				return exitCode(exitFailed)
 			}
 			return nil
 		}}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
 	cmd.Flags().StringVar(&base, "site", "", "site in place of the script's own")
-	cmd.Flags().BoolVar(&whole, "json", false, "print all figures")
+	cmd.Flags().BoolVar(&printJSON, "json", false, "print all figures")
 	return cmd
 }
 
-func printDay(out io.Writer, day *emu.Scenario, r *emu.Result) {
+func printScenario(out io.Writer, day *emu.Scenario, r *emu.Result) {
 	fmt.Fprintf(out, "%s, seed %d: %d relays of %d slots, %d destinations, %d messages\n", r.Day, r.Seed, day.Relays, day.MaxConcurrentCalls, len(day.Dests), r.Requests)
 	fmt.Fprintf(out, "G %.4f: worth %.4f, worst 10 s %.4f, worst class %.4f\n", r.G, r.Whole, r.WorstWindow, r.WorstClass)
 	fmt.Fprintf(out, "delivered %d (%d in their aim), handed back %d, given up %d, lost %d; refusals %d, turned away %d\n", r.Delivered, r.InAim, r.HandedBack, r.GivenUp, r.Lost, r.Refusals, r.TurnedAway)
 	fmt.Fprintf(out, "calls %d (%d refused), connections %d; p50 %.3f s, p99 %.3f s\n", r.Calls, r.RefusedCalls, r.Connections,
 		float64(r.Latency.ValueAtPercentile(50))/1e6, float64(r.Latency.ValueAtPercentile(99))/1e6)
 	for _, f := range r.Floors(day) {
-		under := ""
+		missed := ""
 		if f.Missed() {
-			under = ", neglected"
+			missed = ", neglected"
 		}
-		fmt.Fprintf(out, "%s: served %.3f, at least %.2f is wanted%s\n", f.Name, f.Served, f.Minimum, under)
+		fmt.Fprintf(out, "%s: served %.3f, at least %.2f is wanted%s\n", f.Name, f.Served, f.Minimum, missed)
 	}
 	for _, b := range r.Breaks {
 		fmt.Fprintln(out, "broken:", b)
@@ -170,33 +170,33 @@
 				err   error
 			}
 			all := make([]played, len(files))
-			each(len(files), func(i int) {
-				s, err := site.ReadScript(files[i])
+			runParallel(len(files), func(i int) {
+				script, err := site.ReadScript(files[i])
 				if err == nil {
 					var day *emu.Scenario
-					if day, err = s.DrawScenario(nil, seed); err == nil {
+					if day, err = script.DrawScenario(nil, seed); err == nil {
 						all[i].res, err = emu.Run(day, emu.Options{})
 					}
-					all[i].title = s.Title
+					all[i].title = script.Title
 				}
 				all[i].err = err
 			})
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "day\tG\tworst 10 s\thanded back\tgiven up\trefused calls\trules\twhat")
-			bad := false
+			failed := false
 			for i, p := range all {
 				if p.err != nil {
 					return fmt.Errorf("%s: %w", files[i], p.err)
 				}
 				state := "kept"
 				if !p.res.Passed() {
-					bad, state = true, "BROKEN"
+					failed, state = true, "BROKEN"
 				}
-				r := p.res
-				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%d\t%d\t%d\t%s\t%s\n", r.Day, r.G, r.WorstWindow, r.HandedBack, r.GivenUp, r.RefusedCalls, state, p.title)
+				result := p.res
+				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%d\t%d\t%d\t%s\t%s\n", result.Day, result.G, result.WorstWindow, result.HandedBack, result.GivenUp, result.RefusedCalls, state, p.title)
 			}
-			if w.Flush(); bad {
-				return exit(exitBad)
+			if w.Flush(); failed {
+				return exitCode(exitFailed)
 			}
 			return nil
 		}}
@@ -204,8 +204,8 @@
 	return cmd
 }
 
-// each runs do for all numbers under n, side by side.
-func each(n int, do func(i int)) {
+// runParallel runs do for all numbers under n, side by side.
+func runParallel(n int, do func(i int)) {
 	next := make(chan int)
 	var wg sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
@@ -241,7 +241,7 @@
 			if err != nil {
 				return err
 			}
-			return table(cmd.OutOrStdout(), dir, "")
+			return printComparison(cmd.OutOrStdout(), dir, "")
 		}}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
 	cmd.Flags().StringVar(&dir, "out", "", "folder for the results")
@@ -249,35 +249,35 @@
 	return cmd
 }
 
-// table prints each arm beside the baseline.
-func table(out io.Writer, dir, base string) error {
+// printComparison prints each arm beside the baseline.
+func printComparison(out io.Writer, dir, base string) error {
 	res, err := study.Read(dir)
 	if err != nil {
 		return err
 	}
-	names, by := study.GroupByVariant(res.Rows)
+	names, byVariant := study.GroupByVariant(res.Rows)
 	if base == "" {
 		base = names[0]
 	}
-	bad := int64(0)
+	failed := int64(0)
 	for _, r := range res.Rows {
 		if r.Broken+r.Faults > 0 {
-			bad++
+			failed++
 			fmt.Fprintf(out, "%s, %s, seed %d: %s\n", r.Arm, r.Day, r.Seed, r.FirstOfBroken)
 		}
 	}
 	for _, n := range names {
 		if n != base {
-			differences(out, base, study.Compare(by[base], by[n]))
+			printDifferences(out, base, study.Compare(byVariant[base], byVariant[n]))
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%w: %d", study.ErrRunsFailed, bad)
+	if failed > 0 {
+		return fmt.Errorf("%w: %d", study.ErrRunsFailed, failed)
 	}
 	return nil
 }
 
-func differences(out io.Writer, base string, all []study.Difference) {
+func printDifferences(out io.Writer, base string, all []study.Difference) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for i, d := range all {
 		if i == 0 {
@@ -326,28 +326,28 @@
 				}
 				rows[i] = res.Rows
 			}
-			names, was := study.GroupByVariant(rows[0])
-			_, is := study.GroupByVariant(rows[1])
-			worse, pairs := false, 0
+			names, before := study.GroupByVariant(rows[0])
+			_, after := study.GroupByVariant(rows[1])
+			regressed, pairs := false, 0
 			for _, n := range names {
-				if len(is[n]) == 0 {
+				if len(after[n]) == 0 {
 					continue
 				}
-				diffs := study.Compare(was[n], is[n])
+				diffs := study.Compare(before[n], after[n])
 				fmt.Fprintf(cmd.OutOrStdout(), "arm %s\n", n)
-				differences(cmd.OutOrStdout(), "before", diffs)
+				printDifferences(cmd.OutOrStdout(), "before", diffs)
 				for _, d := range diffs {
 					pairs += d.Pairs
 					if d.Measure == "G" && d.Diff < -loss || d.Measure == "rules broken" && d.Diff > 0 {
-						worse = true
+						regressed = true
 					}
 				}
 			}
 			if pairs == 0 {
 				return errors.New("the two runs have no day in common")
 			}
-			if worse {
-				return exit(exitWorse)
+			if regressed {
+				return exitCode(exitRegression)
 			}
 			return nil
 		}}
@@ -369,12 +369,12 @@
 				broken   int
 			}
 			all, errs := make([]pair, len(files)), make([]error, len(files))
-			each(len(files), func(i int) {
+			runParallel(len(files), func(i int) {
 				name := strings.TrimSuffix(files[i], ".result.json")
 				raw, err := os.ReadFile(files[i])
 				if err == nil {
 					var day *emu.Scenario
-					if day, err = readDay(name+".json", "", 0); err == nil {
+					if day, err = readScenario(name+".json", "", 0); err == nil {
 						var res *emu.Result
 						if res, err = emu.Run(day, emu.Options{}); err == nil {
 							all[i] = pair{name: filepath.Base(name), sim: gjson.GetBytes(raw, "g").Float(), emu: res.G, broken: len(res.Breaks) + len(res.Faults)}
@@ -413,31 +413,31 @@
 	var perDest, length float64
 	cmd := &cobra.Command{Use: "growth", Short: "How the emulator's time and memory grow with the number of destinations", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := site.ReadSite(base)
+			baseSite, err := site.ReadSite(base)
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "destinations\trelays\tmessages\tsteps\treal s\tsimulated/real\tus a message\tMB in use\tG\t")
 			for _, n := range sizes {
-				r := max(2, relays*n/sizes[len(sizes)-1])
-				s.Destinations, s.Relays, s.LengthS = &site.Range{From: float64(n)}, &site.Range{From: float64(r)}, &site.Range{From: length}
-				s.Rate, s.Load, s.TailS = &site.Range{From: perDest / 0.8}, &site.Range{From: 0.8}, &site.Range{From: 30}
-				day, err := s.DrawScenario(1)
+				relayCount := max(2, relays*n/sizes[len(sizes)-1])
+				baseSite.Destinations, baseSite.Relays, baseSite.LengthS = &site.Range{From: float64(n)}, &site.Range{From: float64(relayCount)}, &site.Range{From: length}
+				baseSite.Rate, baseSite.Load, baseSite.TailS = &site.Range{From: perDest / 0.8}, &site.Range{From: 0.8}, &site.Range{From: 30}
+				day, err := baseSite.DrawScenario(1)
 				if err != nil {
 					return err
 				}
 				runtime.GC()
 				var peak runtime.MemStats
-				began := time.Now()
+				start := time.Now()
 				res, err := emu.Run(day, emu.Options{})
 				if err != nil {
 					return err
 				}
-				took := time.Since(began)
+				elapsed := time.Since(start)
 				runtime.ReadMemStats(&peak)
-				fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.1f\t%.0f\t%.3f\t\n", n, r, res.Requests, res.Steps, took.Seconds(), length/took.Seconds(),
-					float64(took.Microseconds())/float64(max(1, res.Requests)), float64(peak.HeapSys)/1e6, res.G)
+				fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.1f\t%.0f\t%.3f\t\n", n, relayCount, res.Requests, res.Steps, elapsed.Seconds(), length/elapsed.Seconds(),
+					float64(elapsed.Microseconds())/float64(max(1, res.Requests)), float64(peak.HeapSys)/1e6, res.G)
 				w.Flush()
 			}
 			return nil
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -17,7 +17,7 @@
 	"oatfold/internal/memory/journal"
 )
 
-func run(args ...string) (code int, out, errOut string) {
+func runLab(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Run(args, &o, &e)
 	return code, o.String(), e.String()
@@ -41,11 +41,11 @@
 	}
 	j.AppendAttempt(time.Unix(3, 0), msgs)
 	j.AppendCompleted(msgs[0], false)
-	if taken, out := j.Commit(); taken != nil || out != nil {
-		t.Fatal(taken, out)
+	if inMemory, onDisk := j.Commit(); inMemory != nil || onDisk != nil {
+		t.Fatal(inMemory, onDisk)
 	}
 	file := filepath.Join(t.TempDir(), "audit.parquet")
-	if code, _, e := run("journal-export", dir, "--out", file); code != 0 {
+	if code, _, e := runLab("journal-export", dir, "--out", file); code != 0 {
 		t.Fatal(code, e)
 	}
 	rows, err := parquet.ReadFile[auditRow](file)
@@ -65,7 +65,7 @@
 	if raw, _ := os.ReadFile(file); bytes.Contains(raw, []byte("secret")) {
 		t.Error("a body is in it")
 	}
-	if code, _, e := run("journal-export", filepath.Join(dir, "none"), "--out", file); code != exitError || !strings.Contains(e, "no folder") {
+	if code, _, e := runLab("journal-export", filepath.Join(dir, "none"), "--out", file); code != exitError || !strings.Contains(e, "no folder") {
 		t.Errorf("no folder: %d %s", code, e)
 	}
 }
@@ -82,27 +82,27 @@
 		if dir == b { // the same days, and each arm with a third of its slots
 			text := strings.ReplaceAll(string(raw), `"as-is"`, `"as-is" slots_times: 0.3`)
 			abs, _ := filepath.Abs(lab)
-			text = strings.NewReplacer(`"site.`, `"`+rel(t, b, abs)+`/site.`, `"days/`, `"`+rel(t, b, abs)+`/days/`).Replace(text)
+			text = strings.NewReplacer(`"site.`, `"`+relativePath(t, b, abs)+`/site.`, `"days/`, `"`+relativePath(t, b, abs)+`/days/`).Replace(text)
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if code, _, e := run("run", file, "--out", dir); code != 0 {
+		if code, _, e := runLab("run", file, "--out", dir); code != 0 {
 			t.Fatal(code, e)
 		}
 	}
 	for _, c := range []struct {
 		code int
 		args string
-	}{{0, "compare " + a + " " + a}, {exitWorse, "compare " + a + " " + b}, {0, "compare " + a + " " + b + " --loss 1"}, {exitUsage, "run --nonsense"},
+	}{{0, "compare " + a + " " + a}, {exitRegression, "compare " + a + " " + b}, {0, "compare " + a + " " + b + " --loss 1"}, {exitUsage, "run --nonsense"},
 		{exitError, "day " + lab + "none.textproto"}, {exitError, "compare " + a + " " + t.TempDir()}, {0, "day " + lab + "days/calm.textproto"}} {
-		if code, out, e := run(strings.Fields(c.args)...); code != c.code {
+		if code, out, e := runLab(strings.Fields(c.args)...); code != c.code {
 			t.Errorf("%s: exit code %d, want %d: %s%s", c.args, code, c.code, out, e)
 		}
 	}
 }
 
-func rel(t *testing.T, from, to string) string {
+func relativePath(t *testing.T, from, to string) string {
 	t.Helper()
 	r, err := filepath.Rel(from, to)
 	if err != nil {
@@ -112,30 +112,30 @@
 }
 
 // What fleets find out is printed as tables and as JSON, with a plot; sizes and losses that are none, and days that processes can't play, are named.
-func TestMembersAndFleet(t *testing.T) {
+func TestMembersAndFleetCommands(t *testing.T) {
 	plot := filepath.Join(t.TempDir(), "m.svg")
-	code, out, e := run("members", "--relays", "3,10", "--loss", "0,0.2", "--plot", plot)
+	code, out, e := runLab("members", "--relays", "3,10", "--loss", "0,0.2", "--plot", plot)
 	svg, err := os.ReadFile(plot)
 	if code != 0 || !strings.Contains(out, "bytes a s") || !strings.Contains(out, "heartbeats to all") || err != nil || !strings.Contains(string(svg), "<svg") {
 		t.Fatalf("%d %s %s %v", code, out, e, err)
 	}
-	if code, out, _ := run("members", "--relays", "5", "--loss", "0", "--json"); code != 0 || !strings.Contains(out, `"median"`) || !strings.Contains(out, `"unknown": 0`) {
+	if code, out, _ := runLab("members", "--relays", "5", "--loss", "0", "--json"); code != 0 || !strings.Contains(out, `"median"`) || !strings.Contains(out, `"unknown": 0`) {
 		t.Errorf("%d %s", code, out)
 	}
-	if a, b := must(t, "members", "--relays", "5", "--loss", "0.3"), must(t, "members", "--relays", "5", "--loss", "0.3"); a != b {
+	if a, b := runOK(t, "members", "--relays", "5", "--loss", "0.3"), runOK(t, "members", "--relays", "5", "--loss", "0.3"); a != b {
 		t.Error("one seed, two results")
 	}
 	for want, args := range map[string][]string{"relays": {"members", "--relays", "1"}, "loss": {"members", "--loss", "1"}, "the relay": {"fleet", "../../../lab/fleet/one-deaf.textproto", "--relay", "/nowhere"},
 		"members: a fleet": {"fleet", "../../../lab/days/lost-relay.textproto", "--relay", "/dev/null"}} {
-		if code, _, e := run(args...); code != exitError || !strings.Contains(e, want) {
+		if code, _, e := runLab(args...); code != exitError || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s", args, code, e)
 		}
 	}
 }
 
-func must(t *testing.T, args ...string) string {
+func runOK(t *testing.T, args ...string) string {
 	t.Helper()
-	code, out, e := run(args...)
+	code, out, e := runLab(args...)
 	if code != 0 {
 		t.Fatal(code, e)
 	}
@@ -144,7 +144,7 @@
 
 // The figures of a plan are even and still, the other ways are worse in one of both, a whole zone is in each subset, and what lies out of bounds is named.
 func TestSubsets(t *testing.T) {
-	out := gjson.Parse(must(t, "subsets", "--relays", "90", "--endpoints", "30", "--subset", "6", "--zones", "3", "--others", "--json"))
+	out := gjson.Parse(runOK(t, "subsets", "--relays", "90", "--endpoints", "30", "--subset", "6", "--zones", "3", "--others", "--json"))
 	if n := len(out.Array()); n != 5 {
 		t.Fatalf("%d ways", n)
 	}
@@ -158,15 +158,15 @@
 	if f := out.Array()[0]; f.Get("subsets_without_a_zone").Int() != 0 || f.Get("moved_on_endpoint_leave").Int() < f.Get("pairs_of_the_endpoint_that_left").Int() {
 		t.Errorf("%s", f.Raw)
 	}
-	down := gjson.Parse(must(t, "subsets", "--relays", "90", "--dead", "9", "--endpoints", "30", "--subset", "6", "--json"))
+	down := gjson.Parse(runOK(t, "subsets", "--relays", "90", "--dead", "9", "--endpoints", "30", "--subset", "6", "--json"))
 	if down.Get("moved_on_leave_mean").Num > 24 || down.Get("spread").Num > 0.2 {
 		t.Errorf("%s", down.Raw)
 	}
-	if text := must(t, "subsets"); !strings.Contains(text, "in service") {
+	if text := runOK(t, "subsets"); !strings.Contains(text, "in service") {
 		t.Error(text)
 	}
 	for want, args := range map[string][]string{"relays": {"subsets", "--relays", "1"}, "subset": {"subsets", "--subset", "0"}, "dead": {"subsets", "--dead", "-1"}} {
-		if code, _, e := run(args...); code == 0 || !strings.Contains(e, want) {
+		if code, _, e := runLab(args...); code == 0 || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s", args, code, e)
 		}
 	}
@@ -177,7 +177,7 @@
 	dir := t.TempDir()
 	file, svg := filepath.Join(dir, "rows.parquet"), filepath.Join(dir, "plot.svg")
 	args := []string{"overload", "--quick", "--batch", "5", "--senders", "2", "--out", file, "--plot", svg}
-	code, out, e := run(args...)
+	code, out, e := runLab(args...)
 	if code != 0 {
 		t.Fatal(code, e)
 	}
@@ -193,11 +193,11 @@
 	if info, err := os.Stat(svg); err != nil || info.Size() == 0 {
 		t.Error("no plot", err)
 	}
-	if _, again, _ := run(args...); again != out {
+	if _, again, _ := runLab(args...); again != out {
 		t.Errorf("two runs differ:\n%s\n%s", out, again)
 	}
 	for _, bad := range [][]string{{"--limit", "none"}, {"--batch", "0"}, {"--lowered", "0"}} {
-		if code, _, e := run(append([]string{"overload", "--quick"}, bad...)...); code != exitError || e == "" {
+		if code, _, e := runLab(append([]string{"overload", "--quick"}, bad...)...); code != exitError || e == "" {
 			t.Errorf("%v: exit code %d, %q", bad, code, e)
 		}
 	}
--- a/internal/lab/command/fleet.go
+++ b/internal/lab/command/fleet.go
@@ -14,50 +14,50 @@
 // fleetCommand plays a day with processes, and in virtual time beside it.
 func fleetCommand() *cobra.Command {
 	var seed uint64
-	var out, bin string
-	var raw, alone bool
+	var outDir, relayBinary string
+	var printJSON, noVirtual bool
 	cmd := &cobra.Command{Use: "fleet DAY.textproto", Short: "Play a fleet's day with real relays, and break what lies between them", Args: cobra.ExactArgs(1),
 		Long: "Play a day with real relays in processes of their own, on loopback, and the same day in virtual time; compare the verdicts. Exit code 4: a rule was broken, the day was at fault, or the two differ.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := readDay(args[0], "", seed)
+			day, err := readScenario(args[0], "", seed)
 			if err != nil {
 				return err
 			}
-			if bin == "" {
+			if relayBinary == "" {
 				self, err := os.Executable()
 				if err != nil {
 					return err
 				}
-				bin = filepath.Join(filepath.Dir(self), "oatfold")
+				relayBinary = filepath.Join(filepath.Dir(self), "oatfold")
 			}
-			if _, err := os.Stat(bin); err != nil {
+			if _, err := os.Stat(relayBinary); err != nil {
 				return fmt.Errorf("the relay: %w (--relay names it)", err)
 			}
-			if out != "" {
-				if err := os.MkdirAll(out, 0o755); err != nil {
+			if outDir != "" {
+				if err := os.MkdirAll(outDir, 0o755); err != nil {
 					return err
 				}
 			}
-			res, err := fleet.Run(cmd.Context(), fleet.Config{Scenario: day, Seed: seed, RelayBinary: bin, OutDir: out})
+			res, err := fleet.Run(cmd.Context(), fleet.Config{Scenario: day, Seed: seed, RelayBinary: relayBinary, OutDir: outDir})
 			if err != nil {
 				return err
 			}
-			if out != "" {
-				if err := res.WriteFiles(out); err != nil {
+			if outDir != "" {
+				if err := res.WriteFiles(outDir); err != nil {
 					return err
 				}
 			}
-			bad := !res.Verdict.Good()
-			differ := error(nil)
+			failed := !res.Verdict.Good()
+			mismatch := error(nil)
 			var virtual *fleet.Verdict
-			if !alone {
+			if !noVirtual {
 				if virtual, _, err = fleet.RunVirtual(day); err != nil {
 					return err
 				}
-				differ = res.Verdict.CheckSame(virtual)
-				bad = bad || differ != nil
+				mismatch = res.Verdict.CheckSame(virtual)
+				failed = failed || mismatch != nil
 			}
-			if raw {
+			if printJSON {
 				e := json.NewEncoder(cmd.OutOrStdout())
 				e.SetIndent("", " ")
 				if err := e.Encode(struct {
@@ -77,19 +77,19 @@
 						fmt.Fprintln(w, kind+s)
 					}
 				}
-				if differ != nil {
-					fmt.Fprintln(w, "virtual time differs:", differ)
+				if mismatch != nil {
+					fmt.Fprintln(w, "virtual time differs:", mismatch)
 				}
 			}
-			if bad {
-				return exit(exitBad)
+			if failed {
+				return exitCode(exitFailed)
 			}
 			return nil
 		}}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
-	cmd.Flags().StringVar(&out, "out", "", "folder for logs, results.parquet and report.html")
-	cmd.Flags().StringVar(&bin, "relay", "", "the relay's program (default: oatfold beside this one)")
-	cmd.Flags().BoolVar(&raw, "json", false, "print all of it as JSON")
-	cmd.Flags().BoolVar(&alone, "no-virtual", false, "do not play the day in virtual time as well")
+	cmd.Flags().StringVar(&outDir, "out", "", "folder for logs, results.parquet and report.html")
+	cmd.Flags().StringVar(&relayBinary, "relay", "", "the relay's program (default: oatfold beside this one)")
+	cmd.Flags().BoolVar(&printJSON, "json", false, "print all of it as JSON")
+	cmd.Flags().BoolVar(&noVirtual, "no-virtual", false, "do not play the day in virtual time as well")
 	return cmd
 }
--- a/internal/lab/command/losses.go
+++ b/internal/lab/command/losses.go
@@ -13,18 +13,18 @@
 // lossesCommand plays what a fleet may lose at once, and says when the others know and what it costs them.
 func lossesCommand() *cobra.Command {
 	var sizes []int
-	var noteLosses []float64
+	var gossipLosses []float64
 	var kinds []string
 	var seed uint64
 	var out string
 	cmd := &cobra.Command{Use: "losses", Short: "When fleets know that a member, a rack, a zone or a region is gone, and what it costs", Args: cobra.NoArgs}
 	cmd.Flags().IntSliceVar(&sizes, "members", []int{64, 256, 1024}, "sizes of fleets")
-	cmd.Flags().Float64SliceVar(&noteLosses, "loss", []float64{0, 0.1}, "shares of notes that are lost")
+	cmd.Flags().Float64SliceVar(&gossipLosses, "loss", []float64{0, 0.1}, "shares of notes that are lost")
 	cmd.Flags().StringSliceVar(&kinds, "kind", nil, "what is lost: member, rack, zone, region; all where none is named")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
 	cmd.Flags().StringVar(&out, "out", "", "write a row for each play into a Parquet `file`")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		for _, l := range noteLosses {
+		for _, l := range gossipLosses {
 			if !(l >= 0 && l < 1) {
 				return fmt.Errorf("loss: %g does not lie within 0 and 1", l)
 			}
@@ -36,7 +36,7 @@
 				losses = append(losses, capacity.Loss(k))
 			}
 		}
-		outcomes, err := playLosses(losses, sizes, noteLosses, seed)
+		outcomes, err := runLosses(losses, sizes, gossipLosses, seed)
 		if err != nil {
 			return err
 		}
@@ -48,14 +48,14 @@
 	return cmd
 }
 
-// playLosses plays every loss in every fleet, several at a time.
-func playLosses(losses []capacity.Loss, sizes []int, noteLosses []float64, seed uint64) ([]capacity.Outcome, error) {
-	outcomes := make([]capacity.Outcome, len(losses)*len(sizes)*len(noteLosses))
+// runLosses plays every loss in every fleet, several at a time.
+func runLosses(losses []capacity.Loss, sizes []int, gossipLosses []float64, seed uint64) ([]capacity.Outcome, error) {
+	outcomes := make([]capacity.Outcome, len(losses)*len(sizes)*len(gossipLosses))
 	errs := make([]error, len(outcomes))
-	each(len(outcomes), func(i int) {
+	runParallel(len(outcomes), func(i int) {
 		loss, rest := losses[i%len(losses)], i/len(losses)
-		size, noteLoss := sizes[rest/len(noteLosses)], noteLosses[rest%len(noteLosses)]
-		outcomes[i], errs[i] = capacity.RunLoss(loss, size, noteLoss, seed)
+		size, gossipLoss := sizes[rest/len(gossipLosses)], gossipLosses[rest%len(gossipLosses)]
+		outcomes[i], errs[i] = capacity.RunLoss(loss, size, gossipLoss, seed)
 	})
 	for _, err := range errs {
 		if err != nil {
--- a/internal/lab/command/members.go
+++ b/internal/lab/command/members.go
@@ -21,8 +21,8 @@
 	var sizes []int
 	var losses []float64
 	var seed uint64
-	var raw bool
-	var file string
+	var printJSON bool
+	var plotFile string
 	cmd := &cobra.Command{Use: "members", Short: "How long fleets take to know who died, what they get wrong and what it costs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, n := range sizes {
@@ -35,43 +35,43 @@
 					return fmt.Errorf("loss: %g does not lie within 0 and 1", l)
 				}
 			}
-			all := make([]gossip.Measurement, len(sizes)*len(losses))
-			var others []gossip.Evaluation
-			each(len(all), func(i int) {
+			measurements := make([]gossip.Measurement, len(sizes)*len(losses))
+			var alternatives []gossip.Evaluation
+			runParallel(len(measurements), func(i int) {
 				n := sizes[i/len(losses)]
-				all[i] = gossip.Measure(gossip.Config{Relays: n, Zones: 3, Loss: losses[i%len(losses)], Seed: seed}, max(1, n/10), time.Minute, 40*time.Second)
+				measurements[i] = gossip.Measure(gossip.Config{Relays: n, Zones: 3, Loss: losses[i%len(losses)], Seed: seed}, max(1, n/10), time.Minute, 40*time.Second)
 			})
 			for _, n := range sizes {
 				for _, l := range losses {
-					for _, way := range gossip.Alternatives {
-						others = append(others, gossip.EvaluateAlternative(way, n, l, seed))
+					for _, alternative := range gossip.Alternatives {
+						alternatives = append(alternatives, gossip.EvaluateAlternative(alternative, n, l, seed))
 					}
 				}
 			}
-			if file != "" {
-				if err := plotMembers(file, all); err != nil {
+			if plotFile != "" {
+				if err := plotMembers(plotFile, measurements); err != nil {
 					return err
 				}
 			}
 			out := cmd.OutOrStdout()
-			if raw {
+			if printJSON {
 				e := json.NewEncoder(out)
 				e.SetIndent("", " ")
 				return e.Encode(struct {
 					Members []gossip.Measurement `json:"members"`
 					Others  []gossip.Evaluation  `json:"others"`
-				}{all, others})
+				}{measurements, alternatives})
 			}
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "relays\tloss\tdie\tfirst\tmedian\tp99\tnot known\tdoubted an hour\tfalse an hour\tbytes a s\tnotes a s\tbytes a s after\t")
-			for _, m := range all {
+			for _, m := range measurements {
 				fmt.Fprintf(w, "%d\t%.2f\t%d\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t%.2f\t%.0f\t%.1f\t%.0f\t\n", m.Relays, m.Loss, m.Killed, m.FirstDetection, m.MedianDetection, m.P99Detection, m.Undetected, m.SuspicionsPerHour, m.FalseDeathsPerHour, m.BytesPerSecond, m.MessagesPerSecond, m.BytesPerSecondAfter)
 			}
 			w.Flush()
 			fmt.Fprintln(out, "times in periods of 0.6 s; doubted and false a relay and hour")
 			w = tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "other ways\trelays\tloss\tdetect\tfalse an hour\tbytes a s\t")
-			for _, o := range others {
+			for _, o := range alternatives {
 				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.1f\t%.2f\t%.0f\t\n", o.Alternative, o.Relays, o.Loss, o.DetectionPeriods, o.FalseDeathsPerHour, o.BytesPerSecond)
 			}
 			return w.Flush()
@@ -79,19 +79,19 @@
 	cmd.Flags().IntSliceVar(&sizes, "relays", []int{3, 10, 80, 300, 1000}, "sizes of fleets")
 	cmd.Flags().Float64SliceVar(&losses, "loss", []float64{0, 0.1, 0.5}, "shares of notes that are lost")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
-	cmd.Flags().BoolVar(&raw, "json", false, "print all figures as JSON")
-	cmd.Flags().StringVar(&file, "plot", "", "write the median time to detect over sizes as an SVG `file`")
+	cmd.Flags().BoolVar(&printJSON, "json", false, "print all figures as JSON")
+	cmd.Flags().StringVar(&plotFile, "plot", "", "write the median time to detect over sizes as an SVG `file`")
 	return cmd
 }
 
 // plotMembers draws the median and the last hundredth of the time to detect, a line for each loss.
-func plotMembers(file string, all []gossip.Measurement) error {
+func plotMembers(file string, measurements []gossip.Measurement) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "A tenth of the relays die: when the others know", "relays", "periods of 0.6 s"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	lines := map[float64][2]plotter.XYs{}
 	var order []float64
-	for _, m := range all {
+	for _, m := range measurements {
 		l, known := lines[m.Loss]
 		if !known {
 			order = append(order, m.Loss)
--- a/internal/lab/command/overload.go
+++ b/internal/lab/command/overload.go
@@ -18,24 +18,24 @@
 func overloadCommand() *cobra.Command {
 	var quick, failing bool
 	var out, plotFile string
-	set, cells := overload.DefaultConfig(), overload.FullMatrix()
+	config, cells := overload.DefaultConfig(), overload.FullMatrix()
 	cmd := &cobra.Command{Use: "overload", Short: "How much of a destination's limit fleets use that are asked for more, and how soon they recover", Args: cobra.NoArgs}
 	limits := matrixFlags(cmd.Flags(), &cells)
-	configFlags(cmd.Flags(), &set)
+	configFlags(cmd.Flags(), &config)
 	cmd.Flags().BoolVar(&quick, "quick", false, "a part of the matrix that takes a few seconds; dimensions that are given hold")
 	cmd.Flags().BoolVar(&failing, "failing", false, "print only the cells that are out of bounds")
 	cmd.Flags().StringVar(&out, "out", "", "write a row for each cell into a Parquet `file`")
 	cmd.Flags().StringVar(&plotFile, "plot", "", "draw goodput over load into an SVG `file`")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if quick {
-			narrow(&cells, cmd.Flags())
+			useQuickMatrix(&cells, cmd.Flags())
 		}
 		if cmd.Flags().Changed("limit") {
 			if err := setLimits(&cells, *limits); err != nil {
 				return err
 			}
 		}
-		rows, err := playCells(cells.Cells(), set)
+		rows, err := runCells(cells.Cells(), config)
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 		}
 		printOverload(cmd.OutOrStdout(), rows, failing)
 		if slices.ContainsFunc(rows, func(r overload.Row) bool { return r.Violations+r.Faults > 0 }) {
-			return exit(exitBad)
+			return exitCode(exitFailed)
 		}
 		return nil
 	}
@@ -70,18 +70,18 @@
 	return limits
 }
 
-func configFlags(f *pflag.FlagSet, set *overload.Config) {
-	f.Uint64Var(&set.Seed, "seed", set.Seed, "what chance is drawn from")
-	f.Float64Var(&set.Limit, "calls", set.Limit, "calls a second that the destination takes, over all routes; 0: at each route 8, or 3 times the square root of the senders if that is more")
-	f.DurationVar(&set.TargetLatency, "aim", set.TargetLatency, "messages are wanted within it")
-	f.DurationVar(&set.Deadline, "deadline", set.Deadline, "and given up after it")
-	f.IntVar(&set.ClientRetries, "retries", set.ClientRetries, "of a client after a refusal")
-	f.Float64Var(&set.LoweredShare, "lowered", set.LoweredShare, "share of the limit that is in force during the overload")
-	f.Float64Var(&set.SurgeFactor, "surge", set.SurgeFactor, "multiple of the load during the overload")
+func configFlags(f *pflag.FlagSet, config *overload.Config) {
+	f.Uint64Var(&config.Seed, "seed", config.Seed, "what chance is drawn from")
+	f.Float64Var(&config.Limit, "calls", config.Limit, "calls a second that the destination takes, over all routes; 0: at each route 8, or 3 times the square root of the senders if that is more")
+	f.DurationVar(&config.TargetLatency, "aim", config.TargetLatency, "messages are wanted within it")
+	f.DurationVar(&config.Deadline, "deadline", config.Deadline, "and given up after it")
+	f.IntVar(&config.ClientRetries, "retries", config.ClientRetries, "of a client after a refusal")
+	f.Float64Var(&config.LoweredShare, "lowered", config.LoweredShare, "share of the limit that is in force during the overload")
+	f.Float64Var(&config.SurgeFactor, "surge", config.SurgeFactor, "multiple of the load during the overload")
 }
 
-// narrow keeps to the quick matrix in all dimensions that no flag names.
-func narrow(m *overload.Matrix, f *pflag.FlagSet) {
+// useQuickMatrix keeps to the quick matrix in all dimensions that no flag names.
+func useQuickMatrix(m *overload.Matrix, f *pflag.FlagSet) {
 	quick, given := overload.QuickMatrix(), *m
 	*m = quick
 	for name, keep := range map[string]func(){
@@ -107,10 +107,10 @@
 	return nil
 }
 
-// playCells plays all cells side by side; rows are in the order of the cells.
-func playCells(cells []overload.Cell, set overload.Config) ([]overload.Row, error) {
+// runCells plays all cells side by side; rows are in the order of the cells.
+func runCells(cells []overload.Cell, config overload.Config) ([]overload.Row, error) {
 	rows, errs := make([]overload.Row, len(cells)), make([]error, len(cells))
-	each(len(cells), func(i int) { rows[i], errs[i] = overload.Run(cells[i], set, emu.DefaultPolicy) })
+	runParallel(len(cells), func(i int) { rows[i], errs[i] = overload.Run(cells[i], config, emu.DefaultPolicy) })
 	for i, err := range errs {
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", cells[i], err)
@@ -123,21 +123,21 @@
 func printOverload(out io.Writer, rows []overload.Row, failing bool) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "batch\tsenders\troutes\tlimit\tcounted\treport\twait\tnotes\tload\tgoodput\tcalls a s\tof limit\tmessages a call\trefused a call\trecovery s\tbounds\t")
-	bad := 0
+	outOfBounds := 0
 	for _, r := range rows {
 		state := "kept"
 		if !r.WithinBounds() {
-			bad++
+			outOfBounds++
 			state = "OUT"
 		} else if failing {
 			continue
 		}
 		fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%g\t%.3f\t%.1f\t%.2f\t%.1f\t%.2f\t%s\t%s\t\n", r.Batch, r.Relays, r.Routes, r.Limit,
 			yesNo(r.CountsRejected), yesNo(r.ReportsLimit), yesNo(r.SendsRetryAfter), yesNo(r.Gossip), r.Load, r.Goodput, r.Calls, r.Calls/r.CallLimit,
-			r.MessagesPerCall, r.RejectedPerCall, recoveryText(r), state)
+			r.MessagesPerCall, r.RejectedPerCall, formatRecovery(r), state)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "%d of %d cells are out of bounds: goodput at least %g, recovery within %v\n", bad, len(rows), overload.MinGoodput, overload.MaxRecovery)
+	fmt.Fprintf(out, "%d of %d cells are out of bounds: goodput at least %g, recovery within %v\n", outOfBounds, len(rows), overload.MinGoodput, overload.MaxRecovery)
 	for _, r := range rows {
 		if r.FirstProblem != "" {
 			fmt.Fprintf(out, "broken: batch %d, senders %d, load %g: %s\n", r.Batch, r.Relays, r.Load, r.FirstProblem)
@@ -145,7 +145,7 @@
 	}
 }
 
-func recoveryText(r overload.Row) string {
+func formatRecovery(r overload.Row) string {
 	if !r.Recovered {
 		return "never"
 	}
--- a/internal/lab/overload/cell.go
+++ b/internal/lab/overload/cell.go
@@ -49,14 +49,14 @@
 
 // String names the cell in a line.
 func (c Cell) String() string {
-	on := func(name string, is bool) string {
-		if is {
+	option := func(name string, enabled bool) string {
+		if enabled {
 			return " " + name
 		}
 		return ""
 	}
 	return fmt.Sprintf("batch %d, senders %d, load %g, %s%s%s%s%s, routes %d", c.Batch, c.Relays, c.Load, LimitName(c.Limit),
-		on("counted", c.CountsRejected), on("report", c.ReportsLimit), on("wait", c.SendsRetryAfter), on("notes", c.Gossip), c.Routes)
+		option("counted", c.CountsRejected), option("report", c.ReportsLimit), option("wait", c.SendsRetryAfter), option("notes", c.Gossip), c.Routes)
 }
 
 // Matrix holds the values of each dimension; its cells are their product.
@@ -89,19 +89,19 @@
 // Cells lists the product of all dimensions, the batch changing slowest and the load fastest.
 func (m Matrix) Cells() []Cell {
 	cells := []Cell{{}}
-	cells = cross(cells, m.Batches, func(c *Cell, v int) { c.Batch = v })
-	cells = cross(cells, m.Relays, func(c *Cell, v int) { c.Relays = v })
-	cells = cross(cells, m.Routes, func(c *Cell, v int) { c.Routes = v })
-	cells = cross(cells, m.Limits, func(c *Cell, v emu.LimitKind) { c.Limit = v })
-	cells = cross(cells, m.CountsRejected, func(c *Cell, v bool) { c.CountsRejected = v })
-	cells = cross(cells, m.ReportsLimit, func(c *Cell, v bool) { c.ReportsLimit = v })
-	cells = cross(cells, m.SendsRetryAfter, func(c *Cell, v bool) { c.SendsRetryAfter = v })
-	cells = cross(cells, m.Gossip, func(c *Cell, v bool) { c.Gossip = v })
-	return cross(cells, m.Loads, func(c *Cell, v float64) { c.Load = v })
+	cells = crossProduct(cells, m.Batches, func(c *Cell, v int) { c.Batch = v })
+	cells = crossProduct(cells, m.Relays, func(c *Cell, v int) { c.Relays = v })
+	cells = crossProduct(cells, m.Routes, func(c *Cell, v int) { c.Routes = v })
+	cells = crossProduct(cells, m.Limits, func(c *Cell, v emu.LimitKind) { c.Limit = v })
+	cells = crossProduct(cells, m.CountsRejected, func(c *Cell, v bool) { c.CountsRejected = v })
+	cells = crossProduct(cells, m.ReportsLimit, func(c *Cell, v bool) { c.ReportsLimit = v })
+	cells = crossProduct(cells, m.SendsRetryAfter, func(c *Cell, v bool) { c.SendsRetryAfter = v })
+	cells = crossProduct(cells, m.Gossip, func(c *Cell, v bool) { c.Gossip = v })
+	return crossProduct(cells, m.Loads, func(c *Cell, v float64) { c.Load = v })
 }
 
-// cross returns each cell once for each value.
-func cross[T any](cells []Cell, values []T, set func(*Cell, T)) []Cell {
+// crossProduct returns each cell once for each value.
+func crossProduct[T any](cells []Cell, values []T, set func(*Cell, T)) []Cell {
 	out := make([]Cell, 0, len(cells)*len(values))
 	for _, c := range cells {
 		for _, v := range values {
@@ -140,52 +140,52 @@
 
 // The figures of the modelled fleet and its destination.
 const (
-	leastLimit   = 8.0  // calls a second
-	limitPerRoot = 3.0  // calls a second for each unit of the square root of the senders, where that makes a higher limit
-	holdSeconds  = 8.0  // messages that a relay holds, in seconds of its part of what the destination takes
-	holdBatches  = 2    // full calls that it holds at least
-	leastHold    = 8    // messages
-	slotRoom     = 2.0  // slots over the calls that load 1 keeps out at once
-	leastSlots   = 4    // calls
-	itemCost     = 0.02 // work of each further message of a call, as a share of the first
-	maxAttempts  = 8
-	workTime     = 150 * time.Millisecond // of the first message of a call
-	workSpread   = 0.4
-	roundTrip    = 30 * time.Millisecond
-	clientTrip   = time.Millisecond
-	lastHandIn   = 6 * time.Second // a client may come again so long after its deadline, to be turned away
-	tick         = 5 * time.Millisecond
+	minLimit            = 8.0  // calls a second
+	limitPerSqrtRelay   = 3.0  // calls a second for each unit of the square root of the senders, where that makes a higher limit
+	pendingSeconds      = 8.0  // messages that a relay holds, in seconds of its part of what the destination takes
+	minPendingCalls     = 2    // full calls that it holds at least
+	minPending          = 8    // messages
+	concurrencyHeadroom = 2.0  // slots over the calls that load 1 keeps out at once
+	minConcurrentCalls  = 4    // calls
+	itemCost            = 0.02 // work of each further message of a call, as a share of the first
+	maxAttempts         = 8
+	serviceTime         = 150 * time.Millisecond // of the first message of a call
+	serviceTimeSpread   = 0.4
+	roundTrip           = 30 * time.Millisecond
+	clientDelay         = time.Millisecond
+	lastResubmit        = 6 * time.Second // a client may come again so long after its deadline, to be turned away
+	tick                = 5 * time.Millisecond
 )
 
 // DefaultLimit is the limit, in calls a second, of a destination that so many senders share. A rate limit is a token bucket of half a
 // second. Calls of n senders that keep an even pace, each from a start of its own, come in clumps of about the square root of n. Risk:
 // where the bucket is smaller than that, senders that know their share exactly are refused, too, and the bounds ask for what no rule of
 // pacing can reach without word from the others.
-func DefaultLimit(senders int) float64 {
-	return max(leastLimit, limitPerRoot*math.Sqrt(float64(senders)))
+func DefaultLimit(relays int) float64 {
+	return max(minLimit, limitPerSqrtRelay*math.Sqrt(float64(relays)))
 }
 
-// limit is the calls a second that the destination of a cell takes, over all its routes.
-func (set Config) limit(c Cell) float64 {
-	return cmp.Or(set.Limit, DefaultLimit(c.Relays)*float64(c.Routes))
+// callLimit is the calls a second that the destination of a cell takes, over all its routes.
+func (config Config) callLimit(c Cell) float64 {
+	return cmp.Or(config.Limit, DefaultLimit(c.Relays)*float64(c.Routes))
 }
 
 // Capacity is the messages a second that the destination of a cell takes: the yardstick, see the package comment.
-func (set Config) Capacity(c Cell) float64 { return set.limit(c) * float64(c.Batch) }
+func (config Config) Capacity(c Cell) float64 { return config.callLimit(c) * float64(c.Batch) }
 
 // Duration is how long messages come in: all phases.
-func (set Config) Duration() time.Duration {
-	return set.Warmup + set.Steady + set.Overload + set.Recovery
+func (config Config) Duration() time.Duration {
+	return config.Warmup + config.Steady + config.Overload + config.Recovery
 }
 
 // Validate names the first figure that no run could be played with.
-func (set Config) Validate() error {
+func (config Config) Validate() error {
 	for _, f := range []struct {
 		name        string
 		v, from, to float64
 	}{
-		{"limit", set.Limit, 0, 1e6}, {"aim", set.TargetLatency.Seconds(), 0.001, set.Deadline.Seconds()}, {"deadline", set.Deadline.Seconds(), 0.1, 600},
-		{"retries", float64(set.ClientRetries), 0, 100}, {"lowered", set.LoweredShare, 0.01, 1}, {"surge", set.SurgeFactor, 1, 100}, {"wait share", set.RetryAfterShare, 0, 1},
+		{"limit", config.Limit, 0, 1e6}, {"aim", config.TargetLatency.Seconds(), 0.001, config.Deadline.Seconds()}, {"deadline", config.Deadline.Seconds(), 0.1, 600},
+		{"retries", float64(config.ClientRetries), 0, 100}, {"lowered", config.LoweredShare, 0.01, 1}, {"surge", config.SurgeFactor, 1, 100}, {"wait share", config.RetryAfterShare, 0, 1},
 	} {
 		if !(f.v >= f.from && f.v <= f.to) {
 			return fmt.Errorf("%s: %g does not lie within %g and %g", f.name, f.v, f.from, f.to)
@@ -209,61 +209,61 @@
 	return nil
 }
 
-// day is the day that a cell is played on.
-func (set Config) day(c Cell) *emu.Scenario {
-	limit, takes := set.limit(c), set.Capacity(c)
-	callTime := workTime.Seconds()*(1+itemCost*float64(c.Batch-1)) + roundTrip.Seconds()
-	perSender := 1 / float64(c.Relays)
-	day := &emu.Scenario{
-		Name: c.String(), Seed: set.Seed, Length: set.Duration(), Tail: set.Deadline + lastHandIn, Tick: tick,
+// scenario is the day that a cell is played on.
+func (config Config) scenario(c Cell) *emu.Scenario {
+	limit, capacity := config.callLimit(c), config.Capacity(c)
+	callTime := serviceTime.Seconds()*(1+itemCost*float64(c.Batch-1)) + roundTrip.Seconds()
+	relayShare := 1 / float64(c.Relays)
+	scenario := &emu.Scenario{
+		Name: c.String(), Seed: config.Seed, Length: config.Duration(), Tail: config.Deadline + lastResubmit, Tick: tick,
 		Relays:             c.Relays,
-		MaxConcurrentCalls: max(leastSlots, int(math.Ceil(slotRoom*limit*callTime*perSender))),
-		MaxPending:         max(leastHold, holdBatches*c.Batch, int(holdSeconds*takes*perSender)),
-		MaxAttempts:        maxAttempts, Rate: c.Load * takes,
-		RTT: roundTrip, ClientDelay: clientTrip, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second, ConnectTimeout: 1500 * time.Millisecond,
-		AnswerSlack: 20 * time.Millisecond, ClientRetries: set.ClientRetries, ClientBackoff: 500 * time.Millisecond, RetryAfterCompliance: 0.7, MaxRetryAfter: 3 * time.Second,
+		MaxConcurrentCalls: max(minConcurrentCalls, int(math.Ceil(concurrencyHeadroom*limit*callTime*relayShare))),
+		MaxPending:         max(minPending, minPendingCalls*c.Batch, int(pendingSeconds*capacity*relayShare)),
+		MaxAttempts:        maxAttempts, Rate: c.Load * capacity,
+		RTT: roundTrip, ClientDelay: clientDelay, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second, ConnectTimeout: 1500 * time.Millisecond,
+		AnswerSlack: 20 * time.Millisecond, ClientRetries: config.ClientRetries, ClientBackoff: 500 * time.Millisecond, RetryAfterCompliance: 0.7, MaxRetryAfter: 3 * time.Second,
 		ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second, DiscoveryDelay: time.Second, DrainGrace: time.Second,
 		WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second,
 		Gossip: c.Gossip, NoGossip: !c.Gossip, Zones: 1,
 	}
-	day.Classes = []emu.Class{{
-		Class: policy.Class{Name: "notice", Effect: policy.Safe, TargetLatency: set.TargetLatency, Deadline: set.Deadline, Value: 1, LateValue: 0.5},
-		Share: 1, Work: workTime, CV: workSpread, Noise: 0.2,
+	scenario.Classes = []emu.Class{{
+		Class: policy.Class{Name: "notice", Effect: policy.Safe, TargetLatency: config.TargetLatency, Deadline: config.Deadline, Value: 1, LateValue: 0.5},
+		Share: 1, Work: serviceTime, CV: serviceTimeSpread, Noise: 0.2,
 	}}
-	day.Kinds = []emu.Kind{set.kind(c)}
-	day.Dests = []emu.Dest{set.destination(c, callTime)}
-	day.Faults = set.overload()
-	return day
+	scenario.Kinds = []emu.Kind{config.partnerKind(c)}
+	scenario.Dests = []emu.Dest{config.destination(c, callTime)}
+	scenario.Faults = config.faults()
+	return scenario
 }
 
-// kind is the kind of the cell's destination.
-func (set Config) kind(c Cell) emu.Kind {
+// partnerKind is the kind of the cell's destination.
+func (config Config) partnerKind(c Cell) emu.Kind {
 	k := emu.Kind{
-		Name: "limited", MaxBatch: c.Batch, ItemCost: itemCost, Limit: c.Limit, Window: set.Window, CountsRejected: c.CountsRejected,
-		ReportsLimit: c.ReportsLimit, SeparateRoutes: c.Routes > 1, RetryAfter: set.RetryAfter, ColdStartShare: 0.25, WarmUpTime: 9 * time.Second,
+		Name: "limited", MaxBatch: c.Batch, ItemCost: itemCost, Limit: c.Limit, Window: config.Window, CountsRejected: c.CountsRejected,
+		ReportsLimit: c.ReportsLimit, SeparateRoutes: c.Routes > 1, RetryAfter: config.RetryAfter, ColdStartShare: 0.25, WarmUpTime: 9 * time.Second,
 	}
 	if c.SendsRetryAfter {
-		k.RetryAfterShare = set.RetryAfterShare
+		k.RetryAfterShare = config.RetryAfterShare
 	}
 	return k
 }
 
 // destination has workers for four times its limit, so that the limit alone refuses calls.
-func (set Config) destination(c Cell, callTime float64) emu.Dest {
-	limit := set.limit(c)
+func (config Config) destination(c Cell, callTime float64) emu.Dest {
+	limit := config.callLimit(c)
 	workers := int(math.Ceil(4*limit*callTime/float64(c.Routes))) + 4
-	one := emu.Endpoint{Workers: workers, Speed: 1, QueueSize: workers}
-	return emu.Dest{Share: 1, Limit: limit, Zone: "zone-1", Endpoints: slices.Repeat([]emu.Endpoint{one}, c.Routes)}
+	endpoint := emu.Endpoint{Workers: workers, Speed: 1, QueueSize: workers}
+	return emu.Dest{Share: 1, Limit: limit, Zone: "zone-1", Endpoints: slices.Repeat([]emu.Endpoint{endpoint}, c.Routes)}
 }
 
-// overload is what goes wrong in the third phase.
-func (set Config) overload() (all []emu.Fault) {
-	at := set.Warmup + set.Steady
-	if set.LoweredShare < 1 {
-		all = append(all, emu.Fault{Kind: emu.LowerLimit, At: at, Duration: set.Overload, Intensity: set.LoweredShare, Dests: []int{0}})
+// faults is what goes wrong in the third phase.
+func (config Config) faults() (all []emu.Fault) {
+	at := config.Warmup + config.Steady
+	if config.LoweredShare < 1 {
+		all = append(all, emu.Fault{Kind: emu.LowerLimit, At: at, Duration: config.Overload, Intensity: config.LoweredShare, Dests: []int{0}})
 	}
-	if set.SurgeFactor > 1 {
-		all = append(all, emu.Fault{Kind: emu.Burst, At: at, Duration: set.Overload, Intensity: set.SurgeFactor})
+	if config.SurgeFactor > 1 {
+		all = append(all, emu.Fault{Kind: emu.Burst, At: at, Duration: config.Overload, Intensity: config.SurgeFactor})
 	}
 	return all
 }
--- a/internal/lab/overload/measure.go
+++ b/internal/lab/overload/measure.go
@@ -15,8 +15,8 @@
 
 // How the time to recover is found.
 const (
-	binWidth     = 250 * time.Millisecond
-	recoverySpan = 3 * time.Second // over which deliveries are averaged: two windows of a window limit
+	binWidth       = 250 * time.Millisecond
+	recoveryWindow = 3 * time.Second // over which deliveries are averaged: two windows of a window limit
 )
 
 // Row is what came of one cell, as the Parquet file has it. Rates are those of the steady phase.
@@ -54,15 +54,15 @@
 
 // series counts what happened in each bin of virtual time.
 type series struct {
-	delivered, calls, refused, sent []int
-	seen                            map[uint64]bool // calls that were counted
-	turnedAway                      map[uint64]bool // calls whose refusal was counted
+	delivered, calls, rejected, messagesSent []int
+	countedCalls                             map[uint64]bool // calls that were counted
+	countedRejections                        map[uint64]bool // calls whose refusal was counted
 }
 
 func newSeries(length time.Duration) *series {
 	n := int(length/binWidth) + 1
-	return &series{delivered: make([]int, n), calls: make([]int, n), refused: make([]int, n), sent: make([]int, n),
-		seen: map[uint64]bool{}, turnedAway: map[uint64]bool{}}
+	return &series{delivered: make([]int, n), calls: make([]int, n), rejected: make([]int, n), messagesSent: make([]int, n),
+		countedCalls: map[uint64]bool{}, countedRejections: map[uint64]bool{}}
 }
 
 // observe takes in one event of the log. A call is counted once, however many messages it carries.
@@ -73,21 +73,21 @@
 	}
 	switch {
 	case e.Kind == rules.Sent && e.Call > 0:
-		s.sent[bin]++
-		if !s.seen[e.Call] {
-			s.seen[e.Call] = true
+		s.messagesSent[bin]++
+		if !s.countedCalls[e.Call] {
+			s.countedCalls[e.Call] = true
 			s.calls[bin]++
 		}
 	case e.Kind == rules.AttemptEnded && e.Delivered:
 		s.delivered[bin]++
-	case e.Kind == rules.AttemptEnded && e.NotRun && s.seen[e.Call] && !s.turnedAway[e.Call]:
-		s.turnedAway[e.Call] = true
-		s.refused[bin]++
+	case e.Kind == rules.AttemptEnded && e.NotRun && s.countedCalls[e.Call] && !s.countedRejections[e.Call]:
+		s.countedRejections[e.Call] = true
+		s.rejected[bin]++
 	}
 }
 
-// between sums the bins of a span.
-func between(bins []int, from, to time.Duration) (sum int) {
+// sumBetween sums the bins of a span.
+func sumBetween(bins []int, from, to time.Duration) (sum int) {
 	for _, n := range bins[int(from/binWidth):min(len(bins), int(to/binWidth))] {
 		sum += n
 	}
@@ -95,22 +95,22 @@
 }
 
 // Run plays one cell. make is the module of each relay; nil: the one in service.
-func Run(c Cell, set Config, make emu.PolicyFactory) (Row, error) {
+func Run(c Cell, config Config, newPolicy emu.PolicyFactory) (Row, error) {
 	if err := c.Validate(); err != nil {
 		return Row{}, err
 	}
-	if err := set.Validate(); err != nil {
+	if err := config.Validate(); err != nil {
 		return Row{}, err
 	}
-	day := set.day(c)
-	log := newSeries(day.Length)
-	res, err := emu.Run(day, emu.Options{NewPolicy: make, Log: log.observe})
+	scenario := config.scenario(c)
+	events := newSeries(scenario.Length)
+	res, err := emu.Run(scenario, emu.Options{NewPolicy: newPolicy, Log: events.observe})
 	if err != nil {
 		return Row{}, err
 	}
 	row := Row{
 		Batch: int32(c.Batch), Relays: int32(c.Relays), Routes: int32(c.Routes), Limit: LimitName(c.Limit), CountsRejected: c.CountsRejected,
-		ReportsLimit: c.ReportsLimit, SendsRetryAfter: c.SendsRetryAfter, Gossip: c.Gossip, Load: c.Load, Seed: set.Seed, CallLimit: set.limit(c),
+		ReportsLimit: c.ReportsLimit, SendsRetryAfter: c.SendsRetryAfter, Gossip: c.Gossip, Load: c.Load, Seed: config.Seed, CallLimit: config.callLimit(c),
 		Violations: int64(len(res.Breaks)), Faults: int64(len(res.Faults)),
 	}
 	if len(res.Breaks) > 0 {
@@ -118,33 +118,33 @@
 	} else if len(res.Faults) > 0 {
 		row.FirstProblem = res.Faults[0]
 	}
-	row.steady(c, set, log, res)
-	row.recovery(c, set, log)
+	row.setSteadyMetrics(c, config, events, res)
+	row.setRecovery(c, config, events)
 	return row, nil
 }
 
-// steady fills in the figures of the steady phase.
-func (r *Row) steady(c Cell, set Config, log *series, res *emu.Result) {
-	from, to := set.Warmup, set.Warmup+set.Steady
+// setSteadyMetrics fills in the figures of the steady phase.
+func (r *Row) setSteadyMetrics(c Cell, config Config, events *series, res *emu.Result) {
+	from, to := config.Warmup, config.Warmup+config.Steady
 	for _, s := range res.Seconds[int(from/time.Second):int(to/time.Second)] {
 		r.Offered += int64(s.Asked) // each message is worth 1
 	}
-	r.Delivered = int64(between(log.delivered, from, to))
-	r.Deliverable = min(float64(r.Offered), set.Capacity(c)*set.Steady.Seconds())
+	r.Delivered = int64(sumBetween(events.delivered, from, to))
+	r.Deliverable = min(float64(r.Offered), config.Capacity(c)*config.Steady.Seconds())
 	r.Goodput = float64(r.Delivered) / max(r.Deliverable, 1)
-	calls := float64(between(log.calls, from, to))
-	r.Calls = calls / set.Steady.Seconds()
-	r.MessagesPerCall = float64(between(log.sent, from, to)) / max(calls, 1)
-	r.RejectedPerCall = float64(between(log.refused, from, to)) / max(calls, 1)
+	calls := float64(sumBetween(events.calls, from, to))
+	r.Calls = calls / config.Steady.Seconds()
+	r.MessagesPerCall = float64(sumBetween(events.messagesSent, from, to)) / max(calls, 1)
+	r.RejectedPerCall = float64(sumBetween(events.rejected, from, to)) / max(calls, 1)
 }
 
-// recovery finds the first span after the overload in which LeastGoodput of what is due was delivered.
-func (r *Row) recovery(c Cell, set Config, log *series) {
-	end := set.Warmup + set.Steady + set.Overload
-	due := min(c.Load, 1) * set.Capacity(c) * recoverySpan.Seconds()
-	r.RecoverySeconds = set.Recovery.Seconds()
-	for at := end; at+recoverySpan <= set.Duration(); at += binWidth {
-		if float64(between(log.delivered, at, at+recoverySpan)) >= MinGoodput*due {
+// setRecovery finds the first span after the overload in which LeastGoodput of what is due was delivered.
+func (r *Row) setRecovery(c Cell, config Config, events *series) {
+	end := config.Warmup + config.Steady + config.Overload
+	expected := min(c.Load, 1) * config.Capacity(c) * recoveryWindow.Seconds()
+	r.RecoverySeconds = config.Recovery.Seconds()
+	for at := end; at+recoveryWindow <= config.Duration(); at += binWidth {
+		if float64(sumBetween(events.delivered, at, at+recoveryWindow)) >= MinGoodput*expected {
 			r.Recovered, r.RecoverySeconds = true, (at - end).Seconds()
 			return
 		}
--- a/internal/lab/overload/overload_test.go
+++ b/internal/lab/overload/overload_test.go
@@ -12,8 +12,8 @@
 	"oatfold/policy"
 )
 
-// informed is a sender that knows the limit: a call each interval, as full as the messages at hand allow, the longest waiting first.
-type informed struct {
+// pacedRelay is a sender that knows the limit: a call each interval, as full as the messages at hand allow, the longest waiting first.
+type pacedRelay struct {
 	interval time.Duration
 	batch    int
 	next     time.Duration
@@ -21,7 +21,7 @@
 	waiting  []uint32
 }
 
-func (s *informed) Step(now time.Duration, events []policy.Event) (acts []policy.Action) {
+func (s *pacedRelay) Step(now time.Duration, events []policy.Event) (acts []policy.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case policy.EndpointListUpdate:
@@ -36,14 +36,14 @@
 		return nil
 	}
 	if now >= s.next {
-		acts = s.call()
+		acts = s.sendCall()
 		s.next = max(s.next, now-s.interval) + s.interval
 	}
 	return append(acts, policy.SetTimer{Delay: max(s.next-now, time.Millisecond)})
 }
 
-// call sends one call.
-func (s *informed) call() (acts []policy.Action) {
+// sendCall sends one call.
+func (s *pacedRelay) sendCall() (acts []policy.Action) {
 	n := min(s.batch, len(s.waiting))
 	for _, id := range s.waiting[:n] {
 		acts = append(acts, policy.Send{ID: id, Endpoint: s.endpoint, Timeout: 5 * time.Second})
@@ -52,7 +52,7 @@
 	return acts
 }
 
-func (s *informed) forget(id uint32) {
+func (s *pacedRelay) forget(id uint32) {
 	for i, other := range s.waiting {
 		if other == id {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -62,14 +62,14 @@
 }
 
 // The yardstick is within reach: a single sender that knows the limit delivers what is due, at each batch, load and kind of limit.
-func TestYardstick(t *testing.T) {
+func TestSingleInformedRelayReachesCapacity(t *testing.T) {
 	cells := FullMatrix()
 	cells.Relays, cells.CountsRejected, cells.ReportsLimit, cells.Gossip = []int{1}, []bool{true}, []bool{false}, []bool{false}
-	set := DefaultConfig()
-	set.LoweredShare = 1 // it does not notice that the limit is lowered
+	config := DefaultConfig()
+	config.LoweredShare = 1 // it does not notice that the limit is lowered
 	for _, c := range cells.Cells() {
-		row, err := Run(c, set, func(policy.Settings, int64) (emu.PolicyEngine, error) {
-			return &informed{interval: time.Duration(float64(time.Second) / set.limit(c)), batch: c.Batch}, nil
+		row, err := Run(c, config, func(policy.Settings, int64) (emu.PolicyEngine, error) {
+			return &pacedRelay{interval: time.Duration(float64(time.Second) / config.callLimit(c)), batch: c.Batch}, nil
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -87,12 +87,12 @@
 }
 
 // One cell and seed, one row; another seed, another.
-func TestSameRow(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	c := Cell{Batch: 5, Relays: 6, Load: 1.4, Limit: emu.RateLimit, CountsRejected: true, SendsRetryAfter: true, Routes: 2}
 	row := func(seed uint64) Row {
-		set := DefaultConfig()
-		set.Seed = seed
-		r, err := Run(c, set, nil)
+		config := DefaultConfig()
+		config.Seed = seed
+		r, err := Run(c, config, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 	for name, c := range map[string]struct {
 		bins []int
 		want [3]int
-	}{"calls": {s.calls, [3]int{1, 1, 0}}, "sent": {s.sent, [3]int{3, 3, 0}}, "refused": {s.refused, [3]int{0, 1, 0}}, "delivered": {s.delivered, [3]int{0, 0, 3}}} {
+	}{"calls": {s.calls, [3]int{1, 1, 0}}, "sent": {s.messagesSent, [3]int{3, 3, 0}}, "refused": {s.rejected, [3]int{0, 1, 0}}, "delivered": {s.delivered, [3]int{0, 0, 3}}} {
 		if got := [3]int(c.bins[:3]); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
@@ -129,20 +129,20 @@
 
 // The time to recover is that of the first span in which enough was delivered, and a run without one says so.
 func TestRecovery(t *testing.T) {
-	set := DefaultConfig()
+	config := DefaultConfig()
 	c := Cell{Batch: 1, Relays: 2, Load: 2, Routes: 1}
-	end := int((set.Warmup + set.Steady + set.Overload) / binWidth)
+	end := int((config.Warmup + config.Steady + config.Overload) / binWidth)
 	for _, want := range []float64{0, 4, -1} {
-		s := newSeries(set.Duration())
+		s := newSeries(config.Duration())
 		from := len(s.delivered)
 		if want >= 0 {
 			from = end + int(want/binWidth.Seconds())
 		}
 		for i := from; i < len(s.delivered); i++ {
-			s.delivered[i] = int(set.limit(c) * binWidth.Seconds())
+			s.delivered[i] = int(config.callLimit(c) * binWidth.Seconds())
 		}
 		var r Row
-		r.recovery(c, set, s)
+		r.setRecovery(c, config, s)
 		// Nine tenths of a span are enough, so that it is found a bin or two before all of it is full.
 		if near := r.RecoverySeconds <= want && r.RecoverySeconds > want-0.5; r.Recovered != (want >= 0) || want > 0 && !near || want == 0 && r.RecoverySeconds != 0 {
 			t.Errorf("full again %g s after the overload: recovered %t, in %g s", want, r.Recovered, r.RecoverySeconds)
@@ -151,8 +151,8 @@
 }
 
 // What makes no run is named.
-func TestCheck(t *testing.T) {
-	good := Cell{Batch: 1, Relays: 1, Load: 1, Limit: emu.RateLimit, Routes: 1}
+func TestValidate(t *testing.T) {
+	validCell := Cell{Batch: 1, Relays: 1, Load: 1, Limit: emu.RateLimit, Routes: 1}
 	for name, c := range map[string]Cell{
 		"batch": {Relays: 1, Load: 1, Routes: 1}, "senders": {Batch: 1, Load: 1, Routes: 1}, "routes": {Batch: 1, Relays: 1, Load: 1}, "load": {Batch: 1, Relays: 1, Routes: 1},
 	} {
@@ -160,11 +160,11 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	set := DefaultConfig()
-	if set.LoweredShare = 0; set.Validate() == nil {
+	config := DefaultConfig()
+	if config.LoweredShare = 0; config.Validate() == nil {
 		t.Error("a limit that is lowered to nothing is taken")
 	}
-	if _, err := Run(good, set, nil); err == nil {
+	if _, err := Run(validCell, config, nil); err == nil {
 		t.Error("a run without a limit is played")
 	}
 }
@@ -172,8 +172,8 @@
 // The plot has a line for each batch and number of senders: its worst rows, in order of load.
 func TestPlot(t *testing.T) {
 	rows := []Row{{Batch: 1, Relays: 2, Load: 2, Goodput: 0.5}, {Batch: 1, Relays: 2, Load: 1, Goodput: 1}, {Batch: 1, Relays: 2, Load: 2, Goodput: 0.3}, {Batch: 5, Relays: 2, Load: 1, Goodput: 1}}
-	lines := leastGoodput(rows)
-	if l := lines[group{1, 2}]; len(lines) != 2 || len(l) != 2 || l[0].X != 1 || l[1].Y != 0.3 {
+	lines := minGoodputByLoad(rows)
+	if l := lines[plotGroup{1, 2}]; len(lines) != 2 || len(l) != 2 || l[0].X != 1 || l[1].Y != 0.3 {
 		t.Errorf("%v", lines)
 	}
 	file := filepath.Join(t.TempDir(), "plot.svg")
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -22,25 +22,25 @@
 )
 
 //go:embed page.html
-var page string
+var pageText string
 
-var tmpl = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"figure": func(v float64) string { return fmt.Sprintf("%.4g", v) },
 	"signed": func(v float64) string { return fmt.Sprintf("%+.4f", v) },
 	"clear":  func(d study.Difference) bool { return d.Low > 0 || d.High < 0 },
-}).Parse(page))
+}).Parse(pageText))
 
 var colors = []color.Color{color.RGBA{0x1f, 0x77, 0xb4, 255}, color.RGBA{0xd6, 0x27, 0x28, 255}, color.RGBA{0x2c, 0xa0, 0x2c, 255}, color.RGBA{0x94, 0x67, 0xbd, 255}, color.RGBA{0xff, 0x7f, 0x0e, 255}}
 
-type view struct {
+type pageData struct {
 	Title, Question, Source string
 	Base                    string
-	Arms                    []arm
+	Arms                    []variant
 	Plots                   []chart
 	Bad                     []study.Row
 }
 
-type arm struct {
+type variant struct {
 	Name  string
 	Days  int
 	G     float64
@@ -54,37 +54,37 @@
 
 // Write writes the page of a folder of results. base is the arm that the others are compared with; "": the first.
 func Write(out io.Writer, res *study.Results, title, question, source, base string) error {
-	names, by := study.GroupByVariant(res.Rows)
+	names, byVariant := study.GroupByVariant(res.Rows)
 	if len(names) == 0 {
 		return fmt.Errorf("no results")
 	}
 	if base == "" {
 		base = names[0]
 	}
-	v := view{Title: title, Question: question, Source: source, Base: base}
-	for _, n := range names {
-		a := arm{Name: n, Days: len(by[n])}
-		for _, r := range by[n] {
-			a.G += r.G / float64(len(by[n]))
+	data := pageData{Title: title, Question: question, Source: source, Base: base}
+	for _, name := range names {
+		summary := variant{Name: name, Days: len(byVariant[name])}
+		for _, r := range byVariant[name] {
+			summary.G += r.G / float64(len(byVariant[name]))
 		}
-		if n != base {
-			a.Diffs = study.Compare(by[base], by[n])
+		if name != base {
+			summary.Diffs = study.Compare(byVariant[base], byVariant[name])
 		}
-		v.Arms = append(v.Arms, a)
+		data.Arms = append(data.Arms, summary)
 	}
 	for _, r := range res.Rows {
 		if r.Broken+r.Faults > 0 {
-			v.Bad = append(v.Bad, r)
+			data.Bad = append(data.Bad, r)
 		}
 	}
-	for _, f := range []func(*study.Results, []string) (chart, error){overTime, perDay, latency, perDest} {
-		c, err := f(res, names)
+	for _, draw := range []func(*study.Results, []string) (chart, error){valueOverTime, resultPerScenario, latencyDistribution, callsPerDestination} {
+		c, err := draw(res, names)
 		if err != nil {
 			return err
 		}
-		v.Plots = append(v.Plots, c)
+		data.Plots = append(data.Plots, c)
 	}
-	return tmpl.Execute(out, v)
+	return pageTemplate.Execute(out, data)
 }
 
 func newPlot(x, y string) *plot.Plot {
@@ -110,26 +110,26 @@
 	return nil
 }
 
-func line(p *plot.Plot, name string, at int, pts plotter.XYs) error {
+func addLine(p *plot.Plot, name string, index int, pts plotter.XYs) error {
 	l, err := plotter.NewLine(pts)
 	if err != nil {
 		return err
 	}
-	l.Color, l.Width = colors[at%len(colors)], vg.Points(1.4)
+	l.Color, l.Width = colors[index%len(colors)], vg.Points(1.4)
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// overTime is the worth served of that asked for, second by second, over all days of an arm: also how a day recovers.
-func overTime(res *study.Results, names []string) (chart, error) {
+// valueOverTime is the worth served of that asked for, second by second, over all days of an arm: also how a day recovers.
+func valueOverTime(res *study.Results, names []string) (chart, error) {
 	c := chart{Title: "Worth over time", Note: "Share of the worth asked for that was served, by the second in which it was asked for, over all days of an arm. Smoothed over 3 s."}
 	p := newPlot("second of the day", "share served")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	for i, n := range names {
+	for i, name := range names {
 		var asked, served []float64
 		for _, s := range res.Seconds {
-			if s.Arm != n {
+			if s.Arm != name {
 				continue
 			}
 			for len(asked) <= int(s.At) {
@@ -152,32 +152,32 @@
 		if len(pts) == 0 {
 			continue
 		}
-		if err := line(p, n, i, pts); err != nil {
+		if err := addLine(p, name, i, pts); err != nil {
 			return c, err
 		}
 	}
 	return c, c.render(p)
 }
 
-// perDay is each day's result, days ordered by that of the first arm.
-func perDay(res *study.Results, names []string) (chart, error) {
+// resultPerScenario is each day's result, days ordered by that of the first arm.
+func resultPerScenario(res *study.Results, names []string) (chart, error) {
 	c := chart{Title: "Result of each day", Note: "Days in the order of the first arm's result; a day has one place for all arms."}
 	p := newPlot("day", "G")
-	_, by := study.GroupByVariant(res.Rows)
+	_, byVariant := study.GroupByVariant(res.Rows)
 	type key struct {
 		day  string
 		seed uint64
 	}
-	first := slices.Clone(by[names[0]])
+	first := slices.Clone(byVariant[names[0]])
 	sort.SliceStable(first, func(i, j int) bool { return first[i].G < first[j].G })
-	place := map[key]int{}
+	position := map[key]int{}
 	for i, r := range first {
-		place[key{r.Day, r.Seed}] = i
+		position[key{r.Day, r.Seed}] = i
 	}
-	for i, n := range names {
+	for i, name := range names {
 		var pts plotter.XYs
-		for _, r := range by[n] {
-			if x, ok := place[key{r.Day, r.Seed}]; ok {
+		for _, r := range byVariant[name] {
+			if x, ok := position[key{r.Day, r.Seed}]; ok {
 				pts = append(pts, plotter.XY{X: float64(x + 1), Y: r.G})
 			}
 		}
@@ -187,20 +187,20 @@
 		}
 		s.Color, s.Radius, s.Shape = colors[i%len(colors)], vg.Points(2.5), draw.CircleGlyph{}
 		p.Add(s)
-		p.Legend.Add(n, s)
+		p.Legend.Add(name, s)
 	}
 	return c, c.render(p)
 }
 
-// latency is the share of days whose slow messages took no longer than so.
-func latency(res *study.Results, names []string) (chart, error) {
+// latencyDistribution is the share of days whose slow messages took no longer than so.
+func latencyDistribution(res *study.Results, names []string) (chart, error) {
 	c := chart{Title: "Latency", Note: "Share of days whose 99th of a hundred delivered messages took at most so long."}
 	p := newPlot("seconds", "share of days")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	_, by := study.GroupByVariant(res.Rows)
-	for i, n := range names {
+	_, byVariant := study.GroupByVariant(res.Rows)
+	for i, name := range names {
 		var v []float64
-		for _, r := range by[n] {
+		for _, r := range byVariant[name] {
 			v = append(v, float64(r.P99Us)/1e6)
 		}
 		sort.Float64s(v)
@@ -208,55 +208,55 @@
 		for k, x := range v {
 			pts = append(pts, plotter.XY{X: x, Y: float64(k+1) / float64(len(v))})
 		}
-		if err := line(p, n, i, pts); err != nil {
+		if err := addLine(p, name, i, pts); err != nil {
 			return c, err
 		}
 	}
 	return c, c.render(p)
 }
 
-// most is how many destinations the plot of them has.
-const most = 30
+// maxDestinations is how many destinations the plot of them has.
+const maxDestinations = 30
 
-// perDest is what the busiest destinations were sent and what they refused.
-func perDest(res *study.Results, names []string) (chart, error) {
+// callsPerDestination is what the busiest destinations were sent and what they refused.
+func callsPerDestination(res *study.Results, names []string) (chart, error) {
 	c := chart{Title: "Calls and refusals by destination", Note: "Calls a message (lines) and of these refused (dashes), over all days; destinations by the messages for them, the busiest first."}
 	p := newPlot("destination, by traffic", "calls a message")
-	for i, n := range names {
-		type day struct {
+	for i, name := range names {
+		type runKey struct {
 			day  string
 			seed uint64
 		}
-		days := map[day][]study.Dest{}
+		destsByRun := map[runKey][]study.Dest{}
 		for _, d := range res.Dests {
-			if d.Arm == n {
-				k := day{d.Day, d.Seed}
-				days[k] = append(days[k], d)
+			if d.Arm == name {
+				k := runKey{d.Day, d.Seed}
+				destsByRun[k] = append(destsByRun[k], d)
 			}
 		}
-		var asked, calls, refused [most]float64
-		for _, list := range days {
+		var asked, calls, rejected [maxDestinations]float64
+		for _, list := range destsByRun {
 			sort.SliceStable(list, func(a, b int) bool { return list[a].Requests > list[b].Requests })
-			for k, d := range list[:min(most, len(list))] {
+			for k, d := range list[:min(maxDestinations, len(list))] {
 				asked[k] += float64(d.Requests)
 				calls[k] += float64(d.Calls)
-				refused[k] += float64(d.Rejected)
+				rejected[k] += float64(d.Rejected)
 			}
 		}
-		var sent, back plotter.XYs
+		var sent, rejections plotter.XYs
 		for k := range asked {
 			if asked[k] > 0 {
 				sent = append(sent, plotter.XY{X: float64(k + 1), Y: calls[k] / asked[k]})
-				back = append(back, plotter.XY{X: float64(k + 1), Y: refused[k] / asked[k]})
+				rejections = append(rejections, plotter.XY{X: float64(k + 1), Y: rejected[k] / asked[k]})
 			}
 		}
 		if len(sent) == 0 {
 			continue
 		}
-		if err := line(p, n, i, sent); err != nil {
+		if err := addLine(p, name, i, sent); err != nil {
 			return c, err
 		}
-		l, err := plotter.NewLine(back)
+		l, err := plotter.NewLine(rejections)
 		if err != nil {
 			return c, err
 		}
--- a/internal/lab/study/study.go
+++ b/internal/lab/study/study.go
@@ -82,8 +82,8 @@
 	Served    float64 `parquet:"served" json:"served"`
 }
 
-// unit is one day to play under one arm, and what came of it.
-type unit struct {
+// runResult is one day to play under one arm, and what came of it.
+type runResult struct {
 	Row     Row      `json:"row"`
 	Seconds []Second `json:"seconds"`
 	Dests   []Dest   `json:"dests"`
@@ -95,42 +95,42 @@
 // PolicyFactories are the modules that arms may name.
 var PolicyFactories = map[string]emu.PolicyFactory{
 	"": emu.DefaultPolicy, "service": emu.DefaultPolicy,
-	"half-share": share(0.5),
+	"half-share": withDestinationShare(0.5),
 }
 
-// share makes the module in service with another share of the slots for one destination.
-func share(of float64) emu.PolicyFactory {
-	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-		set.MaxDestinationShare = of
-		return emu.DefaultPolicy(set, seed)
+// withDestinationShare makes the module in service with another share of the slots for one destination.
+func withDestinationShare(maxShare float64) emu.PolicyFactory {
+	return func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		settings.MaxDestinationShare = maxShare
+		return emu.DefaultPolicy(settings, seed)
 	}
 }
 
 // Run plays the experiment of a file into dir. done is told of each day that has ended; the same file and seed give the same files.
-func Run(ctx context.Context, file string, seed uint64, dir string, done func(n, of int)) error {
-	ex, err := site.ReadExperiment(file)
+func Run(ctx context.Context, file string, seed uint64, dir string, progress func(n, of int)) error {
+	experiment, err := site.ReadExperiment(file)
 	if err != nil {
 		return err
 	}
-	base, err := site.ReadSite(ex.Site)
+	baseSite, err := site.ReadSite(experiment.Site)
 	if err != nil {
 		return err
 	}
 	var scripts []*site.Script
-	for _, name := range ex.Script {
-		s, err := site.ReadScript(name)
+	for _, name := range experiment.Script {
+		script, err := site.ReadScript(name)
 		if err != nil {
 			return err
 		}
-		scripts = append(scripts, s)
+		scripts = append(scripts, script)
 	}
-	for i, a := range ex.Arm {
+	for i, a := range experiment.Arm {
 		if PolicyFactories[a.Module] == nil {
 			return fmt.Errorf("%s: arm[%d].module: no variant is called %q", file, i, a.Module)
 		}
 	}
-	parts := filepath.Join(dir, "days")
-	if err := os.MkdirAll(parts, 0o755); err != nil {
+	runsDir := filepath.Join(dir, "days")
+	if err := os.MkdirAll(runsDir, 0o755); err != nil {
 		return err
 	}
 	// A folder belongs to one experiment and seed: another one's days must not be taken for its own.
@@ -138,62 +138,62 @@
 	if err != nil {
 		return err
 	}
-	mark := fmt.Sprintf("seed %d\n%s", seed, raw)
-	if had, err := os.ReadFile(filepath.Join(dir, ExperimentFile)); err == nil && string(had) != mark {
+	header := fmt.Sprintf("seed %d\n%s", seed, raw)
+	if existing, err := os.ReadFile(filepath.Join(dir, ExperimentFile)); err == nil && string(existing) != header {
 		return fmt.Errorf("%s holds another experiment or seed", dir)
 	}
-	if err := os.WriteFile(filepath.Join(dir, ExperimentFile), []byte(mark), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, ExperimentFile), []byte(header), 0o644); err != nil {
 		return err
 	}
 	type job struct {
-		arm  *site.Arm
-		day  int // of scripts; -1: drawn
-		seed uint64
-		name string
+		variant *site.Arm
+		script  int // of scripts; -1: drawn
+		seed    uint64
+		file    string
 	}
 	var jobs []job
-	for n := range int(ex.Repeats) {
-		at := rand.New(rand.NewPCG(seed, uint64(n))).Uint64() >> 1 // columns of results hold signed numbers in some readers
+	for n := range int(experiment.Repeats) {
+		scenarioSeed := rand.New(rand.NewPCG(seed, uint64(n))).Uint64() >> 1 // columns of results hold signed numbers in some readers
 		for i := range max(1, len(scripts)) {
-			for _, a := range ex.Arm {
-				j := job{a, i, at, ""}
+			for _, a := range experiment.Arm {
+				j := job{a, i, scenarioSeed, ""}
 				if len(scripts) == 0 {
-					j.day = -1
+					j.script = -1
 				}
-				j.name = filepath.Join(parts, fmt.Sprintf("%04d-%02d-%s.json", n, i, a.Name))
+				j.file = filepath.Join(runsDir, fmt.Sprintf("%04d-%02d-%s.json", n, i, a.Name))
 				jobs = append(jobs, j)
 			}
 		}
 	}
-	units := make([]unit, len(jobs))
+	results := make([]runResult, len(jobs))
 	errs := make([]error, len(jobs))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	ended := 0
+	completed := 0
 	next := make(chan int)
 	for range min(runtime.GOMAXPROCS(0), len(jobs)) {
 		wg.Go(func() {
 			for i := range next {
 				j := jobs[i]
-				if raw, err := os.ReadFile(j.name); err != nil || json.Unmarshal(raw, &units[i]) != nil {
-					var day *emu.Scenario
-					if j.day >= 0 {
-						day, err = scripts[j.day].DrawScenario(base, j.seed)
+				if raw, err := os.ReadFile(j.file); err != nil || json.Unmarshal(raw, &results[i]) != nil {
+					var scenario *emu.Scenario
+					if j.script >= 0 {
+						scenario, err = scripts[j.script].DrawScenario(baseSite, j.seed)
 					} else {
-						day, err = drawn(ex, base, j.seed)
+						scenario, err = drawScenario(experiment, baseSite, j.seed)
 					}
 					if err == nil {
-						err = play(day, j.arm, &units[i])
+						err = runVariant(scenario, j.variant, &results[i])
 					}
 					if err == nil {
-						err = keep(j.name, &units[i])
+						err = saveResult(j.file, &results[i])
 					}
 					errs[i] = err
 				}
 				mu.Lock()
-				ended++
-				if done != nil {
-					done(ended, len(jobs))
+				completed++
+				if progress != nil {
+					progress(completed, len(jobs))
 				}
 				mu.Unlock()
 			}
@@ -210,81 +210,81 @@
 	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return err
 	}
-	return write(dir, units)
+	return writeResults(dir, results)
 }
 
-// drawn draws a day of the site with some of the experiment's troubles.
-func drawn(ex *site.Experiment, base *site.Site, seed uint64) (*emu.Scenario, error) {
-	day, err := base.DrawScenario(seed)
+// drawScenario draws a day of the site with some of the experiment's troubles.
+func drawScenario(experiment *site.Experiment, baseSite *site.Site, seed uint64) (*emu.Scenario, error) {
+	scenario, err := baseSite.DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
-	list := ex.Trouble
-	if ex.Troubles != nil {
+	faults := experiment.Trouble
+	if experiment.Troubles != nil {
 		rng := rand.New(rand.NewPCG(seed, 77))
-		to := ex.Troubles.From
-		if ex.Troubles.To != nil {
-			to = *ex.Troubles.To
+		to := experiment.Troubles.From
+		if experiment.Troubles.To != nil {
+			to = *experiment.Troubles.To
 		}
-		n := int(ex.Troubles.From + (to-ex.Troubles.From)*rng.Float64())
-		list = nil
-		for _, i := range rng.Perm(len(ex.Trouble))[:min(n, len(ex.Trouble))] {
-			list = append(list, ex.Trouble[i])
+		n := int(experiment.Troubles.From + (to-experiment.Troubles.From)*rng.Float64())
+		faults = nil
+		for _, i := range rng.Perm(len(experiment.Trouble))[:min(n, len(experiment.Trouble))] {
+			faults = append(faults, experiment.Trouble[i])
 		}
 	}
-	return day, site.AddFaults(day, list, seed)
+	return scenario, site.AddFaults(scenario, faults, seed)
 }
 
-func play(day *emu.Scenario, arm *site.Arm, u *unit) error {
-	for _, o := range []struct {
-		times float64
-		at    *int
-	}{{arm.SlotsTimes, &day.MaxConcurrentCalls}, {arm.HoldTimes, &day.MaxPending}} {
-		if o.times > 0 {
-			*o.at = max(1, int(float64(*o.at)*o.times))
+func runVariant(scenario *emu.Scenario, variant *site.Arm, result *runResult) error {
+	for _, scaled := range []struct {
+		factor float64
+		value  *int
+	}{{variant.SlotsTimes, &scenario.MaxConcurrentCalls}, {variant.HoldTimes, &scenario.MaxPending}} {
+		if scaled.factor > 0 {
+			*scaled.value = max(1, int(float64(*scaled.value)*scaled.factor))
 		}
 	}
-	if arm.LoadTimes > 0 {
-		day.Rate *= arm.LoadTimes
+	if variant.LoadTimes > 0 {
+		scenario.Rate *= variant.LoadTimes
 	}
-	if arm.Choices != "" {
+	if variant.Choices != "" {
 		var err error
-		if day.Choices, err = choice.Parse(arm.Choices); err != nil {
-			return fmt.Errorf("arm %q: choices: %w", arm.Name, err)
+		if scenario.Choices, err = choice.Parse(variant.Choices); err != nil {
+			return fmt.Errorf("arm %q: choices: %w", variant.Name, err)
 		}
 	}
-	if arm.OneSender { // who sees all that the fleet sees, and has its slots
-		day.MaxConcurrentCalls, day.MaxPending, day.Relays, day.HotRelayFactor, day.Membership, day.Gossip = day.MaxConcurrentCalls*day.Relays, day.MaxPending*day.Relays, 1, 0, false, false
-		day.Faults = slices.DeleteFunc(day.Faults, func(t emu.Fault) bool {
-			return len(day.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
+	if variant.OneSender { // who sees all that the fleet sees, and has its slots
+		scenario.MaxConcurrentCalls, scenario.MaxPending, scenario.Relays, scenario.HotRelayFactor, scenario.Membership, scenario.Gossip = scenario.MaxConcurrentCalls*scenario.Relays, scenario.MaxPending*scenario.Relays, 1, 0, false, false
+		scenario.Faults = slices.DeleteFunc(scenario.Faults, func(t emu.Fault) bool {
+			return len(scenario.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
 		})
 	}
-	res, err := emu.Run(day, emu.Options{NewPolicy: PolicyFactories[arm.Module]})
+	res, err := emu.Run(scenario, emu.Options{NewPolicy: PolicyFactories[variant.Module]})
 	if err != nil {
-		return fmt.Errorf("%s: %w", day.Name, err)
+		return fmt.Errorf("%s: %w", scenario.Name, err)
 	}
-	u.Row = NewRow(arm.Name, res)
+	result.Row = NewRow(variant.Name, res)
 	for i, s := range res.Seconds {
-		u.Seconds = append(u.Seconds, Second{At: int32(i), Asked: s.Asked, Served: s.Served})
+		result.Seconds = append(result.Seconds, Second{At: int32(i), Asked: s.Asked, Served: s.Served})
 	}
 	for i, d := range res.Dests {
-		u.Dests = append(u.Dests, Dest{Dest: int32(i), Requests: int64(d.Requests), Delivered: int64(d.Delivered), Calls: int64(d.Calls), Rejected: int64(d.Refused), Asked: d.Asked, Served: d.Served})
+		result.Dests = append(result.Dests, Dest{Dest: int32(i), Requests: int64(d.Requests), Delivered: int64(d.Delivered), Calls: int64(d.Calls), Rejected: int64(d.Refused), Asked: d.Asked, Served: d.Served})
 	}
 	return nil
 }
 
 // NewRow is the row of a day that was played under an arm.
-func NewRow(arm string, res *emu.Result) Row {
-	broken := int64(0)
+func NewRow(variant string, res *emu.Result) Row {
+	violations := int64(0)
 	for _, n := range res.Broken {
-		broken += int64(n)
+		violations += int64(n)
 	}
-	row := Row{Arm: arm, Day: res.Day, Seed: res.Seed, G: res.G, Whole: res.Whole, WorstWindow: res.WorstWindow, WorstClass: res.WorstClass,
+	row := Row{Arm: variant, Day: res.Day, Seed: res.Seed, G: res.G, Whole: res.Whole, WorstWindow: res.WorstWindow, WorstClass: res.WorstClass,
 		Requests: int64(res.Requests), Delivered: int64(res.Delivered), InAim: int64(res.InAim), GivenUp: int64(res.GivenUp), HandedBack: int64(res.HandedBack), Lost: int64(res.Lost),
 		Refusals: int64(res.Refusals), Calls: int64(res.Calls), RefusedCalls: int64(res.RefusedCalls), Connections: int64(res.Connections),
 		P50Us: res.Latency.ValueAtPercentile(50), P99Us: res.Latency.ValueAtPercentile(99), Steps: int64(res.Steps), Events: int64(res.Events),
 		Probes: int64(res.Probes), NoteBytes: int64(res.NoteBytes), FairRelays: res.FairRelays, FairDests: res.FairDests,
-		Broken: broken, Faults: int64(len(res.Faults))}
+		Broken: violations, Faults: int64(len(res.Faults))}
 	if len(res.Breaks) > 0 {
 		row.FirstOfBroken = res.Breaks[0].String()
 	} else if len(res.Faults) > 0 {
@@ -293,30 +293,30 @@
 	return row
 }
 
-// keep writes a file whole or not at all, so that an interrupted run leaves no half of one.
-func keep(name string, u *unit) error {
-	raw, err := json.Marshal(u)
+// saveResult writes a file whole or not at all, so that an interrupted run leaves no half of one.
+func saveResult(file string, result *runResult) error {
+	raw, err := json.Marshal(result)
 	if err == nil {
-		err = os.WriteFile(name+".tmp", raw, 0o644)
+		err = os.WriteFile(file+".tmp", raw, 0o644)
 	}
 	if err == nil {
-		err = os.Rename(name+".tmp", name)
+		err = os.Rename(file+".tmp", file)
 	}
 	return err
 }
 
-func write(dir string, units []unit) error {
+func writeResults(dir string, results []runResult) error {
 	var rows []Row
 	var seconds []Second
 	var dests []Dest
-	for _, u := range units {
-		rows = append(rows, u.Row)
-		for _, s := range u.Seconds {
-			s.Arm, s.Day, s.Seed = u.Row.Arm, u.Row.Day, u.Row.Seed
+	for _, result := range results {
+		rows = append(rows, result.Row)
+		for _, s := range result.Seconds {
+			s.Arm, s.Day, s.Seed = result.Row.Arm, result.Row.Day, result.Row.Seed
 			seconds = append(seconds, s)
 		}
-		for _, d := range u.Dests {
-			d.Arm, d.Day, d.Seed = u.Row.Arm, u.Row.Day, u.Row.Seed
+		for _, d := range result.Dests {
+			d.Arm, d.Day, d.Seed = result.Row.Arm, result.Row.Day, result.Row.Seed
 			dests = append(dests, d)
 		}
 	}
@@ -334,15 +334,15 @@
 
 // Read reads a folder of results.
 func Read(dir string) (*Results, error) {
-	r, err := &Results{}, error(nil)
-	if r.Rows, err = parquet.ReadFile[Row](filepath.Join(dir, "results.parquet")); err != nil {
+	results, err := &Results{}, error(nil)
+	if results.Rows, err = parquet.ReadFile[Row](filepath.Join(dir, "results.parquet")); err != nil {
 		return nil, err
 	}
-	if r.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, "seconds.parquet")); err != nil {
+	if results.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, "seconds.parquet")); err != nil {
 		return nil, err
 	}
-	r.Dests, err = parquet.ReadFile[Dest](filepath.Join(dir, "dests.parquet"))
-	return r, err
+	results.Dests, err = parquet.ReadFile[Dest](filepath.Join(dir, "dests.parquet"))
+	return results, err
 }
 
 // Measure is a figure of a row.
@@ -377,43 +377,43 @@
 	Pairs        int
 }
 
-// resamples is how often pairs are drawn anew for an interval.
-const resamples = 2000
+// bootstrapResamples is how often pairs are drawn anew for an interval.
+const bootstrapResamples = 2000
 
 // Compare pairs the rows of two arms by day and seed.
-func Compare(base, arm []Row) (all []Difference) {
-	type key struct {
+func Compare(base, variant []Row) (differences []Difference) {
+	type runKey struct {
 		day  string
 		seed uint64
 	}
-	of := map[key]Row{}
+	baseByRun := map[runKey]Row{}
 	for _, r := range base {
-		of[key{r.Day, r.Seed}] = r
+		baseByRun[runKey{r.Day, r.Seed}] = r
 	}
 	for _, m := range Measures {
 		var a, b []float64
-		for _, r := range arm {
-			if o, ok := of[key{r.Day, r.Seed}]; ok {
-				a, b = append(a, m.Value(o)), append(b, m.Value(r))
+		for _, r := range variant {
+			if baseRow, ok := baseByRun[runKey{r.Day, r.Seed}]; ok {
+				a, b = append(a, m.Value(baseRow)), append(b, m.Value(r))
 			}
 		}
 		if len(a) == 0 {
 			continue
 		}
-		all = append(all, ComparePairs(m.Name, arm[0].Arm, a, b))
+		differences = append(differences, ComparePairs(m.Name, variant[0].Arm, a, b))
 	}
-	return all
+	return differences
 }
 
 // ComparePairs holds a measure of an arm against the baseline's, pair by pair.
-func ComparePairs(measure, arm string, a, b []float64) Difference {
-	diffs := make([]float64, len(a))
-	for i := range a {
-		diffs[i] = b[i] - a[i]
+func ComparePairs(measure, variant string, base, compared []float64) Difference {
+	diffs := make([]float64, len(base))
+	for i := range base {
+		diffs[i] = compared[i] - base[i]
 	}
-	d := Difference{Measure: measure, Arm: arm, Base: stat.Mean(a, nil), Mean: stat.Mean(b, nil), Diff: stat.Mean(diffs, nil), Pairs: len(diffs)}
+	difference := Difference{Measure: measure, Arm: variant, Base: stat.Mean(base, nil), Mean: stat.Mean(compared, nil), Diff: stat.Mean(diffs, nil), Pairs: len(diffs)}
 	rng := rand.New(rand.NewPCG(1, uint64(len(diffs))))
-	means, draw := make([]float64, resamples), make([]float64, len(diffs))
+	means, draw := make([]float64, bootstrapResamples), make([]float64, len(diffs))
 	for i := range means {
 		for j := range draw {
 			draw[j] = diffs[rng.IntN(len(diffs))]
@@ -421,43 +421,45 @@
 		means[i] = stat.Mean(draw, nil)
 	}
 	sort.Float64s(means)
-	d.Low, d.High = stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
-	return d
+	difference.Low, difference.High = stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
+	return difference
 }
 
 // GroupByVariant splits rows by arm, in the order of their first row.
-func GroupByVariant(rows []Row) (names []string, by map[string][]Row) {
-	by = map[string][]Row{}
+func GroupByVariant(rows []Row) (names []string, byVariant map[string][]Row) {
+	byVariant = map[string][]Row{}
 	for _, r := range rows {
 		if !slices.Contains(names, r.Arm) {
 			names = append(names, r.Arm)
 		}
-		by[r.Arm] = append(by[r.Arm], r)
+		byVariant[r.Arm] = append(byVariant[r.Arm], r)
 	}
-	return names, by
+	return names, byVariant
 }
 
 // RankCorrelation is Spearman's rank correlation of two series.
-func RankCorrelation(a, b []float64) float64 { return stat.Correlation(ranks(a), ranks(b), nil) }
+func RankCorrelation(a, b []float64) float64 {
+	return stat.Correlation(averageRanks(a), averageRanks(b), nil)
+}
 
-func ranks(v []float64) []float64 {
-	order := make([]int, len(v))
+func averageRanks(values []float64) []float64 {
+	order := make([]int, len(values))
 	for i := range order {
 		order[i] = i
 	}
-	sort.SliceStable(order, func(i, j int) bool { return v[order[i]] < v[order[j]] })
-	out := make([]float64, len(v))
+	sort.SliceStable(order, func(i, j int) bool { return values[order[i]] < values[order[j]] })
+	averaged := make([]float64, len(values))
 	for i := 0; i < len(order); {
 		j := i
-		for j < len(order) && v[order[j]] == v[order[i]] {
+		for j < len(order) && values[order[j]] == values[order[i]] {
 			j++
 		}
 		for _, n := range order[i:j] { // equal values share the middle of their ranks
-			out[n] = float64(i+j-1) / 2
+			averaged[n] = float64(i+j-1) / 2
 		}
 		i = j
 	}
-	return out
+	return averaged
 }
 
 // ExperimentFile is the file of a folder of results that tells which experiment and seed they are of.
@@ -466,9 +468,9 @@
 // ParseTitle are the name and the question of an experiment, from its text.
 func ParseTitle(raw []byte) (title, question string) {
 	_, raw, _ = bytes.Cut(raw, []byte("\n")) // the line of the seed
-	ex := &site.Experiment{}
-	if prototext.Unmarshal(raw, ex) != nil {
+	experiment := &site.Experiment{}
+	if prototext.Unmarshal(raw, experiment) != nil {
 		return "Experiment", ""
 	}
-	return ex.Name, ex.Question
+	return experiment.Name, experiment.Question
 }
--- a/internal/lab/study/study_test.go
+++ b/internal/lab/study/study_test.go
@@ -15,19 +15,19 @@
 	"oatfold/internal/lab/study"
 )
 
-const smoke = "../../../lab/smoke.textproto"
+const smokeExperiment = "../../../lab/smoke.textproto"
 
-var files = []string{"results.parquet", "seconds.parquet", "dests.parquet"}
+var resultFiles = []string{"results.parquet", "seconds.parquet", "dests.parquet"}
 
 // An interrupted run goes on where it was, and ends with the same bytes as one that was not; half a file of a day counts as none.
 func TestResume(t *testing.T) {
-	whole, cut := t.TempDir(), t.TempDir()
-	if err := study.Run(context.Background(), smoke, 7, whole, nil); err != nil {
+	wholeDir, interruptedDir := t.TempDir(), t.TempDir()
+	if err := study.Run(context.Background(), smokeExperiment, 7, wholeDir, nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	err := study.Run(ctx, smoke, 7, cut, func(n, of int) {
+	err := study.Run(ctx, smokeExperiment, 7, interruptedDir, func(n, of int) {
 		if n == 3 {
 			stop()
 		}
@@ -35,30 +35,30 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	if _, err := study.Read(cut); err == nil {
+	if _, err := study.Read(interruptedDir); err == nil {
 		t.Error("an interrupted run has results")
 	}
-	days, _ := filepath.Glob(filepath.Join(cut, "days", "*.json"))
+	days, _ := filepath.Glob(filepath.Join(interruptedDir, "days", "*.json"))
 	if len(days) < 3 || len(days) >= 12 {
 		t.Fatalf("%d days kept", len(days))
 	}
 	if err := os.Truncate(days[0], 40); err != nil {
 		t.Fatal(err)
 	}
-	if err := study.Run(context.Background(), smoke, 7, cut, nil); err != nil {
+	if err := study.Run(context.Background(), smokeExperiment, 7, interruptedDir, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range files {
-		a, _ := os.ReadFile(filepath.Join(whole, f))
-		b, _ := os.ReadFile(filepath.Join(cut, f))
+	for _, f := range resultFiles {
+		a, _ := os.ReadFile(filepath.Join(wholeDir, f))
+		b, _ := os.ReadFile(filepath.Join(interruptedDir, f))
 		if len(a) == 0 || !bytes.Equal(a, b) {
 			t.Errorf("%s differs: %d and %d bytes", f, len(a), len(b))
 		}
 	}
-	if err := study.Run(context.Background(), smoke, 8, cut, nil); err == nil {
+	if err := study.Run(context.Background(), smokeExperiment, 8, interruptedDir, nil); err == nil {
 		t.Error("another seed's days were taken for its own")
 	}
-	res, err := study.Read(whole)
+	res, err := study.Read(wholeDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 }
 
 // Files that contradict themselves are named by file and key.
-func TestNamesTheKey(t *testing.T) {
+func TestErrorsNameFileAndKey(t *testing.T) {
 	dir := t.TempDir()
 	raw, err := os.ReadFile("../../../lab/site.textproto")
 	if err != nil {
