--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -1,8 +1,10 @@
-// Package choice holds what each relay of a fleet decides for itself so that the sum comes out right: which endpoints it keeps connections to,
-// whether it is its turn to do what all would do, how much of a partner's rate falls to it, and what to make of what others say they saw.
+// Package choice holds decisions that each relay of a fleet makes on its own so that the total
+// comes out right: which endpoints to keep connections to, whether to probe a destination that is
+// down, its share of a destination's rate, and how to combine the reports of other relays.
 //
-// All of it is pure: two relays that know the same come to the same answer without asking one another. Nothing here opens a socket, reads a
-// clock or owns a goroutine. Nothing here ever makes a relay call sooner than it would alone.
+// All functions are pure: relays with the same view make the same decisions without coordination.
+// The package opens no socket, reads no clock and starts no goroutine. No decision makes a relay
+// call sooner than it would alone.
 package choice
 
 import (
@@ -13,22 +15,23 @@
 	"time"
 )
 
-// Options says which choices are shared. The zero value shares none.
+// Options selects the choices that relays share. The zero value selects none.
 type Options struct {
 	SubsetSize   int  // endpoints of a destination that a relay keeps connections to; 0: all
-	TimeSlots    bool // a few at a time try a destination that is out
-	DemandShares bool // what a partner takes is dealt out by demand
-	Signals      bool // told waits are passed on, and what others saw counts by how many saw it
+	TimeSlots    bool // a few relays at a time probe a destination that is down
+	DemandShares bool // the rate of a destination is divided by demand
+	Signals      bool // Retry-After times are shared, and each relay's reports count once
 }
 
-// Bounds of Set.
+// Bounds of Options.SubsetSize.
 const (
 	DefaultSubsetSize = 8
-	MinSubsetSize     = 2 // one endpoint that is down must not leave a relay with none
+	MinSubsetSize     = 2 // so that one endpoint that is down leaves another
 	MaxSubsetSize     = 1000
 )
 
-// Parse reads a Set: "off", "all", or some of "subset" or "subset=K", "turns", "slices", "signals", with commas.
+// Parse parses Options: "off", "all", or a comma-separated list of "subset" or "subset=K",
+// "turns", "slices" and "signals".
 func Parse(text string) (s Options, err error) {
 	switch text {
 	case "", "off":
@@ -61,9 +64,10 @@
 	return s, nil
 }
 
-// Any tells whether anything is shared.
+// Any reports whether any choice is shared.
 func (s Options) Any() bool { return s != Options{} }
 
+// String returns the options in the format of Parse.
 func (s Options) String() string {
 	var all []string
 	if s.SubsetSize > 0 {
@@ -86,7 +90,7 @@
 // Time is a moment on the caller's monotonic clock, counted from any fixed start.
 type Time = time.Duration
 
-// mix draws a number from others, the same at every relay.
+// mix hashes numbers to one, the same at every relay.
 func mix(parts ...uint64) uint64 {
 	h := uint64(0x51_7c_c1_b7_27_22_0a_95)
 	for _, p := range parts {
@@ -99,7 +103,7 @@
 	return h
 }
 
-// scaled maps a number of 64 bits evenly to one below n.
+// scaled maps 64 bits evenly to a number below n.
 func scaled(x uint64, n int) int {
 	hi, _ := bits.Mul64(x, uint64(n))
 	return int(hi)
--- a/internal/choice/keeper.go
+++ b/internal/choice/keeper.go
@@ -8,149 +8,155 @@
 	"oatfold/policy"
 )
 
-// leastPer is how many relays shall be on each endpoint at least, or each keeps all.
-const leastPer = 3
+// minRelaysPerEndpoint is the number of relays that each endpoint should be in the subset of, at
+// least.
+const minRelaysPerEndpoint = 3
 
-// SubsetTracker keeps the subsets of one relay: it is told of lists and of who lives, and tells what has changed. It belongs to whoever calls it.
+// SubsetTracker maintains the subsets of one relay from endpoint lists and places, and reports
+// changes. It is not safe for concurrent use.
 type SubsetTracker struct {
-	k, me int
-	seed  uint64
-	place int // -1: not known, and then no subset is kept
-	live  int // about as many live, the same for nearly as many
-	dests map[int]*kept
-	due   map[int]bool
+	size, self   int
+	seed         uint64
+	place        int // -1: unknown, no subsets
+	steppedLive  int // live members, rounded down to a power of two
+	destinations map[int]*destinationSubset
+	pending      map[int]bool // destinations to be recomputed
 }
 
-type kept struct {
-	eps  map[string]string // zones by address
-	ring *Ring             // nil: to be made anew
-	mine []Endpoint        // nil: all
+// destinationSubset is the subset for one destination.
+type destinationSubset struct {
+	zones  map[string]string // by address
+	ring   *Ring             // nil: to be rebuilt
+	subset []Endpoint        // nil: all endpoints
 }
 
-// Seed is what all relays draw from. It is the same everywhere: who has other numbers has other answers.
+// Seed is the seed of all hashes. It has to be the same at all relays.
 const Seed = 0x6f61_7466_6f6c_64
 
-// NewSubsetTracker returns a keeper of subsets of k endpoints for member me; 0: of none.
-func NewSubsetTracker(me, k int) *SubsetTracker {
-	return &SubsetTracker{k: k, me: me, seed: Seed, place: -1, dests: map[int]*kept{}, due: map[int]bool{}}
+// NewSubsetTracker returns a tracker of subsets of the given size for member self; 0 disables
+// subsets.
+func NewSubsetTracker(self, size int) *SubsetTracker {
+	return &SubsetTracker{size: size, self: self, seed: Seed, place: -1, destinations: map[int]*destinationSubset{}, pending: map[int]bool{}}
 }
 
-// UpdateEndpoints takes list news in.
-func (c *SubsetTracker) UpdateEndpoints(news policy.EndpointListUpdate) {
-	if c.k == 0 || news.Kind == policy.ListUnavailable {
+// UpdateEndpoints applies an update of the endpoint list.
+func (t *SubsetTracker) UpdateEndpoints(update policy.EndpointListUpdate) {
+	if t.size == 0 || update.Kind == policy.ListUnavailable {
 		return
 	}
-	named := map[string]bool{}
-	for _, e := range news.Entries {
-		d := c.dests[e.Destination]
+	listedNow := map[string]bool{}
+	for _, e := range update.Entries {
+		d := t.destinations[e.Destination]
 		if d == nil {
-			d = &kept{eps: map[string]string{}}
-			c.dests[e.Destination] = d
+			d = &destinationSubset{zones: map[string]string{}}
+			t.destinations[e.Destination] = d
 		}
-		zone, had := d.eps[e.Address]
-		if listed := e.State == policy.Listed; listed && !(had && zone == e.Zone) {
-			d.eps[e.Address], d.ring, c.due[e.Destination] = e.Zone, nil, true
-		} else if !listed && had {
-			delete(d.eps, e.Address)
-			d.ring, c.due[e.Destination] = nil, true
+		zone, known := d.zones[e.Address]
+		if listed := e.State == policy.Listed; listed && !(known && zone == e.Zone) {
+			d.zones[e.Address], d.ring, t.pending[e.Destination] = e.Zone, nil, true
+		} else if !listed && known {
+			delete(d.zones, e.Address)
+			d.ring, t.pending[e.Destination] = nil, true
 		}
 		if e.State == policy.Listed {
-			named[e.Address] = true
+			listedNow[e.Address] = true
 		}
 	}
-	if news.Kind == policy.ListChanges {
+	if update.Kind == policy.ListChanges {
 		return
 	}
-	for id, d := range c.dests {
-		for a := range d.eps {
-			if !named[a] {
-				delete(d.eps, a)
-				d.ring, c.due[id] = nil, true
+	for dest, d := range t.destinations {
+		for a := range d.zones {
+			if !listedNow[a] {
+				delete(d.zones, a)
+				d.ring, t.pending[dest] = nil, true
 			}
 		}
 	}
 }
 
-// UpdatePlaces takes in who lives.
-func (c *SubsetTracker) UpdatePlaces(p *Places) {
+// UpdatePlaces applies new places of the live members.
+func (t *SubsetTracker) UpdatePlaces(p *Places) {
 	place, live := -1, 0
 	if p != nil && p.live > 1 {
-		place, live = p.Of(c.me), 1<<(bits.Len(uint(p.live))-1)
+		place, live = p.Of(t.self), 1<<(bits.Len(uint(p.live))-1)
 	}
-	if place != c.place || live != c.live {
-		c.place, c.live = place, live
-		for id := range c.dests {
-			c.due[id] = true
+	if place != t.place || live != t.steppedLive {
+		t.place, t.steppedLive = place, live
+		for dest := range t.destinations {
+			t.pending[dest] = true
 		}
 	}
 }
 
-// of is how many endpoints of a ring are kept: more than asked for where there are so few relays that some endpoint would have hardly any. Risk: what
-// an endpoint that no relay keeps can do is lost.
-func (c *SubsetTracker) of(r *Ring) int {
-	return max(c.k, (leastPer*r.steps+c.live-1)/c.live)
+// sizeFor returns the subset size for a ring: larger than configured in small fleets, so that no
+// endpoint is without relays, which would waste its capacity.
+func (t *SubsetTracker) sizeFor(r *Ring) int {
+	return max(t.size, (minRelaysPerEndpoint*r.steppedSize+t.steppedLive-1)/t.steppedLive)
 }
 
-// ResendAll has all subsets told anew.
-func (c *SubsetTracker) ResendAll() {
-	for id, d := range c.dests {
-		d.mine, c.due[id] = nil, true
+// ResendAll makes ChangedSubsets return all subsets again.
+func (t *SubsetTracker) ResendAll() {
+	for dest, d := range t.destinations {
+		d.subset, t.pending[dest] = nil, true
 	}
 }
 
-// Place is where this relay stands; -1: not known.
-func (c *SubsetTracker) Place() int { return c.place }
+// Place returns this relay's place; -1 if unknown.
+func (t *SubsetTracker) Place() int { return t.place }
 
-// ChangedSubsets tells what has changed since it was last asked, in order of destinations. It costs as much as has changed.
-func (c *SubsetTracker) ChangedSubsets() (out []policy.Subset) {
-	if c.k == 0 || len(c.due) == 0 {
+// ChangedSubsets returns the subsets that have changed since the last call, ordered by
+// destination. Its cost grows with the number of changed destinations.
+func (t *SubsetTracker) ChangedSubsets() (out []policy.Subset) {
+	if t.size == 0 || len(t.pending) == 0 {
 		return nil
 	}
-	for id := range c.due {
-		d := c.dests[id]
-		var mine []Endpoint
-		if c.place >= 0 && len(d.eps) > c.k {
+	for dest := range t.pending {
+		d := t.destinations[dest]
+		var subset []Endpoint
+		if t.place >= 0 && len(d.zones) > t.size {
 			if d.ring == nil {
 				var all []Endpoint
-				for a, z := range d.eps {
+				for a, z := range d.zones {
 					all = append(all, Endpoint{a, z})
 				}
-				d.ring = NewRing(all, c.seed^mix(uint64(id)))
+				d.ring = NewRing(all, t.seed^mix(uint64(dest)))
 			}
-			if k := c.of(d.ring); k < len(d.eps) {
-				mine = d.ring.Subset(c.place, k)
+			if k := t.sizeFor(d.ring); k < len(d.zones) {
+				subset = d.ring.Subset(t.place, k)
 			}
 		}
-		slices.SortFunc(mine, func(a, b Endpoint) int { return strings.Compare(a.Address, b.Address) })
-		if !slices.Equal(mine, d.mine) {
-			d.mine = mine
-			s := policy.Subset{Destination: id}
-			for _, e := range mine {
+		slices.SortFunc(subset, func(a, b Endpoint) int { return strings.Compare(a.Address, b.Address) })
+		if !slices.Equal(subset, d.subset) {
+			d.subset = subset
+			s := policy.Subset{Destination: dest}
+			for _, e := range subset {
 				s.Endpoints = append(s.Endpoints, e.Address)
 			}
 			out = append(out, s)
 		}
-		if len(d.eps) == 0 {
-			delete(c.dests, id)
+		if len(d.zones) == 0 {
+			delete(t.destinations, dest)
 		}
 	}
-	clear(c.due)
+	clear(t.pending)
 	slices.SortFunc(out, func(a, b policy.Subset) int { return a.Destination - b.Destination })
 	return out
 }
 
-// Subset is what is kept of a destination; nil: all.
-func (c *SubsetTracker) Subset(dest int) (mine []Endpoint, of int) {
-	if d := c.dests[dest]; d != nil {
-		return d.mine, len(d.eps)
+// Subset returns the subset for a destination, nil for all endpoints, and the number of its
+// endpoints.
+func (t *SubsetTracker) Subset(dest int) (subset []Endpoint, total int) {
+	if d := t.destinations[dest]; d != nil {
+		return d.subset, len(d.zones)
 	}
 	return nil, 0
 }
 
-// EachSubset calls f for every destination of which not all endpoints are kept, until it says no.
-func (c *SubsetTracker) EachSubset(f func(dest int, mine []Endpoint, of int) bool) {
-	for id, d := range c.dests {
-		if d.mine != nil && !f(id, d.mine, len(d.eps)) {
+// EachSubset calls f for each destination with a subset, until f returns false.
+func (t *SubsetTracker) EachSubset(f func(dest int, subset []Endpoint, total int) bool) {
+	for dest, d := range t.destinations {
+		if d.subset != nil && !f(dest, d.subset, len(d.zones)) {
 			return
 		}
 	}
--- a/internal/choice/place.go
+++ b/internal/choice/place.go
@@ -6,21 +6,24 @@
 )
 
 const (
-	// spare is the part of the places, one in so many, that may stand empty: so many relays that are down move nobody.
-	spare = 32
-	// tries bounds how long one looks for a place by chance before it takes the next.
-	tries = 4096
+	// spareDivisor bounds the unused places to one in N. That many relays may be down without
+	// moving others.
+	spareDivisor = 32
+	// maxDraws limits the random draws for a place before the first free one is taken.
+	maxDraws = 4096
 )
 
-// Places says where each member of a fleet stands: each that lives has a place of its own, and nearly all places from 0 on are taken.
+// Places assigns each live member of a fleet a place of its own. Nearly all places from 0 on are
+// taken.
 type Places struct {
-	at   []int32 // by member's number; -1: it does not live
+	at   []int32 // by member; -1: not live
 	live int
 }
 
-// AssignPlaces gives each member that lives a place. Who lives and has a number below the cut stands there. The others take the places of those that
-// do not live, in an order and by draws of their own, which don't depend on who else lives: a change moves one or two, and who they push out.
-// The work grows with the fleet; it is for changes of the fleet, not for messages.
+// AssignPlaces assigns places to the live members. Those with a number below the number of places
+// get the place of their number. The others get the places of members that are not live, in an
+// order and by draws that do not depend on who else is live, so a change moves only one or two
+// members and those that they displace. The work is linear in the size of the fleet.
 func AssignPlaces(live []bool, seed uint64) *Places {
 	p := &Places{at: make([]int32, len(live))}
 	for _, l := range live {
@@ -28,20 +31,20 @@
 			p.live++
 		}
 	}
-	cut := min(len(live), p.live+p.live/spare)
-	taken := make([]bool, cut)
-	var over []int
+	placeCount := min(len(live), p.live+p.live/spareDivisor)
+	taken := make([]bool, placeCount)
+	var displaced []int
 	for n, l := range live {
 		switch {
 		case !l:
 			p.at[n] = -1
-		case n < cut:
+		case n < placeCount:
 			p.at[n], taken[n] = int32(n), true
 		default:
-			over = append(over, n)
+			displaced = append(displaced, n)
 		}
 	}
-	slices.SortFunc(over, func(a, b int) int {
+	slices.SortFunc(displaced, func(a, b int) int {
 		if x, y := mix(seed, uint64(a)), mix(seed, uint64(b)); x != y {
 			if x < y {
 				return -1
@@ -51,22 +54,22 @@
 		return a - b
 	})
 	mask := 1<<bits.Len(uint(len(live))) - 1
-	for _, n := range over {
+	for _, n := range displaced {
 		at := -1
-		for try := 0; try < tries && at < 0; try++ {
-			if x := int(mix(seed, uint64(n), uint64(try))) & mask; x < cut && !taken[x] {
+		for draw := 0; draw < maxDraws && at < 0; draw++ {
+			if x := int(mix(seed, uint64(n), uint64(draw))) & mask; x < placeCount && !taken[x] {
 				at = x
 			}
 		}
 		if at < 0 {
-			at = slices.Index(taken, false) // as many are free as are looking
+			at = slices.Index(taken, false) // there are at least as many free places as members without one
 		}
 		p.at[n], taken[at] = int32(at), true
 	}
 	return p
 }
 
-// Of is the place of a member; -1: it does not live.
+// Of returns the place of a member; -1 if it is not live.
 func (p *Places) Of(n int) int {
 	if n < 0 || n >= len(p.at) {
 		return -1
@@ -74,5 +77,5 @@
 	return int(p.at[n])
 }
 
-// LiveCount is how many live.
+// LiveCount returns the number of live members.
 func (p *Places) LiveCount() int { return p.live }
--- a/internal/choice/subset.go
+++ b/internal/choice/subset.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	golden   = 0x9E3779B97F4A7C15 // of 2^64: parts that are as even as they can be, however many
-	tiles    = 14                 // times round the ring on which arcs lie end to end
-	quarters = 4                  // steps of the ring's size between two powers of two
+	goldenRatio      = 0x9E3779B97F4A7C15 // fraction of 2^64; its multiples are evenly distributed for any count
+	tiledRounds      = 14                 // rounds of the ring in which arcs lie end to end
+	stepsPerDoubling = 4                  // steps of the stepped ring size between two powers of two
 )
 
-// Endpoint is one endpoint of a destination.
+// Endpoint is an endpoint of a destination.
 type Endpoint struct {
 	Address string
 	Zone    string
 }
 
-// Ring is the endpoints of one destination in an order that all relays know: zones take turns in it in proportion, so that no arc of it misses
-// a zone that has its share.
+// Ring is the endpoints of one destination in an order on which all relays agree. Zones alternate
+// in proportion to their size, so that each arc covers each zone with enough endpoints.
 type Ring struct {
-	eps   []Endpoint
-	steps int // about as many as there are endpoints, and the same for nearly as many
+	endpoints   []Endpoint
+	steppedSize int // number of endpoints, rounded up so that small changes keep it
 }
 
-// NewRing orders endpoints. Addresses that come twice count once.
+// NewRing orders endpoints. Duplicate addresses count once.
 func NewRing(eps []Endpoint, seed uint64) *Ring {
 	type keyed struct {
 		Endpoint
@@ -34,7 +34,7 @@
 	}
 	all := make([]keyed, len(eps))
 	for i, e := range eps {
-		all[i] = keyed{e, mix(seed, text(e.Address)), 0}
+		all[i] = keyed{e, mix(seed, hashText(e.Address)), 0}
 	}
 	slices.SortFunc(all, func(a, b keyed) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Address, b.Address))
@@ -45,23 +45,23 @@
 		for to < len(all) && all[to].Zone == all[from].Zone {
 			to++
 		}
-		shift := float64(mix(seed, text(all[from].Zone))>>11) / (1 << 53)
+		shift := float64(mix(seed, hashText(all[from].Zone))>>11) / (1 << 53)
 		for i := from; i < to; i++ {
 			all[i].key = (float64(i-from) + shift) / float64(to-from)
 		}
 		from = to
 	}
 	slices.SortStableFunc(all, func(a, b keyed) int { return cmp.Compare(a.key, b.key) })
-	r := &Ring{eps: make([]Endpoint, len(all))}
+	r := &Ring{endpoints: make([]Endpoint, len(all))}
 	for i := range all {
-		r.eps[i] = all[i].Endpoint
+		r.endpoints[i] = all[i].Endpoint
 	}
-	r.steps = int(math.Ceil(math.Exp2(math.Ceil(quarters*math.Log2(float64(max(1, len(all))))-1e-9)/quarters) - 1e-9))
+	r.steppedSize = int(math.Ceil(math.Exp2(math.Ceil(stepsPerDoubling*math.Log2(float64(max(1, len(all))))-1e-9)/stepsPerDoubling) - 1e-9))
 	return r
 }
 
-// text is a hash of a text, the same in every process.
-func text(s string) uint64 {
+// hashText is the FNV-1a hash of a text.
+func hashText(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -69,35 +69,37 @@
 	return h
 }
 
-// Len is how many endpoints there are.
-func (r *Ring) Len() int { return len(r.eps) }
+// Len returns the number of endpoints.
+func (r *Ring) Len() int { return len(r.endpoints) }
 
-// start is where the arc of a place begins. The first arcs lie end to end, from the middle to both sides, some times round: so all endpoints
-// are on the same number of them, or one more, and one endpoint more or less shifts an arc by the rounds before it at most. Past that, where
-// two more or less are no matter, they begin at even parts of the ring, and one endpoint shifts none by more than one.
-func (r *Ring) start(place, k int) int {
-	m := len(r.eps)
-	ended := (tiles*r.steps + k - 1) / k
-	if place >= ended {
-		return scaled(uint64(place-ended+1)*golden, m)
+// arcStart returns the start of the arc of a place. The first arcs lie end to end, alternating on
+// both sides of the origin, for several rounds: each endpoint is in the same number of them, or
+// one more, and an added or removed endpoint shifts an arc by the number of rounds before it at
+// most. Further arcs start at evenly distributed points and shift by one at most.
+func (r *Ring) arcStart(place, k int) int {
+	size := len(r.endpoints)
+	tiled := (tiledRounds*r.steppedSize + k - 1) / k
+	if place >= tiled {
+		return scaled(uint64(place-tiled+1)*goldenRatio, size)
 	}
 	at := place / 2
 	if place%2 == 1 {
 		at = -at - 1
 	}
-	return (at*k%m + m) % m
+	return (at*k%size + size) % size
 }
 
-// Subset are the k endpoints that the relay at a place keeps connections to, the first one first; all of them where there are no more than k. It is never empty
-// where there is any endpoint. Going beyond it, where they are sick or busy, is the module's.
+// Subset returns the k endpoints that the relay at a place keeps connections to, starting with
+// its first choice; all endpoints if there are no more than k. It is never empty for a ring with
+// endpoints. Calling other endpoints when these are down or busy is up to the policy engine.
 func (r *Ring) Subset(place, k int) []Endpoint {
-	m := len(r.eps)
-	if m == 0 || place < 0 || k >= m {
-		return slices.Clone(r.eps)
+	size := len(r.endpoints)
+	if size == 0 || place < 0 || k >= size {
+		return slices.Clone(r.endpoints)
 	}
-	at, out := r.start(place, k), make([]Endpoint, k)
+	start, out := r.arcStart(place, k), make([]Endpoint, k)
 	for i := range out {
-		out[i] = r.eps[(at+i)%m]
+		out[i] = r.endpoints[(start+i)%size]
 	}
 	return out
 }
--- a/internal/choice/turn.go
+++ b/internal/choice/turn.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// SlotDuration is how long a turn lasts. Whoever holds one and can't use it is passed over when it ends.
+// SlotDuration is the length of a time slot. Others take over from a holder without messages in
+// the next slot.
 const SlotDuration = 2 * time.Second
 
 const (
-	triers    = 2    // relays that shall try a destination in one epoch
-	heldFor   = 3    // epochs that a message for it is held, about
-	someWork  = 0.02 // share of the relays with work for it, at least
-	epochSalt = 0x74_75_72_6e
+	probersPerSlot = 2    // relays that should probe a destination in one slot
+	pendingSlots   = 3    // slots for which a message stays pending, roughly
+	minBusyShare   = 0.02 // share of the relays with messages for it, at least
+	slotSalt       = 0x74_75_72_6e
 )
 
-// SlotHolders is how many relays hold the turn of a destination at once, so that about two of them have work for it: wanted is the messages a second
-// that come in for it at the usual relay.
-func SlotHolders(live int, wanted float64) int {
-	working := max(someWork, 1-math.Exp(-max(0, wanted)*heldFor*SlotDuration.Seconds()))
-	return min(max(1, live), int(math.Ceil(triers/working)))
+// SlotHolders returns how many relays hold the time slot of a destination, so that about
+// probersPerSlot of them have messages for it. meanDemand is the mean number of messages per
+// second that arrive for it at a relay.
+func SlotHolders(live int, meanDemand float64) int {
+	busyShare := max(minBusyShare, 1-math.Exp(-max(0, meanDemand)*pendingSlots*SlotDuration.Seconds()))
+	return min(max(1, live), int(math.Ceil(probersPerSlot/busyShare)))
 }
 
-// SlotAt is the epoch of a moment of the wall clock. Relays whose clocks differ take each other's turns: as many hold one as else.
+// SlotAt returns the time slot of a moment on the wall clock. Clock differences between relays
+// change who holds a slot, but hardly how many do.
 func SlotAt(wall time.Time) uint64 {
 	return uint64(wall.UnixMilli()) / uint64(SlotDuration.Milliseconds())
 }
 
-// HoldsSlot tells whether a member holds the turn for a thing in an epoch, among those that live. It costs about as much as there are holders,
-// however large the fleet is.
-func HoldsSlot(me int, live []bool, thing, epoch uint64, holders int) bool {
-	if me < 0 || me >= len(live) {
-		return true // not of the fleet: alone
+// HoldsSlot reports whether a member holds the time slot of a key, such as a destination, among
+// the live members. Its cost grows with the number of holders, not with the fleet.
+func HoldsSlot(self int, live []bool, key, slot uint64, holders int) bool {
+	if self < 0 || self >= len(live) {
+		return true // not in a fleet
 	}
-	mine, before := mix(epochSalt, thing, epoch, uint64(me)), 0
-	// From a place of its own, so that members that do not hold it find out soon.
+	own, ahead := mix(slotSalt, key, slot, uint64(self)), 0
+	// Starts after itself, so that most members find enough holders soon.
 	for i := range live {
-		if n := (me + i) % len(live); n != me && live[n] && mix(epochSalt, thing, epoch, uint64(n)) < mine {
-			if before++; before >= holders {
+		if n := (self + i) % len(live); n != self && live[n] && mix(slotSalt, key, slot, uint64(n)) < own {
+			if ahead++; ahead >= holders {
 				return false
 			}
 		}
--- a/internal/choice/voice.go
+++ b/internal/choice/voice.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// What one relay's word counts for.
+// Limits on what the reports of a single relay count for.
 const (
-	alone                    = 8                // calls of one relay that are believed whatever others say
-	drown                    = 2                // times what the other relays called in the mean, and no more
-	MaxUnconfirmedRetryAfter = 1 * time.Second  // of a wait that one relay alone tells of
-	MaxRetryAfter            = 20 * time.Second // of any wait that others tell of
+	trustedCalls             = 8                // calls of one relay that always count in full
+	maxMeanFactor            = 2                // of the mean calls of the other relays, beyond which calls are scaled down
+	MaxUnconfirmedRetryAfter = 1 * time.Second  // reported by one relay only
+	MaxRetryAfter            = 20 * time.Second // reported by several relays
 	MinRetryAfter            = 500 * time.Millisecond
 )
 
-// Report is what one relay says of a destination.
+// Report is what one relay observed of a destination.
 type Report struct {
-	Calls      int           // that it made
-	Failed     int           // of them that did not come through
-	RetryAfter time.Duration // that it was told to keep, and still has to
+	Calls      int           // calls made
+	Failed     int           // failed calls among them
+	RetryAfter time.Duration // remaining time of a Retry-After that the destination sent
 }
 
-// CombinedReports is what many say together.
+// CombinedReports is the result of combining the reports of several relays.
 type CombinedReports struct {
-	Weights          []float64     // of each voice's counts: no one outweighs the others
-	FailingReporters int           // voices that saw calls fail
-	RetryAfter       time.Duration // to keep: as long as a second voice confirms, or a short one where there is none
+	Weights          []float64     // of each report's counts, so that no relay dominates
+	FailingReporters int           // relays with failed calls
+	RetryAfter       time.Duration // confirmed by a second relay, or bounded by MaxUnconfirmedRetryAfter
 }
 
-// CombineReports makes out what many voices say. A relay that says much counts as one.
-func CombineReports(voices []Report) (h CombinedReports) {
-	all := 0
-	for _, v := range voices {
-		all += v.Calls
-		if v.Failed > 0 {
-			h.FailingReporters++
+// CombineReports combines the reports of several relays. A relay with disproportionately many
+// calls counts like the others.
+func CombineReports(reports []Report) (combined CombinedReports) {
+	totalCalls := 0
+	for _, r := range reports {
+		totalCalls += r.Calls
+		if r.Failed > 0 {
+			combined.FailingReporters++
 		}
 	}
-	var waits []time.Duration
-	for _, v := range voices {
-		w := 1.0
-		if others := len(voices) - 1; others > 0 && v.Calls > alone {
-			if most := max(alone, drown*float64(all-v.Calls)/float64(others)); float64(v.Calls) > most {
-				w = most / float64(v.Calls)
+	var retryAfters []time.Duration
+	for _, r := range reports {
+		weight := 1.0
+		if others := len(reports) - 1; others > 0 && r.Calls > trustedCalls {
+			if limit := max(trustedCalls, maxMeanFactor*float64(totalCalls-r.Calls)/float64(others)); float64(r.Calls) > limit {
+				weight = limit / float64(r.Calls)
 			}
 		}
-		h.Weights = append(h.Weights, w)
-		if v.RetryAfter > 0 {
-			waits = append(waits, v.RetryAfter)
+		combined.Weights = append(combined.Weights, weight)
+		if r.RetryAfter > 0 {
+			retryAfters = append(retryAfters, r.RetryAfter)
 		}
 	}
-	slices.SortFunc(waits, func(a, b time.Duration) int { return cmp.Compare(b, a) })
-	switch len(waits) {
+	slices.SortFunc(retryAfters, func(a, b time.Duration) int { return cmp.Compare(b, a) })
+	switch len(retryAfters) {
 	case 0:
 	case 1:
-		h.RetryAfter = min(waits[0], MaxUnconfirmedRetryAfter)
+		combined.RetryAfter = min(retryAfters[0], MaxUnconfirmedRetryAfter)
 	default:
-		h.RetryAfter = min(max(waits[1], min(waits[0], MaxUnconfirmedRetryAfter)), MaxRetryAfter)
+		combined.RetryAfter = min(max(retryAfters[1], min(retryAfters[0], MaxUnconfirmedRetryAfter)), MaxRetryAfter)
 	}
-	return h
+	return combined
 }
--- a/internal/peers/choices.go
+++ b/internal/peers/choices.go
@@ -8,93 +8,94 @@
 	"oatfold/policy"
 )
 
-// lookAgain is how often who lives is looked at for places: those who die keep theirs for much longer.
-const lookAgain = 3 * time.Second
+// placesInterval is the time between two updates of places. Dead members keep theirs for much
+// longer.
+const placesInterval = 3 * time.Second
 
 const (
-	seenBy  = 2                       // relays that have to see calls fail, where none is taken, before only a few try
-	toldFor = 12 * time.Second        // for how long a failure is told again
-	downFor = 5 * choice.SlotDuration // after which it ends where nobody saw any call
+	minFailureReporters = 2                       // relays that report failures, with no call accepted, for a destination to be down
+	failureRepeatTime   = 12 * time.Second        // a failure is repeated in reports for this long
+	downTimeout         = 5 * choice.SlotDuration // without any reported call, after which the destination counts as up
 )
 
-// sharing is what a pool keeps for choices that relays share.
-type sharing struct {
-	set    choice.Options
-	slices *choice.DemandShares
-	keeper *choice.SubsetTracker
-	live   []bool
-	lookAt time.Duration
-	places *choice.Places
-	waits  map[int]time.Duration // ends of waits that this relay was told, by destination
-	failed map[int]time.Duration // destinations that this relay last saw fail, and when
-	down   map[int]time.Duration // destinations that nobody gets through to, and when calls were last seen to fail
-	shown  map[int]DestinationStatus
+// choiceState holds the state of the shared choices.
+type choiceState struct {
+	options         choice.Options
+	demand          *choice.DemandShares
+	subsets         *choice.SubsetTracker
+	live            []bool
+	placesAt        time.Duration
+	places          *choice.Places
+	retryAfterUntil map[int]time.Duration // end of the Retry-After that this relay received, by destination
+	failedAt        map[int]time.Duration // latest failure at this relay, by destination
+	downSeenAt      map[int]time.Duration // latest reported failure, by destination that is down
+	statuses        map[int]DestinationStatus
 }
 
-// DestinationStatus is what was last made of a destination's news, for staff.
+// DestinationStatus is the latest evaluation of a destination, for operators.
 type DestinationStatus struct {
 	At                    time.Duration
 	LiveRelays            int
-	SlotHolders           int  // of its turn; 0: turns are not shared
-	HoldsSlot             bool // this relay is one
-	Down                  bool // nobody gets through: only holders try
-	Allowed               float64
-	DemandShare           float64 // this relay's, in parts of an even one; 0: slices are not shared
-	Reporters             int
-	RetryAfter            time.Duration
-	OwnDemand, MeanDemand float64 // messages a second that come in for it
+	SlotHolders           int           // relays that hold its time slot; 0: time slots are not shared
+	HoldsSlot             bool          // this relay is one of them
+	Down                  bool          // no relay gets through; only slot holders call it
+	Allowed               float64       // calls per second of the fair share; 0: no bound
+	DemandShare           float64       // this relay's, as a multiple of the fair share; 0: shares do not follow demand
+	Reporters             int           // relays that report failures
+	RetryAfter            time.Duration // combined from the reports of other relays
+	OwnDemand, MeanDemand float64       // messages per second
 }
 
-// EnableChoices has the pool share choices. Without membership there is nothing that they could follow from.
-func (p *Gossiper) EnableChoices(set choice.Options) {
-	if p.list == nil {
-		set = choice.Options{}
+// EnableChoices sets which choices the relays share. None are shared without membership.
+func (g *Gossiper) EnableChoices(options choice.Options) {
+	if g.members == nil {
+		options = choice.Options{}
 	}
-	p.sharing = sharing{set: set, slices: choice.NewDemandShares(), keeper: choice.NewSubsetTracker(p.me, set.SubsetSize), waits: map[int]time.Duration{}, failed: map[int]time.Duration{}, down: map[int]time.Duration{}, shown: map[int]DestinationStatus{}}
+	g.choices = choiceState{options: options, demand: choice.NewDemandShares(), subsets: choice.NewSubsetTracker(g.self, options.SubsetSize), retryAfterUntil: map[int]time.Duration{}, failedAt: map[int]time.Duration{}, downSeenAt: map[int]time.Duration{}, statuses: map[int]DestinationStatus{}}
 }
 
-// Choices is which choices are shared.
-func (p *Gossiper) Choices() choice.Options { return p.sharing.set }
+// Choices returns which choices are shared.
+func (g *Gossiper) Choices() choice.Options { return g.choices.options }
 
-// UpdateEndpoints takes list news in, for subsets.
-func (p *Gossiper) UpdateEndpoints(news policy.EndpointListUpdate) {
-	if p.sharing.set.SubsetSize > 0 {
-		p.sharing.keeper.UpdateEndpoints(news)
+// UpdateEndpoints applies an update of the endpoint list to the subsets.
+func (g *Gossiper) UpdateEndpoints(update policy.EndpointListUpdate) {
+	if g.choices.options.SubsetSize > 0 {
+		g.choices.subsets.UpdateEndpoints(update)
 	}
 }
 
-// RecordRetryAfter books a wait that a destination told this relay.
-func (p *Gossiper) RecordRetryAfter(now time.Duration, dest int, wait time.Duration) {
-	if p.sharing.set.Signals && wait >= choice.MinRetryAfter && (p.sharing.waits[dest] > 0 || len(p.sharing.waits) < mostPaces) {
-		p.sharing.waits[dest] = max(p.sharing.waits[dest], now+min(wait, choice.MaxRetryAfter))
+// RecordRetryAfter records a Retry-After that a destination sent to this relay.
+func (g *Gossiper) RecordRetryAfter(now time.Duration, dest int, wait time.Duration) {
+	if g.choices.options.Signals && wait >= choice.MinRetryAfter && (g.choices.retryAfterUntil[dest] > 0 || len(g.choices.retryAfterUntil) < maxAllowances) {
+		g.choices.retryAfterUntil[dest] = max(g.choices.retryAfterUntil[dest], now+min(wait, choice.MaxRetryAfter))
 	}
 }
 
-// ChangedSubsets are the subsets that have changed since it was last asked.
-func (p *Gossiper) ChangedSubsets(now time.Duration) []policy.Subset {
-	s := &p.sharing
-	if !s.set.Any() {
+// ChangedSubsets returns the subsets that have changed since the last call.
+func (g *Gossiper) ChangedSubsets(now time.Duration) []policy.Subset {
+	s := &g.choices
+	if !s.options.Any() {
 		return nil
 	}
-	if s.live == nil || now-s.lookAt >= lookAgain {
-		live := p.list.PlacementEligible(now)
-		if s.lookAt = now; s.places == nil || !same(live, s.live) {
+	if s.live == nil || now-s.placesAt >= placesInterval {
+		live := g.members.PlacementEligible(now)
+		if s.placesAt = now; s.places == nil || !sameMembers(live, s.live) {
 			s.places = choice.AssignPlaces(live, choice.Seed)
-			s.keeper.UpdatePlaces(s.places)
+			s.subsets.UpdatePlaces(s.places)
 		}
 		s.live = live
 	}
-	return s.keeper.ChangedSubsets()
+	return s.subsets.ChangedSubsets()
 }
 
-// ResendSubsets has all subsets told anew: whoever knew them is gone.
-func (p *Gossiper) ResendSubsets() {
-	if p.sharing.keeper != nil {
-		p.sharing.keeper.ResendAll()
+// ResendSubsets makes ChangedSubsets return all subsets again, for a new receiver.
+func (g *Gossiper) ResendSubsets() {
+	if g.choices.subsets != nil {
+		g.choices.subsets.ResendAll()
 	}
 }
 
-func same(a, b []bool) bool {
+func sameMembers(a, b []bool) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -106,159 +107,162 @@
 	return true
 }
 
-// booked takes what came in here in the span that ends now, and adds the waits that still run to what is told.
-func (p *Gossiper) booked(now, span time.Duration) {
-	s := &p.sharing
-	if s.set.DemandShares {
-		wanted := map[int]int{}
-		for d, c := range p.mine {
-			wanted[d] = c.Arrived
+// prepareReport records the demand of the time span that ends now and adds current Retry-After
+// times and repeated failures to the report.
+func (g *Gossiper) prepareReport(now, span time.Duration) {
+	s := &g.choices
+	if s.options.DemandShares {
+		arrivals := map[int]int{}
+		for dest, c := range g.ownCounts {
+			arrivals[dest] = c.Arrived
 		}
-		s.slices.Record(now, span, wanted)
+		s.demand.Record(now, span, arrivals)
 	}
-	if s.set.Signals {
-		s.tellFailures(now, p.mine)
+	if s.options.Signals {
+		s.repeatFailures(now, g.ownCounts)
 	}
-	for d, til := range s.waits {
-		if left := til - now; left >= waitUnit {
-			c := p.mine[d]
-			c.RetryAfter = left
-			p.mine[d] = c
+	for dest, until := range s.retryAfterUntil {
+		if remaining := until - now; remaining >= retryAfterUnit {
+			c := g.ownCounts[dest]
+			c.RetryAfter = remaining
+			g.ownCounts[dest] = c
 		} else {
-			delete(s.waits, d)
+			delete(s.retryAfterUntil, dest)
 		}
 	}
 }
 
-// tellFailures adds to what is told that a destination failed here, if that was the last that became of a call to it. Risk: in a large fleet the outage is seen by many, but each makes hardly a call
-// then; who hears only of the calls of the last seconds hears of none, and sends as to a warm destination when it returns.
-func (s *sharing) tellFailures(now time.Duration, mine map[int]DestinationCounts) {
-	for d, c := range mine {
+// repeatFailures adds a failure to the counts of each destination whose latest call from here
+// failed. In an outage each relay of a large fleet calls so rarely that recent calls alone would
+// not reveal it, and messages would be sent as if the destination were up.
+func (s *choiceState) repeatFailures(now time.Duration, counts map[int]DestinationCounts) {
+	for dest, c := range counts {
 		if c.Accepted > 0 {
-			delete(s.failed, d)
-		} else if c.Failed > 0 && (s.failed[d] > 0 || len(s.failed) < mostPaces) {
-			s.failed[d] = now
+			delete(s.failedAt, dest)
+		} else if c.Failed > 0 && (s.failedAt[dest] > 0 || len(s.failedAt) < maxAllowances) {
+			s.failedAt[dest] = now
 		}
 	}
-	for d, at := range s.failed {
-		if c := mine[d]; now-at > toldFor {
-			delete(s.failed, d)
+	for dest, at := range s.failedAt {
+		if c := counts[dest]; now-at > failureRepeatTime {
+			delete(s.failedAt, dest)
 		} else if c.Failed == 0 {
 			c.Failed = 1
-			mine[d] = c
+			counts[dest] = c
 		}
 	}
 }
 
-// said is what one relay said of one destination, all its accounts together.
-type said struct {
-	from              int
-	c                 DestinationCounts
-	allowed, allowing float64 // sum of logarithms
-	wait              time.Duration
+// destinationSummary combines the reports of one relay about one destination.
+type destinationSummary struct {
+	from                          int
+	counts                        DestinationCounts
+	logAllowedSum, allowedReports float64 // sum of logarithms
+	retryAfter                    time.Duration
 }
 
-func add(all []said, a account, c DestinationCounts, now time.Duration) []said {
-	at := -1
-	for i := range all {
-		if all[i].from == a.from {
-			at = i
+func addToSummaries(summaries []destinationSummary, r report, c DestinationCounts, now time.Duration) []destinationSummary {
+	index := -1
+	for i := range summaries {
+		if summaries[i].from == r.from {
+			index = i
 		}
 	}
-	if at < 0 {
-		all, at = append(all, said{from: a.from}), len(all)
+	if index < 0 {
+		summaries, index = append(summaries, destinationSummary{from: r.from}), len(summaries)
 	}
-	s := &all[at]
-	s.c = DestinationCounts{Arrived: s.c.Arrived + c.Arrived, Accepted: s.c.Accepted + c.Accepted, Rejected: s.c.Rejected + c.Rejected, Failed: s.c.Failed + c.Failed}
+	s := &summaries[index]
+	s.counts = DestinationCounts{Arrived: s.counts.Arrived + c.Arrived, Accepted: s.counts.Accepted + c.Accepted, Rejected: s.counts.Rejected + c.Rejected, Failed: s.counts.Failed + c.Failed}
 	if c.Allowed > 0 {
-		s.allowed, s.allowing = s.allowed+math.Log(c.Allowed), s.allowing+1
+		s.logAllowedSum, s.allowedReports = s.logAllowedSum+math.Log(c.Allowed), s.allowedReports+1
 	}
-	s.wait = max(s.wait, c.RetryAfter-(now-a.at))
-	return all
+	s.retryAfter = max(s.retryAfter, c.RetryAfter-(now-r.at))
+	return summaries
 }
 
-// usual is what the usual relay sees of a destination.
-func (p *Gossiper) usual(now time.Duration, dest int, all []said, spans float64) policy.RouteStats {
-	var h choice.CombinedReports
-	if p.sharing.set.Signals || p.sharing.set.TimeSlots {
-		voices := make([]choice.Report, len(all))
-		for i, s := range all {
-			voices[i] = choice.Report{Calls: s.c.Accepted + s.c.Rejected + s.c.Failed, Failed: s.c.Failed}
-			if s.from != p.me {
-				voices[i].RetryAfter = max(0, s.wait)
+// average returns the mean over all relays for one destination.
+func (g *Gossiper) average(now time.Duration, dest int, summaries []destinationSummary, spans float64) policy.RouteStats {
+	var combined choice.CombinedReports
+	if g.choices.options.Signals || g.choices.options.TimeSlots {
+		reports := make([]choice.Report, len(summaries))
+		for i, s := range summaries {
+			reports[i] = choice.Report{Calls: s.counts.Accepted + s.counts.Rejected + s.counts.Failed, Failed: s.counts.Failed}
+			if s.from != g.self {
+				reports[i].RetryAfter = max(0, s.retryAfter)
 			}
 		}
-		h = choice.CombineReports(voices)
+		combined = choice.CombineReports(reports)
 	}
-	failing := h.FailingReporters
-	if !p.sharing.set.Signals {
-		h = choice.CombinedReports{}
+	failingReporters := combined.FailingReporters
+	if !g.choices.options.Signals {
+		combined = choice.CombinedReports{}
 	}
-	var wanted, taken, refused, failed float64
-	for i, s := range all {
-		w := 1.0
-		if h.Weights != nil {
-			w = h.Weights[i]
+	var arrived, accepted, rejected, failed float64
+	for i, s := range summaries {
+		weight := 1.0
+		if combined.Weights != nil {
+			weight = combined.Weights[i]
 		}
-		wanted += float64(s.c.Arrived)
-		taken, refused, failed = taken+w*float64(s.c.Accepted), refused+w*float64(s.c.Rejected), failed+w*float64(s.c.Failed)
+		arrived += float64(s.counts.Arrived)
+		accepted, rejected, failed = accepted+weight*float64(s.counts.Accepted), rejected+weight*float64(s.counts.Rejected), failed+weight*float64(s.counts.Failed)
 	}
-	if taken > 0 {
-		delete(p.sharing.failed, dest)
+	if accepted > 0 {
+		delete(g.choices.failedAt, dest)
 	}
-	if p.sharing.set.TimeSlots {
-		if taken > 0 {
-			delete(p.sharing.down, dest)
-		} else if _, known := p.sharing.down[dest]; failing >= seenBy || known && failing > 0 {
-			p.sharing.down[dest] = now
+	if g.choices.options.TimeSlots {
+		if accepted > 0 {
+			delete(g.choices.downSeenAt, dest)
+		} else if _, known := g.choices.downSeenAt[dest]; failingReporters >= minFailureReporters || known && failingReporters > 0 {
+			g.choices.downSeenAt[dest] = now
 		}
 	}
-	return policy.RouteStats{Destination: dest, Demand: wanted / spans, Accepted: taken / spans, Rejected: refused / spans, Failed: failed / spans,
-		Calls: int(math.Round(taken + refused + failed)), Reporters: h.FailingReporters, RetryAfter: h.RetryAfter}
+	return policy.RouteStats{Destination: dest, Demand: arrived / spans, Accepted: accepted / spans, Rejected: rejected / spans, Failed: failed / spans,
+		Calls: int(math.Round(accepted + rejected + failed)), Reporters: combined.FailingReporters, RetryAfter: combined.RetryAfter}
 }
 
-// choose makes out of what the usual relay sees what falls to this one.
-func (p *Gossiper) choose(now time.Duration, wall time.Time, u *policy.RouteStats, relays int) {
-	s := &p.sharing
-	if !s.set.Any() {
+// applyChoices derives this relay's part from the average of a destination.
+func (g *Gossiper) applyChoices(now time.Duration, wall time.Time, u *policy.RouteStats, relays int) {
+	s := &g.choices
+	if !s.options.Any() {
 		return
 	}
-	show := DestinationStatus{At: now, Allowed: u.Allowance, Reporters: u.Reporters, RetryAfter: u.RetryAfter, MeanDemand: u.Demand}
-	if s.set.DemandShares {
-		show.OwnDemand, show.DemandShare = s.slices.Demand(u.Destination), s.slices.Share(u.Destination, u.Demand)
-		u.Allowance *= show.DemandShare
+	status := DestinationStatus{At: now, Allowed: u.Allowance, Reporters: u.Reporters, RetryAfter: u.RetryAfter, MeanDemand: u.Demand}
+	if s.options.DemandShares {
+		status.OwnDemand, status.DemandShare = s.demand.Demand(u.Destination), s.demand.Share(u.Destination, u.Demand)
+		u.Allowance *= status.DemandShare
 	}
-	if s.set.TimeSlots && s.live != nil {
-		show.LiveRelays = s.places.LiveCount()
-		show.SlotHolders = choice.SlotHolders(show.LiveRelays, u.Demand)
-		show.HoldsSlot = choice.HoldsSlot(p.me, s.live, uint64(u.Destination), choice.SlotAt(wall), show.SlotHolders)
-		at, down := s.down[u.Destination]
-		if down && now-at > downFor {
-			delete(s.down, u.Destination) // nobody has tried: each may
+	if s.options.TimeSlots && s.live != nil {
+		status.LiveRelays = s.places.LiveCount()
+		status.SlotHolders = choice.SlotHolders(status.LiveRelays, u.Demand)
+		status.HoldsSlot = choice.HoldsSlot(g.self, s.live, uint64(u.Destination), choice.SlotAt(wall), status.SlotHolders)
+		at, down := s.downSeenAt[u.Destination]
+		if down && now-at > downTimeout {
+			delete(s.downSeenAt, u.Destination) // nobody has called it: any relay may
 			down = false
 		}
-		show.Down = down
-		u.OthersProbe = down && !show.HoldsSlot
+		status.Down = down
+		u.OthersProbe = down && !status.HoldsSlot
 	}
-	if _, had := s.shown[u.Destination]; had || len(s.shown) < mostPaces {
-		s.shown[u.Destination] = show
+	if _, known := s.statuses[u.Destination]; known || len(s.statuses) < maxAllowances {
+		s.statuses[u.Destination] = status
 	}
 }
 
-// Place is where this relay stands among those that live, and how many do; -1: not known.
-func (p *Gossiper) Place() (place, live int) {
-	if p.sharing.places == nil {
+// Place returns this relay's place among the live relays and their number; -1 if unknown.
+func (g *Gossiper) Place() (place, live int) {
+	if g.choices.places == nil {
 		return -1, 0
 	}
-	return p.sharing.places.Of(p.me), p.sharing.places.LiveCount()
+	return g.choices.places.Of(g.self), g.choices.places.LiveCount()
 }
 
-// EachSubset calls f for the subset of each destination of which not all endpoints are kept, until it says no.
-func (p *Gossiper) EachSubset(f func(dest int, mine []choice.Endpoint, of int) bool) {
-	if p.sharing.keeper != nil {
-		p.sharing.keeper.EachSubset(f)
+// EachSubset calls f for each destination that this relay keeps only a subset of endpoints of,
+// until f returns false.
+func (g *Gossiper) EachSubset(f func(dest int, subset []choice.Endpoint, total int) bool) {
+	if g.choices.subsets != nil {
+		g.choices.subsets.EachSubset(f)
 	}
 }
 
-// DestinationStatuses is what was last made of each destination's news.
-func (p *Gossiper) DestinationStatuses() map[int]DestinationStatus { return p.sharing.shown }
+// DestinationStatuses returns the latest evaluation of each destination.
+func (g *Gossiper) DestinationStatuses() map[int]DestinationStatus { return g.choices.statuses }
--- a/internal/peers/members/hear.go
+++ b/internal/peers/members/hear.go
@@ -2,239 +2,244 @@
 
 import "fmt"
 
-// Receive takes the membership part of a note that came from a member's address, and returns what goes out at once. One that can't be read,
-// is not newer than the last of its sender or one of too many changes nothing.
-func (l *List) Receive(now Time, from int, b []byte) (out []Datagram, err error) {
+// Receive handles the membership section of a message received from the address of a member and
+// returns the replies. A malformed or outdated message, or one of too many, changes nothing and
+// returns an error.
+func (l *List) Receive(now Time, from int, payload []byte) (out []Datagram, err error) {
 	l.advance(now)
-	if from < 0 || from >= len(l.all) || from == l.set.Self {
+	if from < 0 || from >= len(l.members) || from == l.config.Self {
 		l.counts.Rejected++
 		return nil, ErrUnknownSender
 	}
-	m := &l.all[from]
-	if l.now-m.bucketAt >= Period {
-		m.bucket, m.bucketAt = 0, l.now
+	m := &l.members[from]
+	if l.now-m.receivedSince >= Period {
+		m.received, m.receivedSince = 0, l.now
 	}
-	if m.bucket++; m.bucket > flood {
+	if m.received++; m.received > maxReceivedPerPeriod {
 		l.counts.Rejected++
 		return nil, ErrRateLimited
 	}
-	s, err := read(b, len(l.all))
+	s, err := decodeSection(payload, len(l.members))
 	if err != nil {
 		l.counts.Rejected++
 		return nil, err
 	}
-	if err := l.proves(m, &s); err != nil {
+	if err := l.verifySender(m, &s); err != nil {
 		l.counts.Rejected++
-		if err == ErrOtherProcess && s.life == m.life && int16(s.seq-m.seq) > 0 {
-			m.seq, m.signAt = s.seq, l.now // it lives, and has not heard what is said of it
+		if err == ErrOtherProcess && s.runID == m.runID && int16(s.seq-m.seq) > 0 {
+			m.seq, m.signOfLifeAt = s.seq, l.now // the sender is alive, but has not learned of its state here
 		}
-		if err == ErrOtherProcess && l.now-m.toldAt >= Period/4 {
-			above := section{facts: []fact{l.fact(from)}}
-			if s.inc == m.inc {
-				above.flags = flagAbove
+		if err == ErrOtherProcess && l.now-m.informedAt >= Period/4 {
+			correction := section{facts: []fact{l.factAbout(from)}}
+			if s.incarnation == m.incarnation {
+				correction.flags = flagRaiseIncarnation
 			}
-			m.toldAt = l.now
-			return l.reply(out, from, above), err
+			m.informedAt = l.now
+			return l.reply(out, from, correction), err
 		}
 		return nil, err
 	}
-	out = l.firstHand(out, from, &s)
+	out = l.updateSender(out, from, &s)
 	switch {
-	case s.flags&flagAnswer != 0:
-		out = l.answered(out, from, &s)
-	case s.flags&flagAsk != 0 && s.flags&flagFor != 0:
-		if s.about == l.set.Self || s.about == from || len(l.questions) >= onBehalf {
+	case s.flags&flagAck != 0:
+		out = l.handleAck(out, from, &s)
+	case s.flags&flagPing != 0 && s.flags&flagIndirect != 0:
+		if s.subject == l.config.Self || s.subject == from || len(l.probes) >= maxProbes {
 			break
 		}
 		l.nonce++
-		l.questions = append(l.questions, question{to: s.about, nonce: l.nonce, at: l.now, origin: from, echo: s.nonce})
-		out = l.reply(out, s.about, section{flags: flagAsk, nonce: l.nonce})
-	case s.flags&flagAsk != 0:
-		out = l.reply(out, from, section{flags: flagAnswer, nonce: s.nonce})
+		l.probes = append(l.probes, probe{target: s.subject, nonce: l.nonce, sentAt: l.now, requester: from, requesterNonce: s.nonce})
+		out = l.reply(out, s.subject, section{flags: flagPing, nonce: l.nonce})
+	case s.flags&flagPing != 0:
+		out = l.reply(out, from, section{flags: flagAck, nonce: s.nonce})
 	}
 	for _, f := range s.facts {
 		switch {
-		case f.number == l.set.Self:
-			out = l.accused(out, from, f, s.flags&flagAbove != 0)
+		case f.number == l.config.Self:
+			out = l.handleOwnState(out, from, f, s.flags&flagRaiseIncarnation != 0)
 		case f.number == from:
-		case s.flags&flagDeaf != 0 && f.state != Alive: // it doubts itself
+		case s.flags&flagIsolated != 0 && f.state != Alive: // an isolated sender doubts itself
 		default:
-			out = l.told(out, from, f)
+			out = l.applyFact(out, from, f)
 		}
 	}
 	if s.flags&flagSync != 0 {
-		out = l.tellAll(out, from)
+		out = l.sendGoneMembers(out, from)
 	} else {
 		l.synced = true
 	}
 	return out, nil
 }
 
-// reply adds a note to what goes out at once. Risk: after a pause all questions of that time are there at once, and a burst of answers goes out.
+// reply appends a message that is sent at once. Replies are limited per period, so that probes
+// queued up during a pause do not cause a burst.
 func (l *List) reply(out []Datagram, to int, s section) []Datagram {
-	return l.replyIn(out, to, s, MaxDatagramBytes/4)
+	return l.replyWithin(out, to, s, MaxDatagramBytes/4)
 }
 
-func (l *List) replyIn(out []Datagram, to int, s section, room int) []Datagram {
-	if l.now-l.budgetAt >= Period {
-		l.budget, l.budgetAt = answers+len(l.all)/8, l.now
-		l.budget = min(l.budget, 4*answers)
+func (l *List) replyWithin(out []Datagram, to int, s section, maxBytes int) []Datagram {
+	if l.now-l.repliesSince >= Period {
+		l.repliesLeft, l.repliesSince = repliesPerPeriod+len(l.members)/8, l.now
+		l.repliesLeft = min(l.repliesLeft, 4*repliesPerPeriod)
 	}
-	if l.budget <= 0 {
+	if l.repliesLeft <= 0 {
 		return out
 	}
-	l.budget--
-	return append(out, Datagram{to, l.note(to, s, room)})
+	l.repliesLeft--
+	return append(out, Datagram{to, l.encodeSection(to, s, maxBytes)})
 }
 
-// proves decides whether a note shows that its sender lives: it has a higher incarnation than is known, or is the next of the process that is
-// known. Anything else may be an old note that comes again; its sender, if it lives, is told to go above.
-func (l *List) proves(m *member, s *section) error {
+// verifySender checks that a message proves its sender alive: it has a higher incarnation than is
+// known, or is the next of the known process. Anything else may be a delayed duplicate; a sender
+// that is alive is asked to raise its incarnation.
+func (l *List) verifySender(m *member, s *section) error {
 	switch {
-	case s.inc > m.inc:
-	case s.inc == m.inc && !m.lived:
-	case s.life == m.life && s.inc == m.inc && int16(m.seq-s.seq) > farBack:
-		// Risk: of two processes under one number one in 256 pairs has drawn the same life, and the one behind is taken for old notes for ever.
-		m.swapped(l.now)
+	case s.incarnation > m.incarnation:
+	case s.incarnation == m.incarnation && !m.runKnown:
+	case s.runID == m.runID && s.incarnation == m.incarnation && int16(m.seq-s.seq) > maxReorder:
+		// Two processes under one number that draw the same run ID (one pair in 256) differ by
+		// their sequence numbers only.
+		m.recordRunChange(l.now)
 		return ErrOtherProcess
-	case s.life == m.life && int16(s.seq-m.seq) <= 0:
+	case s.runID == m.runID && int16(s.seq-m.seq) <= 0:
 		return ErrStale
-	case s.inc == m.inc && s.life == m.life:
+	case s.incarnation == m.incarnation && s.runID == m.runID:
 	default:
 		return ErrOtherProcess
 	}
-	if m.heardAt >= 0 && s.life != m.life {
-		m.swapped(l.now)
+	if m.heardAt >= 0 && s.runID != m.runID {
+		m.recordRunChange(l.now)
 	}
-	m.lived, m.life, m.seq = true, s.life, s.seq
+	m.runKnown, m.runID, m.seq = true, s.runID, s.seq
 	return nil
 }
 
-// swapped books that another process than the last speaks under the number.
-func (m *member) swapped(now Time) {
-	if now-m.swapAt > rivalSpan {
-		m.swaps, m.swapAt = 0, now
+// recordRunChange records that another process than the last sends under the member's number.
+func (m *member) recordRunChange(now Time) {
+	if now-m.runChangesSince > duplicateWindow {
+		m.runChanges, m.runChangesSince = 0, now
 	}
-	m.swaps++
+	m.runChanges++
 }
 
-// firstHand takes in what a note proves of its sender.
-func (l *List) firstHand(out []Datagram, from int, s *section) []Datagram {
-	m := &l.all[from]
-	before := m.inc
-	m.inc, m.heardAt, l.heardAny = s.inc, l.now, l.now
+// updateSender applies what a message proves about its sender.
+func (l *List) updateSender(out []Datagram, from int, s *section) []Datagram {
+	m := &l.members[from]
+	previous := m.incarnation
+	m.incarnation, m.heardAt, l.heardAnyAt = s.incarnation, l.now, l.now
 	if m.zone != s.zone {
 		m.zone = s.zone
 		l.version++
 	}
-	// Any sign of life after a question is as good as its answer.
-	for i, q := range l.questions {
-		if q.to == from && q.origin < 0 {
-			l.questions = append(l.questions[:i], l.questions[i+1:]...)
-			if q.tries > 0 {
-				l.missed()
+	// Any message after a ping is as good as an ack.
+	for i, p := range l.probes {
+		if p.target == from && p.requester < 0 {
+			l.probes = append(l.probes[:i], l.probes[i+1:]...)
+			if p.timeouts > 0 {
+				l.recordLoss()
 			} else {
-				l.answeredOnce()
+				l.recordAnswer()
 			}
 			break
 		}
 	}
 	switch {
-	case s.flags&flagLeft != 0:
+	case s.flags&flagLeaving != 0:
 		if m.state != Left {
-			l.become(from, Left, true, "said that it leaves")
+			l.setState(from, Left, true, "announced that it leaves")
 		}
-	case before == 0 && m.state != Alive:
-		l.become(from, Alive, true, "heard of for the first time")
-	case before == 0:
-		m.why = "heard of"
+	case previous == 0 && m.state != Alive:
+		l.setState(from, Alive, true, "first message received")
+	case previous == 0:
+		m.reason = "message received"
 		l.version++
-		l.introduce(from)
-	case s.inc > before && m.state == Alive:
-		l.spread(from)
-	case s.inc > before:
-		l.become(from, Alive, true, fmt.Sprintf("is back under incarnation %d", s.inc))
+		l.announce(from)
+	case s.incarnation > previous && m.state == Alive:
+		l.disseminate(from)
+	case s.incarnation > previous:
+		l.setState(from, Alive, true, fmt.Sprintf("returned with incarnation %d", s.incarnation))
 	case m.state == Suspect:
-		l.become(from, Alive, true, "heard itself")
-		return l.reply(out, from, section{}) // others may still doubt it: told what for, it contradicts
-	case m.state != Alive && l.now-m.toldAt >= Period/4:
-		out = l.reply(out, from, section{}) // it has not heard yet what it is taken for
+		l.setState(from, Alive, true, "message received from it")
+		return l.reply(out, from, section{}) // other relays may still suspect it: it learns of the suspicion and refutes it
+	case m.state != Alive && l.now-m.informedAt >= Period/4:
+		out = l.reply(out, from, section{}) // it has not learned of its state yet
 	}
-	if m.swaps >= rivalry && l.now-m.swapAt < rivalSpan {
-		m.why = "two processes speak under its number"
+	if m.runChanges >= duplicateThreshold && l.now-m.runChangesSince < duplicateWindow {
+		m.reason = "two processes speak under its number"
 	}
 	return out
 }
 
-// answered takes in an answer to a question, or one to another's.
-func (l *List) answered(out []Datagram, from int, s *section) []Datagram {
-	of := from
-	if s.flags&flagFor != 0 {
-		of = s.about
-	}
-	for i, q := range l.questions {
-		if q.to != of || q.nonce != s.nonce {
+// handleAck handles an ack to an own ping, or to one on behalf of another relay.
+func (l *List) handleAck(out []Datagram, from int, s *section) []Datagram {
+	subject := from
+	if s.flags&flagIndirect != 0 {
+		subject = s.subject
+	}
+	for i, p := range l.probes {
+		if p.target != subject || p.nonce != s.nonce {
 			continue
 		}
-		l.questions = append(l.questions[:i], l.questions[i+1:]...)
-		if of != from && q.origin < 0 { // it lives, and the way to it loses notes
-			l.missed()
+		l.probes = append(l.probes[:i], l.probes[i+1:]...)
+		if subject != from && p.requester < 0 { // alive, though the direct path loses datagrams
+			l.recordLoss()
 		}
-		if q.origin >= 0 {
-			return l.reply(out, q.origin, section{flags: flagAnswer | flagFor, nonce: q.echo, about: of})
+		if p.requester >= 0 {
+			return l.reply(out, p.requester, section{flags: flagAck | flagIndirect, nonce: p.requesterNonce, subject: subject})
 		}
 		return out
 	}
 	return out
 }
 
-// accused takes in what is said of this relay itself. It contradicts, unless it is true.
-func (l *List) accused(out []Datagram, from int, f fact, above bool) []Datagram {
-	against := f.state != Alive && f.inc >= l.inc || f.inc > l.inc || above && f.inc >= l.inc
-	if !against || l.leaving {
+// handleOwnState handles a claim about this relay and refutes it, unless it is true.
+func (l *List) handleOwnState(out []Datagram, from int, claim fact, raiseRequested bool) []Datagram {
+	mustRefute := claim.state != Alive && claim.incarnation >= l.incarnation || claim.incarnation > l.incarnation || raiseRequested && claim.incarnation >= l.incarnation
+	if !mustRefute || l.leaving {
 		return out
 	}
-	if f.state == Alive { // another process has spoken under this number: the one before, or a second one
-		if l.now-l.rivalAt > rivalSpan {
-			l.rivals = 0
+	if claim.state == Alive { // another process sent under this number: an earlier one, or a duplicate
+		if l.now-l.duplicateSeenAt > duplicateWindow {
+			l.duplicateSightings = 0
 		}
-		if l.rivals++; l.rivals >= rivalry && l.now-l.bumpAt < 4*Period {
-			l.rivalAt = l.now
-			return out // two would outdo each other for ever
+		if l.duplicateSightings++; l.duplicateSightings >= duplicateThreshold && l.now-l.incarnationRaisedAt < 4*Period {
+			l.duplicateSeenAt = l.now
+			return out // duplicates would raise their incarnations without end
 		}
-		l.rivalAt = l.now
+		l.duplicateSeenAt = l.now
 	} else {
 		l.counts.Refutations++
 	}
-	if most := uint32(leap); f.inc > l.inc+most && (l.inc > 1 || f.inc > leap*leap/16) {
-		return out // nobody has seen this relay there
+	if maxLeap := uint32(maxIncarnationLeap); claim.incarnation > l.incarnation+maxLeap && (l.incarnation > 1 || claim.incarnation > maxIncarnationLeap*maxIncarnationLeap/16) {
+		return out // this relay never had this incarnation
 	}
-	l.bump(f.inc)
+	l.raiseIncarnation(claim.incarnation)
 	l.version++
 	return l.reply(out, from, section{})
 }
 
-// told takes in what one relay says of another. A liar is one voice: what it says starts the time in which the other may contradict.
-func (l *List) told(out []Datagram, from int, f fact) []Datagram {
-	m := &l.all[f.number]
-	if f.inc < m.inc || f.inc > m.inc+leap {
+// applyFact applies what one relay reports of another. A single reporter can only start a
+// suspicion, which the subject may refute.
+func (l *List) applyFact(out []Datagram, from int, f fact) []Datagram {
+	m := &l.members[f.number]
+	if f.incarnation < m.incarnation || f.incarnation > m.incarnation+maxIncarnationLeap {
 		return out
 	}
 	if f.state == Alive {
-		if f.inc > m.inc {
-			m.inc, m.lived = f.inc, false
+		if f.incarnation > m.incarnation {
+			m.incarnation, m.runKnown = f.incarnation, false
 			if f.zone != NoZone {
 				m.zone = f.zone
 			}
 			if m.state != Alive {
-				l.become(f.number, Alive, false, fmt.Sprintf("heard of by %d under incarnation %d", from, f.inc))
+				l.setState(f.number, Alive, false, fmt.Sprintf("reported alive by %d with incarnation %d", from, f.incarnation))
 			} else {
 				l.version++
-				if m.why == "not heard of yet" {
-					m.why = "told of"
-					l.introduce(f.number)
+				if m.reason == "no message received yet" {
+					m.reason = "reported alive"
+					l.announce(f.number)
 				} else {
-					l.spread(f.number)
+					l.disseminate(f.number)
 				}
 			}
 		} else if m.zone == NoZone && f.zone != NoZone {
@@ -243,20 +248,21 @@
 		}
 		return out
 	}
-	newer := f.inc > m.inc
+	newer := f.incarnation > m.incarnation
 	if newer {
-		m.inc, m.lived = f.inc, false
+		m.incarnation, m.runKnown = f.incarnation, false
 	}
 	if m.zone == NoZone {
 		m.zone = f.zone
 	}
 	if f.state == Left {
-		m.said = Left
+		m.claimedState = Left
 	}
-	if m.heardAt >= 0 && l.now-m.heardAt < lately && m.lived && m.state == Alive {
-		// It lives: it is told what is said of it, and contradicts where this one is heard.
-		if l.now-m.toldAt >= Period/2 {
-			m.state = f.state // only for the note: what it is to contradict
+	if m.heardAt >= 0 && l.now-m.heardAt < recentlyHeard && m.runKnown && m.state == Alive {
+		// The subject is alive: it learns of the claim and refutes it where this relay does not
+		// reach.
+		if l.now-m.informedAt >= Period/2 {
+			m.state = f.state // for the encoded message only
 			out = l.reply(out, f.number, section{})
 			m.state = Alive
 		}
@@ -264,31 +270,32 @@
 	}
 	switch {
 	case m.state == Alive && f.state == Suspect, m.state >= Dead && newer && f.state == Suspect:
-		l.become(f.number, Suspect, false, fmt.Sprintf("doubted by %d", from))
+		l.setState(f.number, Suspect, false, fmt.Sprintf("suspected by %d", from))
 	case m.state == Alive:
-		l.become(f.number, Suspect, false, fmt.Sprintf("said by %d to be %v", from, f.state))
+		l.setState(f.number, Suspect, false, fmt.Sprintf("reported by %d as %v", from, f.state))
 	}
-	if f.own && m.state == Suspect {
-		l.voice(m, from)
-		if f.state >= Dead && len(l.all) > 2*voicesFor && len(m.voices) >= voicesFor && l.now-m.at >= Period {
-			l.become(f.number, f.state, false, fmt.Sprintf("%v, by what %d say at first hand", f.state, len(m.voices)))
+	if f.firstHand && m.state == Suspect {
+		l.recordAccuser(m, from)
+		if f.state >= Dead && len(l.members) > 2*fullConfirmation && len(m.accusers) >= fullConfirmation && l.now-m.suspectedAt >= Period {
+			l.setState(f.number, f.state, false, fmt.Sprintf("%v, reported at first hand by %d", f.state, len(m.accusers)))
 		}
 	}
 	return out
 }
 
-// tellAll tells one that has just begun who is not alive, from a place drawn anew so that several tell of different ones.
-func (l *List) tellAll(out []Datagram, to int) []Datagram {
-	if len(l.lost) == 0 {
+// sendGoneMembers sends a new relay the members that are gone, from a random start, so that the
+// replies of several relays differ.
+func (l *List) sendGoneMembers(out []Datagram, to int) []Datagram {
+	if len(l.gone) == 0 {
 		return out
 	}
-	s, from := section{}, l.rng.IntN(len(l.lost))
-	for i := range min(len(l.lost), MaxDatagramBytes/5) {
-		if n := l.lost[(from+i)%len(l.lost)]; n != to && l.all[n].inc > 0 {
-			f := l.fact(n)
-			f.own = false
+	s, first := section{}, l.rng.IntN(len(l.gone))
+	for i := range min(len(l.gone), MaxDatagramBytes/5) {
+		if n := l.gone[(first+i)%len(l.gone)]; n != to && l.members[n].incarnation > 0 {
+			f := l.factAbout(n)
+			f.firstHand = false
 			s.facts = append(s.facts, f)
 		}
 	}
-	return l.replyIn(out, to, s, MaxDatagramBytes-4)
+	return l.replyWithin(out, to, s, MaxDatagramBytes-4)
 }
--- a/internal/peers/members/lie.go
+++ b/internal/peers/members/lie.go
@@ -1,16 +1,17 @@
 package members
 
-// FalseGossip writes the k-th lie of a relay that says of all others what is not so. It is for tests of those who hear it.
-func (l *List) FalseGossip(now Time, k int) []byte {
+// FalseGossip encodes a well-formed section with false facts about other members, chosen by seed.
+// It is for tests of the receivers.
+func (l *List) FalseGossip(now Time, seed int) []byte {
 	l.advance(now)
 	l.seq++
-	s := section{life: l.life, seq: l.seq, inc: 50 + uint32(k), zone: NoZone}
+	s := section{runID: l.runID, seq: l.seq, incarnation: 50 + uint32(seed), zone: NoZone}
 	for i := range 12 {
-		f := fact{number: (k*12 + i) % len(l.all), state: State(1 + (k+i)%3), own: true, zone: NoZone, inc: 1 + uint32(k%7)}
-		if k%5 == 0 {
-			f.inc = topInc - uint32(i)
+		f := fact{number: (seed*12 + i) % len(l.members), state: State(1 + (seed+i)%3), firstHand: true, zone: NoZone, incarnation: 1 + uint32(seed%7)}
+		if seed%5 == 0 {
+			f.incarnation = maxIncarnation - uint32(i)
 		}
 		s.facts = append(s.facts, f)
 	}
-	return s.append(nil, MaxDatagramBytes)
+	return s.appendTo(nil, MaxDatagramBytes)
 }
--- a/internal/peers/members/members.go
+++ b/internal/peers/members/members.go
@@ -1,10 +1,15 @@
-// Package members decides who of a fleet lives. Each relay asks one other for an answer in a turn, has three more ask on its behalf where none
-// comes, and passes on what it knows of others in the notes that go out anyway. Who is accused hears of it and answers under a higher
-// incarnation; who does not is taken for away. What a note proves of its sender, at the address that it came from, goes before what others say.
+// Package members tracks which relays of a fleet are alive, with the SWIM protocol and the
+// Lifeguard extensions. Each relay pings one other relay per protocol period, asks three more to
+// ping on its behalf (ping-req) when no ack arrives, and piggybacks what it knows of others on
+// the gossip that is sent anyway. A suspect that learns of the suspicion refutes it under a
+// higher incarnation; one that does not is declared dead. What a message proves about its own
+// sender takes precedence over what others report.
 //
-// The package opens no socket, reads no clock and owns no goroutine: time is an argument, datagrams come in and go out. A List belongs to
-// whoever calls it. What it costs is the same at ten relays and at a thousand, but for View and for what follows a change. It never does
-// anything to messages or calls; who hears nothing goes on as if all lived.
+// The package opens no socket, reads no clock and starts no goroutine: time is an argument,
+// datagrams are arguments and results. A List is not safe for concurrent use. The cost of a call
+// does not depend on the size of the fleet, except for View and for the work that follows a
+// change. Membership never affects messages or calls by itself; a relay that receives nothing
+// treats all members as alive.
 package members
 
 import (
@@ -19,88 +24,91 @@
 // Time is a moment on the caller's monotonic clock, counted from any fixed start.
 type Time = time.Duration
 
-// Period is the time from one question of a relay to its next, in the mean. Bounds are counted in it.
+// Period is the protocol period: the mean time between two pings of a relay. Other bounds are
+// multiples of it.
 const Period = 600 * time.Millisecond
 
-// MaxPiggybackBytes is the most bytes that membership takes of a note which goes out anyway.
+// MaxPiggybackBytes limits the membership section of a gossip message that is sent anyway.
 const MaxPiggybackBytes = 64
 
-// MaxMembers is how many members a fleet may have.
+// MaxMembers limits the size of a fleet.
 const MaxMembers = 1 << 14
 
-// Open values, chosen by measurement (docs/design/membership.md).
+// Protocol parameters; docs/design/membership.md describes them.
 const (
-	answerBy      = Period / 3       // then others are asked to ask
-	accuseBy      = Period           // then the silence counts
-	helpers       = 3                // members asked to ask
-	least         = 4                // periods under suspicion at least, in a small fleet
-	perHop        = 1.5              // and this many more for each hop that news take to all
-	doubled       = 3                // times that span at most, while one member alone accuses
-	voicesFor     = 3                // accusers at which it is the least
-	lossSlows     = 3                // times the lost share of questions that a suspicion lasts longer
-	surely        = 0.002            // chance at which lost notes may pass for silence
-	leastTries    = 2                // questions in a row without an answer, at least
-	mostTries     = 16               // and at most
-	accuseTurn    = 2 * Period       // from one accusation of a relay to its next
-	lossPart      = 0.1              // weight of the latest question in that share
-	introductions = 2                // and of the mere presence of a member
-	copies        = 12               // notes that carry a piece of news, more where notes are lost
-	deafAfter     = 3 * Period       // without any note: this relay doubts itself
-	deafFor       = 10 * Period      // and accuses nobody for so long
-	deafSlows     = 4                // times that a suspicion lasts longer then
-	joining       = 3 * Period       // for so long at most a relay asks for the fleet's state
-	pause         = 2 * Period       // a gap of the own clock that is one
-	afterward     = 3 * Period       // after a pause nobody is accused
-	lately        = 2 * Period       // heard itself so lately, a member is not taken for dead on others' word
-	answers       = 8                // in a period, and one more for each eight members, up to four times as many
-	flood         = 24               // notes of one member in a period that are read
-	lostTurn      = 4                // each such turn tells one that is away, where those are few
-	leap          = 4096             // incarnations by which others' word may outdo what is known
-	topInc        = 1 << 28          // of incarnations
-	pending       = 3                // questions of this relay at once
-	checks        = 8                // questions at once, up to which one that others doubt is asked as well
-	onBehalf      = 32               // questions for others at once
-	sharesOn      = 15 * time.Second // a member that is away may still be calling: it counts for so long
-	leftOn        = 5 * time.Second  // and one that left
-	cutShare      = 4                // one part in so many that is away at once is no single death
-	rivalry       = 3                // times that another speaks under a number, in rivalSpan, that make two processes
-	rivalSpan     = 20 * Period
-	farBack       = 2048 // notes behind the last: more than a network keeps back, at some twenty a second
+	indirectProbeAfter      = Period / 3  // without an ack: ping-req is sent
+	probeTimeout            = Period      // a probe has failed
+	indirectProbers         = 3           // receivers of a ping-req
+	minSuspicionPeriods     = 4           // shortest suspicion in a small fleet, in periods
+	suspicionPeriodsPerHop  = 1.5         // added for each hop that an update takes through the fleet
+	maxSuspicionFactor      = 3           // longest suspicion (a single accuser), as a multiple of the shortest
+	fullConfirmation        = 3           // accusers at which a suspicion is shortest
+	lossSuspicionFactor     = 3           // suspicions lengthen by this multiple of the loss rate
+	maxFalseSilence         = 0.002       // probability that lost datagrams look like a silent member
+	minProbeAttempts        = 2           // unanswered pings in a row before a suspicion, at least
+	maxProbeAttempts        = 16          // and at most
+	suspicionInterval       = 2 * Period  // between two suspicions that a relay starts
+	lossWeight              = 0.1         // of the latest probe in the moving average of the loss rate
+	announcementCopies      = 2           // gossip messages that carry the presence of a member
+	updateCopies            = 12          // gossip messages that carry an update; more under loss
+	isolatedAfter           = 3 * Period  // without receiving anything
+	isolatedQuietTime       = 10 * Period // an isolated relay suspects nobody for this long
+	isolatedSuspicionFactor = 4           // suspicions of an isolated relay last this much longer
+	syncWindow              = 3 * Period  // a new relay asks for the state of the fleet for this long at most
+	pauseThreshold          = 2 * Period  // a longer gap between two calls means that the process was paused
+	quietAfterPause         = 3 * Period  // no suspicions for this long after a pause
+	recentlyHeard           = 2 * Period  // a member heard directly within this time is not suspected on reports
+	repliesPerPeriod        = 8           // plus one for each eight members, up to four times as many
+	maxReceivedPerPeriod    = 24          // gossip messages read from one member
+	goneContactRounds       = 4           // while few members are gone, one of them is contacted every N rounds
+	maxIncarnationLeap      = 4096        // by which a report may exceed the known incarnation
+	maxIncarnation          = 1 << 28
+	maxOwnProbes            = 3                // probes in flight, without checks
+	maxProbesForChecks      = 8                // probes in flight up to which suspects of other relays are checked
+	maxProbes               = 32               // probes in flight up to which ping-req is served
+	deadCallerTime          = 15 * time.Second // a dead member may still be calling: it is counted for this long
+	leftCallerTime          = 5 * time.Second  // the same for a member that left
+	massFailureDivisor      = 4                // more than one in N dead at once is a partition or an outage
+	duplicateThreshold      = 3                // signs of a second process within duplicateWindow that prove one
+	duplicateWindow         = 20 * Period
+	maxReorder              = 2048 // sequence numbers behind the latest; no network delays a datagram for longer
 )
 
-// doubtShare is the part of a zone, one in so many, that may be in doubt besides a member that is counted as dead.
-const doubtShare = 12
+// zoneDoubtDivisor bounds the members of a zone, one in N, that may be dead or suspect for a dead
+// member not to count as a caller.
+const zoneDoubtDivisor = 12
 
-// NoZone is the zone of a member that told none.
+// NoZone is the zone of a member that has announced none.
 const NoZone = 31
 
-// State is what a member is taken for.
+// State is the state of a member.
 type State uint8
 
-// The states, in the order in which they outdo one another at one incarnation.
+// The states. At the same incarnation a higher state overrides a lower one.
 const (
 	Alive   State = iota
-	Suspect       // it gave no answer; it has time to contradict
-	Dead          // it is dead, or can't be heard from here
-	Left          // it said so
+	Suspect       // did not ack; may still refute
+	Dead          // confirmed dead, or unreachable from here
+	Left          // announced its departure
 )
 
+// String returns the name of the state in logs, metrics and the admin API.
 func (s State) String() string { return [...]string{"alive", "suspect", "away", "left"}[s&3] }
 
-// Config is what a list is made from.
+// Config holds the parameters of a List.
 type Config struct {
 	Self, FleetSize int
-	Zone            int // its number; NoZone: not known
+	Zone            int // index of the zone; NoZone if unknown
 	Seed            int64
 }
 
-// Datagram is a note that holds nothing but membership, and whom it goes to.
+// Datagram is a gossip message to be sent to one relay.
 type Datagram struct {
 	To      int
 	Payload []byte
 }
 
-// Change is a member's new state.
+// Change is a change in the state of a member.
 type Change struct {
 	Number      int
 	From, To    State
@@ -108,169 +116,177 @@
 	Reason      string
 }
 
-// Counts is what the list has done so far.
+// Counts holds counters since the start.
 type Counts struct {
-	Probes, ProbeTimeouts, Suspicions, Refutations int // questions, those without an answer, members accused by this one, and own accusations contradicted
-	Rejected                                       int // notes that were not taken
+	// Pings sent in rounds, those without an ack in time, suspicions started by this relay, and
+	// refutations of suspicions against it.
+	Probes, ProbeTimeouts, Suspicions, Refutations int
+	Rejected                                       int // gossip messages
 }
 
-// member is what is known of one relay.
+// member is what this relay knows of another.
 type member struct {
-	state    State
-	zone     uint8
-	mine     bool   // this relay has accused it
-	checked  bool   // this relay has asked it since it is doubted
-	own      bool   // what is said against it is known at first hand
-	lived    bool   // life and seq are known
-	life     uint8  // tells its processes apart
-	seq      uint16 // of the last note heard
-	inc      uint32 // 0: nobody has heard of it
-	left     int8   // notes that still carry the news
-	issue    uint8  // of the news
-	said     State  // Left: others say that it left
-	since    Time
-	heardAt  Time // itself; -1: never
-	signAt   Time // the last note that shows that it lives, though not under the incarnation that it would need
-	at       Time // suspicion began
-	toldAt   Time // when it was last told what it is taken for
-	voices   []int
-	why      string
-	bucket   int // notes read in the period of bucketAt
-	bucketAt Time
-	swaps    int // lives in turn, since swapAt
-	swapAt   Time
-}
-
-// question is one that this relay waits for an answer to.
-type question struct {
-	to     int
-	nonce  uint8
-	tries  int // that had no answer
-	at     Time
-	helped bool
-	check  bool // of one that others doubt
-	origin int  // for whom; -1: for itself
-	echo   uint8
+	state           State
+	zone            uint8
+	suspectedHere   bool   // this relay's own probes failed
+	checked         bool   // this relay has pinged it since the suspicion began
+	firstHand       bool   // the state rests on this relay's own probes
+	runKnown        bool   // runID and seq are known
+	runID           uint8  // identifies a process under this number
+	seq             uint16 // of the latest message received
+	incarnation     uint32 // 0: never heard of
+	copiesLeft      int8   // copies of the update still to be sent
+	updateSerial    uint8  // identifies the latest update
+	claimedState    State  // Left if others report that it left
+	since           Time
+	heardAt         Time  // latest message received directly; -1: none
+	signOfLifeAt    Time  // latest message that proves life, though under an outdated incarnation
+	suspectedAt     Time  // start of the suspicion
+	informedAt      Time  // when it was last sent the state it is in
+	accusers        []int // members that suspect it at first hand
+	reason          string
+	received        int // messages read since receivedSince
+	receivedSince   Time
+	runChanges      int // process changes seen since runChangesSince
+	runChangesSince Time
+}
+
+// probe is a ping in flight.
+type probe struct {
+	target         int
+	nonce          uint8
+	timeouts       int // unanswered attempts
+	sentAt         Time
+	indirect       bool  // ping-req was sent
+	check          bool  // verifies a suspicion of other relays
+	requester      int   // member that sent the ping-req; -1: own probe
+	requesterNonce uint8 // nonce of the ping-req
 }
 
 // List is one relay's view of its fleet.
 type List struct {
-	set       Config
-	rng       *rand.Rand
-	now       Time
-	begun     bool
-	all       []member
-	inc       uint32
-	life      uint8
-	seq       uint16
-	nonce     uint8
-	leaving   bool
-	synced    bool // somebody has told the fleet's state
-	ring      []int
-	ringAt    int
-	questions []question
-	suspects  []int           // numbers, in no order
-	live      []int           // neither away nor left, this one left out
-	lost      []int           // the others
-	place     []int           // of each in live or lost
-	news      [queues][]entry // numbers to be passed on, the next first
-	changes   []Change
-	version   uint64
-	counts    Counts
-	loss      float64
-	recent    uint8 // of the last eight members asked, those that did not answer the first question
-	accusedAt Time
-	turns     int
-	heardAny  Time
-	quietTil  Time
-	budget    int // answers left in the period of budgetAt
-	budgetAt  Time
-	bumpAt    Time
-	deafBump  Time
-	rivals    int // times that another spoke under this number
-	rivalAt   Time
-	bornAt    Time
-	sharing   int
-	sharingAt Time
-	countedAt Time
-}
-
-// New returns the list of one relay, which takes all for alive and has heard of nobody. A fleet of no sensible size has one member.
-func New(set Config) *List {
-	if set.FleetSize < 1 || set.FleetSize > MaxMembers || set.Self < 0 || set.Self >= set.FleetSize {
-		set.Self, set.FleetSize = 0, 1
-	}
-	if set.Zone < 0 || set.Zone > NoZone {
-		set.Zone = NoZone
-	}
-	rng := rand.New(rand.NewPCG(uint64(set.Seed), 0x3e3b))
-	l := &List{set: set, rng: rng, inc: 1, life: uint8(rng.Uint32()), seq: uint16(rng.Uint32()), nonce: uint8(rng.Uint32()), all: make([]member, set.FleetSize),
-		place: make([]int, set.FleetSize), sharing: set.FleetSize, version: 1, bumpAt: -Period, deafBump: -Period, accusedAt: -accuseTurn, budgetAt: -Period}
-	for i := range l.all {
-		l.all[i] = member{zone: NoZone, heardAt: -1, toldAt: -pause, why: "not heard of yet"}
-		if i != set.Self {
-			l.place[i] = len(l.live)
+	config              Config
+	rng                 *rand.Rand
+	now                 Time
+	started             bool
+	members             []member
+	incarnation         uint32
+	runID               uint8
+	seq                 uint16
+	nonce               uint8
+	leaving             bool
+	synced              bool // another relay has sent the state of the fleet
+	probeOrder          []int
+	probeIndex          int
+	probes              []probe
+	suspects            []int                      // numbers, unordered
+	live                []int                      // alive or suspect, without this relay
+	gone                []int                      // dead or left
+	indexOf             []int                      // position of each member in live or gone
+	updates             [queueCount][]queuedUpdate // queues of members whose state is to be sent, next first
+	changes             []Change
+	version             uint64
+	counts              Counts
+	lossRate            float64
+	recentTimeouts      uint8 // of the last eight probed members, a bit for each first ping without an ack
+	suspicionAt         Time
+	rounds              int
+	heardAnyAt          Time
+	quietUntil          Time
+	repliesLeft         int // replies allowed in the period that began at repliesSince
+	repliesSince        Time
+	incarnationRaisedAt Time
+	isolatedRaiseAt     Time
+	duplicateSightings  int // messages that prove another process under this number
+	duplicateSeenAt     Time
+	startedAt           Time
+	callers             int
+	callersAt           Time
+	callersCountedAt    Time
+}
+
+// New returns a List that takes all members for alive. A configuration out of bounds yields a
+// fleet of one member.
+func New(config Config) *List {
+	if config.FleetSize < 1 || config.FleetSize > MaxMembers || config.Self < 0 || config.Self >= config.FleetSize {
+		config.Self, config.FleetSize = 0, 1
+	}
+	if config.Zone < 0 || config.Zone > NoZone {
+		config.Zone = NoZone
+	}
+	rng := rand.New(rand.NewPCG(uint64(config.Seed), 0x3e3b))
+	l := &List{config: config, rng: rng, incarnation: 1, runID: uint8(rng.Uint32()), seq: uint16(rng.Uint32()), nonce: uint8(rng.Uint32()), members: make([]member, config.FleetSize),
+		indexOf: make([]int, config.FleetSize), callers: config.FleetSize, version: 1, incarnationRaisedAt: -Period, isolatedRaiseAt: -Period, suspicionAt: -suspicionInterval, repliesSince: -Period}
+	for i := range l.members {
+		l.members[i] = member{zone: NoZone, heardAt: -1, informedAt: -pauseThreshold, reason: "no message received yet"}
+		if i != config.Self {
+			l.indexOf[i] = len(l.live)
 			l.live = append(l.live, i)
-			l.ring = append(l.ring, i)
+			l.probeOrder = append(l.probeOrder, i)
 		}
 	}
-	l.all[set.Self] = member{zone: uint8(set.Zone), inc: 1, lived: true, why: "this relay"}
-	l.shuffle()
+	l.members[config.Self] = member{zone: uint8(config.Zone), incarnation: 1, runKnown: true, reason: "this relay"}
+	l.shuffleProbeOrder()
 	return l
 }
 
-func (l *List) shuffle() {
-	l.rng.Shuffle(len(l.ring), func(i, j int) { l.ring[i], l.ring[j] = l.ring[j], l.ring[i] })
+func (l *List) shuffleProbeOrder() {
+	l.rng.Shuffle(len(l.probeOrder), func(i, j int) { l.probeOrder[i], l.probeOrder[j] = l.probeOrder[j], l.probeOrder[i] })
 }
 
-// advance moves the clock on. Risk: a process that stood still finds all answers overdue, and would accuse the fleet of its own pause.
+// advance sets the clock. After a pause of the process all acks are overdue, so probes are
+// dropped and suspicions extended instead of suspecting the whole fleet.
 func (l *List) advance(now Time) {
-	if !l.begun {
-		l.begun, l.now, l.heardAny, l.sharingAt, l.bornAt = true, now, now, now, now
-		for i := range l.all {
-			l.all[i].since = now
+	if !l.started {
+		l.started, l.now, l.heardAnyAt, l.callersAt, l.startedAt = true, now, now, now, now
+		for i := range l.members {
+			l.members[i].since = now
 		}
 		return
 	}
 	gap := now - l.now
 	if gap <= 0 {
-		return // a clock does not go back
+		return // the clock never goes back
 	}
 	l.now = now
-	l.synced = l.synced || now-l.bornAt > joining
-	if gap > pause {
-		l.questions = l.questions[:0]
+	l.synced = l.synced || now-l.startedAt > syncWindow
+	if gap > pauseThreshold {
+		l.probes = l.probes[:0]
 		for _, n := range l.suspects {
-			l.all[n].at += gap
+			l.members[n].suspectedAt += gap
 		}
-		l.quietTil, l.heardAny = now+afterward, now
-		l.bump(l.inc) // it may have been accused meanwhile
+		l.quietUntil, l.heardAnyAt = now+quietAfterPause, now
+		l.raiseIncarnation(l.incarnation) // this relay may have been suspected meanwhile
 	}
 }
 
-// bump takes the next incarnation above inc.
-func (l *List) bump(inc uint32) {
-	if l.inc = max(l.inc, min(inc, topInc-1)) + 1; l.inc > topInc {
-		l.inc = topInc
+// raiseIncarnation sets this relay's incarnation to the one after the given or the current one,
+// whichever is higher.
+func (l *List) raiseIncarnation(incarnation uint32) {
+	if l.incarnation = max(l.incarnation, min(incarnation, maxIncarnation-1)) + 1; l.incarnation > maxIncarnation {
+		l.incarnation = maxIncarnation
 	}
-	l.bumpAt = l.now
-	l.all[l.set.Self].inc = l.inc
+	l.incarnationRaisedAt = l.now
+	l.members[l.config.Self].incarnation = l.incarnation
 }
 
-// Isolated tells whether nobody has been heard for so long that this relay doubts itself.
-func (l *List) Isolated() bool { return len(l.all) > 1 && l.now-l.heardAny > deafAfter }
+// Isolated reports whether this relay has received nothing for so long that its own network is in
+// doubt.
+func (l *List) Isolated() bool { return len(l.members) > 1 && l.now-l.heardAnyAt > isolatedAfter }
 
-// DuplicateNumber tells whether another process speaks under this relay's number.
-func (l *List) DuplicateNumber() bool { return l.rivals >= rivalry && l.now-l.rivalAt < rivalSpan }
+// DuplicateNumber reports whether another process sends under this relay's number.
+func (l *List) DuplicateNumber() bool {
+	return l.duplicateSightings >= duplicateThreshold && l.now-l.duplicateSeenAt < duplicateWindow
+}
 
-// Counts tells what the list has done so far.
+// Counts returns the counters.
 func (l *List) Counts() Counts { return l.counts }
 
-// Incarnation is this relay's own.
-func (l *List) Incarnation() uint32 { return l.inc }
+// Incarnation returns this relay's incarnation.
+func (l *List) Incarnation() uint32 { return l.incarnation }
 
-// State tells what member n is taken for.
-func (l *List) State(n int) State { return l.all[n].state }
+// State returns the state of a member.
+func (l *List) State(n int) State { return l.members[n].state }
 
 // Changes returns the changes of state since the last call.
 func (l *List) Changes() []Change {
@@ -279,342 +295,345 @@
 	return c
 }
 
-// Version grows with each change that View shows.
+// Version increases with each change that View shows.
 func (l *List) Version() uint64 { return l.version }
 
-// set puts member n into a state, and has the news passed on.
-func (l *List) become(n int, s State, own bool, why string) {
-	m := &l.all[n]
-	was := m.state
-	if was != s {
-		l.changes = append(l.changes, Change{n, was, s, m.inc, why})
+// setState changes the state of a member and disseminates it.
+func (l *List) setState(number int, state State, firstHand bool, reason string) {
+	m := &l.members[number]
+	previous := m.state
+	if previous != state {
+		l.changes = append(l.changes, Change{number, previous, state, m.incarnation, reason})
 		m.since = l.now
-		if (was >= Dead) != (s >= Dead) {
-			l.move(n, s >= Dead)
+		if (previous >= Dead) != (state >= Dead) {
+			l.moveMember(number, state >= Dead)
 		}
-		if s == Suspect {
-			m.at, m.voices, m.checked = l.now, m.voices[:0], false
-			l.suspects = append(l.suspects, n)
-		} else if was == Suspect {
-			i := slices.Index(l.suspects, n)
+		if state == Suspect {
+			m.suspectedAt, m.accusers, m.checked = l.now, m.accusers[:0], false
+			l.suspects = append(l.suspects, number)
+		} else if previous == Suspect {
+			i := slices.Index(l.suspects, number)
 			l.suspects[i] = l.suspects[len(l.suspects)-1]
 			l.suspects = l.suspects[:len(l.suspects)-1]
 		}
 	}
-	if m.state, m.own, m.why = s, own, why; s == Alive {
-		if m.mine && was == Suspect {
-			l.missed() // it was there all the time
+	if m.state, m.firstHand, m.reason = state, firstHand, reason; state == Alive {
+		if m.suspectedHere && previous == Suspect {
+			l.recordLoss() // the suspicion was false: acks were lost
 		}
-		m.said, m.voices, m.mine = Alive, m.voices[:0], false
+		m.claimedState, m.accusers, m.suspectedHere = Alive, m.accusers[:0], false
 	}
 	l.version++
-	l.spread(n)
+	l.disseminate(number)
 }
 
-// move puts n from one of live and lost into the other.
-func (l *List) move(n int, lost bool) {
-	from, to := &l.lost, &l.live
-	if lost {
-		from, to = &l.live, &l.lost
+// moveMember moves a member from live to gone or back.
+func (l *List) moveMember(number int, gone bool) {
+	from, to := &l.gone, &l.live
+	if gone {
+		from, to = &l.live, &l.gone
 	}
-	i, last := l.place[n], (*from)[len(*from)-1]
-	(*from)[i], l.place[last] = last, i
+	i, last := l.indexOf[number], (*from)[len(*from)-1]
+	(*from)[i], l.indexOf[last] = last, i
 	*from = (*from)[:len(*from)-1]
-	l.place[n] = len(*to)
-	*to = append(*to, n)
+	l.indexOf[number] = len(*to)
+	*to = append(*to, number)
 }
 
-// spread has what is known of n passed on. What nobody has heard of is not told.
-func (l *List) spread(n int) {
-	m := &l.all[n]
-	if m.inc == 0 || m.state != Alive && l.Isolated() {
-		return // nobody has heard of it; or a deaf relay's doubts, which are its own
+// disseminate queues the state of a member, unless nobody has ever heard of it.
+func (l *List) disseminate(number int) {
+	m := &l.members[number]
+	if m.incarnation == 0 || m.state != Alive && l.Isolated() {
+		return // an isolated relay does not spread its own suspicions
 	}
-	l.queue(n, fresh, min(int(copies*(1+l.loss)), 4*(len(l.all)-1)))
+	l.enqueue(number, freshUpdates, min(int(updateCopies*(1+l.lossRate)), 4*(len(l.members)-1)))
 }
 
-// introduce has it passed on, behind all else, that a member is there and in which zone.
-func (l *List) introduce(n int) {
-	if m := &l.all[n]; m.left == 0 {
-		l.queue(n, known, introductions)
+// announce queues the presence and zone of a member, with the lowest priority.
+func (l *List) announce(number int) {
+	if m := &l.members[number]; m.copiesLeft == 0 {
+		l.enqueue(number, announcements, announcementCopies)
 	}
 }
 
-// The queues of what is passed on: what has not been told yet, what was told and is told again, and who is there at all.
+// Queues of updates: not sent yet, sent and to be repeated, and presence of members.
 const (
-	fresh uint8 = iota
-	again
-	known
-	queues
+	freshUpdates uint8 = iota
+	repeatedUpdates
+	announcements
+	queueCount
 )
 
-// entry is a place in a queue. It holds as long as nothing newer was queued of its member.
-type entry struct {
-	n     int
-	issue uint8
+// queuedUpdate is an entry of a queue. It is stale once a newer update of its member is queued.
+type queuedUpdate struct {
+	number int
+	serial uint8
 }
 
-// queue has news of n told so often, from now on.
-func (l *List) queue(n int, where uint8, times int) {
-	m := &l.all[n]
-	m.issue++
-	m.left = int8(times)
-	l.news[where] = append(l.news[where], entry{n, m.issue})
+// enqueue has an update of a member sent the given number of times.
+func (l *List) enqueue(number int, queue uint8, copies int) {
+	m := &l.members[number]
+	m.updateSerial++
+	m.copiesLeft = int8(copies)
+	l.updates[queue] = append(l.updates[queue], queuedUpdate{number, m.updateSerial})
 }
 
-// tell takes up to most pieces of news out of a queue, each to be told once more, and gives each to do.
-func (l *List) tell(where uint8, most int, do func(n int)) {
-	for looked := len(l.news[where]); looked > 0 && most > 0; looked-- {
-		e := l.news[where][0]
-		l.news[where] = l.news[where][1:]
-		m := &l.all[e.n]
-		if m.issue != e.issue || m.left == 0 {
+// dequeue passes up to limit members to visit. Updates with copies left are queued again.
+func (l *List) dequeue(queue uint8, limit int, visit func(n int)) {
+	for remaining := len(l.updates[queue]); remaining > 0 && limit > 0; remaining-- {
+		update := l.updates[queue][0]
+		l.updates[queue] = l.updates[queue][1:]
+		m := &l.members[update.number]
+		if m.updateSerial != update.serial || m.copiesLeft == 0 {
 			continue
 		}
-		if m.left--; m.left > 0 {
-			to := where
-			if where == fresh {
-				to = again
+		if m.copiesLeft--; m.copiesLeft > 0 {
+			to := queue
+			if queue == freshUpdates {
+				to = repeatedUpdates
 			}
-			l.news[to] = append(l.news[to], e)
+			l.updates[to] = append(l.updates[to], update)
 		}
-		do(e.n)
-		most--
+		visit(update.number)
+		limit--
 	}
 }
 
-// --- questions ---
-
-// Target is a relay that a turn's note goes to; Ask says that it is asked for an answer.
+// Target is a receiver of gossip in a round. Ping requests an ack.
 type Target struct {
 	To   int
 	Ping bool
 }
 
-// GossipTargets begins a turn: whom its notes go to, up to so many, the one that is asked first. One that is away is among them, so that groups that
-// lost sight of each other meet again.
-func (l *List) GossipTargets(now Time, most int) (to []Target) {
+// GossipTargets starts a round and returns up to limit receivers, the one to be pinged first. A
+// gone member is contacted now and then, so that the sides of a partition find each other again.
+func (l *List) GossipTargets(now Time, limit int) (targets []Target) {
 	l.advance(now)
-	if len(l.all) < 2 {
+	if len(l.members) < 2 {
 		return nil
 	}
-	if n, ok := l.nextToAsk(); ok && l.own() < pending && !l.leaving {
-		to = append(to, Target{n, true})
+	if n, ok := l.nextProbeTarget(); ok && l.ownProbes() < maxOwnProbes && !l.leaving {
+		targets = append(targets, Target{n, true})
 	}
-	has := func(n int) bool { return slices.ContainsFunc(to, func(t Target) bool { return t.To == n }) }
-	if l.turns++; len(l.lost) > 0 && (l.turns%lostTurn == 0 || len(l.lost)*lostTurn*2 > len(l.all)) {
-		to = append(to, Target{To: l.lost[l.rng.IntN(len(l.lost))]})
+	included := func(n int) bool { return slices.ContainsFunc(targets, func(t Target) bool { return t.To == n }) }
+	if l.rounds++; len(l.gone) > 0 && (l.rounds%goneContactRounds == 0 || len(l.gone)*goneContactRounds*2 > len(l.members)) {
+		targets = append(targets, Target{To: l.gone[l.rng.IntN(len(l.gone))]})
 	}
-	for tries := 0; len(to) < min(most, len(l.live)) && tries < 8*most; tries++ {
-		if n := l.live[l.rng.IntN(len(l.live))]; !has(n) {
-			to = append(to, Target{To: n})
+	for draws := 0; len(targets) < min(limit, len(l.live)) && draws < 8*limit; draws++ {
+		if n := l.live[l.rng.IntN(len(l.live))]; !included(n) {
+			targets = append(targets, Target{To: n})
 		}
 	}
-	return to
+	return targets
 }
 
-// asking tells whether an own question to n waits for its answer, or only one that checks what others say.
-func (l *List) asking(n int, check bool) bool {
-	return slices.ContainsFunc(l.questions, func(q question) bool { return q.to == n && q.origin < 0 && (q.check || !check) })
+// probing reports whether an own probe of a member is in flight; with checksOnly, only a check
+// counts.
+func (l *List) probing(number int, checksOnly bool) bool {
+	return slices.ContainsFunc(l.probes, func(p probe) bool { return p.target == number && p.requester < 0 && (p.check || !checksOnly) })
 }
 
-// own counts this relay's own questions, but for those that check what others say.
-func (l *List) own() (n int) {
-	for _, q := range l.questions {
-		if q.origin < 0 && !q.check {
-			n++
+// ownProbes counts the own probes in flight, without checks.
+func (l *List) ownProbes() (count int) {
+	for _, p := range l.probes {
+		if p.requester < 0 && !p.check {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// nextToAsk goes round the fleet in an order of its own, drawn anew each time: each is asked once a round.
-func (l *List) nextToAsk() (int, bool) {
-	for range min(len(l.ring), 64) {
-		if l.ringAt >= len(l.ring) {
-			l.ringAt = 0
-			l.shuffle()
+// nextProbeTarget walks through the fleet in random order, reshuffled after each pass, so that
+// each member is probed once per pass.
+func (l *List) nextProbeTarget() (int, bool) {
+	for range min(len(l.probeOrder), 64) {
+		if l.probeIndex >= len(l.probeOrder) {
+			l.probeIndex = 0
+			l.shuffleProbeOrder()
 		}
-		n := l.ring[l.ringAt]
-		l.ringAt++
-		if l.all[n].state < Dead && !l.asking(n, false) {
+		n := l.probeOrder[l.probeIndex]
+		l.probeIndex++
+		if l.members[n].state < Dead && !l.probing(n, false) {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// NextTick is when Tick wants to be called again.
+// NextTick returns when Tick is due.
 func (l *List) NextTick() Time {
-	at := l.now + Period
-	for _, q := range l.questions {
-		if !q.helped && !q.check && q.origin < 0 {
-			at = min(at, q.at+answerBy)
+	next := l.now + Period
+	for _, p := range l.probes {
+		if !p.indirect && !p.check && p.requester < 0 {
+			next = min(next, p.sentAt+indirectProbeAfter)
 		}
-		at = min(at, q.at+accuseBy)
+		next = min(next, p.sentAt+probeTimeout)
 	}
 	if len(l.suspects) > 0 {
-		at = min(at, l.now+Period/4)
+		next = min(next, l.now+Period/4)
 	}
-	return max(at, l.now+Period/60)
+	return max(next, l.now+Period/60)
 }
 
-// Tick does what is due: others are asked to ask, silence is held against a member, a suspicion ends.
+// Tick does what is due: sends ping-req, handles probe timeouts and ends suspicions.
 func (l *List) Tick(now Time) (out []Datagram) {
 	l.advance(now)
-	kept := l.questions[:0]
-	for _, q := range l.questions {
+	remaining := l.probes[:0]
+	for _, p := range l.probes {
 		switch {
-		case l.now >= q.at+accuseBy && q.origin >= 0:
+		case l.now >= p.sentAt+probeTimeout && p.requester >= 0:
 			continue
-		case l.now >= q.at+accuseBy:
-			if q.tries++; q.tries == 1 && !q.check {
-				l.recent |= 1
+		case l.now >= p.sentAt+probeTimeout:
+			if p.timeouts++; p.timeouts == 1 && !p.check {
+				l.recentTimeouts |= 1
 			}
-			if q.check && q.tries >= l.enough() {
-				l.voice(&l.all[q.to], l.set.Self)
+			if p.check && p.timeouts >= l.requiredTimeouts() {
+				l.recordAccuser(&l.members[p.target], l.config.Self)
 				continue
 			}
-			if q.tries >= l.enough() && l.now-l.accusedAt >= accuseTurn {
-				if l.silent(q.to) {
-					l.accusedAt = l.now
+			if p.timeouts >= l.requiredTimeouts() && l.now-l.suspicionAt >= suspicionInterval {
+				if l.suspectSilent(p.target) {
+					l.suspicionAt = l.now
 				}
 				continue
 			}
 			l.nonce++
-			q.nonce, q.at, q.helped = l.nonce, l.now, false
-			out = append(out, Datagram{q.to, l.note(q.to, section{flags: flagAsk, nonce: q.nonce}, MaxPiggybackBytes)})
-		case q.origin < 0 && !q.helped && !q.check && l.now >= q.at+answerBy:
-			q.helped = true
+			p.nonce, p.sentAt, p.indirect = l.nonce, l.now, false
+			out = append(out, Datagram{p.target, l.encodeSection(p.target, section{flags: flagPing, nonce: p.nonce}, MaxPiggybackBytes)})
+		case p.requester < 0 && !p.indirect && !p.check && l.now >= p.sentAt+indirectProbeAfter:
+			p.indirect = true
 			l.counts.ProbeTimeouts++
-			for _, n := range l.helpersFor(q.to) {
-				out = append(out, Datagram{n, l.note(n, section{flags: flagAsk | flagFor, nonce: q.nonce, about: q.to}, MaxDatagramBytes/2)})
+			for _, n := range l.indirectProbersFor(p.target) {
+				out = append(out, Datagram{n, l.encodeSection(n, section{flags: flagPing | flagIndirect, nonce: p.nonce, subject: p.target}, MaxDatagramBytes/2)})
 			}
 		}
-		kept = append(kept, q)
+		remaining = append(remaining, p)
 	}
-	l.questions = kept
-	if l.Isolated() && l.now-l.deafBump >= 2*Period {
-		// Risk: who hears nothing can't contradict what is said of it; so it contradicts unasked.
-		l.deafBump = l.now
-		l.bump(l.inc)
+	l.probes = remaining
+	if l.Isolated() && l.now-l.isolatedRaiseAt >= 2*Period {
+		// An isolated relay learns of no suspicion against it, so it refutes unasked.
+		l.isolatedRaiseAt = l.now
+		l.raiseIncarnation(l.incarnation)
 	}
 	for i := len(l.suspects) - 1; i >= 0; i-- {
 		n := l.suspects[i]
-		m := &l.all[n]
-		span := l.span(m)
-		if l.now < l.quietTil || l.now-m.at < span/2 {
+		m := &l.members[n]
+		timeout := l.suspicionTimeout(m)
+		if l.now < l.quietUntil || l.now-m.suspectedAt < timeout/2 {
 			continue
 		}
-		// Risk: news that clear a member miss one relay of a thousand. It asks for itself before it believes the others.
-		if !m.checked && len(l.questions) < checks {
-			if m.checked = true; !l.asking(n, false) {
+		// An update that clears the suspect may not have arrived here, so this relay pings the
+		// suspect itself before it declares it dead.
+		if !m.checked && len(l.probes) < maxProbesForChecks {
+			if m.checked = true; !l.probing(n, false) {
 				l.nonce++
-				l.questions = append(l.questions, question{to: n, nonce: l.nonce, at: l.now, origin: -1, check: true})
-				out = append(out, Datagram{n, l.note(n, section{flags: flagAsk, nonce: l.nonce}, MaxPiggybackBytes)})
+				l.probes = append(l.probes, probe{target: n, nonce: l.nonce, sentAt: l.now, requester: -1, check: true})
+				out = append(out, Datagram{n, l.encodeSection(n, section{flags: flagPing, nonce: l.nonce}, MaxPiggybackBytes)})
 			}
 			continue
-		} else if l.now-m.at < span || l.asking(n, true) {
+		} else if l.now-m.suspectedAt < timeout || l.probing(n, true) {
 			continue
 		}
 		switch {
-		case m.said == Left:
-			l.become(n, Left, false, "said to have left, and no sign of it since")
+		case m.claimedState == Left:
+			l.setState(n, Left, false, "reported to have left, and no message since")
 		case l.Isolated():
-			l.become(n, Dead, false, "nobody is heard: this relay may be the one that is cut off")
+			l.setState(n, Dead, false, "no messages from any relay: this relay may be isolated")
 		default:
-			l.become(n, Dead, true, m.why+fmt.Sprintf(", and did not contradict for %.1f s", (l.now-m.at).Seconds()))
+			l.setState(n, Dead, true, m.reason+fmt.Sprintf("; no refutation within %.1f s", (l.now-m.suspectedAt).Seconds()))
 		}
 	}
 	return out
 }
 
-// enough is how many questions in a row have to stay without an answer: two where all come through, more where many are lost, so that a
-// network that loses half of all notes does not have everybody accuse everybody. What is lost shows late in the usual share; that others
-// asked at the same time did not answer either shows at once.
-func (l *List) enough() int {
-	lost := max(l.loss, float64(bits.OnesCount8(l.recent)-1)/8)
-	if lost <= surely {
-		return leastTries
+// requiredTimeouts returns how many pings in a row have to time out before a suspicion: more
+// under loss, so that a network that drops half of all datagrams does not make everybody suspect
+// everybody. The average reacts slowly to loss; timeouts of other recent probes show it at once.
+func (l *List) requiredTimeouts() int {
+	lossRate := max(l.lossRate, float64(bits.OnesCount8(l.recentTimeouts)-1)/8)
+	if lossRate <= maxFalseSilence {
+		return minProbeAttempts
 	}
-	return max(leastTries, min(mostTries, int(math.Ceil(math.Log(surely)/math.Log(min(lost, 0.9))))))
+	return max(minProbeAttempts, min(maxProbeAttempts, int(math.Ceil(math.Log(maxFalseSilence)/math.Log(min(lossRate, 0.9))))))
 }
 
-// helpersFor draws members that may reach n where this one does not.
-func (l *List) helpersFor(n int) (to []int) {
-	for tries := 0; len(to) < min(helpers, len(l.live)-1) && tries < 8*helpers; tries++ {
-		if h := l.live[l.rng.IntN(len(l.live))]; h != n && !slices.Contains(to, h) {
-			to = append(to, h)
+// indirectProbersFor draws members that may reach a member that this relay does not.
+func (l *List) indirectProbersFor(number int) (probers []int) {
+	for draws := 0; len(probers) < min(indirectProbers, len(l.live)-1) && draws < 8*indirectProbers; draws++ {
+		if candidate := l.live[l.rng.IntN(len(l.live))]; candidate != number && !slices.Contains(probers, candidate) {
+			probers = append(probers, candidate)
 		}
 	}
-	return to
+	return probers
 }
 
-// missed books that a question to a member that lives had no answer, answeredOnce that one had. Silence that turns out to be a death is no loss.
-func (l *List) missed()       { l.loss += (1 - l.loss) * lossPart }
-func (l *List) answeredOnce() { l.loss -= l.loss * lossPart }
+// recordLoss and recordAnswer update the loss rate with a probe of a member that turned out to be
+// alive. Silence of a member that is dead is no loss.
+func (l *List) recordLoss()   { l.lossRate += (1 - l.lossRate) * lossWeight }
+func (l *List) recordAnswer() { l.lossRate -= l.lossRate * lossWeight }
 
-// silent takes in that n gave no answer, neither itself nor through others, and tells whether this relay holds it against it.
-func (l *List) silent(n int) (accused bool) {
-	m := &l.all[n]
-	if since := l.now - l.heardAny; since >= Period && since < deafFor || l.now < l.quietTil || m.state >= Dead {
-		return false // a relay that is deaf or has just woken doubts itself first
+// suspectSilent handles the failed probe of a member and reports whether this relay suspects it.
+func (l *List) suspectSilent(number int) (suspected bool) {
+	m := &l.members[number]
+	if since := l.now - l.heardAnyAt; since >= Period && since < isolatedQuietTime || l.now < l.quietUntil || m.state >= Dead {
+		return false // isolated or just resumed: this relay doubts itself first
 	}
 	l.counts.Suspicions++
-	m.mine = true
-	why := fmt.Sprintf("no answer in %.1f s, nor through others", accuseBy.Seconds())
-	if m.inc == 0 {
-		why = "never heard of"
+	m.suspectedHere = true
+	reason := fmt.Sprintf("no ack within %.1f s, directly or indirectly", probeTimeout.Seconds())
+	if m.incarnation == 0 {
+		reason = "no message ever received"
 	}
 	if m.state == Alive {
-		l.become(n, Suspect, true, why)
-	} else if !m.own {
-		m.own = true
-		l.spread(n)
+		l.setState(number, Suspect, true, reason)
+	} else if !m.firstHand {
+		m.firstHand = true
+		l.disseminate(number)
 	}
-	l.voice(m, l.set.Self)
+	l.recordAccuser(m, l.config.Self)
 	return true
 }
 
-// voice books that a member accuses m at first hand. Each counts once, however often it says so.
-func (l *List) voice(m *member, from int) {
-	if len(m.voices) < 2*voicesFor && !slices.Contains(m.voices, from) {
-		m.voices = append(m.voices, from)
+// recordAccuser records that a member suspects m at first hand. Each accuser counts once.
+func (l *List) recordAccuser(m *member, from int) {
+	if len(m.accusers) < 2*fullConfirmation && !slices.Contains(m.accusers, from) {
+		m.accusers = append(m.accusers, from)
 	}
 }
 
-// span is how long m may contradict: the longer the larger the fleet and the more is lost, the shorter the more members accuse it.
-func (l *List) span(m *member) Time {
-	n := float64(len(l.all))
-	low := least + perHop*math.Log(n)/math.Log(11)
-	enough := float64(max(1, min(voicesFor, len(l.live)-1)))
-	v := min(float64(max(1, len(m.voices))), enough)
-	periods := low
-	if enough > 1 {
-		periods += (doubled - 1) * low * (1 - math.Log(v)/math.Log(enough))
+// suspicionTimeout returns how long a suspect may refute: longer in larger fleets and under loss,
+// shorter with each independent accuser.
+func (l *List) suspicionTimeout(m *member) Time {
+	size := float64(len(l.members))
+	shortest := minSuspicionPeriods + suspicionPeriodsPerHop*math.Log(size)/math.Log(11)
+	confirmations := float64(max(1, min(fullConfirmation, len(l.live)-1)))
+	accusers := min(float64(max(1, len(m.accusers))), confirmations)
+	periods := shortest
+	if confirmations > 1 {
+		periods += (maxSuspicionFactor - 1) * shortest * (1 - math.Log(accusers)/math.Log(confirmations))
 	}
-	periods *= 1 + lossSlows*l.loss
+	periods *= 1 + lossSuspicionFactor*l.lossRate
 	if l.Isolated() {
-		periods *= deafSlows
+		periods *= isolatedSuspicionFactor
 	}
 	return time.Duration(periods * float64(Period))
 }
 
-// Leave tells that this relay is about to end, or that it has been emptied.
+// Leave announces that this relay shuts down or has drained.
 func (l *List) Leave(now Time) {
 	l.advance(now)
 	l.leaving = true
-	l.all[l.set.Self].state = Left
+	l.members[l.config.Self].state = Left
 	l.version++
 }
 
-// CancelLeave takes that back.
+// CancelLeave revokes Leave.
 func (l *List) CancelLeave(now Time) {
 	l.advance(now)
 	if l.leaving {
 		l.leaving = false
-		l.all[l.set.Self].state = Alive
-		l.bump(l.inc)
+		l.members[l.config.Self].state = Alive
+		l.raiseIncarnation(l.incarnation)
 		l.version++
 	}
 }
--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -7,46 +7,46 @@
 	"pgregory.net/rapid"
 )
 
-// What is written is read as it was; what is cut, too long, of a wrong fleet or senseless is not.
-func TestSection(t *testing.T) {
+// A section decodes to what was encoded; malformed and oversized input is rejected.
+func TestSectionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(2, 1000).Draw(t, "fleet")
-		s := section{flags: uint8(rapid.IntRange(0, flagAbove<<1-1).Draw(t, "flags")), life: rapid.Byte().Draw(t, "life"), seq: rapid.Uint16().Draw(t, "seq"),
-			zone: uint8(rapid.IntRange(0, NoZone).Draw(t, "zone")), inc: rapid.Uint32Range(1, topInc).Draw(t, "inc")}
-		if s.flags&(flagAsk|flagAnswer) != 0 {
+		s := section{flags: uint8(rapid.IntRange(0, flagRaiseIncarnation<<1-1).Draw(t, "flags")), runID: rapid.Byte().Draw(t, "life"), seq: rapid.Uint16().Draw(t, "seq"),
+			zone: uint8(rapid.IntRange(0, NoZone).Draw(t, "zone")), incarnation: rapid.Uint32Range(1, maxIncarnation).Draw(t, "inc")}
+		if s.flags&(flagPing|flagAck) != 0 {
 			s.nonce = rapid.Byte().Draw(t, "nonce")
 		}
-		if s.flags&flagFor != 0 {
-			s.about = rapid.IntRange(0, fleet-1).Draw(t, "about")
+		if s.flags&flagIndirect != 0 {
+			s.subject = rapid.IntRange(0, fleet-1).Draw(t, "about")
 		}
 		for range rapid.IntRange(0, 8).Draw(t, "facts") {
 			s.facts = append(s.facts, fact{rapid.IntRange(0, fleet-1).Draw(t, "number"), State(rapid.IntRange(0, 3).Draw(t, "state")), rapid.Bool().Draw(t, "own"),
-				uint8(rapid.IntRange(0, NoZone).Draw(t, "of")), rapid.Uint32Range(1, topInc).Draw(t, "incarnation")})
+				uint8(rapid.IntRange(0, NoZone).Draw(t, "of")), rapid.Uint32Range(1, maxIncarnation).Draw(t, "incarnation")})
 		}
-		b := s.append(nil, MaxDatagramBytes)
-		got, err := read(b, fleet)
-		if err != nil || got.flags != s.flags || got.life != s.life || got.seq != s.seq || got.zone != s.zone || got.inc != s.inc || got.nonce != s.nonce || got.about != s.about || len(got.facts) != len(s.facts) {
-			t.Fatalf("%+v became %+v, %v", s, got, err)
+		b := s.appendTo(nil, MaxDatagramBytes)
+		got, err := decodeSection(b, fleet)
+		if err != nil || got.flags != s.flags || got.runID != s.runID || got.seq != s.seq || got.zone != s.zone || got.incarnation != s.incarnation || got.nonce != s.nonce || got.subject != s.subject || len(got.facts) != len(s.facts) {
+			t.Fatalf("encoded %+v, decoded %+v, err %v", s, got, err)
 		}
 		for i := range s.facts {
 			if got.facts[i] != s.facts[i] {
-				t.Fatalf("fact %+v became %+v", s.facts[i], got.facts[i])
+				t.Fatalf("encoded fact %+v, decoded %+v", s.facts[i], got.facts[i])
 			}
 		}
-		if room := rapid.IntRange(20, 60).Draw(t, "room"); len(s.append(nil, room)) > max(room, 14) {
-			t.Fatalf("%d bytes of %d", len(s.append(nil, room)), room)
+		if room := rapid.IntRange(20, 60).Draw(t, "room"); len(s.appendTo(nil, room)) > max(room, 14) {
+			t.Fatalf("encoded %d bytes, limit %d", len(s.appendTo(nil, room)), room)
 		}
-		if _, err := read(append(b, make([]byte, MaxDatagramBytes)...), fleet); err == nil {
-			t.Fatal("a long one is read")
+		if _, err := decodeSection(append(b, make([]byte, MaxDatagramBytes)...), fleet); err == nil {
+			t.Fatal("an oversized section is decoded")
 		}
 	})
 }
 
-// No bytes end the process or change who is taken for alive at once.
+// No input crashes a List or makes a member dead at once.
 func FuzzHeard(f *testing.F) {
 	l := New(Config{Self: 1, FleetSize: 5, Seed: 1})
-	f.Add(l.note(0, section{flags: flagAsk, nonce: 3}, MaxPiggybackBytes))
-	f.Add(l.note(0, section{flags: flagAsk | flagFor, about: 2, facts: []fact{{2, Dead, true, 1, 7}}}, MaxPiggybackBytes))
+	f.Add(l.encodeSection(0, section{flags: flagPing, nonce: 3}, MaxPiggybackBytes))
+	f.Add(l.encodeSection(0, section{flags: flagPing | flagIndirect, subject: 2, facts: []fact{{2, Dead, true, 1, 7}}}, MaxPiggybackBytes))
 	f.Add([]byte{0xff, 0, 0, 0, 0, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l := New(Config{Self: 0, FleetSize: 5, Seed: 1})
@@ -55,31 +55,32 @@
 			out, _ := l.Receive(time.Millisecond, 1, b)
 			for _, o := range out {
 				if len(o.Payload) > MaxDatagramBytes || o.To < 0 || o.To > 4 || o.To == 0 {
-					t.Fatalf("answers %+v", o)
+					t.Fatalf("invalid reply %+v", o)
 				}
 			}
 		}
 		for n := range 5 {
 			if l.State(n) == Dead {
-				t.Fatalf("one note takes %d away", n)
+				t.Fatalf("one message makes member %d dead", n)
 			}
 		}
 		l.View(time.Millisecond)
 	})
 }
 
-// machine is three members whose every note and tick the test orders: notes may be lost, repeated, held back; processes die, start anew and stand still.
-type machine struct {
-	lists []*List
-	up    []bool
-	ways  [][]byte // notes on their way: to, from, note
-	now   Time
-	inc   map[[2]int]uint32 // the highest incarnation that one held of another
-	lives int
+// fleetModel is a small fleet whose messages and ticks are ordered by the test: messages may be
+// lost, repeated and delayed; processes crash, restart and pause.
+type fleetModel struct {
+	lists        []*List
+	up           []bool
+	inFlight     [][]byte // receiver, sender, message
+	now          Time
+	incarnations map[[2]int]uint32 // highest incarnation that one member knew of another
+	restarts     int
 }
 
-func newMachine(n int) *machine {
-	m := &machine{inc: map[[2]int]uint32{}}
+func newFleetModel(n int) *fleetModel {
+	m := &fleetModel{incarnations: map[[2]int]uint32{}}
 	for i := range n {
 		m.up = append(m.up, true)
 		m.lists = append(m.lists, New(Config{Self: i, FleetSize: n, Seed: int64(i) + 1}))
@@ -87,54 +88,56 @@
 	return m
 }
 
-func (m *machine) put(from int, out []Datagram) {
+func (m *fleetModel) send(from int, out []Datagram) {
 	for _, o := range out {
-		m.ways = append(m.ways, append([]byte{byte(o.To), byte(from)}, o.Payload...))
+		m.inFlight = append(m.inFlight, append([]byte{byte(o.To), byte(from)}, o.Payload...))
 	}
 }
 
-func (m *machine) tick(i int) {
+func (m *fleetModel) tick(i int) {
 	if !m.up[i] {
 		return
 	}
 	l := m.lists[i]
-	m.put(i, l.Tick(m.now))
+	m.send(i, l.Tick(m.now))
 	for _, t := range l.GossipTargets(m.now, 10) {
-		m.put(i, []Datagram{{t.To, l.Section(t, MaxPiggybackBytes)}})
+		m.send(i, []Datagram{{t.To, l.Section(t, MaxPiggybackBytes)}})
 	}
 }
 
-// deliver takes the k-th note on its way to its end; keep leaves it there, to come again.
-func (m *machine) deliver(k int, keep bool) {
-	if len(m.ways) == 0 {
+// deliver delivers the k-th message in flight; with keep, it stays in flight and is delivered
+// again later.
+func (m *fleetModel) deliver(k int, keep bool) {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	k %= len(m.ways)
-	w := m.ways[k]
+	k %= len(m.inFlight)
+	w := m.inFlight[k]
 	if !keep {
-		m.ways = append(m.ways[:k:k], m.ways[k+1:]...)
+		m.inFlight = append(m.inFlight[:k:k], m.inFlight[k+1:]...)
 	}
 	if to := int(w[0]); m.up[to] {
 		out, _ := m.lists[to].Receive(m.now, int(w[1]), w[2:])
-		m.put(to, out)
+		m.send(to, out)
 	}
 }
 
-// holds checks what has to hold at any moment: what a process holds of another never goes back to a lower incarnation, and nobody is two things.
-func (m *machine) holds(t interface{ Fatalf(string, ...any) }) {
+// checkInvariants checks that known incarnations never decrease within a process and that the
+// lists of a relay are consistent.
+func (m *fleetModel) checkInvariants(t interface{ Fatalf(string, ...any) }) {
 	for i, l := range m.lists {
-		if len(l.live)+len(l.lost) != len(l.all)-1 {
-			t.Fatalf("relay %d: %d live and %d lost of %d", i, len(l.live), len(l.lost), len(l.all))
+		if len(l.live)+len(l.gone) != len(l.members)-1 {
+			t.Fatalf("relay %d: %d live and %d gone of %d", i, len(l.live), len(l.gone), len(l.members))
 		}
-		for n := range l.all {
+		for n := range l.members {
 			key := [2]int{i, n}
-			if inc := l.all[n].inc; inc < m.inc[key] {
-				t.Fatalf("relay %d: incarnation of %d went back from %d to %d", i, n, m.inc[key], inc)
+			if inc := l.members[n].incarnation; inc < m.incarnations[key] {
+				t.Fatalf("relay %d: incarnation of %d decreased from %d to %d", i, n, m.incarnations[key], inc)
 			} else {
-				m.inc[key] = inc
+				m.incarnations[key] = inc
 			}
-			if suspected := l.all[n].state == Suspect; suspected != contains(l.suspects, n) {
-				t.Fatalf("relay %d: %d is suspect: %v, and in the list: %v", i, n, suspected, !suspected)
+			if suspected := l.members[n].state == Suspect; suspected != contains(l.suspects, n) {
+				t.Fatalf("relay %d: member %d is suspect: %v, but in suspects: %v", i, n, suspected, !suspected)
 			}
 		}
 	}
@@ -149,35 +152,38 @@
 	return false
 }
 
-// heals lets all run without loss for so many periods, and checks that all who live agree.
-func (m *machine) heals(t interface{ Fatalf(string, ...any) }, periods int) {
-	m.ways = nil
+// checkConvergence runs the fleet without loss for the given number of periods and checks that
+// all live members agree.
+func (m *fleetModel) checkConvergence(t interface{ Fatalf(string, ...any) }, periods int) {
+	m.inFlight = nil
 	for range periods * 4 {
 		m.now += Period / 4
 		for i := range m.lists {
 			m.tick(i)
 		}
-		for n := 0; len(m.ways) > 0 && n < 2000; n++ {
+		for n := 0; len(m.inFlight) > 0 && n < 2000; n++ {
 			m.deliver(0, false)
 		}
-		m.holds(t)
+		m.checkInvariants(t)
 	}
 	for i, l := range m.lists {
 		for n := range m.lists {
 			if s := l.State(n); m.up[i] && i != n && (m.up[n] && s != Alive || !m.up[n] && s < Dead) {
-				t.Fatalf("healed for %d periods, relay %d takes %d (up: %v) for %v: %s", periods, i, n, m.up[n], s, l.all[n].why)
+				t.Fatalf("%d periods after the last fault relay %d has member %d (up: %v) as %v: %s", periods, i, n, m.up[n], s, l.members[n].reason)
 			}
 		}
 	}
 }
 
-// healing is how many periods three members may take to agree once links heal.
-const healing = 130
+// convergencePeriods is the time, in periods, within which the fleet has to agree once links work
+// again.
+const convergencePeriods = 130
 
-// Whatever is lost, repeated, held back, killed, started anew or paused: incarnations never go back, and once links heal all who live agree within a stated time.
+// Under any order of losses, duplicates, delays, crashes, restarts and pauses incarnations never
+// decrease, and the fleet converges once links work again.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(rapid.IntRange(2, 4).Draw(t, "relays"))
+		m := newFleetModel(rapid.IntRange(2, 4).Draw(t, "relays"))
 		n := len(m.lists)
 		t.Repeat(map[string]func(*rapid.T){
 			"tick":    func(t *rapid.T) { m.tick(rapid.IntRange(0, n-1).Draw(t, "relay")) },
@@ -186,18 +192,18 @@
 			"deliver": func(t *rapid.T) { m.deliver(rapid.IntRange(0, 50).Draw(t, "which"), false) },
 			"repeat":  func(t *rapid.T) { m.deliver(rapid.IntRange(0, 50).Draw(t, "which"), true) },
 			"lose": func(t *rapid.T) {
-				if len(m.ways) > 0 {
-					m.ways = m.ways[1:]
+				if len(m.inFlight) > 0 {
+					m.inFlight = m.inFlight[1:]
 				}
 			},
 			"kill": func(t *rapid.T) { m.up[rapid.IntRange(0, n-1).Draw(t, "relay")] = false },
 			"start": func(t *rapid.T) {
 				i := rapid.IntRange(0, n-1).Draw(t, "relay")
-				m.lives++
-				m.up[i], m.lists[i] = true, New(Config{Self: i, FleetSize: n, Seed: int64(100 + m.lives)})
-				for k := range m.inc {
+				m.restarts++
+				m.up[i], m.lists[i] = true, New(Config{Self: i, FleetSize: n, Seed: int64(100 + m.restarts)})
+				for k := range m.incarnations {
 					if k[0] == i {
-						delete(m.inc, k) // a new process remembers nothing
+						delete(m.incarnations, k) // a new process starts without state
 					}
 				}
 			},
@@ -209,15 +215,15 @@
 					m.up[i] = false
 				}
 			},
-			"": func(t *rapid.T) { m.holds(t) },
+			"": func(t *rapid.T) { m.checkInvariants(t) },
 		})
-		m.heals(t, healing)
+		m.checkConvergence(t, convergencePeriods)
 	})
 }
 
-// A small model whole: three members and a budget of steps; at each step either time goes on and all take their turn with the notes of one way lost, or one of them
-// dies or starts anew. All courses are played, and each has to heal.
-func TestEveryCourse(t *testing.T) {
+// Plays every sequence of a few faults on three members (a member deaf or mute, a broken link, a
+// crash, a restart, a pause) and checks that the fleet converges after each.
+func TestEveryFaultSequence(t *testing.T) {
 	steps := 3
 	if testing.Short() {
 		steps = 2
@@ -227,48 +233,48 @@
 	play = func(prefix []int) {
 		if len(prefix) == steps {
 			courses++
-			m := newMachine(3)
+			m := newFleetModel(3)
 			step := func(what int, periods int) {
 				cut := func(from, to int) bool { return false }
 				switch {
-				case what >= 1 && what <= 3: // one is deaf
+				case what >= 1 && what <= 3: // one member receives nothing
 					cut = func(_, to int) bool { return to == what-1 }
-				case what >= 4 && what <= 6: // one is mute
+				case what >= 4 && what <= 6: // messages of one member are lost
 					cut = func(from, _ int) bool { return from == what-4 }
-				case what == 7: // two don't hear each other
+				case what == 7: // a link between two members is broken
 					cut = func(from, to int) bool { return from+to == 1 }
 				case what == 8:
 					m.up[1] = false
 				case what == 9:
 					m.up[1], m.lists[1] = true, New(Config{Self: 1, FleetSize: 3, Seed: int64(1000 + len(prefix))})
-					for k := range m.inc {
+					for k := range m.incarnations {
 						if k[0] == 1 {
-							delete(m.inc, k)
+							delete(m.incarnations, k)
 						}
 					}
 				case what == 10:
-					m.now += 5 * time.Second // all stand still
+					m.now += 5 * time.Second // all processes pause
 				}
 				for range periods * 2 {
 					m.now += Period / 2
 					for i := range m.lists {
 						m.tick(i)
 					}
-					for n := 0; len(m.ways) > 0 && n < 500; n++ {
-						if w := m.ways[0]; cut(int(w[1]), int(w[0])) {
-							m.ways = m.ways[1:]
+					for n := 0; len(m.inFlight) > 0 && n < 500; n++ {
+						if w := m.inFlight[0]; cut(int(w[1]), int(w[0])) {
+							m.inFlight = m.inFlight[1:]
 							continue
 						}
 						m.deliver(0, false)
 					}
-					m.holds(t)
+					m.checkInvariants(t)
 				}
 			}
 			step(0, 3)
 			for _, what := range prefix {
 				step(what, 12)
 			}
-			m.heals(t, healing)
+			m.checkConvergence(t, convergencePeriods)
 			return
 		}
 		for what := range 11 {
@@ -276,5 +282,5 @@
 		}
 	}
 	play(nil)
-	t.Logf("%d courses", courses)
+	t.Logf("%d fault sequences", courses)
 }
--- a/internal/peers/members/note.go
+++ b/internal/peers/members/note.go
@@ -5,172 +5,173 @@
 	"errors"
 )
 
-// MaxDatagramBytes is the most bytes of a note.
+// MaxDatagramBytes limits the size of a gossip message.
 const MaxDatagramBytes = 256
 
 // Flags of a section.
 const (
-	flagAsk    = 1 << iota // answer me
-	flagAnswer             // this is the answer
-	flagFor                // for another: ask it for me, or it answered me
-	flagDeaf               // I hear nobody
-	flagLeft               // I leave
-	flagSync               // I have just begun: tell me who is not alive
-	flagAbove              // what I know of you is of another process: go above it
+	flagPing             = 1 << iota // request for an ack
+	flagAck                          // ack
+	flagIndirect                     // on behalf of another member: a ping-req, or the ack to one
+	flagIsolated                     // the sender is isolated
+	flagLeaving                      // the sender leaves
+	flagSync                         // the sender has just started and requests the list of gone members
+	flagRaiseIncarnation             // the receiver is known under another process: it has to raise its incarnation
 )
 
-// section is the part of a note that is about membership.
+// section is the membership part of a gossip message.
 type section struct {
-	flags uint8
-	life  uint8
-	seq   uint16
-	zone  uint8
-	inc   uint32
-	nonce uint8 // of a question or its answer
-	about int   // whom it is for
-	facts []fact
+	flags       uint8
+	runID       uint8
+	seq         uint16
+	zone        uint8
+	incarnation uint32
+	nonce       uint8 // matches an ack to its ping
+	subject     int   // member that an indirect ping or ack is about
+	facts       []fact
 }
 
-// fact is what one relay says of another.
+// fact is what one relay reports of another.
 type fact struct {
-	number int
-	state  State
-	own    bool // at first hand
-	zone   uint8
-	inc    uint32
+	number      int
+	state       State
+	firstHand   bool // from the reporter's own probes
+	zone        uint8
+	incarnation uint32
 }
 
-// Reasons why a note changes nothing.
+// Reasons to reject a gossip message.
 var (
-	ErrMalformed     = errors.New("members: can't be read")
-	ErrUnknownSender = errors.New("members: from nobody of the fleet")
-	ErrStale         = errors.New("members: not newer than the last")
-	ErrRateLimited   = errors.New("members: too many notes")
-	ErrOtherProcess  = errors.New("members: of an earlier process, or of a second one under this number")
+	ErrMalformed     = errors.New("members: malformed gossip message")
+	ErrUnknownSender = errors.New("members: sender is not in the fleet")
+	ErrStale         = errors.New("members: not newer than the latest message of its sender")
+	ErrRateLimited   = errors.New("members: too many messages of the sender in this period")
+	ErrOtherProcess  = errors.New("members: from an earlier process, or a second one under this number")
 )
 
-// append writes the section, with as many facts as there is room for in all.
-func (s *section) append(b []byte, room int) []byte {
-	from := len(b)
-	b = append(b, s.flags, s.life)
-	b = binary.BigEndian.AppendUint16(b, s.seq)
-	b = append(b, s.zone)
-	b = binary.AppendUvarint(b, uint64(s.inc))
-	if s.flags&(flagAsk|flagAnswer) != 0 {
-		b = append(b, s.nonce)
-	}
-	if s.flags&flagFor != 0 {
-		b = binary.AppendUvarint(b, uint64(s.about))
+// appendTo appends the encoded section to buf, with as many facts as fit into maxBytes in total.
+func (s *section) appendTo(buf []byte, maxBytes int) []byte {
+	start := len(buf)
+	buf = append(buf, s.flags, s.runID)
+	buf = binary.BigEndian.AppendUint16(buf, s.seq)
+	buf = append(buf, s.zone)
+	buf = binary.AppendUvarint(buf, uint64(s.incarnation))
+	if s.flags&(flagPing|flagAck) != 0 {
+		buf = append(buf, s.nonce)
+	}
+	if s.flags&flagIndirect != 0 {
+		buf = binary.AppendUvarint(buf, uint64(s.subject))
 	}
 	for _, f := range s.facts {
-		one := binary.AppendUvarint(nil, uint64(f.number))
-		mark := uint8(f.state) | f.zone<<3
-		if f.own {
-			mark |= 4
+		encoded := binary.AppendUvarint(nil, uint64(f.number))
+		packed := uint8(f.state) | f.zone<<3
+		if f.firstHand {
+			packed |= 4
 		}
-		one = binary.AppendUvarint(append(one, mark), uint64(f.inc))
-		if len(b)-from+len(one) > room {
+		encoded = binary.AppendUvarint(append(encoded, packed), uint64(f.incarnation))
+		if len(buf)-start+len(encoded) > maxBytes {
 			break
 		}
-		b = append(b, one...)
+		buf = append(buf, encoded...)
 	}
-	return b
+	return buf
 }
 
-// read reads a section of a fleet of so many.
-func read(b []byte, fleet int) (s section, err error) {
-	if len(b) < 6 || len(b) > MaxDatagramBytes {
+// decodeSection decodes a section and checks it against the size of the fleet.
+func decodeSection(payload []byte, fleetSize int) (s section, err error) {
+	if len(payload) < 6 || len(payload) > MaxDatagramBytes {
 		return s, ErrMalformed
 	}
-	s.flags, s.life, s.seq, s.zone = b[0], b[1], binary.BigEndian.Uint16(b[2:]), b[4]
-	b = b[5:]
-	bad := s.flags >= flagAbove<<1 || s.zone > NoZone
-	number := func(most uint64) uint64 {
-		v, n := binary.Uvarint(b)
-		if n <= 0 || v > most {
-			bad, b = true, nil
+	s.flags, s.runID, s.seq, s.zone = payload[0], payload[1], binary.BigEndian.Uint16(payload[2:]), payload[4]
+	payload = payload[5:]
+	malformed := s.flags >= flagRaiseIncarnation<<1 || s.zone > NoZone
+	uvarint := func(limit uint64) uint64 {
+		v, n := binary.Uvarint(payload)
+		if n <= 0 || v > limit {
+			malformed, payload = true, nil
 			return 0
 		}
-		b = b[n:]
+		payload = payload[n:]
 		return v
 	}
 	octet := func() uint8 {
-		if len(b) == 0 {
-			bad = true
+		if len(payload) == 0 {
+			malformed = true
 			return 0
 		}
-		v := b[0]
-		b = b[1:]
+		v := payload[0]
+		payload = payload[1:]
 		return v
 	}
-	if s.inc = uint32(number(topInc)); s.inc == 0 {
-		bad = true
+	if s.incarnation = uint32(uvarint(maxIncarnation)); s.incarnation == 0 {
+		malformed = true
 	}
-	if s.flags&(flagAsk|flagAnswer) != 0 {
+	if s.flags&(flagPing|flagAck) != 0 {
 		s.nonce = octet()
 	}
-	if s.flags&flagFor != 0 {
-		s.about = int(number(uint64(fleet - 1)))
+	if s.flags&flagIndirect != 0 {
+		s.subject = int(uvarint(uint64(fleetSize - 1)))
 	}
-	for len(b) > 0 && !bad {
-		f := fact{number: int(number(uint64(fleet - 1)))}
-		mark := octet()
-		f.state, f.own, f.zone = State(mark&3), mark&4 != 0, mark>>3
-		if f.inc = uint32(number(topInc)); f.inc == 0 {
-			bad = true
+	for len(payload) > 0 && !malformed {
+		f := fact{number: int(uvarint(uint64(fleetSize - 1)))}
+		packed := octet()
+		f.state, f.firstHand, f.zone = State(packed&3), packed&4 != 0, packed>>3
+		if f.incarnation = uint32(uvarint(maxIncarnation)); f.incarnation == 0 {
+			malformed = true
 		}
 		s.facts = append(s.facts, f)
 	}
-	if bad {
+	if malformed {
 		return section{}, ErrMalformed
 	}
 	return s, nil
 }
 
-// Section writes what goes out about membership to one relay, in so many bytes at most.
-func (l *List) Section(to Target, room int) []byte {
+// Section returns the membership section for one receiver, of maxBytes at most.
+func (l *List) Section(target Target, maxBytes int) []byte {
 	var s section
-	if to.Ping {
+	if target.Ping {
 		l.nonce++
-		s.flags, s.nonce = flagAsk, l.nonce
-		l.recent <<= 1
-		l.questions = append(l.questions, question{to: to.To, nonce: l.nonce, at: l.now, origin: -1})
+		s.flags, s.nonce = flagPing, l.nonce
+		l.recentTimeouts <<= 1
+		l.probes = append(l.probes, probe{target: target.To, nonce: l.nonce, sentAt: l.now, requester: -1})
 		l.counts.Probes++
 	}
-	return l.note(to.To, s, room)
+	return l.encodeSection(target.To, s, maxBytes)
 }
 
-// note fills a section in: what there is to say of this relay, to its receiver of itself, and the news.
-func (l *List) note(to int, s section, room int) []byte {
+// encodeSection completes and encodes a section: the state of this relay, what is known of the
+// receiver if that is not alive, and queued updates.
+func (l *List) encodeSection(to int, s section, maxBytes int) []byte {
 	l.seq++
-	s.life, s.seq, s.inc, s.zone = l.life, l.seq, l.inc, uint8(l.set.Zone)
+	s.runID, s.seq, s.incarnation, s.zone = l.runID, l.seq, l.incarnation, uint8(l.config.Zone)
 	if l.Isolated() {
-		s.flags |= flagDeaf
+		s.flags |= flagIsolated
 	}
 	if l.leaving {
-		s.flags |= flagLeft
+		s.flags |= flagLeaving
 	}
 	if !l.synced && !l.leaving {
 		s.flags |= flagSync
 	}
-	if m := &l.all[to]; m.inc > 0 && m.state != Alive {
-		s.facts = append([]fact{l.fact(to)}, s.facts...)
-		m.toldAt = l.now
+	if m := &l.members[to]; m.incarnation > 0 && m.state != Alive {
+		s.facts = append([]fact{l.factAbout(to)}, s.facts...)
+		m.informedAt = l.now
 	}
-	most := max(0, (room-16)/5-len(s.facts))
+	limit := max(0, (maxBytes-16)/5-len(s.facts))
 	add := func(n int) {
-		if n != to && n != l.set.Self {
-			s.facts = append(s.facts, l.fact(n))
+		if n != to && n != l.config.Self {
+			s.facts = append(s.facts, l.factAbout(n))
 		}
-		most--
+		limit--
 	}
-	l.tell(again, most-len(l.news[fresh]), add) // before what is fresh, which then stands behind it
-	l.tell(fresh, most, add)
-	l.tell(known, min(2, most), add)
-	return s.append(nil, room)
+	l.dequeue(repeatedUpdates, limit-len(l.updates[freshUpdates]), add) // first, so that what is fresh now is queued behind
+	l.dequeue(freshUpdates, limit, add)
+	l.dequeue(announcements, min(2, limit), add)
+	return s.appendTo(nil, maxBytes)
 }
 
-func (l *List) fact(n int) fact {
-	m := &l.all[n]
-	return fact{n, m.state, m.own, m.zone, m.inc}
+func (l *List) factAbout(n int) fact {
+	m := &l.members[n]
+	return fact{n, m.state, m.firstHand, m.zone, m.incarnation}
 }
--- a/internal/peers/members/view.go
+++ b/internal/peers/members/view.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Member is one relay as a view shows it.
+// Member is the state of one relay in a View.
 type Member struct {
 	Number      int
 	State       State
-	Zone        int // NoZone: not known
+	Zone        int // NoZone if unknown
 	Incarnation uint32
-	Since       Time
+	Since       Time // when it entered its state
 	Reason      string
 }
 
-// ZoneView is one zone as a view shows it.
+// ZoneView is the state of one zone in a View.
 type ZoneView struct {
 	Zone          int
 	Members, Dead int
-	DeadOrSuspect int  // away, or suspect
-	CutOff        bool // most of it is away at once: it is cut off, or lost as a whole
+	DeadOrSuspect int
+	CutOff        bool // most members dead at once: the zone is partitioned or lost
 }
 
-// View is who is taken for what at a moment. It does not change any more.
+// View is an immutable snapshot of the fleet.
 type View struct {
 	At              Time
 	Self            int
 	Version         uint64
-	Isolated        bool // this relay hears nobody, and doubts itself
-	DuplicateNumber bool // another process speaks under its number
+	Isolated        bool // this relay receives nothing and doubts itself
+	DuplicateNumber bool // another process sends under this relay's number
 	PossibleCallers int  // members that may be calling
 	Members         []Member
 	Zones           []ZoneView
 	Counts          Counts
 }
 
-// View tells who is taken for what.
+// View returns a snapshot of the fleet.
 func (l *List) View(now Time) *View {
 	l.advance(now)
-	v := &View{At: l.now, Self: l.set.Self, Version: l.version, Isolated: l.Isolated(), DuplicateNumber: l.DuplicateNumber(), Counts: l.counts, Members: make([]Member, len(l.all))}
-	zones := l.zones()
-	for i := range l.all {
-		m := &l.all[i]
-		v.Members[i] = Member{i, m.state, int(m.zone), m.inc, m.since, m.why}
+	v := &View{At: l.now, Self: l.config.Self, Version: l.version, Isolated: l.Isolated(), DuplicateNumber: l.DuplicateNumber(), Counts: l.counts, Members: make([]Member, len(l.members))}
+	zones := l.zoneViews()
+	for i := range l.members {
+		m := &l.members[i]
+		v.Members[i] = Member{i, m.state, int(m.zone), m.incarnation, m.since, m.reason}
 		if m.state == Dead && zones[m.zone].CutOff {
-			v.Members[i].Reason += "; so are most of its zone: cut off or lost as a whole"
+			v.Members[i].Reason += "; most of its zone is dead too: partitioned or lost as a whole"
 		}
 	}
 	for _, z := range zones {
@@ -50,26 +50,28 @@
 			v.Zones = append(v.Zones, z)
 		}
 	}
-	v.PossibleCallers = l.share(zones)
+	v.PossibleCallers = l.countCallers(zones)
 	return v
 }
 
-// PossibleCallers is how many members may be calling, this one counted. It is worked out anew some times in a second at most.
+// PossibleCallers returns how many members may be calling, including this one. It is recomputed
+// once per period at most.
 func (l *List) PossibleCallers(now Time) int {
 	l.advance(now)
-	if l.now-l.countedAt >= Period || l.countedAt == 0 {
-		l.countedAt = l.now
-		l.share(l.zones())
+	if l.now-l.callersCountedAt >= Period || l.callersCountedAt == 0 {
+		l.callersCountedAt = l.now
+		l.countCallers(l.zoneViews())
 	}
-	return l.sharing
+	return l.callers
 }
 
-func (l *List) zones() (zones [NoZone + 1]ZoneView) {
-	for i := range l.all {
-		z := &zones[l.all[i].zone]
-		z.Zone = int(l.all[i].zone)
+// zoneViews counts the members of each zone by state.
+func (l *List) zoneViews() (zones [NoZone + 1]ZoneView) {
+	for i := range l.members {
+		z := &zones[l.members[i].zone]
+		z.Zone = int(l.members[i].zone)
 		z.Members++
-		switch l.all[i].state {
+		switch l.members[i].state {
 		case Dead:
 			z.Dead++
 			z.DeadOrSuspect++
@@ -84,62 +86,66 @@
 	return zones
 }
 
-// share is how many members may be calling, this one counted. It goes up at once and down slowly: never below what is in doubt. Who is away
-// for long does not count, but where many are away at once, or most of a zone, they may live and call out of sight.
-func (l *List) share(zones [NoZone + 1]ZoneView) int {
-	away, gone := 0, 0
-	patience := sharesOn + 2*Period*time.Duration(len(l.all)/10) // a note of its own would have come twice, were it heard
-	for _, n := range l.lost {
-		m := &l.all[n]
+// countCallers computes how many members may be calling, including this one. The number rises at
+// once and falls slowly, never below what is in doubt. A long-dead member does not count; but
+// when many members are dead at once, or most of a zone, they may be alive and calling behind a
+// partition.
+func (l *List) countCallers(zones [NoZone + 1]ZoneView) int {
+	dead, gone := 0, 0
+	retention := deadCallerTime + 2*Period*time.Duration(len(l.members)/10) // long enough for two own messages of the member to arrive
+	for _, n := range l.gone {
+		m := &l.members[n]
 		switch {
-		case m.state == Left && l.now-m.since > leftOn:
+		case m.state == Left && l.now-m.since > leftCallerTime:
 			gone++
-		case m.state == Dead && m.inc > 0: // one that nobody has heard of may call all the same
-			// Risk: a zone that is heard and hears nothing falls into doubt one by one, and goes on calling.
-			if away++; l.now-max(m.since, m.signAt, m.heardAt) > patience && !zones[m.zone].CutOff && zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/doubtShare {
+		case m.state == Dead && m.incarnation > 0: // a member never heard of may still be calling
+			// Members of a zone that can send but not receive become suspect one by one and go on
+			// calling.
+			if dead++; l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention && !zones[m.zone].CutOff && zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneDoubtDivisor {
 				gone++
 			}
 		}
 	}
-	want := len(l.all) - gone
-	if cutShare*away > len(l.all) || l.Isolated() {
-		want = len(l.all)
+	target := len(l.members) - gone
+	if massFailureDivisor*dead > len(l.members) || l.Isolated() {
+		target = len(l.members)
 	}
-	if want >= l.sharing {
-		l.sharing, l.sharingAt = want, l.now
-		return l.sharing
+	if target >= l.callers {
+		l.callers, l.callersAt = target, l.now
+		return l.callers
 	}
-	// One part in sixteen each period at most.
-	for step := time.Duration(0); l.sharing > want && l.now-l.sharingAt >= Period && step < 64; step++ {
-		l.sharing -= max(1, l.sharing/16)
-		l.sharingAt += Period
+	// Decreases by a sixteenth per period at most.
+	for step := time.Duration(0); l.callers > target && l.now-l.callersAt >= Period && step < 64; step++ {
+		l.callers -= max(1, l.callers/16)
+		l.callersAt += Period
 	}
-	l.sharing, l.sharingAt = max(l.sharing, want), max(l.sharingAt, l.now-Period)
-	return l.sharing
+	l.callers, l.callersAt = max(l.callers, target), max(l.callersAt, l.now-Period)
+	return l.callers
 }
 
 const (
-	placedOn = 15 * time.Second // a member that is away keeps its place for so long: most come back
-	cutOn    = time.Minute      // the same where many are away at once, who may live out of sight
+	placeRetention       = 15 * time.Second // a dead member keeps its place for this long: most return
+	outagePlaceRetention = time.Minute      // the same when many are dead at once and may be alive behind a partition
 )
 
-// PlacementEligible tells of each member whether it is counted among those that share endpoints. That goes slower than who lives: a restart changes nothing.
+// PlacementEligible reports for each member whether it takes a place among the relays that share
+// endpoints. Members keep their places through a restart.
 func (l *List) PlacementEligible(now Time) []bool {
 	l.advance(now)
-	zones, away, all := l.zones(), 0, make([]bool, len(l.all))
-	for i := range l.all {
-		if l.all[i].state == Dead {
-			away++
+	zones, dead, eligible := l.zoneViews(), 0, make([]bool, len(l.members))
+	for i := range l.members {
+		if l.members[i].state == Dead {
+			dead++
 		}
 	}
-	for i := range l.all {
-		m := &l.all[i]
-		patience := placedOn
-		if cutShare*away > len(l.all) || zones[m.zone].CutOff {
-			patience = cutOn
+	for i := range l.members {
+		m := &l.members[i]
+		retention := placeRetention
+		if massFailureDivisor*dead > len(l.members) || zones[m.zone].CutOff {
+			retention = outagePlaceRetention
 		}
-		gone := m.state == Left && l.now-m.since > leftOn || m.state == Dead && m.inc > 0 && l.now-max(m.since, m.signAt, m.heardAt) > patience
-		all[i] = !gone || l.Isolated()
+		gone := m.state == Left && l.now-m.since > leftCallerTime || m.state == Dead && m.incarnation > 0 && l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention
+		eligible[i] = !gone || l.Isolated()
 	}
-	return all
+	return eligible
 }
--- a/internal/peers/pace.go
+++ b/internal/peers/pace.go
@@ -7,121 +7,125 @@
 	"oatfold/policy"
 )
 
-// How an allowance follows the fleet's outcomes.
+// Parameters of the allowance control.
 const (
-	tightShare = 0.1                     // refused share of the fleet's calls that asks for fewer
-	looseShare = 0.06                    // and that allows more
-	leastCalls = 6                       // calls that tell something
-	leastFew   = 2                       // refused ones among them that ask for fewer
-	leastRaise = 3                       // calls since the last change that allow more
-	settle     = 1200 * time.Millisecond // after a cut, until its effect shows
-	deepest    = 0.5                     // of what was allowed, in one cut
-	raise      = 1.2                     // with each look at news that allow more
-	creep      = 1.04                    // the same about where refusals began last time
-	nearEdge   = 0.85                    // of that, from which on it creeps
-	binding    = 0.5                     // of what is allowed has to be called, or it is not what holds the calls back
-	plenty     = 1.5                     // times what is wanted: no bound is needed any more
-	kept       = 12 * time.Second        // after a cut at least: a destination that returns, cold, needs it most
-	newcomer   = 5                       // looks at news in which a relay that starts anew takes what the others allow themselves
-	seenLate   = 3                       // looks until news tell of calls made under an allowance
-	tellers    = 3                       // relays that have to tell it
-	retold     = 4                       // notes after which an allowance is told again
-	toldChange = 0.06                    // share by which it has to change to be told sooner
+	reduceShare         = 0.1                     // rejected share of the fleet's calls above which the rate is reduced
+	raiseShare          = 0.06                    // rejected share below which the rate is raised
+	minCallsToReduce    = 6                       // calls needed to judge the rejected share
+	minRejectedToReduce = 2                       // rejected calls among them
+	minCallsToRaise     = 3                       // calls since the last change, for separate routes
+	settleTime          = 1200 * time.Millisecond // after a reduction, until its effect is visible
+	minReductionFactor  = 0.5                     // of one reduction
+	raiseFactor         = 1.2                     // of each raise
+	slowRaiseFactor     = 1.04                    // of each raise near the estimated limit
+	nearLimitShare      = 0.85                    // of the estimated limit, from which raises are slow
+	minUsedShare        = 0.5                     // the rate is not raised while less of it is used
+	unneededFactor      = 1.5                     // of the demand: a rate this high bounds nothing and is dropped
+	minBoundTime        = 12 * time.Second        // after a reduction: a destination that returns needs the bound most
+	newcomerRounds      = 5                       // rounds in which a new relay adopts the rate of the others
+	feedbackRounds      = 3                       // rounds until reports cover calls made at a rate
+	minAnnouncers       = 3                       // relays that have to announce a rate for a new relay to adopt it
+	announceEvery       = 4                       // reports after which a rate is announced again
+	announceChange      = 0.06                    // relative change that is announced sooner
 )
 
-// pace is how many calls a second each relay may make to a destination, as this relay makes it out of what the fleet sees. All relays see
-// much the same and follow the same law; what they tell of their own allowance keeps them together, and gives a relay that starts anew
-// what the others have learned.
-type pace struct {
-	allow float64           // 0: any number
-	past  [seenLate]float64 // what was allowed at the looks before, oldest first
-	edge  float64           // what was allowed as refusals began
-	cutAt time.Duration     // the last cut
-	seen  time.Duration     // when news last told of it
-	told  float64
-	age   int // notes since then
+// allowance is the number of calls per second that each relay may make to a destination, derived
+// from what the fleet observes. All relays observe about the same and follow the same rules. They
+// announce their own rates, which keeps the rates close and lets a new relay adopt what the
+// others have learned.
+type allowance struct {
+	rate                  float64                 // 0: no bound
+	pastRates             [feedbackRounds]float64 // at the previous rounds, oldest first
+	limitEstimate         float64                 // rate at which rejections began
+	reducedAt             time.Duration           // latest reduction
+	seenAt                time.Duration           // latest report about the destination
+	announcedRate         float64
+	reportsSinceAnnounced int
 
-	// Calls of the fleet to a separate route that were heard of since the allowance last changed: a route takes a part of what
-	// a destination does, and the latest news rarely hold enough calls to judge by. For destinations they stay at nought, since
-	// waiting for calls there cost 0.03 of G as most of a fleet returns.
-	calls, refused int
+	// Calls of the fleet to a separate route since the last change of the rate: the latest
+	// reports alone rarely hold enough calls to a single route. Zero for destinations.
+	calls, rejected int
 }
 
-// book adds what one relay counted in a span that began at since.
-func (p *pace) book(since time.Duration, c DestinationCounts) {
-	if p.cutAt > 0 && since < p.cutAt {
-		return // some of these calls were made before the cut
+// recordCalls adds the calls that one relay counted from since on.
+func (a *allowance) recordCalls(since time.Duration, c DestinationCounts) {
+	if a.reducedAt > 0 && since < a.reducedAt {
+		return // includes calls made before the reduction
 	}
-	p.calls += c.Accepted + c.Rejected
-	p.refused += c.Rejected
+	a.calls += c.Accepted + c.Rejected
+	a.rejected += c.Rejected
 }
 
-// changed begins to count anew.
-func (p *pace) changed() { p.calls, p.refused = 0, 0 }
+func (a *allowance) resetCalls() { a.calls, a.rejected = 0, 0 }
 
-// tight tells whether the calls since the last change ask for fewer.
-func (p *pace) tight() bool {
-	return p.calls >= leastCalls && p.refused >= leastFew && float64(p.refused) > tightShare*float64(p.calls)
+// overLimit reports whether the calls since the last change require a reduction.
+func (a *allowance) overLimit() bool {
+	return a.calls >= minCallsToReduce && a.rejected >= minRejectedToReduce && float64(a.rejected) > reduceShare*float64(a.calls)
 }
 
-// follow takes in news, what the others allow themselves and how many of them told it, and whether this relay has just started, and returns what is allowed from now on.
+// update computes the rate from fleet averages, the rate that other relays allow themselves, how
+// many of them announced one, and whether this relay has just started. It returns the new rate.
 //
-// Cuts are in proportion to what is refused, and one is given time to show before the next. Raises are quick where nothing was refused
-// yet and slow about the place where it began: where refused calls use up a limit, a little too much takes nearly all of it away.
-func (p *pace) follow(now time.Duration, u policy.RouteStats, others float64, by int, young bool) float64 {
-	copy(p.past[:], p.past[1:])
-	p.past[seenLate-1] = p.allow
-	calls := u.Accepted + u.Rejected
-	refused := u.Rejected / max(calls, 1e-9)
-	// Risk: a relay that starts while a destination is out, or as it returns, sees no refusals; many of them together push it over.
-	if young && p.allow == 0 && by >= tellers {
-		p.allow, p.cutAt = others, now
+// Reductions are proportional to the rejected share, and each is given time to take effect.
+// Raises are fast until rejections occur and slow near the rate at which they began, since at a
+// destination that counts rejected calls too a small excess costs most of the throughput.
+func (a *allowance) update(now time.Duration, u policy.RouteStats, othersRate float64, announcers int, newcomer bool) float64 {
+	copy(a.pastRates[:], a.pastRates[1:])
+	a.pastRates[feedbackRounds-1] = a.rate
+	callRate := u.Accepted + u.Rejected
+	rejectedShare := u.Rejected / max(callRate, 1e-9)
+	// A relay that starts during an outage, or at its end, sees no rejections; many of them
+	// together would overload the destination.
+	if newcomer && a.rate == 0 && announcers >= minAnnouncers {
+		a.rate, a.reducedAt = othersRate, now
 	}
-	if u.Failed > calls {
-		return p.allow // an outage tells nothing of the limit
+	if u.Failed > callRate {
+		return a.rate // an outage says nothing about the limit
 	}
-	// Risk: one relay's cut, by chance, goes round the fleet. Who sees no refusals does not follow.
-	if others > 0 && p.allow == 0 && refused > looseShare {
-		p.allow, p.cutAt = others, now
-	} else if others > 0 && p.allow > 0 {
-		p.allow = math.Sqrt(p.allow * others)
+	// A relay that sees no rejections does not follow others, or one accidental reduction would
+	// spread through the fleet.
+	if othersRate > 0 && a.rate == 0 && rejectedShare > raiseShare {
+		a.rate, a.reducedAt = othersRate, now
+	} else if othersRate > 0 && a.rate > 0 {
+		a.rate = math.Sqrt(a.rate * othersRate)
 	}
 	switch {
-	case now-p.cutAt >= settle && (p.tight() ||
-		refused > tightShare && u.Calls >= leastCalls && refused*float64(u.Calls) >= leastFew):
-		if p.calls > 0 {
-			refused = max(refused, float64(p.refused)/float64(p.calls))
+	case now-a.reducedAt >= settleTime && (a.overLimit() ||
+		rejectedShare > reduceShare && u.Calls >= minCallsToReduce && rejectedShare*float64(u.Calls) >= minRejectedToReduce):
+		if a.calls > 0 {
+			rejectedShare = max(rejectedShare, float64(a.rejected)/float64(a.calls))
 		}
-		if p.allow == 0 {
-			p.allow = calls
+		if a.rate == 0 {
+			a.rate = callRate
 		}
-		p.edge, p.cutAt = p.allow, now
-		if before := p.past[0]; before > 0 {
-			p.edge = min(p.edge, before) // Risk: raises that nobody has seen the effect of yet count as what was taken
+		a.limitEstimate, a.reducedAt = a.rate, now
+		if earlier := a.pastRates[0]; earlier > 0 {
+			a.limitEstimate = min(a.limitEstimate, earlier) // raises whose effect is not visible yet do not count
 		}
-		p.allow = min(p.allow, max(calls, p.allow*0.6)) * max(deepest, 1-refused)
-		p.changed()
-	case refused < looseShare && p.allow > 0 && now-p.cutAt >= settle:
-		if p.allow > plenty*max(calls, u.Demand) && now-p.cutAt >= kept {
-			p.allow = 0
-		} else if calls < binding*p.allow || p.calls > 0 && p.calls < leastRaise {
+		a.rate = min(a.rate, max(callRate, a.rate*0.6)) * max(minReductionFactor, 1-rejectedShare)
+		a.resetCalls()
+	case rejectedShare < raiseShare && a.rate > 0 && now-a.reducedAt >= settleTime:
+		if a.rate > unneededFactor*max(callRate, u.Demand) && now-a.reducedAt >= minBoundTime {
+			a.rate = 0
+		} else if callRate < minUsedShare*a.rate || a.calls > 0 && a.calls < minCallsToRaise {
 			break
-		} else if p.allow > nearEdge*p.edge && p.allow < p.edge/nearEdge {
-			p.allow *= creep
-			p.changed()
+		} else if a.rate > nearLimitShare*a.limitEstimate && a.rate < a.limitEstimate/nearLimitShare {
+			a.rate *= slowRaiseFactor
+			a.resetCalls()
 		} else {
-			p.allow *= raise
-			p.changed()
+			a.rate *= raiseFactor
+			a.resetCalls()
 		}
 	}
-	return p.allow
+	return a.rate
 }
 
-// tells decides whether the next note tells the allowance: when it has changed, and now and then for those that did not hear it.
-func (p *pace) tells() bool {
-	if p.age++; p.allow == 0 || p.age < retold && math.Abs(p.allow-p.told) <= toldChange*p.told {
+// shouldAnnounce reports whether the next report includes the rate: after a change, and
+// periodically for relays that missed it.
+func (a *allowance) shouldAnnounce() bool {
+	if a.reportsSinceAnnounced++; a.rate == 0 || a.reportsSinceAnnounced < announceEvery && math.Abs(a.rate-a.announcedRate) <= announceChange*a.announcedRate {
 		return false
 	}
-	p.told, p.age = p.allow, 0
+	a.announcedRate, a.reportsSinceAnnounced = a.rate, 0
 	return true
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,11 +1,11 @@
-// Package peers is what relays tell one another of the destinations that they share. Where many relays serve few destinations, each sees a
-// call to one only every few seconds: alone, none can tell in time how much the destination takes. Each tells a few others,
-// drawn anew each time, what it was asked for and how its calls fared; from the few that it hears each makes out what the usual
-// relay does.
+// Package peers exchanges between relays what they see of the destinations that they share. Where
+// many relays serve few destinations, each calls a destination only every few seconds, too rarely
+// to learn its limit alone. So each relay reports its arrivals and call results to a few others,
+// drawn at random in each round, and averages the reports that it receives.
 //
-// The package decides what to tell, to whom and when, and what to make of what is heard. It opens no socket, reads no clock and owns no
-// goroutine; a Pool belongs to whoever calls it. It never holds anything back and never asks for anything: a relay that hears nothing
-// goes on as if it were alone.
+// The package decides what to send, to whom and when, and what follows from what is received. It
+// opens no socket, reads no clock and starts no goroutine; a Gossiper is not safe for concurrent
+// use. A relay that receives nothing goes on as if it were alone.
 package peers
 
 import (
@@ -21,121 +21,124 @@
 	"oatfold/policy"
 )
 
-// Bounds of the notes.
+// Bounds of gossip messages and of the state kept from them.
 const (
-	MaxDatagramBytes = members.MaxDatagramBytes // bytes; the platform takes none that is longer
-	MinFleetSize     = 8                        // relays; a smaller fleet sees enough by itself, and tells nothing
-
-	turn      = 600 * time.Millisecond // from one note of a relay to its next, in the mean
-	fan       = 10                     // relays that it goes to
-	memory    = 1800 * time.Millisecond
-	longest   = 3 * time.Second // a note about a longer time tells nothing of now
-	most      = 64              // destinations in a note, and heard of one relay
-	quietFan  = 3               // the same where there is nothing to tell but that this relay lives
-	version   = 1
-	waiting   = 4                // version with told waits
-	both      = 2                // membership, its length before it, and a note of version
-	bare      = 3                // membership alone
-	leastRoom = 40               // bytes for membership in a note that is full of counts
-	mostPaces = 256              // destinations that allowances are kept for
-	forgotten = 30 * time.Second // after which one that nobody tells of is
-	allowUnit = 100              // parts of a call a second
-	waitUnit  = 100 * time.Millisecond
+	MaxDatagramBytes = members.MaxDatagramBytes // bytes; larger datagrams are not received
+	MinFleetSize     = 8                        // relays; a smaller fleet reports no counts
+
+	roundInterval      = 600 * time.Millisecond // mean time between two rounds of a relay
+	fanout             = 10                     // receivers in a round
+	reportLifetime     = 1800 * time.Millisecond
+	maxSpan            = 3 * time.Second  // a report about a longer time says little about the present
+	maxDestinations    = 64               // in a report
+	quietFanout        = 3                // receivers in a round without counts
+	formCounts         = 1                // first byte of a message: counts
+	formRetryAfter     = 4                // counts with Retry-After times
+	formCombined       = 2                // membership section, its length before it, then a message of form formCounts
+	formMembership     = 3                // membership section alone
+	minMembershipBytes = 40               // left for the membership section beside counts
+	maxAllowances      = 256              // destinations with an allowance
+	forgetAfter        = 30 * time.Second // without any report of a destination
+	allowedUnit        = 100              // units in one call per second
+	retryAfterUnit     = 100 * time.Millisecond
 )
 
-// DestinationCounts is what became of messages and calls for one destination.
+// DestinationCounts holds what happened to messages and calls for one destination in a report's
+// time span.
 type DestinationCounts struct {
-	Arrived  int // messages that came in
-	Accepted int // calls that were taken
-	Rejected int // calls that were turned away
-	Failed   int // calls that did not come through, or had no answer
+	Arrived  int // messages accepted from clients
+	Accepted int // calls that the destination accepted
+	Rejected int // calls that the destination rejected
+	Failed   int // calls that did not connect or got no answer
 
-	Allowed    float64       // calls a second that the relay allows itself; 0: any
-	RetryAfter time.Duration // that it was told to keep, and still has to
+	Allowed    float64       // calls per second that the relay allows itself; 0: no bound
+	RetryAfter time.Duration // remaining time of a Retry-After that the destination sent the relay
 }
 
-// account is what one relay told, or saw, of a span that ended at at.
-type account struct {
+// report holds what one relay observed in the time span that ended at at.
+type report struct {
 	from   int
 	at     time.Duration
 	span   time.Duration
 	counts map[int]DestinationCounts
 }
 
-// Gossiper gathers what one relay sees and what it hears.
+// Gossiper collects what one relay observes and what it receives from others.
 type Gossiper struct {
-	me, fleet int
-	rng       *rand.Rand
-	life      uint8 // tells this life's notes from an earlier one's
-	seq       uint16
-	mine      map[int]DestinationCounts
-	paces     map[int]*pace
-	since     time.Duration // when mine began
-	next      time.Duration
-	all       []account // in order of at
-	last      map[int]mark
-	list      *members.List // nil: who lives is not asked
-	sharing   sharing       // of choices
-	words     words         // of sites
-	looks     int           // at news, since the start
+	self, fleetSize int
+	rng             *rand.Rand
+	runID           uint8 // distinguishes the messages of this process from those of an earlier one
+	seq             uint16
+	ownCounts       map[int]DestinationCounts // since ownSince
+	allowances      map[int]*allowance
+	ownSince        time.Duration
+	nextRound       time.Duration
+	reports         []report // ordered by at
+	latest          map[int]sequenceMark
+	members         *members.List // nil if membership is disabled
+	choices         choiceState
+	sites           siteState
+	averageRounds   int // rounds with fleet averages since the start
 }
 
-// mark is the last note that was heard of a relay.
-type mark struct {
-	life uint8
-	seq  uint16
-	at   time.Duration
+// sequenceMark identifies the latest message received from a relay.
+type sequenceMark struct {
+	runID uint8
+	seq   uint16
+	at    time.Duration
 }
 
-// New returns a pool for relay me of a fleet. A fleet that is too small to need it, or of no sensible size, tells and hears nothing.
-func New(me, fleet int, seed int64) *Gossiper {
+// New returns a Gossiper for relay self of a fleet. It sends and receives nothing in a fleet
+// smaller than MinFleetSize without membership, or if the arguments are out of bounds.
+func New(self, fleetSize int, seed int64) *Gossiper {
 	rng := rand.New(rand.NewPCG(uint64(seed), 0x9ee2))
-	p := &Gossiper{me: me, fleet: fleet, rng: rng, life: uint8(rng.Uint32()), mine: map[int]DestinationCounts{}, paces: map[int]*pace{}, last: map[int]mark{}}
-	if me < 0 || me >= fleet || fleet > math.MaxUint16 {
-		p.fleet = 0 // what does not fit together is no fleet
+	g := &Gossiper{self: self, fleetSize: fleetSize, rng: rng, runID: uint8(rng.Uint32()), ownCounts: map[int]DestinationCounts{}, allowances: map[int]*allowance{}, latest: map[int]sequenceMark{}}
+	if self < 0 || self >= fleetSize || fleetSize > math.MaxUint16 {
+		g.fleetSize = 0 // out of bounds: no fleet
 	}
-	p.next = time.Duration(rng.Int64N(int64(turn)))
-	return p
+	g.nextRound = time.Duration(rng.Int64N(int64(roundInterval)))
+	return g
 }
 
-// EnableMembership has the pool ask who lives, from its first note on. zone is this relay's own. seed has to differ from that of any other process under this
-// relay's number: it is what tells their notes apart.
-func (p *Gossiper) EnableMembership(zone int, seed int64) {
-	if p.fleet > 1 {
-		p.list = members.New(members.Config{Self: p.me, FleetSize: p.fleet, Zone: zone, Seed: seed})
+// EnableMembership has the relay track which members are alive; zone is its own zone. seed has to
+// differ from that of any other process under this relay's number, since it distinguishes their
+// messages.
+func (g *Gossiper) EnableMembership(zone int, seed int64) {
+	if g.fleetSize > 1 {
+		g.members = members.New(members.Config{Self: g.self, FleetSize: g.fleetSize, Zone: zone, Seed: seed})
 	}
 }
 
-// Members is who lives, as far as this relay knows; nil: it is not asked.
-func (p *Gossiper) Members() *members.List { return p.list }
+// Members returns the membership list; nil if membership is disabled.
+func (g *Gossiper) Members() *members.List { return g.members }
 
-// counts tells whether the fleet is large enough for counts to be worth their bytes.
-func (p *Gossiper) counts() bool { return p.fleet >= MinFleetSize }
+// countsEnabled reports whether the fleet is large enough for counts.
+func (g *Gossiper) countsEnabled() bool { return g.fleetSize >= MinFleetSize }
 
-// Active tells whether the pool tells and hears anything.
-func (p *Gossiper) Active() bool { return p.counts() || p.list != nil }
+// Active reports whether anything is sent and received.
+func (g *Gossiper) Active() bool { return g.countsEnabled() || g.members != nil }
 
-// RecordArrival books a message that came in.
-func (p *Gossiper) RecordArrival(dest int) {
-	c := p.mine[dest]
+// RecordArrival counts a message accepted for a destination.
+func (g *Gossiper) RecordArrival(dest int) {
+	c := g.ownCounts[dest]
 	c.Arrived++
-	p.mine[dest] = c
+	g.ownCounts[dest] = c
 }
 
-// CallResult is how a call ended.
+// CallResult is the result of a call, as far as it concerns the destination's limit.
 type CallResult int
 
-// The ends of a call.
+// Results of a call.
 const (
-	Accepted CallResult = iota // whatever became of it then
-	Rejected                   // turned away
-	Failed                     // it did not come through, or had no answer
+	Accepted CallResult = iota // by the destination, whatever the outcome of the message
+	Rejected                   // by the destination, to be retried
+	Failed                     // no connection, or no answer
 )
 
-// RecordCall books the end of a call.
-func (p *Gossiper) RecordCall(dest int, how CallResult) {
-	c := p.mine[dest]
-	switch how {
+// RecordCall counts the result of a call.
+func (g *Gossiper) RecordCall(dest int, result CallResult) {
+	c := g.ownCounts[dest]
+	switch result {
 	case Accepted:
 		c.Accepted++
 	case Rejected:
@@ -143,315 +146,320 @@
 	case Failed:
 		c.Failed++
 	}
-	p.mine[dest] = c
+	g.ownCounts[dest] = c
 }
 
-// NextTick is when the pool wants to tell again.
-func (p *Gossiper) NextTick() time.Duration {
-	if p.list != nil {
-		return min(p.next, p.list.NextTick())
+// NextTick returns when Tick is due.
+func (g *Gossiper) NextTick() time.Duration {
+	if g.members != nil {
+		return min(g.nextRound, g.members.NextTick())
 	}
-	return p.next
+	return g.nextRound
 }
 
-// Tick returns what goes out now, to whom, and whether that was a turn, behind which News is to be asked; nothing before Next.
-func (p *Gossiper) Tick(now time.Duration) (out []members.Datagram, turned bool) {
-	if p.list != nil {
-		out = bareNotes(p.list.Tick(now))
+// Tick returns the datagrams to be sent now; none before NextTick. newRound reports whether a
+// gossip round was started, after which FleetAverages has new data.
+func (g *Gossiper) Tick(now time.Duration) (out []members.Datagram, newRound bool) {
+	if g.members != nil {
+		out = membershipDatagrams(g.members.Tick(now))
 	}
-	if !p.Active() || now < p.next {
+	if !g.Active() || now < g.nextRound {
 		return out, false
 	}
-	out = append(out, p.tellWords()...)
-	note, to := p.Report(now)
-	if p.list == nil {
+	out = append(out, g.siteDatagrams()...)
+	payload, to := g.Report(now)
+	if g.members == nil {
 		for _, n := range to {
-			out = append(out, members.Datagram{To: n, Payload: note})
+			out = append(out, members.Datagram{To: n, Payload: payload})
 		}
 		return out, true
 	}
-	most := fan
-	if note == nil {
-		most = quietFan
+	limit := fanout
+	if payload == nil {
+		limit = quietFanout
 	}
-	for _, t := range p.list.GossipTargets(now, most) {
-		if note == nil || p.list.State(t.To) >= members.Dead { // counts are of no use to one that does not hear
-			out = append(out, members.Datagram{To: t.To, Payload: append([]byte{bare}, p.list.Section(t, members.MaxPiggybackBytes)...)})
+	for _, t := range g.members.GossipTargets(now, limit) {
+		if payload == nil || g.members.State(t.To) >= members.Dead { // a dead member has no use for counts
+			out = append(out, members.Datagram{To: t.To, Payload: append([]byte{formMembership}, g.members.Section(t, members.MaxPiggybackBytes)...)})
 			continue
 		}
-		about := p.list.Section(t, min(members.MaxPiggybackBytes, MaxDatagramBytes-2-len(note)))
-		out = append(out, members.Datagram{To: t.To, Payload: slices.Concat([]byte{both, byte(len(about))}, about, note)})
+		section := g.members.Section(t, min(members.MaxPiggybackBytes, MaxDatagramBytes-2-len(payload)))
+		out = append(out, members.Datagram{To: t.To, Payload: slices.Concat([]byte{formCombined, byte(len(section))}, section, payload)})
 	}
 	return out, true
 }
 
-func bareNotes(out []members.Datagram) []members.Datagram {
+func membershipDatagrams(out []members.Datagram) []members.Datagram {
 	for i, o := range out {
-		out[i].Payload = append([]byte{bare}, o.Payload...)
+		out[i].Payload = append([]byte{formMembership}, o.Payload...)
 	}
 	return out
 }
 
-// Leave has the fleet told, with the next note and at once, that this relay ends or is empty; Stay takes it back.
-func (p *Gossiper) Leave(now time.Duration) {
-	if p.list != nil {
-		p.list.Leave(now)
-		p.next = now
+// Leave announces that this relay shuts down or has drained, in a round that is due at once.
+func (g *Gossiper) Leave(now time.Duration) {
+	if g.members != nil {
+		g.members.Leave(now)
+		g.nextRound = now
 	}
 }
 
-// CancelLeave takes it back.
-func (p *Gossiper) CancelLeave(now time.Duration) {
-	if p.list != nil {
-		p.list.CancelLeave(now)
-		p.next = now
+// CancelLeave revokes Leave.
+func (g *Gossiper) CancelLeave(now time.Duration) {
+	if g.members != nil {
+		g.members.CancelLeave(now)
+		g.nextRound = now
 	}
 }
 
-// PossibleCallers is how many relays may be calling; 0: nobody asks.
-func (p *Gossiper) PossibleCallers(now time.Duration) int {
-	if p.list == nil {
+// PossibleCallers returns how many relays may be calling; 0 if membership is disabled.
+func (g *Gossiper) PossibleCallers(now time.Duration) int {
+	if g.members == nil {
 		return 0
 	}
-	return p.list.PossibleCallers(now)
+	return g.members.PossibleCallers(now)
 }
 
-// Receive takes any note of another relay, and returns what goes out at once.
-func (p *Gossiper) Receive(now time.Duration, from int, note []byte) (out []members.Datagram, err error) {
+// Receive handles a gossip message from another relay and returns the replies.
+func (g *Gossiper) Receive(now time.Duration, from int, payload []byte) (out []members.Datagram, err error) {
 	switch {
-	case len(note) == 0 || len(note) > MaxDatagramBytes:
-		return nil, errNote
-	case note[0] == version || note[0] == waiting:
-		return nil, p.ReceiveCounts(now, from, note)
-	case note[0] == ofSites && p.Active():
-		return nil, p.hearWords(now, from, note)
-	case p.list == nil || note[0] != bare && note[0] != both:
-		return nil, errNote
-	case note[0] == bare:
-		out, err = p.list.Receive(now, from, note[1:])
-		return bareNotes(out), err
-	case len(note) < 2 || len(note) < 2+int(note[1]):
-		return nil, errNote
-	}
-	about, counts := note[2:2+int(note[1])], note[2+int(note[1]):]
-	if out, err = p.list.Receive(now, from, about); err == nil && p.counts() {
-		err = p.ReceiveCounts(now, from, counts)
-	}
-	return bareNotes(out), err
+	case len(payload) == 0 || len(payload) > MaxDatagramBytes:
+		return nil, errMalformed
+	case payload[0] == formCounts || payload[0] == formRetryAfter:
+		return nil, g.ReceiveCounts(now, from, payload)
+	case payload[0] == formSites && g.Active():
+		return nil, g.receiveSites(now, from, payload)
+	case g.members == nil || payload[0] != formMembership && payload[0] != formCombined:
+		return nil, errMalformed
+	case payload[0] == formMembership:
+		out, err = g.members.Receive(now, from, payload[1:])
+		return membershipDatagrams(out), err
+	case len(payload) < 2 || len(payload) < 2+int(payload[1]):
+		return nil, errMalformed
+	}
+	section, counts := payload[2:2+int(payload[1])], payload[2+int(payload[1]):]
+	if out, err = g.members.Receive(now, from, section); err == nil && g.countsEnabled() {
+		err = g.ReceiveCounts(now, from, counts)
+	}
+	return membershipDatagrams(out), err
 }
 
-// Report returns the note of counts that is due and the numbers of the relays that it goes to; none before its time.
-func (p *Gossiper) Report(now time.Duration) (note []byte, to []int) {
-	if !p.Active() || now < p.next {
+// Report starts a round: it returns the encoded counts and, without membership, the numbers of
+// their receivers. It returns nothing before the round is due.
+func (g *Gossiper) Report(now time.Duration) (payload []byte, to []int) {
+	if !g.Active() || now < g.nextRound {
 		return nil, nil
 	}
-	p.next = now + turn/2 + time.Duration(p.rng.Int64N(int64(turn)))
-	a := account{from: p.me, at: now, span: min(now-p.since, longest), counts: p.mine}
-	p.booked(now, now-p.since)
-	p.mine, p.since = map[int]DestinationCounts{}, now
-	for d, v := range p.paces {
-		if v.tells() {
-			c := a.counts[d]
-			c.Allowed = v.allow
-			a.counts[d] = c
+	g.nextRound = now + roundInterval/2 + time.Duration(g.rng.Int64N(int64(roundInterval)))
+	own := report{from: g.self, at: now, span: min(now-g.ownSince, maxSpan), counts: g.ownCounts}
+	g.prepareReport(now, now-g.ownSince)
+	g.ownCounts, g.ownSince = map[int]DestinationCounts{}, now
+	for dest, bound := range g.allowances {
+		if bound.shouldAnnounce() {
+			c := own.counts[dest]
+			c.Allowed = bound.rate
+			own.counts[dest] = c
 		}
 	}
-	p.keep(a)
-	if len(a.counts) == 0 && p.quietOf(now) || !p.counts() {
-		return nil, nil // nothing to tell that was not told
+	g.addReport(own)
+	if len(own.counts) == 0 && g.nothingReported(now) || !g.countsEnabled() {
+		return nil, nil // nothing new to report
 	}
-	p.seq++
-	if p.list != nil {
-		return encode(p.life, p.seq, a, MaxDatagramBytes-2-leastRoom), nil
+	g.seq++
+	if g.members != nil {
+		return encodeReport(g.runID, g.seq, own, MaxDatagramBytes-2-minMembershipBytes), nil
 	}
-	return encode(p.life, p.seq, a, MaxDatagramBytes), p.draw()
+	return encodeReport(g.runID, g.seq, own, MaxDatagramBytes), g.pickReceivers()
 }
 
-// quietOf tells whether the last notes of this relay told of nothing either.
-func (p *Gossiper) quietOf(now time.Duration) bool {
-	for _, a := range p.all {
-		if a.from == p.me && a.at > now-memory && a.at < now && len(a.counts) > 0 {
+// nothingReported reports whether this relay's recent reports were empty.
+func (g *Gossiper) nothingReported(now time.Duration) bool {
+	for _, r := range g.reports {
+		if r.from == g.self && r.at > now-reportLifetime && r.at < now && len(r.counts) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// draw picks some other relays.
-func (p *Gossiper) draw() (to []int) {
-	for len(to) < min(fan, p.fleet-1) {
-		if n := p.rng.IntN(p.fleet); n != p.me && !slices.Contains(to, n) {
+// pickReceivers draws the relays that a report is sent to.
+func (g *Gossiper) pickReceivers() (to []int) {
+	for len(to) < min(fanout, g.fleetSize-1) {
+		if n := g.rng.IntN(g.fleetSize); n != g.self && !slices.Contains(to, n) {
 			to = append(to, n)
 		}
 	}
 	return to
 }
 
-// ReceiveCounts takes a note of counts of another relay. One that can't be read, is not newer than the last of its sender, or comes from nobody of the
-// fleet, changes nothing.
-func (p *Gossiper) ReceiveCounts(now time.Duration, from int, note []byte) error {
-	if !p.counts() {
-		return errIdle
+// ReceiveCounts handles a report of another relay. A report that is malformed, not newer than the
+// latest of its sender or from outside the fleet changes nothing and returns an error.
+func (g *Gossiper) ReceiveCounts(now time.Duration, from int, payload []byte) error {
+	if !g.countsEnabled() {
+		return errNoFleet
 	}
-	if from < 0 || from >= p.fleet || from == p.me {
-		return errNobody
+	if from < 0 || from >= g.fleetSize || from == g.self {
+		return errUnknownSender
 	}
-	life, seq, a, err := decode(note)
+	runID, seq, r, err := decodeReport(payload)
 	if err != nil {
 		return err
 	}
-	was, known := p.last[from]
-	// A sender that starts anew counts from one again, under another life.
-	if known && was.life == life && int16(seq-was.seq) <= 0 {
-		return errOld
+	previous, known := g.latest[from]
+	// A restarted sender starts a new sequence under a new run ID.
+	if known && previous.runID == runID && int16(seq-previous.seq) <= 0 {
+		return errStale
 	}
-	p.last[from] = mark{life, seq, now}
-	a.from, a.at = from, now
-	p.keep(a)
+	g.latest[from] = sequenceMark{runID, seq, now}
+	r.from, r.at = from, now
+	g.addReport(r)
 	return nil
 }
 
-// Reasons why a note changes nothing.
+// Reasons to reject a message.
 var (
-	errIdle   = errors.New("peers: no fleet")
-	errNobody = errors.New("peers: from nobody of the fleet")
-	errOld    = errors.New("peers: not newer than the last")
-	errNote   = errors.New("peers: can't be read")
+	errNoFleet       = errors.New("peers: counts are not exchanged in this fleet")
+	errUnknownSender = errors.New("peers: sender is not in the fleet")
+	errStale         = errors.New("peers: not newer than the latest message of its sender")
+	errMalformed     = errors.New("peers: malformed gossip message")
 )
 
-// keep remembers an account and forgets what is old.
-func (p *Gossiper) keep(a account) {
+// addReport stores a report and drops outdated ones.
+func (g *Gossiper) addReport(r report) {
 	old := 0
-	for old < len(p.all) && p.all[old].at < a.at-memory {
+	for old < len(g.reports) && g.reports[old].at < r.at-reportLifetime {
 		old++
 	}
-	p.all = append(slices.Delete(p.all, 0, old), a)
-	for target, c := range a.counts {
-		if own := p.paces[target]; own != nil && target >= routeBase {
-			own.book(a.at-a.span, c)
+	g.reports = append(slices.Delete(g.reports, 0, old), r)
+	for target, c := range r.counts {
+		if bound := g.allowances[target]; bound != nil && target >= routeBase {
+			bound.recordCalls(r.at-r.span, c)
 		}
 	}
 }
 
-// FleetAverages is what the relays heard of see in the mean, in order of destinations, and what each may make of it. It comes once after each Tell; nothing
-// is told while fewer than a few relays are heard of. wall is the time of day, by which turns go.
-func (p *Gossiper) FleetAverages(now time.Duration, wall time.Time) (out []policy.RouteStats) {
+// FleetAverages returns the mean of what the known relays observe for each destination, ordered
+// by destination, and this relay's allowance for it. It is called once after each round, and
+// returns nil while too few relays are known. wall is the time of day, which determines the time
+// slot.
+func (g *Gossiper) FleetAverages(now time.Duration, wall time.Time) (out []policy.RouteStats) {
 	relays, spans := map[int]bool{}, 0.0
-	told := map[int][]said{} // by destination, one of each relay
-	for _, a := range p.all {
-		if a.at < now-memory || p.list != nil && a.from != p.me && p.list.State(a.from) >= members.Dead {
+	summaries := map[int][]destinationSummary{} // by destination, one of each relay
+	for _, r := range g.reports {
+		if r.at < now-reportLifetime || g.members != nil && r.from != g.self && g.members.State(r.from) >= members.Dead {
 			continue
 		}
-		relays[a.from] = true
-		spans += a.span.Seconds()
-		for d, c := range a.counts {
-			told[d] = add(told[d], a, c, now)
+		relays[r.from] = true
+		spans += r.span.Seconds()
+		for dest, c := range r.counts {
+			summaries[dest] = addToSummaries(summaries[dest], r, c, now)
 		}
 	}
 	if len(relays) < MinFleetSize/2 || spans <= 0 {
 		return nil
 	}
-	p.looks++
-	for d, all := range told {
-		others, n, by := 0.0, 0.0, 0
-		for _, s := range all {
-			if s.from != p.me && s.allowing > 0 {
-				others, n, by = others+s.allowed, n+s.allowing, by+1
+	g.averageRounds++
+	for dest, summary := range summaries {
+		othersRate, othersReports, announcers := 0.0, 0.0, 0
+		for _, s := range summary {
+			if s.from != g.self && s.allowedReports > 0 {
+				othersRate, othersReports, announcers = othersRate+s.logAllowedSum, othersReports+s.allowedReports, announcers+1
 			}
 		}
-		if n > 0 {
-			others = math.Exp(others / n)
+		if othersReports > 0 {
+			othersRate = math.Exp(othersRate / othersReports)
 		}
-		u := p.usual(now, d, all, spans)
-		// Risk: senseless notes name ever new destinations, and what is made of them is told on.
-		if p.paces[d] == nil && len(p.paces) < mostPaces {
-			p.paces[d] = &pace{}
+		u := g.average(now, dest, summary, spans)
+		// Bounded, since malformed reports may name any number of destinations.
+		if g.allowances[dest] == nil && len(g.allowances) < maxAllowances {
+			g.allowances[dest] = &allowance{}
 		}
-		if own := p.paces[d]; own != nil {
-			own.seen, u.Allowance = now, own.follow(now, u, others, by, p.looks <= newcomer)
+		if bound := g.allowances[dest]; bound != nil {
+			bound.seenAt, u.Allowance = now, bound.update(now, u, othersRate, announcers, g.averageRounds <= newcomerRounds)
 		}
-		p.choose(now, wall, &u, len(relays))
+		g.applyChoices(now, wall, &u, len(relays))
 		out = append(out, u)
 	}
-	maps.DeleteFunc(p.paces, func(_ int, own *pace) bool { return now-own.seen > forgotten })
-	maps.DeleteFunc(p.sharing.down, func(_ int, at time.Duration) bool { return now-at > forgotten })
-	maps.DeleteFunc(p.sharing.shown, func(_ int, o DestinationStatus) bool { return now-o.At > forgotten })
+	maps.DeleteFunc(g.allowances, func(_ int, bound *allowance) bool { return now-bound.seenAt > forgetAfter })
+	maps.DeleteFunc(g.choices.downSeenAt, func(_ int, at time.Duration) bool { return now-at > forgetAfter })
+	maps.DeleteFunc(g.choices.statuses, func(_ int, o DestinationStatus) bool { return now-o.At > forgetAfter })
 	slices.SortFunc(out, func(a, b policy.RouteStats) int { return a.Destination - b.Destination })
 	return out
 }
 
-// encode writes: version, life, number, span in 50 ms, then destinations with their counts. A note without told waits has the form that relays
-// which know of none read.
-func encode(life uint8, seq uint16, a account, room int) []byte {
-	b := []byte{version, life}
-	for _, c := range a.counts {
+// encodeReport encodes form, run ID, sequence number, time span in units of 50 ms, and the
+// destinations with their counts, as many as fit into maxBytes. Reports without Retry-After times
+// use formCounts, which older relays understand.
+func encodeReport(runID uint8, seq uint16, r report, maxBytes int) []byte {
+	buf := []byte{formCounts, runID}
+	for _, c := range r.counts {
 		if c.RetryAfter > 0 {
-			b[0] = waiting
+			buf[0] = formRetryAfter
 		}
 	}
-	b = binary.BigEndian.AppendUint16(b, seq)
-	b = append(b, byte(min(255, a.span/(50*time.Millisecond))))
+	buf = binary.BigEndian.AppendUint16(buf, seq)
+	buf = append(buf, byte(min(255, r.span/(50*time.Millisecond))))
 	var dests []int
-	for d := range a.counts {
+	for d := range r.counts {
 		if d >= 0 {
 			dests = append(dests, d)
 		}
 	}
 	slices.Sort(dests)
 	for _, d := range dests {
-		c := a.counts[d]
-		one := binary.AppendUvarint(nil, uint64(d))
-		rare := []int{c.Failed, int(math.Round(c.Allowed * allowUnit)), int(c.RetryAfter / waitUnit)}
-		if b[0] == version {
-			rare = rare[:2]
+		c := r.counts[d]
+		encoded := binary.AppendUvarint(nil, uint64(d))
+		optional := []int{c.Failed, int(math.Round(c.Allowed * allowedUnit)), int(c.RetryAfter / retryAfterUnit)}
+		if buf[0] == formCounts {
+			optional = optional[:2]
 		}
-		has := 0
-		for _, n := range rare {
-			has |= min(1, n)
+		hasOptional := 0
+		for _, n := range optional {
+			hasOptional |= min(1, n)
 		}
-		for _, n := range append([]int{c.Arrived, c.Accepted, c.Rejected<<1 | has}, rare[:len(rare)*has]...) {
-			one = binary.AppendUvarint(one, uint64(n))
+		for _, n := range append([]int{c.Arrived, c.Accepted, c.Rejected<<1 | hasOptional}, optional[:len(optional)*hasOptional]...) {
+			encoded = binary.AppendUvarint(encoded, uint64(n))
 		}
-		if len(b)+len(one) > room {
-			break // the rest is not told: the note is full
+		if len(buf)+len(encoded) > maxBytes {
+			break // the rest does not fit
 		}
-		b = append(b, one...)
+		buf = append(buf, encoded...)
 	}
-	return b
+	return buf
 }
 
-func decode(b []byte) (life uint8, seq uint16, a account, err error) {
-	if len(b) < 5 || len(b) > MaxDatagramBytes || b[0] != version && b[0] != waiting {
-		return 0, 0, a, errNote
+func decodeReport(payload []byte) (runID uint8, seq uint16, r report, err error) {
+	if len(payload) < 5 || len(payload) > MaxDatagramBytes || payload[0] != formCounts && payload[0] != formRetryAfter {
+		return 0, 0, r, errMalformed
 	}
-	a.span, a.counts = time.Duration(b[4])*50*time.Millisecond, map[int]DestinationCounts{}
-	life, seq = b[1], binary.BigEndian.Uint16(b[2:4])
-	if a.span > longest {
-		return 0, 0, a, errNote
+	r.span, r.counts = time.Duration(payload[4])*50*time.Millisecond, map[int]DestinationCounts{}
+	runID, seq = payload[1], binary.BigEndian.Uint16(payload[2:4])
+	if r.span > maxSpan {
+		return 0, 0, r, errMalformed
 	}
 	fields := 6
-	if b[0] == waiting {
+	if payload[0] == formRetryAfter {
 		fields = 7
 	}
-	for b = b[5:]; len(b) > 0; {
-		var v [7]uint64
+	for payload = payload[5:]; len(payload) > 0; {
+		var values [7]uint64
 		for i := range fields {
 			if i == 4 {
-				if v[3], v[4] = v[3]>>1, v[3]&1; v[4] == 0 {
-					break // nothing rare
+				if values[3], values[4] = values[3]>>1, values[3]&1; values[4] == 0 {
+					break // no optional fields
 				}
 			}
-			x, n := binary.Uvarint(b)
-			// Guards against a note that lies about more than any relay does: it would drown all others.
+			x, n := binary.Uvarint(payload)
+			// Counts beyond what any relay handles would outweigh all others.
 			if n <= 0 || x > math.MaxInt32 || i > 0 && x > 10_000 {
-				return 0, 0, a, errNote
+				return 0, 0, r, errMalformed
 			}
-			v[i], b = x, b[n:]
+			values[i], payload = x, payload[n:]
 		}
-		if _, twice := a.counts[int(v[0])]; twice || len(a.counts) >= most {
-			return 0, 0, a, errNote
+		if _, repeated := r.counts[int(values[0])]; repeated || len(r.counts) >= maxDestinations {
+			return 0, 0, r, errMalformed
 		}
-		a.counts[int(v[0])] = DestinationCounts{int(v[1]), int(v[2]), int(v[3]), int(v[4]), float64(v[5]) / allowUnit, time.Duration(v[6]) * waitUnit}
+		r.counts[int(values[0])] = DestinationCounts{int(values[1]), int(values[2]), int(values[3]), int(values[4]), float64(values[5]) / allowedUnit, time.Duration(values[6]) * retryAfterUnit}
 	}
-	return life, seq, a, nil
+	return runID, seq, r, nil
 }
