--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,7 +10,7 @@
 
 const s = time.Second
 
-// fleet is as many pools, each told of the others.
+// fleet returns the gossipers of a fleet.
 func fleet(n int) (all []*Gossiper) {
 	for i := range n {
 		all = append(all, New(i, n, int64(i)+1))
@@ -18,272 +18,278 @@
 	return all
 }
 
-// Notes say what was booked, to as many others as are told, never to the sender, never before their time, and spread over the turn.
-func TestTells(t *testing.T) {
+// Reports contain what was recorded, go to distinct other relays, are not sent early, and are
+// spread over the round interval.
+func TestReport(t *testing.T) {
 	firsts := map[time.Duration]bool{}
-	for _, p := range fleet(80) {
-		firsts[p.NextTick().Truncate(turn/20)] = true
-		if note, to := p.Report(p.NextTick() - 1); note != nil || to != nil {
-			t.Fatal("told before its time")
+	for _, g := range fleet(80) {
+		firsts[g.NextTick().Truncate(roundInterval/20)] = true
+		if payload, to := g.Report(g.NextTick() - 1); payload != nil || to != nil {
+			t.Fatal("reported early")
 		}
-		p.RecordArrival(3)
-		p.RecordArrival(3)
-		p.RecordCall(3, Accepted)
-		p.RecordCall(7, Rejected)
-		p.RecordCall(9, Failed)
-		at := p.NextTick()
-		note, to := p.Report(at)
-		seen := map[int]bool{p.me: true}
+		g.RecordArrival(3)
+		g.RecordArrival(3)
+		g.RecordCall(3, Accepted)
+		g.RecordCall(7, Rejected)
+		g.RecordCall(9, Failed)
+		at := g.NextTick()
+		payload, to := g.Report(at)
+		seen := map[int]bool{g.self: true}
 		for _, n := range to {
 			if seen[n] || n < 0 || n >= 80 {
-				t.Fatalf("relay %d tells %v", p.me, to)
+				t.Fatalf("relay %d reports to %v", g.self, to)
 			}
 			seen[n] = true
 		}
-		_, _, a, err := decode(note)
-		if err != nil || len(to) != fan || a.counts[3] != (DestinationCounts{Arrived: 2, Accepted: 1}) || a.counts[7] != (DestinationCounts{Rejected: 1}) || a.counts[9] != (DestinationCounts{Failed: 1}) {
-			t.Fatalf("%v, %v: %+v", to, err, a)
+		_, _, r, err := decodeReport(payload)
+		if err != nil || len(to) != fanout || r.counts[3] != (DestinationCounts{Arrived: 2, Accepted: 1}) || r.counts[7] != (DestinationCounts{Rejected: 1}) || r.counts[9] != (DestinationCounts{Failed: 1}) {
+			t.Fatalf("%v, %v: %+v", to, err, r)
 		}
-		if gap := p.NextTick() - at; gap < turn/2 || gap > turn*3/2 {
+		if gap := g.NextTick() - at; gap < roundInterval/2 || gap > roundInterval*3/2 {
 			t.Fatalf("next after %v", gap)
 		}
 	}
 	if len(firsts) < 15 {
-		t.Errorf("80 first notes fall on %d of 20 parts of a turn", len(firsts))
+		t.Errorf("80 first reports fall into %d of 20 parts of a round", len(firsts))
 	}
 }
 
-// A note is as long as the platform takes at most, however much there is to tell; what is left out is not told wrongly.
-func TestNoteFits(t *testing.T) {
-	p := New(0, 80, 1)
+// A report stays within the size limit; what it leaves out does not corrupt the rest.
+func TestReportFitsDatagram(t *testing.T) {
+	g := New(0, 80, 1)
 	for d := range 500 {
 		for range 300 {
-			p.RecordArrival(d)
+			g.RecordArrival(d)
 		}
-		p.RecordCall(d, Failed)
+		g.RecordCall(d, Failed)
 	}
-	note, _ := p.Report(p.NextTick())
-	_, _, a, err := decode(note)
-	if len(note) > MaxDatagramBytes || len(note) < MaxDatagramBytes-20 || err != nil || len(a.counts) < 30 {
-		t.Fatalf("%d bytes, %d destinations, %v", len(note), len(a.counts), err)
+	payload, _ := g.Report(g.NextTick())
+	_, _, r, err := decodeReport(payload)
+	if len(payload) > MaxDatagramBytes || len(payload) < MaxDatagramBytes-20 || err != nil || len(r.counts) < 30 {
+		t.Fatalf("%d bytes, %d destinations, %v", len(payload), len(r.counts), err)
 	}
-	for d, c := range a.counts {
+	for d, c := range r.counts {
 		if c != (DestinationCounts{Arrived: 300, Failed: 1}) {
 			t.Fatalf("destination %d: %+v", d, c)
 		}
 	}
 }
 
-// Lost, late, repeated, reordered, foreign, cut, long and senseless notes change nothing; a sender that starts anew is heard.
-func TestHeard(t *testing.T) {
+// Outdated, duplicate, foreign, truncated, oversized and malformed reports change nothing; a
+// restarted sender is accepted.
+func TestReceiveCounts(t *testing.T) {
 	all := fleet(9)
-	p, from := all[0], all[1]
+	g, from := all[0], all[1]
 	from.RecordCall(4, Rejected)
 	first, _ := from.Report(from.NextTick())
 	from.RecordCall(4, Rejected)
 	second, _ := from.Report(from.NextTick())
-	again := New(1, 9, 77)
-	again.RecordCall(4, Rejected)
-	anew, _ := again.Report(again.NextTick())
-	entries := func() int { return len(p.all) }
+	restarted := New(1, 9, 77)
+	restarted.RecordCall(4, Rejected)
+	fresh, _ := restarted.Report(restarted.NextTick())
+	entries := func() int { return len(g.reports) }
 	for _, c := range []struct {
-		name string
-		from int
-		note []byte
-		take bool
+		name    string
+		from    int
+		payload []byte
+		accept  bool
 	}{
-		{"newer first", 1, second, true}, {"repeated", 1, second, false}, {"reordered", 1, first, false}, {"another life", 1, anew, true},
-		{"its own", 0, second, false}, {"from nobody", 9, second, false}, {"from minus one", -1, second, false},
+		{"newer first", 1, second, true}, {"repeated", 1, second, false}, {"reordered", 1, first, false}, {"another run", 1, fresh, true},
+		{"own number", 0, second, false}, {"unknown sender", 9, second, false}, {"negative sender", -1, second, false},
 		{"empty", 2, nil, false}, {"another version", 2, append([]byte{9}, second[1:]...), false},
 		{"cut", 2, second[:len(second)-1], false}, {"257 bytes", 2, append(bytes.Clone(second), make([]byte, 257-len(second))...), false},
-		{"twice the same", 2, append(bytes.Clone(second), second[5:]...), false},
-		{"a lie", 2, append(bytes.Clone(second[:5]), 4, 0xff, 0xff, 0x7f, 0, 0), false},
-		{"of a minute", 2, append([]byte{version, 1, 0, 1, 255}, second[5:]...), false},
+		{"duplicate destination", 2, append(bytes.Clone(second), second[5:]...), false},
+		{"count out of bounds", 2, append(bytes.Clone(second[:5]), 4, 0xff, 0xff, 0x7f, 0, 0), false},
+		{"time span too long", 2, append([]byte{formCounts, 1, 0, 1, 255}, second[5:]...), false},
 	} {
-		was := entries()
-		if err := p.ReceiveCounts(s, c.from, c.note); (err == nil) != c.take || (entries() > was) != c.take {
-			t.Errorf("%s: %v, %d entries after %d", c.name, err, entries(), was)
+		before := entries()
+		if err := g.ReceiveCounts(s, c.from, c.payload); (err == nil) != c.accept || (entries() > before) != c.accept {
+			t.Errorf("%s: %v, %d entries after %d", c.name, err, entries(), before)
 		}
 	}
 }
 
-// Numbers that do not fit together, and fleets that see enough by themselves, tell and hear nothing; nor does what is remembered grow.
+// Relays with invalid numbers and small fleets send and receive nothing; stored reports are
+// bounded.
 func TestNoFleet(t *testing.T) {
 	for _, c := range [][2]int{{0, 0}, {0, 1}, {0, MinFleetSize - 1}, {-1, 80}, {80, 80}, {3, -5}, {0, 1 << 40}} {
-		p := New(c[0], c[1], 1)
-		p.RecordArrival(1)
-		if note, to := p.Report(time.Hour); p.Active() || note != nil || to != nil || p.ReceiveCounts(0, 2, []byte{1}) == nil || p.FleetAverages(time.Hour, time.Time{}) != nil {
+		g := New(c[0], c[1], 1)
+		g.RecordArrival(1)
+		if payload, to := g.Report(time.Hour); g.Active() || payload != nil || to != nil || g.ReceiveCounts(0, 2, []byte{1}) == nil || g.FleetAverages(time.Hour, time.Time{}) != nil {
 			t.Errorf("relay %d of %d is active", c[0], c[1])
 		}
 	}
 	all := fleet(200)
 	for now := time.Duration(0); now < 30*s; now += 100 * time.Millisecond {
-		for _, p := range all[:20] {
-			p.RecordArrival(1)
-			note, _ := p.Report(now)
-			if note != nil {
-				all[199].ReceiveCounts(now, p.me, note)
+		for _, g := range all[:20] {
+			g.RecordArrival(1)
+			payload, _ := g.Report(now)
+			if payload != nil {
+				all[199].ReceiveCounts(now, g.self, payload)
 			}
 		}
 	}
-	if n := len(all[199].all); n > 120 {
-		t.Errorf("%d accounts kept", n)
+	if n := len(all[199].reports); n > 120 {
+		t.Errorf("%d reports stored", n)
 	}
 }
 
-// News are the mean of the relays heard of, whatever their number; too few tell nothing, old ones are forgotten.
-func TestNews(t *testing.T) {
+// Averages are the mean over the relays with reports, whatever their number; too few give none,
+// and old reports expire.
+func TestFleetAverages(t *testing.T) {
 	all := fleet(80)
-	p := all[0]
+	g := all[0]
 	for _, o := range all[1:40] {
 		for range 4 {
 			o.RecordArrival(2)
 		}
 		o.RecordCall(2, Accepted)
 		o.RecordCall(2, Rejected)
-		o.since = 0
-		o.next = 2 * s
-		note, _ := o.Report(2 * s)
-		if o.me == 2 && p.FleetAverages(2*s, time.Time{}) != nil {
-			t.Fatal("news of one relay")
+		o.ownSince = 0
+		o.nextRound = 2 * s
+		payload, _ := o.Report(2 * s)
+		if o.self == 2 && g.FleetAverages(2*s, time.Time{}) != nil {
+			t.Fatal("averages with one reporter")
 		}
-		if err := p.ReceiveCounts(2*s, o.me, note); err != nil {
+		if err := g.ReceiveCounts(2*s, o.self, payload); err != nil {
 			t.Fatal(err)
 		}
 	}
-	news := p.FleetAverages(2*s, time.Time{})
-	if len(news) != 1 || news[0].Demand != 2 || news[0].Accepted != 0.5 || news[0].Rejected != 0.5 || news[0].Calls != 78 {
-		t.Fatalf("%+v", news)
+	averages := g.FleetAverages(2*s, time.Time{})
+	if len(averages) != 1 || averages[0].Demand != 2 || averages[0].Accepted != 0.5 || averages[0].Rejected != 0.5 || averages[0].Calls != 78 {
+		t.Fatalf("%+v", averages)
 	}
-	if news := p.FleetAverages(2*s+memory+1, time.Time{}); news != nil {
-		t.Fatalf("old news: %+v", news)
+	if news := g.FleetAverages(2*s+reportLifetime+1, time.Time{}); news != nil {
+		t.Fatalf("expired reports in averages: %+v", news)
 	}
 }
 
-// The law: no bound where nothing is refused, one cut for what is refused, none before it shows, slow raises where refusals began, none in an outage, and
-// no bound any more where plenty is left.
-func TestPace(t *testing.T) {
-	p := &pace{}
+// Checks the control rules: no bound without rejections, one proportional reduction until its
+// effect is visible, slow raises near the limit, no change in an outage, and no bound when demand
+// is far below it.
+func TestAllowance(t *testing.T) {
+	a := &allowance{}
 	now := time.Duration(0)
-	look := func(taken, refused, failed, wanted, others float64, calls int) float64 {
-		now += settle / 2
-		return p.follow(now, policy.RouteStats{Accepted: taken, Rejected: refused, Failed: failed, Demand: wanted, Calls: calls}, others, 1, true)
+	update := func(accepted, rejected, failed, wanted, others float64, calls int) float64 {
+		now += settleTime / 2
+		return a.update(now, policy.RouteStats{Accepted: accepted, Rejected: rejected, Failed: failed, Demand: wanted, Calls: calls}, others, 1, true)
 	}
-	if look(1, 0, 0, 1, 0, 50) != 0 || look(1, 0, 0, 1, 0.3, 50) != 0 {
-		t.Fatal("bound without refusals, or by what one other tells")
+	if update(1, 0, 0, 1, 0, 50) != 0 || update(1, 0, 0, 1, 0.3, 50) != 0 {
+		t.Fatal("bound without rejections, or by one other relay")
 	}
-	if look(0, 1, 0, 1, 0, 1) != 0 {
-		t.Fatal("cut on a single call")
+	if update(0, 1, 0, 1, 0, 1) != 0 {
+		t.Fatal("reduced after a single call")
 	}
 	now = 10 * s
-	cut := look(0.7, 0.3, 0, 1, 0, 50)
-	if cut < 0.69 || cut > 0.71 {
-		t.Fatalf("cut to %v", cut)
+	reduced := update(0.7, 0.3, 0, 1, 0, 50)
+	if reduced < 0.69 || reduced > 0.71 {
+		t.Fatalf("reduced to %v", reduced)
 	}
-	if v := look(0.4, 0.3, 0, 1, 0, 50); v != cut {
-		t.Fatalf("cut again before the first shows: %v", v)
+	if v := update(0.4, 0.3, 0, 1, 0, 50); v != reduced {
+		t.Fatalf("reduced again before the first took effect: %v", v)
 	}
-	now += settle
-	if v := look(0, 0, 2, 1, 0, 50); v != cut {
-		t.Fatalf("an outage moved it to %v", v)
+	now += settleTime
+	if v := update(0, 0, 2, 1, 0, 50); v != reduced {
+		t.Fatalf("an outage changed the rate to %v", v)
 	}
-	quick := look(0.7, 0, 0, 1, 0, 50)
-	if quick <= cut*1.1 {
-		t.Fatalf("raised to %v", quick)
+	raised := update(0.7, 0, 0, 1, 0, 50)
+	if raised <= reduced*1.1 {
+		t.Fatalf("raised to %v", raised)
 	}
-	for p.allow < nearEdge*p.edge {
-		look(p.allow, 0, 0, 1, 0, 50)
+	for a.rate < nearLimitShare*a.limitEstimate {
+		update(a.rate, 0, 0, 1, 0, 50)
 	}
-	if was := p.allow; look(was, 0, 0, 1, 0, 50) > was*1.05 {
-		t.Fatal("hurries to where refusals began")
+	if was := a.rate; update(was, 0, 0, 1, 0, 50) > was*1.05 {
+		t.Fatal("raised fast near the limit")
 	}
-	if was := p.allow; look(0.1*was, 0, 0, 1, 0, 50) != was {
-		t.Fatal("raised what is not used")
+	if was := a.rate; update(0.1*was, 0, 0, 1, 0, 50) != was {
+		t.Fatal("raised a rate that is not used")
 	}
-	if look(0.2, 0, 0, 0.2, 0, 50) == 0 {
-		t.Fatal("forgot a bound while a destination may still be cold")
+	if update(0.2, 0, 0, 0.2, 0, 50) == 0 {
+		t.Fatal("dropped a bound shortly after a reduction")
 	}
-	now += kept
-	if look(0.2, 0, 0, 0.2, 0, 50) != 0 {
-		t.Fatal("bound with plenty left")
+	now += minBoundTime
+	if update(0.2, 0, 0, 0.2, 0, 50) != 0 {
+		t.Fatal("bound though demand is far below it")
 	}
-	fresh := &pace{}
-	if v := fresh.follow(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.4, Demand: 1, Calls: 2}, 0.25, 1, true); v != 0.25 {
-		t.Fatalf("one that starts anew takes %v", v)
+	fresh := &allowance{}
+	if v := fresh.update(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.4, Demand: 1, Calls: 2}, 0.25, 1, true); v != 0.25 {
+		t.Fatalf("a new relay starts with %v", v)
 	}
-	// In an outage, or as it ends, nothing is refused: who starts then takes what several others tell, who has been there for long does not.
-	young, old := &pace{}, &pace{}
+	// During an outage and as it ends nothing is rejected: a new relay adopts what several others
+	// announce, an older one does not.
+	newcomer, settled := &allowance{}, &allowance{}
 	for _, u := range []policy.RouteStats{{Failed: 3, Demand: 1, Calls: 9}, {Accepted: 1, Demand: 1, Calls: 9}} {
-		if v := old.follow(now, u, 0.25, tellers, false); v != 0 {
-			t.Fatalf("%+v: one that has been there allows itself %v", u, v)
+		if v := settled.update(now, u, 0.25, minAnnouncers, false); v != 0 {
+			t.Fatalf("%+v: an older relay is bound to %v", u, v)
 		}
-		if v := (&pace{}).follow(now, u, 0.25, tellers-1, true); v != 0 {
-			t.Fatalf("%+v: bound to %v by what two tell", u, v)
+		if v := (&allowance{}).update(now, u, 0.25, minAnnouncers-1, true); v != 0 {
+			t.Fatalf("%+v: bound to %v by two announcers", u, v)
 		}
-		if v := young.follow(now, u, 0.25, tellers, true); v != 0.25 {
-			t.Fatalf("%+v: one that starts takes %v", u, v)
+		if v := newcomer.update(now, u, 0.25, minAnnouncers, true); v != 0.25 {
+			t.Fatalf("%+v: a new relay starts with %v", u, v)
 		}
 	}
-	deep := &pace{}
-	if v := deep.follow(now, policy.RouteStats{Rejected: 4, Demand: 1, Calls: 300}, 0, 0, false); v < 2*0.99 || v > 2.01 {
-		t.Fatalf("all refused: %v of 4", v)
+	deep := &allowance{}
+	if v := deep.update(now, policy.RouteStats{Rejected: 4, Demand: 1, Calls: 300}, 0, 0, false); v < 2*0.99 || v > 2.01 {
+		t.Fatalf("all rejected: rate %v of 4", v)
 	}
 }
 
-// Risk: news tell of calls made some looks ago. Where an allowance was raised meanwhile, refusals began at what it was then; taken
-// for what it is now, it is raised as far again, past the limit, as soon as refusals are over.
-func TestRefusalsBeganSomeLooksAgo(t *testing.T) {
-	p := &pace{allow: 0.2, edge: 5}
+// Averages cover calls made some rounds ago. The limit estimate has to use the rate of that time,
+// or the rate is raised past the limit again once rejections end.
+func TestLimitEstimateUsesEarlierRate(t *testing.T) {
+	a := &allowance{rate: 0.2, limitEstimate: 5}
 	now := 10 * s
 	var allowed []float64
 	for range 6 {
-		allowed = append(allowed, p.allow)
-		now += turn
-		p.follow(now, policy.RouteStats{Accepted: p.allow, Demand: 1, Calls: 50}, 0, 0, false)
+		allowed = append(allowed, a.rate)
+		now += roundInterval
+		a.update(now, policy.RouteStats{Accepted: a.rate, Demand: 1, Calls: 50}, 0, 0, false)
 	}
-	if p.allow < 2*allowed[0] {
-		t.Fatalf("raised from %v to %v only", allowed[0], p.allow)
+	if a.rate < 2*allowed[0] {
+		t.Fatalf("raised from %v to %v only", allowed[0], a.rate)
 	}
-	began := allowed[len(allowed)-seenLate+1] // the one that tells of refusals and two looks before it
-	now += turn
-	p.follow(now, policy.RouteStats{Accepted: 0.1, Rejected: 0.2, Demand: 1, Calls: 50}, 0, 0, false)
-	if p.edge != began {
-		t.Errorf("refusals are taken to begin at %v, want %v; allowed were %v", p.edge, began, allowed)
+	began := allowed[len(allowed)-feedbackRounds+1] // the averages with rejections and the two rounds before
+	now += roundInterval
+	a.update(now, policy.RouteStats{Accepted: 0.1, Rejected: 0.2, Demand: 1, Calls: 50}, 0, 0, false)
+	if a.limitEstimate != began {
+		t.Errorf("limit estimate %v, want %v; past rates %v", a.limitEstimate, began, allowed)
 	}
-	anew := &pace{}
-	if anew.follow(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.5, Demand: 1, Calls: 50}, 0, 0, false); anew.edge != 1 {
-		t.Errorf("with no allowance before, refusals begin at the calls that are made, not at %v", anew.edge)
+	anew := &allowance{}
+	if anew.update(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.5, Demand: 1, Calls: 50}, 0, 0, false); anew.limitEstimate != 1 {
+		t.Errorf("without an earlier rate the limit estimate is the call rate, not %v", anew.limitEstimate)
 	}
 }
 
-// Notes that name ever new destinations fill no memory: what is kept of them is bounded, and forgotten.
-func TestSenselessDestinations(t *testing.T) {
+// Reports that name ever new destinations take bounded memory, which is freed.
+func TestUnknownDestinationsAreBounded(t *testing.T) {
 	all := fleet(80)
-	p, dest := all[0], 0
+	g, dest := all[0], 0
 	for i := range 60 {
 		now := time.Duration(i+1) * 100 * time.Millisecond
 		for _, o := range all[1:5] {
-			o.mine, o.next = map[int]DestinationCounts{}, now
+			o.ownCounts, o.nextRound = map[int]DestinationCounts{}, now
 			for range 40 {
 				dest++
 				o.RecordCall(dest, Rejected)
 			}
-			if note, _ := o.Report(now); p.ReceiveCounts(now, o.me, note) != nil {
-				t.Fatal("a note is not taken")
+			if payload, _ := o.Report(now); g.ReceiveCounts(now, o.self, payload) != nil {
+				t.Fatal("a report is rejected")
 			}
 		}
-		p.FleetAverages(now, time.Time{})
+		g.FleetAverages(now, time.Time{})
 	}
-	if n := len(p.paces); n == 0 || n > mostPaces {
-		t.Fatalf("%d allowances kept of %d destinations", n, dest)
+	if n := len(g.allowances); n == 0 || n > maxAllowances {
+		t.Fatalf("%d allowances stored for %d destinations", n, dest)
 	}
 	now := 10 * time.Minute
 	for _, o := range all[1:5] {
-		o.mine, o.next = map[int]DestinationCounts{1: {Accepted: 1}}, now
-		note, _ := o.Report(now)
-		p.ReceiveCounts(now, o.me, note)
+		o.ownCounts, o.nextRound = map[int]DestinationCounts{1: {Accepted: 1}}, now
+		payload, _ := o.Report(now)
+		g.ReceiveCounts(now, o.self, payload)
 	}
-	if p.FleetAverages(now, time.Time{}); len(p.paces) != 1 {
-		t.Fatalf("%d allowances kept of one destination", len(p.paces))
+	if g.FleetAverages(now, time.Time{}); len(g.allowances) != 1 {
+		t.Fatalf("%d allowances stored for one destination", len(g.allowances))
 	}
 }
--- a/internal/peers/route_test.go
+++ b/internal/peers/route_test.go
@@ -8,58 +8,60 @@
 	"oatfold/policy"
 )
 
-// Numbers of routes are alike at all relays, unlike those of destinations, and short enough for a note.
+// Route keys are the same at all relays, distinct from destination numbers, and short enough that
+// many fit into a message.
 func TestRouteKey(t *testing.T) {
 	seen := map[int]string{}
 	for i := range 1000 {
 		id := fmt.Sprintf("s-%08x", i*7919)
 		key := RouteKey(id)
 		if key != RouteKey(id) || key < routeBase || key >= 2*routeBase {
-			t.Fatalf("%s has the number %d", id, key)
+			t.Fatalf("%s has the key %d", id, key)
 		}
 		if was := seen[key]; was != "" {
-			t.Fatalf("%s and %s share the number %d", id, was, key)
+			t.Fatalf("%s and %s share the key %d", id, was, key)
 		}
 		seen[key] = id
 	}
-	p := New(0, 80, 1)
+	g := New(0, 80, 1)
 	for id := range 30 {
-		p.RecordCall(RouteKey(fmt.Sprintf("s-%08x", id)), Rejected)
+		g.RecordCall(RouteKey(fmt.Sprintf("s-%08x", id)), Rejected)
 	}
-	note, _ := p.Report(p.NextTick())
-	if _, _, a, err := decode(note); err != nil || len(a.counts) != 30 {
-		t.Fatalf("%d of 30 routes told in %d bytes, %v", len(a.counts), len(note), err)
+	payload, _ := g.Report(g.NextTick())
+	if _, _, r, err := decodeReport(payload); err != nil || len(r.counts) != 30 {
+		t.Fatalf("%d of 30 routes reported in %d bytes, %v", len(r.counts), len(payload), err)
 	}
 }
 
-// Where a limit is a few calls a second, no news alone hold enough calls to judge by: they are added up since the last change.
+// At a limit of a few calls per second no single round has enough calls: they add up since the
+// last change of the rate.
 func TestFewCallsAreAddedUp(t *testing.T) {
-	p, now := &pace{}, time.Duration(0)
-	look := func(taken, refused int) float64 {
-		now += settle
-		p.book(now-settle/2, DestinationCounts{Accepted: taken, Rejected: refused})
-		span := settle.Seconds()
-		return p.follow(now, policy.RouteStats{Accepted: float64(taken) / span, Rejected: float64(refused) / span, Demand: 4, Calls: taken + refused}, 0, 0, false)
+	a, now := &allowance{}, time.Duration(0)
+	update := func(accepted, rejected int) float64 {
+		now += settleTime
+		a.recordCalls(now-settleTime/2, DestinationCounts{Accepted: accepted, Rejected: rejected})
+		span := settleTime.Seconds()
+		return a.update(now, policy.RouteStats{Accepted: float64(accepted) / span, Rejected: float64(rejected) / span, Demand: 4, Calls: accepted + rejected}, 0, 0, false)
 	}
 	for range 2 {
-		if look(1, 1) != 0 {
-			t.Fatal("cut on four calls")
+		if update(1, 1) != 0 {
+			t.Fatal("reduced after four calls")
 		}
 	}
-	cut := look(1, 1)
-	if cut == 0 {
-		t.Fatal("not cut though three of six calls were refused")
+	reduced := update(1, 1)
+	if reduced == 0 {
+		t.Fatal("not reduced though three of six calls were rejected")
 	}
 	for range 2 {
-		if look(1, 0) != cut {
-			t.Fatal("raised on two calls")
+		if update(1, 0) != reduced {
+			t.Fatal("raised after two calls")
 		}
 	}
-	if look(1, 0) <= cut {
-		t.Fatal("not raised after three calls that were taken")
+	if update(1, 0) <= reduced {
+		t.Fatal("not raised after three accepted calls")
 	}
-	p.book(p.cutAt-1, DestinationCounts{Rejected: 50})
-	if p.refused != 0 {
-		t.Fatal("calls made before a cut count against what it allows")
+	a.recordCalls(a.reducedAt-1, DestinationCounts{Rejected: 50})
+	if a.rejected != 0 {
+		t.Fatal("calls made before a reduction count against the new rate")
 	}
 }
--- a/internal/peers/targets.go
+++ b/internal/peers/targets.go
@@ -6,59 +6,60 @@
 	"oatfold/policy"
 )
 
-// ReportKeys knows under which number a relay tells others of an endpoint: its destination's, or where routes are separate one of its
-// own. The zero value knows no separate routes. It belongs to the goroutine that the Pool does.
+// ReportKeys maps endpoints to the numbers under which relays report about them: the number of
+// the destination, or a route key if its routes are separate. The zero value knows no separate
+// routes. It is not safe for concurrent use.
 type ReportKeys struct {
-	endpoints map[int]string // by the number of a route
-	routes    map[int][]int  // numbers of a destination's routes; none: they share a limit
+	endpoints map[int]string // by route key
+	routes    map[int][]int  // route keys by destination; none if its endpoints share a limit
 }
 
-// Add takes in an endpoint of a destination whose routes are separate.
-func (t *ReportKeys) Add(endpoint string, dest int) {
-	if t.endpoints == nil {
-		t.endpoints, t.routes = map[int]string{}, map[int][]int{}
+// Add registers an endpoint of a destination with separate routes.
+func (k *ReportKeys) Add(endpoint string, dest int) {
+	if k.endpoints == nil {
+		k.endpoints, k.routes = map[int]string{}, map[int][]int{}
 	}
 	key := RouteKey(endpoint)
-	t.endpoints[key] = endpoint
-	if !slices.Contains(t.routes[dest], key) {
-		t.routes[dest] = append(t.routes[dest], key)
+	k.endpoints[key] = endpoint
+	if !slices.Contains(k.routes[dest], key) {
+		k.routes[dest] = append(k.routes[dest], key)
 	}
 }
 
-// Remove forgets an endpoint that has left the list.
-func (t *ReportKeys) Remove(endpoint string, dest int) {
+// Remove unregisters an endpoint.
+func (k *ReportKeys) Remove(endpoint string, dest int) {
 	key := RouteKey(endpoint)
-	if t.endpoints[key] != endpoint {
+	if k.endpoints[key] != endpoint {
 		return
 	}
-	delete(t.endpoints, key)
-	t.routes[dest] = slices.DeleteFunc(t.routes[dest], func(k int) bool { return k == key })
-	if len(t.routes[dest]) == 0 {
-		delete(t.routes, dest)
+	delete(k.endpoints, key)
+	k.routes[dest] = slices.DeleteFunc(k.routes[dest], func(k int) bool { return k == key })
+	if len(k.routes[dest]) == 0 {
+		delete(k.routes, dest)
 	}
 }
 
-// Key is the number for calls to an endpoint.
-func (t *ReportKeys) Key(endpoint string, dest int) int {
-	if key := RouteKey(endpoint); t.endpoints[key] != "" {
+// Key returns the number under which calls to an endpoint are reported.
+func (k *ReportKeys) Key(endpoint string, dest int) int {
+	if key := RouteKey(endpoint); k.endpoints[key] != "" {
 		return key
 	}
 	return dest
 }
 
-// EachKey calls f with each number that a message for a destination counts under.
-func (t *ReportKeys) EachKey(dest int, f func(target int)) {
-	if len(t.routes[dest]) == 0 {
+// EachKey calls f with each number under which a message for a destination is counted.
+func (k *ReportKeys) EachKey(dest int, f func(target int)) {
+	if len(k.routes[dest]) == 0 {
 		f(dest)
 	}
-	for _, key := range t.routes[dest] {
+	for _, key := range k.routes[dest] {
 		f(key)
 	}
 }
 
-// ResolveEndpoints puts the endpoint into news of a route.
-func (t *ReportKeys) ResolveEndpoints(news []policy.RouteStats) {
-	for i := range news {
-		news[i].Endpoint = t.endpoints[news[i].Destination]
+// ResolveEndpoints sets the endpoint of each average whose number is a route key.
+func (k *ReportKeys) ResolveEndpoints(averages []policy.RouteStats) {
+	for i := range averages {
+		averages[i].Endpoint = k.endpoints[averages[i].Destination]
 	}
 }
--- a/internal/peers/turn_test.go
+++ b/internal/peers/turn_test.go
@@ -7,92 +7,93 @@
 	"oatfold/internal/peers/members"
 )
 
-// joined is a fleet whose relays ask who lives as well.
-func joined(n int) (all []*Gossiper) {
+// fleetWithMembership returns the gossipers of a fleet with membership enabled.
+func fleetWithMembership(n int) (all []*Gossiper) {
 	all = fleet(n)
-	for i, p := range all {
-		p.EnableMembership(i%3, int64(i)+1)
+	for i, g := range all {
+		g.EnableMembership(i%3, int64(i)+1)
 	}
 	return all
 }
 
-// A turn's notes carry counts and membership together, no longer than a note may be, however much there is to tell; both are understood. A relay that asks nobody
-// who lives takes no such note, and one that does takes the older form.
-func TestTurn(t *testing.T) {
+// Messages of a round carry counts and membership together, within the size limit, and receivers
+// handle both. A relay without membership rejects them; one with membership accepts counts alone.
+func TestTick(t *testing.T) {
 	for _, dests := range []int{1, 500} {
-		all := joined(20)
-		p := all[0]
+		all := fleetWithMembership(20)
+		g := all[0]
 		for d := range dests {
 			for range 300 {
-				p.RecordArrival(d)
+				g.RecordArrival(d)
 			}
 		}
-		out, turned := p.Tick(p.next)
-		if !turned || len(out) < fan {
-			t.Fatalf("%d notes, turned %v", len(out), turned)
+		out, newRound := g.Tick(g.nextRound)
+		if !newRound || len(out) < fanout {
+			t.Fatalf("%d messages, new round %v", len(out), newRound)
 		}
 		for _, o := range out {
-			if len(o.Payload) > MaxDatagramBytes || o.Payload[0] != both {
-				t.Fatalf("a note of %d bytes, form %d", len(o.Payload), o.Payload[0])
+			if len(o.Payload) > MaxDatagramBytes || o.Payload[0] != formCombined {
+				t.Fatalf("a message of %d bytes, form %d", len(o.Payload), o.Payload[0])
 			}
 			other := all[o.To]
 			if _, err := other.Receive(time.Second, 0, o.Payload); err != nil {
 				t.Fatal(err)
 			}
-			if len(other.all) != 1 || len(other.all[0].counts) != min(dests, len(other.all[0].counts)) || other.all[0].counts[0].Arrived != 300 {
-				t.Fatalf("heard %+v", other.all)
+			if len(other.reports) != 1 || len(other.reports[0].counts) != min(dests, len(other.reports[0].counts)) || other.reports[0].counts[0].Arrived != 300 {
+				t.Fatalf("received %+v", other.reports)
 			}
 			if other.Members().View(time.Second).Members[0].Incarnation != 1 {
-				t.Fatal("the sender is not known")
+				t.Fatal("the sender is unknown")
 			}
 			if _, err := other.Receive(time.Second, 0, o.Payload); err == nil {
-				t.Fatal("heard the same note twice")
+				t.Fatal("accepted the same message twice")
 			}
 			for cut := range o.Payload {
-				joined(20)[1].Receive(time.Second, 0, o.Payload[:cut]) // any length is borne
+				fleetWithMembership(20)[1].Receive(time.Second, 0, o.Payload[:cut]) // must not panic
 			}
 			if _, err := fleet(20)[o.To].Receive(time.Second, 0, o.Payload); err == nil {
-				t.Fatal("taken by one that asks nobody")
+				t.Fatal("accepted by a relay without membership")
 			}
 		}
 	}
-	plain, p := fleet(20)[1], joined(20)[0]
+	plain, g := fleet(20)[1], fleetWithMembership(20)[0]
 	plain.RecordArrival(3)
-	note, _ := plain.Report(plain.NextTick())
-	if _, err := p.Receive(time.Second, 1, note); err != nil || len(p.all) != 1 {
-		t.Fatalf("the older form: %v", err)
+	payload, _ := plain.Report(plain.NextTick())
+	if _, err := g.Receive(time.Second, 1, payload); err != nil || len(g.reports) != 1 {
+		t.Fatalf("counts alone: %v", err)
 	}
-	if _, err := p.Receive(time.Second, 1, nil); err == nil {
-		t.Fatal("an empty note is taken")
+	if _, err := g.Receive(time.Second, 1, nil); err == nil {
+		t.Fatal("an empty message is accepted")
 	}
 }
 
-// A relay with nothing to tell says that it lives, to a few; a small fleet that asks who lives tells no counts at all.
-func TestQuietTurn(t *testing.T) {
+// A relay without counts sends its membership section to a few others; a small fleet sends no
+// counts at all.
+func TestQuietRound(t *testing.T) {
 	for _, n := range []int{3, 20} {
-		p := joined(n)[0]
+		g := fleetWithMembership(n)[0]
 		if n == 3 {
-			p.RecordArrival(1)
+			g.RecordArrival(1)
 		}
-		out, turned := p.Tick(p.next)
-		if !turned || len(out) != min(n-1, quietFan) {
-			t.Fatalf("%d relays: %d notes", n, len(out))
+		out, newRound := g.Tick(g.nextRound)
+		if !newRound || len(out) != min(n-1, quietFanout) {
+			t.Fatalf("%d relays: %d messages", n, len(out))
 		}
 		for _, o := range out {
-			if o.Payload[0] != bare || len(o.Payload) > 40 {
+			if o.Payload[0] != formMembership || len(o.Payload) > 40 {
 				t.Errorf("%d relays: form %d, %d bytes", n, o.Payload[0], len(o.Payload))
 			}
 		}
-		if p.FleetAverages(time.Second, time.Time{}) != nil {
-			t.Error("news out of nothing")
+		if g.FleetAverages(time.Second, time.Time{}) != nil {
+			t.Error("averages without reports")
 		}
 	}
 }
 
-// The counts of one that is away say nothing any more of what the usual relay sees, and no counts go to it.
-func TestAwayIsNotCounted(t *testing.T) {
-	all := joined(10)
-	p := all[0]
+// The counts of a dead member do not enter the averages, and no counts are sent to it.
+func TestDeadMemberIsNotCounted(t *testing.T) {
+	all := fleetWithMembership(10)
+	g := all[0]
 	now := time.Duration(0)
 	for now < 60*members.Period {
 		now += members.Period / 10
@@ -117,23 +118,23 @@
 			}
 		}
 	}
-	if s := p.Members().State(9); s != members.Dead {
-		t.Fatalf("the dead one is %v", s)
+	if s := g.Members().State(9); s != members.Dead {
+		t.Fatalf("the dead member is %v", s)
 	}
-	p.keep(account{from: 9, at: now, span: time.Second, counts: map[int]DestinationCounts{77: {Arrived: 1000}}})
-	for _, u := range p.FleetAverages(now, time.Time{}) {
+	g.addReport(report{from: 9, at: now, span: time.Second, counts: map[int]DestinationCounts{77: {Arrived: 1000}}})
+	for _, u := range g.FleetAverages(now, time.Time{}) {
 		if u.Destination == 77 {
-			t.Error("the dead one's counts are in the news")
+			t.Error("the counts of the dead member are in the averages")
 		}
 	}
-	p.RecordArrival(1)
+	g.RecordArrival(1)
 	for range 40 {
-		now = p.next
-		p.RecordArrival(1)
-		out, _ := p.Tick(now)
+		now = g.nextRound
+		g.RecordArrival(1)
+		out, _ := g.Tick(now)
 		for _, o := range out {
-			if o.To == 9 && o.Payload[0] != bare {
-				t.Error("counts go to one that does not hear")
+			if o.To == 9 && o.Payload[0] != formMembership {
+				t.Error("counts are sent to a dead member")
 			}
 		}
 	}
--- a/internal/peers/words.go
+++ b/internal/peers/words.go
@@ -7,95 +7,95 @@
 	"oatfold/internal/peers/members"
 )
 
-// What relays tell one another of sites, while one is lost or returns: a note form of its own, which relays of versions before pass over.
+// Reports about sites, sent while a site is lost or returning. Older relays ignore their form.
 const (
-	ofSites  = 5
-	wordFan  = 4 // relays that it goes to with each turn
-	wordFor  = 4 * time.Second
-	mostWord = 31 // zones
-	wholeIs  = 200
+	formSites          = 5
+	siteFanout         = 4 // receivers in a round
+	siteReportLifetime = 4 * time.Second
+	maxSiteReports     = 31 // zones in a message
+	loadFractionUnits  = 200
 )
 
-// SiteReport is what a relay says of a zone by calls of its own.
+// SiteReport is what a relay observes of a zone by its own calls.
 type SiteReport struct {
 	Zone         int
-	LoadFraction float64 // part of its load that it gives the zone; 0: nothing gets through
+	LoadFraction float64 // part of its load that the relay sends to the zone; 0: nothing gets through
 }
 
-// words is what is told and heard of sites.
-type words struct {
-	mine  []SiteReport
-	heard map[int]heardWords // by relay
-	seq   uint16
+// siteState holds the site reports of this relay and of others.
+type siteState struct {
+	own      []SiteReport
+	received map[int]receivedSites // by relay
+	seq      uint16
 }
 
-type heardWords struct {
-	mark
-	all []SiteReport
+type receivedSites struct {
+	sequenceMark
+	reports []SiteReport
 }
 
-// SetSiteReports has the pool tell this of sites from now on; none: nothing is told.
-func (p *Gossiper) SetSiteReports(mine []SiteReport) { p.words.mine = mine }
+// SetSiteReports sets the reports about sites that are sent from now on; none if empty.
+func (g *Gossiper) SetSiteReports(own []SiteReport) { g.sites.own = own }
 
-// tellWords returns the notes about sites that go with a turn.
-func (p *Gossiper) tellWords() (out []members.Datagram) {
-	w := &p.words
-	if len(w.mine) == 0 || p.fleet < 2 {
+// siteDatagrams returns the messages about sites for a round.
+func (g *Gossiper) siteDatagrams() (out []members.Datagram) {
+	state := &g.sites
+	if len(state.own) == 0 || g.fleetSize < 2 {
 		return nil
 	}
-	w.seq++
-	note := binary.BigEndian.AppendUint16([]byte{ofSites, p.life}, w.seq)
-	for _, one := range w.mine[:min(len(w.mine), mostWord)] {
-		if one.Zone >= 0 && one.Zone <= 255 {
-			note = append(note, byte(one.Zone), byte(max(0, min(wholeIs, one.LoadFraction*wholeIs))))
+	state.seq++
+	payload := binary.BigEndian.AppendUint16([]byte{formSites, g.runID}, state.seq)
+	for _, r := range state.own[:min(len(state.own), maxSiteReports)] {
+		if r.Zone >= 0 && r.Zone <= 255 {
+			payload = append(payload, byte(r.Zone), byte(max(0, min(loadFractionUnits, r.LoadFraction*loadFractionUnits))))
 		}
 	}
 	to := map[int]bool{}
-	for range 4 * wordFan { // a draw that meets itself is drawn again, a few times
-		n := p.rng.IntN(p.fleet)
-		if n == p.me || to[n] || len(to) >= wordFan {
+	for range 4 * siteFanout { // repeats after a draw of an unsuitable receiver, within bounds
+		n := g.rng.IntN(g.fleetSize)
+		if n == g.self || to[n] || len(to) >= siteFanout {
 			continue
 		}
 		to[n] = true
-		out = append(out, members.Datagram{To: n, Payload: note})
+		out = append(out, members.Datagram{To: n, Payload: payload})
 	}
 	return out
 }
 
-// hearWords takes a note about sites.
-func (p *Gossiper) hearWords(now time.Duration, from int, note []byte) error {
-	if from < 0 || from >= p.fleet || from == p.me {
-		return errNobody
+// receiveSites handles a message about sites.
+func (g *Gossiper) receiveSites(now time.Duration, from int, payload []byte) error {
+	if from < 0 || from >= g.fleetSize || from == g.self {
+		return errUnknownSender
 	}
-	if len(note) < 4 || len(note)%2 != 0 || len(note) > 4+2*mostWord {
-		return errNote
+	if len(payload) < 4 || len(payload)%2 != 0 || len(payload) > 4+2*maxSiteReports {
+		return errMalformed
 	}
-	h := heardWords{mark: mark{note[1], binary.BigEndian.Uint16(note[2:]), now}}
-	for b := note[4:]; len(b) > 0; b = b[2:] {
-		if b[1] > wholeIs {
-			return errNote
+	received := receivedSites{sequenceMark: sequenceMark{payload[1], binary.BigEndian.Uint16(payload[2:]), now}}
+	for b := payload[4:]; len(b) > 0; b = b[2:] {
+		if b[1] > loadFractionUnits {
+			return errMalformed
 		}
-		h.all = append(h.all, SiteReport{int(b[0]), float64(b[1]) / wholeIs})
+		received.reports = append(received.reports, SiteReport{int(b[0]), float64(b[1]) / loadFractionUnits})
 	}
-	if was, known := p.words.heard[from]; known && was.life == h.life && int16(h.seq-was.seq) <= 0 {
-		return errOld
+	if previous, known := g.sites.received[from]; known && previous.runID == received.runID && int16(received.seq-previous.seq) <= 0 {
+		return errStale
 	}
-	if p.words.heard == nil {
-		p.words.heard = map[int]heardWords{}
+	if g.sites.received == nil {
+		g.sites.received = map[int]receivedSites{}
 	}
-	p.words.heard[from] = h
+	g.sites.received[from] = received
 	return nil
 }
 
-// EachSiteReport calls f for what each relay said of sites lately.
-func (p *Gossiper) EachSiteReport(now time.Duration, f func(SiteReport)) {
-	for from, h := range p.words.heard {
-		if now-h.at > wordFor {
-			delete(p.words.heard, from)
+// EachSiteReport calls f with each current site report of other relays.
+func (g *Gossiper) EachSiteReport(now time.Duration, f func(SiteReport)) {
+	for from, received := range g.sites.received {
+		if now-received.at > siteReportLifetime {
+			delete(g.sites.received, from)
 			continue
 		}
-		for _, one := range h.all {
-			f(one)
+		for _, r := range received.reports {
+			f(r)
 		}
 	}
 }
