--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -45,8 +45,10 @@
 		case name == "subset":
 			s.SubsetSize = DefaultSubsetSize
 			if has {
-				if s.SubsetSize, err = strconv.Atoi(value); err != nil || s.SubsetSize < MinSubsetSize || s.SubsetSize > MaxSubsetSize {
-					return Options{}, fmt.Errorf("subset: %q is not a number from %d to %d", value, MinSubsetSize, MaxSubsetSize)
+				if s.SubsetSize, err = strconv.Atoi(value); err != nil ||
+					s.SubsetSize < MinSubsetSize || s.SubsetSize > MaxSubsetSize {
+					return Options{}, fmt.Errorf("subset: %q is not a number from %d to %d",
+						value, MinSubsetSize, MaxSubsetSize)
 				}
 			}
 		case has:
--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -45,6 +45,7 @@
 	return of, least, most
 }
 
+// moved counts the subset entries of b that are not in a, for members in both.
 func moved(a, b []map[string]bool) (n int) {
 	for i := range min(len(a), len(b)) {
 		for e := range b[i] {
@@ -74,7 +75,8 @@
 				of, least, most := assign(all(n), endpoints(m), k)
 				mean := float64(n*k) / float64(m)
 				if far := max(float64(most)-mean, mean-float64(least)); most-least > 1 && far > 0.15*mean {
-					t.Errorf("%d relays, %d of %d endpoints: %d to %d relays per endpoint, mean %.1f", n, k, m, least, most, mean)
+					t.Errorf("%d relays, %d of %d endpoints: %d to %d relays per endpoint, mean %.1f",
+						n, k, m, least, most, mean)
 				}
 				if m > 1000 {
 					continue
@@ -82,7 +84,8 @@
 				joined, _, _ := assign(all(n+1), endpoints(m), k)
 				left, _, _ := assign(without(all(n), n/3, n), endpoints(m), k)
 				if a, b := moved(of, joined), moved(of, left); a > 4*k || b > 4*k {
-					t.Errorf("%d relays, %d of %d endpoints: %d entries moved after a join, %d after a leave", n, k, m, a, b)
+					t.Errorf("%d relays, %d of %d endpoints: %d entries moved after a join, %d after a leave",
+						n, k, m, a, b)
 				}
 			}
 		}
@@ -105,7 +108,8 @@
 		was, moves := check("all", all(n), 0.15), 0
 		for tenth := range 10 {
 			down := without(all(n), tenth, 10)
-			of := check("a tenth restarts", down, 0.2) // the freed places are not refilled at once; see docs/design/choices.md
+			// The freed places are not refilled at once; see docs/design/choices.md.
+			of := check("a tenth restarts", down, 0.2)
 			moves += moved(was, of)
 			// One more member leaves while they are down: the mean number of moves is bounded.
 			sum := 0
@@ -168,7 +172,8 @@
 			}
 			subset := r.Subset(at, k)
 			if len(subset) != min(k, len(eps)) || !slices.Equal(subset, other.Subset(at, k)) {
-				t.Fatalf("place %d: subset %v, and %v with the endpoints in another order", at, subset, other.Subset(at, k))
+				t.Fatalf("place %d: subset %v, and %v with the endpoints in another order",
+					at, subset, other.Subset(at, k))
 			}
 		}
 		if p.Of(-1) != -1 || p.Of(len(live)) != -1 {
@@ -177,7 +182,7 @@
 	})
 }
 
-// The number of slot holders is independent of the fleet size, every member holds a slot at some
+// The number of slot holders is independent of the fleet size, most members hold one at some
 // time, holders change between slots, and clock differences do not multiply them.
 func TestTimeSlots(t *testing.T) {
 	for _, n := range []int{3, 80, 300, 1000} {
@@ -246,7 +251,8 @@
 			}
 		}
 		if split != 200*4 || third > 200*4 {
-			t.Errorf("%d relays: %.2f holders instead of two in a partition, %.2f when each misses a third", n, float64(split)/200, float64(third)/200)
+			t.Errorf("%d relays: %.2f holders instead of two in a partition, %.2f when each misses a third",
+				n, float64(split)/200, float64(third)/200)
 		}
 	}
 }
@@ -274,7 +280,8 @@
 	for _, s := range all {
 		sum += s.Share(1, mean)
 	}
-	if hot, usual, idle := all[0].Share(1, mean), all[1].Share(1, mean), all[n-1].Share(1, mean); hot != maxShare || usual < 1 || idle != minShare {
+	if hot, usual, idle := all[0].Share(1, mean), all[1].Share(1, mean), all[n-1].Share(1, mean); hot != maxShare ||
+		usual < 1 || idle != minShare {
 		t.Errorf("shares of the hot, usual and idle relay: %.2f, %.2f and %.2f", hot, usual, idle)
 	}
 	if sum > n*1.0001 || sum < 0.7*n {
@@ -298,14 +305,18 @@
 func TestExaggeratingReporter(t *testing.T) {
 	honest := slices.Repeat([]Report{{Calls: 3}}, 9)
 	combined := CombineReports(append(slices.Clone(honest), Report{Calls: 10000, Failed: 10000, RetryAfter: time.Hour}))
-	if got := combined.Weights[9] * 10000; math.Abs(got-trustedCalls) > 0.01 || combined.Weights[0] != 1 || combined.FailingReporters != 1 || combined.RetryAfter != MaxUnconfirmedRetryAfter {
+	if got := combined.Weights[9] * 10000; math.Abs(got-trustedCalls) > 0.01 || combined.Weights[0] != 1 ||
+		combined.FailingReporters != 1 || combined.RetryAfter != MaxUnconfirmedRetryAfter {
 		t.Errorf("%+v", combined)
 	}
-	combined = CombineReports(append(slices.Clone(honest), Report{RetryAfter: time.Hour}, Report{RetryAfter: 4 * time.Second}, Report{RetryAfter: 2 * time.Second}))
+	combined = CombineReports(append(slices.Clone(honest),
+		Report{RetryAfter: time.Hour}, Report{RetryAfter: 4 * time.Second}, Report{RetryAfter: 2 * time.Second}))
 	if combined.RetryAfter != 4*time.Second {
 		t.Errorf("Retry-After of an hour, 4 s and 2 s: combined %v", combined.RetryAfter)
 	}
-	if combined = CombineReports([]Report{{RetryAfter: time.Hour}, {RetryAfter: time.Hour}}); combined.RetryAfter != MaxRetryAfter {
+	if combined = CombineReports([]Report{
+		{RetryAfter: time.Hour}, {RetryAfter: time.Hour},
+	}); combined.RetryAfter != MaxRetryAfter {
 		t.Errorf("Retry-After of an hour twice: combined %v", combined.RetryAfter)
 	}
 	if combined = CombineReports([]Report{{Calls: 50, Failed: 50}}); combined.Weights[0] != 1 {
@@ -324,14 +335,22 @@
 		live := all(12)
 		tracker.UpdatePlaces(AssignPlaces(live, seed))
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			kind := rapid.SampledFrom([]policy.ListUpdateKind{policy.ListChanges, policy.ListChanges, policy.ListSnapshot, policy.ListUnavailable}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]policy.ListUpdateKind{
+				policy.ListChanges, policy.ListChanges, policy.ListSnapshot, policy.ListUnavailable,
+			}).Draw(t, "kind")
 			update := policy.EndpointListUpdate{Kind: kind}
 			if kind == policy.ListSnapshot {
 				clear(listed)
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "entries") {
 				d, n := rapid.IntRange(0, 1).Draw(t, "dest"), rapid.IntRange(0, 9).Draw(t, "endpoint")
-				e := policy.Endpoint{Address: fmt.Sprintf("d%d-%d", d, n), Destination: d, State: rapid.SampledFrom([]policy.EndpointState{policy.Listed, policy.Listed, policy.Draining, policy.Removed}).Draw(t, "state")}
+				e := policy.Endpoint{
+					Address:     fmt.Sprintf("d%d-%d", d, n),
+					Destination: d,
+					State: rapid.SampledFrom([]policy.EndpointState{
+						policy.Listed, policy.Listed, policy.Draining, policy.Removed,
+					}).Draw(t, "state"),
+				}
 				update.Entries = append(update.Entries, e)
 				if kind == policy.ListUnavailable {
 					continue
@@ -379,7 +398,8 @@
 					}
 				}
 				if !slices.Equal(reported[d], want) {
-					t.Fatalf("destination %d with %v: reported %v, want %v", d, slices.Sorted(maps.Keys(eps)), reported[d], want)
+					t.Fatalf("destination %d with %v: reported %v, want %v",
+						d, slices.Sorted(maps.Keys(eps)), reported[d], want)
 				}
 			}
 		}
@@ -387,7 +407,14 @@
 }
 
 func TestParse(t *testing.T) {
-	for text, want := range map[string]string{"": "off", "off": "off", "all": "subset=8,turns,slices,signals", "turns,subset=3": "subset=3,turns", "subset": "subset=8", "signals,slices": "slices,signals"} {
+	for text, want := range map[string]string{
+		"":               "off",
+		"off":            "off",
+		"all":            "subset=8,turns,slices,signals",
+		"turns,subset=3": "subset=3,turns",
+		"subset":         "subset=8",
+		"signals,slices": "slices,signals",
+	} {
 		if s, err := Parse(text); err != nil || s.String() != want || s.Any() == (want == "off") {
 			t.Errorf("%q: %v, %v", text, s, err)
 		}
--- a/internal/choice/keeper.go
+++ b/internal/choice/keeper.go
@@ -36,7 +36,14 @@
 // NewSubsetTracker returns a tracker of subsets of the given size for member self; 0 disables
 // subsets.
 func NewSubsetTracker(self, size int) *SubsetTracker {
-	return &SubsetTracker{size: size, self: self, seed: Seed, place: -1, destinations: map[int]*destinationSubset{}, pending: map[int]bool{}}
+	return &SubsetTracker{
+		size:         size,
+		self:         self,
+		seed:         Seed,
+		place:        -1,
+		destinations: map[int]*destinationSubset{},
+		pending:      map[int]bool{},
+	}
 }
 
 // UpdateEndpoints applies an update of the endpoint list.
--- a/internal/choice/subset.go
+++ b/internal/choice/subset.go
@@ -56,7 +56,8 @@
 	for i := range all {
 		r.endpoints[i] = all[i].Endpoint
 	}
-	r.steppedSize = int(math.Ceil(math.Exp2(math.Ceil(stepsPerDoubling*math.Log2(float64(max(1, len(all))))-1e-9)/stepsPerDoubling) - 1e-9))
+	r.steppedSize = int(math.Ceil(
+		math.Exp2(math.Ceil(stepsPerDoubling*math.Log2(float64(max(1, len(all))))-1e-9)/stepsPerDoubling) - 1e-9))
 	return r
 }
 
--- a/internal/choice/voice.go
+++ b/internal/choice/voice.go
@@ -8,11 +8,11 @@
 
 // Limits on what the reports of a single relay count for.
 const (
-	trustedCalls             = 8                // calls of one relay that always count in full
-	maxMeanFactor            = 2                // of the mean calls of the other relays, beyond which calls are scaled down
-	MaxUnconfirmedRetryAfter = 1 * time.Second  // reported by one relay only
-	MaxRetryAfter            = 20 * time.Second // reported by several relays
-	MinRetryAfter            = 500 * time.Millisecond
+	trustedCalls             = 8                      // calls of one relay that always count in full
+	maxMeanFactor            = 2                      // times the mean calls of the other relays: more are scaled down
+	MaxUnconfirmedRetryAfter = 1 * time.Second        // reported by one relay only
+	MaxRetryAfter            = 20 * time.Second       // reported by several relays
+	MinRetryAfter            = 500 * time.Millisecond // shorter ones are not shared
 )
 
 // Report is what one relay observed of a destination.
@@ -43,7 +43,9 @@
 	for _, r := range reports {
 		weight := 1.0
 		if others := len(reports) - 1; others > 0 && r.Calls > trustedCalls {
-			if limit := max(trustedCalls, maxMeanFactor*float64(totalCalls-r.Calls)/float64(others)); float64(r.Calls) > limit {
+			if limit := max(
+				trustedCalls, maxMeanFactor*float64(totalCalls-r.Calls)/float64(others),
+			); float64(r.Calls) > limit {
 				weight = limit / float64(r.Calls)
 			}
 		}
--- a/internal/peers/choices.go
+++ b/internal/peers/choices.go
@@ -13,7 +13,7 @@
 const placesInterval = 3 * time.Second
 
 const (
-	minFailureReporters = 2                       // relays that report failures, with no call accepted, for a destination to be down
+	minFailureReporters = 2                       // relays that report failures of a destination that is down
 	failureRepeatTime   = 12 * time.Second        // a failure is repeated in reports for this long
 	downTimeout         = 5 * choice.SlotDuration // without any reported call, after which the destination counts as up
 )
@@ -51,7 +51,15 @@
 	if g.members == nil {
 		options = choice.Options{}
 	}
-	g.choices = choiceState{options: options, demand: choice.NewDemandShares(), subsets: choice.NewSubsetTracker(g.self, options.SubsetSize), retryAfterUntil: map[int]time.Duration{}, failedAt: map[int]time.Duration{}, downSeenAt: map[int]time.Duration{}, statuses: map[int]DestinationStatus{}}
+	g.choices = choiceState{
+		options:         options,
+		demand:          choice.NewDemandShares(),
+		subsets:         choice.NewSubsetTracker(g.self, options.SubsetSize),
+		retryAfterUntil: map[int]time.Duration{},
+		failedAt:        map[int]time.Duration{},
+		downSeenAt:      map[int]time.Duration{},
+		statuses:        map[int]DestinationStatus{},
+	}
 }
 
 // Choices returns which choices are shared.
@@ -66,7 +74,8 @@
 
 // RecordRetryAfter records a Retry-After that a destination sent to this relay.
 func (g *Gossiper) RecordRetryAfter(now time.Duration, dest int, wait time.Duration) {
-	if g.choices.options.Signals && wait >= choice.MinRetryAfter && (g.choices.retryAfterUntil[dest] > 0 || len(g.choices.retryAfterUntil) < maxAllowances) {
+	if g.choices.options.Signals && wait >= choice.MinRetryAfter &&
+		(g.choices.retryAfterUntil[dest] > 0 || len(g.choices.retryAfterUntil) < maxAllowances) {
 		g.choices.retryAfterUntil[dest] = max(g.choices.retryAfterUntil[dest], now+min(wait, choice.MaxRetryAfter))
 	}
 }
@@ -161,7 +170,10 @@
 	retryAfter                    time.Duration
 }
 
-func addToSummaries(summaries []destinationSummary, r report, c DestinationCounts, now time.Duration) []destinationSummary {
+// addToSummaries adds the counts of a report to the summary of its sender.
+func addToSummaries(
+	summaries []destinationSummary, r report, c DestinationCounts, now time.Duration,
+) []destinationSummary {
 	index := -1
 	for i := range summaries {
 		if summaries[i].from == r.from {
@@ -172,7 +184,12 @@
 		summaries, index = append(summaries, destinationSummary{from: r.from}), len(summaries)
 	}
 	s := &summaries[index]
-	s.counts = DestinationCounts{Arrived: s.counts.Arrived + c.Arrived, Accepted: s.counts.Accepted + c.Accepted, Rejected: s.counts.Rejected + c.Rejected, Failed: s.counts.Failed + c.Failed}
+	s.counts = DestinationCounts{
+		Arrived:  s.counts.Arrived + c.Arrived,
+		Accepted: s.counts.Accepted + c.Accepted,
+		Rejected: s.counts.Rejected + c.Rejected,
+		Failed:   s.counts.Failed + c.Failed,
+	}
 	if c.Allowed > 0 {
 		s.logAllowedSum, s.allowedReports = s.logAllowedSum+math.Log(c.Allowed), s.allowedReports+1
 	}
@@ -181,12 +198,17 @@
 }
 
 // average returns the mean over all relays for one destination.
-func (g *Gossiper) average(now time.Duration, dest int, summaries []destinationSummary, spans float64) policy.RouteStats {
+func (g *Gossiper) average(
+	now time.Duration, dest int, summaries []destinationSummary, spans float64,
+) policy.RouteStats {
 	var combined choice.CombinedReports
 	if g.choices.options.Signals || g.choices.options.TimeSlots {
 		reports := make([]choice.Report, len(summaries))
 		for i, s := range summaries {
-			reports[i] = choice.Report{Calls: s.counts.Accepted + s.counts.Rejected + s.counts.Failed, Failed: s.counts.Failed}
+			reports[i] = choice.Report{
+				Calls:  s.counts.Accepted + s.counts.Rejected + s.counts.Failed,
+				Failed: s.counts.Failed,
+			}
 			if s.from != g.self {
 				reports[i].RetryAfter = max(0, s.retryAfter)
 			}
@@ -204,7 +226,8 @@
 			weight = combined.Weights[i]
 		}
 		arrived += float64(s.counts.Arrived)
-		accepted, rejected, failed = accepted+weight*float64(s.counts.Accepted), rejected+weight*float64(s.counts.Rejected), failed+weight*float64(s.counts.Failed)
+		accepted, rejected, failed = accepted+weight*float64(s.counts.Accepted),
+			rejected+weight*float64(s.counts.Rejected), failed+weight*float64(s.counts.Failed)
 	}
 	if accepted > 0 {
 		delete(g.choices.failedAt, dest)
@@ -212,12 +235,21 @@
 	if g.choices.options.TimeSlots {
 		if accepted > 0 {
 			delete(g.choices.downSeenAt, dest)
-		} else if _, known := g.choices.downSeenAt[dest]; failingReporters >= minFailureReporters || known && failingReporters > 0 {
+		} else if _, known := g.choices.downSeenAt[dest]; failingReporters >= minFailureReporters ||
+			known && failingReporters > 0 {
 			g.choices.downSeenAt[dest] = now
 		}
 	}
-	return policy.RouteStats{Destination: dest, Demand: arrived / spans, Accepted: accepted / spans, Rejected: rejected / spans, Failed: failed / spans,
-		Calls: int(math.Round(accepted + rejected + failed)), Reporters: combined.FailingReporters, RetryAfter: combined.RetryAfter}
+	return policy.RouteStats{
+		Destination: dest,
+		Demand:      arrived / spans,
+		Accepted:    accepted / spans,
+		Rejected:    rejected / spans,
+		Failed:      failed / spans,
+		Calls:       int(math.Round(accepted + rejected + failed)),
+		Reporters:   combined.FailingReporters,
+		RetryAfter:  combined.RetryAfter,
+	}
 }
 
 // applyChoices derives this relay's part from the average of a destination.
@@ -226,7 +258,13 @@
 	if !s.options.Any() {
 		return
 	}
-	status := DestinationStatus{At: now, Allowed: u.Allowance, Reporters: u.Reporters, RetryAfter: u.RetryAfter, MeanDemand: u.Demand}
+	status := DestinationStatus{
+		At:         now,
+		Allowed:    u.Allowance,
+		Reporters:  u.Reporters,
+		RetryAfter: u.RetryAfter,
+		MeanDemand: u.Demand,
+	}
 	if s.options.DemandShares {
 		status.OwnDemand, status.DemandShare = s.demand.Demand(u.Destination), s.demand.Share(u.Destination, u.Demand)
 		u.Allowance *= status.DemandShare
@@ -234,7 +272,8 @@
 	if s.options.TimeSlots && s.live != nil {
 		status.LiveRelays = s.places.LiveCount()
 		status.SlotHolders = choice.SlotHolders(status.LiveRelays, u.Demand)
-		status.HoldsSlot = choice.HoldsSlot(g.self, s.live, uint64(u.Destination), choice.SlotAt(wall), status.SlotHolders)
+		status.HoldsSlot = choice.HoldsSlot(
+			g.self, s.live, uint64(u.Destination), choice.SlotAt(wall), status.SlotHolders)
 		at, down := s.downSeenAt[u.Destination]
 		if down && now-at > downTimeout {
 			delete(s.downSeenAt, u.Destination) // nobody has called it: any relay may
--- a/internal/peers/choices_test.go
+++ b/internal/peers/choices_test.go
@@ -19,7 +19,8 @@
 // receiveCounts delivers a report of another relay about destination 7.
 func receiveCounts(t *testing.T, g *Gossiper, from int, now time.Duration, c DestinationCounts) {
 	t.Helper()
-	payload := encodeReport(1, uint16(now/time.Millisecond), report{span: time.Second, counts: map[int]DestinationCounts{7: c}}, MaxDatagramBytes)
+	payload := encodeReport(1, uint16(now/time.Millisecond),
+		report{span: time.Second, counts: map[int]DestinationCounts{7: c}}, MaxDatagramBytes)
 	if err := g.ReceiveCounts(now, from, payload); err != nil {
 		t.Fatal(err)
 	}
@@ -49,13 +50,15 @@
 	g.RecordArrival(7)
 	payload, _ := g.Report(now)
 	_, _, r, err := decodeReport(payload)
-	if err != nil || payload[0] != formRetryAfter || r.counts[7].RetryAfter.Round(100*time.Millisecond) != 3*time.Second {
+	if err != nil || payload[0] != formRetryAfter ||
+		r.counts[7].RetryAfter.Round(100*time.Millisecond) != 3*time.Second {
 		t.Fatalf("form %d, %+v, %v", payload[0], r.counts, err)
 	}
 	q := gossiperWithChoices(t)
 	for from, wait := range []time.Duration{0, 3 * time.Second, time.Hour, 0, 0, 0} {
 		if from > 0 {
-			receiveCounts(t, q, from, time.Second, DestinationCounts{Arrived: 1, RetryAfter: min(wait, 900*time.Second)})
+			receiveCounts(t, q, from, time.Second,
+				DestinationCounts{Arrived: 1, RetryAfter: min(wait, 900*time.Second)})
 		}
 	}
 	if u := averageOf7(q, 1500*time.Millisecond); u.RetryAfter != 2500*time.Millisecond {
@@ -177,7 +180,8 @@
 	for e := range 60 {
 		now := time.Second + time.Duration(e)*choice.SlotDuration
 		for from := 1; from < 6; from++ {
-			receiveCounts(t, g, from, now, DestinationCounts{Arrived: 9, Failed: from / 4}) // two relays report failures
+			// Two relays report failures.
+			receiveCounts(t, g, from, now, DestinationCounts{Arrived: 9, Failed: from / 4})
 		}
 		if !averageOf7(g, now).OthersProbe {
 			held++
@@ -209,7 +213,8 @@
 	}
 	// Without membership nothing is shared.
 	q := New(0, 10, 1)
-	if q.EnableChoices(choice.Options{SubsetSize: 2, TimeSlots: true}); q.Choices().Any() || q.ChangedSubsets(time.Second) != nil {
+	if q.EnableChoices(choice.Options{SubsetSize: 2, TimeSlots: true}); q.Choices().Any() ||
+		q.ChangedSubsets(time.Second) != nil {
 		t.Error("choices without membership")
 	}
 }
@@ -239,10 +244,18 @@
 		q.EachSiteReport(now, func(w SiteReport) { all = append(all, w) })
 		return all
 	}
-	if _, err := q.Receive(time.Second, 0, second[0]); err != nil || len(received(time.Second)) != 2 || received(time.Second)[1].LoadFraction != 0.25 || received(time.Second)[0] != (SiteReport{2, 0}) {
+	if _, err := q.Receive(time.Second, 0, second[0]); err != nil || len(received(time.Second)) != 2 ||
+		received(time.Second)[1].LoadFraction != 0.25 || received(time.Second)[0] != (SiteReport{2, 0}) {
 		t.Fatalf("received %v, %v", received(time.Second), err)
 	}
-	for name, payload := range map[string][]byte{"late": first[0], "twice": second[0], "half": second[0][:5], "short": second[0][:3], "over": {formSites, 1, 9, 9, 1, 201}, "long": make([]byte, 200)} {
+	for name, payload := range map[string][]byte{
+		"late":  first[0],
+		"twice": second[0],
+		"half":  second[0][:5],
+		"short": second[0][:3],
+		"over":  {formSites, 1, 9, 9, 1, 201},
+		"long":  make([]byte, 200),
+	} {
 		if name == "long" {
 			payload[0] = formSites
 		}
--- a/internal/peers/members/hear.go
+++ b/internal/peers/members/hear.go
@@ -48,7 +48,9 @@
 			break
 		}
 		l.nonce++
-		l.probes = append(l.probes, probe{target: s.subject, nonce: l.nonce, sentAt: l.now, requester: from, requesterNonce: s.nonce})
+		l.probes = append(l.probes, probe{
+			target: s.subject, nonce: l.nonce, sentAt: l.now, requester: from, requesterNonce: s.nonce,
+		})
 		out = l.reply(out, s.subject, section{flags: flagPing, nonce: l.nonce})
 	case s.flags&flagPing != 0:
 		out = l.reply(out, from, section{flags: flagAck, nonce: s.nonce})
@@ -77,6 +79,7 @@
 	return l.replyWithin(out, to, s, MaxDatagramBytes/4)
 }
 
+// replyWithin is reply with a limit on the size of the section.
 func (l *List) replyWithin(out []Datagram, to int, s section, maxBytes int) []Datagram {
 	if l.now-l.repliesSince >= Period {
 		l.repliesLeft, l.repliesSince = repliesPerPeriod+len(l.members)/8, l.now
@@ -160,7 +163,8 @@
 		l.setState(from, Alive, true, fmt.Sprintf("returned with incarnation %d", s.incarnation))
 	case m.state == Suspect:
 		l.setState(from, Alive, true, "message received from it")
-		return l.reply(out, from, section{}) // other relays may still suspect it: it learns of the suspicion and refutes it
+		// Other relays may still suspect it: it learns of the suspicion and refutes it.
+		return l.reply(out, from, section{})
 	case m.state != Alive && l.now-m.informedAt >= Period/4:
 		out = l.reply(out, from, section{}) // it has not learned of its state yet
 	}
@@ -185,7 +189,8 @@
 			l.recordLoss()
 		}
 		if p.requester >= 0 {
-			return l.reply(out, p.requester, section{flags: flagAck | flagIndirect, nonce: p.requesterNonce, subject: subject})
+			return l.reply(out, p.requester,
+				section{flags: flagAck | flagIndirect, nonce: p.requesterNonce, subject: subject})
 		}
 		return out
 	}
@@ -194,7 +199,8 @@
 
 // handleOwnState handles a claim about this relay and refutes it, unless it is true.
 func (l *List) handleOwnState(out []Datagram, from int, claim fact, raiseRequested bool) []Datagram {
-	mustRefute := claim.state != Alive && claim.incarnation >= l.incarnation || claim.incarnation > l.incarnation || raiseRequested && claim.incarnation >= l.incarnation
+	mustRefute := claim.state != Alive && claim.incarnation >= l.incarnation ||
+		claim.incarnation > l.incarnation || raiseRequested && claim.incarnation >= l.incarnation
 	if !mustRefute || l.leaving {
 		return out
 	}
@@ -202,7 +208,8 @@
 		if l.now-l.duplicateSeenAt > duplicateWindow {
 			l.duplicateSightings = 0
 		}
-		if l.duplicateSightings++; l.duplicateSightings >= duplicateThreshold && l.now-l.incarnationRaisedAt < 4*Period {
+		if l.duplicateSightings++; l.duplicateSightings >= duplicateThreshold &&
+			l.now-l.incarnationRaisedAt < 4*Period {
 			l.duplicateSeenAt = l.now
 			return out // duplicates would raise their incarnations without end
 		}
@@ -210,7 +217,8 @@
 	} else {
 		l.counts.Refutations++
 	}
-	if maxLeap := uint32(maxIncarnationLeap); claim.incarnation > l.incarnation+maxLeap && (l.incarnation > 1 || claim.incarnation > maxIncarnationLeap*maxIncarnationLeap/16) {
+	if maxLeap := uint32(maxIncarnationLeap); claim.incarnation > l.incarnation+maxLeap &&
+		(l.incarnation > 1 || claim.incarnation > maxIncarnationLeap*maxIncarnationLeap/16) {
 		return out // this relay never had this incarnation
 	}
 	l.raiseIncarnation(claim.incarnation)
@@ -232,7 +240,8 @@
 				m.zone = f.zone
 			}
 			if m.state != Alive {
-				l.setState(f.number, Alive, false, fmt.Sprintf("reported alive by %d with incarnation %d", from, f.incarnation))
+				l.setState(f.number, Alive, false,
+					fmt.Sprintf("reported alive by %d with incarnation %d", from, f.incarnation))
 			} else {
 				l.version++
 				if m.reason == "no message received yet" {
@@ -276,8 +285,10 @@
 	}
 	if f.firstHand && m.state == Suspect {
 		l.recordAccuser(m, from)
-		if f.state >= Dead && len(l.members) > 2*fullConfirmation && len(m.accusers) >= fullConfirmation && l.now-m.suspectedAt >= Period {
-			l.setState(f.number, f.state, false, fmt.Sprintf("%v, reported at first hand by %d", f.state, len(m.accusers)))
+		if f.state >= Dead && len(l.members) > 2*fullConfirmation &&
+			len(m.accusers) >= fullConfirmation && l.now-m.suspectedAt >= Period {
+			l.setState(f.number, f.state, false,
+				fmt.Sprintf("%v, reported at first hand by %d", f.state, len(m.accusers)))
 		}
 	}
 	return out
--- a/internal/peers/members/lie.go
+++ b/internal/peers/members/lie.go
@@ -7,7 +7,13 @@
 	l.seq++
 	s := section{runID: l.runID, seq: l.seq, incarnation: 50 + uint32(seed), zone: NoZone}
 	for i := range 12 {
-		f := fact{number: (seed*12 + i) % len(l.members), state: State(1 + (seed+i)%3), firstHand: true, zone: NoZone, incarnation: 1 + uint32(seed%7)}
+		f := fact{
+			number:      (seed*12 + i) % len(l.members),
+			state:       State(1 + (seed+i)%3),
+			firstHand:   true,
+			zone:        NoZone,
+			incarnation: 1 + uint32(seed%7),
+		}
 		if seed%5 == 0 {
 			f.incarnation = maxIncarnation - uint32(i)
 		}
--- a/internal/peers/members/members.go
+++ b/internal/peers/members/members.go
@@ -200,7 +200,7 @@
 	duplicateSightings  int // messages that prove another process under this number
 	duplicateSeenAt     Time
 	startedAt           Time
-	callers             int
+	callers             int // latest result of countCallers
 	callersAt           Time
 	callersCountedAt    Time
 }
@@ -215,8 +215,22 @@
 		config.Zone = NoZone
 	}
 	rng := rand.New(rand.NewPCG(uint64(config.Seed), 0x3e3b))
-	l := &List{config: config, rng: rng, incarnation: 1, runID: uint8(rng.Uint32()), seq: uint16(rng.Uint32()), nonce: uint8(rng.Uint32()), members: make([]member, config.FleetSize),
-		indexOf: make([]int, config.FleetSize), callers: config.FleetSize, version: 1, incarnationRaisedAt: -Period, isolatedRaiseAt: -Period, suspicionAt: -suspicionInterval, repliesSince: -Period}
+	l := &List{
+		config:              config,
+		rng:                 rng,
+		incarnation:         1,
+		runID:               uint8(rng.Uint32()),
+		seq:                 uint16(rng.Uint32()),
+		nonce:               uint8(rng.Uint32()),
+		members:             make([]member, config.FleetSize),
+		indexOf:             make([]int, config.FleetSize),
+		callers:             config.FleetSize,
+		version:             1,
+		incarnationRaisedAt: -Period,
+		isolatedRaiseAt:     -Period,
+		suspicionAt:         -suspicionInterval,
+		repliesSince:        -Period,
+	}
 	for i := range l.members {
 		l.members[i] = member{zone: NoZone, heardAt: -1, informedAt: -pauseThreshold, reason: "no message received yet"}
 		if i != config.Self {
@@ -231,7 +245,9 @@
 }
 
 func (l *List) shuffleProbeOrder() {
-	l.rng.Shuffle(len(l.probeOrder), func(i, j int) { l.probeOrder[i], l.probeOrder[j] = l.probeOrder[j], l.probeOrder[i] })
+	l.rng.Shuffle(len(l.probeOrder), func(i, j int) {
+		l.probeOrder[i], l.probeOrder[j] = l.probeOrder[j], l.probeOrder[i]
+	})
 }
 
 // advance sets the clock. After a pause of the process all acks are overdue, so probes are
@@ -416,7 +432,8 @@
 		targets = append(targets, Target{n, true})
 	}
 	included := func(n int) bool { return slices.ContainsFunc(targets, func(t Target) bool { return t.To == n }) }
-	if l.rounds++; len(l.gone) > 0 && (l.rounds%goneContactRounds == 0 || len(l.gone)*goneContactRounds*2 > len(l.members)) {
+	if l.rounds++; len(l.gone) > 0 &&
+		(l.rounds%goneContactRounds == 0 || len(l.gone)*goneContactRounds*2 > len(l.members)) {
 		targets = append(targets, Target{To: l.gone[l.rng.IntN(len(l.gone))]})
 	}
 	for draws := 0; len(targets) < min(limit, len(l.live)) && draws < 8*limit; draws++ {
@@ -430,7 +447,9 @@
 // probing reports whether an own probe of a member is in flight; with checksOnly, only a check
 // counts.
 func (l *List) probing(number int, checksOnly bool) bool {
-	return slices.ContainsFunc(l.probes, func(p probe) bool { return p.target == number && p.requester < 0 && (p.check || !checksOnly) })
+	return slices.ContainsFunc(l.probes, func(p probe) bool {
+		return p.target == number && p.requester < 0 && (p.check || !checksOnly)
+	})
 }
 
 // ownProbes counts the own probes in flight, without checks.
@@ -499,12 +518,16 @@
 			}
 			l.nonce++
 			p.nonce, p.sentAt, p.indirect = l.nonce, l.now, false
-			out = append(out, Datagram{p.target, l.encodeSection(p.target, section{flags: flagPing, nonce: p.nonce}, MaxPiggybackBytes)})
+			out = append(out, Datagram{
+				p.target, l.encodeSection(p.target, section{flags: flagPing, nonce: p.nonce}, MaxPiggybackBytes),
+			})
 		case p.requester < 0 && !p.indirect && !p.check && l.now >= p.sentAt+indirectProbeAfter:
 			p.indirect = true
 			l.counts.ProbeTimeouts++
 			for _, n := range l.indirectProbersFor(p.target) {
-				out = append(out, Datagram{n, l.encodeSection(n, section{flags: flagPing | flagIndirect, nonce: p.nonce, subject: p.target}, MaxDatagramBytes/2)})
+				out = append(out, Datagram{n, l.encodeSection(n, section{
+					flags: flagPing | flagIndirect, nonce: p.nonce, subject: p.target,
+				}, MaxDatagramBytes/2)})
 			}
 		}
 		remaining = append(remaining, p)
@@ -527,8 +550,12 @@
 		if !m.checked && len(l.probes) < maxProbesForChecks {
 			if m.checked = true; !l.probing(n, false) {
 				l.nonce++
-				l.probes = append(l.probes, probe{target: n, nonce: l.nonce, sentAt: l.now, requester: -1, check: true})
-				out = append(out, Datagram{n, l.encodeSection(n, section{flags: flagPing, nonce: l.nonce}, MaxPiggybackBytes)})
+				l.probes = append(l.probes, probe{
+					target: n, nonce: l.nonce, sentAt: l.now, requester: -1, check: true,
+				})
+				out = append(out, Datagram{
+					n, l.encodeSection(n, section{flags: flagPing, nonce: l.nonce}, MaxPiggybackBytes),
+				})
 			}
 			continue
 		} else if l.now-m.suspectedAt < timeout || l.probing(n, true) {
@@ -540,7 +567,8 @@
 		case l.Isolated():
 			l.setState(n, Dead, false, "no messages from any relay: this relay may be isolated")
 		default:
-			l.setState(n, Dead, true, m.reason+fmt.Sprintf("; no refutation within %.1f s", (l.now-m.suspectedAt).Seconds()))
+			l.setState(n, Dead, true,
+				m.reason+fmt.Sprintf("; no refutation within %.1f s", (l.now-m.suspectedAt).Seconds()))
 		}
 	}
 	return out
@@ -554,7 +582,8 @@
 	if lossRate <= maxFalseSilence {
 		return minProbeAttempts
 	}
-	return max(minProbeAttempts, min(maxProbeAttempts, int(math.Ceil(math.Log(maxFalseSilence)/math.Log(min(lossRate, 0.9))))))
+	return max(minProbeAttempts, min(maxProbeAttempts,
+		int(math.Ceil(math.Log(maxFalseSilence)/math.Log(min(lossRate, 0.9))))))
 }
 
 // indirectProbersFor draws members that may reach a member that this relay does not.
@@ -575,7 +604,8 @@
 // suspectSilent handles the failed probe of a member and reports whether this relay suspects it.
 func (l *List) suspectSilent(number int) (suspected bool) {
 	m := &l.members[number]
-	if since := l.now - l.heardAnyAt; since >= Period && since < isolatedQuietTime || l.now < l.quietUntil || m.state >= Dead {
+	if since := l.now - l.heardAnyAt; since >= Period && since < isolatedQuietTime ||
+		l.now < l.quietUntil || m.state >= Dead {
 		return false // isolated or just resumed: this relay doubts itself first
 	}
 	l.counts.Suspicions++
--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -11,8 +11,13 @@
 func TestSectionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(2, 1000).Draw(t, "fleet")
-		s := section{flags: uint8(rapid.IntRange(0, flagRaiseIncarnation<<1-1).Draw(t, "flags")), runID: rapid.Byte().Draw(t, "life"), seq: rapid.Uint16().Draw(t, "seq"),
-			zone: uint8(rapid.IntRange(0, NoZone).Draw(t, "zone")), incarnation: rapid.Uint32Range(1, maxIncarnation).Draw(t, "inc")}
+		s := section{
+			flags:       uint8(rapid.IntRange(0, flagRaiseIncarnation<<1-1).Draw(t, "flags")),
+			runID:       rapid.Byte().Draw(t, "life"),
+			seq:         rapid.Uint16().Draw(t, "seq"),
+			zone:        uint8(rapid.IntRange(0, NoZone).Draw(t, "zone")),
+			incarnation: rapid.Uint32Range(1, maxIncarnation).Draw(t, "inc"),
+		}
 		if s.flags&(flagPing|flagAck) != 0 {
 			s.nonce = rapid.Byte().Draw(t, "nonce")
 		}
@@ -20,12 +25,19 @@
 			s.subject = rapid.IntRange(0, fleet-1).Draw(t, "about")
 		}
 		for range rapid.IntRange(0, 8).Draw(t, "facts") {
-			s.facts = append(s.facts, fact{rapid.IntRange(0, fleet-1).Draw(t, "number"), State(rapid.IntRange(0, 3).Draw(t, "state")), rapid.Bool().Draw(t, "own"),
-				uint8(rapid.IntRange(0, NoZone).Draw(t, "of")), rapid.Uint32Range(1, maxIncarnation).Draw(t, "incarnation")})
+			s.facts = append(s.facts, fact{
+				rapid.IntRange(0, fleet-1).Draw(t, "number"),
+				State(rapid.IntRange(0, 3).Draw(t, "state")),
+				rapid.Bool().Draw(t, "own"),
+				uint8(rapid.IntRange(0, NoZone).Draw(t, "of")),
+				rapid.Uint32Range(1, maxIncarnation).Draw(t, "incarnation"),
+			})
 		}
 		b := s.appendTo(nil, MaxDatagramBytes)
 		got, err := decodeSection(b, fleet)
-		if err != nil || got.flags != s.flags || got.runID != s.runID || got.seq != s.seq || got.zone != s.zone || got.incarnation != s.incarnation || got.nonce != s.nonce || got.subject != s.subject || len(got.facts) != len(s.facts) {
+		if err != nil || got.flags != s.flags || got.runID != s.runID || got.seq != s.seq ||
+			got.zone != s.zone || got.incarnation != s.incarnation || got.nonce != s.nonce ||
+			got.subject != s.subject || len(got.facts) != len(s.facts) {
 			t.Fatalf("encoded %+v, decoded %+v, err %v", s, got, err)
 		}
 		for i := range s.facts {
@@ -46,7 +58,9 @@
 func FuzzHeard(f *testing.F) {
 	l := New(Config{Self: 1, FleetSize: 5, Seed: 1})
 	f.Add(l.encodeSection(0, section{flags: flagPing, nonce: 3}, MaxPiggybackBytes))
-	f.Add(l.encodeSection(0, section{flags: flagPing | flagIndirect, subject: 2, facts: []fact{{2, Dead, true, 1, 7}}}, MaxPiggybackBytes))
+	f.Add(l.encodeSection(0, section{
+		flags: flagPing | flagIndirect, subject: 2, facts: []fact{{2, Dead, true, 1, 7}},
+	}, MaxPiggybackBytes))
 	f.Add([]byte{0xff, 0, 0, 0, 0, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l := New(Config{Self: 0, FleetSize: 5, Seed: 1})
@@ -169,7 +183,8 @@
 	for i, l := range m.lists {
 		for n := range m.lists {
 			if s := l.State(n); m.up[i] && i != n && (m.up[n] && s != Alive || !m.up[n] && s < Dead) {
-				t.Fatalf("%d periods after the last fault relay %d has member %d (up: %v) as %v: %s", periods, i, n, m.up[n], s, l.members[n].reason)
+				t.Fatalf("%d periods after the last fault relay %d has member %d (up: %v) as %v: %s",
+					periods, i, n, m.up[n], s, l.members[n].reason)
 			}
 		}
 	}
@@ -186,8 +201,10 @@
 		m := newFleetModel(rapid.IntRange(2, 4).Draw(t, "relays"))
 		n := len(m.lists)
 		t.Repeat(map[string]func(*rapid.T){
-			"tick":    func(t *rapid.T) { m.tick(rapid.IntRange(0, n-1).Draw(t, "relay")) },
-			"time":    func(t *rapid.T) { m.now += time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond },
+			"tick": func(t *rapid.T) { m.tick(rapid.IntRange(0, n-1).Draw(t, "relay")) },
+			"time": func(t *rapid.T) {
+				m.now += time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond
+			},
 			"pause":   func(t *rapid.T) { m.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
 			"deliver": func(t *rapid.T) { m.deliver(rapid.IntRange(0, 50).Draw(t, "which"), false) },
 			"repeat":  func(t *rapid.T) { m.deliver(rapid.IntRange(0, 50).Draw(t, "which"), true) },
--- a/internal/peers/members/note.go
+++ b/internal/peers/members/note.go
@@ -16,7 +16,7 @@
 	flagIsolated                     // the sender is isolated
 	flagLeaving                      // the sender leaves
 	flagSync                         // the sender has just started and requests the list of gone members
-	flagRaiseIncarnation             // the receiver is known under another process: it has to raise its incarnation
+	flagRaiseIncarnation             // the receiver is known as another process and has to raise its incarnation
 )
 
 // section is the membership part of a gossip message.
@@ -165,12 +165,14 @@
 		}
 		limit--
 	}
-	l.dequeue(repeatedUpdates, limit-len(l.updates[freshUpdates]), add) // first, so that what is fresh now is queued behind
+	// Repeats come first, so that updates that are fresh now are queued behind them.
+	l.dequeue(repeatedUpdates, limit-len(l.updates[freshUpdates]), add)
 	l.dequeue(freshUpdates, limit, add)
 	l.dequeue(announcements, min(2, limit), add)
 	return s.appendTo(nil, maxBytes)
 }
 
+// factAbout returns what this relay knows of a member.
 func (l *List) factAbout(n int) fact {
 	m := &l.members[n]
 	return fact{n, m.state, m.firstHand, m.zone, m.incarnation}
--- a/internal/peers/members/view.go
+++ b/internal/peers/members/view.go
@@ -36,7 +36,15 @@
 // View returns a snapshot of the fleet.
 func (l *List) View(now Time) *View {
 	l.advance(now)
-	v := &View{At: l.now, Self: l.config.Self, Version: l.version, Isolated: l.Isolated(), DuplicateNumber: l.DuplicateNumber(), Counts: l.counts, Members: make([]Member, len(l.members))}
+	v := &View{
+		At:              l.now,
+		Self:            l.config.Self,
+		Version:         l.version,
+		Isolated:        l.Isolated(),
+		DuplicateNumber: l.DuplicateNumber(),
+		Counts:          l.counts,
+		Members:         make([]Member, len(l.members)),
+	}
 	zones := l.zoneViews()
 	for i := range l.members {
 		m := &l.members[i]
@@ -92,7 +100,8 @@
 // partition.
 func (l *List) countCallers(zones [NoZone + 1]ZoneView) int {
 	dead, gone := 0, 0
-	retention := deadCallerTime + 2*Period*time.Duration(len(l.members)/10) // long enough for two own messages of the member to arrive
+	// Long enough for two messages of the member itself to arrive.
+	retention := deadCallerTime + 2*Period*time.Duration(len(l.members)/10)
 	for _, n := range l.gone {
 		m := &l.members[n]
 		switch {
@@ -101,7 +110,8 @@
 		case m.state == Dead && m.incarnation > 0: // a member never heard of may still be calling
 			// Members of a zone that can send but not receive become suspect one by one and go on
 			// calling.
-			if dead++; l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention && !zones[m.zone].CutOff && zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneDoubtDivisor {
+			if dead++; l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention && !zones[m.zone].CutOff &&
+				zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneDoubtDivisor {
 				gone++
 			}
 		}
@@ -144,7 +154,8 @@
 		if massFailureDivisor*dead > len(l.members) || zones[m.zone].CutOff {
 			retention = outagePlaceRetention
 		}
-		gone := m.state == Left && l.now-m.since > leftCallerTime || m.state == Dead && m.incarnation > 0 && l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention
+		gone := m.state == Left && l.now-m.since > leftCallerTime ||
+			m.state == Dead && m.incarnation > 0 && l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention
 		eligible[i] = !gone || l.Isolated()
 	}
 	return eligible
--- a/internal/peers/pace.go
+++ b/internal/peers/pace.go
@@ -60,7 +60,8 @@
 
 // overLimit reports whether the calls since the last change require a reduction.
 func (a *allowance) overLimit() bool {
-	return a.calls >= minCallsToReduce && a.rejected >= minRejectedToReduce && float64(a.rejected) > reduceShare*float64(a.calls)
+	return a.calls >= minCallsToReduce && a.rejected >= minRejectedToReduce &&
+		float64(a.rejected) > reduceShare*float64(a.calls)
 }
 
 // update computes the rate from fleet averages, the rate that other relays allow themselves, how
@@ -69,7 +70,9 @@
 // Reductions are proportional to the rejected share, and each is given time to take effect.
 // Raises are fast until rejections occur and slow near the rate at which they began, since at a
 // destination that counts rejected calls too a small excess costs most of the throughput.
-func (a *allowance) update(now time.Duration, u policy.RouteStats, othersRate float64, announcers int, newcomer bool) float64 {
+func (a *allowance) update(
+	now time.Duration, u policy.RouteStats, othersRate float64, announcers int, newcomer bool,
+) float64 {
 	copy(a.pastRates[:], a.pastRates[1:])
 	a.pastRates[feedbackRounds-1] = a.rate
 	callRate := u.Accepted + u.Rejected
@@ -91,7 +94,8 @@
 	}
 	switch {
 	case now-a.reducedAt >= settleTime && (a.overLimit() ||
-		rejectedShare > reduceShare && u.Calls >= minCallsToReduce && rejectedShare*float64(u.Calls) >= minRejectedToReduce):
+		rejectedShare > reduceShare && u.Calls >= minCallsToReduce &&
+			rejectedShare*float64(u.Calls) >= minRejectedToReduce):
 		if a.calls > 0 {
 			rejectedShare = max(rejectedShare, float64(a.rejected)/float64(a.calls))
 		}
@@ -123,7 +127,8 @@
 // shouldAnnounce reports whether the next report includes the rate: after a change, and
 // periodically for relays that missed it.
 func (a *allowance) shouldAnnounce() bool {
-	if a.reportsSinceAnnounced++; a.rate == 0 || a.reportsSinceAnnounced < announceEvery && math.Abs(a.rate-a.announcedRate) <= announceChange*a.announcedRate {
+	if a.reportsSinceAnnounced++; a.rate == 0 ||
+		a.reportsSinceAnnounced < announceEvery && math.Abs(a.rate-a.announcedRate) <= announceChange*a.announcedRate {
 		return false
 	}
 	a.announcedRate, a.reportsSinceAnnounced = a.rate, 0
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -32,9 +32,9 @@
 	maxSpan            = 3 * time.Second  // a report about a longer time says little about the present
 	maxDestinations    = 64               // in a report
 	quietFanout        = 3                // receivers in a round without counts
-	formCounts         = 1                // first byte of a message: counts
+	formCounts         = 1                // first byte of a message: counts follow
 	formRetryAfter     = 4                // counts with Retry-After times
-	formCombined       = 2                // membership section, its length before it, then a message of form formCounts
+	formCombined       = 2                // length of the membership section, the section, then counts
 	formMembership     = 3                // membership section alone
 	minMembershipBytes = 40               // left for the membership section beside counts
 	maxAllowances      = 256              // destinations with an allowance
@@ -55,7 +55,7 @@
 	RetryAfter time.Duration // remaining time of a Retry-After that the destination sent the relay
 }
 
-// report holds what one relay observed in the time span that ended at at.
+// report holds what one relay observed during span, which ended at the time at.
 type report struct {
 	from   int
 	at     time.Duration
@@ -92,7 +92,15 @@
 // smaller than MinFleetSize without membership, or if the arguments are out of bounds.
 func New(self, fleetSize int, seed int64) *Gossiper {
 	rng := rand.New(rand.NewPCG(uint64(seed), 0x9ee2))
-	g := &Gossiper{self: self, fleetSize: fleetSize, rng: rng, runID: uint8(rng.Uint32()), ownCounts: map[int]DestinationCounts{}, allowances: map[int]*allowance{}, latest: map[int]sequenceMark{}}
+	g := &Gossiper{
+		self:       self,
+		fleetSize:  fleetSize,
+		rng:        rng,
+		runID:      uint8(rng.Uint32()),
+		ownCounts:  map[int]DestinationCounts{},
+		allowances: map[int]*allowance{},
+		latest:     map[int]sequenceMark{},
+	}
 	if self < 0 || self >= fleetSize || fleetSize > math.MaxUint16 {
 		g.fleetSize = 0 // out of bounds: no fleet
 	}
@@ -180,15 +188,22 @@
 	}
 	for _, t := range g.members.GossipTargets(now, limit) {
 		if payload == nil || g.members.State(t.To) >= members.Dead { // a dead member has no use for counts
-			out = append(out, members.Datagram{To: t.To, Payload: append([]byte{formMembership}, g.members.Section(t, members.MaxPiggybackBytes)...)})
+			out = append(out, members.Datagram{
+				To:      t.To,
+				Payload: append([]byte{formMembership}, g.members.Section(t, members.MaxPiggybackBytes)...),
+			})
 			continue
 		}
 		section := g.members.Section(t, min(members.MaxPiggybackBytes, MaxDatagramBytes-2-len(payload)))
-		out = append(out, members.Datagram{To: t.To, Payload: slices.Concat([]byte{formCombined, byte(len(section))}, section, payload)})
+		out = append(out, members.Datagram{
+			To:      t.To,
+			Payload: slices.Concat([]byte{formCombined, byte(len(section))}, section, payload),
+		})
 	}
 	return out, true
 }
 
+// membershipDatagrams puts the form of a membership section in front of each payload.
 func membershipDatagrams(out []members.Datagram) []members.Datagram {
 	for i, o := range out {
 		out[i].Payload = append([]byte{formMembership}, o.Payload...)
@@ -326,11 +341,11 @@
 
 // addReport stores a report and drops outdated ones.
 func (g *Gossiper) addReport(r report) {
-	old := 0
-	for old < len(g.reports) && g.reports[old].at < r.at-reportLifetime {
-		old++
+	outdated := 0
+	for outdated < len(g.reports) && g.reports[outdated].at < r.at-reportLifetime {
+		outdated++
 	}
-	g.reports = append(slices.Delete(g.reports, 0, old), r)
+	g.reports = append(slices.Delete(g.reports, 0, outdated), r)
 	for target, c := range r.counts {
 		if bound := g.allowances[target]; bound != nil && target >= routeBase {
 			bound.recordCalls(r.at-r.span, c)
@@ -346,7 +361,8 @@
 	relays, spans := map[int]bool{}, 0.0
 	summaries := map[int][]destinationSummary{} // by destination, one of each relay
 	for _, r := range g.reports {
-		if r.at < now-reportLifetime || g.members != nil && r.from != g.self && g.members.State(r.from) >= members.Dead {
+		if r.at < now-reportLifetime ||
+			g.members != nil && r.from != g.self && g.members.State(r.from) >= members.Dead {
 			continue
 		}
 		relays[r.from] = true
@@ -363,7 +379,8 @@
 		othersRate, othersReports, announcers := 0.0, 0.0, 0
 		for _, s := range summary {
 			if s.from != g.self && s.allowedReports > 0 {
-				othersRate, othersReports, announcers = othersRate+s.logAllowedSum, othersReports+s.allowedReports, announcers+1
+				othersRate, othersReports, announcers =
+					othersRate+s.logAllowedSum, othersReports+s.allowedReports, announcers+1
 			}
 		}
 		if othersReports > 0 {
@@ -375,7 +392,8 @@
 			g.allowances[dest] = &allowance{}
 		}
 		if bound := g.allowances[dest]; bound != nil {
-			bound.seenAt, u.Allowance = now, bound.update(now, u, othersRate, announcers, g.averageRounds <= newcomerRounds)
+			bound.seenAt, u.Allowance = now,
+				bound.update(now, u, othersRate, announcers, g.averageRounds <= newcomerRounds)
 		}
 		g.applyChoices(now, wall, &u, len(relays))
 		out = append(out, u)
@@ -417,7 +435,8 @@
 		for _, n := range optional {
 			hasOptional |= min(1, n)
 		}
-		for _, n := range append([]int{c.Arrived, c.Accepted, c.Rejected<<1 | hasOptional}, optional[:len(optional)*hasOptional]...) {
+		for _, n := range append(
+			[]int{c.Arrived, c.Accepted, c.Rejected<<1 | hasOptional}, optional[:len(optional)*hasOptional]...) {
 			encoded = binary.AppendUvarint(encoded, uint64(n))
 		}
 		if len(buf)+len(encoded) > maxBytes {
@@ -428,6 +447,7 @@
 	return buf
 }
 
+// decodeReport decodes what encodeReport encodes.
 func decodeReport(payload []byte) (runID uint8, seq uint16, r report, err error) {
 	if len(payload) < 5 || len(payload) > MaxDatagramBytes || payload[0] != formCounts && payload[0] != formRetryAfter {
 		return 0, 0, r, errMalformed
@@ -459,7 +479,10 @@
 		if _, repeated := r.counts[int(values[0])]; repeated || len(r.counts) >= maxDestinations {
 			return 0, 0, r, errMalformed
 		}
-		r.counts[int(values[0])] = DestinationCounts{int(values[1]), int(values[2]), int(values[3]), int(values[4]), float64(values[5]) / allowedUnit, time.Duration(values[6]) * retryAfterUnit}
+		r.counts[int(values[0])] = DestinationCounts{
+			int(values[1]), int(values[2]), int(values[3]), int(values[4]),
+			float64(values[5]) / allowedUnit, time.Duration(values[6]) * retryAfterUnit,
+		}
 	}
 	return runID, seq, r, nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -42,7 +42,8 @@
 			seen[n] = true
 		}
 		_, _, r, err := decodeReport(payload)
-		if err != nil || len(to) != fanout || r.counts[3] != (DestinationCounts{Arrived: 2, Accepted: 1}) || r.counts[7] != (DestinationCounts{Rejected: 1}) || r.counts[9] != (DestinationCounts{Failed: 1}) {
+		if err != nil || len(to) != fanout || r.counts[3] != (DestinationCounts{Arrived: 2, Accepted: 1}) ||
+			r.counts[7] != (DestinationCounts{Rejected: 1}) || r.counts[9] != (DestinationCounts{Failed: 1}) {
 			t.Fatalf("%v, %v: %+v", to, err, r)
 		}
 		if gap := g.NextTick() - at; gap < roundInterval/2 || gap > roundInterval*3/2 {
@@ -94,10 +95,12 @@
 		payload []byte
 		accept  bool
 	}{
-		{"newer first", 1, second, true}, {"repeated", 1, second, false}, {"reordered", 1, first, false}, {"another run", 1, fresh, true},
+		{"newer first", 1, second, true}, {"repeated", 1, second, false},
+		{"reordered", 1, first, false}, {"another run", 1, fresh, true},
 		{"own number", 0, second, false}, {"unknown sender", 9, second, false}, {"negative sender", -1, second, false},
 		{"empty", 2, nil, false}, {"another version", 2, append([]byte{9}, second[1:]...), false},
-		{"cut", 2, second[:len(second)-1], false}, {"257 bytes", 2, append(bytes.Clone(second), make([]byte, 257-len(second))...), false},
+		{"cut", 2, second[:len(second)-1], false},
+		{"257 bytes", 2, append(bytes.Clone(second), make([]byte, 257-len(second))...), false},
 		{"duplicate destination", 2, append(bytes.Clone(second), second[5:]...), false},
 		{"count out of bounds", 2, append(bytes.Clone(second[:5]), 4, 0xff, 0xff, 0x7f, 0, 0), false},
 		{"time span too long", 2, append([]byte{formCounts, 1, 0, 1, 255}, second[5:]...), false},
@@ -115,7 +118,8 @@
 	for _, c := range [][2]int{{0, 0}, {0, 1}, {0, MinFleetSize - 1}, {-1, 80}, {80, 80}, {3, -5}, {0, 1 << 40}} {
 		g := New(c[0], c[1], 1)
 		g.RecordArrival(1)
-		if payload, to := g.Report(time.Hour); g.Active() || payload != nil || to != nil || g.ReceiveCounts(0, 2, []byte{1}) == nil || g.FleetAverages(time.Hour, time.Time{}) != nil {
+		if payload, to := g.Report(time.Hour); g.Active() || payload != nil || to != nil ||
+			g.ReceiveCounts(0, 2, []byte{1}) == nil || g.FleetAverages(time.Hour, time.Time{}) != nil {
 			t.Errorf("relay %d of %d is active", c[0], c[1])
 		}
 	}
@@ -156,11 +160,12 @@
 		}
 	}
 	averages := g.FleetAverages(2*s, time.Time{})
-	if len(averages) != 1 || averages[0].Demand != 2 || averages[0].Accepted != 0.5 || averages[0].Rejected != 0.5 || averages[0].Calls != 78 {
+	if len(averages) != 1 || averages[0].Demand != 2 || averages[0].Accepted != 0.5 ||
+		averages[0].Rejected != 0.5 || averages[0].Calls != 78 {
 		t.Fatalf("%+v", averages)
 	}
-	if news := g.FleetAverages(2*s+reportLifetime+1, time.Time{}); news != nil {
-		t.Fatalf("expired reports in averages: %+v", news)
+	if averages := g.FleetAverages(2*s+reportLifetime+1, time.Time{}); averages != nil {
+		t.Fatalf("expired reports in averages: %+v", averages)
 	}
 }
 
@@ -170,9 +175,11 @@
 func TestAllowance(t *testing.T) {
 	a := &allowance{}
 	now := time.Duration(0)
-	update := func(accepted, rejected, failed, wanted, others float64, calls int) float64 {
+	update := func(accepted, rejected, failed, demand, others float64, calls int) float64 {
 		now += settleTime / 2
-		return a.update(now, policy.RouteStats{Accepted: accepted, Rejected: rejected, Failed: failed, Demand: wanted, Calls: calls}, others, 1, true)
+		return a.update(now, policy.RouteStats{
+			Accepted: accepted, Rejected: rejected, Failed: failed, Demand: demand, Calls: calls,
+		}, others, 1, true)
 	}
 	if update(1, 0, 0, 1, 0, 50) != 0 || update(1, 0, 0, 1, 0.3, 50) != 0 {
 		t.Fatal("bound without rejections, or by one other relay")
@@ -213,7 +220,9 @@
 		t.Fatal("bound though demand is far below it")
 	}
 	fresh := &allowance{}
-	if v := fresh.update(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.4, Demand: 1, Calls: 2}, 0.25, 1, true); v != 0.25 {
+	if v := fresh.update(now, policy.RouteStats{
+		Accepted: 0.5, Rejected: 0.4, Demand: 1, Calls: 2,
+	}, 0.25, 1, true); v != 0.25 {
 		t.Fatalf("a new relay starts with %v", v)
 	}
 	// During an outage and as it ends nothing is rejected: a new relay adopts what several others
@@ -231,7 +240,9 @@
 		}
 	}
 	deep := &allowance{}
-	if v := deep.update(now, policy.RouteStats{Rejected: 4, Demand: 1, Calls: 300}, 0, 0, false); v < 2*0.99 || v > 2.01 {
+	if v := deep.update(now, policy.RouteStats{
+		Rejected: 4, Demand: 1, Calls: 300,
+	}, 0, 0, false); v < 2*0.99 || v > 2.01 {
 		t.Fatalf("all rejected: rate %v of 4", v)
 	}
 }
@@ -250,15 +261,17 @@
 	if a.rate < 2*allowed[0] {
 		t.Fatalf("raised from %v to %v only", allowed[0], a.rate)
 	}
-	began := allowed[len(allowed)-feedbackRounds+1] // the averages with rejections and the two rounds before
+	earlier := allowed[len(allowed)-feedbackRounds+1] // the averages with rejections and the two rounds before
 	now += roundInterval
 	a.update(now, policy.RouteStats{Accepted: 0.1, Rejected: 0.2, Demand: 1, Calls: 50}, 0, 0, false)
-	if a.limitEstimate != began {
-		t.Errorf("limit estimate %v, want %v; past rates %v", a.limitEstimate, began, allowed)
+	if a.limitEstimate != earlier {
+		t.Errorf("limit estimate %v, want %v; past rates %v", a.limitEstimate, earlier, allowed)
 	}
-	anew := &allowance{}
-	if anew.update(now, policy.RouteStats{Accepted: 0.5, Rejected: 0.5, Demand: 1, Calls: 50}, 0, 0, false); anew.limitEstimate != 1 {
-		t.Errorf("without an earlier rate the limit estimate is the call rate, not %v", anew.limitEstimate)
+	fresh := &allowance{}
+	if fresh.update(now, policy.RouteStats{
+		Accepted: 0.5, Rejected: 0.5, Demand: 1, Calls: 50,
+	}, 0, 0, false); fresh.limitEstimate != 1 {
+		t.Errorf("without an earlier rate the limit estimate is the call rate, not %v", fresh.limitEstimate)
 	}
 }
 
--- a/internal/peers/route_test.go
+++ b/internal/peers/route_test.go
@@ -41,7 +41,12 @@
 		now += settleTime
 		a.recordCalls(now-settleTime/2, DestinationCounts{Accepted: accepted, Rejected: rejected})
 		span := settleTime.Seconds()
-		return a.update(now, policy.RouteStats{Accepted: float64(accepted) / span, Rejected: float64(rejected) / span, Demand: 4, Calls: accepted + rejected}, 0, 0, false)
+		return a.update(now, policy.RouteStats{
+			Accepted: float64(accepted) / span,
+			Rejected: float64(rejected) / span,
+			Demand:   4,
+			Calls:    accepted + rejected,
+		}, 0, 0, false)
 	}
 	for range 2 {
 		if update(1, 1) != 0 {
--- a/internal/peers/turn_test.go
+++ b/internal/peers/turn_test.go
@@ -39,7 +39,9 @@
 			if _, err := other.Receive(time.Second, 0, o.Payload); err != nil {
 				t.Fatal(err)
 			}
-			if len(other.reports) != 1 || len(other.reports[0].counts) != min(dests, len(other.reports[0].counts)) || other.reports[0].counts[0].Arrived != 300 {
+			if len(other.reports) != 1 ||
+				len(other.reports[0].counts) != min(dests, len(other.reports[0].counts)) ||
+				other.reports[0].counts[0].Arrived != 300 {
 				t.Fatalf("received %+v", other.reports)
 			}
 			if other.Members().View(time.Second).Members[0].Incarnation != 1 {
--- a/internal/peers/words.go
+++ b/internal/peers/words.go
@@ -12,8 +12,8 @@
 	formSites          = 5
 	siteFanout         = 4 // receivers in a round
 	siteReportLifetime = 4 * time.Second
-	maxSiteReports     = 31 // zones in a message
-	loadFractionUnits  = 200
+	maxSiteReports     = 31  // zones in a message
+	loadFractionUnits  = 200 // units in a load fraction of 1
 )
 
 // SiteReport is what a relay observes of a zone by its own calls.
@@ -47,7 +47,8 @@
 	payload := binary.BigEndian.AppendUint16([]byte{formSites, g.runID}, state.seq)
 	for _, r := range state.own[:min(len(state.own), maxSiteReports)] {
 		if r.Zone >= 0 && r.Zone <= 255 {
-			payload = append(payload, byte(r.Zone), byte(max(0, min(loadFractionUnits, r.LoadFraction*loadFractionUnits))))
+			payload = append(payload, byte(r.Zone),
+				byte(max(0, min(loadFractionUnits, r.LoadFraction*loadFractionUnits))))
 		}
 	}
 	to := map[int]bool{}
@@ -77,7 +78,8 @@
 		}
 		received.reports = append(received.reports, SiteReport{int(b[0]), float64(b[1]) / loadFractionUnits})
 	}
-	if previous, known := g.sites.received[from]; known && previous.runID == received.runID && int16(received.seq-previous.seq) <= 0 {
+	if previous, known := g.sites.received[from]; known &&
+		previous.runID == received.runID && int16(received.seq-previous.seq) <= 0 {
 		return errStale
 	}
 	if g.sites.received == nil {
