--- a/internal/clock/spans_test.go
+++ b/internal/clock/spans_test.go
@@ -14,7 +14,7 @@
 	"internal/clock/clock.go":            "this is where dates are made",
 	"internal/clock/mark_linux.go":       "the mark itself",
 	"internal/clock/mark_other.go":       "the mark itself",
-	"internal/choice/turn.go":            "turns of relays go by the clock that all machines share",
+	"internal/choice/time_slot.go":       "time slots of relays follow the clock that all machines share",
 	"internal/daemon/config/config.go":   "a seed",
 	"internal/wire/members.go":           "a seed",
 	"internal/wire/sites.go":             "a seed",
