--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -57,7 +57,7 @@
 
 // malformedAnswer tells whether the bytes that came were no answer.
 func malformedAnswer(err error) bool {
-	for _, e := range []error{errLine, errHeader, errLength, errTooLong, errHead, errInterim} {
+	for _, e := range []error{errFirstLine, errHeader, errLength, errBodyTooLong, errHeaderTooLong, errTooManyInterim} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -90,6 +90,6 @@
 // atConnectionLimit tells whether an answer, the first on its connection, says that the endpoint takes no more of them: it turns the call away,
 // tells no wait and closes. Risk: taken for a refusal above the limit, it lengthens the slot, while the relays that hold idle
 // connections keep the endpoint to themselves.
-func atConnectionLimit(a *answer) bool {
-	return a.status == 503 && !a.keep && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
+func atConnectionLimit(a *response) bool {
+	return a.status == 503 && !a.reusable && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
 }
--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -24,23 +24,23 @@
 	if ep == nil || ep.dest != m.Dest || m.InFlight != nil || m.Notification != nil {
 		// Guards against a call to an endpoint of another destination or a second copy, whatever the module says.
 		h.log.Error("send not made", "message", m.ID, "endpoint", a.Endpoint)
-		h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
 		m.Attempts++
 		return calls
 	}
-	cl, apart := open[a.Endpoint], h.behindNotice(m)
-	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].MaxBatch && cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
-	if tooLong || apart || cl == nil && h.parksOne(calls, ep) {
+	cl, apart := open[a.Endpoint], h.blockedByNotification(m)
+	tooLong := cl != nil && len(cl.items) < h.kindSettings[h.destKinds[m.Dest]].MaxBatch && cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
+	if tooLong || apart || cl == nil && h.anyAwaitsNotification(calls, ep) {
 		// Guards against a batch whose body is longer than any body may be, or all of which waits for one message's notice: it takes a
 		// slot of its own, if there is one.
-		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.MaxConcurrentCalls {
-			h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		if cl = nil; len(h.calls)+len(h.inheritedCalls)+len(calls) >= h.settings.MaxConcurrentCalls {
+			h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
 			m.Attempts++
 			return calls
 		}
 	}
-	if cl == nil || len(cl.items) >= max(1, h.kindOf[h.kinds[m.Dest]].MaxBatch) {
-		cl = &call{endpoint: ep, kind: h.kinds[m.Dest], startedAt: now}
+	if cl == nil || len(cl.items) >= max(1, h.kindSettings[h.destKinds[m.Dest]].MaxBatch) {
+		cl = &call{endpoint: ep, kind: h.destKinds[m.Dest], startedAt: now}
 		if calls = append(calls, cl); !apart {
 			open[a.Endpoint] = cl
 		}
@@ -109,7 +109,7 @@
 // registerCall books the call, which is made once it is in the journal.
 func (h *Host) registerCall(cl *call) {
 	for i := range cl.items {
-		if it := &cl.items[i]; it.expiresAt >= cl.startedAt+cl.timeout-h.set.Tick {
+		if it := &cl.items[i]; it.expiresAt >= cl.startedAt+cl.timeout-h.settings.Tick {
 			// Guards against telling the module of a free slot while the connection still holds it: where the
 			// call itself lasts no longer, its end will tell.
 			continue
@@ -118,20 +118,20 @@
 		}
 	}
 	h.calls[cl] = struct{}{}
-	if h.parks(cl) {
-		h.parked = append(h.parked, cl)
+	if h.awaitsNotification(cl) {
+		h.callsAwaitingNotification = append(h.callsAwaitingNotification, cl)
 		return
 	}
-	h.begun = append(h.begun, cl)
+	h.uncommittedCalls = append(h.uncommittedCalls, cl)
 }
 
 // dispatch gives a call that is recorded to a connection.
 func (h *Host) dispatch(cl *call) {
 	// Guards against a call that outlasts its messages by what the journal took: its time runs from the module's step.
-	cl.deadline = h.start.Add(cl.startedAt + cl.timeout)
+	cl.deadline = h.startedAt.Add(cl.startedAt + cl.timeout)
 	c := h.takeIdleConn(cl.endpoint)
 	if c == nil {
-		c = &endpointConn{endpoint: cl.endpoint, calls: make(chan *call, 1), dialTimeout: h.dialTimeout, lateListeners: &h.listening, shutdown: &h.leaving, plugins: h.plugins, metrics: h.figures}
+		c = &endpointConn{endpoint: cl.endpoint, calls: make(chan *call, 1), dialTimeout: h.dialTimeout, lateListeners: &h.lateListeners, shutdown: &h.shutdownStage, plugins: h.plugins, metrics: h.metrics}
 		go c.run(h.events)
 	}
 	c.calls <- cl
@@ -141,19 +141,19 @@
 func (h *Host) handleCallResult(e callResult) {
 	now := h.now()
 	delete(h.calls, e.call)
-	h.shared(e)
+	h.reportCallToFleet(e)
 	h.recordSiteResult(e, now)
 	h.applyRetryAfter(e.call.endpoint, e.retryAfter)
-	if !h.reports {
+	if !h.loadReports {
 		e.report = nil // Guards against figures where the settings have none
 	}
 	if e.conn != nil && e.reusable {
 		e.conn.lastUsed = time.Now()
-		if e.conn.endpoint.removed() || h.giving != nil {
+		if e.conn.endpoint.removed() || h.sendToSuccessor != nil {
 			close(e.conn.calls)
 		} else {
 			e.conn.endpoint.idle = append(e.conn.endpoint.idle, e.conn)
-			e.conn.idleNode = h.idle.Push(e.conn)
+			e.conn.idleNode = h.idleConns.Push(e.conn)
 			h.limitIdleConns()
 		}
 	}
@@ -185,14 +185,14 @@
 			}
 		}
 		if r.outcome == policy.Delivered && m.Notification == nil {
-			h.figures.Ended(m.Class, figures.Delivered)
-			h.over(m)
+			h.metrics.Ended(m.Class, figures.Delivered)
+			h.complete(m)
 		} else if r.final {
 			// Guards against a client that went away as its 202 was written: the endpoint says that the message is over, and the
 			// platform may still count it as taken on. A notice of what is over does no harm.
-			h.finish(m.Number, memory.Notification{})
+			h.completeByNotification(m.Number, memory.Notification{})
 		} else if r.pluginFailure != nil {
-			h.finish(m.Number, h.failureNotification(r.pluginFailure.Then, m))
+			h.completeByNotification(m.Number, h.failureNotification(r.pluginFailure.Then, m))
 		}
 	}
 	if it.resubmit && m != nil && m.Notification == nil && h.table.Get(it.num) != nil {
@@ -202,7 +202,7 @@
 		return
 	}
 	it.reported = true
-	h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.call.endpoint.id,
+	h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.call.endpoint.id,
 		Outcome: r.outcome, Duration: now - e.call.startedAt, Final: r.outcome == policy.Delivered || r.final || r.pluginFailure != nil,
 		RetryAfter: e.retryAfter, Report: e.report})
 }
@@ -211,8 +211,8 @@
 // had never run, what an earlier step may have run: its client would hand it in again.
 func (h *Host) failureNotification(t limits.Then, m *memory.Message) memory.Notification {
 	n := memory.Notification{Returned: t == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe)}
-	if n.Returned && h.set.SendRetryAfter {
-		n.RetryAfter = h.set.MaxRetryAfter
+	if n.Returned && h.settings.SendRetryAfter {
+		n.RetryAfter = h.settings.MaxRetryAfter
 	}
 	return n
 }
@@ -224,7 +224,7 @@
 		h.expiries.Remove(e)
 		if it := e.Value.item; !it.reported {
 			it.reported = true
-			h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.Value.endpoint.id,
+			h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.Value.endpoint.id,
 				Outcome: policy.TimedOut, Duration: now - e.Value.startedAt})
 		}
 	}
--- a/internal/wire/choices.go
+++ b/internal/wire/choices.go
@@ -40,19 +40,19 @@
 
 // updateSubsets tells the module which endpoints it keeps connections to, where that has changed.
 func (h *Host) updateSubsets(now policy.Time) {
-	for _, s := range h.pool.ChangedSubsets(now) {
-		h.pending = append(h.pending, s)
+	for _, s := range h.gossiper.ChangedSubsets(now) {
+		h.pendingEvents = append(h.pendingEvents, s)
 	}
-	if h.pool.Choices().Any() && now >= h.choicesAt+choicesInterval {
-		h.choicesAt = now
-		h.choices.Store(h.buildChoices(now))
+	if h.gossiper.Choices().Any() && now >= h.choicesViewAt+choicesInterval {
+		h.choicesViewAt = now
+		h.choicesView.Store(h.buildChoices(now))
 	}
 }
 
 func (h *Host) buildChoices(now policy.Time) *Choices {
-	c := &Choices{Set: h.pool.Choices(), Me: h.among.Me, At: now}
-	c.Place, c.Live = h.pool.Place()
-	h.pool.EachSubset(func(dest int, mine []choice.Endpoint, of int) bool {
+	c := &Choices{Set: h.gossiper.Choices(), Me: h.identity.Number, At: now}
+	c.Place, c.Live = h.gossiper.Place()
+	h.gossiper.EachSubset(func(dest int, mine []choice.Endpoint, of int) bool {
 		if len(c.Subsets) == maxChoices {
 			c.Omitted++
 			return c.Omitted < maxChoices // no more than it takes to say that there are many
@@ -60,7 +60,7 @@
 		c.Subsets = append(c.Subsets, Subset{dest, of, mine})
 		return true
 	})
-	for dest, s := range h.pool.DestinationStatuses() {
+	for dest, s := range h.gossiper.DestinationStatuses() {
 		c.Destinations = append(c.Destinations, DestinationState{dest, s})
 	}
 	slices.SortFunc(c.Subsets, func(a, b Subset) int { return a.Dest - b.Dest })
@@ -69,7 +69,7 @@
 }
 
 // Choices are the latest; nil: none are shared. Anyone may call it: it waits for nothing.
-func (h *Host) Choices() *Choices { return h.choices.Load() }
+func (h *Host) Choices() *Choices { return h.choicesView.Load() }
 
 // Now is the moment on the clock that views are dated by.
 func (h *Host) Now() policy.Time { return h.now() }
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -76,7 +76,7 @@
 	if tenant != "" {
 		more += "X-Account: " + tenant + "\r\n"
 	}
-	return hand(class+"?subject="+url.QueryEscape("key "+id), id, more, "body", 480)
+	return requestText(class+"?subject="+url.QueryEscape("key "+id), id, more, "body", 480)
 }
 
 // A class or tenant of another deployment is refused with 400 and its name in the answer. The connection goes on, and what
@@ -84,20 +84,20 @@
 func TestNamesOfAnotherDeploymentAreRefused(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other := pair[0], pair[1]
-		front, host, ln := startFront(t, 100, 10)
+		front, host, ln := startServer(t, 100, 10)
 		front.Configure(&own, 10)
-		front.Turn(drain.Started)
-		sock, r := dial(t, ln)
+		front.HandleDrainEvent(drain.Started)
+		sock, r := dialListener(t, ln)
 		sent := 0
 		ask := func(class, tenant string) (int, string) {
 			t.Helper()
 			sent++
 			io.WriteString(sock, requestAs(class, tenant, fmt.Sprint("m", sent)))
-			a, err := readStatus(r)
+			a, err := readResponseHead(r)
 			if err == nil {
-				err = a.readRest(r, maxBody)
+				err = a.readRemaining(r, maxBody)
 			}
-			if err != nil || !a.keep {
+			if err != nil || !a.reusable {
 				t.Fatalf("%s of %q: %+v, %v", class, tenant, a, err)
 			}
 			return a.status, string(a.body)
@@ -138,8 +138,8 @@
 			takenOn(class.Name, "")
 		}
 		host.Lock()
-		if host.taken != accepted {
-			t.Errorf("%d taken on, want %d", host.taken, accepted)
+		if host.accepted != accepted {
+			t.Errorf("%d taken on, want %d", host.accepted, accepted)
 		}
 		host.Unlock()
 	}
@@ -147,7 +147,7 @@
 
 // A name that a client makes up is shown in parts, and quoted: it can't fill or forge a line of the log.
 func TestUnknownNamesAreShownInParts(t *testing.T) {
-	text := unknownError{"class", "a\nb" + strings.Repeat("x", maxLine)}.Error()
+	text := unknownNameError{"class", "a\nb" + strings.Repeat("x", readBufferSize)}.Error()
 	if len(text) > 150 || strings.Contains(text, "\n") || !strings.Contains(text, `"a\nbxx`) {
 		t.Errorf("%q", text)
 	}
@@ -156,7 +156,7 @@
 // newIdleHost is a host without its loop under these settings, with what the journal in dir holds.
 func newIdleHost(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
+	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,10 +196,10 @@
 			h.arrivals = append(h.arrivals, m)
 		}
 		h.step(h.now())
-		if len(h.begun) == 0 || len(h.unsent) > 0 {
-			t.Errorf("%d calls, notices %v", len(h.begun), h.unsent)
+		if len(h.uncommittedCalls) == 0 || len(h.unqueuedNotifications) > 0 {
+			t.Errorf("%d calls, notices %v", len(h.uncommittedCalls), h.unqueuedNotifications)
 		}
-		for _, cl := range h.begun {
+		for _, cl := range h.uncommittedCalls {
 			if len(cl.items) != 1 {
 				t.Errorf("%d messages in a call to a kind that is not in the settings", len(cl.items))
 			}
@@ -212,7 +212,7 @@
 func TestRestartUnderAnotherDeploymentsSettings(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logBuffer{}
-		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
+		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,8 +230,8 @@
 		h := newIdleHost(t, other, dir, log.logger())
 		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
-		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
-			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
+		if len(h.unqueuedNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
+			t.Errorf("%d notices and %d calls for %d messages", len(h.unqueuedNotifications), len(h.uncommittedCalls), len(own.Classes))
 		}
 		for _, class := range own.Classes {
 			if lines := log.lines("class=" + class.Name); len(lines) != 1 {
@@ -246,43 +246,43 @@
 func TestReloadToAnotherDeploymentsSettings(t *testing.T) {
 	release := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(release) })
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	t.Cleanup(goOn)
 	old := testSettings().Classes
 	for _, class := range old {
 		more := "Idempotency-Key: k\r\n"
-		if status := w.client(hand(class.Name, class.Name, more, "b", int(class.Deadline.Milliseconds()))); status != 202 {
+		if status := w.post(requestText(class.Name, class.Name, more, "b", int(class.Deadline.Milliseconds()))); status != 202 {
 			t.Fatalf("%s: answered %d", class.Name, status)
 		}
 	}
 	other := loadDeployment(t, "postings")
-	if err := w.host.Reload(HostConfig{Settings: other, DiskBytes: 3e6, ConnectTimeout: time.Second, IdleMost: 8}, w.agent.Listener.Addr().String()); err != nil {
+	if err := w.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second, MaxIdleConns: 8}, w.platform.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	w.front.Configure(&other, 100)
+	w.server.Configure(&other, 100)
 	for _, class := range old {
-		if status := w.client(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
+		if status := w.post(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
 			t.Errorf("%s: answered %d after the reload", class.Name, status)
 		}
 	}
-	if status := w.client(hand(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b", 19000)); status != 202 {
+	if status := w.post(requestText(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b", 19000)); status != 202 {
 		t.Errorf("a class of the new settings: answered %d", status)
 	}
 	goOn()
-	w.empty()
+	w.waitEmpty()
 	w.Lock()
 	defer w.Unlock()
 	attempts, notices := map[string]int{}, map[string]int{}
 	for _, id := range w.calls {
 		attempts[id]++
 	}
-	for _, notice := range w.notices {
+	for _, notice := range w.notifications {
 		notices[gjson.Get(notice, "message").Str]++
 	}
 	for _, id := range []string{"alert", "order", "fee", "posting"} {
 		unsafe := id == "fee" || id == "posting" // a slow machine may repeat the others, which is allowed
 		if attempts[id] == 0 || notices[id] > 0 || unsafe && attempts[id] > 1 {
-			t.Errorf("%s: calls %v, notices %v, want it delivered", id, w.calls, w.notices)
+			t.Errorf("%s: calls %v, notices %v, want it delivered", id, w.calls, w.notifications)
 		}
 	}
 }
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -17,7 +17,7 @@
 // Found by reading: a dial that failed for want of a port, a buffer or a descriptor of this machine was booked to the endpoint, which
 // took it for out after some. Such a dial is made again, and where none passes in time it says nothing of the endpoint.
 func TestDialsThatThisMachineHadNoRoomFor(t *testing.T) {
-	server := serve(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	server := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	for _, c := range []struct {
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -13,8 +13,8 @@
 func (h *Host) applyEndpointList(pc memory.EndpointList, kind policy.ListUpdateKind) {
 	news := policy.EndpointListUpdate{Kind: kind}
 	named := map[string]bool{}
-	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
-		h.generation = -1
+	if h.listGeneration = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
+		h.listGeneration = -1
 	}
 	h.warnUnknown(pc.Entries)
 	for _, mb := range pc.Entries {
@@ -34,19 +34,19 @@
 			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
 			h.targets.Remove(id, ep.dest)
-			if maps.DeleteFunc(h.routes, func(_ string, g *backoff) bool { return !g.active() }); ep.backoff.active() && ep.backoff != h.gates[ep.dest] {
-				h.routes[id] = ep.backoff
+			if maps.DeleteFunc(h.removedRouteBackoffs, func(_ string, g *backoff) bool { return !g.active() }); ep.backoff.active() && ep.backoff != h.destBackoffs[ep.dest] {
+				h.removedRouteBackoffs[id] = ep.backoff
 			}
 		}
 	}
-	h.figures.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
+	h.metrics.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	if pc.Skipped > 0 {
 		h.log.Warn("pool config has entries that can't be read", "count", pc.Skipped, "generation", pc.Generation)
 	}
-	h.pending = append(h.pending, news)
-	h.pool.UpdateEndpoints(news)
-	if h.watch != nil {
-		h.watch.List(news)
+	h.pendingEvents = append(h.pendingEvents, news)
+	h.gossiper.UpdateEndpoints(news)
+	if h.siteWatch != nil {
+		h.siteWatch.List(news)
 	}
 	h.log.Debug("pool config", "generation", pc.Generation, "entries", len(pc.Entries), "whole", kind != policy.ListChanges)
 }
@@ -59,8 +59,8 @@
 		if mb.State == policy.Removed {
 			continue
 		}
-		kind, listed := h.kinds[mb.Destination]
-		if _, known := h.kindOf[mb.Kind]; !known && !(listed && kind == mb.Kind) {
+		kind, listed := h.destKinds[mb.Destination]
+		if _, known := h.kindSettings[mb.Kind]; !known && !(listed && kind == mb.Kind) {
 			kinds[mb.Kind] = true
 		}
 		ep := h.endpoints[mb.Address]
@@ -68,17 +68,17 @@
 			zones[mb.Zone] = true
 		}
 	}
-	if len(kinds) > 0 && len(h.kindOf) > 0 {
+	if len(kinds) > 0 && len(h.kindSettings) > 0 {
 		h.log.Warn("pool config has kinds that are not in the settings", "kinds", slices.Sorted(maps.Keys(kinds)))
 	}
-	if len(zones) > 0 && len(h.set.Zones) > 0 {
+	if len(zones) > 0 && len(h.settings.Zones) > 0 {
 		h.log.Warn("pool config has zones that are not in the settings", "zones", slices.Sorted(maps.Keys(zones)))
 	}
 }
 
 // zoneKnown tells whether the settings name the zone.
 func (h *Host) zoneKnown(name string) bool {
-	return slices.ContainsFunc(h.set.Zones, func(z policy.Zone) bool { return z.Name == name })
+	return slices.ContainsFunc(h.settings.Zones, func(z policy.Zone) bool { return z.Name == name })
 }
 
 func (h *Host) applyEndpoint(mb memory.EndpointEntry) {
@@ -97,25 +97,25 @@
 			ep.state.Store(int32(policy.Removed)) // its connections lead elsewhere now
 			h.closeIdleConns(ep)
 		}
-		g := h.gates[mb.Destination]
+		g := h.destBackoffs[mb.Destination]
 		if ep != nil && ep.dest == mb.Destination {
 			g = ep.backoff
-		} else if h.kindOf[mb.Kind].SeparateRoutes {
+		} else if h.kindSettings[mb.Kind].SeparateRoutes {
 			// Where routes are apart, a wait binds the one endpoint, also if it leaves the list and comes back.
-			if g = h.routes[mb.Address]; g == nil {
+			if g = h.removedRouteBackoffs[mb.Address]; g == nil {
 				g = &backoff{}
 			}
 		} else if g == nil {
 			g = &backoff{}
-			h.gates[mb.Destination] = g
+			h.destBackoffs[mb.Destination] = g
 		}
-		delete(h.routes, mb.Address)
+		delete(h.removedRouteBackoffs, mb.Address)
 		ep = &endpoint{id: mb.Address, addr: mb.HostPort, dest: mb.Destination, backoff: g}
 		h.endpoints[mb.Address] = ep
 	}
 	ep.zone, ep.rate = mb.Zone, mb.Rate
 	ep.state.Store(int32(mb.State))
-	if h.kinds[mb.Destination] = mb.Kind; h.kindOf[mb.Kind].SeparateRoutes {
+	if h.destKinds[mb.Destination] = mb.Kind; h.kindSettings[mb.Kind].SeparateRoutes {
 		h.targets.Add(mb.Address, mb.Destination)
 	}
 }
@@ -130,14 +130,14 @@
 	}
 	c := ep.idle[n-1]
 	ep.idle = ep.idle[:n-1]
-	h.idle.Remove(c.idleNode)
+	h.idleConns.Remove(c.idleNode)
 	return c
 }
 
 // closeIdleConns closes the connections to ep that carry no call.
 func (h *Host) closeIdleConns(ep *endpoint) {
 	for _, c := range ep.idle {
-		h.idle.Remove(c.idleNode)
+		h.idleConns.Remove(c.idleNode)
 		close(c.calls)
 	}
 	ep.idle = nil
@@ -145,15 +145,15 @@
 
 // closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its endpoint's.
 func (h *Host) closeOldestIdleConn() {
-	c := h.idle.First().Value
-	h.idle.Remove(c.idleNode)
+	c := h.idleConns.First().Value
+	h.idleConns.Remove(c.idleNode)
 	c.endpoint.idle = c.endpoint.idle[1:]
 	close(c.calls)
 }
 
 // limitIdleConns bounds the descriptors that idle connections hold.
 func (h *Host) limitIdleConns() {
-	if h.idle.Len() > h.idleMost {
+	if h.idleConns.Len() > h.maxIdleConns {
 		h.closeOldestIdleConn()
 	}
 }
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -39,7 +39,7 @@
 		"the repeat window has closed":    {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(minTimeLeft / 2) }, false},
 		"the repeat window is still open": {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(time.Minute) }, true},
 	} {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
 		go serveScripts(ln, scripts, seen, bodies)
 		scripts <- endpointScript{write: httpResponse("200 OK", "")}
@@ -96,7 +96,7 @@
 }
 
 func startScriptedAgent(t *testing.T) *scriptedAgent {
-	s := &scriptedAgent{listen(t), make(chan string, 9), make(chan func(net.Conn), 9)}
+	s := &scriptedAgent{listenLoopback(t), make(chan string, 9), make(chan func(net.Conn), 9)}
 	go func() {
 		for {
 			sock, err := s.ln.Accept()
@@ -104,7 +104,7 @@
 				return
 			}
 			go func() {
-				b := make([]byte, maxLine)
+				b := make([]byte, readBufferSize)
 				for {
 					n, err := sock.Read(b)
 					if err != nil {
@@ -176,7 +176,7 @@
 		dialled <- c
 		return c, nil
 	}
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause, dial: dial}, events, quiet)
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause, dial: dial}, events, discardLog)
 	old := make(chan net.Conn, 3)
 	silent := func(said string) func(net.Conn) {
 		return func(sock net.Conn) {
@@ -185,7 +185,7 @@
 		}
 	}
 	list := func(generation int) string {
-		return "\n {\n\t" + strings.TrimPrefix(pool("127.0.0.1:1", "in_service", generation), "{")
+		return "\n {\n\t" + strings.TrimPrefix(endpointListJSON("127.0.0.1:1", "in_service", generation), "{")
 	}
 	for _, half := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"gen"} {
 		s.say <- silent(half)
@@ -231,12 +231,12 @@
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	events := make(chan any)
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 1}, events, quiet)
-	old := strings.Replace(pool("127.0.0.1:1", "in_service", 7), `"reset":true`, `"reset":false`, 1)
-	s.say <- respondWithList(pool("127.0.0.1:1", "terminating", 41))
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 1}, events, discardLog)
+	old := strings.Replace(endpointListJSON("127.0.0.1:1", "in_service", 7), `"reset":true`, `"reset":false`, 1)
+	s.say <- respondWithList(endpointListJSON("127.0.0.1:1", "terminating", 41))
 	s.say <- respondWithList(old)
-	s.say <- respondWithList(pool("127.0.0.1:1", "terminating", 42))
-	s.say <- respondWithList(pool("127.0.0.1:1", "in_service", 3))
+	s.say <- respondWithList(endpointListJSON("127.0.0.1:1", "terminating", 42))
+	s.say <- respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 3))
 	for _, want := range []int64{41, 42, 3} {
 		if n := (<-events).(endpointListUpdate); n.Generation != want || !n.Complete {
 			t.Errorf("hears %+v, want %d", n, want)
@@ -277,7 +277,7 @@
 			t.Errorf("a pause of %v", d)
 		}
 	}
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause}, events, quiet)
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause}, events, discardLog)
 	for _, fails := range []string{httpResponse("503 X", ""), "", httpResponse("200 OK", "{"), "HTTP/1.1 200 OK\r\nConten"} {
 		s.say <- func(sock net.Conn) {
 			io.WriteString(sock, fails)
@@ -285,7 +285,7 @@
 		}
 		<-s.asked
 	}
-	s.say <- respondWithList(pool("127.0.0.1:1", "in_service", 41))
+	s.say <- respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 41))
 	if n := (<-events).(endpointListUpdate); n.Generation != 41 || !n.Complete {
 		t.Errorf("hears %+v", n)
 	}
@@ -304,7 +304,7 @@
 
 // An agent that nobody answers for at the start, and that is back later at its address, is heard then.
 func TestAgentComesLater(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	ctx, end := context.WithCancel(t.Context())
@@ -327,8 +327,8 @@
 			}
 			go func() {
 				defer sock.Close()
-				if _, err := sock.Read(make([]byte, maxLine)); err == nil {
-					respondWithList(pool("127.0.0.1:1", "in_service", 5))(sock)
+				if _, err := sock.Read(make([]byte, readBufferSize)); err == nil {
+					respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 5))(sock)
 				}
 			}()
 		}
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -14,32 +14,32 @@
 )
 
 // joinFleet makes the pool anew for a relay that has its notes' socket.
-func (h *Host) joinFleet(among Among) {
-	h.among = among
-	h.pool = peers.New(among.Me, len(h.notes.peers), h.seed)
-	if among.Members {
+func (h *Host) joinFleet(among FleetIdentity) {
+	h.identity = among
+	h.gossiper = peers.New(among.Number, len(h.gossipSocket.peers), h.seed)
+	if among.MembershipEnabled {
 		// Guards against a configuration that gives two processes one seed: the second would be taken for the first one's old notes.
-		h.pool.EnableMembership(among.Zone, h.seed^h.start.UnixNano())
+		h.gossiper.EnableMembership(among.Zone, h.seed^h.startedAt.UnixNano())
 	}
-	h.pool.EnableChoices(among.Choices)
+	h.gossiper.EnableChoices(among.Choices)
 }
 
 // sendGossip hands notes over to the socket.
 func (h *Host) sendGossip(out []members.Datagram) {
 	for _, o := range out {
-		h.notes.enqueue(o)
+		h.gossipSocket.enqueue(o)
 	}
 }
 
 // updateMembersView makes a view for those who ask, now and then, and logs the changes that it shows. Whoever reads of a change in the log and then
 // asks has to find it in the answer, so no change is logged before its view is there.
 func (h *Host) updateMembersView(now policy.Time) {
-	list := h.pool.Members()
+	list := h.gossiper.Members()
 	if list == nil || !h.membersViewDue(list, now) {
 		return
 	}
 	h.publishMembersView(list.View(now))
-	h.viewAt = now
+	h.membersViewAt = now
 	for _, c := range list.Changes() {
 		h.logMemberChange(c)
 	}
@@ -47,19 +47,19 @@
 
 // membersViewDue tells whether it is time for another view of the members.
 func (h *Host) membersViewDue(list *members.List, now policy.Time) bool {
-	shown := h.view.Load()
+	shown := h.membersView.Load()
 	if shown == nil {
 		return true
 	}
 	if shown.Version == list.Version() {
-		return now >= h.viewAt+membersViewMaxAge
+		return now >= h.membersViewAt+membersViewMaxAge
 	}
-	return now >= h.viewAt+membersViewInterval
+	return now >= h.membersViewAt+membersViewInterval
 }
 
 // publishMembersView puts a view in place of the last one, and warns where this relay has begun to doubt itself.
 func (h *Host) publishMembersView(v *members.View) {
-	was := h.view.Swap(v)
+	was := h.membersView.Swap(v)
 	if was != nil && was.Isolated == v.Isolated && was.DuplicateNumber == v.DuplicateNumber {
 		return
 	}
@@ -67,7 +67,7 @@
 		h.log.Warn("no other relay is heard: this one may be cut off")
 	}
 	if v.DuplicateNumber {
-		h.log.Error("another process speaks under this relay's number", "number", h.among.Me)
+		h.log.Error("another process speaks under this relay's number", "number", h.identity.Number)
 	}
 }
 
@@ -77,19 +77,19 @@
 	if c.To == members.Suspect || c.From == members.Suspect && c.To == members.Alive {
 		level = slog.LevelDebug // a doubt that may pass
 	}
-	h.log.Log(h.watching, level, "member", "number", c.Number, "state", c.To.String(), "was", c.From.String(), "incarnation", c.Incarnation, "why", c.Reason)
+	h.log.Log(h.watchCtx, level, "member", "number", c.Number, "state", c.To.String(), "was", c.From.String(), "incarnation", c.Incarnation, "why", c.Reason)
 }
 
 // Members is the latest view of the fleet; nil: who lives is not asked. Anyone may call it: it waits for nothing.
-func (h *Host) Members() *members.View { return h.view.Load() }
+func (h *Host) Members() *members.View { return h.membersView.Load() }
 
 // SetLeaving tells the fleet that this relay ends, or is empty; or that it is back.
 func (h *Host) SetLeaving(on bool) {
 	h.Do(func(h *Host) {
 		if on {
-			h.pool.Leave(h.now())
+			h.gossiper.Leave(h.now())
 		} else {
-			h.pool.CancelLeave(h.now())
+			h.gossiper.CancelLeave(h.now())
 		}
 	})
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -21,7 +21,7 @@
 const agentDialTimeout = 2 * time.Second
 
 // roundTrip sends one request and reads its answer within limit, or until ctx ends. Any error closes the connection.
-func (p *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
+func (p *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*response, error) {
 	if p.sock != nil && stale(p.sock) {
 		p.close()
 	}
@@ -34,7 +34,7 @@
 		if err != nil {
 			return nil, &AttemptError{Started, err}
 		}
-		p.sock, p.reader = sock, bufio.NewReaderSize(sock, maxLine)
+		p.sock, p.reader = sock, bufio.NewReaderSize(sock, readBufferSize)
 	}
 	sock := p.sock
 	sock.SetDeadline(time.Now().Add(limit))
@@ -44,15 +44,15 @@
 		p.close()
 		return nil, &AttemptError{Dialled, err}
 	}
-	a, err := readStatus(p.reader)
+	a, err := readResponseHead(p.reader)
 	if err == nil {
-		err = a.readRest(p.reader, maxAnswer)
+		err = a.readRemaining(p.reader, maxResponseBody)
 	}
 	if err != nil {
 		p.close()
 		return nil, &AttemptError{Written, err}
 	}
-	if !a.keep || p.reader.Buffered() > 0 {
+	if !a.reusable || p.reader.Buffered() > 0 {
 		p.close()
 	}
 	return a, nil
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -183,7 +183,7 @@
 			fail(err)
 			return res
 		}
-		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
+		c.sock, c.reader = sock, bufio.NewReaderSize(sock, readBufferSize)
 	}
 	stage = Dialled
 	if !cl.excludeExpired(time.Now()) {
@@ -228,7 +228,7 @@
 	}
 	stage = Written
 	c.metrics.Tried(cl.includedCount())
-	a, err := readStatusWith(c.reader, func() {
+	a, err := readResponseHeadWith(c.reader, func() {
 		// Guards against a head or a body that never ends: once an answer has begun, all of it follows at once,
 		// or it is spoilt and its slot is free.
 		c.sock.SetReadDeadline(earlier(cl.deadline, time.Now().Add(answerRestTimeout)))
@@ -246,7 +246,7 @@
 		}
 		return res
 	}
-	rest := a.readRest(c.reader, maxBody)
+	rest := a.readRemaining(c.reader, maxBody)
 	res.report = parseLoadReport(a.get("X-Backend-Load"))
 	if rest != nil && !(a.status == 200 && single) {
 		// Guards against resending a charge that was run: a refusal counts as one only if all of it could be read.
@@ -254,7 +254,7 @@
 		return res
 	}
 	// Guards against taking what an endpoint wrote past its answer for the answer to the next call.
-	res.reusable = rest == nil && a.keep && c.reader.Buffered() == 0
+	res.reusable = rest == nil && a.reusable && c.reader.Buffered() == 0
 	res.results, c.lastAnswerAt = cl.markExcluded(itemResults(cl, a)), time.Now()
 	if first && atConnectionLimit(a) && rest == nil {
 		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})), errConnectionLimit
@@ -402,7 +402,7 @@
 }
 
 // readAnswer asks plug-ins what an answer means for each item, and for how long to wait.
-func (cl *call) readAnswer(set *plugin.Set, a *answer, all []itemResult, wait time.Duration) time.Duration {
+func (cl *call) readAnswer(set *plugin.Set, a *response, all []itemResult, wait time.Duration) time.Duration {
 	in := plugin.Answer{Status: a.status, Body: a.body, Wait: wait}
 	for _, f := range a.fields {
 		in.Headers = append(in.Headers, [2]string{f.name, f.value})
@@ -449,7 +449,7 @@
 }
 
 // itemResults reads how each item of the call ended.
-func itemResults(cl *call, a *answer) []itemResult {
+func itemResults(cl *call, a *response) []itemResult {
 	switch a.status {
 	case 200:
 		if cl.includedCount() == 1 {
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -29,32 +29,32 @@
 
 // applySitePlan has the host act on a plan; nil: on none. Sites that operators have taken out stay out.
 func (h *Host) applySitePlan(plan *sites.Plan, home string) {
-	was := h.watch
+	was := h.siteWatch
 	if was != nil && was.Keeps(plan, home) {
 		return // what it has seen stays, also in the middle of a loss
 	}
-	if h.watch = nil; plan == nil {
-		h.sites.Store(nil)
+	if h.siteWatch = nil; plan == nil {
+		h.sitesStatus.Store(nil)
 		if was != nil {
-			h.pending = append(h.pending, policy.SitesUpdate{})
+			h.pendingEvents = append(h.pendingEvents, policy.SitesUpdate{})
 		}
 		return
 	}
-	h.watch, h.sitesHome = sites.NewWatch(plan, home, h.seed^h.start.UnixNano()), home
+	h.siteWatch, h.homeZone = sites.NewWatch(plan, home, h.seed^h.startedAt.UnixNano()), home
 	whole := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for _, ep := range h.endpoints {
 		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest, Zone: ep.zone, State: policy.EndpointState(ep.state.Load())})
 	}
-	h.watch.List(whole)
+	h.siteWatch.List(whole)
 	if was != nil {
 		for _, s := range was.Standings() {
 			if s.Out {
-				h.watch.ByHand(h.now(), s.Zone, true)
+				h.siteWatch.ByHand(h.now(), s.Zone, true)
 			}
 		}
 	}
-	h.pending = append(h.pending, policy.SitesUpdate{Plan: h.watch})
-	h.viewAt, h.sitesAt = 0, 0
+	h.pendingEvents = append(h.pendingEvents, policy.SitesUpdate{Plan: h.siteWatch})
+	h.membersViewAt, h.nextSitesCheck = 0, 0
 	h.updateSites(h.now())
 }
 
@@ -65,48 +65,48 @@
 
 // updateSites looks at sites, hears what operators say of them, and makes a view for those who ask.
 func (h *Host) updateSites(now policy.Time) {
-	if h.watch == nil || now < h.sitesAt {
+	if h.siteWatch == nil || now < h.nextSitesCheck {
 		return
 	}
-	h.sitesAt = now + sitesInterval
+	h.nextSitesCheck = now + sitesInterval
 	for more := true; more; {
 		select {
-		case w := <-h.byHand:
-			h.watch.ByHand(now, w.Zone, w.Out)
+		case w := <-h.siteCommands:
+			h.siteWatch.ByHand(now, w.Zone, w.Out)
 		default:
 			more = false
 		}
 	}
-	if v := h.view.Load(); v != nil && v != h.sitesView {
-		h.sitesView = v
+	if v := h.membersView.Load(); v != nil && v != h.sitesMembersView {
+		h.sitesMembersView = v
 		relays, alive := map[string]int{}, map[string]int{}
 		for _, m := range v.Members {
-			if m.Number == v.Self || m.Zone >= len(h.zones) {
+			if m.Number == v.Self || m.Zone >= len(h.zoneNames) {
 				continue
 			}
-			if relays[h.zones[m.Zone]]++; m.State < members.Dead {
-				alive[h.zones[m.Zone]]++
+			if relays[h.zoneNames[m.Zone]]++; m.State < members.Dead {
+				alive[h.zoneNames[m.Zone]]++
 			}
 		}
 		for z, n := range relays {
-			h.watch.Members(z, n, alive[z])
+			h.siteWatch.Members(z, n, alive[z])
 		}
 	}
 	h.exchangeSiteReports(now)
-	h.watch.Turn(now)
-	if changes := h.watch.Changes(); len(changes) > 0 {
+	h.siteWatch.Turn(now)
+	if changes := h.siteWatch.Changes(); len(changes) > 0 {
 		for _, c := range changes {
 			h.log.Warn("site", "zone", c.Zone, "state", c.To.String(), "was", c.From.String(), "why", c.Why)
-			h.pending = append(h.pending, c.News(h.watch))
+			h.pendingEvents = append(h.pendingEvents, c.News(h.siteWatch))
 		}
 	}
-	h.sites.Store(&Sites{At: now, Home: h.sitesHome, All: h.watch.Standings()})
+	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Standings()})
 }
 
 // exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
 func (h *Host) exchangeSiteReports(now policy.Time) {
 	lost, levels := map[int]int{}, map[int][]float64{}
-	h.pool.EachSiteReport(now, func(one peers.SiteReport) {
+	h.gossiper.EachSiteReport(now, func(one peers.SiteReport) {
 		if one.LoadFraction == 0 {
 			lost[one.Zone]++
 		} else {
@@ -114,18 +114,18 @@
 		}
 	})
 	var mine []peers.SiteReport
-	for z, name := range h.zones {
-		h.watch.Said(name, lost[z], levels[z])
-		if level, ok := h.watch.Word(name); ok {
+	for z, name := range h.zoneNames {
+		h.siteWatch.Said(name, lost[z], levels[z])
+		if level, ok := h.siteWatch.Word(name); ok {
 			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	h.pool.SetSiteReports(mine)
+	h.gossiper.SetSiteReports(mine)
 }
 
 // recordSiteResult tells the watch how a call ended.
 func (h *Host) recordSiteResult(e callResult, now policy.Time) {
-	if h.watch == nil || len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
+	if h.siteWatch == nil || len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
 		return
 	}
 	how := sites.Failed
@@ -143,16 +143,16 @@
 	case policy.Unsent:
 		return
 	}
-	h.watch.Ended(now, e.call.startedAt, e.call.endpoint.id, how)
+	h.siteWatch.Ended(now, e.call.startedAt, e.call.endpoint.id, how)
 }
 
 // Sites is the latest view; nil: no plan is in force. Anyone may call it: it waits for nothing.
-func (h *Host) Sites() *Sites { return h.sites.Load() }
+func (h *Host) Sites() *Sites { return h.sitesStatus.Load() }
 
 // SubmitSiteCommand hands an operator's word to the owner, without waiting for it; it is false where too many wait.
 func (h *Host) SubmitSiteCommand(w SiteCommand) bool {
 	select {
-	case h.byHand <- w:
+	case h.siteCommands <- w:
 		return true
 	default:
 		return false
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -12,7 +12,7 @@
 // A host with a plan shows its sites, hears operators without being waited for, keeps what it has seen when the same plan comes again, keeps what is out by hand under another plan, and is rid of all without one.
 // No call goes to what is out; calls that end there are evidence.
 func TestPlanSites(t *testing.T) {
-	h := bare(t)
+	h := newTestHost(t)
 	for id, zone := range map[string]string{"a-1": "a", "b-1": "b"} {
 		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
 	}
@@ -27,7 +27,7 @@
 		t.Fatalf("%+v", v)
 	}
 	look := func() sites.Standing {
-		h.sitesAt = 0
+		h.nextSitesCheck = 0
 		h.updateSites(h.now())
 		return h.Sites().All[0]
 	}
@@ -42,16 +42,16 @@
 	if st := look(); !st.Out || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
-	since := h.watch
-	if h.applySitePlan(plan(), "b"); h.watch != since {
+	since := h.siteWatch
+	if h.applySitePlan(plan(), "b"); h.siteWatch != since {
 		t.Error("the same plan is another")
 	}
 	other := plan()
 	other.Ramp++
-	if h.applySitePlan(other, "b"); h.watch == since || !look().Out {
+	if h.applySitePlan(other, "b"); h.siteWatch == since || !look().Out {
 		t.Error("another plan lets in what is out by hand")
 	}
-	if h.watch.Allows(7, "a", false) || !h.watch.Allows(7, "b", true) {
+	if h.siteWatch.Allows(7, "a", false) || !h.siteWatch.Allows(7, "b", true) {
 		t.Error("what may go where")
 	}
 	// Ends of calls are told by what they prove of the site.
@@ -61,11 +61,11 @@
 		h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute}, results: []itemResult{{outcome: o}}}, h.now())
 	}
 	h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now()}, results: []itemResult{{outcome: policy.ConnectFailed}}, err: errConnectionLimit}, h.now())
-	if st := h.watch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
+	if st := h.siteWatch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
 		t.Errorf("%+v", st)
 	}
-	h.pending = nil
-	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.SitesUpdate{}) {
-		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pending)
+	h.pendingEvents = nil
+	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pendingEvents) != 1 || h.pendingEvents[0] != (policy.SitesUpdate{}) {
+		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pendingEvents)
 	}
 }
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -85,7 +85,7 @@
 // returns that wait; 0: none. The rest of such an answer proves nothing any more: its call has had its end.
 func (c *endpointConn) readLateRetryAfter() time.Duration {
 	c.sock.SetReadDeadline(time.Now().Add(lateAnswerWindow))
-	a, _ := readStatus(c.reader)
+	a, _ := readResponseHead(c.reader)
 	if a == nil {
 		return 0
 	}
@@ -107,16 +107,16 @@
 	if wait <= 0 {
 		return
 	}
-	h.pool.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
-	if h.giving != nil {
-		h.waits = append(h.waits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.date(wait)})
+	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
+	if h.sendToSuccessor != nil {
+		h.untransferredWaits = append(h.untransferredWaits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(wait)})
 	}
 	listed := h.endpoints[ep.id]
 	switch {
-	case ep.backoff == h.gates[ep.dest]:
+	case ep.backoff == h.destBackoffs[ep.dest]:
 		// The destination's own gate outlasts its endpoints.
 	case listed == nil:
-		h.routes[ep.id] = ep.backoff
+		h.removedRouteBackoffs[ep.id] = ep.backoff
 	case listed.dest == ep.dest && listed.backoff != ep.backoff:
 		listed.backoff.extend(wait)
 	}
