--- a/internal/memory/fields.go
+++ b/internal/memory/fields.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// FieldReader takes a record of a journal apart; after the first field that is not there, Bad is set and nothing is left.
+// FieldReader decodes the fields of a journal record in order. After the first field that is
+// missing or malformed, Malformed is set and Rest is empty.
 type FieldReader struct {
 	Rest      []byte
 	Malformed bool
 }
 
-// Uint takes an unsigned number.
+// Uint reads an unsigned varint.
 func (r *FieldReader) Uint() uint64 {
-	v, n := binary.Uvarint(r.Rest)
+	value, n := binary.Uvarint(r.Rest)
 	if n <= 0 {
 		r.Malformed, r.Rest = true, nil
 		return 0
 	}
 	r.Rest = r.Rest[n:]
-	return v
+	return value
 }
 
-// Int takes a signed number.
+// Int reads a signed varint.
 func (r *FieldReader) Int() int64 {
-	v, n := binary.Varint(r.Rest)
+	value, n := binary.Varint(r.Rest)
 	if n <= 0 {
 		r.Malformed, r.Rest = true, nil
 		return 0
 	}
 	r.Rest = r.Rest[n:]
-	return v
+	return value
 }
 
-// Bytes takes bytes and their length before them. They are the record's own.
+// Bytes reads a length-prefixed byte string. The result aliases the record.
 func (r *FieldReader) Bytes() []byte {
-	n := r.Uint()
-	if r.Malformed || n > uint64(len(r.Rest)) {
+	length := r.Uint()
+	if r.Malformed || length > uint64(len(r.Rest)) {
 		r.Malformed, r.Rest = true, nil
 		return nil
 	}
-	s := r.Rest[:n]
-	r.Rest = r.Rest[n:]
-	return s
+	value := r.Rest[:length]
+	r.Rest = r.Rest[length:]
+	return value
 }
 
-// Notification takes what a message's notice says.
+// Notification reads an outcome notification.
 func (r *FieldReader) Notification() Notification {
 	if len(r.Rest) == 0 {
 		r.Malformed = true
 		return Notification{}
 	}
-	refused := r.Rest[0] == 1
+	returned := r.Rest[0] == 1
 	r.Rest = r.Rest[1:]
-	return Notification{Returned: refused, RetryAfter: time.Duration(r.Uint()) * time.Microsecond}
+	return Notification{Returned: returned, RetryAfter: time.Duration(r.Uint()) * time.Microsecond}
 }
 
-// TimeFromMicros is a date in microseconds; 0 is none.
-func TimeFromMicros(us int64) time.Time {
-	if us == 0 {
+// TimeFromMicros converts Unix microseconds to a time. 0 gives the zero time.
+func TimeFromMicros(micros int64) time.Time {
+	if micros == 0 {
 		return time.Time{}
 	}
-	return time.UnixMicro(us)
+	return time.UnixMicro(micros)
 }
--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -9,48 +9,48 @@
 	"oatfold/internal/standin/disk"
 )
 
-// Found by reading, after messages were forwarded that their clients had been refused: a commit of several hand-ins fails half way, the half that was
-// written can't be cut off while the disk is in trouble, and the process is killed. Records counted one by one, so that
-// the next life found some of the refused messages taken on, and forwarded them.
+// A commit of several messages fails half way, the part that was written can't be truncated, and
+// the process is killed. None of the rejected messages may be recovered.
 //
-// Each operation behind the first half of the write fails in turn, and all from there on, before the kill.
-func TestWhatWasRefusedIsNeverFound(t *testing.T) {
-	for _, several := range []int{1, 2, 5} {
-		for failing := 0; failing <= 6; failing++ {
-			t.Run(fmt.Sprintf("%d messages, %d failures", several, failing), func(t *testing.T) {
+// The operations after the first half of the write fail, up to the given number, before the process
+// is killed.
+func TestRejectedMessagesAreNotRecovered(t *testing.T) {
+	for _, messages := range []int{1, 2, 5} {
+		for failures := 0; failures <= 6; failures++ {
+			t.Run(fmt.Sprintf("%d messages, %d failures", messages, failures), func(t *testing.T) {
 				d := disk.New()
-				l, err := start(d, 1<<20)
+				driver, err := startDriver(d, 1<<20)
 				if err != nil {
 					t.Fatal(err)
 				}
-				kept := refusable(l, "kept", 10)
-				if taken, _ := l.j.Commit(); taken != nil {
-					t.Fatal(taken)
+				accepted := appendCharge(driver, "kept", 10)
+				if acceptErr, _ := driver.journal.Commit(); acceptErr != nil {
+					t.Fatal(acceptErr)
 				}
-				var refused []*memory.Message
-				for n := range several {
-					refused = append(refused, refusable(l, fmt.Sprint("refused", n), 100))
+				var rejected []*memory.Message
+				for n := range messages {
+					rejected = append(rejected, appendCharge(driver, fmt.Sprint("refused", n), 100))
 				}
-				at := d.Ops() + 1
-				d.Fail(at, disk.Short)
-				for n := range failing {
-					d.Fail(at+1+n, disk.Error)
+				operation := d.Ops() + 1
+				d.Fail(operation, disk.Short)
+				for n := range failures {
+					d.Fail(operation+1+n, disk.Error)
 				}
-				taken, _ := l.j.Commit()
-				if failing > 1 && several > 1 && taken == nil { // one failure is made good by a second cut
-					t.Fatal("the commit has passed")
+				acceptErr, _ := driver.journal.Commit()
+				if failures > 1 && messages > 1 && acceptErr == nil { // after one failure the second truncation succeeds
+					t.Fatal("the commit succeeded")
 				}
 				next, table, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 1 << 20, Log: quiet, CompactInline: true})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer next.Close()
-				if table.ByID(kept.ID) == nil {
-					t.Error("what was taken on is gone")
+				if table.ByID(accepted.ID) == nil {
+					t.Error("the accepted message is lost")
 				}
-				for _, m := range refused {
-					if found := table.ByID(m.ID) != nil; found != (taken == nil) {
-						t.Errorf("%s: refused %t, found %t", m.ID, taken != nil, found)
+				for _, m := range rejected {
+					if found := table.ByID(m.ID) != nil; found != (acceptErr == nil) {
+						t.Errorf("%s: rejected %t, recovered %t", m.ID, acceptErr != nil, found)
 					}
 				}
 			})
@@ -58,9 +58,9 @@
 	}
 }
 
-func refusable(l *life, id string, body int) *memory.Message {
-	m := &memory.Message{Number: l.t.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall, Body: make([]byte, body)}
-	if err := l.j.AppendAccepted(l.t, m, false); err != nil {
+func appendCharge(driver *journalDriver, id string, body int) *memory.Message {
+	m := &memory.Message{Number: driver.table.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall, Body: make([]byte, body)}
+	if err := driver.journal.AppendAccepted(driver.table, m, false); err != nil {
 		panic(err)
 	}
 	return m
--- a/internal/memory/journal/bench_test.go
+++ b/internal/memory/journal/bench_test.go
@@ -18,26 +18,26 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-var at = time.UnixMicro(1_700_000_000_000_000)
+var startedAt = time.UnixMicro(1_700_000_000_000_000)
 
-func message(t *memory.Table, body int) *memory.Message {
-	n := t.NextNumber()
-	return &memory.Message{Number: n, ID: fmt.Sprintf("%016x", n), Class: "fee-charge", IdempotencyKey: fmt.Sprintf("%032x", n), Dest: int(n % 30), Deadline: at, Body: make([]byte, body)}
+func newMessage(t *memory.Table, body int) *memory.Message {
+	number := t.NextNumber()
+	return &memory.Message{Number: number, ID: fmt.Sprintf("%016x", number), Class: "fee-charge", IdempotencyKey: fmt.Sprintf("%032x", number), Dest: int(number % 30), Deadline: startedAt, Body: make([]byte, body)}
 }
 
-// either is the old journal or the new one, driven by an owner that takes so many messages in a turn.
-type either struct {
-	t   *memory.Table
-	old *oldJournal
-	now *Journal
+// journalUnderTest is either the legacy journal or the current one.
+type journalUnderTest struct {
+	table   *memory.Table
+	legacy  *legacyJournal
+	current *Journal
 }
 
-func open(b testing.TB, old bool, dir string, budget int64) *either {
-	e, err := &either{}, error(nil)
+func openJournal(b testing.TB, old bool, dir string, budget int64) *journalUnderTest {
+	e, err := &journalUnderTest{}, error(nil)
 	if old {
-		e.old, e.t, err = openOld(dir, budget, quiet)
+		e.legacy, e.table, err = openLegacy(dir, budget, quiet)
 	} else {
-		e.now, e.t, err = Open(Config{FS: Dir(dir), Budget: budget, Log: quiet})
+		e.current, e.table, err = Open(Config{FS: Dir(dir), Budget: budget, Log: quiet})
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -45,89 +45,89 @@
 	return e
 }
 
-func (e *either) close() {
-	if e.old != nil {
-		e.old.Close()
+func (e *journalUnderTest) close() {
+	if e.legacy != nil {
+		e.legacy.Close()
 	} else {
-		e.now.Close()
+		e.current.Close()
 	}
 }
 
-func (e *either) taken(m *memory.Message) error {
-	if e.old != nil {
-		return e.old.Taken(e.t, m)
+func (e *journalUnderTest) accept(m *memory.Message) error {
+	if e.legacy != nil {
+		return e.legacy.AppendAccepted(e.table, m)
 	}
-	return e.now.AppendAccepted(e.t, m, true)
+	return e.current.AppendAccepted(e.table, m, true)
 }
 
-func (e *either) step(m *memory.Message) {
-	if e.old != nil {
-		e.old.Out(e.t, at, []*memory.Message{m})
+func (e *journalUnderTest) attempt(m *memory.Message) {
+	if e.legacy != nil {
+		e.legacy.AppendAttempt(e.table, startedAt, []*memory.Message{m})
 	} else {
-		e.now.AppendAttempt(at, []*memory.Message{m})
+		e.current.AppendAttempt(startedAt, []*memory.Message{m})
 	}
 }
 
-func (e *either) over(m *memory.Message) {
-	e.t.Remove(m)
-	if e.old != nil {
-		e.old.Over(e.t, m)
+func (e *journalUnderTest) complete(m *memory.Message) {
+	e.table.Remove(m)
+	if e.legacy != nil {
+		e.legacy.AppendCompleted(e.table, m)
 	} else {
-		e.now.AppendCompleted(m, false)
+		e.current.AppendCompleted(m, false)
 	}
 }
 
-func (e *either) commit(b testing.TB) {
-	if e.now != nil {
-		if taken, out := e.now.Commit(); taken != nil || out != nil {
+func (e *journalUnderTest) commit(b testing.TB) {
+	if e.current != nil {
+		if taken, out := e.current.Commit(); taken != nil || out != nil {
 			b.Fatal(taken, out)
 		}
 	}
 }
 
-// messages makes them ahead, so that only the journal is measured.
-func (e *either) messages(n, body int) (all []*memory.Message) {
+// newMessages creates messages in advance, so that only the journal is measured.
+func (e *journalUnderTest) newMessages(n, body int) (all []*memory.Message) {
 	for range n {
-		all = append(all, message(e.t, body))
+		all = append(all, newMessage(e.table, body))
 	}
 	return all
 }
 
-// flow puts n messages through, each taken on, sent and over, with so many live at a time and so many of each in a turn. It
-// returns how long the owner was held by each turn.
-func (e *either) flow(b testing.TB, n, live, turn, body int) (pauses []time.Duration) {
-	return e.pass(b, e.messages(n, body), live, turn, func() {})
+// run accepts, attempts and completes n messages, with up to pending of them pending and
+// perIteration accepted between commits. It returns the duration of each iteration.
+func (e *journalUnderTest) run(b testing.TB, n, pending, perIteration, body int) (pauses []time.Duration) {
+	return e.runMessages(b, e.newMessages(n, body), pending, perIteration, func() {})
 }
 
-func (e *either) pass(b testing.TB, all []*memory.Message, live, turn int, each func()) (pauses []time.Duration) {
-	var held []*memory.Message
+func (e *journalUnderTest) runMessages(b testing.TB, all []*memory.Message, pending, perIteration int, afterEach func()) (pauses []time.Duration) {
+	var accepted []*memory.Message
 	n := len(all)
-	for done := 0; done < n; done += turn {
+	for done := 0; done < n; done += perIteration {
 		began := time.Now()
-		for range turn {
+		for range perIteration {
 			m := all[0]
 			all = all[1:]
-			if err := e.taken(m); err != nil {
+			if err := e.accept(m); err != nil {
 				b.Fatal(err)
 			}
-			held = append(held, m)
+			accepted = append(accepted, m)
 		}
-		for _, m := range held[len(held)-turn:] {
-			e.step(m)
+		for _, m := range accepted[len(accepted)-perIteration:] {
+			e.attempt(m)
 		}
-		for len(held) > live {
-			e.over(held[0])
-			held = held[1:]
+		for len(accepted) > pending {
+			e.complete(accepted[0])
+			accepted = accepted[1:]
 		}
 		e.commit(b)
 		pauses = append(pauses, time.Since(began))
-		each()
+		afterEach()
 	}
 	return pauses
 }
 
-// written is how many bytes this process has written, to files and all else.
-func written(b testing.TB) (n int64) {
+// bytesWritten returns how many bytes this process has written, to files and elsewhere.
+func bytesWritten(b testing.TB) (n int64) {
 	raw, err := os.ReadFile("/proc/self/io")
 	if err != nil {
 		b.Skip(err)
@@ -140,8 +140,8 @@
 	return n
 }
 
-// processor is the time that this thread has run.
-func processor(b testing.TB) time.Duration {
+// threadCPUTime returns the CPU time of the current thread.
+func threadCPUTime(b testing.TB) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
 		b.Fatal(err)
@@ -149,51 +149,52 @@
 	return time.Duration(t.Nano())
 }
 
-// Hand-ins through the journal: old and new, one message a turn and sixteen.
+// Throughput of the legacy and the current journal, with 1, 16 and 64 messages per commit.
 func BenchmarkFlow(b *testing.B) {
-	for _, turn := range []int{1, 16, 64} {
+	for _, perIteration := range []int{1, 16, 64} {
 		for _, old := range []bool{true, false} {
-			b.Run(fmt.Sprintf("turn=%d/old=%v", turn, old), func(b *testing.B) {
-				e := open(b, old, b.TempDir(), 64<<20)
+			b.Run(fmt.Sprintf("turn=%d/old=%v", perIteration, old), func(b *testing.B) {
+				e := openJournal(b, old, b.TempDir(), 64<<20)
 				defer e.close()
 				b.ReportAllocs()
 				n := 0
-				spent, wrote := time.Duration(0), written(b)
+				spent, wrote := time.Duration(0), bytesWritten(b)
 				for b.Loop() {
 					b.StopTimer()
-					all := e.messages(1024, 212)
+					all := e.newMessages(1024, 212)
 					b.StartTimer()
 					began := time.Now()
-					e.pass(b, all, 256, turn, func() {})
-					for _, m := range e.t.All() {
-						e.over(m)
+					e.runMessages(b, all, 256, perIteration, func() {})
+					for _, m := range e.table.All() {
+						e.complete(m)
 					}
 					e.commit(b)
 					spent += time.Since(began)
 					n += 1024
 				}
 				b.ReportMetric(float64(n)/spent.Seconds(), "msg/s")
-				b.ReportMetric(float64(written(b)-wrote)/float64(n), "written-B/msg")
+				b.ReportMetric(float64(bytesWritten(b)-wrote)/float64(n), "written-B/msg")
 			})
 		}
 	}
 }
 
-// How long a turn holds the owner while 50,000 messages are live, old and new: the longest and the 99th of a hundred, by the clock and
-// by the time that its thread ran. A loop that only spins is there to tell how long the machine keeps anybody waiting.
+// Duration of an iteration with 50,000 pending messages, legacy and current: maximum and 99th
+// percentile, by the clock and by the CPU time of the thread. A busy loop shows how long the
+// machine delays any thread.
 func BenchmarkPause(b *testing.B) {
 	for _, old := range []bool{true, false} {
 		b.Run(fmt.Sprintf("old=%v", old), func(b *testing.B) {
-			e := open(b, old, b.TempDir(), 128<<20)
+			e := openJournal(b, old, b.TempDir(), 128<<20)
 			defer e.close()
-			e.flow(b, 50_000, 50_000, 50, 212)
+			e.run(b, 50_000, 50_000, 50, 212)
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
 			var pauses, ran, idle []time.Duration
 			for b.Loop() {
-				all, began := e.messages(60_000, 212), processor(b)
-				pauses = append(pauses, e.pass(b, all, 1000, 16, func() {
-					now := processor(b)
+				all, began := e.newMessages(60_000, 212), threadCPUTime(b)
+				pauses = append(pauses, e.runMessages(b, all, 1000, 16, func() {
+					now := threadCPUTime(b)
 					ran, began = append(ran, now-began), now
 				})...)
 				for range 60_000 / 16 {
@@ -212,19 +213,19 @@
 	}
 }
 
-// Recovery with that many messages held, and the bytes that the folder takes for each.
+// Recovery of that many pending messages.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 60_000} {
 		for _, old := range []bool{true, false} {
 			b.Run(fmt.Sprintf("held=%d/old=%v", n, old), func(b *testing.B) {
 				dir := b.TempDir()
-				e := open(b, old, dir, 256<<20)
-				e.flow(b, n, n, 50, 212)
+				e := openJournal(b, old, dir, 256<<20)
+				e.run(b, n, n, 50, 212)
 				e.close()
 				for b.Loop() {
-					e := open(b, old, dir, 256<<20)
-					if len(e.t.All()) != n {
-						b.Fatal(len(e.t.All()))
+					e := openJournal(b, old, dir, 256<<20)
+					if len(e.table.All()) != n {
+						b.Fatal(len(e.table.All()))
 					}
 					e.close()
 				}
@@ -233,104 +234,105 @@
 	}
 }
 
-// TestUpgrade reads a folder of the first form: what it held is held, under its number, and goes on.
-func TestUpgrade(t *testing.T) {
+// TestLegacyUpgrade converts a legacy directory: pending messages keep their numbers and state.
+func TestLegacyUpgrade(t *testing.T) {
 	dir := t.TempDir()
-	e := open(t, true, dir, 1<<20)
-	held := message(e.t, 100)
-	held.PluginNotes = []byte("notes")
-	out, owed, over := message(e.t, 10), message(e.t, 10), message(e.t, 10)
-	for _, m := range []*memory.Message{held, out, owed, over} {
-		if err := e.taken(m); err != nil {
+	e := openJournal(t, true, dir, 1<<20)
+	accepted := newMessage(e.table, 100)
+	accepted.PluginNotes = []byte("notes")
+	attempted, undelivered, completed := newMessage(e.table, 10), newMessage(e.table, 10), newMessage(e.table, 10)
+	for _, m := range []*memory.Message{accepted, attempted, undelivered, completed} {
+		if err := e.accept(m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	out.InFlight = &memory.Attempt{StartedAt: at}
-	e.step(out)
-	e.t.MarkUndelivered(owed, memory.Notification{Returned: true, RetryAfter: time.Second})
-	e.old.Owed(e.t, owed)
-	e.over(over)
+	attempted.InFlight = &memory.Attempt{StartedAt: startedAt}
+	e.attempt(attempted)
+	e.table.MarkUndelivered(undelivered, memory.Notification{Returned: true, RetryAfter: time.Second})
+	e.legacy.AppendUndelivered(e.table, undelivered)
+	e.complete(completed)
 	e.close()
-	for life := range 3 {
-		e = open(t, false, dir, 1<<20)
-		got := e.t.All()
-		if len(got) != 3 || string(got[held.Number].PluginNotes) != "notes" || len(got[held.Number].Body) != 100 || !got[out.Number].MayHaveRunSince.Equal(at) || got[out.Number].Attempts != 1 ||
-			got[owed.Number].Notification == nil || *got[owed.Number].Notification != (memory.Notification{Returned: true, RetryAfter: time.Second}) {
-			t.Fatalf("life %d: %+v", life, got)
+	for restart := range 3 {
+		e = openJournal(t, false, dir, 1<<20)
+		got := e.table.All()
+		if len(got) != 3 || string(got[accepted.Number].PluginNotes) != "notes" || len(got[accepted.Number].Body) != 100 || !got[attempted.Number].MayHaveRunSince.Equal(startedAt) || got[attempted.Number].Attempts != 1 ||
+			got[undelivered.Number].Notification == nil || *got[undelivered.Number].Notification != (memory.Notification{Returned: true, RetryAfter: time.Second}) {
+			t.Fatalf("restart %d: %+v", restart, got)
 		}
-		if n := e.t.NextNumber(); n <= owed.Number {
-			t.Errorf("number %d again", n)
+		if n := e.table.NextNumber(); n <= undelivered.Number {
+			t.Errorf("number %d assigned again", n)
 		}
 		names, _ := Dir(dir).List()
-		if slices.ContainsFunc(names, func(n string) bool { _, ext := split(n); return ext == legacyExt || ext == tmpExt }) {
-			t.Errorf("left over: %v", names)
+		if slices.ContainsFunc(names, func(n string) bool { _, ext := splitExt(n); return ext == legacyExt || ext == tmpExt }) {
+			t.Errorf("files left over: %v", names)
 		}
 		e.close()
 	}
 }
 
-// A folder with 60,000 messages held, of which a third are out and a sixth owed their notice, is read whole, twice.
-func TestHoldsSixtyThousand(t *testing.T) {
+// A directory with 60,000 pending messages, a third of them with an attempt in flight and a sixth
+// awaiting a notification, is recovered completely, twice.
+func TestRecoversSixtyThousandMessages(t *testing.T) {
 	const n = 60_000
 	dir := t.TempDir()
-	e := open(t, false, dir, 256<<20)
-	all := e.messages(n, 64)
+	e := openJournal(t, false, dir, 256<<20)
+	all := e.newMessages(n, 64)
 	for i, m := range all {
-		if err := e.taken(m); err != nil {
+		if err := e.accept(m); err != nil {
 			t.Fatal(err)
 		}
 		if i%3 == 0 {
-			e.step(m)
+			e.attempt(m)
 		}
 		if i%6 == 1 {
-			e.t.MarkUndelivered(m, memory.Notification{Returned: true})
-			e.now.AppendUndelivered(m)
+			e.table.MarkUndelivered(m, memory.Notification{Returned: true})
+			e.current.AppendUndelivered(m)
 		}
 		if i%100 == 99 {
 			e.commit(t)
 		}
 	}
-	for life := range 2 {
+	for restart := range 2 {
 		e.close()
-		e = open(t, false, dir, 256<<20)
-		out, owed := 0, 0
-		for _, m := range e.t.All() {
+		e = openJournal(t, false, dir, 256<<20)
+		attempted, undelivered := 0, 0
+		for _, m := range e.table.All() {
 			if !m.MayHaveRunSince.IsZero() {
-				out++
+				attempted++
 			}
 			if m.Notification != nil {
-				owed++
+				undelivered++
 			}
 		}
-		if len(e.t.All()) != n || out != n/3 || owed != n/6 {
-			t.Errorf("life %d: %d held, %d out, %d owed", life, len(e.t.All()), out, owed)
+		if len(e.table.All()) != n || attempted != n/3 || undelivered != n/6 {
+			t.Errorf("restart %d: %d pending, %d attempted, %d undelivered", restart, len(e.table.All()), attempted, undelivered)
 		}
 	}
 	e.close()
 }
 
-// Ids of messages that are over outlive restarts and cleaning, up to a number of them, and old ones give way.
-func TestOversOutliveRestarts(t *testing.T) {
+// Ids of completed messages survive restarts and compaction, up to a limit.
+func TestCompletedIDsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	var err error
-	e := &either{}
-	// Inline: a loop without work between its turns outruns a cleaner beside it, and how far is the machine's doing.
-	if e.now, e.t, err = Open(Config{FS: Dir(dir), Budget: 4 << 20, Log: quiet, CompactInline: true}); err != nil {
+	e := &journalUnderTest{}
+	// A loop without pauses would outrun compaction in the background.
+	if e.current, e.table, err = Open(Config{FS: Dir(dir), Budget: 4 << 20, Log: quiet, CompactInline: true}); err != nil {
 		t.Fatal(err)
 	}
-	e.flow(t, 20_000, 0, 16, 212)
+	e.run(t, 20_000, 0, 16, 212)
 	e.close()
-	e = open(t, false, dir, 4<<20)
+	e = openJournal(t, false, dir, 4<<20)
 	defer e.close()
 	for _, n := range []int{20_000, 20_000 - memory.MaxCompletedIDs + 1} {
-		if !e.t.RecentlyCompleted(fmt.Sprintf("%016x", n)) {
-			t.Errorf("the id of message %d is forgotten", n)
+		if !e.table.RecentlyCompleted(fmt.Sprintf("%016x", n)) {
+			t.Errorf("completed id of message %d is forgotten", n)
 		}
 	}
-	if e.t.RecentlyCompleted(fmt.Sprintf("%016x", 1)) || e.t.CompletedCount() != memory.MaxCompletedIDs {
-		t.Errorf("%d ids kept", e.t.CompletedCount())
+	if e.table.RecentlyCompleted(fmt.Sprintf("%016x", 1)) || e.table.CompletedCount() != memory.MaxCompletedIDs {
+		t.Errorf("%d ids remembered", e.table.CompletedCount())
 	}
-	if s := e.now.Stats(); s.UsedBytes > 2<<20 {
-		t.Errorf("%d bytes for nothing that is held", s.UsedBytes)
+	if s := e.current.Stats(); s.UsedBytes > 2<<20 {
+		t.Errorf("%d bytes used without pending messages", s.UsedBytes)
 	}
 }
--- a/internal/memory/journal/clean.go
+++ b/internal/memory/journal/clean.go
@@ -10,32 +10,33 @@
 	"oatfold/internal/memory/journal/plan"
 )
 
-// Cleaning: segments that are no longer written to are rewritten without what is over.
+// Compaction: sealed segments are rewritten without the records of completed messages.
 
-// stepBytes is how much cleaning does in one go; then it rests for a moment. Guards against an owner whose thread is kept off its
-// processor by the cleaner's: the turns that were longest had waited for just that.
+// Compaction pauses after each chunk, so that its thread does not keep the event loop off the
+// processor.
 const (
-	stepBytes = 64 << 10
-	restFor   = 50 * time.Microsecond
+	compactionChunk = 64 << 10
+	compactionPause = 50 * time.Microsecond
 )
 
-func noRest() {}
+func noPause() {}
 
-// writeWhole writes a file under another name, in steps, and renames it.
-func writeWhole(fs FS, name string, b []byte, rest func()) error {
+// writeFileAtomic writes a temporary file in chunks, calling pause after each, and renames it to
+// name.
+func writeFileAtomic(fs FS, name string, content []byte, pause func()) error {
 	tmp := name + tmpExt
 	f, err := fs.Create(tmp)
 	if err != nil {
 		return err
 	}
-	for len(b) > 0 && err == nil {
-		part := b[:min(len(b), stepBytes)]
+	for len(content) > 0 && err == nil {
+		part := content[:min(len(content), compactionChunk)]
 		var n int
 		if n, err = f.Write(part); err == nil && n < len(part) {
 			err = io.ErrShortWrite
 		}
-		b = b[len(part):]
-		rest()
+		content = content[len(part):]
+		pause()
 	}
 	if e := f.Close(); err == nil {
 		err = e
@@ -51,154 +52,156 @@
 
 // --- cleaning ---
 
-// job is a segment to be cleaned, with all that is needed for it: it runs beside the owner.
-type job struct {
-	seg      *segment
-	name     string
-	live     []uint32 // numbers of live messages with records in it
-	keepOver uint64   // ordinals from this one on are kept
-	allOver  bool     // an older segment may still have the message
-	active   uint64
-	overs    uint64
-	hurry    bool // room is needed: no rests
+// compactionJob describes a segment to compact. It holds all that is needed, since it runs on
+// another goroutine.
+type compactionJob struct {
+	segment           *segment
+	name              string
+	liveNumbers       []uint32 // numbers of pending messages with records in the segment
+	retainFromSeq     uint64   // completion records from this sequence number on are retained
+	hasEarlierRecords bool     // an older segment may still hold the accepted record of a message
+	activeNumber      uint64
+	completedSeq      uint64
+	urgent            bool // space is short: run without pauses
 }
 
-type result struct {
-	job
-	waits      bool  // some of what is kept waits for an older segment
-	size, kept int64 // of the copy, and of records in it that are of no live message; size 0: nothing was left, the file is gone
-	err        error
+type compactionResult struct {
+	compactionJob
+	retainsCompletions  bool  // some completion records are retained for the sake of an older segment
+	size, retainedBytes int64 // size of the new file (0: nothing was left and the file is removed), and bytes in it of records of no pending message
+	err                 error
 }
 
-// lookTurn is after how many commits a segment to clean is looked for.
-const lookTurn = 8
+// commitsPerCompactionCheck is the number of commits between two searches for a segment to compact.
+const commitsPerCompactionCheck = 8
 
-// clean starts the cleaning of a segment that is worth it.
-func (j *Journal) clean() {
-	if j.busy || j.torn || j.stats.Commits-j.looked < lookTurn && !j.set.CompactInline {
+// compact starts the compaction of a segment if that is worthwhile.
+func (j *Journal) compact() {
+	if j.compacting || j.needsTruncate || j.stats.Commits-j.lastCompactionCheck < commitsPerCompactionCheck && !j.config.CompactInline {
 		return
 	}
-	j.looked = j.stats.Commits
-	all := j.plan[:0]
-	for i, g := range j.segs {
-		if g.floor > 0 && j.overs-g.floorAt > memory.MaxCompletedIDs || g.waits && !j.older(i) {
-			g.floor, g.waits = 0, false // what it kept need not be kept any more
+	j.lastCompactionCheck = j.stats.Commits
+	candidates := j.candidates[:0]
+	for i, seg := range j.segments {
+		if seg.retainedBytes > 0 && j.completedSeq-seg.retainedAtSeq > memory.MaxCompletedIDs || seg.retainsCompletions && !j.hasEarlierRecords(i) {
+			seg.retainedBytes, seg.retainsCompletions = 0, false // the retained records are no longer needed
 		}
-		all = append(all, plan.Segment{Size: g.size, Live: g.live, Floor: g.floor, Busy: g.busy || i == len(j.segs)-1})
+		candidates = append(candidates, plan.Segment{Size: seg.size, LiveBytes: seg.liveBytes, RetainedBytes: seg.retainedBytes, Busy: seg.busy || i == len(j.segments)-1})
 	}
-	j.plan = all
-	i := plan.Clean(j.set.Budget, j.used(), len(j.spots), all)
+	j.candidates = candidates
+	i := plan.ChooseSegment(j.config.Budget, j.usedBytes(), len(j.locations), candidates)
 	if i < 0 {
 		return
 	}
-	g := j.segs[i]
-	w := job{seg: g, name: g.name(), live: make([]uint32, 0, len(g.nums)), active: j.segs[len(j.segs)-1].no, overs: j.overs, hurry: plan.Hurry(j.set.Budget, j.used(), all)}
-	for n := range g.nums {
-		w.live = append(w.live, n)
+	seg := j.segments[i]
+	job := compactionJob{segment: seg, name: seg.name(), liveNumbers: make([]uint32, 0, len(seg.messageBytes)), activeNumber: j.segments[len(j.segments)-1].number, completedSeq: j.completedSeq, urgent: plan.Urgent(j.config.Budget, j.usedBytes(), candidates)}
+	for number := range seg.messageBytes {
+		job.liveNumbers = append(job.liveNumbers, number)
 	}
-	w.keepOver = j.overs - min(j.overs, memory.MaxCompletedIDs) + 1
-	w.allOver = j.older(i)
-	g.busy, j.busy = true, true
-	if j.set.CompactInline {
-		j.cleaned(w.run(j.set.FS, noRest))
+	job.retainFromSeq = j.completedSeq - min(j.completedSeq, memory.MaxCompletedIDs) + 1
+	job.hasEarlierRecords = j.hasEarlierRecords(i)
+	seg.busy, j.compacting = true, true
+	if j.config.CompactInline {
+		j.finishCompaction(job.run(j.config.FS, noPause))
 		return
 	}
-	j.jobs <- w
+	j.jobs <- job
 }
 
-// older tells whether the record that took a message on may still be there when its end is in segment i: in an older
-// one that was not cleaned since i was sealed.
-func (j *Journal) older(i int) bool {
-	for _, g := range j.segs[:i] {
-		if g.cleaned <= j.segs[i].no {
+// hasEarlierRecords reports whether an older segment may still hold the accepted record of a
+// message that is completed in segment index: one that was not compacted since that segment was
+// sealed.
+func (j *Journal) hasEarlierRecords(index int) bool {
+	for _, earlier := range j.segments[:index] {
+		if earlier.compactedAt <= j.segments[index].number {
 			return true
 		}
 	}
 	return false
 }
 
-// poll takes the end of a cleaning in.
-func (j *Journal) poll() {
+// pollCompaction handles a finished compaction.
+func (j *Journal) pollCompaction() {
 	select {
-	case r := <-j.done:
-		j.cleaned(r)
+	case r := <-j.results:
+		j.finishCompaction(r)
 	default:
 	}
 }
 
-func (j *Journal) cleaned(r result) {
-	g := r.seg
-	g.busy, j.busy = false, false
-	if r.err != nil {
-		j.set.Log.Error("journal segment not cleaned", "segment", r.name, "err", r.err)
-		g.floor, g.floorAt = g.size-g.live, j.overs // not again before long
+func (j *Journal) finishCompaction(result compactionResult) {
+	seg := result.segment
+	seg.busy, j.compacting = false, false
+	if result.err != nil {
+		j.config.Log.Error("journal segment compaction failed", "segment", result.name, "err", result.err)
+		seg.retainedBytes, seg.retainedAtSeq = seg.size-seg.liveBytes, j.completedSeq // don't retry soon
 		return
 	}
 	j.stats.Compactions++
-	j.stats.CompactedBytes += r.size
-	g.cleaned = r.active
-	if r.size == 0 {
-		j.grow(g, 0)
-		j.segs = slices.DeleteFunc(j.segs, func(s *segment) bool { return s == g })
+	j.stats.CompactedBytes += result.size
+	seg.compactedAt = result.activeNumber
+	if result.size == 0 {
+		j.setSegmentSize(seg, 0)
+		j.segments = slices.DeleteFunc(j.segments, func(s *segment) bool { return s == seg })
 		return
 	}
-	j.grow(g, r.size)
-	g.floor, g.floorAt, g.waits = r.kept, r.overs, r.waits
+	j.setSegmentSize(seg, result.size)
+	seg.retainedBytes, seg.retainedAtSeq, seg.retainsCompletions = result.retainedBytes, result.completedSeq, result.retainsCompletions
 }
 
-// run rewrites the segment without records of messages that are over, and renames the copy over it. Records that are
-// bad are left out too: they have been named when the journal was opened.
-func (w job) run(fs FS, rest func()) (r result) {
-	r.job = w
-	raw, err := fs.Read(w.name)
-	rest()
+// run rewrites the segment without the records of completed messages and replaces it by the copy.
+// Corrupt records, which were reported when the journal was opened, are removed as well.
+func (job compactionJob) run(fs FS, pause func()) (result compactionResult) {
+	result.compactionJob = job
+	raw, err := fs.Read(job.name)
+	pause()
 	if err != nil {
-		r.err = err
-		return r
-	}
-	slices.Sort(w.live)
-	out := append([]byte(nil), raw[:headSize]...)
-	taken := map[uint32]struct{}{} // taken on in this segment: their ends go with them
-	rested := 0
-	walk(raw, func(at, size int, payload []byte, err error) {
-		if at-rested > stepBytes {
-			rested = at
-			rest()
+		result.err = err
+		return result
+	}
+	slices.Sort(job.liveNumbers)
+	compacted := append([]byte(nil), raw[:headerSize]...)
+	accepted := map[uint32]struct{}{} // accepted in this segment: their completion records are removed with them
+	pausedAt := 0
+	walkRecords(raw, func(offset, size int, payload []byte, err error) {
+		if offset-pausedAt > compactionChunk {
+			pausedAt = offset
+			pause()
 		}
 		if err != nil {
 			return
 		}
-		keep, needed := false, false
-		if payload[0] == recTaken || payload[0] == recUnkept || payload[0] == recKept {
-			nums(payload, func(n uint32) { taken[n] = struct{}{} })
+		live, retain := false, false
+		if payload[0] == recordAccepted || payload[0] == recordAcceptedMemoryOnly || payload[0] == recordSnapshot {
+			forEachNumber(payload, func(n uint32) { accepted[n] = struct{}{} })
 		}
-		if payload[0] == recOver {
-			f := read(payload, clock.Scale{})
-			num, ordinal, id := uint32(f.Uint()), f.Uint(), f.Bytes()
-			_, here := taken[num]
-			waits := w.allOver && !here
-			r.waits = r.waits || waits
-			needed = waits || ordinal >= w.keepOver && len(id) > 0
+		if payload[0] == recordCompleted {
+			reader := newRecordReader(payload, clock.Scale{})
+			number, sequence, id := uint32(reader.Uint()), reader.Uint(), reader.Bytes()
+			_, acceptedHere := accepted[number]
+			acceptedEarlier := job.hasEarlierRecords && !acceptedHere
+			result.retainsCompletions = result.retainsCompletions || acceptedEarlier
+			retain = acceptedEarlier || sequence >= job.retainFromSeq && len(id) > 0
 		} else {
-			nums(payload, func(n uint32) {
-				_, live := slices.BinarySearch(w.live, n)
-				keep = keep || live
+			forEachNumber(payload, func(number uint32) {
+				_, found := slices.BinarySearch(job.liveNumbers, number)
+				live = live || found
 			})
 		}
-		if needed {
-			r.kept += int64(size)
+		if retain {
+			result.retainedBytes += int64(size)
 		}
-		if keep || needed {
-			out = append(out, raw[at:at+size]...)
+		if live || retain {
+			compacted = append(compacted, raw[offset:offset+size]...)
 		}
 	})
-	if len(out) == headSize {
-		r.err = fs.Remove(w.name)
-		return r
+	if len(compacted) == headerSize {
+		result.err = fs.Remove(job.name)
+		return result
 	}
-	r.kept += int64(headSize)
-	if r.err = writeWhole(fs, w.name, out, rest); r.err == nil {
-		r.size = int64(len(out))
+	result.retainedBytes += int64(headerSize)
+	if result.err = writeFileAtomic(fs, job.name, compacted, pause); result.err == nil {
+		result.size = int64(len(compacted))
 	}
-	return r
+	return result
 }
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -8,32 +8,33 @@
 	"oatfold/internal/standin/disk"
 )
 
-// A bound of the system on the size of a file refuses nobody: what the segment does not take goes to a new one, and all is there at the next start.
-func TestBoundedFileSize(t *testing.T) {
+// A system limit on the file size rejects no message: the journal continues in a new segment, and
+// all messages are recovered.
+func TestFileSizeLimit(t *testing.T) {
 	d := disk.New()
-	l, err := start(d, 4<<20)
+	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.FileRoom(30_000)
 	const messages, body = 100, 2000
 	for n := range messages {
-		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
-		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
+		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
+		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			t.Fatalf("message %d: %v", n, err)
 		}
-		if taken, out := l.j.Commit(); taken != nil || out != nil {
+		if taken, out := driver.journal.Commit(); taken != nil || out != nil {
 			t.Fatalf("message %d: %v, %v", n, taken, out)
 		}
 	}
-	if s := l.j.Stats(); s.Segments < messages*body/30_000 {
-		t.Errorf("%d segments: the bound was not met", s.Segments)
+	if s := driver.journal.Stats(); s.Segments < messages*body/30_000 {
+		t.Errorf("%d segments: the file size limit was never reached", s.Segments)
 	}
-	next, err := start(d.Revive(), 4<<20)
+	next, err := startDriver(d.Revive(), 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found := len(next.t.All()); found != messages {
-		t.Errorf("%d of %d messages are there", found, messages)
+	if found := len(next.table.All()); found != messages {
+		t.Errorf("%d of %d messages recovered", found, messages)
 	}
 }
--- a/internal/memory/journal/given.go
+++ b/internal/memory/journal/given.go
@@ -9,79 +9,84 @@
 	"oatfold/internal/memory"
 )
 
-// A file that one process gives to the next is a segment's head and records of the same form: messages as they stand, their plug-ins'
-// notes, and last one record of news, which this package only carries.
-const recNews byte = 'W'
+// A transfer file, which one process passes to the next, has the format of a segment: snapshots of
+// messages with their plug-in notes and terms, and as the last record metadata, which this package
+// does not interpret.
+const recordMetadata byte = 'W'
 
-// ErrIncompleteTransfer says that a given file is not whole.
-var ErrIncompleteTransfer = errors.New("journal: given file is not whole")
+// ErrIncompleteTransfer is returned for a transfer file that is truncated or corrupt.
+var ErrIncompleteTransfer = errors.New("journal: transfer file is incomplete")
 
-// EncodeTransfer writes messages as they stand, dated on a scale that both processes have, and news. Their bodies have to be in memory; one that was not kept is, from here on.
-func EncodeTransfer(msgs []*memory.Message, news []byte, dates clock.Scale) []byte {
-	b := appendHead(nil, 0, 0, 0)
-	for _, m := range msgs {
-		kept := *m
-		kept.MemoryOnly = false
-		at := len(b)
-		if b = frame(appendKept(append(begin(b), recKept), &kept, dates), at); len(m.PluginNotes) > 0 {
-			at = len(b)
-			b = frame(appendText(head(begin(b), recNotes, m.Number), m.PluginNotes), at)
+// EncodeTransfer encodes messages in their current state, and metadata. Times are on a scale that
+// both processes share. The bodies must be in memory, and those that were in memory only are
+// included.
+func EncodeTransfer(messages []*memory.Message, metadata []byte, timeScale clock.Scale) []byte {
+	b := appendHeader(nil, 0, 0, 0)
+	for _, m := range messages {
+		snapshot := *m
+		snapshot.MemoryOnly = false
+		start := len(b)
+		if b = finishFrame(appendSnapshot(append(beginFrame(b), recordSnapshot), &snapshot, timeScale), start); len(m.PluginNotes) > 0 {
+			start = len(b)
+			b = finishFrame(appendText(beginPayload(beginFrame(b), recordPluginNotes, m.Number), m.PluginNotes), start)
 		}
-		if at = len(b); m.Terms != (memory.Terms{}) {
-			b = frame(appendTerms(head(begin(b), recTerms, m.Number), m.Terms), at)
+		if start = len(b); m.Terms != (memory.Terms{}) {
+			b = finishFrame(appendTerms(beginPayload(beginFrame(b), recordTerms, m.Number), m.Terms), start)
 		}
 	}
-	at := len(b)
-	return frame(append(append(begin(b), recNews), news...), at)
+	start := len(b)
+	return finishFrame(append(append(beginFrame(b), recordMetadata), metadata...), start)
 }
 
-// DecodeTransfer reads such a file. Numbers are those of the process that gave.
-func DecodeTransfer(raw []byte, dates clock.Scale) (msgs []*memory.Message, news []byte, err error) {
-	s, whole := newState(dates), false
-	end := walk(raw, func(_, _ int, payload []byte, bad error) {
+// DecodeTransfer decodes a transfer file. Message numbers are those of the sending process. It
+// returns ErrIncompleteTransfer unless the file is complete and valid.
+func DecodeTransfer(raw []byte, timeScale clock.Scale) (messages []*memory.Message, metadata []byte, err error) {
+	replay, complete := newReplayState(timeScale), false
+	end := walkRecords(raw, func(_, _ int, payload []byte, badErr error) {
 		switch {
-		case bad != nil:
-			err = bad
-		case payload[0] == recNews:
-			news, whole = payload[1:], true
+		case badErr != nil:
+			err = badErr
+		case payload[0] == recordMetadata:
+			metadata, complete = payload[1:], true
 		default:
-			if e := s.apply(payload); e != nil {
+			if e := replay.apply(payload); e != nil {
 				err = e
-			} else if payload[0] == recKept {
-				nums(payload, func(n uint32) { msgs = append(msgs, s.table.Get(n)) })
+			} else if payload[0] == recordSnapshot {
+				forEachNumber(payload, func(n uint32) { messages = append(messages, replay.table.Get(n)) })
 			}
 		}
 	})
-	if err != nil || !whole || end < len(raw) {
+	if err != nil || !complete || end < len(raw) {
 		return nil, nil, fmt.Errorf("%w: %w", ErrIncompleteTransfer, errors.Join(err, io.ErrUnexpectedEOF))
 	}
-	return msgs, news, nil
+	return messages, metadata, nil
 }
 
-// AppendTransferred adds a message that another process had taken on, as it stands, and enters it into t. Like an end it is written as soon as the
-// disk takes it: it was promised already.
-func (j *Journal) AppendTransferred(t *memory.Table, m *memory.Message) {
-	j.top = max(j.top, m.Number)
-	j.open()
-	j.arena = appendKept(append(j.arena, recKept), m, j.set.TimeScale)
-	if j.shut(entry{num: m.Number}); len(m.PluginNotes) > 0 {
-		j.open()
-		j.arena = appendText(head(j.arena, recNotes, m.Number), m.PluginNotes)
-		j.shut(entry{num: m.Number})
+// AppendTransferred records a message that another process accepted, in its current state, and adds
+// it to table. The record is never dropped: like a completion it is written as soon as the disk
+// allows it.
+func (j *Journal) AppendTransferred(table *memory.Table, m *memory.Message) {
+	j.maxNumber = max(j.maxNumber, m.Number)
+	j.beginRecord()
+	j.arena = appendSnapshot(append(j.arena, recordSnapshot), m, j.config.TimeScale)
+	if j.endRecord(entry{number: m.Number}); len(m.PluginNotes) > 0 {
+		j.beginRecord()
+		j.arena = appendText(beginPayload(j.arena, recordPluginNotes, m.Number), m.PluginNotes)
+		j.endRecord(entry{number: m.Number})
 	}
 	if m.Terms != (memory.Terms{}) {
-		j.open()
-		j.arena = appendTerms(head(j.arena, recTerms, m.Number), m.Terms)
-		j.shut(entry{num: m.Number})
+		j.beginRecord()
+		j.arena = appendTerms(beginPayload(j.arena, recordTerms, m.Number), m.Terms)
+		j.endRecord(entry{number: m.Number})
 	}
-	t.Add(m)
+	table.Add(m)
 }
 
-// HasUnwritten tells whether records wait for a disk that takes them.
+// HasUnwritten reports whether records wait to be written.
 func (j *Journal) HasUnwritten() bool { return len(j.batch) > 0 }
 
-// UsedBytes is what the journal's files take.
-func (j *Journal) UsedBytes() int64 { return j.used() }
+// UsedBytes returns the space that the files of the journal use on disk.
+func (j *Journal) UsedBytes() int64 { return j.usedBytes() }
 
-// Unavailable tells whether the disk took no records at the last commit that had some.
-func (j *Journal) Unavailable() bool { return j.sick }
+// Unavailable reports whether the last commit with records failed to write them.
+func (j *Journal) Unavailable() bool { return j.unavailable }
--- a/internal/memory/journal/given_test.go
+++ b/internal/memory/journal/given_test.go
@@ -9,8 +9,9 @@
 	"oatfold/internal/memory"
 )
 
-// What is given comes as it stands, bodies that were not kept included; no cut or flipped byte passes for a whole file.
-func TestGivenComesWholeOrNotAtAll(t *testing.T) {
+// A transfer keeps the state of messages, including bodies that were in memory only. A truncated or
+// corrupted file is detected.
+func TestTransferDetectsDamage(t *testing.T) {
 	risk := time.UnixMicro(1_700_000_000_000_000)
 	msgs := []*memory.Message{
 		{Number: 9, ID: "a", Class: "fee", IdempotencyKey: "k", Dest: 7, Body: []byte("body"), PluginNotes: []byte("noted"), Deadline: risk, Attempts: 2, MayHaveRunSince: risk},
@@ -29,18 +30,18 @@
 	}
 	for n := range raw {
 		if _, _, err := DecodeTransfer(raw[:n], clock.Scale{}); err == nil {
-			t.Fatalf("cut at %d passes", n)
+			t.Fatalf("file truncated at %d is accepted", n)
 		}
 		flipped := bytes.Clone(raw)
 		flipped[n] ^= 1
-		if _, _, err := DecodeTransfer(flipped, clock.Scale{}); err == nil && n >= headSize {
-			t.Fatalf("flipped at %d passes", n)
+		if _, _, err := DecodeTransfer(flipped, clock.Scale{}); err == nil && n >= headerSize {
+			t.Fatalf("file corrupted at %d is accepted", n)
 		}
 	}
 }
 
-// What another process had taken on is in the journal once committed, also where the disk refuses it at first.
-func TestKeptOutlastsTheProcess(t *testing.T) {
+// A transferred message is recovered once it is committed.
+func TestTransferredMessageIsRecovered(t *testing.T) {
 	dir := Dir(t.TempDir())
 	j, table, err := Open(Config{FS: dir, Budget: 1 << 20, CompactInline: true, Log: quiet})
 	if err != nil {
@@ -49,7 +50,7 @@
 	risk := time.UnixMicro(1_700_000_000_000_000)
 	j.AppendTransferred(table, &memory.Message{Number: table.NextNumber(), ID: "a", Class: "fee", Body: []byte("body"), Attempts: 2, MayHaveRunSince: risk})
 	if !j.HasUnwritten() {
-		t.Error("nothing waits to be written")
+		t.Error("no record waits to be written")
 	}
 	if taken, out := j.Commit(); taken != nil || out != nil || j.HasUnwritten() {
 		t.Fatal(taken, out)
--- a/internal/memory/journal/journal.go
+++ b/internal/memory/journal/journal.go
@@ -1,9 +1,10 @@
-// Package journal is the relay's lasting memory: segments of records that are only appended. Records of one turn of the
-// owner go out in one write; segments that are no longer written to are cleaned beside the traffic, each rewritten
-// without what is over and renamed over itself. At each byte the folder holds all that was promised. What was written
-// outlasts the process without a sync, which is what it is for; it does not outlast the machine.
+// Package journal stores the messages of a relay in append-only segments. The records of one
+// event-loop iteration are written with one write. Sealed segments are compacted in the background:
+// each is rewritten without the records of completed messages and replaced by an atomic rename, so
+// that the directory always holds a consistent state. Writes are not synced: they survive the
+// process but not a crash of the machine.
 //
-// One goroutine owns a Journal. It never waits for cleaning.
+// A Journal is not safe for concurrent use. It never waits for compaction.
 package journal
 
 import (
@@ -21,11 +22,12 @@
 	"oatfold/internal/memory/journal/plan"
 )
 
-// ErrFull says that a record would go over the disk budget.
-var ErrFull = errors.New("journal: over the disk budget")
+// ErrFull is returned when a record would exceed the disk budget.
+var ErrFull = errors.New("journal: disk budget exceeded")
 
-// ErrUnavailable says that the disk does not take records now; it is tried again with each commit that has something to write.
-var ErrUnavailable = errors.New("journal: the disk takes no records")
+// ErrUnavailable is returned while records cannot be written. Each Commit with records retries the
+// write.
+var ErrUnavailable = errors.New("journal: records cannot be written")
 
 const (
 	segmentExt  = ".seg"
@@ -34,234 +36,244 @@
 	reserveName = "reserve"
 )
 
-// Config is what a journal is made from.
+// Config holds the parameters of a journal.
 type Config struct {
 	FS            FS
-	Budget        int64       // bytes that all files together may take
-	MaxBodyBytes  int64       // bytes that bodies of held messages may take in memory; 0: any number
-	TimeScale     clock.Scale // that records are dated on; the zero one is the wall clock
+	Budget        int64       // bytes that all files together may use
+	MaxBodyBytes  int64       // bytes that journaled message bodies may use in memory; 0: no limit
+	TimeScale     clock.Scale // time scale of the records; the zero value is the wall clock
 	Log           *slog.Logger
-	CompactInline bool // clean on the owner's goroutine: for tests that count operations
+	CompactInline bool // compact on the caller's goroutine, for tests that count operations
 }
 
-// Journal is owned by one goroutine.
+// Journal is the journal of one relay process. It is not safe for concurrent use.
 type Journal struct {
-	set    Config
-	segs   []*segment // by number; the last one is written to
-	file   File       // of the last one
-	salt   uint32     // of its checksums
-	good   int64      // bytes of it that are whole records
-	torn   bool       // something lies behind them that could not be cut yet
-	over   bool       // it refused a write: the next goes to a new segment
-	total  int64      // bytes that the segments take, in whole blocks
-	spots  map[uint32]spots
-	batch  []entry // records of this turn
-	batchB int64
-	arena  []byte // their bytes
-	buf    []byte
-	plan   []plan.Segment
-	looked int64  // commits when a segment to clean was looked for last
-	overs  uint64 // ordinal of the last message that was over
-	top    uint32 // largest message number
-	sick   bool   // the last write failed
-	keep   int64  // bytes of the reserve file; 0: it is used up
-	jobs   chan job
-	done   chan result
-	busy   bool // a cleaning is out
-	stats  Stats
+	config              Config
+	segments            []*segment // by number; the last one is active
+	activeFile          File       // file of the active segment
+	salt                uint32     // checksum salt of the active segment
+	validSize           int64      // bytes of the active segment that hold complete records
+	needsTruncate       bool       // data behind validSize is still to be truncated
+	writeRefused        bool       // a write to the active segment failed: the next goes to a new one
+	segmentBytes        int64      // bytes on disk of all segments, in whole blocks
+	locations           map[uint32]locations
+	batch               []entry // records not written yet
+	batchBytes          int64
+	arena               []byte // encoded records of batch
+	writeBuffer         []byte
+	candidates          []plan.Segment
+	lastCompactionCheck int64  // commit count at the last search for a segment to compact
+	completedSeq        uint64 // sequence number of the last completed message
+	maxNumber           uint32 // largest message number
+	unavailable         bool   // the last write failed
+	reserveSize         int64  // size of the reserve file; 0: there is none
+	jobs                chan compactionJob
+	results             chan compactionResult
+	compacting          bool // a compaction is running
+	stats               Stats
 }
 
-// Stats counts since the journal was opened.
+// Stats counts events since the journal was opened. Segments and UsedBytes are current values.
 type Stats struct {
 	BytesWritten, Commits, Records, Failures int64
-	Compactions, CompactedBytes              int64 // segments, and bytes that their copies took
+	Compactions, CompactedBytes              int64 // compacted segments, and bytes written for them
 	Segments                                 int
 	UsedBytes                                int64
 }
 
 type segment struct {
-	no      uint64
-	size    int64
-	live    int64
-	floor   int64
-	floorAt uint64           // overs as it was set
-	cleaned uint64           // number of the segment that was written to when it was last cleaned; 0: never
-	waits   bool             // it keeps ends of messages that an older segment may still have
-	nums    map[uint32]int64 // bytes of records of live messages
-	busy    bool             // it is being cleaned, or can't be read
+	number             uint64
+	size               int64
+	liveBytes          int64
+	retainedBytes      int64
+	retainedAtSeq      uint64           // completedSeq when retainedBytes was set
+	compactedAt        uint64           // number of the active segment at the last compaction; 0: never compacted
+	retainsCompletions bool             // it holds completion records of messages that an older segment may contain
+	messageBytes       map[uint32]int64 // bytes of records of pending messages, by message number
+	busy               bool             // it is being compacted, or is unreadable
 }
 
-func (s *segment) name() string { return fmt.Sprintf("%012d%s", s.no, segmentExt) }
+func (s *segment) name() string { return fmt.Sprintf("%012d%s", s.number, segmentExt) }
 
-// spot is where records of a live message lie; spots are all of them, the first in place.
+// location says how many bytes of a message's records a segment holds; locations are all of one
+// message, the first one without an allocation.
 type (
-	spot struct {
-		seg   *segment
-		bytes int64
+	location struct {
+		segment *segment
+		bytes   int64
 	}
-	spots struct {
-		first spot
-		more  []spot
+	locations struct {
+		first location
+		rest  []location
 	}
 )
 
-// entry is a record that waits for the turn's write.
+// entry is a record that waits for the next write.
 type entry struct {
-	from, to int      // in the arena
-	num      uint32   // the message that it is of; 0: see more
-	more     []uint32 // of a route step with several
-	kind     entryKind
-	over     uint32 // the message that it ends
+	start, end int      // offsets in the arena
+	number     uint32   // message that the record belongs to; 0: those in numbers
+	numbers    []uint32 // of an attempt with several messages
+	kind       entryKind
+	completed  uint32 // message that the record completes; 0: none
 }
 
-// entryKind says what becomes of a record that can't be written.
+// entryKind selects what happens to a record that can't be written.
 type entryKind int
 
 const (
-	entryEnd   entryKind = iota // it is kept until it could be
-	entryTaken                  // its message is not taken on
-	entryOut                    // its call does not go out
+	entryRetained entryKind = iota // kept until it is written
+	entryAccepted                  // dropped: its message is not accepted
+	entryAttempt                   // dropped: its call is not made
 )
 
-// rotate seals the segment that is written to and begins the next.
+// rotate seals the active segment and creates the next one.
 func (j *Journal) rotate() error {
-	g := &segment{no: 1, nums: map[uint32]int64{}}
-	if n := len(j.segs); n > 0 {
-		g.no = j.segs[n-1].no + 1
+	seg := &segment{number: 1, messageBytes: map[uint32]int64{}}
+	if n := len(j.segments); n > 0 {
+		seg.number = j.segments[n-1].number + 1
 	}
-	f, err := j.set.FS.Create(g.name())
+	f, err := j.config.FS.Create(seg.name())
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
 	salt := rand.Uint32()
-	head := appendHead(nil, g.no, j.top, salt)
-	if n, err := f.Write(head); err != nil || n < len(head) {
+	header := appendHeader(nil, seg.number, j.maxNumber, salt)
+	if n, err := f.Write(header); err != nil || n < len(header) {
 		f.Close()
-		j.set.FS.Remove(g.name())
+		j.config.FS.Remove(seg.name())
 		return fmt.Errorf("journal: %w", errors.Join(err, io.ErrShortWrite))
 	}
-	if j.file != nil {
-		j.file.Close()
+	if j.activeFile != nil {
+		j.activeFile.Close()
 	}
-	j.grow(g, int64(len(head)))
-	j.file, j.good, j.torn, j.over, j.salt = f, g.size, false, false, salt
-	j.segs = append(j.segs, g)
+	j.setSegmentSize(seg, int64(len(header)))
+	j.activeFile, j.validSize, j.needsTruncate, j.writeRefused, j.salt = f, seg.size, false, false, salt
+	j.segments = append(j.segments, seg)
 	return nil
 }
 
-// fill makes the reserve file, which gives way when the disk is full so that ends can still be recorded.
-func (j *Journal) fill() {
-	size := j.reserve()
-	if j.keep > 0 || size == 0 {
+// createReserve creates the reserve file, whose space is released when the disk is full so that
+// completions can still be written.
+func (j *Journal) createReserve() {
+	size := j.reserveTarget()
+	if j.reserveSize > 0 || size == 0 {
 		return
 	}
-	if err := writeWhole(j.set.FS, reserveName, make([]byte, size), noRest); err == nil {
-		j.keep = size
+	if err := writeFileAtomic(j.config.FS, reserveName, make([]byte, size), noPause); err == nil {
+		j.reserveSize = size
 	}
 }
 
-// reserve is how large the reserve file should be; 0 where the budget is too small for one.
-func (j *Journal) reserve() int64 { return min(j.set.Budget/64, 256<<10) / plan.Block * plan.Block }
+// reserveTarget returns the size of the reserve file in bytes; 0 if the budget is too small for
+// one.
+func (j *Journal) reserveTarget() int64 {
+	return min(j.config.Budget/64, 256<<10) / plan.BlockSize * plan.BlockSize
+}
 
-// Close gives the file back and ends cleaning. What was not committed is lost.
+// Close stops compaction and closes the active segment. Records that were not committed are lost.
 func (j *Journal) Close() error {
 	if j.jobs != nil {
 		close(j.jobs)
-		for range j.done {
+		for range j.results {
 		}
 		j.jobs = nil
 	}
-	return j.file.Close()
+	return j.activeFile.Close()
 }
 
-// SetBudget sets a new budget; what is there stays.
-func (j *Journal) SetBudget(budget int64) { j.set.Budget = budget }
+// SetBudget sets the disk budget in bytes. Existing data is kept.
+func (j *Journal) SetBudget(budget int64) { j.config.Budget = budget }
 
-// used is what all files take.
-func (j *Journal) used() int64 { return j.total + j.keep }
+// usedBytes returns the space that all files use on disk.
+func (j *Journal) usedBytes() int64 { return j.segmentBytes + j.reserveSize }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics.
 func (j *Journal) Stats() Stats {
-	j.stats.Segments, j.stats.UsedBytes = len(j.segs), j.used()
+	j.stats.Segments, j.stats.UsedBytes = len(j.segments), j.usedBytes()
 	return j.stats
 }
 
 // --- records ---
 
-// open begins a record, whose payload is appended to the arena; shut ends it.
-func (j *Journal) open() { j.arena = begin(j.arena) }
+// beginRecord starts a record in the arena. The caller appends the payload, then calls endRecord.
+func (j *Journal) beginRecord() { j.arena = beginFrame(j.arena) }
 
-func (j *Journal) shut(e entry) {
+func (j *Journal) endRecord(e entry) {
 	if n := len(j.batch); n > 0 {
-		e.from = j.batch[n-1].to
+		e.start = j.batch[n-1].end
 	}
-	e.to = len(j.arena)
-	frame(j.arena, e.from)
+	e.end = len(j.arena)
+	finishFrame(j.arena, e.start)
 	j.batch = append(j.batch, e)
-	j.batchB += int64(e.to - e.from)
+	j.batchBytes += int64(e.end - e.start)
 }
 
-func head(b []byte, kind byte, num uint32) []byte {
-	return binary.AppendUvarint(append(b, kind), uint64(num))
+func beginPayload(b []byte, kind byte, number uint32) []byte {
+	return binary.AppendUvarint(append(b, kind), uint64(number))
 }
 
-// AppendAccepted adds that m is taken on, and enters it into t. It holds once Commit has succeeded: only then may its client hear of it.
-// If Commit fails, the caller takes m out of the table again. Where there is no room for its body, a message that is
-// not repeatable may be taken on with its body in memory only: m.Unkept tells. The others' bodies may be let go by Settle.
-func (j *Journal) AppendAccepted(t *memory.Table, m *memory.Message, repeatable bool) error {
-	if j.sick || j.keep == 0 && j.reserve() > 0 {
-		return ErrUnavailable // also while the reserve is used up: what is taken on must be able to end
-	}
-	size := int64(frameHead + 40 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body) + len(m.PluginNotes) + len(m.Tenant) + len(m.OrderingKey))
-	used := j.used() + j.batchB
-	kind := recTaken
-	keptB, unkeptB := t.BodyBytes()
-	switch plan.Body(keptB, unkeptB, j.set.MaxBodyBytes, int64(len(m.Body)), plan.Room(j.set.Budget, used, len(j.spots), size),
-		plan.Room(j.set.Budget, used, len(j.spots), size-int64(len(m.Body))), repeatable) {
-	case plan.None:
+// AppendAccepted records that m is accepted and adds it to table. The client may be answered only
+// after Commit succeeds; if it fails, the caller removes m from the table. If there is no space for
+// the body, a message that is not repeatable may be accepted with its body in memory only;
+// m.MemoryOnly is then set. AppendAccepted returns ErrFull or ErrUnavailable if m can't be
+// accepted.
+func (j *Journal) AppendAccepted(table *memory.Table, m *memory.Message, repeatable bool) error {
+	if j.unavailable || j.reserveSize == 0 && j.reserveTarget() > 0 {
+		return ErrUnavailable // without the reserve there may be no space for the completion
+	}
+	recordSize := int64(frameHeaderSize + 40 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body) + len(m.PluginNotes) + len(m.Tenant) + len(m.OrderingKey))
+	used := j.usedBytes() + j.batchBytes
+	kind := recordAccepted
+	journaledBytes, memoryOnlyBytes := table.BodyBytes()
+	switch plan.ChooseBodyStorage(journaledBytes, memoryOnlyBytes, j.config.MaxBodyBytes, int64(len(m.Body)), plan.Fits(j.config.Budget, used, len(j.locations), recordSize),
+		plan.Fits(j.config.Budget, used, len(j.locations), recordSize-int64(len(m.Body))), repeatable) {
+	case plan.NotStored:
 		return ErrFull
-	case plan.Unkept:
-		kind, m.MemoryOnly = recUnkept, true
-	}
-	j.top = max(j.top, m.Number)
-	j.open()
-	j.arena = appendTerms(appendMessage(append(j.arena, kind), m, j.set.TimeScale), m.Terms)
-	if j.shut(entry{num: m.Number, kind: entryTaken}); len(m.PluginNotes) > 0 {
-		j.open()
-		j.arena = appendText(head(j.arena, recNotes, m.Number), m.PluginNotes)
-		j.shut(entry{num: m.Number, kind: entryTaken})
-	}
-	t.Add(m)
+	case plan.MemoryOnly:
+		kind, m.MemoryOnly = recordAcceptedMemoryOnly, true
+	}
+	j.maxNumber = max(j.maxNumber, m.Number)
+	j.beginRecord()
+	j.arena = appendTerms(appendMessage(append(j.arena, kind), m, j.config.TimeScale), m.Terms)
+	if j.endRecord(entry{number: m.Number, kind: entryAccepted}); len(m.PluginNotes) > 0 {
+		j.beginRecord()
+		j.arena = appendText(beginPayload(j.arena, recordPluginNotes, m.Number), m.PluginNotes)
+		j.endRecord(entry{number: m.Number, kind: entryAccepted})
+	}
+	table.Add(m)
 	return nil
 }
 
-// LimitBodyMemory lets go of the body of m, whose record is committed, while bodies take more memory than they may.
-func (j *Journal) LimitBodyMemory(t *memory.Table, m *memory.Message) {
-	if kept, _ := t.BodyBytes(); j.set.MaxBodyBytes > 0 && kept > j.set.MaxBodyBytes && !m.MemoryOnly && len(m.Body) > 0 {
-		t.SpillBody(m)
+// LimitBodyMemory releases the body of m, whose record is committed, if bodies exceed their memory
+// limit.
+func (j *Journal) LimitBodyMemory(table *memory.Table, m *memory.Message) {
+	if journaled, _ := table.BodyBytes(); j.config.MaxBodyBytes > 0 && journaled > j.config.MaxBodyBytes && !m.MemoryOnly && len(m.Body) > 0 {
+		table.SpillBody(m)
 	}
 }
 
-// ErrBodyLost says that a body that was let go can't be read again.
-var ErrBodyLost = errors.New("journal: body lost")
+// ErrBodyLost is returned when a body can't be read back from the journal.
+var ErrBodyLost = errors.New("journal: message body is not readable")
 
-// BodyLoader returns what reads the body of m again. It may be called on any goroutine, once, and waits for the disk.
+// BodyLoader returns a function that reads the body of m from the journal. The function blocks on
+// disk I/O and may be called once, on any goroutine. It returns ErrBodyLost if the body is gone.
 func (j *Journal) BodyLoader(m *memory.Message) func() ([]byte, error) {
-	at, ok := j.spots[m.Number]
+	recorded, ok := j.locations[m.Number]
 	if !ok {
 		return func() ([]byte, error) { return nil, ErrBodyLost }
 	}
-	// Cleaning renames a copy over the segment: under its name there is always one that has the record.
-	name, fs, num, dates := at.first.seg.name(), j.set.FS, m.Number, j.set.TimeScale
+	// Compaction replaces the segment atomically: the name always leads to a file that holds the
+	// record.
+	name, fs, number, timeScale := recorded.first.segment.name(), j.config.FS, m.Number, j.config.TimeScale
 	return func() (body []byte, err error) {
 		raw, err := fs.Read(name)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBodyLost, err)
 		}
 		err = ErrBodyLost
-		walk(raw, func(_, _ int, payload []byte, bad error) {
-			if bad == nil && err != nil && (payload[0] == recTaken || payload[0] == recKept) {
-				if m := read(payload, dates).message(); m.Number == num {
+		walkRecords(raw, func(_, _ int, payload []byte, bad error) {
+			if bad == nil && err != nil && (payload[0] == recordAccepted || payload[0] == recordSnapshot) {
+				if m := newRecordReader(payload, timeScale).message(); m.Number == number {
 					body, err = m.Body, nil
 				}
 			}
@@ -270,182 +282,187 @@
 	}
 }
 
-// AppendAttempt adds that a route step goes out with these messages. Only after Commit may the call's first byte go out.
-func (j *Journal) AppendAttempt(at time.Time, msgs []*memory.Message) {
-	j.open()
-	j.arena = binary.AppendVarint(append(j.arena, recOut), j.set.TimeScale.Date(at))
-	e := entry{num: msgs[0].Number, kind: entryOut}
-	for _, m := range msgs {
+// AppendAttempt records that an attempt starts with these messages. The first byte of the call may
+// be sent only after Commit succeeds.
+func (j *Journal) AppendAttempt(startedAt time.Time, messages []*memory.Message) {
+	j.beginRecord()
+	j.arena = binary.AppendVarint(append(j.arena, recordAttempt), j.config.TimeScale.Date(startedAt))
+	e := entry{number: messages[0].Number, kind: entryAttempt}
+	for _, m := range messages {
 		j.arena = binary.AppendUvarint(j.arena, uint64(m.Number))
-		if len(msgs) > 1 {
-			e.num, e.more = 0, append(e.more, m.Number)
+		if len(messages) > 1 {
+			e.number, e.numbers = 0, append(e.numbers, m.Number)
 		}
 	}
-	j.shut(e)
+	j.endRecord(e)
 }
 
-// AppendNotRun adds that the latest route step of m never ran.
+// AppendNotRun records that the latest attempt for m did not run.
 func (j *Journal) AppendNotRun(m *memory.Message) {
-	j.open()
-	j.arena = head(j.arena, recNotRun, m.Number)
-	j.shut(entry{num: m.Number})
+	j.beginRecord()
+	j.arena = beginPayload(j.arena, recordNotRun, m.Number)
+	j.endRecord(entry{number: m.Number})
 }
 
-// AppendUndelivered adds that m, whose Owed is set, is ended by a notice.
+// AppendUndelivered records that m ended undelivered, with m.Notification outstanding.
 func (j *Journal) AppendUndelivered(m *memory.Message) {
-	j.open()
-	j.arena = appendNotice(head(j.arena, recOwed, m.Number), *m.Notification)
-	j.shut(entry{num: m.Number})
+	j.beginRecord()
+	j.arena = appendNotification(beginPayload(j.arena, recordUndelivered, m.Number), *m.Notification)
+	j.endRecord(entry{number: m.Number})
 }
 
-// AppendCompleted adds that nothing more is owed for m. Its id is kept for a while, unless it may be taken on anew.
-func (j *Journal) AppendCompleted(m *memory.Message, anew bool) {
-	j.overs++
+// AppendCompleted records that m is completed. Its id is remembered for a while, unless the message
+// may be accepted again.
+func (j *Journal) AppendCompleted(m *memory.Message, resubmittable bool) {
+	j.completedSeq++
 	id := m.ID
-	if anew {
+	if resubmittable {
 		id = ""
 	}
-	j.open()
-	j.arena = appendText(binary.AppendUvarint(head(j.arena, recOver, m.Number), j.overs), id)
-	j.shut(entry{over: m.Number})
+	j.beginRecord()
+	j.arena = appendText(binary.AppendUvarint(beginPayload(j.arena, recordCompleted, m.Number), j.completedSeq), id)
+	j.endRecord(entry{completed: m.Number})
 }
 
-// Commit writes the records of this turn at once. Where taken is an error, what was taken on in this turn does not hold; where
-// out is one, what was to go out does not. Ends are kept and written as soon as the disk takes them.
-func (j *Journal) Commit() (taken, out error) {
-	j.poll()
+// Commit writes the pending records with one write. If acceptErr is set, the messages accepted
+// since the last Commit are not accepted. If attemptErr is set, the attempts since the last Commit
+// must not be made. Completions are kept and written as soon as the disk allows it.
+func (j *Journal) Commit() (acceptErr, attemptErr error) {
+	j.pollCompaction()
 	if len(j.batch) == 0 {
 		return nil, nil
 	}
-	err := j.write()
-	if err != nil && !j.sick && j.good > int64(headSize) {
-		err = j.write() // in a new segment: only the size of the old one may be bounded
+	err := j.writeBatch()
+	if err != nil && !j.unavailable && j.validSize > int64(headerSize) {
+		err = j.writeBatch() // in a new segment, since the file size may be limited
 	}
 	if err == nil {
-		j.sick = false
-		j.clean()
+		j.unavailable = false
+		j.compact()
 		return nil, nil
 	}
-	if !j.sick {
-		j.set.Log.Error("journal takes no records: nothing new is taken on", "err", err)
+	if !j.unavailable {
+		j.config.Log.Error("journal write failed; rejecting new messages", "err", err)
 	}
-	j.sick = true
+	j.unavailable = true
 	j.stats.Failures++
-	taken = fmt.Errorf("%w: %w", ErrUnavailable, err)
-	// Guards against steps and ends that a full disk keeps out: the reserve gives its room to them, and nothing new is
-	// taken on until it could be made again.
-	if j.drop(entryTaken); j.keep > 0 && j.set.FS.Remove(reserveName) == nil {
-		j.keep = 0
+	acceptErr = fmt.Errorf("%w: %w", ErrUnavailable, err)
+	// The reserve makes space for attempts and completions on a full disk. No message is accepted
+	// until it can be created again.
+	if j.dropEntries(entryAccepted); j.reserveSize > 0 && j.config.FS.Remove(reserveName) == nil {
+		j.reserveSize = 0
 	}
-	if len(j.batch) > 0 && j.write() != nil {
-		j.drop(entryOut)
-		return taken, taken
+	if len(j.batch) > 0 && j.writeBatch() != nil {
+		j.dropEntries(entryAttempt)
+		return acceptErr, acceptErr
 	}
-	return taken, nil
+	return acceptErr, nil
 }
 
-// Maintain is called now and then, also while nothing is written: it takes the end of a cleaning in, and finds out whether a disk that was
-// full takes records again.
+// Maintain is to be called at intervals, even when nothing is written. It handles finished
+// compactions and detects that a full disk has space again.
 func (j *Journal) Maintain() {
-	j.poll()
-	if j.fill(); j.sick && (j.keep > 0 || j.reserve() == 0) {
-		j.sick = false
-		j.set.Log.Info("journal takes records again")
+	j.pollCompaction()
+	if j.createReserve(); j.unavailable && (j.reserveSize > 0 || j.reserveTarget() == 0) {
+		j.unavailable = false
+		j.config.Log.Info("journal can be written again; accepting new messages")
 	}
-	j.clean()
+	j.compact()
 }
 
-// drop takes what does not hold out of the batch.
-func (j *Journal) drop(kind entryKind) {
-	kept, arena := j.batch[:0], j.arena[:0]
+// dropEntries removes the entries of that kind from the batch.
+func (j *Journal) dropEntries(kind entryKind) {
+	remaining, arena := j.batch[:0], j.arena[:0]
 	for _, e := range j.batch {
 		if e.kind != kind {
-			from := len(arena)
-			arena = append(arena, j.arena[e.from:e.to]...)
-			e.from, e.to = from, len(arena)
-			kept = append(kept, e)
+			start := len(arena)
+			arena = append(arena, j.arena[e.start:e.end]...)
+			e.start, e.end = start, len(arena)
+			remaining = append(remaining, e)
 		}
 	}
-	j.batch, j.arena, j.batchB = kept, arena, int64(len(arena))
+	j.batch, j.arena, j.batchBytes = remaining, arena, int64(len(arena))
 }
 
-// write writes the batch behind the good bytes of the segment, in a new one if that is full.
-func (j *Journal) write() error {
-	if j.torn {
-		if err := j.file.Truncate(j.good); err != nil {
+// writeBatch appends the batch to the active segment, or to a new one if that is full.
+func (j *Journal) writeBatch() error {
+	if j.needsTruncate {
+		if err := j.activeFile.Truncate(j.validSize); err != nil {
 			return err
 		}
-		j.torn = false
+		j.needsTruncate = false
 	}
-	// A segment that refused a write is left: a bound on the size of a file would refuse the next one as well.
-	if plan.Seal(j.set.Budget, j.good-int64(headSize), j.batchB+batchHead) || j.over && j.good > int64(headSize) {
+	// After a failed write a new segment is used, since a limit on the file size would fail the
+	// next write as well.
+	if plan.ShouldSeal(j.config.Budget, j.validSize-int64(headerSize), j.batchBytes+maxBatchHeaderSize) || j.writeRefused && j.validSize > int64(headerSize) {
 		if err := j.rotate(); err != nil {
 			return err
 		}
 	}
-	j.buf = j.buf[:0]
-	if j.refusable() {
-		j.buf = appendBatch(j.buf, len(j.arena), j.salt)
+	j.writeBuffer = j.writeBuffer[:0]
+	if j.needsAtomicBatch() {
+		j.writeBuffer = appendBatch(j.writeBuffer, len(j.arena), j.salt)
 	}
-	from := len(j.buf)
-	j.buf = append(j.buf, j.arena...)
+	start := len(j.writeBuffer)
+	j.writeBuffer = append(j.writeBuffer, j.arena...)
 	for _, e := range j.batch {
-		salted(j.buf[from+e.from:], j.salt)
+		applySalt(j.writeBuffer[start+e.start:], j.salt)
 	}
-	n, err := j.file.Write(j.buf)
-	if err == nil && n < len(j.buf) {
+	n, err := j.activeFile.Write(j.writeBuffer)
+	if err == nil && n < len(j.writeBuffer) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		// Guards against records that were promised to nobody and yet are there: they are cut before anything else is written.
-		if j.over = true; n > 0 {
-			j.torn = j.file.Truncate(j.good) != nil
+		// Truncates records whose write was reported as failed before anything else is written.
+		if j.writeRefused = true; n > 0 {
+			j.needsTruncate = j.activeFile.Truncate(j.validSize) != nil
 		}
 		return err
 	}
-	g := j.segs[len(j.segs)-1]
+	seg := j.segments[len(j.segments)-1]
 	for _, e := range j.batch {
-		if e.num != 0 {
-			j.book(g, e.num, int64(e.to-e.from))
+		if e.number != 0 {
+			j.addRecordBytes(seg, e.number, int64(e.end-e.start))
 		}
-		for _, num := range e.more {
-			j.book(g, num, int64(e.to-e.from))
+		for _, number := range e.numbers {
+			j.addRecordBytes(seg, number, int64(e.end-e.start))
 		}
-		if e.over != 0 {
-			j.unbook(e.over)
+		if e.completed != 0 {
+			j.removeRecords(e.completed)
 		}
 	}
-	j.good += int64(n)
-	j.grow(g, j.good)
+	j.validSize += int64(n)
+	j.setSegmentSize(seg, j.validSize)
 	j.stats.BytesWritten += int64(n)
 	j.stats.Commits++
 	j.stats.Records += int64(len(j.batch))
-	j.batch, j.batchB, j.arena = j.batch[:0], 0, j.arena[:0]
+	j.batch, j.batchBytes, j.arena = j.batch[:0], 0, j.arena[:0]
 	return nil
 }
 
-// refusable tells whether the batch has several records, and one that does not hold if not all of them are written. Guards against the half
-// of a write that failed, could not be cut off, and is found by the next life: what was refused would be taken on.
-func (j *Journal) refusable() bool {
-	return len(j.batch) > 1 && slices.ContainsFunc(j.batch, func(e entry) bool { return e.kind != entryEnd })
+// needsAtomicBatch reports whether the batch has several records, at least one of which is void if
+// not all are written. It prevents a restart from accepting messages that were rejected because
+// their write failed half way and could not be truncated.
+func (j *Journal) needsAtomicBatch() bool {
+	return len(j.batch) > 1 && slices.ContainsFunc(j.batch, func(e entry) bool { return e.kind != entryRetained })
 }
 
-func (j *Journal) book(g *segment, num uint32, bytes int64) {
-	j.note(num, spot{g, bytes})
-	g.nums[num] += bytes
-	g.live += bytes
+func (j *Journal) addRecordBytes(seg *segment, number uint32, bytes int64) {
+	j.addLocation(number, location{seg, bytes})
+	seg.messageBytes[number] += bytes
+	seg.liveBytes += bytes
 }
 
-func (j *Journal) unbook(num uint32) {
-	s, ok := j.spots[num]
+func (j *Journal) removeRecords(number uint32) {
+	known, ok := j.locations[number]
 	if !ok {
 		return
 	}
-	s.first.seg.live -= s.first.bytes
-	delete(s.first.seg.nums, num)
-	for _, at := range s.more {
-		at.seg.live -= at.bytes
-		delete(at.seg.nums, num)
+	known.first.segment.liveBytes -= known.first.bytes
+	delete(known.first.segment.messageBytes, number)
+	for _, loc := range known.rest {
+		loc.segment.liveBytes -= loc.bytes
+		delete(loc.segment.messageBytes, number)
 	}
-	delete(j.spots, num)
+	delete(j.locations, number)
 }
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -18,45 +18,46 @@
 	"oatfold/internal/standin/disk"
 )
 
-// The same verdict each time; -rapid.seed=N searches on.
+// A fixed seed makes the result repeatable; -rapid.seed=N tries others.
 func init() { flag.Set("rapid.seed", "20261201") }
 
 var quiet = slog.New(slog.DiscardHandler)
 
 var wall = time.UnixMicro(1_700_000_000_000_000)
 
-// fate is what the journal has promised of a message.
-type fate struct {
-	msg   memory.Message
-	out   bool // a step went out of which it is not proved that it did not run
-	steps int
-	owed  *memory.Notification
-	over  bool
+// expectation is what the journal must hold of a message.
+type expectation struct {
+	message      memory.Message
+	mayHaveRun   bool // an attempt was made that is not known not to have run
+	attempts     int
+	notification *memory.Notification
+	completed    bool
 }
 
-// life drives a journal as the host does, and keeps what was promised and what was on its way when the process died.
-type life struct {
-	j        *journal.Journal
-	t        *memory.Table
-	promised map[string]fate
-	tried    map[string]fate // of this turn
-	limbo    map[string]fate // of turns that the disk did not take: their ends wait, and hold with the next turn that it takes
-	next     *int
-	room     int // messages refused
+// journalDriver drives a journal as the relay does, and tracks what was committed and what was in
+// progress when the process died.
+type journalDriver struct {
+	journal     *journal.Journal
+	table       *memory.Table
+	committed   map[string]expectation
+	uncommitted map[string]expectation // of this iteration
+	unwritten   map[string]expectation // of iterations whose write failed: completions are written with the next successful commit
+	lastID      *int
+	rejected    int // number of rejected messages
 }
 
-func start(d journal.FS, budget int64) (*life, error) {
-	j, t, err := journal.Open(journal.Config{FS: d, Budget: budget, Log: quiet, CompactInline: true})
+func startDriver(d journal.FS, budget int64) (*journalDriver, error) {
+	j, table, err := journal.Open(journal.Config{FS: d, Budget: budget, Log: quiet, CompactInline: true})
 	if err != nil {
 		return nil, err
 	}
-	return &life{j: j, t: t, promised: map[string]fate{}, tried: map[string]fate{}, limbo: map[string]fate{}, next: new(int)}, nil
+	return &journalDriver{journal: j, table: table, committed: map[string]expectation{}, uncommitted: map[string]expectation{}, unwritten: map[string]expectation{}, lastID: new(int)}, nil
 }
 
-// held returns a message that is held and not ended, nil if there is none.
-func (l *life) held(r *rand.Rand) *memory.Message {
+// randomMessage returns a message of the table, nil if there is none.
+func (driver *journalDriver) randomMessage(r *rand.Rand) *memory.Message {
 	var all []*memory.Message
-	for _, m := range l.t.All() {
+	for _, m := range driver.table.All() {
 		all = append(all, m)
 	}
 	if len(all) == 0 {
@@ -66,226 +67,228 @@
 	return all[r.IntN(len(all))]
 }
 
-// turn does some steps and commits them; it tells whether the disk still lives.
-func (l *life) turn(r *rand.Rand, body int) bool {
-	clear(l.tried)
-	var fresh []*memory.Message
-	var outs []*memory.Message
+// runIteration appends some records and commits them. It reports whether the disk still works.
+func (driver *journalDriver) runIteration(r *rand.Rand, body int) bool {
+	clear(driver.uncommitted)
+	var accepted []*memory.Message
+	var attempted []*memory.Message
 	for range 1 + r.IntN(4) {
-		m := l.held(r)
+		m := driver.randomMessage(r)
 		if m == nil || r.IntN(3) == 0 {
-			*l.next++
-			m = &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", *l.next), Class: "fee-charge", IdempotencyKey: "key", Dest: 7, Deadline: wall, Body: make([]byte, r.IntN(body))}
+			*driver.lastID++
+			m = &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID), Class: "fee-charge", IdempotencyKey: "key", Dest: 7, Deadline: wall, Body: make([]byte, r.IntN(body))}
 			for i := range m.Body {
 				m.Body[i] = byte(r.Uint32())
 			}
 			if r.IntN(8) == 0 {
 				m.PluginNotes = []byte("notes")
 			}
-			if err := l.j.AppendAccepted(l.t, m, true); err != nil {
-				l.room++
+			if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
+				driver.rejected++
 				continue
 			}
-			l.tried[m.ID] = fate{msg: *m}
-			fresh = append(fresh, m)
+			driver.uncommitted[m.ID] = expectation{message: *m}
+			accepted = append(accepted, m)
 			continue
 		}
-		if slices.Contains(fresh, m) || slices.Contains(outs, m) {
-			continue // its client has not heard of it, or its step has not gone out
+		if slices.Contains(accepted, m) || slices.Contains(attempted, m) {
+			continue // its client is not answered yet, or its attempt is not made yet
 		}
-		f := l.last(m.ID)
+		expected := driver.latest(m.ID)
 		switch {
 		case m.Notification != nil || r.IntN(4) == 0 && m.InFlight == nil:
-			l.t.Remove(m)
-			l.j.AppendCompleted(m, false)
-			f.over = true
+			driver.table.Remove(m)
+			driver.journal.AppendCompleted(m, false)
+			expected.completed = true
 		case m.InFlight == nil && r.IntN(5) == 0:
-			n := memory.Notification{Returned: r.IntN(2) == 0, RetryAfter: time.Duration(r.IntN(3000)) * time.Millisecond}
-			l.t.MarkUndelivered(m, n)
-			l.j.AppendUndelivered(m)
-			f.owed = &n
+			notification := memory.Notification{Returned: r.IntN(2) == 0, RetryAfter: time.Duration(r.IntN(3000)) * time.Millisecond}
+			driver.table.MarkUndelivered(m, notification)
+			driver.journal.AppendUndelivered(m)
+			expected.notification = &notification
 		case m.InFlight == nil:
 			m.InFlight = &memory.Attempt{Number: m.Attempts, StartedAt: wall}
 			m.Attempts++
-			l.j.AppendAttempt(wall, []*memory.Message{m})
-			outs = append(outs, m)
-			f.steps, f.out = f.steps+1, true
+			driver.journal.AppendAttempt(wall, []*memory.Message{m})
+			attempted = append(attempted, m)
+			expected.attempts, expected.mayHaveRun = expected.attempts+1, true
 		case r.IntN(2) == 0 && m.MayHaveRunSince.IsZero():
 			m.InFlight = nil
-			l.j.AppendNotRun(m)
-			f.out = false
+			driver.journal.AppendNotRun(m)
+			expected.mayHaveRun = false
 		default:
 			if m.InFlight = nil; m.MayHaveRunSince.IsZero() {
 				m.MayHaveRunSince = wall
 			}
 		}
-		l.tried[m.ID] = f
+		driver.uncommitted[m.ID] = expected
 	}
-	taken, out := l.j.Commit()
-	if errors.Is(taken, disk.ErrKilled) || errors.Is(out, disk.ErrKilled) {
+	acceptErr, attemptErr := driver.journal.Commit()
+	if errors.Is(acceptErr, disk.ErrKilled) || errors.Is(attemptErr, disk.ErrKilled) {
 		return false
 	}
-	for _, m := range fresh {
-		if taken != nil {
-			l.t.Remove(m)
-			l.t.ForgetCompleted(m.ID)
-			delete(l.tried, m.ID)
+	for _, m := range accepted {
+		if acceptErr != nil {
+			driver.table.Remove(m)
+			driver.table.ForgetCompleted(m.ID)
+			delete(driver.uncommitted, m.ID)
 		}
 	}
-	for _, m := range outs {
-		if out != nil {
+	for _, m := range attempted {
+		if attemptErr != nil {
 			m.InFlight, m.Attempts = nil, m.Attempts-1
-			delete(l.tried, m.ID)
+			delete(driver.uncommitted, m.ID)
 		}
 	}
-	for id, f := range l.tried {
-		l.limbo[id] = f
+	for id, expected := range driver.uncommitted {
+		driver.unwritten[id] = expected
 	}
-	if taken == nil {
-		for id, f := range l.limbo {
-			l.promised[id] = f
+	if acceptErr == nil {
+		for id, expected := range driver.unwritten {
+			driver.committed[id] = expected
 		}
-		clear(l.limbo)
+		clear(driver.unwritten)
 	}
-	clear(l.tried)
+	clear(driver.uncommitted)
 	return true
 }
 
-// last is the latest that is known of a message.
-func (l *life) last(id string) fate {
-	for _, known := range []map[string]fate{l.tried, l.limbo} {
+// latest returns the latest expectation of a message.
+func (driver *journalDriver) latest(id string) expectation {
+	for _, known := range []map[string]expectation{driver.uncommitted, driver.unwritten} {
 		if f, ok := known[id]; ok {
 			return f
 		}
 	}
-	return l.promised[id]
+	return driver.committed[id]
 }
 
-// audit checks what a next life finds against what was promised; what was on its way may hold or not.
-func (l *life) audit(t interface{ Fatalf(string, ...any) }, what string, found *memory.Table) {
+// checkRecovered compares what a restart finds with what was committed. Changes in progress may or
+// may not be there.
+func (driver *journalDriver) checkRecovered(t interface{ Fatalf(string, ...any) }, what string, found *memory.Table) {
 	byID := map[string]*memory.Message{}
 	for _, m := range found.All() {
 		byID[m.ID] = m
 	}
-	for id, f := range l.promised {
-		m, may := byID[id], l.last(id)
+	for id, expected := range driver.committed {
+		m, latest := byID[id], driver.latest(id)
 		switch {
-		case f.over && m != nil:
-			t.Fatalf("%s: %s came back after its end", what, id)
-		case f.over && !found.RecentlyCompleted(id):
-			t.Fatalf("%s: the id %s of a message that is over is forgotten", what, id)
-		case f.over || m == nil && may.over:
+		case expected.completed && m != nil:
+			t.Fatalf("%s: completed message %s was recovered", what, id)
+		case expected.completed && !found.RecentlyCompleted(id):
+			t.Fatalf("%s: completed id %s is forgotten", what, id)
+		case expected.completed || m == nil && latest.completed:
 			continue
 		case m == nil:
 			t.Fatalf("%s: %s is lost", what, id)
 		}
-		if m.Class != f.msg.Class || m.IdempotencyKey != f.msg.IdempotencyKey || m.Dest != f.msg.Dest || !m.Deadline.Equal(f.msg.Deadline) || string(m.PluginNotes) != string(f.msg.PluginNotes) ||
-			m.Notification == nil && string(m.Body) != string(f.msg.Body) {
-			t.Fatalf("%s: %s is not what was taken on: %+v", what, id, m)
+		if m.Class != expected.message.Class || m.IdempotencyKey != expected.message.IdempotencyKey || m.Dest != expected.message.Dest || !m.Deadline.Equal(expected.message.Deadline) || string(m.PluginNotes) != string(expected.message.PluginNotes) ||
+			m.Notification == nil && string(m.Body) != string(expected.message.Body) {
+			t.Fatalf("%s: %s differs from the accepted message: %+v", what, id, m)
 		}
-		if f.out && m.MayHaveRunSince.IsZero() && may.out {
-			t.Fatalf("%s: %s may have run, which is forgotten", what, id)
+		if expected.mayHaveRun && m.MayHaveRunSince.IsZero() && latest.mayHaveRun {
+			t.Fatalf("%s: %s may have run, but this is not recorded", what, id)
 		}
-		if m.Attempts < f.steps {
-			t.Fatalf("%s: %s has %d steps of %d", what, id, m.Attempts, f.steps)
+		if m.Attempts < expected.attempts {
+			t.Fatalf("%s: %s has %d attempts of %d", what, id, m.Attempts, expected.attempts)
 		}
-		if f.owed != nil && (m.Notification == nil || *m.Notification != *f.owed) {
-			t.Fatalf("%s: the notice of %s is forgotten", what, id)
+		if expected.notification != nil && (m.Notification == nil || *m.Notification != *expected.notification) {
+			t.Fatalf("%s: the notification of %s is lost", what, id)
 		}
 	}
 	for id := range byID {
-		if _, ok := l.promised[id]; !ok {
-			if l.last(id).msg.ID == "" {
-				t.Fatalf("%s: %s from nowhere", what, id)
+		if _, ok := driver.committed[id]; !ok {
+			if driver.latest(id).message.ID == "" {
+				t.Fatalf("%s: %s was never accepted", what, id)
 			}
 		}
 	}
 }
 
-const small = 256 << 10 // a budget in which segments of 64 KiB are cleaned all the time
+const smallBudget = 256 << 10 // bytes; segments of 64 KiB are compacted all the time
 
-// A recorded life is killed before, in and after each operation on its files: what was promised holds in the next life,
-// also where that one is killed at each operation of its start.
-func TestKilledAtEachOperation(t *testing.T) {
-	const turns, seed = 400, 3
-	play := func(d *disk.Disk) *life {
-		l, err := start(d, small)
+// Kills the process before, during and after each operation on its files, and again at each
+// operation of the recovery: what was committed is always recovered.
+func TestCrashAtEveryOperation(t *testing.T) {
+	const iterations, seed = 400, 3
+	run := func(d *disk.Disk) *journalDriver {
+		driver, err := startDriver(d, smallBudget)
 		if err != nil {
 			return nil
 		}
-		for r, n := rand.New(rand.NewPCG(seed, 0)), 0; n < turns && l.turn(r, 3000); n++ {
+		for r, n := rand.New(rand.NewPCG(seed, 0)), 0; n < iterations && driver.runIteration(r, 3000); n++ {
 		}
-		return l
+		return driver
 	}
-	whole := disk.New()
-	l := play(whole)
-	if s := l.j.Stats(); s.Compactions < 10 || l.room > turns {
-		t.Fatalf("a life in which little is cleaned: %+v, %d refused", s, l.room)
+	recording := disk.New()
+	driver := run(recording)
+	if s := driver.journal.Stats(); s.Compactions < 10 || driver.rejected > iterations {
+		t.Fatalf("too few compactions: %+v, %d rejected", s, driver.rejected)
 	}
-	faults := 0
-	for n := 1; n <= whole.Ops(); n++ {
-		for _, f := range []disk.Fault{disk.Kill, disk.Torn} {
+	injected := 0
+	for n := 1; n <= recording.Ops(); n++ {
+		for _, fault := range []disk.Fault{disk.Kill, disk.Torn} {
 			d := disk.New()
-			d.Fail(n, f)
-			l := play(d)
-			if l == nil {
-				l = &life{}
+			d.Fail(n, fault)
+			driver := run(d)
+			if driver == nil {
+				driver = &journalDriver{}
 			}
-			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", f, n, whole.Ops(), d.Log()[n-1])
-			faults++
+			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", fault, n, recording.Ops(), d.Log()[n-1])
+			injected++
 			next := d.Revive()
-			j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
+			j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			l.audit(t, what, found)
+			driver.checkRecovered(t, what, found)
 			j.Close()
-			for m := 1; m <= next.Ops(); m++ { // killed in recovery, and again
-				for _, g := range []disk.Fault{disk.Kill, disk.Torn} {
+			for operation := 1; operation <= next.Ops(); operation++ { // crash during recovery
+				for _, recoveryFault := range []disk.Fault{disk.Kill, disk.Torn} {
 					again := d.Revive()
-					again.Fail(m, g)
-					journal.Open(journal.Config{FS: again, Budget: small, Log: quiet, CompactInline: true})
-					faults++
-					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: small, Log: quiet, CompactInline: true})
+					again.Fail(operation, recoveryFault)
+					journal.Open(journal.Config{FS: again, Budget: smallBudget, Log: quiet, CompactInline: true})
+					injected++
+					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: smallBudget, Log: quiet, CompactInline: true})
 					if err != nil {
-						t.Fatalf("%s, then %d of recovery: %v", what, m, err)
+						t.Fatalf("%s, then crash at operation %d of recovery: %v", what, operation, err)
 					}
-					l.audit(t, fmt.Sprintf("%s, then %d of recovery", what, m), found)
+					driver.checkRecovered(t, fmt.Sprintf("%s, then crash at operation %d of recovery", what, operation), found)
 				}
 			}
 		}
 	}
-	if faults < 10_000 {
-		t.Errorf("only %d faults", faults)
+	if injected < 10_000 {
+		t.Errorf("only %d faults injected", injected)
 	}
-	t.Logf("%d faults at %d operations", faults, whole.Ops())
+	t.Logf("%d faults at %d operations", injected, recording.Ops())
 }
 
-// Random lives with random faults, some that the process survives: what was promised holds over all of them.
+// Random restarts with random faults, some of which the process survives: what was committed is
+// recovered each time.
 func TestRandomLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := disk.New()
-		var l *life
+		var driver *journalDriver
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for n := range rapid.IntRange(1, 4).Draw(t, "lives") {
-			next, err := start(d, small)
+			next, err := startDriver(d, smallBudget)
 			if err != nil {
-				t.Fatalf("life %d: %v", n, err)
+				t.Fatalf("restart %d: %v", n, err)
 			}
-			if l != nil {
-				l.audit(t, fmt.Sprint("life ", n), next.t)
-				*next.next = *l.next
+			if driver != nil {
+				driver.checkRecovered(t, fmt.Sprint("restart ", n), next.table)
+				*next.lastID = *driver.lastID
 			}
-			for _, m := range next.t.All() { // what is found is what is promised from now on
-				next.promised[m.ID] = fate{msg: *m, out: !m.MayHaveRunSince.IsZero(), steps: m.Attempts, owed: m.Notification}
+			for _, m := range next.table.All() { // the recovered state is what must be kept from now on
+				next.committed[m.ID] = expectation{message: *m, mayHaveRun: !m.MayHaveRunSince.IsZero(), attempts: m.Attempts, notification: m.Notification}
 			}
-			l = next
+			driver = next
 			for range rapid.IntRange(0, 6).Draw(t, "faults") {
 				d.Fail(d.Ops()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]disk.Fault{disk.Error, disk.Short, disk.Error, disk.Short, disk.Kill, disk.Torn}).Draw(t, "fault"))
 			}
-			for turns := rapid.IntRange(1, 80).Draw(t, "turns"); turns > 0 && l.turn(r, 3000); turns-- {
+			for iterations := rapid.IntRange(1, 80).Draw(t, "turns"); iterations > 0 && driver.runIteration(r, 3000); iterations-- {
 				if r.IntN(10) == 0 {
-					l.j.Maintain()
+					driver.journal.Maintain()
 				}
 			}
 			d = d.Revive()
@@ -293,91 +296,91 @@
 	})
 }
 
-// The disk is full: new work is refused and steps and ends of what is held are recorded all the same; once there is room again
-// service comes back by itself.
+// On a full disk new messages are rejected, while attempts and completions of pending ones are
+// still recorded. Once there is space, messages are accepted again.
 func TestFullDisk(t *testing.T) {
 	d := disk.New()
-	l, err := start(d, 4<<20)
+	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	take := func() (*memory.Message, error) {
-		*l.next++
-		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", *l.next), Class: "c", Deadline: wall, Body: make([]byte, 2000)}
-		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
+	accept := func() (*memory.Message, error) {
+		*driver.lastID++
+		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID), Class: "c", Deadline: wall, Body: make([]byte, 2000)}
+		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			return nil, err
 		}
-		taken, _ := l.j.Commit()
-		if taken != nil {
-			l.t.Remove(m)
-			l.t.ForgetCompleted(m.ID)
+		acceptErr, _ := driver.journal.Commit()
+		if acceptErr != nil {
+			driver.table.Remove(m)
+			driver.table.ForgetCompleted(m.ID)
 		}
-		return m, taken
+		return m, acceptErr
 	}
-	var held []*memory.Message
+	var pending []*memory.Message
 	for range 100 {
-		m, err := take()
+		m, err := accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, m)
+		pending = append(pending, m)
 	}
 	d.Room(d.Used())
-	refused := 0
+	rejected := 0
 	for range 3 {
-		if _, err := take(); err != nil {
-			refused++
+		if _, err := accept(); err != nil {
+			rejected++
 		}
-		if _, err := take(); errors.Is(err, journal.ErrUnavailable) {
-			refused++
+		if _, err := accept(); errors.Is(err, journal.ErrUnavailable) {
+			rejected++
 		}
 	}
-	if refused < 5 { // the last block may have room for one
-		t.Errorf("%d of 6 refused", refused)
+	if rejected < 5 { // the last block may have space for one
+		t.Errorf("%d of 6 rejected", rejected)
 	}
-	for i, m := range held {
+	for i, m := range pending {
 		m.InFlight = &memory.Attempt{StartedAt: wall}
-		l.j.AppendAttempt(wall, []*memory.Message{m})
-		if _, out := l.j.Commit(); out != nil {
-			t.Fatalf("step %d of what is held: %v", i, out)
+		driver.journal.AppendAttempt(wall, []*memory.Message{m})
+		if _, attemptErr := driver.journal.Commit(); attemptErr != nil {
+			t.Fatalf("attempt %d of a pending message: %v", i, attemptErr)
 		}
-		l.t.Remove(m)
-		l.j.AppendCompleted(m, false)
-		if taken, out := l.j.Commit(); taken != nil || out != nil {
-			t.Fatalf("end %d of what is held: %v, %v", i, taken, out)
+		driver.table.Remove(m)
+		driver.journal.AppendCompleted(m, false)
+		if acceptErr, attemptErr := driver.journal.Commit(); acceptErr != nil || attemptErr != nil {
+			t.Fatalf("completion %d of a pending message: %v, %v", i, acceptErr, attemptErr)
 		}
 	}
 	_, found, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 4 << 20, Log: quiet, CompactInline: true})
 	if err == nil && len(found.All()) > 1 {
-		t.Errorf("%d messages came back", len(found.All()))
+		t.Errorf("%d completed messages recovered", len(found.All()))
 	}
 	d.Room(0)
-	l.j.Maintain()
-	if _, err := take(); err != nil {
-		t.Errorf("with room again: %v", err)
+	driver.journal.Maintain()
+	if _, err := accept(); err != nil {
+		t.Errorf("with space again: %v", err)
 	}
 }
 
-// A record or a length in the middle of an old segment is spoilt: what lies behind it is read, and the place is named. A body
-// that holds records is no way to smuggle any in.
-func TestCorruptMiddle(t *testing.T) {
+// With a corrupt record or length in the middle of a segment, the records behind it are read and
+// the fault is reported. Records inside a message body are never read as such.
+func TestCorruptSegment(t *testing.T) {
 	d := disk.New()
-	l, err := start(d, 4<<20)
+	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := disk.New()
-	smuggler, _ := start(other, 4<<20)
-	smuggled := &memory.Message{Number: 1, ID: "smuggled", Class: "c", Deadline: wall}
-	smuggler.j.AppendAccepted(smuggler.t, smuggled, true)
-	smuggler.j.Commit()
+	source, _ := startDriver(other, 4<<20)
+	embedded := &memory.Message{Number: 1, ID: "smuggled", Class: "c", Deadline: wall}
+	source.journal.AppendAccepted(source.table, embedded, true)
+	source.journal.Commit()
 	record, _ := other.Read("000000000001.seg")
 	for n := range 10 {
-		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: append([]byte("body"), record[24:]...)}
-		if err := l.j.AppendAccepted(l.t, m, true); err != nil {
+		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: append([]byte("body"), record[24:]...)}
+		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			t.Fatal(err)
 		}
-		l.j.Commit()
+		driver.journal.Commit()
 	}
 	whole, _ := d.Read("000000000001.seg")
 	at := len(whole) / 2
@@ -398,56 +401,56 @@
 		}
 		for _, m := range found.All() {
 			if m.ID == "smuggled" {
-				t.Errorf("%s: a record came out of a body", what)
+				t.Errorf("%s: a record inside a message body was read", what)
 			}
 		}
 	}
 	if in, err := journal.Inspect(d, nil); err != nil || len(in.Faults) != 0 || len(in.Messages) != 10 {
-		t.Errorf("whole: %+v, %v", in, err)
+		t.Errorf("intact journal: %+v, %v", in, err)
 	}
 }
 
-// Bodies of 64 KiB: how many a budget of 3 MB holds, always within it, and that their room comes back.
+// Bodies of 64 KiB stay within a budget of 3 MB, and their space is reused.
 func TestLargeBodies(t *testing.T) {
 	d := disk.New()
-	l, err := start(d, 3e6)
+	driver, err := startDriver(d, 3e6)
 	if err != nil {
 		t.Fatal(err)
 	}
 	most := 0
 	for round := range 5 {
-		var held []*memory.Message
+		var pending []*memory.Message
 		for {
-			m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint(round, "-", len(held)), Class: "c", Deadline: wall, Body: make([]byte, 64<<10)}
-			if err := l.j.AppendAccepted(l.t, m, true); err != nil {
+			m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint(round, "-", len(pending)), Class: "c", Deadline: wall, Body: make([]byte, 64<<10)}
+			if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 				break
 			}
-			if taken, _ := l.j.Commit(); taken != nil {
-				t.Fatal(taken)
+			if acceptErr, _ := driver.journal.Commit(); acceptErr != nil {
+				t.Fatal(acceptErr)
 			}
-			if held = append(held, m); d.Used() > 3e6 {
+			if pending = append(pending, m); d.Used() > 3e6 {
 				t.Fatalf("%d bytes on disk", d.Used())
 			}
 		}
-		most = max(most, len(held))
-		for _, m := range held {
-			l.t.Remove(m)
-			l.j.AppendCompleted(m, false)
-			l.j.Commit()
+		most = max(most, len(pending))
+		for _, m := range pending {
+			driver.table.Remove(m)
+			driver.journal.AppendCompleted(m, false)
+			driver.journal.Commit()
 		}
-		if len(held) < 35 {
-			t.Errorf("round %d holds %d", round, len(held))
+		if len(pending) < 35 {
+			t.Errorf("round %d: %d messages fit", round, len(pending))
 		}
 	}
-	t.Logf("3 MB hold %d bodies of 64 KiB", most)
+	t.Logf("3 MB are enough for %d bodies of 64 KiB", most)
 }
 
-// A journal is read in any split of its last segment: what is cut off is what was written last.
+// A last segment truncated at any offset can be read: only the records written last are lost.
 func TestTornTail(t *testing.T) {
 	d := disk.New()
-	l, _ := start(d, small)
+	driver, _ := startDriver(d, smallBudget)
 	for r, n := rand.New(rand.NewPCG(1, 0)), 0; n < 40; n++ {
-		l.turn(r, 100)
+		driver.runIteration(r, 100)
 	}
 	names, _ := d.List()
 	last := names[len(names)-1]
@@ -455,11 +458,11 @@
 		last = names[len(names)-2]
 	}
 	raw, _ := d.Read(last)
-	before := -1
+	recovered := -1
 	for cut := 0; cut <= len(raw); cut++ {
 		next := d.Revive()
 		next.Change(last, func(b []byte) []byte { return b[:cut] })
-		j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
+		j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -467,43 +470,43 @@
 		if in, err := journal.Inspect(next, nil); err != nil || len(in.Faults) != 0 {
 			t.Fatalf("cut at %d: %v, %v", cut, in, err)
 		}
-		before = len(found.All())
+		recovered = len(found.All())
 	}
-	if before != len(l.t.All()) {
-		t.Errorf("%d messages of %d in the whole", before, len(l.t.All()))
+	if recovered != len(driver.table.All()) {
+		t.Errorf("%d messages of %d in the complete journal", recovered, len(driver.table.All()))
 	}
 }
 
-// Bodies past the bound are in the journal only: they are read again as they were, also once their segment was cleaned and in the next
-// life; one that is spoilt is told of. Without room on the disk a body stays in memory only, and is gone with the process.
-func TestBodiesInTiers(t *testing.T) {
-	const bound = 16 << 10
+// Bodies beyond the memory limit are read back from the journal, also after compaction and a
+// restart; a corrupt one is reported. Without space on the disk a body is in memory only.
+func TestBodyStorage(t *testing.T) {
+	const limit = 16 << 10
 	d := disk.New()
 	open := func(d *disk.Disk) (*journal.Journal, *memory.Table) {
-		j, t2, err := journal.Open(journal.Config{FS: d, Budget: small, MaxBodyBytes: bound, Log: quiet, CompactInline: true})
+		j, table, err := journal.Open(journal.Config{FS: d, Budget: smallBudget, MaxBodyBytes: limit, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return j, t2
+		return j, table
 	}
-	j, tab := open(d)
-	take := func(n, size int, repeatable bool) *memory.Message {
-		m := &memory.Message{Number: tab.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: []byte(strings.Repeat(string(rune('a'+n%26)), size))}
-		if j.AppendAccepted(tab, m, repeatable) != nil {
+	j, table := open(d)
+	accept := func(n, size int, repeatable bool) *memory.Message {
+		m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: []byte(strings.Repeat(string(rune('a'+n%26)), size))}
+		if j.AppendAccepted(table, m, repeatable) != nil {
 			return nil
 		}
-		if taken, _ := j.Commit(); taken != nil {
-			t.Fatal(taken)
+		if acceptErr, _ := j.Commit(); acceptErr != nil {
+			t.Fatal(acceptErr)
 		}
-		j.LimitBodyMemory(tab, m)
+		j.LimitBodyMemory(table, m)
 		return m
 	}
-	check := func(what string, held []*memory.Message) {
+	check := func(what string, pending []*memory.Message) {
 		t.Helper()
-		if kept, _ := tab.BodyBytes(); kept > bound {
-			t.Errorf("%s: %d bytes of bodies in memory", what, kept)
+		if journaled, _ := table.BodyBytes(); journaled > limit {
+			t.Errorf("%s: %d bytes of bodies in memory", what, journaled)
 		}
-		for _, m := range held {
+		for _, m := range pending {
 			body := m.Body
 			if m.SpilledBytes > 0 {
 				var err error
@@ -512,43 +515,43 @@
 				}
 			}
 			if len(body) != 2000 || strings.Trim(string(body), string(body[0])) != "" {
-				t.Errorf("%s: %s: another body", what, m.ID)
+				t.Errorf("%s: %s: body differs", what, m.ID)
 			}
 		}
 	}
-	var held []*memory.Message
-	for n := range 300 { // nine of ten end at once, so that segments are cleaned round those that stay
-		m := take(n, 2000, true)
+	var pending []*memory.Message
+	for n := range 300 { // nine of ten complete at once, so that segments are compacted around the others
+		m := accept(n, 2000, true)
 		if m == nil {
-			t.Fatal("no room")
+			t.Fatal("message does not fit")
 		}
 		if n%10 == 0 {
-			held = append(held, m)
+			pending = append(pending, m)
 			continue
 		}
-		tab.Remove(m)
+		table.Remove(m)
 		j.AppendCompleted(m, false)
 		j.Commit()
 	}
 	if s := j.Stats(); s.Compactions == 0 {
-		t.Fatalf("nothing was cleaned: %+v", s)
+		t.Fatalf("nothing was compacted: %+v", s)
 	}
-	check("first life", held)
-	j, tab = open(d.Revive())
-	held = held[:0]
-	for _, m := range tab.All() {
-		held = append(held, m)
+	check("first process", pending)
+	j, table = open(d.Revive())
+	pending = pending[:0]
+	for _, m := range table.All() {
+		pending = append(pending, m)
 	}
-	if len(held) != 30 {
-		t.Fatalf("%d held", len(held))
+	if len(pending) != 30 {
+		t.Fatalf("%d pending", len(pending))
 	}
-	check("next life", held)
+	check("after restart", pending)
 
-	spilled := held[slices.IndexFunc(held, func(m *memory.Message) bool { return m.SpilledBytes > 0 })]
+	spilled := pending[slices.IndexFunc(pending, func(m *memory.Message) bool { return m.SpilledBytes > 0 })]
 	names, _ := d.List()
 	next := d.Revive()
-	j, tab = open(next)
-	read := j.BodyLoader(tab.ByID(spilled.ID))
+	j, table = open(next)
+	read := j.BodyLoader(table.ByID(spilled.ID))
 	for _, name := range names {
 		next.Change(name, func(b []byte) []byte {
 			if at := strings.Index(string(b), spilled.ID+string([]byte{1, 'c'})); at >= 0 {
@@ -558,20 +561,20 @@
 		})
 	}
 	if _, err := read(); !errors.Is(err, journal.ErrBodyLost) {
-		t.Errorf("a spoilt body: %v", err)
+		t.Errorf("a corrupt body: %v", err)
 	}
 
-	j, tab = open(disk.New())
-	unkept := 0
+	j, table = open(disk.New())
+	memoryOnly := 0
 	for n := range 200 {
-		m := take(n, 8000, n%2 == 0)
+		m := accept(n, 8000, n%2 == 0)
 		if m != nil && m.MemoryOnly {
-			if unkept++; n%2 == 0 || m.SpilledBytes > 0 {
+			if memoryOnly++; n%2 == 0 || m.SpilledBytes > 0 {
 				t.Errorf("%+v", m)
 			}
 		}
 	}
-	if kept, other := tab.BodyBytes(); unkept == 0 || kept > bound || other > bound || other == 0 {
-		t.Errorf("%d bodies not kept, %d and %d bytes in memory", unkept, kept, other)
+	if journaled, unjournaled := table.BodyBytes(); memoryOnly == 0 || journaled > limit || unjournaled > limit || unjournaled == 0 {
+		t.Errorf("%d bodies in memory only, %d and %d bytes in memory", memoryOnly, journaled, unjournaled)
 	}
 }
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -15,8 +15,8 @@
 	"oatfold/internal/standin"
 )
 
-// bin is the real relay, built when it is first needed.
-var bin = sync.OnceValues(func() (string, error) {
+// buildRelay builds the relay binary on first use.
+var buildRelay = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "relay")
 	if err != nil {
 		return "", err
@@ -24,10 +24,10 @@
 	return standin.Build(dir)
 })
 
-// The real relay with a disk that fills, by its budget and by a bound of the system on each file, killed at seeded moments while bodies come
-// in and the partner is silent for a while: what was taken on ends, what was refused has not run, and no charge runs twice.
-func TestKilledWithAFullDisk(t *testing.T) {
-	program, err := bin()
+// Kills the relay process at seeded moments while its disk is full, by the budget or by a file size
+// limit: accepted messages complete, rejected ones have not run, and no charge runs twice.
+func TestCrashWithFullDisk(t *testing.T) {
+	program, err := buildRelay()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,12 +35,12 @@
 	if err := os.WriteFile(limited, fmt.Appendf(nil, "#!/bin/sh\nulimit -f 120\nexec %s \"$@\"\n", program), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		program string
 		diskMB  float64
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
-		t.Run(what, func(t *testing.T) {
-			const messages, lanes = 600, 8
+		t.Run(name, func(t *testing.T) {
+			const messages, clients = 600, 8
 			w, err := standin.NewWorld(standin.Config{Seed: 9, DiskMB: c.diskMB, Hold: 400, Partners: []standin.PartnerConfig{{Dest: 7}}})
 			if err != nil {
 				t.Fatal(err)
@@ -68,14 +68,15 @@
 					}
 				}
 			})
-			for lane := range lanes {
+			for worker := range clients {
 				all.Go(func() {
-					random := rand.New(rand.NewPCG(9, uint64(lane)))
-					for n := lane; n < messages; n += lanes {
+					random := rand.New(rand.NewPCG(9, uint64(worker)))
+					for n := worker; n < messages; n += clients {
 						if n%100 == 20 || n%100 == 60 || n%100 == 50+n/100 {
 							events <- n
 						}
-						// A client of its own: a told wait binds what comes after it.
+						// A client for each message, since Retry-After applies to the later ones of
+						// a client.
 						c, err := client.New(client.Config{Relays: []string{r.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
 						if err != nil {
 							t.Error(err)
@@ -90,12 +91,12 @@
 			all.Wait()
 			close(events)
 			faults.Wait()
-			counts, did := map[client.Outcome]int{}, map[string]int{}
-			if err := w.Until("all that was taken on to end", func() bool {
-				did = w.Ledger.Count()
-				told := w.Platform.Notices()
-				for n, res := range results {
-					if _, ended := told[res.ID]; res.Outcome == client.Taken && did[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
+			counts, effects := map[client.Outcome]int{}, map[string]int{}
+			if err := w.Until("all accepted messages to complete", func() bool {
+				effects = w.Ledger.Count()
+				notifications := w.Platform.Notices()
+				for n, result := range results {
+					if _, ended := notifications[result.ID]; result.Outcome == client.Taken && effects[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
 						return false
 					}
 				}
@@ -103,28 +104,29 @@
 			}); err != nil {
 				t.Fatalf("%v\n%s", err, r.Log())
 			}
-			for n, res := range results {
-				counts[res.Outcome]++
-				if runs := did[fmt.Sprint("fee-charge/", n)]; runs > 1 || runs > 0 && res.Outcome != client.Taken && res.Outcome != client.Uncertain {
-					t.Errorf("%d ran %d times: %+v", n, runs, res)
+			for n, result := range results {
+				counts[result.Outcome]++
+				if runs := effects[fmt.Sprint("fee-charge/", n)]; runs > 1 || runs > 0 && result.Outcome != client.Taken && result.Outcome != client.Uncertain {
+					t.Errorf("%d ran %d times: %+v", n, runs, result)
 				}
 			}
 			if counts[client.Taken] < messages/10 {
-				t.Errorf("hardly any was taken on: %v", counts)
+				t.Errorf("too few messages accepted: %v", counts)
 			}
 			t.Logf("%v", counts)
 			r.Kill()
 			if in, err := journal.Inspect(journal.Dir(r.State), nil); err != nil || len(in.Faults) > 1 {
-				t.Errorf("%+v, %v", in, err) // a torn tail may be there
+				t.Errorf("%+v, %v", in, err) // an incomplete record at the end is allowed
 			}
 		})
 	}
 }
 
-// Large bodies with little memory and a small disk, over kills: bodies come back whole from where they are kept, alerts without
-// room are refused, and a charge whose body was lost with the process ends by a notice, never having run.
+// Large bodies with little memory and a small disk, across restarts: bodies are delivered
+// unchanged, alerts without space are rejected, and a charge whose body was lost with the process
+// ends with a notification and has not run.
 func TestLargeBodiesOnLoopback(t *testing.T) {
-	program, err := bin()
+	program, err := buildRelay()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +149,7 @@
 	results := map[string]client.Result{}
 	for n := range 60 {
 		class := []string{"fee-charge", "price-alert"}[n%2]
-		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true}) // a told wait binds a client's next message
+		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true}) // Retry-After applies to the next message of a client
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,20 +167,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	unkept := map[string]bool{}
+	memoryOnly := map[string]bool{}
 	for _, m := range in.Messages {
-		unkept[m.ID] = m.MemoryOnly
+		memoryOnly[m.ID] = m.MemoryOnly
 	}
 	w.Partners[7].Set(standin.Well, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
-	did, lost := map[string]int{}, 0
-	if err := w.Until("all that was taken on to end", func() bool {
-		did = w.Ledger.Count()
-		told := w.Platform.Notices()
-		for name, res := range results {
-			if _, ended := told[res.ID]; res.Outcome == client.Taken && did[name] == 0 && !ended {
+	effects, lost := map[string]int{}, 0
+	if err := w.Until("all accepted messages to complete", func() bool {
+		effects = w.Ledger.Count()
+		notifications := w.Platform.Notices()
+		for name, result := range results {
+			if _, ended := notifications[result.ID]; result.Outcome == client.Taken && effects[name] == 0 && !ended {
 				return false
 			}
 		}
@@ -186,14 +188,14 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, r.Log())
 	}
-	for name, res := range results {
-		if unkept[res.ID] {
-			if lost++; did[name] != 0 || w.Platform.Notices()[res.ID].Outcome == "" {
-				t.Errorf("%s, whose body was lost: ran %d times, notice %+v", name, did[name], w.Platform.Notices()[res.ID])
+	for name, result := range results {
+		if memoryOnly[result.ID] {
+			if lost++; effects[name] != 0 || w.Platform.Notices()[result.ID].Outcome == "" {
+				t.Errorf("%s, whose body was lost: ran %d times, notification %+v", name, effects[name], w.Platform.Notices()[result.ID])
 			}
 		}
-		if res.Outcome != client.Taken && did[name] > 0 || name[0] == 'f' && did[name] > 1 {
-			t.Errorf("%s ran %d times: %+v", name, did[name], res)
+		if result.Outcome != client.Taken && effects[name] > 0 || name[0] == 'f' && effects[name] > 1 {
+			t.Errorf("%s ran %d times: %+v", name, effects[name], result)
 		}
 	}
 	for _, e := range w.Ledger.Effects() {
@@ -201,8 +203,8 @@
 			t.Errorf("%s came with %d bytes", e.Name, e.Size)
 		}
 	}
-	if lost == 0 || len(did) < 10 || counts["price-alert"][client.Taken] >= counts["fee-charge"][client.Taken] {
-		t.Errorf("%d bodies lost, %d ran, taken on: %v", lost, len(did), counts)
+	if lost == 0 || len(effects) < 10 || counts["price-alert"][client.Taken] >= counts["fee-charge"][client.Taken] {
+		t.Errorf("%d bodies lost, %d ran, accepted: %v", lost, len(effects), counts)
 	}
-	t.Logf("%v, %d bodies lost with the process, %d messages ran", counts, lost, len(did))
+	t.Logf("%v, %d bodies lost with the process, %d messages ran", counts, lost, len(effects))
 }
--- a/internal/memory/journal/old_test.go
+++ b/internal/memory/journal/old_test.go
@@ -16,41 +16,42 @@
 	"oatfold/internal/memory"
 )
 
-// The first form of the journal, kept here to be measured against and to make folders that are upgraded: one segment at
-// a time, a write for each record, and compaction of all that is live on the owner's goroutine.
+// The legacy journal, kept as the baseline of benchmarks and to create directories for upgrade
+// tests: a single segment, one write for each record, and compaction of all pending messages on the
+// caller's goroutine.
 
 const (
-	blockSize = 512 // files count in whole blocks
-	oldExt    = ".log"
-	oldTmp    = ".tmp"
-	leastTurn = 64 << 10 // a segment is not compacted before it has grown by so much
+	legacyBlockSize     = 512 // files use whole blocks
+	legacySegmentExt    = ".log"
+	legacyTmpExt        = ".tmp"
+	minCompactionGrowth = 64 << 10 // bytes that a segment grows before it is compacted
 )
 
-// Journal is the relay's lasting memory. It is owned by one goroutine.
-type oldJournal struct {
-	dir    string
-	budget int64 // bytes that all segments together may take
-	log    *slog.Logger
-	file   *os.File
-	seq    int
-	size   int64            // of the segment
-	live   map[uint32]int64 // bytes that each live message takes after compaction
-	liveB  int64
-	buf    []byte
-	turnAt int64 // size at which the next compaction is worth while
+// legacyJournal is a journal in the legacy format. It is not safe for concurrent use.
+type legacyJournal struct {
+	dir         string
+	budget      int64 // bytes that all segments together may use
+	log         *slog.Logger
+	file        *os.File
+	number      int
+	size        int64            // bytes of the segment
+	liveSizes   map[uint32]int64 // bytes of each pending message after compaction
+	liveBytes   int64
+	writeBuffer []byte
+	compactAt   int64 // size at which to compact next
 }
 
-// openOld replays what dir holds and starts a new segment with what is live in it.
-func openOld(dir string, budget int64, log *slog.Logger) (*oldJournal, *memory.Table, error) {
-	j := &oldJournal{dir: dir, budget: budget, log: log, live: map[uint32]int64{}}
+// openLegacy replays the journal in dir and starts a new segment with the pending messages.
+func openLegacy(dir string, budget int64, log *slog.Logger) (*legacyJournal, *memory.Table, error) {
+	j := &legacyJournal{dir: dir, budget: budget, log: log, liveSizes: map[uint32]int64{}}
 	segs, err := j.segments()
 	if err != nil {
 		return nil, nil, err
 	}
 	t := memory.NewTable()
 	if n := len(segs); n > 0 {
-		j.seq = segs[n-1]
-		raw, err := os.ReadFile(j.path(j.seq, oldExt))
+		j.number = segs[n-1]
+		raw, err := os.ReadFile(j.path(j.number, legacySegmentExt))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -58,14 +59,13 @@
 		t = memory.ReadLegacy(raw, func(int, error) {})
 	}
 	for _, m := range t.All() {
-		j.book(m)
+		j.addLive(m)
 	}
-	// Guards against a crash between rename and removal, or in the middle of a compaction: older segments
-	// and half-written ones are dropped before anything is written.
+	// Older segments and temporary files are left by a crash during compaction.
 	for _, s := range segs[:max(0, len(segs)-1)] {
-		os.Remove(j.path(s, oldExt))
+		os.Remove(j.path(s, legacySegmentExt))
 	}
-	if tmp, _ := filepath.Glob(filepath.Join(dir, "*"+oldTmp)); len(tmp) > 0 {
+	if tmp, _ := filepath.Glob(filepath.Join(dir, "*"+legacyTmpExt)); len(tmp) > 0 {
 		for _, name := range tmp {
 			os.Remove(name)
 		}
@@ -76,19 +76,19 @@
 	return j, t, nil
 }
 
-func (j *oldJournal) path(seq int, ext string) string {
+func (j *legacyJournal) path(seq int, ext string) string {
 	return filepath.Join(j.dir, fmt.Sprintf("%08d%s", seq, ext))
 }
 
-// segments lists the numbers of the whole segments in order.
-func (j *oldJournal) segments() ([]int, error) {
+// segments lists the numbers of the complete segments in order.
+func (j *legacyJournal) segments() ([]int, error) {
 	entries, err := os.ReadDir(j.dir)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	var out []int
 	for _, e := range entries {
-		if name, ok := strings.CutSuffix(e.Name(), oldExt); ok {
+		if name, ok := strings.CutSuffix(e.Name(), legacySegmentExt); ok {
 			if n, err := strconv.Atoi(name); err == nil {
 				out = append(out, n)
 			}
@@ -98,114 +98,116 @@
 	return out, nil
 }
 
-// Resize sets a new budget; what is there stays.
-func (j *oldJournal) Resize(budget int64) {
+// SetBudget sets the disk budget in bytes. Existing data is kept.
+func (j *legacyJournal) SetBudget(budget int64) {
 	j.budget = budget
-	j.turnAt = min(j.turnAt, budget)
+	j.compactAt = min(j.compactAt, budget)
 }
 
-// Close gives the file back.
-func (j *oldJournal) Close() error { return j.file.Close() }
+// Close closes the segment.
+func (j *legacyJournal) Close() error { return j.file.Close() }
 
-func oldBlocks(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
+func legacyDiskSize(n int64) int64 {
+	return (n + legacyBlockSize - 1) / legacyBlockSize * legacyBlockSize
+}
 
-// Room tells whether a further message with so many bytes fits: what is live must fit twice, since the old
-// segment stands beside the new one during compaction.
-func (j *oldJournal) Room(m *memory.Message) bool {
-	return 2*oldBlocks(j.liveB+keptSize(m)) <= j.budget*9/10
+// Fits reports whether m fits. All pending messages must fit twice, since the old segment and the
+// new one exist side by side during compaction.
+func (j *legacyJournal) Fits(m *memory.Message) bool {
+	return 2*legacyDiskSize(j.liveBytes+legacySnapshotSize(m)) <= j.budget*9/10
 }
 
-// Taken records that m is taken on and adds it to the table. Without it there is no 202.
-func (j *oldJournal) Taken(t *memory.Table, m *memory.Message) error {
-	if !j.Room(m) {
+// AppendAccepted records that m is accepted and adds it to the table.
+func (j *legacyJournal) AppendAccepted(t *memory.Table, m *memory.Message) error {
+	if !j.Fits(m) {
 		return ErrFull
 	}
-	records := [][]byte{oldMessage([]byte{recTaken}, m)}
+	records := [][]byte{legacyMessage([]byte{recordAccepted}, m)}
 	if len(m.PluginNotes) > 0 {
-		records = append(records, oldText(oldNum(recNotes, m), string(m.PluginNotes)))
+		records = append(records, legacyText(legacyPayload(recordPluginNotes, m), string(m.PluginNotes)))
 	}
-	if err := j.append(records...); err != nil {
+	if err := j.appendRecords(records...); err != nil {
 		return err
 	}
 	t.Add(m)
-	j.book(m)
-	j.turn(t)
+	j.addLive(m)
+	j.compactIfNeeded(t)
 	return nil
 }
 
-// Out records that a route step goes out with these messages, whose Out is set. Without it there is no call.
-func (j *oldJournal) Out(t *memory.Table, at time.Time, msgs []*memory.Message) error {
-	b := binary.AppendVarint([]byte{recOut}, at.UnixMicro())
+// AppendAttempt records that an attempt starts with these messages, whose InFlight is set.
+func (j *legacyJournal) AppendAttempt(t *memory.Table, at time.Time, msgs []*memory.Message) error {
+	b := binary.AppendVarint([]byte{recordAttempt}, at.UnixMicro())
 	for _, m := range msgs {
 		b = binary.AppendUvarint(b, uint64(m.Number))
 	}
-	return j.record(t, b)
+	return j.appendRecord(t, b)
 }
 
-// NotRun records that the latest route step of m, whose Out is cleared, never ran.
-func (j *oldJournal) NotRun(t *memory.Table, m *memory.Message) error {
-	return j.record(t, oldNum(recNotRun, m))
+// AppendNotRun records that the latest attempt for m, whose InFlight is cleared, did not run.
+func (j *legacyJournal) AppendNotRun(t *memory.Table, m *memory.Message) error {
+	return j.appendRecord(t, legacyPayload(recordNotRun, m))
 }
 
-// Owed records that m, which the table shows as owed, is ended by a notice.
-func (j *oldJournal) Owed(t *memory.Table, m *memory.Message) error {
-	j.book(m)
-	return j.record(t, oldNotice(oldNum(recOwed, m), *m.Notification))
+// AppendUndelivered records that m, already marked in the table, ended undelivered.
+func (j *legacyJournal) AppendUndelivered(t *memory.Table, m *memory.Message) error {
+	j.addLive(m)
+	return j.appendRecord(t, legacyNotification(legacyPayload(recordUndelivered, m), *m.Notification))
 }
 
-// Over records that nothing more is owed for m, which the table holds no longer.
-func (j *oldJournal) Over(t *memory.Table, m *memory.Message) error {
-	j.liveB -= j.live[m.Number]
-	delete(j.live, m.Number)
-	return j.record(t, oldNum(recOver, m))
+// AppendCompleted records that m, already removed from the table, is completed.
+func (j *legacyJournal) AppendCompleted(t *memory.Table, m *memory.Message) error {
+	j.liveBytes -= j.liveSizes[m.Number]
+	delete(j.liveSizes, m.Number)
+	return j.appendRecord(t, legacyPayload(recordCompleted, m))
 }
 
-func (j *oldJournal) record(t *memory.Table, payload []byte) error {
-	err := j.append(payload)
-	j.turn(t)
+func (j *legacyJournal) appendRecord(t *memory.Table, payload []byte) error {
+	err := j.appendRecords(payload)
+	j.compactIfNeeded(t)
 	return err
 }
 
-func oldNum(kind byte, m *memory.Message) []byte {
+func legacyPayload(kind byte, m *memory.Message) []byte {
 	return binary.AppendUvarint([]byte{kind}, uint64(m.Number))
 }
 
-func (j *oldJournal) book(m *memory.Message) {
-	j.liveB += keptSize(m) - j.live[m.Number]
-	j.live[m.Number] = keptSize(m)
+func (j *legacyJournal) addLive(m *memory.Message) {
+	j.liveBytes += legacySnapshotSize(m) - j.liveSizes[m.Number]
+	j.liveSizes[m.Number] = legacySnapshotSize(m)
 }
 
-// keptSize bounds what compaction writes for m.
-func keptSize(m *memory.Message) int64 {
-	n := frameHead + 8*binary.MaxVarintLen64 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body)
+// legacySnapshotSize is an upper bound of what compaction writes for m.
+func legacySnapshotSize(m *memory.Message) int64 {
+	n := frameHeaderSize + 8*binary.MaxVarintLen64 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body)
 	if len(m.PluginNotes) > 0 {
-		n += frameHead + 1 + 2*binary.MaxVarintLen64 + len(m.PluginNotes)
+		n += frameHeaderSize + 1 + 2*binary.MaxVarintLen64 + len(m.PluginNotes)
 	}
 	return int64(n)
 }
 
-func oldFrame(b, payload []byte) []byte {
+func legacyFrame(b, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(payload))
 	return append(b, payload...)
 }
 
-// append writes records at once, in one write.
-func (j *oldJournal) append(payloads ...[]byte) error {
+// appendRecords writes all records with one write.
+func (j *legacyJournal) appendRecords(payloads ...[]byte) error {
 	grown := j.size
 	for _, p := range payloads {
-		grown += int64(frameHead + len(p))
+		grown += int64(frameHeaderSize + len(p))
 	}
-	if oldBlocks(grown)+oldBlocks(j.liveB) > j.budget {
+	if legacyDiskSize(grown)+legacyDiskSize(j.liveBytes) > j.budget {
 		return ErrFull
 	}
-	j.buf = j.buf[:0]
+	j.writeBuffer = j.writeBuffer[:0]
 	for _, p := range payloads {
-		j.buf = oldFrame(j.buf, p)
+		j.writeBuffer = legacyFrame(j.writeBuffer, p)
 	}
-	n, err := j.file.Write(j.buf)
+	n, err := j.file.Write(j.writeBuffer)
 	if err != nil {
-		// Guards against a half-written record in the middle of a segment: what follows it would be lost.
+		// An incomplete record would hide those after it.
 		if n > 0 && j.file.Truncate(j.size) == nil {
 			j.file.Seek(j.size, io.SeekStart)
 		}
@@ -215,10 +217,11 @@
 	return nil
 }
 
-// turn compacts when it pays, or when the old segment and a new one could soon no longer stand side by side.
-// It comes after the record and the table's change, so that the new segment has both.
-func (j *oldJournal) turn(t *memory.Table) {
-	if j.size <= j.turnAt && oldBlocks(j.size)+oldBlocks(j.liveB) <= j.budget*9/10 {
+// compactIfNeeded compacts once the segment has grown enough, or before the old segment and a new
+// one no longer fit side by side. It must follow the record and the change of the table, so that
+// the new segment has both.
+func (j *legacyJournal) compactIfNeeded(t *memory.Table) {
+	if j.size <= j.compactAt && legacyDiskSize(j.size)+legacyDiskSize(j.liveBytes) <= j.budget*9/10 {
 		return
 	}
 	if err := j.Compact(t); err != nil {
@@ -226,17 +229,17 @@
 	}
 }
 
-// Compact writes what is live into the next segment and drops the old one.
-func (j *oldJournal) Compact(t *memory.Table) error {
-	b := j.buf[:0]
+// Compact writes the pending messages into the next segment and removes the old one.
+func (j *legacyJournal) Compact(t *memory.Table) error {
+	b := j.writeBuffer[:0]
 	for _, m := range t.All() {
-		b = oldFrame(b, oldKept([]byte{recKept}, m))
+		b = legacyFrame(b, legacySnapshot([]byte{recordSnapshot}, m))
 		if len(m.PluginNotes) > 0 {
-			b = oldFrame(b, oldText(oldNum(recNotes, m), string(m.PluginNotes)))
+			b = legacyFrame(b, legacyText(legacyPayload(recordPluginNotes, m), string(m.PluginNotes)))
 		}
 	}
-	j.buf = b
-	tmp, next := j.path(j.seq+1, oldTmp), j.path(j.seq+1, oldExt)
+	j.writeBuffer = b
+	tmp, next := j.path(j.number+1, legacyTmpExt), j.path(j.number+1, legacySegmentExt)
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
@@ -252,27 +255,27 @@
 	if j.file != nil {
 		j.file.Close()
 	}
-	os.Remove(j.path(j.seq, oldExt))
-	j.file, j.size, j.seq = f, int64(len(b)), j.seq+1
-	j.turnAt = min(j.size+max(j.size, leastTurn), j.budget)
+	os.Remove(j.path(j.number, legacySegmentExt))
+	j.file, j.size, j.number = f, int64(len(b)), j.number+1
+	j.compactAt = min(j.size+max(j.size, minCompactionGrowth), j.budget)
 	return nil
 }
 
 // --- records ---
 
-func oldText(b []byte, s string) []byte {
+func legacyText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func oldMessage(b []byte, m *memory.Message) []byte {
+func legacyMessage(b []byte, m *memory.Message) []byte {
 	b = binary.AppendUvarint(b, uint64(m.Number))
 	b = binary.AppendVarint(b, m.Deadline.UnixMicro())
 	b = binary.AppendVarint(b, int64(m.Dest))
-	b = oldText(oldText(oldText(b, m.ID), m.Class), m.IdempotencyKey)
-	return oldText(b, string(m.Body))
+	b = legacyText(legacyText(legacyText(b, m.ID), m.Class), m.IdempotencyKey)
+	return legacyText(b, string(m.Body))
 }
 
-func oldNotice(b []byte, n memory.Notification) []byte {
+func legacyNotification(b []byte, n memory.Notification) []byte {
 	kind := byte(0)
 	if n.Returned {
 		kind = 1
@@ -280,25 +283,25 @@
 	return binary.AppendUvarint(append(b, kind), uint64(n.RetryAfter.Microseconds()))
 }
 
-// appendKept adds to the message what has happened to it: steps, risk, notice. A step that is out counts as
-// risk from its start on; should it be proved not to have run, that is recorded after.
-func oldKept(b []byte, m *memory.Message) []byte {
-	b = oldMessage(b, m)
+// legacySnapshot appends a message with its state. An attempt in flight counts as one that may have
+// run, unless a later record says that it did not.
+func legacySnapshot(b []byte, m *memory.Message) []byte {
+	b = legacyMessage(b, m)
 	b = binary.AppendUvarint(b, uint64(m.Attempts))
-	b = binary.AppendVarint(b, wallMicro(m.MayHaveRunSince))
+	b = binary.AppendVarint(b, microsOrZero(m.MayHaveRunSince))
 	var out time.Time
 	if m.InFlight != nil {
 		out = m.InFlight.StartedAt
 	}
-	b = binary.AppendVarint(b, wallMicro(out))
+	b = binary.AppendVarint(b, microsOrZero(out))
 	if m.Notification != nil {
-		b = oldNotice(b, *m.Notification)
+		b = legacyNotification(b, *m.Notification)
 	}
 	return b
 }
 
-// wallMicro is how the first form wrote dates.
-func wallMicro(t time.Time) int64 {
+// microsOrZero encodes a time as the legacy format does.
+func microsOrZero(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
--- a/internal/memory/journal/plan/plan.go
+++ b/internal/memory/journal/plan/plan.go
@@ -1,103 +1,110 @@
-// Package plan decides for the journal: what may be taken on, when a segment is full, which one is cleaned. It does no
-// I/O and reads no clock.
+// Package plan makes the decisions of the journal: which messages fit, when a segment is full,
+// which one to compact. It does no I/O and reads no clock.
 package plan
 
 // Sizes in bytes.
 const (
-	Block      = 512      // files count in whole blocks
-	LeastSize  = 64 << 10 // of a segment before it is sealed
-	MostSize   = 1 << 20  // so that what the owner does for one stays small
-	EndCost    = 192      // what the end of a live message may still have to record: steps, notice, over
-	LeastDead  = 4 << 10
-	shareOfAll = 24 // a segment is one part in so many of the budget
+	BlockSize         = 512      // files use whole blocks
+	MinSegmentSize    = 64 << 10 // smallest size at which a segment is sealed
+	MaxSegmentSize    = 1 << 20  // bounds the work of the event loop for one segment
+	CompletionReserve = 192      // space for the remaining records of a pending message: attempts, notification, completion
+	MinDeadBytes      = 4 << 10
+	segmentsPerBudget = 24 // a segment is one Nth of the budget
 )
 
-// Blocks is what a file of n bytes takes.
-func Blocks(n int64) int64 { return (n + Block - 1) / Block * Block }
+// DiskSize returns the space that a file of n bytes uses on disk.
+func DiskSize(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
 
-// SegmentSize is how large a segment grows before it is sealed.
-func SegmentSize(budget int64) int64 { return min(max(budget/shareOfAll, LeastSize), MostSize) }
+// SegmentSize returns the size at which a segment is sealed.
+func SegmentSize(budget int64) int64 {
+	return min(max(budget/segmentsPerBudget, MinSegmentSize), MaxSegmentSize)
+}
 
-// Segment is what is known of one.
+// Segment describes one segment of the journal.
 type Segment struct {
-	Size  int64 // bytes of its file
-	Live  int64 // of records of messages that are live
-	Floor int64 // of other records that cleaning has to keep, as the last one found
-	Busy  bool  // it is written to, or being cleaned
+	Size          int64 // size of the file
+	LiveBytes     int64 // records of pending messages
+	RetainedBytes int64 // other records that the last compaction had to retain
+	Busy          bool  // active, or being compacted
 }
 
-// Dead is what cleaning would win.
-func (s Segment) Dead() int64 { return s.Size - s.Live - s.Floor }
+// DeadBytes returns what compaction would free.
+func (s Segment) DeadBytes() int64 { return s.Size - s.LiveBytes - s.RetainedBytes }
 
-// Reserve is what is kept free of the budget for what must be recorded whatever comes: the ends of live messages, and the
-// copy that cleaning makes of a segment. Half the budget at most, so that a small one takes something on at all.
-func Reserve(budget int64, live int) int64 {
-	return min(Blocks(SegmentSize(budget))+int64(live)*EndCost, budget/2)
+// ReservedBytes returns the part of the budget that is kept free for the completion of pending
+// messages and for the copy that compaction makes of a segment. It is at most half the budget, so
+// that a small one still accepts messages.
+func ReservedBytes(budget int64, live int) int64 {
+	return min(DiskSize(SegmentSize(budget))+int64(live)*CompletionReserve, budget/2)
 }
 
-// Room tells whether a message whose record takes so many bytes may be taken on: used is what all files take, live the
-// number of messages that need their end.
-func Room(budget, used int64, live int, record int64) bool {
-	return used+Blocks(record)+Reserve(budget, live+1) <= budget
+// Fits reports whether a message with a record of that size may be accepted. used is the space that
+// all files use, live the number of pending messages.
+func Fits(budget, used int64, live int, record int64) bool {
+	return used+DiskSize(record)+ReservedBytes(budget, live+1) <= budget
 }
 
-// Tier is where a body is kept.
-type Tier int
+// BodyStorage says where the body of a message is stored.
+type BodyStorage int
 
-// The tiers.
+// Places to store a body.
 const (
-	Memory Tier = iota // in memory, and in the journal
-	File               // in the journal only: it is read again for each step
-	Unkept             // in memory only: it is lost with the process, and its message then ends by a notice
-	None               // nowhere: the message is not taken on
+	MemoryAndJournal BodyStorage = iota // in memory and in the journal
+	JournalOnly                         // read from the journal for each attempt
+	MemoryOnly                          // lost with the process; the message then ends with a notification
+	NotStored                           // the message is rejected
 )
 
-// Body says which tier a message goes to when it comes in. kept is what bodies in memory take that are in the journal as well, unkept what the
-// others take, bound what each of the two may, size that of the body; room tells that the record fits with the body, small that it fits without. repeatable messages are never
-// taken on without their body being kept: their clients lose nothing by coming again.
-func Body(kept, unkept, bound, size int64, room, small, repeatable bool) Tier {
+// ChooseBodyStorage decides where the body of a new message is stored. journaledBytes and
+// memoryOnlyBytes are the sizes of the bodies in memory that are in the journal and that are not;
+// limit applies to each of the two. fitsWithBody and fitsWithoutBody tell whether the record fits
+// on disk with and without the body. A repeatable message is rejected rather than stored in memory
+// only, since its client can safely retry.
+func ChooseBodyStorage(journaledBytes, memoryOnlyBytes, limit, size int64, fitsWithBody, fitsWithoutBody, repeatable bool) BodyStorage {
 	switch {
-	case room && (bound <= 0 || kept+size <= bound):
-		return Memory
-	case room:
-		return File
-	case small && bound > 0 && unkept+size <= bound && !repeatable:
-		return Unkept
+	case fitsWithBody && (limit <= 0 || journaledBytes+size <= limit):
+		return MemoryAndJournal
+	case fitsWithBody:
+		return JournalOnly
+	case fitsWithoutBody && limit > 0 && memoryOnlyBytes+size <= limit && !repeatable:
+		return MemoryOnly
 	}
-	return None
+	return NotStored
 }
 
-// Seal tells whether the segment that is written to is full, before so many bytes more.
-func Seal(budget, size, more int64) bool { return size > 0 && size+more > SegmentSize(budget) }
+// ShouldSeal reports whether a segment of that size is full before more bytes are added.
+func ShouldSeal(budget, size, more int64) bool { return size > 0 && size+more > SegmentSize(budget) }
 
-// Clean says which segment to clean, oldest first; -1 for none. One that is half dead pays for its copy. While room is
-// short the one with most dead bytes is cleaned, if that wins anything.
-func Clean(budget, used int64, live int, all []Segment) int {
-	best, most := -1, int64(0)
-	short := used+Reserve(budget, live)+2*SegmentSize(budget) > budget
-	for i, s := range all {
-		dead := s.Dead()
-		empty := s.Live == 0 && s.Floor == 0
-		if s.Busy || dead < Block && !empty || dead <= most {
+// ChooseSegment returns the index of the segment to compact, or -1. A segment is worth compacting
+// if at least half of it is dead; when space is short, any dead bytes will do. The segment with the
+// most dead bytes is chosen, the oldest among equals.
+func ChooseSegment(budget, used int64, live int, segments []Segment) int {
+	best, mostDead := -1, int64(0)
+	lowSpace := used+ReservedBytes(budget, live)+2*SegmentSize(budget) > budget
+	for i, segment := range segments {
+		dead := segment.DeadBytes()
+		empty := segment.LiveBytes == 0 && segment.RetainedBytes == 0
+		if segment.Busy || dead < BlockSize && !empty || dead <= mostDead {
 			continue
 		}
-		if s.Live == 0 || 2*dead >= s.Size && dead >= LeastDead || short {
-			best, most = i, dead
+		if segment.LiveBytes == 0 || 2*dead >= segment.Size && dead >= MinDeadBytes || lowSpace {
+			best, mostDead = i, dead
 		}
 	}
 	return best
 }
 
-// backlog is how many segments may wait that are mostly dead.
-const backlog = 2
+// maxBacklog is the number of mostly dead segments that may wait for compaction.
+const maxBacklog = 2
 
-// Hurry tells whether cleaning has to go on without rests: half of the budget is used, or it falls behind.
-func Hurry(budget, used int64, all []Segment) bool {
+// Urgent reports whether compaction has to run without pauses: more than half the budget is used,
+// or too many segments are mostly dead.
+func Urgent(budget, used int64, segments []Segment) bool {
 	behind := 0
-	for _, s := range all {
-		if !s.Busy && s.Size-s.Live-s.Floor > s.Size/2 {
+	for _, segment := range segments {
+		if !segment.Busy && segment.Size-segment.LiveBytes-segment.RetainedBytes > segment.Size/2 {
 			behind++
 		}
 	}
-	return used > budget/2 || behind > backlog
+	return used > budget/2 || behind > maxBacklog
 }
--- a/internal/memory/journal/record.go
+++ b/internal/memory/journal/record.go
@@ -13,141 +13,145 @@
 	"oatfold/policy"
 )
 
-// A segment is a head and records. Head: magic, number of the segment, the largest message number before it, salt.
-// Record: four bytes of length, four of checksum, the payload. The checksum is the lower half of xxhash64 of the payload,
-// with the salt added by exclusive or. Guards against a body that holds records: nobody outside knows the salt.
+// A segment is a header followed by records. Header: magic, segment number, largest message number
+// of earlier segments, salt. Record: length (4 bytes), checksum (4 bytes), payload. The checksum is
+// the lower half of xxhash64 of the payload, XORed with the salt. The salt, unknown to clients,
+// prevents a message body that contains records from being read as such.
 const (
-	magic     = "oatfold2"
-	headSize  = len(magic) + 8 + 4 + 4
-	frameHead = 8
-	maxRecord = 1 << 20 // a longer length can only be garbage
+	magic           = "oatfold2"
+	headerSize      = len(magic) + 8 + 4 + 4
+	frameHeaderSize = 8
+	maxRecordSize   = 1 << 20 // bytes; a longer length is corrupt
 )
 
-// The kinds of record.
+// Record types.
 const (
-	recTaken  byte = 'T' // a message was taken on, as it came
-	recUnkept byte = 'U' // a message was taken on, and its body is not kept
-	recKept   byte = 'K' // a message as an upgrade found it
-	recNotes  byte = 'A' // what plug-ins noted about the message just before
-	recTerms  byte = 'Q' // what that message was taken on under; a taken one has it at its own end
-	recOut    byte = 'O' // a route step goes out: one or more messages, written before the call's first byte
-	recNotRun byte = 'N' // the latest route step of a message is proved not to have run
-	recOwed   byte = 'E' // a message is ended; its notice is owed
-	recBatch  byte = 'B' // so many bytes of records follow that count together, or not at all
-	recOver   byte = 'X' // nothing more is owed: ordinal, id (empty: it may be taken on again)
+	recordAccepted           byte = 'T' // a message was accepted, as received
+	recordAcceptedMemoryOnly byte = 'U' // a message was accepted, its body is in memory only
+	recordSnapshot           byte = 'K' // a snapshot of a message, from an upgrade or a transfer
+	recordPluginNotes        byte = 'A' // plug-in notes on the preceding message
+	recordTerms              byte = 'Q' // terms of the preceding message; an accepted record has them at its end
+	recordAttempt            byte = 'O' // an attempt starts for one or more messages; written before the first byte of the call
+	recordNotRun             byte = 'N' // the latest attempt for a message is known not to have run
+	recordUndelivered        byte = 'E' // a message ended undelivered; its notification is outstanding
+	recordBatch              byte = 'B' // size in bytes of the records that follow, which are valid only together
+	recordCompleted          byte = 'X' // a message is completed: sequence number, id (empty: it may be accepted again)
 )
 
 var (
-	errChecksum = errors.New("checksum")
-	errCut      = errors.New("record cut short")
-	errHead     = errors.New("no head of a segment")
+	errChecksum  = errors.New("checksum mismatch")
+	errTruncated = errors.New("record is truncated")
+	errHeader    = errors.New("segment header is missing or invalid")
 )
 
-func appendHead(b []byte, no uint64, top, salt uint32) []byte {
-	b = binary.LittleEndian.AppendUint64(append(b, magic...), no)
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, top), salt)
+func appendHeader(b []byte, number uint64, maxNumber, salt uint32) []byte {
+	b = binary.LittleEndian.AppendUint64(append(b, magic...), number)
+	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, maxNumber), salt)
 }
 
-func readHead(b []byte) (top, salt uint32, err error) {
-	if len(b) < headSize || string(b[:len(magic)]) != magic {
-		return 0, 0, errHead
+func readHeader(b []byte) (maxNumber, salt uint32, err error) {
+	if len(b) < headerSize || string(b[:len(magic)]) != magic {
+		return 0, 0, errHeader
 	}
 	return binary.LittleEndian.Uint32(b[len(magic)+8:]), binary.LittleEndian.Uint32(b[len(magic)+12:]), nil
 }
 
-func sum(payload []byte) uint32 { return uint32(xxhash.Sum64(payload)) }
+func checksum(payload []byte) uint32 { return uint32(xxhash.Sum64(payload)) }
 
-// begin leaves room for a frame's head; frame fills it once the payload is behind it, and salted adds the salt of the
-// segment that it goes to.
-func begin(b []byte) []byte { return append(b, make([]byte, frameHead)...) }
+// beginFrame reserves space for a frame header, and finishFrame fills it in once the payload is
+// appended. applySalt adds the salt of the segment to the checksum.
+func beginFrame(b []byte) []byte { return append(b, make([]byte, frameHeaderSize)...) }
 
-func salted(b []byte, salt uint32) {
+func applySalt(b []byte, salt uint32) {
 	binary.LittleEndian.PutUint32(b[4:], binary.LittleEndian.Uint32(b[4:])^salt)
 }
 
-func frame(b []byte, at int) []byte {
-	payload := b[at+frameHead:]
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(b[at+4:], sum(payload))
+func finishFrame(b []byte, start int) []byte {
+	payload := b[start+frameHeaderSize:]
+	binary.LittleEndian.PutUint32(b[start:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(b[start+4:], checksum(payload))
 	return b
 }
 
-// next reads the record at the head of b. size is 0 where none is whole there; err tells of a whole one that is bad.
-func next(b []byte, salt uint32) (payload []byte, size int, err error) {
-	if len(b) < frameHead {
+// nextRecord reads the record at the start of b. size is 0 if there is no complete record; err is
+// set for a complete but corrupt one.
+func nextRecord(b []byte, salt uint32) (payload []byte, size int, err error) {
+	if len(b) < frameHeaderSize {
 		return nil, 0, nil
 	}
-	n := int(binary.LittleEndian.Uint32(b))
-	if n == 0 || n > maxRecord || n > len(b)-frameHead {
+	length := int(binary.LittleEndian.Uint32(b))
+	if length == 0 || length > maxRecordSize || length > len(b)-frameHeaderSize {
 		return nil, 0, nil
 	}
-	if payload = b[frameHead : frameHead+n]; sum(payload)^salt != binary.LittleEndian.Uint32(b[4:]) {
-		return nil, frameHead + n, errChecksum
+	if payload = b[frameHeaderSize : frameHeaderSize+length]; checksum(payload)^salt != binary.LittleEndian.Uint32(b[4:]) {
+		return nil, frameHeaderSize + length, errChecksum
 	}
-	return payload, frameHead + n, nil
+	return payload, frameHeaderSize + length, nil
 }
 
-// resyncMost bounds how far behind a bad place the next good record is looked for.
-const resyncMost = 1 << 20
+// maxResyncBytes limits the search for the next valid record behind a corrupt one.
+const maxResyncBytes = 1 << 20
 
-// walk tells of each record below the head: its place, its payload, or what is wrong there. It returns the end of the
-// last good one. Guards against one bad length that hides all that follows: the next good record is looked for.
-func walk(raw []byte, tell func(at, size int, payload []byte, err error)) (end int) {
-	_, salt, err := readHead(raw)
+// walkRecords calls visit for each record behind the header, with its payload or what is wrong with
+// it. It returns the end of the last valid record. Behind a corrupt length it searches for the next
+// valid record, so that one does not hide all that follow.
+func walkRecords(raw []byte, visit func(at, size int, payload []byte, err error)) (end int) {
+	_, salt, err := readHeader(raw)
 	if err != nil {
 		return 0
 	}
-	at := headSize
-	for end = at; at < len(raw); {
-		payload, size, err := next(raw[at:], salt)
+	offset := headerSize
+	for end = offset; offset < len(raw); {
+		payload, size, err := nextRecord(raw[offset:], salt)
 		if size > 0 && err == nil {
-			if payload[0] == recBatch && !wholeBatch(payload, len(raw)-at-size) {
-				return end // a torn tail: nothing of it was promised
+			if payload[0] == recordBatch && !batchComplete(payload, len(raw)-offset-size) {
+				return end // incomplete batch: none of it was committed
 			}
-			tell(at, size, payload, nil)
-			at += size
-			end = at
+			visit(offset, size, payload, nil)
+			offset += size
+			end = offset
 			continue
 		}
-		bad := at
-		for at++; at < len(raw) && at-bad < resyncMost; at++ {
-			if _, size, err := next(raw[at:], salt); size > 0 && err == nil {
+		badStart := offset
+		for offset++; offset < len(raw) && offset-badStart < maxResyncBytes; offset++ {
+			if _, size, err := nextRecord(raw[offset:], salt); size > 0 && err == nil {
 				break
 			}
 		}
-		if at >= len(raw) || at-bad >= resyncMost {
-			if err == nil && at < len(raw) {
-				err = errCut
+		if offset >= len(raw) || offset-badStart >= maxResyncBytes {
+			if err == nil && offset < len(raw) {
+				err = errTruncated
 			}
 			if err != nil {
-				tell(bad, len(raw)-bad, nil, err)
-				return len(raw) // whole but bad: it stays, and is named again
+				visit(badStart, len(raw)-badStart, nil, err)
+				return len(raw) // complete but corrupt: kept, and reported again
 			}
-			return end // a torn tail
+			return end // incomplete record at the end
 		}
 		if err == nil {
-			err = errCut
+			err = errTruncated
 		}
-		tell(bad, at-bad, nil, err)
+		visit(badStart, offset-badStart, nil, err)
 	}
 	return end
 }
 
-// appendBatch begins a batch of so many bytes. A version that knows no batches names it as bad and reads its records one by one.
-func appendBatch(b []byte, bytes int, salt uint32) []byte {
-	at := len(b)
-	b = frame(binary.AppendUvarint(append(begin(b), recBatch), uint64(bytes)), at)
-	salted(b[at:], salt)
+// appendBatch starts a batch of records of size bytes. Versions without batches report it as
+// corrupt and read its records one by one.
+func appendBatch(b []byte, size int, salt uint32) []byte {
+	start := len(b)
+	b = finishFrame(binary.AppendUvarint(append(beginFrame(b), recordBatch), uint64(size)), start)
+	applySalt(b[start:], salt)
 	return b
 }
 
-// batchHead bounds what the beginning of a batch takes.
-const batchHead = frameHead + 1 + binary.MaxVarintLen32
+// maxBatchHeaderSize is the maximum size of the record that starts a batch.
+const maxBatchHeaderSize = frameHeaderSize + 1 + binary.MaxVarintLen32
 
-// wholeBatch tells whether all of a batch is among the bytes that follow its beginning.
-func wholeBatch(payload []byte, follow int) bool {
-	bytes, n := binary.Uvarint(payload[1:])
-	return n > 0 && bytes <= uint64(follow)
+// batchComplete reports whether the bytes behind the start of a batch hold all of it.
+func batchComplete(payload []byte, remaining int) bool {
+	size, n := binary.Uvarint(payload[1:])
+	return n > 0 && size <= uint64(remaining)
 }
 
 // --- payloads ---
@@ -156,159 +160,161 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func appendMessage(b []byte, m *memory.Message, dates clock.Scale) []byte {
+func appendMessage(b []byte, m *memory.Message, timeScale clock.Scale) []byte {
 	body := m.Body
 	if m.MemoryOnly {
 		body = nil
 	}
 	b = binary.AppendUvarint(b, uint64(m.Number))
-	b = binary.AppendVarint(b, dates.Date(m.Deadline))
+	b = binary.AppendVarint(b, timeScale.Date(m.Deadline))
 	b = binary.AppendVarint(b, int64(m.Dest))
 	b = appendText(appendText(appendText(b, m.ID), m.Class), m.IdempotencyKey)
 	return appendText(b, body)
 }
 
-// appendTerms adds what a message was taken on under; nothing where that restricts nothing.
-func appendTerms(b []byte, t memory.Terms) []byte {
-	if t == (memory.Terms{}) {
+// appendTerms appends the terms of a message; nothing if they are the zero value.
+func appendTerms(b []byte, terms memory.Terms) []byte {
+	if terms == (memory.Terms{}) {
 		return b
 	}
-	effect := byte(t.Effect)
-	if t.ZoneOnly {
-		effect |= zoneOnly
+	effect := byte(terms.Effect)
+	if terms.ZoneOnly {
+		effect |= zoneOnlyFlag
 	}
-	b = binary.AppendUvarint(append(b, effect), uint64(t.RepeatWindow.Microseconds()))
-	return appendText(appendText(b, t.Tenant), t.OrderingKey)
+	b = binary.AppendUvarint(append(b, effect), uint64(terms.RepeatWindow.Microseconds()))
+	return appendText(appendText(b, terms.Tenant), terms.OrderingKey)
 }
 
-const zoneOnly = 0x80 // beside an effect
+const zoneOnlyFlag = 0x80 // flag in the effect byte
 
-// terms takes what appendTerms has added, if anything.
-func (r *fields) terms() (t memory.Terms) {
+// terms reads what appendTerms wrote, if anything.
+func (r *recordReader) terms() (terms memory.Terms) {
 	if len(r.Rest) == 0 || r.Malformed {
-		return t
+		return terms
 	}
 	effect := r.Rest[0]
 	r.Rest = r.Rest[1:]
-	t.Effect, t.ZoneOnly = policy.Effect(effect&^zoneOnly), effect&zoneOnly != 0
-	t.RepeatWindow = time.Duration(r.Uint()) * time.Microsecond
-	t.Tenant, t.OrderingKey = string(r.Bytes()), string(r.Bytes())
-	if t.Effect > policy.Unsafe {
-		t.Effect = policy.Unsafe // whatever it is: it is not run twice
+	terms.Effect, terms.ZoneOnly = policy.Effect(effect&^zoneOnlyFlag), effect&zoneOnlyFlag != 0
+	terms.RepeatWindow = time.Duration(r.Uint()) * time.Microsecond
+	terms.Tenant, terms.OrderingKey = string(r.Bytes()), string(r.Bytes())
+	if terms.Effect > policy.Unsafe {
+		terms.Effect = policy.Unsafe // unknown effect: never run twice
 	}
-	return t
+	return terms
 }
 
-func appendNotice(b []byte, n memory.Notification) []byte {
+func appendNotification(b []byte, notification memory.Notification) []byte {
 	kind := byte(0)
-	if n.Returned {
+	if notification.Returned {
 		kind = 1
 	}
-	return binary.AppendUvarint(append(b, kind), uint64(n.RetryAfter.Microseconds()))
+	return binary.AppendUvarint(append(b, kind), uint64(notification.RetryAfter.Microseconds()))
 }
 
-// appendKept adds to a message what has happened to it. A step that is out counts as risk from its start on.
-func appendKept(b []byte, m *memory.Message, dates clock.Scale) []byte {
-	b = appendMessage(b, m, dates)
+// appendSnapshot appends a message with its state. An attempt in flight counts as one that may have
+// run.
+func appendSnapshot(b []byte, m *memory.Message, timeScale clock.Scale) []byte {
+	b = appendMessage(b, m, timeScale)
 	b = binary.AppendUvarint(b, uint64(m.Attempts))
-	b = binary.AppendVarint(b, dates.Date(m.MayHaveRunSince))
+	b = binary.AppendVarint(b, timeScale.Date(m.MayHaveRunSince))
 	if m.Notification != nil {
-		b = appendNotice(b, *m.Notification)
+		b = appendNotification(b, *m.Notification)
 	}
 	return b
 }
 
-// fields takes a payload apart, whose dates are on that scale.
-type fields struct {
+// recordReader decodes a payload whose times are on timeScale.
+type recordReader struct {
 	memory.FieldReader
-	dates clock.Scale
+	timeScale clock.Scale
 }
 
-func read(payload []byte, dates clock.Scale) *fields {
-	return &fields{memory.FieldReader{Rest: payload[1:]}, dates}
+func newRecordReader(payload []byte, timeScale clock.Scale) *recordReader {
+	return &recordReader{memory.FieldReader{Rest: payload[1:]}, timeScale}
 }
 
-func (r *fields) message() *memory.Message {
-	return &memory.Message{Number: uint32(r.Uint()), Deadline: r.dates.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
+func (r *recordReader) message() *memory.Message {
+	return &memory.Message{Number: uint32(r.Uint()), Deadline: r.timeScale.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
 		Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: append([]byte(nil), r.Bytes()...)}
 }
 
-// state is what records add up to.
-type state struct {
-	table   *memory.Table
-	dates   clock.Scale          // that records are dated on
-	bound   int64                // bytes that bodies may take in memory; 0: any number
-	pending map[uint32]time.Time // starts of route steps that are out
-	overs   uint64               // ordinal of the last message that was over
-	top     uint32               // largest message number met
+// replayState is the result of replaying records.
+type replayState struct {
+	table         *memory.Table
+	timeScale     clock.Scale          // of the records
+	maxBodyBytes  int64                // bytes that bodies may use in memory; 0: no limit
+	inFlightSince map[uint32]time.Time // start of the attempt in flight, by message number
+	completedSeq  uint64               // sequence number of the last completed message
+	maxNumber     uint32               // largest message number seen
 }
 
-func newState(dates clock.Scale) *state {
-	return &state{table: memory.NewTable(), dates: dates, pending: map[uint32]time.Time{}}
+func newReplayState(timeScale clock.Scale) *replayState {
+	return &replayState{table: memory.NewTable(), timeScale: timeScale, inFlightSince: map[uint32]time.Time{}}
 }
 
-// apply takes one record in. Records of messages that are not there are of those that were over and cleaned away.
-func (s *state) apply(payload []byte) error {
-	r := read(payload, s.dates)
+// apply replays one record. Records of unknown messages belong to completed ones that compaction
+// removed.
+func (s *replayState) apply(payload []byte) error {
+	r := newRecordReader(payload, s.timeScale)
 	switch kind := payload[0]; kind {
-	case recTaken, recUnkept, recKept:
+	case recordAccepted, recordAcceptedMemoryOnly, recordSnapshot:
 		m := r.message()
-		m.MemoryOnly, m.Recovered = kind == recUnkept, true
-		if kind == recKept {
-			if m.Attempts, m.MayHaveRunSince = int(r.Uint()), r.dates.Time(r.Int()); len(r.Rest) > 0 {
-				n := r.Notification()
-				m.Notification = &n
+		m.MemoryOnly, m.Recovered = kind == recordAcceptedMemoryOnly, true
+		if kind == recordSnapshot {
+			if m.Attempts, m.MayHaveRunSince = int(r.Uint()), r.timeScale.Time(r.Int()); len(r.Rest) > 0 {
+				notification := r.Notification()
+				m.Notification = &notification
 			}
 		} else {
 			m.Terms = r.terms()
 		}
 		if r.Malformed || s.table.Get(m.Number) != nil {
-			return fmt.Errorf("message cut short or there already")
+			return fmt.Errorf("message record is truncated or duplicate")
 		}
-		s.top = max(s.top, m.Number)
+		s.maxNumber = max(s.maxNumber, m.Number)
 		s.table.Add(m)
-		if kept, _ := s.table.BodyBytes(); s.bound > 0 && kept > s.bound {
+		if kept, _ := s.table.BodyBytes(); s.maxBodyBytes > 0 && kept > s.maxBodyBytes {
 			s.table.SpillBody(m)
 		}
-	case recOut:
-		at := r.dates.Time(r.Int())
+	case recordAttempt:
+		startedAt := r.timeScale.Time(r.Int())
 		for len(r.Rest) > 0 && !r.Malformed {
-			n := uint32(r.Uint())
-			s.top = max(s.top, n)
-			if m := s.table.Get(n); m != nil {
-				s.settle(m)
+			number := uint32(r.Uint())
+			s.maxNumber = max(s.maxNumber, number)
+			if m := s.table.Get(number); m != nil {
+				s.markMayHaveRun(m)
 				m.Attempts++
-				s.pending[n] = at
+				s.inFlightSince[number] = startedAt
 			}
 		}
-	case recNotes, recTerms, recNotRun, recOwed, recOver:
-		n := uint32(r.Uint())
-		s.top = max(s.top, n)
-		m := s.table.Get(n)
+	case recordPluginNotes, recordTerms, recordNotRun, recordUndelivered, recordCompleted:
+		number := uint32(r.Uint())
+		s.maxNumber = max(s.maxNumber, number)
+		m := s.table.Get(number)
 		switch kind {
-		case recNotes:
+		case recordPluginNotes:
 			if text := r.Bytes(); m != nil {
 				m.PluginNotes = append([]byte(nil), text...)
 			}
-		case recTerms:
-			if t := r.terms(); m != nil {
-				m.Terms = t
+		case recordTerms:
+			if terms := r.terms(); m != nil {
+				m.Terms = terms
 			}
-		case recNotRun:
-			delete(s.pending, n)
-		case recOwed:
+		case recordNotRun:
+			delete(s.inFlightSince, number)
+		case recordUndelivered:
 			if notice := r.Notification(); m != nil && !r.Malformed {
 				s.table.MarkUndelivered(m, notice)
 			}
-		case recOver:
-			ordinal, id := r.Uint(), string(r.Bytes())
+		case recordCompleted:
+			sequence, id := r.Uint(), string(r.Bytes())
 			if r.Malformed {
 				break
 			}
-			s.overs = max(s.overs, ordinal)
-			delete(s.pending, n)
+			s.completedSeq = max(s.completedSeq, sequence)
+			delete(s.inFlightSince, number)
 			if m != nil {
-				s.table.Remove(m) // which keeps its id
+				s.table.Remove(m) // also remembers its id
 			}
 			if id != "" {
 				s.table.MarkCompleted(id)
@@ -316,43 +322,44 @@
 				s.table.ForgetCompleted(m.ID)
 			}
 		}
-	case recBatch: // walk has looked whether it is whole
+	case recordBatch: // walkRecords has checked that it is complete
 	default:
-		return fmt.Errorf("unknown kind %q", kind)
+		return fmt.Errorf("unknown record type %q", kind)
 	}
 	if r.Malformed {
-		return errCut
+		return errTruncated
 	}
 	return nil
 }
 
-// settle books an earlier step without a proof that it never ran as risk.
-func (s *state) settle(m *memory.Message) {
-	if since, ok := s.pending[m.Number]; ok && m.MayHaveRunSince.IsZero() {
+// markMayHaveRun records that an earlier attempt of m, not known to have failed before it ran, may
+// have run.
+func (s *replayState) markMayHaveRun(m *memory.Message) {
+	if since, ok := s.inFlightSince[m.Number]; ok && m.MayHaveRunSince.IsZero() {
 		m.MayHaveRunSince = since
 	}
 }
 
-// end books what was out as the process ended: it may have run.
-func (s *state) end() {
-	for n := range s.pending {
-		if m := s.table.Get(n); m != nil {
-			s.settle(m)
+// finish marks the attempts in flight when the process ended: they may have run.
+func (s *replayState) finish() {
+	for number := range s.inFlightSince {
+		if m := s.table.Get(number); m != nil {
+			s.markMayHaveRun(m)
 		}
 	}
 }
 
-// nums calls f with each message that a record is of.
-func nums(payload []byte, f func(num uint32)) {
-	if payload[0] == recBatch {
+// forEachNumber calls visit with the number of each message that a record belongs to.
+func forEachNumber(payload []byte, visit func(num uint32)) {
+	if payload[0] == recordBatch {
 		return
 	}
-	r := read(payload, clock.Scale{})
-	if payload[0] != recOut {
-		f(uint32(r.Uint()))
+	r := newRecordReader(payload, clock.Scale{})
+	if payload[0] != recordAttempt {
+		visit(uint32(r.Uint()))
 		return
 	}
 	for r.Int(); len(r.Rest) > 0 && !r.Malformed; {
-		f(uint32(r.Uint()))
+		visit(uint32(r.Uint()))
 	}
 }
--- a/internal/memory/journal/recover.go
+++ b/internal/memory/journal/recover.go
@@ -11,185 +11,188 @@
 	"oatfold/internal/memory/journal/plan"
 )
 
-// What a start finds in the folder, and the upgrade of older folders.
+// Reading the state directory at startup, and upgrading a legacy journal.
 
-// Open reads what the folder holds and begins a new segment.
-func Open(set Config) (*Journal, *memory.Table, error) {
-	j := &Journal{set: set, spots: map[uint32]spots{}}
-	names, err := set.FS.List()
+// Open replays the journal in config.FS and starts a new segment. It returns the journal and the
+// table of messages that it holds.
+func Open(config Config) (*Journal, *memory.Table, error) {
+	j := &Journal{config: config, locations: map[uint32]locations{}}
+	names, err := config.FS.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	s := newState(set.TimeScale)
-	s.bound = set.MaxBodyBytes
+	replay := newReplayState(config.TimeScale)
+	replay.maxBodyBytes = config.MaxBodyBytes
 	var legacy []string
 	for _, name := range names {
-		switch base, ext := split(name); ext {
+		switch base, ext := splitExt(name); ext {
 		case tmpExt:
-			set.FS.Remove(name) // half of a cleaning or of an upgrade
+			config.FS.Remove(name) // left by an interrupted compaction or upgrade
 		case legacyExt:
 			legacy = append(legacy, name)
 		case segmentExt:
-			if no, err := strconv.ParseUint(base, 10, 64); err == nil {
-				j.segs = append(j.segs, &segment{no: no, nums: map[uint32]int64{}})
+			if number, err := strconv.ParseUint(base, 10, 64); err == nil {
+				j.segments = append(j.segments, &segment{number: number, messageBytes: map[uint32]int64{}})
 			}
 		}
 	}
-	slices.SortFunc(j.segs, func(a, b *segment) int { return int(int64(a.no) - int64(b.no)) })
-	if len(j.segs) == 0 && len(legacy) > 0 {
-		if err := j.upgrade(legacy); err != nil {
+	slices.SortFunc(j.segments, func(a, b *segment) int { return int(int64(a.number) - int64(b.number)) })
+	if len(j.segments) == 0 && len(legacy) > 0 {
+		if err := j.upgradeLegacy(legacy); err != nil {
 			return nil, nil, err
 		}
 	}
-	if len(j.segs) == 1 {
+	if len(j.segments) == 1 {
 		for _, name := range legacy {
-			set.FS.Remove(name) // its content is in that segment, whole
+			config.FS.Remove(name) // already converted into that segment
 		}
 	} else if len(legacy) > 0 {
-		set.Log.Error("journal of the first form beside segments: it is not read", "files", legacy)
+		config.Log.Error("ignoring legacy journal files beside journal segments", "files", legacy)
 	}
-	for i, g := range j.segs {
-		if err := j.read(g, s, i == len(j.segs)-1); err != nil {
+	for i, seg := range j.segments {
+		if err := j.loadSegment(seg, replay, i == len(j.segments)-1); err != nil {
 			return nil, nil, err
 		}
 	}
-	j.segs = slices.DeleteFunc(j.segs, func(g *segment) bool { return g.size == 0 })
-	s.end()
-	j.overs, j.top = s.overs, max(j.top, s.top)
-	s.table.StartNumbersAfter(j.top)
-	j.live(s.table)
+	j.segments = slices.DeleteFunc(j.segments, func(g *segment) bool { return g.size == 0 })
+	replay.finish()
+	j.completedSeq, j.maxNumber = replay.completedSeq, max(j.maxNumber, replay.maxNumber)
+	replay.table.StartNumbersAfter(j.maxNumber)
+	j.indexLiveRecords(replay.table)
 	err = j.rotate()
-	if err != nil && set.FS.Remove(reserveName) == nil {
-		err = j.rotate() // a full disk refuses no start while the reserve has room to give
+	if err != nil && config.FS.Remove(reserveName) == nil {
+		err = j.rotate() // release the reserve on a full disk
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	j.fill()
-	if !set.CompactInline {
-		j.jobs, j.done = make(chan job, 1), make(chan result, 1)
+	j.createReserve()
+	if !config.CompactInline {
+		j.jobs, j.results = make(chan compactionJob, 1), make(chan compactionResult, 1)
 		go func() {
-			for w := range j.jobs {
-				rest := noRest
-				if !w.hurry {
-					rest = func() { time.Sleep(restFor) }
+			for job := range j.jobs {
+				pause := noPause
+				if !job.urgent {
+					pause = func() { time.Sleep(compactionPause) }
 				}
-				j.done <- w.run(set.FS, rest)
+				j.results <- job.run(config.FS, pause)
 			}
-			close(j.done)
+			close(j.results)
 		}()
 	}
-	return j, s.table, nil
+	return j, replay.table, nil
 }
 
-func split(name string) (base, ext string) {
+func splitExt(name string) (base, ext string) {
 	if i := strings.LastIndexByte(name, '.'); i >= 0 {
 		return name[:i], name[i:]
 	}
 	return name, ""
 }
 
-// read takes a segment in. The last one may end in half a record, which is cut.
-func (j *Journal) read(g *segment, s *state, last bool) error {
-	raw, err := j.set.FS.Read(g.name())
+// loadSegment replays a segment. An incomplete record at its end is truncated.
+func (j *Journal) loadSegment(seg *segment, replay *replayState, isLast bool) error {
+	raw, err := j.config.FS.Read(seg.name())
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	top, _, err := readHead(raw)
+	maxNumber, _, err := readHeader(raw)
 	if err != nil {
-		if last && len(raw) < headSize {
-			j.top = max(j.top, s.top)
-			return j.set.FS.Remove(g.name()) // killed as it was begun: nothing is in it
+		if isLast && len(raw) < headerSize {
+			j.maxNumber = max(j.maxNumber, replay.maxNumber)
+			return j.config.FS.Remove(seg.name()) // the process died while creating it: it has no records
 		}
-		j.set.Log.Error("journal segment bad", "segment", g.name(), "err", err)
-		g.size, g.busy = int64(len(raw)), true // it stays for a person to look at
+		j.config.Log.Error("journal segment has no valid header; skipping it", "segment", seg.name(), "err", err)
+		seg.size, seg.busy = int64(len(raw)), true // kept for inspection
 		return nil
 	}
-	j.top = max(j.top, top)
-	end := walk(raw, func(at, size int, payload []byte, err error) {
+	j.maxNumber = max(j.maxNumber, maxNumber)
+	end := walkRecords(raw, func(offset, size int, payload []byte, err error) {
 		if err == nil {
-			if err = s.apply(payload); err == nil {
-				nums(payload, func(n uint32) { g.nums[n] += int64(size) })
+			if err = replay.apply(payload); err == nil {
+				forEachNumber(payload, func(number uint32) { seg.messageBytes[number] += int64(size) })
 				return
 			}
 		}
-		j.set.Log.Error("journal record bad", "segment", g.name(), "at", at, "bytes", size, "err", err)
+		j.config.Log.Error("skipping invalid journal record", "segment", seg.name(), "at", offset, "bytes", size, "err", err)
 	})
 	if end < len(raw) {
-		j.set.Log.Warn("journal tail cut", "segment", g.name(), "bytes", len(raw)-end)
-		if err := j.set.FS.Truncate(g.name(), int64(end)); err != nil {
+		j.config.Log.Warn("truncating incomplete record at the end of a journal segment", "segment", seg.name(), "bytes", len(raw)-end)
+		if err := j.config.FS.Truncate(seg.name(), int64(end)); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 	}
-	g.size = int64(end)
+	seg.size = int64(end)
 	return nil
 }
 
-// live books which records are of messages that are live.
-func (j *Journal) live(t *memory.Table) {
-	for _, g := range j.segs {
-		for n, bytes := range g.nums {
-			if t.Get(n) == nil {
-				delete(g.nums, n)
+// indexLiveRecords finds the records of pending messages in all segments.
+func (j *Journal) indexLiveRecords(table *memory.Table) {
+	for _, seg := range j.segments {
+		for number, bytes := range seg.messageBytes {
+			if table.Get(number) == nil {
+				delete(seg.messageBytes, number)
 				continue
 			}
-			g.live += bytes
-			j.note(n, spot{g, bytes})
+			seg.liveBytes += bytes
+			j.addLocation(number, location{seg, bytes})
 		}
-		j.total += plan.Blocks(g.size)
+		j.segmentBytes += plan.DiskSize(seg.size)
 	}
 }
 
-// note enters a place of records of a message.
-func (j *Journal) note(num uint32, at spot) {
-	s, ok := j.spots[num]
+// addLocation adds a location of records of a message.
+func (j *Journal) addLocation(number uint32, loc location) {
+	known, ok := j.locations[number]
 	switch {
 	case !ok:
-		s.first = at
-	case len(s.more) > 0 && s.more[len(s.more)-1].seg == at.seg:
-		s.more[len(s.more)-1].bytes += at.bytes
-	case len(s.more) == 0 && s.first.seg == at.seg:
-		s.first.bytes += at.bytes
+		known.first = loc
+	case len(known.rest) > 0 && known.rest[len(known.rest)-1].segment == loc.segment:
+		known.rest[len(known.rest)-1].bytes += loc.bytes
+	case len(known.rest) == 0 && known.first.segment == loc.segment:
+		known.first.bytes += loc.bytes
 	default:
-		s.more = append(s.more, at)
+		known.rest = append(known.rest, loc)
 	}
-	j.spots[num] = s
+	j.locations[number] = known
 }
 
-// grow books that a segment has another size.
-func (j *Journal) grow(g *segment, size int64) {
-	j.total += plan.Blocks(size) - plan.Blocks(g.size)
-	g.size = size
+// setSegmentSize updates the size of a segment and the total.
+func (j *Journal) setSegmentSize(seg *segment, size int64) {
+	j.segmentBytes += plan.DiskSize(size) - plan.DiskSize(seg.size)
+	seg.size = size
 }
 
-// upgrade reads a journal of the first form and writes what is live in it into a segment.
-func (j *Journal) upgrade(names []string) error {
+// upgradeLegacy converts the newest legacy journal into a segment.
+func (j *Journal) upgradeLegacy(names []string) error {
 	slices.Sort(names)
-	name := names[len(names)-1] // older ones are left over from a crash
-	raw, err := j.set.FS.Read(name)
+	name := names[len(names)-1] // older ones are left by a crash
+	raw, err := j.config.FS.Read(name)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	t := memory.ReadLegacy(raw, func(at int, err error) { j.set.Log.Error("journal record bad", "segment", name, "at", at, "err", err) })
-	top := uint32(0)
-	var all []*memory.Message
-	for _, m := range t.All() {
-		top, all = max(top, m.Number), append(all, m)
-	}
-	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
-	b := appendHead(nil, 1, top, 0)
-	for _, m := range all {
-		at := len(b)
-		if b = frame(appendKept(append(begin(b), recKept), m, j.set.TimeScale), at); len(m.PluginNotes) > 0 {
-			at = len(b)
-			b = frame(appendText(head(begin(b), recNotes, m.Number), m.PluginNotes), at)
+	legacy := memory.ReadLegacy(raw, func(offset int, err error) {
+		j.config.Log.Error("skipping invalid journal record", "segment", name, "at", offset, "err", err)
+	})
+	maxNumber := uint32(0)
+	var messages []*memory.Message
+	for _, m := range legacy.All() {
+		maxNumber, messages = max(maxNumber, m.Number), append(messages, m)
+	}
+	slices.SortFunc(messages, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
+	b := appendHeader(nil, 1, maxNumber, 0)
+	for _, m := range messages {
+		start := len(b)
+		if b = finishFrame(appendSnapshot(append(beginFrame(b), recordSnapshot), m, j.config.TimeScale), start); len(m.PluginNotes) > 0 {
+			start = len(b)
+			b = finishFrame(appendText(beginPayload(beginFrame(b), recordPluginNotes, m.Number), m.PluginNotes), start)
 		}
 	}
-	g := &segment{no: 1, nums: map[uint32]int64{}}
-	if err := writeWhole(j.set.FS, g.name(), b, noRest); err != nil {
+	seg := &segment{number: 1, messageBytes: map[uint32]int64{}}
+	if err := writeFileAtomic(j.config.FS, seg.name(), b, noPause); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	j.segs = append(j.segs, g)
-	j.set.Log.Info("journal upgraded", "from", name, "messages", len(all))
+	j.segments = append(j.segments, seg)
+	j.config.Log.Info("legacy journal converted", "from", name, "messages", len(messages))
 	return nil
 }
--- a/internal/memory/legacy.go
+++ b/internal/memory/legacy.go
@@ -8,129 +8,131 @@
 	"time"
 )
 
-// The first form of the journal was one segment of records, each framed by its length and a CRC-32. It is only read, when
-// a relay of this form starts for the first time.
+// The legacy journal format is one segment of records, each framed by its length and a CRC-32. It
+// is only read, when a relay starts for the first time after an upgrade from that format.
 const (
-	frameHead = 8       // length and checksum, four bytes each
-	maxRecord = 1 << 20 // a longer length can only be garbage
+	frameHeaderSize = 8       // length and checksum, four bytes each
+	maxRecordSize   = 1 << 20 // bytes; a longer length is corrupt
 )
 
-// The kinds of record.
+// Record types.
 const (
-	recTaken  byte = 'T' // a message was taken on, as it came
-	recKept   byte = 'K' // a message as compaction found it
-	recNotes  byte = 'A' // what plug-ins noted about the message just before
-	recOut    byte = 'O' // a route step goes out: one or more messages, written before the call's first byte
-	recNotRun byte = 'N' // the latest route step of a message is proved not to have run
-	recOwed   byte = 'E' // a message is ended; its notice is owed
-	recOver   byte = 'X' // nothing more is owed
+	legacyAccepted    byte = 'T' // a message was accepted, as received
+	legacySnapshot    byte = 'K' // a snapshot of a message, written by compaction
+	legacyPluginNotes byte = 'A' // plug-in notes on the preceding message
+	legacyAttempt     byte = 'O' // an attempt starts for one or more messages; written before the first byte of the call
+	legacyNotRun      byte = 'N' // the latest attempt for a message is known not to have run
+	legacyUndelivered byte = 'E' // a message ended undelivered; its notification is outstanding
+	legacyCompleted   byte = 'X' // a message is completed
 )
 
-// ReadLegacy takes the records of a segment of the first form. It stops at a torn tail; a whole record that makes no
-// sense is told of and passed over.
-func ReadLegacy(raw []byte, bad func(at int, err error)) *Table {
-	t := NewTable()
-	walk(raw, t, func(at int, _ []byte, err error) {
+// ReadLegacy replays a segment of the legacy format. It stops at an incomplete record at the end of
+// the segment. A complete record that is invalid is skipped and reported to onError.
+func ReadLegacy(raw []byte, onError func(at int, err error)) *Table {
+	table := NewTable()
+	replayRecords(raw, table, func(at int, _ []byte, err error) {
 		if err != nil {
-			bad(at, err)
+			onError(at, err)
 		}
 	})
-	return t
+	return table
 }
 
-// errChecksum is the error of a whole record whose checksum does not fit.
-var errChecksum = errors.New("checksum")
+// errChecksum reports a complete record whose checksum does not match.
+var errChecksum = errors.New("checksum mismatch")
 
-// walk is replay that tells of each whole record, with an error if it was passed over.
-func walk(raw []byte, t *Table, tell func(at int, payload []byte, err error)) int {
-	at := 0
-	pending := map[uint32]time.Time{} // starts of route steps that are out
-	for len(raw)-at >= frameHead {
-		n := int(binary.LittleEndian.Uint32(raw[at:]))
-		if n == 0 || n > maxRecord || n > len(raw)-at-frameHead {
+// replayRecords applies each complete record of raw to table and calls visit for it, with an error
+// if the record was skipped. It returns the offset behind the last complete record.
+func replayRecords(raw []byte, table *Table, visit func(at int, payload []byte, err error)) int {
+	offset := 0
+	inFlightSince := map[uint32]time.Time{} // start of the attempt in flight, by message number
+	for len(raw)-offset >= frameHeaderSize {
+		length := int(binary.LittleEndian.Uint32(raw[offset:]))
+		if length == 0 || length > maxRecordSize || length > len(raw)-offset-frameHeaderSize {
 			break
 		}
-		payload := raw[at+frameHead : at+frameHead+n]
-		err := errChecksum // A flipped byte in one record must not hide those after it.
-		if crc32.ChecksumIEEE(payload) == binary.LittleEndian.Uint32(raw[at+4:]) {
-			err = apply(payload, t, pending)
+		payload := raw[offset+frameHeaderSize : offset+frameHeaderSize+length]
+		err := errChecksum // a corrupt record must not hide those after it
+		if crc32.ChecksumIEEE(payload) == binary.LittleEndian.Uint32(raw[offset+4:]) {
+			err = applyRecord(payload, table, inFlightSince)
 		}
-		tell(at, payload, err)
-		at += frameHead + n
+		visit(offset, payload, err)
+		offset += frameHeaderSize + length
 	}
-	for n, since := range pending {
-		if m := t.Get(n); m != nil && m.MayHaveRunSince.IsZero() {
-			m.MayHaveRunSince = since // what was out as the process ended may have run
+	for number, since := range inFlightSince {
+		if m := table.Get(number); m != nil && m.MayHaveRunSince.IsZero() {
+			m.MayHaveRunSince = since // attempts in flight when the process ended may have run
 		}
 	}
-	return at
+	return offset
 }
 
-func apply(payload []byte, t *Table, pending map[uint32]time.Time) error {
+func applyRecord(payload []byte, table *Table, inFlightSince map[uint32]time.Time) error {
 	r := &FieldReader{Rest: payload[1:]}
 	kind := payload[0]
 	var m *Message
 	switch kind {
-	case recTaken, recKept:
+	case legacyAccepted, legacySnapshot:
 		m = &Message{Number: uint32(r.Uint()), Deadline: time.UnixMicro(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
 			Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: []byte(string(r.Bytes()))}
-		var out time.Time
-		if kind == recKept {
-			m.Attempts, m.MayHaveRunSince, out = int(r.Uint()), TimeFromMicros(r.Int()), TimeFromMicros(r.Int())
+		var startedAt time.Time
+		if kind == legacySnapshot {
+			m.Attempts, m.MayHaveRunSince, startedAt = int(r.Uint()), TimeFromMicros(r.Int()), TimeFromMicros(r.Int())
 			if len(r.Rest) > 0 {
-				n := r.Notification()
-				m.Notification = &n
+				notification := r.Notification()
+				m.Notification = &notification
 			}
 		}
-		if r.Malformed || t.Get(m.Number) != nil {
-			return fmt.Errorf("message cut short or there already")
+		if r.Malformed || table.Get(m.Number) != nil {
+			return fmt.Errorf("message record is truncated or duplicate")
 		}
-		t.Add(m)
-		if !out.IsZero() {
-			pending[m.Number] = out
+		table.Add(m)
+		if !startedAt.IsZero() {
+			inFlightSince[m.Number] = startedAt
 		}
 		return nil
-	case recOut:
-		at := time.UnixMicro(r.Int())
+	case legacyAttempt:
+		startedAt := time.UnixMicro(r.Int())
 		for len(r.Rest) > 0 && !r.Malformed {
-			n := uint32(r.Uint())
-			if m := t.Get(n); m != nil {
-				settle(m, pending)
+			number := uint32(r.Uint())
+			if m := table.Get(number); m != nil {
+				markMayHaveRun(m, inFlightSince)
 				m.Attempts++
-				pending[n] = at
+				inFlightSince[number] = startedAt
 			}
 		}
 		return nil
 	}
-	if m = t.Get(uint32(r.Uint())); m == nil || r.Malformed {
-		return fmt.Errorf("record %q of no message", kind)
+	if m = table.Get(uint32(r.Uint())); m == nil || r.Malformed {
+		return fmt.Errorf("record %q refers to an unknown message", kind)
 	}
 	switch kind {
-	case recNotRun:
-		delete(pending, m.Number)
-	case recNotes:
+	case legacyNotRun:
+		delete(inFlightSince, m.Number)
+	case legacyPluginNotes:
 		m.PluginNotes = []byte(string(r.Bytes()))
 		if r.Malformed {
-			return fmt.Errorf("notes cut short")
+			return fmt.Errorf("plug-in notes are truncated")
 		}
-	case recOwed:
-		n := r.Notification()
+	case legacyUndelivered:
+		notification := r.Notification()
 		if r.Malformed {
-			return fmt.Errorf("notice cut short")
+			return fmt.Errorf("notification is truncated")
 		}
-		t.MarkUndelivered(m, n)
-	case recOver:
-		delete(pending, m.Number)
-		t.Remove(m)
+		table.MarkUndelivered(m, notification)
+	case legacyCompleted:
+		delete(inFlightSince, m.Number)
+		table.Remove(m)
 	default:
-		return fmt.Errorf("unknown kind %q", kind)
+		return fmt.Errorf("unknown record type %q", kind)
 	}
 	return nil
 }
 
-// settle books an earlier step without a proof that it never ran as risk.
-func settle(m *Message, pending map[uint32]time.Time) {
-	if since, ok := pending[m.Number]; ok && m.MayHaveRunSince.IsZero() {
+// markMayHaveRun records that an earlier attempt of m, not known to have failed before it ran, may
+// have run.
+func markMayHaveRun(m *Message, inFlightSince map[uint32]time.Time) {
+	if since, ok := inFlightSince[m.Number]; ok && m.MayHaveRunSince.IsZero() {
 		m.MayHaveRunSince = since
 	}
 }
--- a/internal/memory/numbering.go
+++ b/internal/memory/numbering.go
@@ -6,68 +6,73 @@
 	"golang.org/x/sys/unix"
 )
 
-// SharedNumbering is how two processes of one relay draw numbers of messages while both take them on: from the machine's clock, so that numbers grow in
-// the order of hand-in over both. One draws even numbers, the other odd ones.
+// SharedNumbering lets two processes of one relay assign message numbers at the same time. Numbers
+// follow the monotonic clock of the machine, so that they increase in the order of acceptance
+// across both. One process assigns even numbers, the other odd ones.
 type SharedNumbering struct {
-	Base      uint32        `json:"base"`  // above all numbers drawn before; even
-	StartedAt time.Duration `json:"began"` // when numbers were drawn from here on, on the machine's clock
-	Odd       bool          `json:"-"`     // the successor draws odd numbers
+	Base      uint32        `json:"base"`  // larger than all numbers assigned before; even
+	StartedAt time.Duration `json:"began"` // monotonic time at which sharing began
+	Odd       bool          `json:"-"`     // set in the successor
 
-	now func() time.Duration // nil: the machine's clock
+	now func() time.Duration // nil: monotonicClock
 }
 
-// A number stands for numberUnit, which is less than what lies between two hand-ins of one subject: the answer to the first one, on its way to the
-// client. Numbers follow the clock for numberSpan: nobody takes messages on beside another process for longer. It bounds what one
-// upgrade takes of 32 bits.
+// Numbers advance by two per numberInterval. The interval is shorter than the time between two
+// requests with the same ordering key, since the second one follows the answer to the first.
+// Numbers follow the clock for maxSharingTime, the longest that two processes accept messages side
+// by side, which bounds how many of the 32-bit numbers one upgrade uses.
 const (
-	numberUnit = 10 * time.Microsecond
-	numberSpan = 10 * time.Second
+	numberInterval = 10 * time.Microsecond
+	maxSharingTime = 10 * time.Second
 )
 
-// machineClock is the time since the machine started. All its processes read one clock, which nobody sets.
-func machineClock() time.Duration {
+// monotonicClock returns the time since the machine started. All its processes read the same clock,
+// which is never set.
+func monotonicClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return 0 // numbers grow by the table's count alone
+		return 0 // numbers then increase by the table's own count
 	}
 	return time.Duration(t.Nano())
 }
 
-// draw returns the number for this moment, at least least.
-func (n *SharedNumbering) draw(least uint32) uint32 {
-	now := machineClock
+// next returns the number for the current time, at least minimum.
+func (n *SharedNumbering) next(minimum uint32) uint32 {
+	now := monotonicClock
 	if n.now != nil {
 		now = n.now
 	}
-	since := min(max(0, now()-n.StartedAt), numberSpan)
-	num := max(least, n.Base+2*uint32(since/numberUnit))
-	if odd := num%2 == 1; odd != n.Odd {
-		num++
+	elapsed := min(max(0, now()-n.StartedAt), maxSharingTime)
+	number := max(minimum, n.Base+2*uint32(elapsed/numberInterval))
+	if odd := number%2 == 1; odd != n.Odd {
+		number++
 	}
-	return num
+	return number
 }
 
-// NewSharedNumbering returns the numbering under which a successor takes messages on beside this process. It changes nothing yet.
+// NewSharedNumbering returns a numbering for this process and a successor that accepts messages
+// beside it. It does not put it in force.
 func (t *Table) NewSharedNumbering() SharedNumbering {
-	return SharedNumbering{Base: (t.last + 2) &^ 1, StartedAt: machineClock()}
+	return SharedNumbering{Base: (t.lastNumber + 2) &^ 1, StartedAt: monotonicClock()}
 }
 
-// UseSharedNumbering makes t draw its numbers by n from now on, unless it draws them by a later numbering already.
+// UseSharedNumbering makes t assign numbers by n, unless it already uses a later numbering.
 func (t *Table) UseSharedNumbering(n SharedNumbering) {
-	if t.both != nil && t.both.Base >= n.Base {
+	if t.shared != nil && t.shared.Base >= n.Base {
 		return
 	}
-	t.last = max(t.last, n.Base)
-	t.both = &n
+	t.lastNumber = max(t.lastNumber, n.Base)
+	t.shared = &n
 }
 
-// StopSharedNumbering makes t draw its numbers by its own count again.
-func (t *Table) StopSharedNumbering() { t.both = nil }
+// StopSharedNumbering makes t assign consecutive numbers again.
+func (t *Table) StopSharedNumbering() { t.shared = nil }
 
-// CanKeepNumber tells whether a message of the other process may keep its number here: no message of t has it or had it.
-func (t *Table) CanKeepNumber(num uint32) bool {
-	if t.both == nil || num == 0 || t.byNum[num] != nil {
+// CanKeepNumber reports whether a message from the other process can keep its number here: no
+// message of t has had it.
+func (t *Table) CanKeepNumber(number uint32) bool {
+	if t.shared == nil || number == 0 || t.byNumber[number] != nil {
 		return false
 	}
-	return num < t.both.Base || (num%2 == 1) != t.both.Odd
+	return number < t.shared.Base || (number%2 == 1) != t.shared.Odd
 }
