--- a/internal/memory/table.go
+++ b/internal/memory/table.go
@@ -1,4 +1,5 @@
-// Package memory holds what a relay keeps: the message table, the pool config and the journal.
+// Package memory holds the state of a relay: the message table and the endpoint list. The journal
+// stores the messages on disk.
 package memory
 
 import (
@@ -7,204 +8,209 @@
 	"oatfold/policy"
 )
 
-// Message is one message that the relay owes its end, or has a route step out for.
+// Message is an accepted message that is not completed yet, or whose attempt is still in flight.
 type Message struct {
-	Number         uint32 // its number towards the module, never used twice in a process
-	ID             string // the client's correlation id
+	Number         uint32 // identifies the message to the policy engine; never reused within a process
+	ID             string // correlation id of the client
 	Class          string
-	IdempotencyKey string // idempotency key, passed on as it came
+	IdempotencyKey string // idempotency key, forwarded unchanged
 	Dest           int
-	PluginNotes    []byte // what plug-ins noted as it came in, in their form
+	PluginNotes    []byte // notes of plug-ins on the request, opaque to the relay
 	Body           []byte
-	SpilledBytes   int       // bytes of the body where it is in the journal only, and Body is nil
-	MemoryOnly     bool      // the body is in memory only: it is lost with the process
-	Deadline       time.Time // wall clock: outlives the process
-	Terms                    // that it was taken on under
-	Recovered      bool      // an earlier process took it on
+	SpilledBytes   int       // size of a body that is only in the journal; Body is then nil
+	MemoryOnly     bool      // the body is not in the journal and is lost with the process
+	Deadline       time.Time // wall clock, valid across restarts
+	Terms                    // conditions that the message was accepted under
+	Recovered      bool      // accepted by an earlier process
 
-	Attempts        int           // route steps begun, also in earlier lives
-	MayHaveRunSince time.Time     // when the first step that may have run began; zero: none
-	Unanswered      bool          // its client has not been answered yet
-	Resubmitted     bool          // it was handed in once more
-	InFlight        *Attempt      // the step that is out
-	Notification    *Notification // the notice that is still to be taken by the platform
+	Attempts        int           // attempts started, including those of earlier processes
+	MayHaveRunSince time.Time     // start of the first attempt that may have run; zero: none
+	Unanswered      bool          // the client has not been answered yet
+	Resubmitted     bool          // the client has submitted the message again
+	InFlight        *Attempt      // attempt in flight; nil: none
+	Notification    *Notification // outcome that the platform has yet to confirm; nil: none
 }
 
-// Supersedes tells whether m is a later account than o of the same message, which two processes have held.
-func (m *Message) Supersedes(o *Message) bool {
-	return o.Notification == nil && (m.Notification != nil || m.Attempts > o.Attempts)
+// Supersedes reports whether m is a later state than other of the same message, which two processes
+// have held.
+func (m *Message) Supersedes(other *Message) bool {
+	return other.Notification == nil && (m.Notification != nil || m.Attempts > other.Attempts)
 }
 
-// Terms are what a message was taken on under. They bind it, whatever the settings say later.
+// Terms are the conditions that a message was accepted under. They stay in force for it when the
+// settings change.
 type Terms struct {
 	Effect       policy.Effect
-	RepeatWindow time.Duration // Keyed: for how long partners drop repeats
-	ZoneOnly     bool          // Keyed: only those of one zone do
+	RepeatWindow time.Duration // Keyed: how long partners discard repeats
+	ZoneOnly     bool          // Keyed: only endpoints in the same zone discard repeats
 	Tenant       string
-	OrderingKey  string // of an ordered class: what it is about
+	OrderingKey  string // ordering key of a message of an ordered class
 }
 
-// Attempt is one route step of one message that is out. Each gets exactly one end.
+// Attempt is one attempt in flight for one message. Each attempt ends exactly once.
 type Attempt struct {
-	Number    int       // counted over all lives of the message
-	StartedAt time.Time // when it began
+	Number    int       // counts all attempts for the message, across restarts
+	StartedAt time.Time // wall clock
 }
 
-// Notification ends a message that was taken on and is not delivered.
+// Notification reports to the platform that an accepted message was not delivered.
 type Notification struct {
-	Returned   bool          // handed back; else given up
-	RetryAfter time.Duration // handed back: when to come again, 0 for no advice
+	Returned   bool          // returned to the client; otherwise given up
+	RetryAfter time.Duration // for a returned message: delay before the client retries; 0: none given
 }
 
-// Table finds messages by number and by id. It is owned by one goroutine.
+// Table indexes messages by number and by id. It is not safe for concurrent use.
 type Table struct {
-	byNum map[uint32]*Message
-	byID  map[string]*Message
-	last  uint32
-	live  int
-	body  [2]int64          // bytes of bodies in memory: of those in the journal as well, and of those that are not
-	over  map[string]uint64 // ids of the messages that were over last, and their ordinals
-	order []over            // the same, oldest first; one whose ordinal is not the id's any more was forgotten
-	overs uint64
-	now   func() time.Time
-	both  *SharedNumbering // two processes draw numbers; nil: this one alone
-}
-
-// over is one id of a message that is over, since at.
-type over struct {
-	id string
-	no uint64
-	at time.Time
-}
-
-// OverMost bounds the ids kept of messages that are over, and overFlood those that are younger than overKeep: a client whose connection was
-// closed hands the same message in again within the time that it waits for an answer, 0.4 s. Guards against a flood of others that would
-// have it taken on, and run, once more.
+	byNumber        map[uint32]*Message
+	byID            map[string]*Message
+	lastNumber      uint32
+	pendingCount    int
+	bodyBytes       [2]int64          // bytes of bodies in memory: [0] also in the journal, [1] in memory only
+	completed       map[string]uint64 // sequence numbers of recently completed messages, by id
+	completionOrder []completedID     // the same, oldest first; an entry whose sequence number differs from the map's is stale
+	completedSeq    uint64
+	now             func() time.Time
+	shared          *SharedNumbering // set while two processes assign numbers; nil: only this one does
+}
+
+// completedID is the id of a completed message.
+type completedID struct {
+	id          string
+	sequence    uint64
+	completedAt time.Time
+}
+
+// Limits on the ids remembered of completed messages. A client whose connection was closed may
+// submit the same message again while it waits for an answer, for 0.4 s. The larger limit applies
+// to ids younger than completedRetention, so that a burst of other messages doesn't make the relay
+// accept and run a message twice.
 const (
-	MaxCompletedIDs = 4096
-	overKeep        = 2 * time.Second
-	overFlood       = 1 << 16
+	MaxCompletedIDs       = 4096
+	completedRetention    = 2 * time.Second
+	maxRecentCompletedIDs = 1 << 16
 )
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{byNum: map[uint32]*Message{}, byID: map[string]*Message{}, over: map[string]uint64{}, now: time.Now}
+	return &Table{byNumber: map[uint32]*Message{}, byID: map[string]*Message{}, completed: map[string]uint64{}, now: time.Now}
 }
 
-// StartNumbersAfter makes numbers begin after n: those up to it may be in the journal.
-func (t *Table) StartNumbersAfter(n uint32) { t.last = max(t.last, n) }
+// StartNumbersAfter makes the table assign numbers above n. Those up to n may be in the journal.
+func (t *Table) StartNumbersAfter(n uint32) { t.lastNumber = max(t.lastNumber, n) }
 
-// MarkCompleted keeps id among those of the messages that were over last, some time ago.
-func (t *Table) MarkCompleted(id string) { t.end(id, time.Time{}) }
+// MarkCompleted remembers id as that of a message completed at an unknown time in the past.
+func (t *Table) MarkCompleted(id string) { t.addCompleted(id, time.Time{}) }
 
-// CompletedCount counts the ids that are kept of messages that are over.
-func (t *Table) CompletedCount() int { return len(t.over) }
+// CompletedCount returns how many ids of completed messages are remembered.
+func (t *Table) CompletedCount() int { return len(t.completed) }
 
-// NextNumber returns a number that no message of this table has had, larger than all that it returned before.
+// NextNumber returns a message number that is larger than all it returned before.
 func (t *Table) NextNumber() uint32 {
-	if t.last++; t.both != nil {
-		t.last = t.both.draw(t.last)
+	if t.lastNumber++; t.shared != nil {
+		t.lastNumber = t.shared.next(t.lastNumber)
 	}
-	return t.last
+	return t.lastNumber
 }
 
-// Add enters m under its number and id.
+// Add indexes m by its number and id.
 func (t *Table) Add(m *Message) {
-	t.byNum[m.Number], t.byID[m.ID] = m, m
-	t.last = max(t.last, m.Number)
-	t.body[m.place()] += int64(len(m.Body))
+	t.byNumber[m.Number], t.byID[m.ID] = m, m
+	t.lastNumber = max(t.lastNumber, m.Number)
+	t.bodyBytes[m.bodyIndex()] += int64(len(m.Body))
 	if m.Notification == nil {
-		t.live++
+		t.pendingCount++
 	}
 }
 
-// BodyBytes is how many bytes bodies in memory take: those that are in the journal as well, and those that are not kept.
-func (t *Table) BodyBytes() (kept, unkept int64) { return t.body[0], t.body[1] }
+// BodyBytes returns the size of the bodies in memory: of those that are in the journal as well, and
+// of those that are in memory only.
+func (t *Table) BodyBytes() (journaled, memoryOnly int64) { return t.bodyBytes[0], t.bodyBytes[1] }
 
-func (m *Message) place() int {
+func (m *Message) bodyIndex() int {
 	if m.MemoryOnly {
 		return 1
 	}
 	return 0
 }
 
-// SpillBody lets go of the body of m, which is in the journal.
+// SpillBody releases the body of m from memory. It must be in the journal.
 func (t *Table) SpillBody(m *Message) {
-	t.body[m.place()] -= int64(len(m.Body))
+	t.bodyBytes[m.bodyIndex()] -= int64(len(m.Body))
 	m.SpilledBytes, m.Body = len(m.Body), nil
 }
 
-// BodySize is how many bytes the body of m has, wherever it is.
+// BodySize returns the size of the body in bytes, whether or not it is in memory.
 func (m *Message) BodySize() int { return max(m.SpilledBytes, len(m.Body)) }
 
-// Get returns the message of that number, nil if it is over.
-func (t *Table) Get(num uint32) *Message { return t.byNum[num] }
+// Get returns the message with that number, or nil if there is none.
+func (t *Table) Get(number uint32) *Message { return t.byNumber[number] }
 
-// ByID returns the message of that correlation id, nil if it is not held.
+// ByID returns the message with that correlation id, or nil if there is none.
 func (t *Table) ByID(id string) *Message { return t.byID[id] }
 
-// MarkUndelivered books that m is ended and only its notice is owed.
-func (t *Table) MarkUndelivered(m *Message, n Notification) {
+// MarkUndelivered ends m without delivery. Its notification is outstanding and its body is
+// released.
+func (t *Table) MarkUndelivered(m *Message, notification Notification) {
 	if m.Notification == nil {
-		t.live--
+		t.pendingCount--
 	}
-	t.body[m.place()] -= int64(len(m.Body))
-	m.Notification, m.Body, m.SpilledBytes = &n, nil, 0
+	t.bodyBytes[m.bodyIndex()] -= int64(len(m.Body))
+	m.Notification, m.Body, m.SpilledBytes = &notification, nil, 0
 }
 
-// Remove forgets m: nothing more is owed.
+// Remove removes the completed message m and remembers its id.
 func (t *Table) Remove(m *Message) {
-	if t.byNum[m.Number] != m {
+	if t.byNumber[m.Number] != m {
 		return
 	}
-	delete(t.byNum, m.Number)
-	t.body[m.place()] -= int64(len(m.Body))
+	delete(t.byNumber, m.Number)
+	t.bodyBytes[m.bodyIndex()] -= int64(len(m.Body))
 	if t.byID[m.ID] == m {
 		delete(t.byID, m.ID)
-		t.end(m.ID, t.now())
+		t.addCompleted(m.ID, t.now())
 	}
 	if m.Notification == nil {
-		t.live--
+		t.pendingCount--
 	}
 }
 
-// end keeps id among those of the messages that were over last.
-func (t *Table) end(id string, now time.Time) {
-	if _, there := t.over[id]; there {
+// addCompleted remembers id as completed and drops the oldest ids beyond the limits.
+func (t *Table) addCompleted(id string, completedAt time.Time) {
+	if _, known := t.completed[id]; known {
 		return
 	}
-	t.overs++
-	t.over[id], t.order = t.overs, append(t.order, over{id, t.overs, now})
-	for n := len(t.order); n > MaxCompletedIDs && (n > overFlood || t.now().Sub(t.order[0].at) > overKeep); n = len(t.order) {
-		if old := t.order[0]; t.over[old.id] == old.no {
-			delete(t.over, old.id)
+	t.completedSeq++
+	t.completed[id], t.completionOrder = t.completedSeq, append(t.completionOrder, completedID{id, t.completedSeq, completedAt})
+	for n := len(t.completionOrder); n > MaxCompletedIDs && (n > maxRecentCompletedIDs || t.now().Sub(t.completionOrder[0].completedAt) > completedRetention); n = len(t.completionOrder) {
+		if oldest := t.completionOrder[0]; t.completed[oldest.id] == oldest.sequence {
+			delete(t.completed, oldest.id)
 		}
-		t.order[0], t.order = over{}, t.order[1:]
+		t.completionOrder[0], t.completionOrder = completedID{}, t.completionOrder[1:]
 	}
 }
 
-// RecentlyCompleted tells whether a message of that id was over a short while ago. Guards against taking on, and running, an id
-// that somebody hands in again once its message is delivered.
+// RecentlyCompleted reports whether id is remembered as completed. It prevents a delivered message
+// from being accepted and run again.
 func (t *Table) RecentlyCompleted(id string) bool {
-	_, there := t.over[id]
-	return there
+	_, known := t.completed[id]
+	return known
 }
 
-// CompletedIDs lists the ids that are kept of messages that are over, the oldest first.
+// CompletedIDs lists the remembered ids of completed messages, oldest first.
 func (t *Table) CompletedIDs() (ids []string) {
-	for _, o := range t.order {
-		if t.over[o.id] == o.no {
-			ids = append(ids, o.id)
+	for _, entry := range t.completionOrder {
+		if t.completed[entry.id] == entry.sequence {
+			ids = append(ids, entry.id)
 		}
 	}
 	return ids
 }
 
-// ForgetCompleted drops id from those that are over: it may be taken on anew.
-func (t *Table) ForgetCompleted(id string) { delete(t.over, id) } // its place stays until its turn
+// ForgetCompleted forgets the completed id, so that a message with it may be accepted again.
+func (t *Table) ForgetCompleted(id string) { delete(t.completed, id) } // the stale entry in completionOrder is dropped later
 
-// PendingCount counts the messages that are not ended.
-func (t *Table) PendingCount() int { return t.live }
+// PendingCount returns the number of messages that have not ended.
+func (t *Table) PendingCount() int { return t.pendingCount }
 
-// All returns every message, in no order.
-func (t *Table) All() map[uint32]*Message { return t.byNum }
+// All returns all messages by number. The caller must not modify the map.
+func (t *Table) All() map[uint32]*Message { return t.byNumber }
--- a/internal/memory/table_test.go
+++ b/internal/memory/table_test.go
@@ -7,38 +7,40 @@
 	"time"
 )
 
-// Ids of messages that are over outlast a flood of others for as long as a client may hand one in again, and memory stays bounded.
-func TestOversOutlastAFlood(t *testing.T) {
+// Ids of completed messages survive a burst of others for as long as a client may retry, and their
+// number is bounded.
+func TestCompletedIDsSurviveFlood(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable()
 	table.now = func() time.Time { return now }
-	over := func(id string) {
+	complete := func(id string) {
 		m := &Message{Number: table.NextNumber(), ID: id}
 		table.Add(m)
 		table.Remove(m)
 	}
-	over("charge")
+	complete("charge")
 	for i := range 5 * MaxCompletedIDs {
-		over(fmt.Sprint(i))
+		complete(fmt.Sprint(i))
 	}
 	if !table.RecentlyCompleted("charge") {
-		t.Error("a flood makes it forget what may still be handed in again")
+		t.Error("a burst drops an id that may still be submitted again")
 	}
-	now = now.Add(overKeep + 1)
-	over("later")
+	now = now.Add(completedRetention + 1)
+	complete("later")
 	if table.RecentlyCompleted("charge") || !table.RecentlyCompleted("later") || table.CompletedCount() != MaxCompletedIDs {
-		t.Errorf("%d ids are kept, the old one: %v", table.CompletedCount(), table.RecentlyCompleted("charge"))
+		t.Errorf("%d ids remembered, the old one: %v", table.CompletedCount(), table.RecentlyCompleted("charge"))
 	}
-	for i := range 2 * overFlood {
-		over(fmt.Sprint("flood", i))
+	for i := range 2 * maxRecentCompletedIDs {
+		complete(fmt.Sprint("flood", i))
 	}
-	if table.CompletedCount() > overFlood || len(table.order) > overFlood {
-		t.Errorf("%d ids are kept", table.CompletedCount())
+	if table.CompletedCount() > maxRecentCompletedIDs || len(table.completionOrder) > maxRecentCompletedIDs {
+		t.Errorf("%d ids remembered", table.CompletedCount())
 	}
 }
 
-// What is forgotten may be over once more, and its first place in the order takes nothing from the second.
-func TestForgottenAndOverAgain(t *testing.T) {
+// An id that was forgotten may complete again, and dropping its stale entry does not forget the new
+// one.
+func TestForgottenIDCompletedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable()
 	table.now = func() time.Time { return now }
@@ -49,8 +51,8 @@
 		table.MarkCompleted(fmt.Sprint(i))
 	}
 	table.MarkCompleted("a")
-	table.MarkCompleted("b") // the first place goes
+	table.MarkCompleted("b") // drops the stale entry
 	if ids := table.CompletedIDs(); !table.RecentlyCompleted("a") || len(ids) != MaxCompletedIDs || !slices.Equal(ids[MaxCompletedIDs-2:], []string{"a", "b"}) {
-		t.Errorf("%d ids, over %v, last %v", len(ids), table.RecentlyCompleted("a"), ids[len(ids)-2:])
+		t.Errorf("%d ids, completed %v, last %v", len(ids), table.RecentlyCompleted("a"), ids[len(ids)-2:])
 	}
 }
