--- a/internal/memory/pool.go
+++ b/internal/memory/endpointlist.go
@@ -15,14 +15,15 @@
 	HostPort        string // may differ between relays
 }
 
-// EndpointList is one answer of the discovery service.
+// EndpointList is one answer of the discovery service: all endpoints, or changes to earlier ones.
 type EndpointList struct {
 	Generation int64
-	Complete   bool
+	Complete   bool // the list names all endpoints, not only changes
 	Entries    []EndpointEntry
 	Skipped    int // number of malformed entries
 }
 
+// endpointStates maps the lifecycle states of discovery.
 var endpointStates = map[string]policy.EndpointState{
 	"in_service": policy.Listed, "terminating": policy.Draining, "terminated": policy.Removed,
 }
@@ -50,9 +51,10 @@
 			endpoints.Skipped++
 			continue
 		}
-		endpoints.Entries = append(endpoints.Entries, EndpointEntry{HostPort: hostPort, Endpoint: policy.Endpoint{Address: id,
-			Destination: int(cell.Int()), Kind: entry.Get("machineType").Str, Zone: entry.Get("zone").Str, State: state,
-			Rate: entry.Get("weight").Float()}})
+		endpoints.Entries = append(endpoints.Entries, EndpointEntry{HostPort: hostPort, Endpoint: policy.Endpoint{
+			Address: id, Destination: int(cell.Int()), Kind: entry.Get("machineType").Str,
+			Zone: entry.Get("zone").Str, State: state, Rate: entry.Get("weight").Float(),
+		}})
 	}
 	return endpoints, nil
 }
--- a/internal/memory/pool_test.go
+++ b/internal/memory/endpointlist_test.go
@@ -19,7 +19,8 @@
 		t.Fatalf("%+v, %v", list, err)
 	}
 	want := policy.Endpoint{Address: "a", Destination: 3, Kind: "broker", Zone: "z", Rate: 2.5}
-	if m := list.Entries; m[0].Endpoint != want || m[0].HostPort != "127.0.0.1:1" || m[1].State != policy.Draining || m[2].State != policy.Removed {
+	if m := list.Entries; m[0].Endpoint != want || m[0].HostPort != "127.0.0.1:1" ||
+		m[1].State != policy.Draining || m[2].State != policy.Removed {
 		t.Errorf("%+v", m)
 	}
 	for _, raw := range []string{"", "{", "[]", `{"generation":"1","instances":[]}`, `{"generation":1,"instances":{}}`} {
@@ -39,7 +40,9 @@
 		table.Add(m)
 		table.Remove(m)
 	}
-	if !table.RecentlyCompleted(strconv.Itoa(3*MaxCompletedIDs-1)) || !table.RecentlyCompleted(strconv.Itoa(2*MaxCompletedIDs)) || table.RecentlyCompleted(strconv.Itoa(2*MaxCompletedIDs-1)) ||
+	if !table.RecentlyCompleted(strconv.Itoa(3*MaxCompletedIDs-1)) ||
+		!table.RecentlyCompleted(strconv.Itoa(2*MaxCompletedIDs)) ||
+		table.RecentlyCompleted(strconv.Itoa(2*MaxCompletedIDs-1)) ||
 		len(table.completed) != MaxCompletedIDs || len(table.completionOrder) != MaxCompletedIDs {
 		t.Errorf("%d ids remembered, %d in order", len(table.completed), len(table.completionOrder))
 	}
--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -59,7 +59,10 @@
 }
 
 func appendCharge(driver *journalDriver, id string, body int) *memory.Message {
-	m := &memory.Message{Number: driver.table.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall, Body: make([]byte, body)}
+	m := &memory.Message{
+		Number: driver.table.NextNumber(), ID: id, Class: "fee-charge", Dest: 7, Deadline: wall,
+		Body: make([]byte, body),
+	}
 	if err := driver.journal.AppendAccepted(driver.table, m, false); err != nil {
 		panic(err)
 	}
--- a/internal/memory/journal/bench_test.go
+++ b/internal/memory/journal/bench_test.go
@@ -20,9 +20,12 @@
 
 var startedAt = time.UnixMicro(1_700_000_000_000_000)
 
-func newMessage(t *memory.Table, body int) *memory.Message {
-	number := t.NextNumber()
-	return &memory.Message{Number: number, ID: fmt.Sprintf("%016x", number), Class: "fee-charge", IdempotencyKey: fmt.Sprintf("%032x", number), Dest: int(number % 30), Deadline: startedAt, Body: make([]byte, body)}
+func newMessage(table *memory.Table, body int) *memory.Message {
+	number := table.NextNumber()
+	return &memory.Message{
+		Number: number, ID: fmt.Sprintf("%016x", number), Class: "fee-charge",
+		IdempotencyKey: fmt.Sprintf("%032x", number), Dest: int(number % 30), Deadline: startedAt, Body: make([]byte, body),
+	}
 }
 
 // journalUnderTest is either the legacy journal or the current one.
@@ -32,9 +35,9 @@
 	current *Journal
 }
 
-func openJournal(b testing.TB, old bool, dir string, budget int64) *journalUnderTest {
+func openJournal(b testing.TB, useLegacy bool, dir string, budget int64) *journalUnderTest {
 	e, err := &journalUnderTest{}, error(nil)
-	if old {
+	if useLegacy {
 		e.legacy, e.table, err = openLegacy(dir, budget, quiet)
 	} else {
 		e.current, e.table, err = Open(Config{FS: Dir(dir), Budget: budget, Log: quiet})
@@ -79,34 +82,36 @@
 
 func (e *journalUnderTest) commit(b testing.TB) {
 	if e.current != nil {
-		if taken, out := e.current.Commit(); taken != nil || out != nil {
-			b.Fatal(taken, out)
+		if acceptErr, attemptErr := e.current.Commit(); acceptErr != nil || attemptErr != nil {
+			b.Fatal(acceptErr, attemptErr)
 		}
 	}
 }
 
 // newMessages creates messages in advance, so that only the journal is measured.
-func (e *journalUnderTest) newMessages(n, body int) (all []*memory.Message) {
+func (e *journalUnderTest) newMessages(n, body int) (messages []*memory.Message) {
 	for range n {
-		all = append(all, newMessage(e.table, body))
+		messages = append(messages, newMessage(e.table, body))
 	}
-	return all
+	return messages
 }
 
 // run accepts, attempts and completes n messages, with up to pending of them pending and
 // perIteration accepted between commits. It returns the duration of each iteration.
-func (e *journalUnderTest) run(b testing.TB, n, pending, perIteration, body int) (pauses []time.Duration) {
+func (e *journalUnderTest) run(b testing.TB, n, pending, perIteration, body int) (durations []time.Duration) {
 	return e.runMessages(b, e.newMessages(n, body), pending, perIteration, func() {})
 }
 
-func (e *journalUnderTest) runMessages(b testing.TB, all []*memory.Message, pending, perIteration int, afterEach func()) (pauses []time.Duration) {
+func (e *journalUnderTest) runMessages(
+	b testing.TB, messages []*memory.Message, pending, perIteration int, afterEach func(),
+) (durations []time.Duration) {
 	var accepted []*memory.Message
-	n := len(all)
+	n := len(messages)
 	for done := 0; done < n; done += perIteration {
 		began := time.Now()
 		for range perIteration {
-			m := all[0]
-			all = all[1:]
+			m := messages[0]
+			messages = messages[1:]
 			if err := e.accept(m); err != nil {
 				b.Fatal(err)
 			}
@@ -120,10 +125,10 @@
 			accepted = accepted[1:]
 		}
 		e.commit(b)
-		pauses = append(pauses, time.Since(began))
+		durations = append(durations, time.Since(began))
 		afterEach()
 	}
-	return pauses
+	return durations
 }
 
 // bytesWritten returns how many bytes this process has written, to files and elsewhere.
@@ -161,10 +166,10 @@
 				spent, wrote := time.Duration(0), bytesWritten(b)
 				for b.Loop() {
 					b.StopTimer()
-					all := e.newMessages(1024, 212)
+					messages := e.newMessages(1024, 212)
 					b.StartTimer()
 					began := time.Now()
-					e.runMessages(b, all, 256, perIteration, func() {})
+					e.runMessages(b, messages, 256, perIteration, func() {})
 					for _, m := range e.table.All() {
 						e.complete(m)
 					}
@@ -190,24 +195,24 @@
 			e.run(b, 50_000, 50_000, 50, 212)
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			var pauses, ran, idle []time.Duration
+			var durations, cpuTimes, spinTimes []time.Duration
 			for b.Loop() {
-				all, began := e.newMessages(60_000, 212), threadCPUTime(b)
-				pauses = append(pauses, e.runMessages(b, all, 1000, 16, func() {
+				messages, began := e.newMessages(60_000, 212), threadCPUTime(b)
+				durations = append(durations, e.runMessages(b, messages, 1000, 16, func() {
 					now := threadCPUTime(b)
-					ran, began = append(ran, now-began), now
+					cpuTimes, began = append(cpuTimes, now-began), now
 				})...)
 				for range 60_000 / 16 {
 					at := time.Now()
 					for time.Since(at) < 60*time.Microsecond {
 					}
-					idle = append(idle, time.Since(at))
+					spinTimes = append(spinTimes, time.Since(at))
 				}
 			}
-			for name, of := range map[string][]time.Duration{"": pauses, "ran-": ran, "spin-": idle} {
-				slices.Sort(of)
-				b.ReportMetric(float64(of[len(of)-1].Microseconds()), name+"max-us")
-				b.ReportMetric(float64(of[len(of)*99/100].Microseconds()), name+"p99-us")
+			for name, samples := range map[string][]time.Duration{"": durations, "ran-": cpuTimes, "spin-": spinTimes} {
+				slices.Sort(samples)
+				b.ReportMetric(float64(samples[len(samples)-1].Microseconds()), name+"max-us")
+				b.ReportMetric(float64(samples[len(samples)*99/100].Microseconds()), name+"p99-us")
 			}
 		})
 	}
@@ -255,15 +260,20 @@
 	for restart := range 3 {
 		e = openJournal(t, false, dir, 1<<20)
 		got := e.table.All()
-		if len(got) != 3 || string(got[accepted.Number].PluginNotes) != "notes" || len(got[accepted.Number].Body) != 100 || !got[attempted.Number].MayHaveRunSince.Equal(startedAt) || got[attempted.Number].Attempts != 1 ||
-			got[undelivered.Number].Notification == nil || *got[undelivered.Number].Notification != (memory.Notification{Returned: true, RetryAfter: time.Second}) {
+		if len(got) != 3 || string(got[accepted.Number].PluginNotes) != "notes" ||
+			len(got[accepted.Number].Body) != 100 || !got[attempted.Number].MayHaveRunSince.Equal(startedAt) ||
+			got[attempted.Number].Attempts != 1 || got[undelivered.Number].Notification == nil ||
+			*got[undelivered.Number].Notification != (memory.Notification{Returned: true, RetryAfter: time.Second}) {
 			t.Fatalf("restart %d: %+v", restart, got)
 		}
 		if n := e.table.NextNumber(); n <= undelivered.Number {
 			t.Errorf("number %d assigned again", n)
 		}
 		names, _ := Dir(dir).List()
-		if slices.ContainsFunc(names, func(n string) bool { _, ext := splitExt(n); return ext == legacyExt || ext == tmpExt }) {
+		if slices.ContainsFunc(names, func(n string) bool {
+			_, ext := splitExt(n)
+			return ext == legacyExt || ext == tmpExt
+		}) {
 			t.Errorf("files left over: %v", names)
 		}
 		e.close()
@@ -276,8 +286,8 @@
 	const n = 60_000
 	dir := t.TempDir()
 	e := openJournal(t, false, dir, 256<<20)
-	all := e.newMessages(n, 64)
-	for i, m := range all {
+	messages := e.newMessages(n, 64)
+	for i, m := range messages {
 		if err := e.accept(m); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/memory/journal/clean.go
+++ b/internal/memory/journal/compaction.go
@@ -15,7 +15,7 @@
 // Compaction pauses after each chunk, so that its thread does not keep the event loop off the
 // processor.
 const (
-	compactionChunk = 64 << 10
+	compactionChunk = 64 << 10 // bytes
 	compactionPause = 50 * time.Microsecond
 )
 
@@ -50,8 +50,6 @@
 	return err
 }
 
-// --- cleaning ---
-
 // compactionJob describes a segment to compact. It holds all that is needed, since it runs on
 // another goroutine.
 type compactionJob struct {
@@ -65,10 +63,13 @@
 	urgent            bool // space is short: run without pauses
 }
 
+// compactionResult is the outcome of a compactionJob.
 type compactionResult struct {
 	compactionJob
-	retainsCompletions  bool  // some completion records are retained for the sake of an older segment
-	size, retainedBytes int64 // size of the new file (0: nothing was left and the file is removed), and bytes in it of records of no pending message
+	retainsCompletions bool // some completion records are retained for the sake of an older segment
+	// size is that of the new file; 0: it was empty and is removed. retainedBytes are those in it
+	// that belong to no pending message.
+	size, retainedBytes int64
 	err                 error
 }
 
@@ -77,16 +78,21 @@
 
 // compact starts the compaction of a segment if that is worthwhile.
 func (j *Journal) compact() {
-	if j.compacting || j.needsTruncate || j.stats.Commits-j.lastCompactionCheck < commitsPerCompactionCheck && !j.config.CompactInline {
+	if j.compacting || j.needsTruncate ||
+		j.stats.Commits-j.lastCompactionCheck < commitsPerCompactionCheck && !j.config.CompactInline {
 		return
 	}
 	j.lastCompactionCheck = j.stats.Commits
 	candidates := j.candidates[:0]
 	for i, seg := range j.segments {
-		if seg.retainedBytes > 0 && j.completedSeq-seg.retainedAtSeq > memory.MaxCompletedIDs || seg.retainsCompletions && !j.hasEarlierRecords(i) {
+		if seg.retainedBytes > 0 && j.completedSeq-seg.retainedAtSeq > memory.MaxCompletedIDs ||
+			seg.retainsCompletions && !j.hasEarlierRecords(i) {
 			seg.retainedBytes, seg.retainsCompletions = 0, false // the retained records are no longer needed
 		}
-		candidates = append(candidates, plan.Segment{Size: seg.size, LiveBytes: seg.liveBytes, RetainedBytes: seg.retainedBytes, Busy: seg.busy || i == len(j.segments)-1})
+		candidates = append(candidates, plan.Segment{
+			Size: seg.size, LiveBytes: seg.liveBytes, RetainedBytes: seg.retainedBytes,
+			Busy: seg.busy || i == len(j.segments)-1,
+		})
 	}
 	j.candidates = candidates
 	i := plan.ChooseSegment(j.config.Budget, j.usedBytes(), len(j.locations), candidates)
@@ -94,7 +100,14 @@
 		return
 	}
 	seg := j.segments[i]
-	job := compactionJob{segment: seg, name: seg.name(), liveNumbers: make([]uint32, 0, len(seg.messageBytes)), activeNumber: j.segments[len(j.segments)-1].number, completedSeq: j.completedSeq, urgent: plan.Urgent(j.config.Budget, j.usedBytes(), candidates)}
+	job := compactionJob{
+		segment:      seg,
+		name:         seg.name(),
+		liveNumbers:  make([]uint32, 0, len(seg.messageBytes)),
+		activeNumber: j.segments[len(j.segments)-1].number,
+		completedSeq: j.completedSeq,
+		urgent:       plan.Urgent(j.config.Budget, j.usedBytes(), candidates),
+	}
 	for number := range seg.messageBytes {
 		job.liveNumbers = append(job.liveNumbers, number)
 	}
@@ -129,6 +142,7 @@
 	}
 }
 
+// finishCompaction updates the segment after its compaction.
 func (j *Journal) finishCompaction(result compactionResult) {
 	seg := result.segment
 	seg.busy, j.compacting = false, false
@@ -146,7 +160,8 @@
 		return
 	}
 	j.setSegmentSize(seg, result.size)
-	seg.retainedBytes, seg.retainedAtSeq, seg.retainsCompletions = result.retainedBytes, result.completedSeq, result.retainsCompletions
+	seg.retainedBytes, seg.retainedAtSeq, seg.retainsCompletions =
+		result.retainedBytes, result.completedSeq, result.retainsCompletions
 }
 
 // run rewrites the segment without the records of completed messages and replaces it by the copy.
@@ -161,7 +176,8 @@
 	}
 	slices.Sort(job.liveNumbers)
 	compacted := append([]byte(nil), raw[:headerSize]...)
-	accepted := map[uint32]struct{}{} // accepted in this segment: their completion records are removed with them
+	// The completion records of messages accepted in this segment are removed with them.
+	accepted := map[uint32]struct{}{}
 	pausedAt := 0
 	walkRecords(raw, func(offset, size int, payload []byte, err error) {
 		if offset-pausedAt > compactionChunk {
@@ -173,7 +189,7 @@
 		}
 		live, retain := false, false
 		if payload[0] == recordAccepted || payload[0] == recordAcceptedMemoryOnly || payload[0] == recordSnapshot {
-			forEachNumber(payload, func(n uint32) { accepted[n] = struct{}{} })
+			forEachNumber(payload, func(number uint32) { accepted[number] = struct{}{} })
 		}
 		if payload[0] == recordCompleted {
 			reader := newRecordReader(payload, clock.Scale{})
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -19,12 +19,15 @@
 	d.FileRoom(30_000)
 	const messages, body = 100, 2000
 	for n := range messages {
-		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
+		m := &memory.Message{
+			Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c",
+			Deadline: wall, Body: make([]byte, body),
+		}
 		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			t.Fatalf("message %d: %v", n, err)
 		}
-		if taken, out := driver.journal.Commit(); taken != nil || out != nil {
-			t.Fatalf("message %d: %v, %v", n, taken, out)
+		if acceptErr, attemptErr := driver.journal.Commit(); acceptErr != nil || attemptErr != nil {
+			t.Fatalf("message %d: %v, %v", n, acceptErr, attemptErr)
 		}
 	}
 	if s := driver.journal.Stats(); s.Segments < messages*body/30_000 {
--- a/internal/memory/journal/inspect.go
+++ b/internal/memory/journal/inspect.go
@@ -44,7 +44,18 @@
 	Faults       []Fault
 }
 
-var recordKindNames = map[byte]string{recordAccepted: "taken", recordSnapshot: "kept", recordAcceptedMemoryOnly: "taken, body not kept", recordPluginNotes: "notes", recordTerms: "terms", recordAttempt: "out", recordNotRun: "not run", recordUndelivered: "owed", recordCompleted: "over"}
+// recordKindNames are the names of record types in exports, whose format is stable.
+var recordKindNames = map[byte]string{
+	recordAccepted:           "taken",
+	recordSnapshot:           "kept",
+	recordAcceptedMemoryOnly: "taken, body not kept",
+	recordPluginNotes:        "notes",
+	recordTerms:              "terms",
+	recordAttempt:            "out",
+	recordNotRun:             "not run",
+	recordUndelivered:        "owed",
+	recordCompleted:          "over",
+}
 
 // Inspect reads a state directory without changing it, also while a relay writes to it. visit, if
 // not nil, is called for each valid record; after its first error, which Inspect returns, it is not
@@ -68,7 +79,8 @@
 			continue
 		case name == reserveName || strings.HasSuffix(name, tmpExt):
 			continue
-		case name == "baton" || name == "lock" || name == "spool" || name == "clock" || name == "drained" || strings.HasPrefix(name, "life-"):
+		case name == "baton" || name == "lock" || name == "spool" || name == "clock" ||
+			name == "drained" || strings.HasPrefix(name, "life-"):
 			continue // shared by the processes of one relay
 		default:
 			addFault(name, 0, fmt.Errorf("not part of the journal"))
@@ -113,27 +125,28 @@
 
 // describeRecord converts a record for audits, without the message body.
 func describeRecord(name string, offset, size int, payload []byte) Record {
-	r := Record{Segment: name, Offset: offset, Bytes: size, Kind: recordKindNames[payload[0]]}
+	record := Record{Segment: name, Offset: offset, Bytes: size, Kind: recordKindNames[payload[0]]}
 	reader := newRecordReader(payload, clock.Scale{})
 	switch payload[0] {
 	case recordAccepted, recordAcceptedMemoryOnly, recordSnapshot:
 		m := reader.message()
-		r.Num, r.ID, r.Class, r.Dest, r.Key, r.AtUs = m.Number, m.ID, m.Class, &m.Dest, m.IdempotencyKey, m.Deadline.UnixMicro()
+		record.Num, record.ID, record.Class, record.Dest, record.Key, record.AtUs =
+			m.Number, m.ID, m.Class, &m.Dest, m.IdempotencyKey, m.Deadline.UnixMicro()
 	case recordAttempt:
-		r.AtUs = reader.Int()
-		forEachNumber(payload, func(n uint32) { r.Nums = append(r.Nums, int(n)) })
-		if len(r.Nums) == 1 {
-			r.Num, r.Nums = uint32(r.Nums[0]), nil
+		record.AtUs = reader.Int()
+		forEachNumber(payload, func(number uint32) { record.Nums = append(record.Nums, int(number)) })
+		if len(record.Nums) == 1 {
+			record.Num, record.Nums = uint32(record.Nums[0]), nil
 		}
 	case recordUndelivered:
-		r.Num = uint32(reader.Uint())
-		r.Outcome = map[bool]string{true: "handed_back", false: "given_up"}[reader.Notification().Returned]
+		record.Num = uint32(reader.Uint())
+		record.Outcome = map[bool]string{true: "handed_back", false: "given_up"}[reader.Notification().Returned]
 	case recordCompleted:
-		r.Num = uint32(reader.Uint())
+		record.Num = uint32(reader.Uint())
 		reader.Uint()
-		r.ID = string(reader.Bytes())
+		record.ID = string(reader.Bytes())
 	default:
-		r.Num = uint32(reader.Uint())
+		record.Num = uint32(reader.Uint())
 	}
-	return r
+	return record
 }
--- a/internal/memory/journal/journal.go
+++ b/internal/memory/journal/journal.go
@@ -1,7 +1,7 @@
 // Package journal stores the messages of a relay in append-only segments. The records of one
 // event-loop iteration are written with one write. Sealed segments are compacted in the background:
 // each is rewritten without the records of completed messages and replaced by an atomic rename, so
-// that the directory always holds a consistent state. Writes are not synced: they survive the
+// that the directory always holds all committed records. Writes are not synced: they survive the
 // process but not a crash of the machine.
 //
 // A Journal is not safe for concurrent use. It never waits for compaction.
@@ -81,6 +81,7 @@
 	UsedBytes                                int64
 }
 
+// segment is the state of one segment file.
 type segment struct {
 	number             uint64
 	size               int64
@@ -198,6 +199,7 @@
 // beginRecord starts a record in the arena. The caller appends the payload, then calls endRecord.
 func (j *Journal) beginRecord() { j.arena = beginFrame(j.arena) }
 
+// endRecord completes the record and adds it to the batch.
 func (j *Journal) endRecord(e entry) {
 	if n := len(j.batch); n > 0 {
 		e.start = j.batch[n-1].end
@@ -208,6 +210,7 @@
 	j.batchBytes += int64(e.end - e.start)
 }
 
+// beginPayload appends the record type and the message number.
 func beginPayload(b []byte, kind byte, number uint32) []byte {
 	return binary.AppendUvarint(append(b, kind), uint64(number))
 }
@@ -221,11 +224,13 @@
 	if j.unavailable || j.reserveSize == 0 && j.reserveTarget() > 0 {
 		return ErrUnavailable // without the reserve there may be no space for the completion
 	}
-	recordSize := int64(frameHeaderSize + 40 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body) + len(m.PluginNotes) + len(m.Tenant) + len(m.OrderingKey))
+	recordSize := int64(frameHeaderSize + 40 + len(m.ID) + len(m.Class) + len(m.IdempotencyKey) + len(m.Body) +
+		len(m.PluginNotes) + len(m.Tenant) + len(m.OrderingKey))
 	used := j.usedBytes() + j.batchBytes
 	kind := recordAccepted
 	journaledBytes, memoryOnlyBytes := table.BodyBytes()
-	switch plan.ChooseBodyStorage(journaledBytes, memoryOnlyBytes, j.config.MaxBodyBytes, int64(len(m.Body)), plan.Fits(j.config.Budget, used, len(j.locations), recordSize),
+	switch plan.ChooseBodyStorage(journaledBytes, memoryOnlyBytes, j.config.MaxBodyBytes, int64(len(m.Body)),
+		plan.Fits(j.config.Budget, used, len(j.locations), recordSize),
 		plan.Fits(j.config.Budget, used, len(j.locations), recordSize-int64(len(m.Body))), repeatable) {
 	case plan.NotStored:
 		return ErrFull
@@ -247,7 +252,8 @@
 // LimitBodyMemory releases the body of m, whose record is committed, if bodies exceed their memory
 // limit.
 func (j *Journal) LimitBodyMemory(table *memory.Table, m *memory.Message) {
-	if journaled, _ := table.BodyBytes(); j.config.MaxBodyBytes > 0 && journaled > j.config.MaxBodyBytes && !m.MemoryOnly && len(m.Body) > 0 {
+	if journaled, _ := table.BodyBytes(); j.config.MaxBodyBytes > 0 && journaled > j.config.MaxBodyBytes &&
+		!m.MemoryOnly && len(m.Body) > 0 {
 		table.SpillBody(m)
 	}
 }
@@ -394,7 +400,8 @@
 	}
 	// After a failed write a new segment is used, since a limit on the file size would fail the
 	// next write as well.
-	if plan.ShouldSeal(j.config.Budget, j.validSize-int64(headerSize), j.batchBytes+maxBatchHeaderSize) || j.writeRefused && j.validSize > int64(headerSize) {
+	if plan.ShouldSeal(j.config.Budget, j.validSize-int64(headerSize), j.batchBytes+maxBatchHeaderSize) ||
+		j.writeRefused && j.validSize > int64(headerSize) {
 		if err := j.rotate(); err != nil {
 			return err
 		}
@@ -413,7 +420,7 @@
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		// Truncates records whose write was reported as failed before anything else is written.
+		// Records whose write is reported as failed are removed before anything else is written.
 		if j.writeRefused = true; n > 0 {
 			j.needsTruncate = j.activeFile.Truncate(j.validSize) != nil
 		}
@@ -447,12 +454,14 @@
 	return len(j.batch) > 1 && slices.ContainsFunc(j.batch, func(e entry) bool { return e.kind != entryRetained })
 }
 
+// addRecordBytes counts bytes of seg as records of a pending message.
 func (j *Journal) addRecordBytes(seg *segment, number uint32, bytes int64) {
 	j.addLocation(number, location{seg, bytes})
 	seg.messageBytes[number] += bytes
 	seg.liveBytes += bytes
 }
 
+// removeRecords no longer counts the records of a message as those of a pending one.
 func (j *Journal) removeRecords(number uint32) {
 	known, ok := j.locations[number]
 	if !ok {
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -41,7 +41,7 @@
 	table       *memory.Table
 	committed   map[string]expectation
 	uncommitted map[string]expectation // of this iteration
-	unwritten   map[string]expectation // of iterations whose write failed: completions are written with the next successful commit
+	unwritten   map[string]expectation // of iterations whose write failed; written with a later commit
 	lastID      *int
 	rejected    int // number of rejected messages
 }
@@ -51,7 +51,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &journalDriver{journal: j, table: table, committed: map[string]expectation{}, uncommitted: map[string]expectation{}, unwritten: map[string]expectation{}, lastID: new(int)}, nil
+	return &journalDriver{
+		journal: j, table: table, committed: map[string]expectation{}, uncommitted: map[string]expectation{},
+		unwritten: map[string]expectation{}, lastID: new(int),
+	}, nil
 }
 
 // randomMessage returns a message of the table, nil if there is none.
@@ -76,7 +79,11 @@
 		m := driver.randomMessage(r)
 		if m == nil || r.IntN(3) == 0 {
 			*driver.lastID++
-			m = &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID), Class: "fee-charge", IdempotencyKey: "key", Dest: 7, Deadline: wall, Body: make([]byte, r.IntN(body))}
+			m = &memory.Message{
+				Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID),
+				Class: "fee-charge", IdempotencyKey: "key", Dest: 7, Deadline: wall,
+				Body: make([]byte, r.IntN(body)),
+			}
 			for i := range m.Body {
 				m.Body[i] = byte(r.Uint32())
 			}
@@ -101,7 +108,9 @@
 			driver.journal.AppendCompleted(m, false)
 			expected.completed = true
 		case m.InFlight == nil && r.IntN(5) == 0:
-			notification := memory.Notification{Returned: r.IntN(2) == 0, RetryAfter: time.Duration(r.IntN(3000)) * time.Millisecond}
+			notification := memory.Notification{
+				Returned: r.IntN(2) == 0, RetryAfter: time.Duration(r.IntN(3000)) * time.Millisecond,
+			}
 			driver.table.MarkUndelivered(m, notification)
 			driver.journal.AppendUndelivered(m)
 			expected.notification = &notification
@@ -154,9 +163,9 @@
 
 // latest returns the latest expectation of a message.
 func (driver *journalDriver) latest(id string) expectation {
-	for _, known := range []map[string]expectation{driver.uncommitted, driver.unwritten} {
-		if f, ok := known[id]; ok {
-			return f
+	for _, expectations := range []map[string]expectation{driver.uncommitted, driver.unwritten} {
+		if expected, ok := expectations[id]; ok {
+			return expected
 		}
 	}
 	return driver.committed[id]
@@ -181,7 +190,9 @@
 		case m == nil:
 			t.Fatalf("%s: %s is lost", what, id)
 		}
-		if m.Class != expected.message.Class || m.IdempotencyKey != expected.message.IdempotencyKey || m.Dest != expected.message.Dest || !m.Deadline.Equal(expected.message.Deadline) || string(m.PluginNotes) != string(expected.message.PluginNotes) ||
+		if m.Class != expected.message.Class || m.IdempotencyKey != expected.message.IdempotencyKey ||
+			m.Dest != expected.message.Dest || !m.Deadline.Equal(expected.message.Deadline) ||
+			string(m.PluginNotes) != string(expected.message.PluginNotes) ||
 			m.Notification == nil && string(m.Body) != string(expected.message.Body) {
 			t.Fatalf("%s: %s differs from the accepted message: %+v", what, id, m)
 		}
@@ -244,11 +255,13 @@
 			j.Close()
 			for operation := 1; operation <= next.Ops(); operation++ { // crash during recovery
 				for _, recoveryFault := range []disk.Fault{disk.Kill, disk.Torn} {
-					again := d.Revive()
-					again.Fail(operation, recoveryFault)
-					journal.Open(journal.Config{FS: again, Budget: smallBudget, Log: quiet, CompactInline: true})
+					recovering := d.Revive()
+					recovering.Fail(operation, recoveryFault)
+					journal.Open(journal.Config{FS: recovering, Budget: smallBudget, Log: quiet, CompactInline: true})
 					injected++
-					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: smallBudget, Log: quiet, CompactInline: true})
+					_, found, err := journal.Open(journal.Config{
+						FS: recovering.Revive(), Budget: smallBudget, Log: quiet, CompactInline: true,
+					})
 					if err != nil {
 						t.Fatalf("%s, then crash at operation %d of recovery: %v", what, operation, err)
 					}
@@ -280,13 +293,19 @@
 				*next.lastID = *driver.lastID
 			}
 			for _, m := range next.table.All() { // the recovered state is what must be kept from now on
-				next.committed[m.ID] = expectation{message: *m, mayHaveRun: !m.MayHaveRunSince.IsZero(), attempts: m.Attempts, notification: m.Notification}
+				next.committed[m.ID] = expectation{
+					message: *m, mayHaveRun: !m.MayHaveRunSince.IsZero(), attempts: m.Attempts,
+					notification: m.Notification,
+				}
 			}
 			driver = next
 			for range rapid.IntRange(0, 6).Draw(t, "faults") {
-				d.Fail(d.Ops()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]disk.Fault{disk.Error, disk.Short, disk.Error, disk.Short, disk.Kill, disk.Torn}).Draw(t, "fault"))
+				d.Fail(d.Ops()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]disk.Fault{
+					disk.Error, disk.Short, disk.Error, disk.Short, disk.Kill, disk.Torn,
+				}).Draw(t, "fault"))
 			}
-			for iterations := rapid.IntRange(1, 80).Draw(t, "turns"); iterations > 0 && driver.runIteration(r, 3000); iterations-- {
+			for iterations := rapid.IntRange(1, 80).Draw(t, "turns"); iterations > 0 &&
+				driver.runIteration(r, 3000); iterations-- {
 				if r.IntN(10) == 0 {
 					driver.journal.Maintain()
 				}
@@ -306,7 +325,10 @@
 	}
 	accept := func() (*memory.Message, error) {
 		*driver.lastID++
-		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID), Class: "c", Deadline: wall, Body: make([]byte, 2000)}
+		m := &memory.Message{
+			Number: driver.table.NextNumber(), ID: fmt.Sprint("id", *driver.lastID), Class: "c",
+			Deadline: wall, Body: make([]byte, 2000),
+		}
 		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			return nil, err
 		}
@@ -376,32 +398,36 @@
 	source.journal.Commit()
 	record, _ := other.Read("000000000001.seg")
 	for n := range 10 {
-		m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: append([]byte("body"), record[24:]...)}
+		m := &memory.Message{
+			Number: driver.table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c",
+			Deadline: wall, Body: append([]byte("body"), record[24:]...),
+		}
 		if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 			t.Fatal(err)
 		}
 		driver.journal.Commit()
 	}
-	whole, _ := d.Read("000000000001.seg")
-	at := len(whole) / 2
-	for what, change := range map[string]func([]byte) []byte{
-		"a byte":   func(b []byte) []byte { b[at] ^= 1; return b },
+	intact, _ := d.Read("000000000001.seg")
+	middle := len(intact) / 2
+	for name, change := range map[string]func([]byte) []byte{
+		"a byte":   func(b []byte) []byte { b[middle] ^= 1; return b },
 		"a length": func(b []byte) []byte { copy(b[24:], []byte{0xff, 0xff, 0xff, 0xff}); return b },
 		"a hole":   func(b []byte) []byte { return append(b[:40:40], b[60:]...) },
 	} {
 		next := d.Revive()
 		next.Change("000000000001.seg", change)
-		in, err := journal.Inspect(next, nil)
-		if err != nil || len(in.Faults) != 1 || in.Faults[0].File != "000000000001.seg" || in.Faults[0].Offset < 24 {
-			t.Errorf("%s: %+v, %v", what, in, err)
+		inspection, err := journal.Inspect(next, nil)
+		if err != nil || len(inspection.Faults) != 1 || inspection.Faults[0].File != "000000000001.seg" ||
+			inspection.Faults[0].Offset < 24 {
+			t.Errorf("%s: %+v, %v", name, inspection, err)
 		}
 		_, found, err := journal.Open(journal.Config{FS: next, Budget: 4 << 20, Log: quiet, CompactInline: true})
 		if err != nil || len(found.All()) != 9 {
-			t.Errorf("%s: %v, %d messages", what, err, len(found.All()))
+			t.Errorf("%s: %v, %d messages", name, err, len(found.All()))
 		}
 		for _, m := range found.All() {
 			if m.ID == "smuggled" {
-				t.Errorf("%s: a record inside a message body was read", what)
+				t.Errorf("%s: a record inside a message body was read", name)
 			}
 		}
 	}
@@ -417,11 +443,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := 0
+	maxFitting := 0
 	for round := range 5 {
 		var pending []*memory.Message
 		for {
-			m := &memory.Message{Number: driver.table.NextNumber(), ID: fmt.Sprint(round, "-", len(pending)), Class: "c", Deadline: wall, Body: make([]byte, 64<<10)}
+			m := &memory.Message{
+				Number: driver.table.NextNumber(), ID: fmt.Sprint(round, "-", len(pending)),
+				Class: "c", Deadline: wall, Body: make([]byte, 64<<10),
+			}
 			if err := driver.journal.AppendAccepted(driver.table, m, true); err != nil {
 				break
 			}
@@ -432,7 +461,7 @@
 				t.Fatalf("%d bytes on disk", d.Used())
 			}
 		}
-		most = max(most, len(pending))
+		maxFitting = max(maxFitting, len(pending))
 		for _, m := range pending {
 			driver.table.Remove(m)
 			driver.journal.AppendCompleted(m, false)
@@ -442,7 +471,7 @@
 			t.Errorf("round %d: %d messages fit", round, len(pending))
 		}
 	}
-	t.Logf("3 MB are enough for %d bodies of 64 KiB", most)
+	t.Logf("3 MB are enough for %d bodies of 64 KiB", maxFitting)
 }
 
 // A last segment truncated at any offset can be read: only the records written last are lost.
@@ -453,22 +482,22 @@
 		driver.runIteration(r, 100)
 	}
 	names, _ := d.List()
-	last := names[len(names)-1]
-	if !strings.HasSuffix(last, ".seg") {
-		last = names[len(names)-2]
+	lastSegment := names[len(names)-1]
+	if !strings.HasSuffix(lastSegment, ".seg") {
+		lastSegment = names[len(names)-2]
 	}
-	raw, _ := d.Read(last)
+	raw, _ := d.Read(lastSegment)
 	recovered := -1
-	for cut := 0; cut <= len(raw); cut++ {
+	for size := 0; size <= len(raw); size++ {
 		next := d.Revive()
-		next.Change(last, func(b []byte) []byte { return b[:cut] })
+		next.Change(lastSegment, func(b []byte) []byte { return b[:size] })
 		j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
 		if err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("cut at %d: %v", size, err)
 		}
 		j.Close()
 		if in, err := journal.Inspect(next, nil); err != nil || len(in.Faults) != 0 {
-			t.Fatalf("cut at %d: %v, %v", cut, in, err)
+			t.Fatalf("cut at %d: %v, %v", size, in, err)
 		}
 		recovered = len(found.All())
 	}
@@ -483,7 +512,9 @@
 	const limit = 16 << 10
 	d := disk.New()
 	open := func(d *disk.Disk) (*journal.Journal, *memory.Table) {
-		j, table, err := journal.Open(journal.Config{FS: d, Budget: smallBudget, MaxBodyBytes: limit, Log: quiet, CompactInline: true})
+		j, table, err := journal.Open(journal.Config{
+			FS: d, Budget: smallBudget, MaxBodyBytes: limit, Log: quiet, CompactInline: true,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -491,7 +522,10 @@
 	}
 	j, table := open(d)
 	accept := func(n, size int, repeatable bool) *memory.Message {
-		m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: []byte(strings.Repeat(string(rune('a'+n%26)), size))}
+		m := &memory.Message{
+			Number: table.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall,
+			Body: []byte(strings.Repeat(string(rune('a'+n%26)), size)),
+		}
 		if j.AppendAccepted(table, m, repeatable) != nil {
 			return nil
 		}
@@ -574,7 +608,8 @@
 			}
 		}
 	}
-	if journaled, unjournaled := table.BodyBytes(); memoryOnly == 0 || journaled > limit || unjournaled > limit || unjournaled == 0 {
+	if journaled, unjournaled := table.BodyBytes(); memoryOnly == 0 || journaled > limit || unjournaled > limit ||
+		unjournaled == 0 {
 		t.Errorf("%d bodies in memory only, %d and %d bytes in memory", memoryOnly, journaled, unjournaled)
 	}
 }
--- a/internal/memory/journal/old_test.go
+++ b/internal/memory/journal/legacy_test.go
@@ -44,40 +44,40 @@
 // openLegacy replays the journal in dir and starts a new segment with the pending messages.
 func openLegacy(dir string, budget int64, log *slog.Logger) (*legacyJournal, *memory.Table, error) {
 	j := &legacyJournal{dir: dir, budget: budget, log: log, liveSizes: map[uint32]int64{}}
-	segs, err := j.segments()
+	numbers, err := j.segments()
 	if err != nil {
 		return nil, nil, err
 	}
-	t := memory.NewTable()
-	if n := len(segs); n > 0 {
-		j.number = segs[n-1]
+	table := memory.NewTable()
+	if n := len(numbers); n > 0 {
+		j.number = numbers[n-1]
 		raw, err := os.ReadFile(j.path(j.number, legacySegmentExt))
 		if err != nil {
 			return nil, nil, err
 		}
 		j.size = int64(len(raw))
-		t = memory.ReadLegacy(raw, func(int, error) {})
+		table = memory.ReadLegacy(raw, func(int, error) {})
 	}
-	for _, m := range t.All() {
+	for _, m := range table.All() {
 		j.addLive(m)
 	}
 	// Older segments and temporary files are left by a crash during compaction.
-	for _, s := range segs[:max(0, len(segs)-1)] {
-		os.Remove(j.path(s, legacySegmentExt))
+	for _, number := range numbers[:max(0, len(numbers)-1)] {
+		os.Remove(j.path(number, legacySegmentExt))
 	}
 	if tmp, _ := filepath.Glob(filepath.Join(dir, "*"+legacyTmpExt)); len(tmp) > 0 {
 		for _, name := range tmp {
 			os.Remove(name)
 		}
 	}
-	if err := j.Compact(t); err != nil {
+	if err := j.Compact(table); err != nil {
 		return nil, nil, err
 	}
-	return j, t, nil
+	return j, table, nil
 }
 
-func (j *legacyJournal) path(seq int, ext string) string {
-	return filepath.Join(j.dir, fmt.Sprintf("%08d%s", seq, ext))
+func (j *legacyJournal) path(number int, ext string) string {
+	return filepath.Join(j.dir, fmt.Sprintf("%08d%s", number, ext))
 }
 
 // segments lists the numbers of the complete segments in order.
@@ -86,16 +86,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	var out []int
+	var numbers []int
 	for _, e := range entries {
 		if name, ok := strings.CutSuffix(e.Name(), legacySegmentExt); ok {
 			if n, err := strconv.Atoi(name); err == nil {
-				out = append(out, n)
+				numbers = append(numbers, n)
 			}
 		}
 	}
-	slices.Sort(out)
-	return out, nil
+	slices.Sort(numbers)
+	return numbers, nil
 }
 
 // SetBudget sets the disk budget in bytes. Existing data is kept.
@@ -118,7 +118,7 @@
 }
 
 // AppendAccepted records that m is accepted and adds it to the table.
-func (j *legacyJournal) AppendAccepted(t *memory.Table, m *memory.Message) error {
+func (j *legacyJournal) AppendAccepted(table *memory.Table, m *memory.Message) error {
 	if !j.Fits(m) {
 		return ErrFull
 	}
@@ -129,42 +129,42 @@
 	if err := j.appendRecords(records...); err != nil {
 		return err
 	}
-	t.Add(m)
+	table.Add(m)
 	j.addLive(m)
-	j.compactIfNeeded(t)
+	j.compactIfNeeded(table)
 	return nil
 }
 
 // AppendAttempt records that an attempt starts with these messages, whose InFlight is set.
-func (j *legacyJournal) AppendAttempt(t *memory.Table, at time.Time, msgs []*memory.Message) error {
-	b := binary.AppendVarint([]byte{recordAttempt}, at.UnixMicro())
-	for _, m := range msgs {
+func (j *legacyJournal) AppendAttempt(table *memory.Table, startedAt time.Time, messages []*memory.Message) error {
+	b := binary.AppendVarint([]byte{recordAttempt}, startedAt.UnixMicro())
+	for _, m := range messages {
 		b = binary.AppendUvarint(b, uint64(m.Number))
 	}
-	return j.appendRecord(t, b)
+	return j.appendRecord(table, b)
 }
 
 // AppendNotRun records that the latest attempt for m, whose InFlight is cleared, did not run.
-func (j *legacyJournal) AppendNotRun(t *memory.Table, m *memory.Message) error {
-	return j.appendRecord(t, legacyPayload(recordNotRun, m))
+func (j *legacyJournal) AppendNotRun(table *memory.Table, m *memory.Message) error {
+	return j.appendRecord(table, legacyPayload(recordNotRun, m))
 }
 
 // AppendUndelivered records that m, already marked in the table, ended undelivered.
-func (j *legacyJournal) AppendUndelivered(t *memory.Table, m *memory.Message) error {
+func (j *legacyJournal) AppendUndelivered(table *memory.Table, m *memory.Message) error {
 	j.addLive(m)
-	return j.appendRecord(t, legacyNotification(legacyPayload(recordUndelivered, m), *m.Notification))
+	return j.appendRecord(table, legacyNotification(legacyPayload(recordUndelivered, m), *m.Notification))
 }
 
 // AppendCompleted records that m, already removed from the table, is completed.
-func (j *legacyJournal) AppendCompleted(t *memory.Table, m *memory.Message) error {
+func (j *legacyJournal) AppendCompleted(table *memory.Table, m *memory.Message) error {
 	j.liveBytes -= j.liveSizes[m.Number]
 	delete(j.liveSizes, m.Number)
-	return j.appendRecord(t, legacyPayload(recordCompleted, m))
+	return j.appendRecord(table, legacyPayload(recordCompleted, m))
 }
 
-func (j *legacyJournal) appendRecord(t *memory.Table, payload []byte) error {
+func (j *legacyJournal) appendRecord(table *memory.Table, payload []byte) error {
 	err := j.appendRecords(payload)
-	j.compactIfNeeded(t)
+	j.compactIfNeeded(table)
 	return err
 }
 
@@ -220,19 +220,19 @@
 // compactIfNeeded compacts once the segment has grown enough, or before the old segment and a new
 // one no longer fit side by side. It must follow the record and the change of the table, so that
 // the new segment has both.
-func (j *legacyJournal) compactIfNeeded(t *memory.Table) {
+func (j *legacyJournal) compactIfNeeded(table *memory.Table) {
 	if j.size <= j.compactAt && legacyDiskSize(j.size)+legacyDiskSize(j.liveBytes) <= j.budget*9/10 {
 		return
 	}
-	if err := j.Compact(t); err != nil {
+	if err := j.Compact(table); err != nil {
 		j.log.Error("journal compaction failed", "err", err)
 	}
 }
 
 // Compact writes the pending messages into the next segment and removes the old one.
-func (j *legacyJournal) Compact(t *memory.Table) error {
+func (j *legacyJournal) Compact(table *memory.Table) error {
 	b := j.writeBuffer[:0]
-	for _, m := range t.All() {
+	for _, m := range table.All() {
 		b = legacyFrame(b, legacySnapshot([]byte{recordSnapshot}, m))
 		if len(m.PluginNotes) > 0 {
 			b = legacyFrame(b, legacyText(legacyPayload(recordPluginNotes, m), string(m.PluginNotes)))
@@ -289,11 +289,11 @@
 	b = legacyMessage(b, m)
 	b = binary.AppendUvarint(b, uint64(m.Attempts))
 	b = binary.AppendVarint(b, microsOrZero(m.MayHaveRunSince))
-	var out time.Time
+	var startedAt time.Time
 	if m.InFlight != nil {
-		out = m.InFlight.StartedAt
+		startedAt = m.InFlight.StartedAt
 	}
-	b = binary.AppendVarint(b, microsOrZero(out))
+	b = binary.AppendVarint(b, microsOrZero(startedAt))
 	if m.Notification != nil {
 		b = legacyNotification(b, *m.Notification)
 	}
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -32,7 +32,9 @@
 		t.Fatal(err)
 	}
 	limited := filepath.Join(t.TempDir(), "limited")
-	if err := os.WriteFile(limited, fmt.Appendf(nil, "#!/bin/sh\nulimit -f 120\nexec %s \"$@\"\n", program), 0o700); err != nil {
+	if err := os.WriteFile(
+		limited, fmt.Appendf(nil, "#!/bin/sh\nulimit -f 120\nexec %s \"$@\"\n", program), 0o700,
+	); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -41,7 +43,9 @@
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
 		t.Run(name, func(t *testing.T) {
 			const messages, clients = 600, 8
-			w, err := standin.NewWorld(standin.Config{Seed: 9, DiskMB: c.diskMB, Hold: 400, Partners: []standin.PartnerConfig{{Dest: 7}}})
+			w, err := standin.NewWorld(standin.Config{
+				Seed: 9, DiskMB: c.diskMB, Hold: 400, Partners: []standin.PartnerConfig{{Dest: 7}},
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -52,7 +56,7 @@
 			}
 			results := make([]client.Result, messages)
 			events := make(chan int, messages)
-			var all, faults sync.WaitGroup
+			var senders, faults sync.WaitGroup
 			faults.Go(func() {
 				for n := range events {
 					switch {
@@ -69,7 +73,7 @@
 				}
 			})
 			for worker := range clients {
-				all.Go(func() {
+				senders.Go(func() {
 					random := rand.New(rand.NewPCG(9, uint64(worker)))
 					for n := worker; n < messages; n += clients {
 						if n%100 == 20 || n%100 == 60 || n%100 == 50+n/100 {
@@ -83,20 +87,23 @@
 							return
 						}
 						defer c.Close()
-						results[n], _ = c.Send(context.Background(), client.Message{Class: "fee-charge", Dest: 7, TimeLeft: 2500 * time.Millisecond,
-							Body: fmt.Appendf(nil, "fee-charge/%d\n%0*d", n, 1000+random.IntN(8000), 0)})
+						results[n], _ = c.Send(context.Background(), client.Message{
+							Class: "fee-charge", Dest: 7, TimeLeft: 2500 * time.Millisecond,
+							Body: fmt.Appendf(nil, "fee-charge/%d\n%0*d", n, 1000+random.IntN(8000), 0),
+						})
 					}
 				})
 			}
-			all.Wait()
+			senders.Wait()
 			close(events)
 			faults.Wait()
-			counts, effects := map[client.Outcome]int{}, map[string]int{}
+			outcomes, effects := map[client.Outcome]int{}, map[string]int{}
 			if err := w.Until("all accepted messages to complete", func() bool {
 				effects = w.Ledger.Count()
 				notifications := w.Platform.Notices()
 				for n, result := range results {
-					if _, ended := notifications[result.ID]; result.Outcome == client.Taken && effects[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
+					if _, ended := notifications[result.ID]; result.Outcome == client.Taken &&
+						effects[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
 						return false
 					}
 				}
@@ -105,15 +112,16 @@
 				t.Fatalf("%v\n%s", err, r.Log())
 			}
 			for n, result := range results {
-				counts[result.Outcome]++
-				if runs := effects[fmt.Sprint("fee-charge/", n)]; runs > 1 || runs > 0 && result.Outcome != client.Taken && result.Outcome != client.Uncertain {
+				outcomes[result.Outcome]++
+				if runs := effects[fmt.Sprint("fee-charge/", n)]; runs > 1 ||
+					runs > 0 && result.Outcome != client.Taken && result.Outcome != client.Uncertain {
 					t.Errorf("%d ran %d times: %+v", n, runs, result)
 				}
 			}
-			if counts[client.Taken] < messages/10 {
-				t.Errorf("too few messages accepted: %v", counts)
+			if outcomes[client.Taken] < messages/10 {
+				t.Errorf("too few messages accepted: %v", outcomes)
 			}
-			t.Logf("%v", counts)
+			t.Logf("%v", outcomes)
 			r.Kill()
 			if in, err := journal.Inspect(journal.Dir(r.State), nil); err != nil || len(in.Faults) > 1 {
 				t.Errorf("%+v, %v", in, err) // an incomplete record at the end is allowed
@@ -145,22 +153,26 @@
 	}
 	w.Partners[7].Set(standin.Refusing, 1)
 	const size = 20_000
-	counts := map[string]map[client.Outcome]int{}
+	outcomes := map[string]map[client.Outcome]int{}
 	results := map[string]client.Result{}
 	for n := range 60 {
 		class := []string{"fee-charge", "price-alert"}[n%2]
-		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true}) // Retry-After applies to the next message of a client
+		// Retry-After would apply to the next message of a client.
+		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		name := fmt.Sprint(class, "/", n)
-		res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 7, TimeLeft: 5900 * time.Millisecond, Body: fmt.Appendf(nil, "%s\n%0*d", name, size-len(name)-1, 0)})
+		result, _ := c.Send(context.Background(), client.Message{
+			Class: class, Dest: 7, TimeLeft: 5900 * time.Millisecond,
+			Body: fmt.Appendf(nil, "%s\n%0*d", name, size-len(name)-1, 0),
+		})
 		c.Close()
-		if counts[class] == nil {
-			counts[class] = map[client.Outcome]int{}
+		if outcomes[class] == nil {
+			outcomes[class] = map[client.Outcome]int{}
 		}
-		counts[class][res.Outcome]++
-		results[name] = res
+		outcomes[class][result.Outcome]++
+		results[name] = result
 	}
 	r.Kill()
 	in, err := journal.Inspect(journal.Dir(r.State), nil)
@@ -175,7 +187,7 @@
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
-	effects, lost := map[string]int{}, 0
+	effects, lostBodies := map[string]int{}, 0
 	if err := w.Until("all accepted messages to complete", func() bool {
 		effects = w.Ledger.Count()
 		notifications := w.Platform.Notices()
@@ -190,8 +202,9 @@
 	}
 	for name, result := range results {
 		if memoryOnly[result.ID] {
-			if lost++; effects[name] != 0 || w.Platform.Notices()[result.ID].Outcome == "" {
-				t.Errorf("%s, whose body was lost: ran %d times, notification %+v", name, effects[name], w.Platform.Notices()[result.ID])
+			if lostBodies++; effects[name] != 0 || w.Platform.Notices()[result.ID].Outcome == "" {
+				t.Errorf("%s, whose body was lost: ran %d times, notification %+v",
+					name, effects[name], w.Platform.Notices()[result.ID])
 			}
 		}
 		if result.Outcome != client.Taken && effects[name] > 0 || name[0] == 'f' && effects[name] > 1 {
@@ -203,8 +216,9 @@
 			t.Errorf("%s came with %d bytes", e.Name, e.Size)
 		}
 	}
-	if lost == 0 || len(effects) < 10 || counts["price-alert"][client.Taken] >= counts["fee-charge"][client.Taken] {
-		t.Errorf("%d bodies lost, %d ran, accepted: %v", lost, len(effects), counts)
+	if lostBodies == 0 || len(effects) < 10 ||
+		outcomes["price-alert"][client.Taken] >= outcomes["fee-charge"][client.Taken] {
+		t.Errorf("%d bodies lost, %d ran, accepted: %v", lostBodies, len(effects), outcomes)
 	}
-	t.Logf("%v, %d bodies lost with the process, %d messages ran", counts, lost, len(effects))
+	t.Logf("%v, %d bodies lost with the process, %d messages ran", outcomes, lostBodies, len(effects))
 }
--- a/internal/memory/journal/plan/plan.go
+++ b/internal/memory/journal/plan/plan.go
@@ -7,9 +7,9 @@
 	BlockSize         = 512      // files use whole blocks
 	MinSegmentSize    = 64 << 10 // smallest size at which a segment is sealed
 	MaxSegmentSize    = 1 << 20  // bounds the work of the event loop for one segment
-	CompletionReserve = 192      // space for the remaining records of a pending message: attempts, notification, completion
-	MinDeadBytes      = 4 << 10
-	segmentsPerBudget = 24 // a segment is one Nth of the budget
+	CompletionReserve = 192      // for the remaining records of a pending message
+	MinDeadBytes      = 4 << 10  // at least so much must be dead for a segment to be compacted
+	segmentsPerBudget = 24       // a segment is one Nth of the budget
 )
 
 // DiskSize returns the space that a file of n bytes uses on disk.
@@ -60,7 +60,9 @@
 // limit applies to each of the two. fitsWithBody and fitsWithoutBody tell whether the record fits
 // on disk with and without the body. A repeatable message is rejected rather than stored in memory
 // only, since its client can safely retry.
-func ChooseBodyStorage(journaledBytes, memoryOnlyBytes, limit, size int64, fitsWithBody, fitsWithoutBody, repeatable bool) BodyStorage {
+func ChooseBodyStorage(
+	journaledBytes, memoryOnlyBytes, limit, size int64, fitsWithBody, fitsWithoutBody, repeatable bool,
+) BodyStorage {
 	switch {
 	case fitsWithBody && (limit <= 0 || journaledBytes+size <= limit):
 		return MemoryAndJournal
--- a/internal/memory/journal/plan/plan_test.go
+++ b/internal/memory/journal/plan/plan_test.go
@@ -19,7 +19,9 @@
 		{"disk full, no memory limit", 0, 0, 50, false, true, false, NotStored},
 		{"record without body does not fit", 0, 100, 50, false, false, false, NotStored},
 	} {
-		if got := ChooseBodyStorage(c.used, c.used, c.limit, c.size, c.fitsWithBody, c.fitsWithoutBody, c.repeatable); got != c.want {
+		if got := ChooseBodyStorage(
+			c.used, c.used, c.limit, c.size, c.fitsWithBody, c.fitsWithoutBody, c.repeatable,
+		); got != c.want {
 			t.Errorf("%s: body storage %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -33,7 +35,8 @@
 		for Fits(budget, used, live, 2000) {
 			used, live = used+DiskSize(2000), live+1
 		}
-		if used+ReservedBytes(budget, live) > budget || live == 0 || budget > 1<<20 && budget-used < SegmentSize(budget)+int64(live)*CompletionReserve {
+		if used+ReservedBytes(budget, live) > budget || live == 0 ||
+			budget > 1<<20 && budget-used < SegmentSize(budget)+int64(live)*CompletionReserve {
 			t.Errorf("budget %d: %d live, %d used", budget, live, used)
 		}
 	}
@@ -43,7 +46,8 @@
 // short.
 func TestChooseSegment(t *testing.T) {
 	const budget = 3e6
-	mostlyLive, halfDead, allDead := Segment{Size: 100_000, LiveBytes: 99_000}, Segment{Size: 100_000, LiveBytes: 40_000}, Segment{Size: 90_000}
+	mostlyLive, halfDead, allDead := Segment{Size: 100_000, LiveBytes: 99_000},
+		Segment{Size: 100_000, LiveBytes: 40_000}, Segment{Size: 90_000}
 	busy, retained := Segment{Size: 100_000, Busy: true}, Segment{Size: 10_000, RetainedBytes: 10_000}
 	for _, c := range []struct {
 		name string
@@ -65,13 +69,18 @@
 
 // Compaction pauses while there is space and it keeps up.
 func TestUrgent(t *testing.T) {
-	mostlyDead, mostlyLive, busy := Segment{Size: 100, LiveBytes: 10}, Segment{Size: 100, LiveBytes: 60}, Segment{Size: 100, Busy: true}
+	mostlyDead, mostlyLive, busy := Segment{Size: 100, LiveBytes: 10}, Segment{Size: 100, LiveBytes: 60},
+		Segment{Size: 100, Busy: true}
 	for _, c := range []struct {
 		used int64
 		all  []Segment
 		want bool
-	}{{500, []Segment{mostlyDead, mostlyDead, mostlyLive, mostlyLive, busy}, false}, {501, nil, true}, {10, []Segment{mostlyDead, mostlyDead, mostlyDead}, true},
-		{10, []Segment{mostlyLive, mostlyLive, mostlyLive, busy, busy, busy, {Size: 100, RetainedBytes: 100}}, false}} {
+	}{
+		{500, []Segment{mostlyDead, mostlyDead, mostlyLive, mostlyLive, busy}, false},
+		{501, nil, true},
+		{10, []Segment{mostlyDead, mostlyDead, mostlyDead}, true},
+		{10, []Segment{mostlyLive, mostlyLive, mostlyLive, busy, busy, busy, {Size: 100, RetainedBytes: 100}}, false},
+	} {
 		if got := Urgent(1000, c.used, c.all); got != c.want {
 			t.Errorf("%d used, %v: %v", c.used, c.all, got)
 		}
--- a/internal/memory/journal/record.go
+++ b/internal/memory/journal/record.go
@@ -30,12 +30,12 @@
 	recordAcceptedMemoryOnly byte = 'U' // a message was accepted, its body is in memory only
 	recordSnapshot           byte = 'K' // a snapshot of a message, from an upgrade or a transfer
 	recordPluginNotes        byte = 'A' // plug-in notes on the preceding message
-	recordTerms              byte = 'Q' // terms of the preceding message; an accepted record has them at its end
-	recordAttempt            byte = 'O' // an attempt starts for one or more messages; written before the first byte of the call
+	recordTerms              byte = 'Q' // terms of the preceding message (an accepted record includes them)
+	recordAttempt            byte = 'O' // an attempt starts; written before the first byte of the call
 	recordNotRun             byte = 'N' // the latest attempt for a message is known not to have run
 	recordUndelivered        byte = 'E' // a message ended undelivered; its notification is outstanding
-	recordBatch              byte = 'B' // size in bytes of the records that follow, which are valid only together
-	recordCompleted          byte = 'X' // a message is completed: sequence number, id (empty: it may be accepted again)
+	recordBatch              byte = 'B' // size of the records that follow, valid only together
+	recordCompleted          byte = 'X' // a message is completed; an empty id may be accepted again
 )
 
 var (
@@ -95,7 +95,7 @@
 // walkRecords calls visit for each record behind the header, with its payload or what is wrong with
 // it. It returns the end of the last valid record. Behind a corrupt length it searches for the next
 // valid record, so that one does not hide all that follow.
-func walkRecords(raw []byte, visit func(at, size int, payload []byte, err error)) (end int) {
+func walkRecords(raw []byte, visit func(offset, size int, payload []byte, err error)) (end int) {
 	_, salt, err := readHeader(raw)
 	if err != nil {
 		return 0
@@ -234,8 +234,10 @@
 }
 
 func (r *recordReader) message() *memory.Message {
-	return &memory.Message{Number: uint32(r.Uint()), Deadline: r.timeScale.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
-		Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: append([]byte(nil), r.Bytes()...)}
+	return &memory.Message{
+		Number: uint32(r.Uint()), Deadline: r.timeScale.Time(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
+		Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: append([]byte(nil), r.Bytes()...),
+	}
 }
 
 // replayState is the result of replaying records.
@@ -273,7 +275,7 @@
 		}
 		s.maxNumber = max(s.maxNumber, m.Number)
 		s.table.Add(m)
-		if kept, _ := s.table.BodyBytes(); s.maxBodyBytes > 0 && kept > s.maxBodyBytes {
+		if journaled, _ := s.table.BodyBytes(); s.maxBodyBytes > 0 && journaled > s.maxBodyBytes {
 			s.table.SpillBody(m)
 		}
 	case recordAttempt:
@@ -303,8 +305,8 @@
 		case recordNotRun:
 			delete(s.inFlightSince, number)
 		case recordUndelivered:
-			if notice := r.Notification(); m != nil && !r.Malformed {
-				s.table.MarkUndelivered(m, notice)
+			if notification := r.Notification(); m != nil && !r.Malformed {
+				s.table.MarkUndelivered(m, notification)
 			}
 		case recordCompleted:
 			sequence, id := r.Uint(), string(r.Bytes())
@@ -350,7 +352,7 @@
 }
 
 // forEachNumber calls visit with the number of each message that a record belongs to.
-func forEachNumber(payload []byte, visit func(num uint32)) {
+func forEachNumber(payload []byte, visit func(number uint32)) {
 	if payload[0] == recordBatch {
 		return
 	}
--- a/internal/memory/journal/recover.go
+++ b/internal/memory/journal/recover.go
@@ -54,7 +54,7 @@
 			return nil, nil, err
 		}
 	}
-	j.segments = slices.DeleteFunc(j.segments, func(g *segment) bool { return g.size == 0 })
+	j.segments = slices.DeleteFunc(j.segments, func(seg *segment) bool { return seg.size == 0 })
 	replay.finish()
 	j.completedSeq, j.maxNumber = replay.completedSeq, max(j.maxNumber, replay.maxNumber)
 	replay.table.StartNumbersAfter(j.maxNumber)
@@ -114,10 +114,12 @@
 				return
 			}
 		}
-		j.config.Log.Error("skipping invalid journal record", "segment", seg.name(), "at", offset, "bytes", size, "err", err)
+		j.config.Log.Error("skipping invalid journal record",
+			"segment", seg.name(), "at", offset, "bytes", size, "err", err)
 	})
 	if end < len(raw) {
-		j.config.Log.Warn("truncating incomplete record at the end of a journal segment", "segment", seg.name(), "bytes", len(raw)-end)
+		j.config.Log.Warn("truncating incomplete record at the end of a journal segment",
+			"segment", seg.name(), "bytes", len(raw)-end)
 		if err := j.config.FS.Truncate(seg.name(), int64(end)); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
@@ -183,7 +185,9 @@
 	b := appendHeader(nil, 1, maxNumber, 0)
 	for _, m := range messages {
 		start := len(b)
-		if b = finishFrame(appendSnapshot(append(beginFrame(b), recordSnapshot), m, j.config.TimeScale), start); len(m.PluginNotes) > 0 {
+		if b = finishFrame(
+			appendSnapshot(append(beginFrame(b), recordSnapshot), m, j.config.TimeScale), start,
+		); len(m.PluginNotes) > 0 {
 			start = len(b)
 			b = finishFrame(appendText(beginPayload(beginFrame(b), recordPluginNotes, m.Number), m.PluginNotes), start)
 		}
--- a/internal/memory/journal/given.go
+++ b/internal/memory/journal/transfer.go
@@ -26,7 +26,9 @@
 		snapshot := *m
 		snapshot.MemoryOnly = false
 		start := len(b)
-		if b = finishFrame(appendSnapshot(append(beginFrame(b), recordSnapshot), &snapshot, timeScale), start); len(m.PluginNotes) > 0 {
+		if b = finishFrame(
+			appendSnapshot(append(beginFrame(b), recordSnapshot), &snapshot, timeScale), start,
+		); len(m.PluginNotes) > 0 {
 			start = len(b)
 			b = finishFrame(appendText(beginPayload(beginFrame(b), recordPluginNotes, m.Number), m.PluginNotes), start)
 		}
@@ -40,7 +42,9 @@
 
 // DecodeTransfer decodes a transfer file. Message numbers are those of the sending process. It
 // returns ErrIncompleteTransfer unless the file is complete and valid.
-func DecodeTransfer(raw []byte, timeScale clock.Scale) (messages []*memory.Message, metadata []byte, err error) {
+func DecodeTransfer(
+	raw []byte, timeScale clock.Scale,
+) (messages []*memory.Message, metadata []byte, err error) {
 	replay, complete := newReplayState(timeScale), false
 	end := walkRecords(raw, func(_, _ int, payload []byte, badErr error) {
 		switch {
@@ -52,7 +56,7 @@
 			if e := replay.apply(payload); e != nil {
 				err = e
 			} else if payload[0] == recordSnapshot {
-				forEachNumber(payload, func(n uint32) { messages = append(messages, replay.table.Get(n)) })
+				forEachNumber(payload, func(number uint32) { messages = append(messages, replay.table.Get(number)) })
 			}
 		}
 	})
--- a/internal/memory/journal/given_test.go
+++ b/internal/memory/journal/transfer_test.go
@@ -12,20 +12,24 @@
 // A transfer keeps the state of messages, including bodies that were in memory only. A truncated or
 // corrupted file is detected.
 func TestTransferDetectsDamage(t *testing.T) {
-	risk := time.UnixMicro(1_700_000_000_000_000)
-	msgs := []*memory.Message{
-		{Number: 9, ID: "a", Class: "fee", IdempotencyKey: "k", Dest: 7, Body: []byte("body"), PluginNotes: []byte("noted"), Deadline: risk, Attempts: 2, MayHaveRunSince: risk},
-		{Number: 3, ID: "b", Class: "alert", Body: []byte("only in memory"), MemoryOnly: true, Deadline: risk},
+	uncertainSince := time.UnixMicro(1_700_000_000_000_000)
+	messages := []*memory.Message{
+		{Number: 9, ID: "a", Class: "fee", IdempotencyKey: "k", Dest: 7,
+			Body: []byte("body"), PluginNotes: []byte("noted"), Deadline: uncertainSince, Attempts: 2,
+			MayHaveRunSince: uncertainSince},
+		{Number: 3, ID: "b", Class: "alert", Body: []byte("only in memory"), MemoryOnly: true, Deadline: uncertainSince},
 	}
-	raw := EncodeTransfer(msgs, []byte("news"), clock.Scale{})
-	got, news, err := DecodeTransfer(raw, clock.Scale{})
-	if err != nil || string(news) != "news" || len(got) != 2 {
-		t.Fatalf("%v, %q, %v", got, news, err)
+	raw := EncodeTransfer(messages, []byte("news"), clock.Scale{})
+	got, metadata, err := DecodeTransfer(raw, clock.Scale{})
+	if err != nil || string(metadata) != "news" || len(got) != 2 {
+		t.Fatalf("%v, %q, %v", got, metadata, err)
 	}
-	if a := got[0]; a.ID != "a" || a.IdempotencyKey != "k" || a.Dest != 7 || string(a.Body) != "body" || string(a.PluginNotes) != "noted" || a.Attempts != 2 || !a.MayHaveRunSince.Equal(risk) {
+	if a := got[0]; a.ID != "a" || a.IdempotencyKey != "k" || a.Dest != 7 || string(a.Body) != "body" ||
+		string(a.PluginNotes) != "noted" || a.Attempts != 2 || !a.MayHaveRunSince.Equal(uncertainSince) {
 		t.Errorf("%+v", a)
 	}
-	if b := got[1]; b.ID != "b" || string(b.Body) != "only in memory" || b.MemoryOnly || !b.MayHaveRunSince.IsZero() || !msgs[1].MemoryOnly {
+	if b := got[1]; b.ID != "b" || string(b.Body) != "only in memory" ||
+		b.MemoryOnly || !b.MayHaveRunSince.IsZero() || !messages[1].MemoryOnly {
 		t.Errorf("%+v", b)
 	}
 	for n := range raw {
@@ -47,13 +51,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	risk := time.UnixMicro(1_700_000_000_000_000)
-	j.AppendTransferred(table, &memory.Message{Number: table.NextNumber(), ID: "a", Class: "fee", Body: []byte("body"), Attempts: 2, MayHaveRunSince: risk})
+	uncertainSince := time.UnixMicro(1_700_000_000_000_000)
+	j.AppendTransferred(table, &memory.Message{
+		Number: table.NextNumber(), ID: "a", Class: "fee", Body: []byte("body"),
+		Attempts: 2, MayHaveRunSince: uncertainSince,
+	})
 	if !j.HasUnwritten() {
 		t.Error("no record waits to be written")
 	}
-	if taken, out := j.Commit(); taken != nil || out != nil || j.HasUnwritten() {
-		t.Fatal(taken, out)
+	if acceptErr, attemptErr := j.Commit(); acceptErr != nil || attemptErr != nil || j.HasUnwritten() {
+		t.Fatal(acceptErr, attemptErr)
 	}
 	j.Close()
 	j, table, err = Open(Config{FS: dir, Budget: 1 << 20, CompactInline: true, Log: quiet})
@@ -61,7 +68,8 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	if m := table.ByID("a"); m == nil || m.Attempts != 2 || !m.MayHaveRunSince.Equal(risk) || string(m.Body) != "body" {
+	if m := table.ByID("a"); m == nil || m.Attempts != 2 || !m.MayHaveRunSince.Equal(uncertainSince) ||
+		string(m.Body) != "body" {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/memory/legacy.go
+++ b/internal/memory/legacy.go
@@ -20,7 +20,7 @@
 	legacyAccepted    byte = 'T' // a message was accepted, as received
 	legacySnapshot    byte = 'K' // a snapshot of a message, written by compaction
 	legacyPluginNotes byte = 'A' // plug-in notes on the preceding message
-	legacyAttempt     byte = 'O' // an attempt starts for one or more messages; written before the first byte of the call
+	legacyAttempt     byte = 'O' // an attempt starts; written before the first byte of the call
 	legacyNotRun      byte = 'N' // the latest attempt for a message is known not to have run
 	legacyUndelivered byte = 'E' // a message ended undelivered; its notification is outstanding
 	legacyCompleted   byte = 'X' // a message is completed
@@ -28,11 +28,11 @@
 
 // ReadLegacy replays a segment of the legacy format. It stops at an incomplete record at the end of
 // the segment. A complete record that is invalid is skipped and reported to onError.
-func ReadLegacy(raw []byte, onError func(at int, err error)) *Table {
+func ReadLegacy(raw []byte, onError func(offset int, err error)) *Table {
 	table := NewTable()
-	replayRecords(raw, table, func(at int, _ []byte, err error) {
+	replayRecords(raw, table, func(offset int, _ []byte, err error) {
 		if err != nil {
-			onError(at, err)
+			onError(offset, err)
 		}
 	})
 	return table
@@ -43,7 +43,7 @@
 
 // replayRecords applies each complete record of raw to table and calls visit for it, with an error
 // if the record was skipped. It returns the offset behind the last complete record.
-func replayRecords(raw []byte, table *Table, visit func(at int, payload []byte, err error)) int {
+func replayRecords(raw []byte, table *Table, visit func(offset int, payload []byte, err error)) int {
 	offset := 0
 	inFlightSince := map[uint32]time.Time{} // start of the attempt in flight, by message number
 	for len(raw)-offset >= frameHeaderSize {
@@ -67,14 +67,17 @@
 	return offset
 }
 
+// applyRecord applies one record to table.
 func applyRecord(payload []byte, table *Table, inFlightSince map[uint32]time.Time) error {
 	r := &FieldReader{Rest: payload[1:]}
 	kind := payload[0]
 	var m *Message
 	switch kind {
 	case legacyAccepted, legacySnapshot:
-		m = &Message{Number: uint32(r.Uint()), Deadline: time.UnixMicro(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
-			Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: []byte(string(r.Bytes()))}
+		m = &Message{
+			Number: uint32(r.Uint()), Deadline: time.UnixMicro(r.Int()), Dest: int(r.Int()), ID: string(r.Bytes()),
+			Class: string(r.Bytes()), IdempotencyKey: string(r.Bytes()), Body: []byte(string(r.Bytes())),
+		}
 		var startedAt time.Time
 		if kind == legacySnapshot {
 			m.Attempts, m.MayHaveRunSince, startedAt = int(r.Uint()), TimeFromMicros(r.Int()), TimeFromMicros(r.Int())
--- a/internal/memory/numbering_test.go
+++ b/internal/memory/numbering_test.go
@@ -27,7 +27,8 @@
 		if number <= last || seen[number] {
 			t.Fatalf("number %d after %d", number, last)
 		}
-		if predecessor.CanKeepNumber(number) != (table == successor) || successor.CanKeepNumber(number) != (table == predecessor) {
+		if predecessor.CanKeepNumber(number) != (table == successor) ||
+			successor.CanKeepNumber(number) != (table == predecessor) {
 			t.Fatalf("number %d: wrong process can keep it", number)
 		}
 		last, seen[number] = number, true
--- a/internal/memory/table.go
+++ b/internal/memory/table.go
@@ -67,7 +67,7 @@
 	pendingCount    int
 	bodyBytes       [2]int64          // bytes of bodies in memory: [0] also in the journal, [1] in memory only
 	completed       map[string]uint64 // sequence numbers of recently completed messages, by id
-	completionOrder []completedID     // the same, oldest first; an entry whose sequence number differs from the map's is stale
+	completionOrder []completedID     // the same, oldest first; stale if the sequence numbers differ
 	completedSeq    uint64
 	now             func() time.Time
 	shared          *SharedNumbering // set while two processes assign numbers; nil: only this one does
@@ -92,7 +92,9 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{byNumber: map[uint32]*Message{}, byID: map[string]*Message{}, completed: map[string]uint64{}, now: time.Now}
+	return &Table{
+		byNumber: map[uint32]*Message{}, byID: map[string]*Message{}, completed: map[string]uint64{}, now: time.Now,
+	}
 }
 
 // StartNumbersAfter makes the table assign numbers above n. Those up to n may be in the journal.
@@ -126,6 +128,7 @@
 // of those that are in memory only.
 func (t *Table) BodyBytes() (journaled, memoryOnly int64) { return t.bodyBytes[0], t.bodyBytes[1] }
 
+// bodyIndex returns the index of m in Table.bodyBytes.
 func (m *Message) bodyIndex() int {
 	if m.MemoryOnly {
 		return 1
@@ -180,8 +183,10 @@
 		return
 	}
 	t.completedSeq++
-	t.completed[id], t.completionOrder = t.completedSeq, append(t.completionOrder, completedID{id, t.completedSeq, completedAt})
-	for n := len(t.completionOrder); n > MaxCompletedIDs && (n > maxRecentCompletedIDs || t.now().Sub(t.completionOrder[0].completedAt) > completedRetention); n = len(t.completionOrder) {
+	t.completed[id], t.completionOrder = t.completedSeq,
+		append(t.completionOrder, completedID{id, t.completedSeq, completedAt})
+	for n := len(t.completionOrder); n > MaxCompletedIDs && (n > maxRecentCompletedIDs ||
+		t.now().Sub(t.completionOrder[0].completedAt) > completedRetention); n = len(t.completionOrder) {
 		if oldest := t.completionOrder[0]; t.completed[oldest.id] == oldest.sequence {
 			delete(t.completed, oldest.id)
 		}
@@ -206,8 +211,9 @@
 	return ids
 }
 
-// ForgetCompleted forgets the completed id, so that a message with it may be accepted again.
-func (t *Table) ForgetCompleted(id string) { delete(t.completed, id) } // the stale entry in completionOrder is dropped later
+// ForgetCompleted forgets the completed id, so that a message with it may be accepted again. The
+// stale entry in completionOrder is dropped later.
+func (t *Table) ForgetCompleted(id string) { delete(t.completed, id) }
 
 // PendingCount returns the number of messages that have not ended.
 func (t *Table) PendingCount() int { return t.pendingCount }
--- a/internal/memory/table_test.go
+++ b/internal/memory/table_test.go
@@ -27,7 +27,8 @@
 	}
 	now = now.Add(completedRetention + 1)
 	complete("later")
-	if table.RecentlyCompleted("charge") || !table.RecentlyCompleted("later") || table.CompletedCount() != MaxCompletedIDs {
+	if table.RecentlyCompleted("charge") || !table.RecentlyCompleted("later") ||
+		table.CompletedCount() != MaxCompletedIDs {
 		t.Errorf("%d ids remembered, the old one: %v", table.CompletedCount(), table.RecentlyCompleted("charge"))
 	}
 	for i := range 2 * maxRecentCompletedIDs {
@@ -52,7 +53,8 @@
 	}
 	table.MarkCompleted("a")
 	table.MarkCompleted("b") // drops the stale entry
-	if ids := table.CompletedIDs(); !table.RecentlyCompleted("a") || len(ids) != MaxCompletedIDs || !slices.Equal(ids[MaxCompletedIDs-2:], []string{"a", "b"}) {
+	if ids := table.CompletedIDs(); !table.RecentlyCompleted("a") || len(ids) != MaxCompletedIDs ||
+		!slices.Equal(ids[MaxCompletedIDs-2:], []string{"a", "b"}) {
 		t.Errorf("%d ids, completed %v, last %v", len(ids), table.RecentlyCompleted("a"), ids[len(ids)-2:])
 	}
 }
