--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// This file is about one connection of a client, from its first byte to its end.
+// The life of one client connection, from its first byte to its close.
 
-// The states of a client's connection.
+// connState is the state of a client connection.
 type connState int
 
 const (
-	connNew     connState = iota // nothing has come yet: a first request on it would fail with a close
-	connIdle                     // between requests: may be closed
-	connBusy                     // a request has begun: it gets an answer
-	connClosing                  // its end is decided: no request is read any more
+	connNew     connState = iota // nothing was received yet; a close now would fail a first request on its way
+	connIdle                     // between requests; may be closed
+	connBusy                     // a request has begun; it is answered
+	connClosing                  // closing; no request is read any more
 )
 
-// closeReason says why a client's connection ends, and so what becomes of the bytes that still come on it.
+// closeReason says why a client connection closes, which decides how bytes that still arrive are
+// treated.
 type closeReason int
 
 const (
-	staysOpen       closeReason = iota // it does not end
-	closedByClient                     // it closed or reset: there is nobody to tell
-	closedIdle                         // rested or said nothing for its time, evicted, drained: what comes is left unread
-	closedByServer                     // our last answer said so: what comes is left unread
-	closedByRequest                    // the client's last request said so: what comes is no request, and is read away
-	closedMalformed                    // what came is no request: the rest of it is read away
+	staysOpen       closeReason = iota // the connection stays open
+	closedByClient                     // the client closed or reset it
+	closedIdle                         // idle timeout, eviction or drain; bytes that arrive are left unread
+	closedByServer                     // the last response said Connection: close; bytes that arrive are left unread
+	closedByRequest                    // the last request said Connection: close; bytes that arrive are no request and are discarded
+	closedMalformed                    // the request was malformed; the rest is discarded
 )
 
 var closeReasonNames = [...]string{"none", "client", "resting", "told to close", "as asked", "bad request"}
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// closeStage is a moment in the end of a client's connection, for tests that force what crosses it.
+// closeStage is a point in closing a client connection, for tests that force races with it.
 type closeStage int
 
 const (
-	closeDecided closeStage = iota // nothing that comes from here on is taken on
-	closeSent                      // our side is closed, the client's is not
+	closeDecided closeStage = iota // no request that arrives from here on is accepted
+	closeSent                      // the write side is closed, the client's side is not
 	closeDone
 )
 
 type clientConn struct {
 	number       uint32
 	sock         net.Conn
-	state        connState // under Front.mu
-	stateAtClose connState // the one that its end was decided in
+	state        connState // guarded by Server.mu
+	stateAtClose connState
 	stateSince   time.Time
 }
 
-// beginRequest books that a request has begun, which has to be read by then.
+// beginRequest marks c as busy with a request that has to be read by then.
 func (f *Server) beginRequest(c *clientConn, readBy time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,7 +65,7 @@
 	f.setReadDeadline(c, readBy)
 }
 
-// beginIdle books that c is between requests, for as long as it may stay so.
+// beginIdle marks c as between requests and sets its idle timeout.
 func (f *Server) beginIdle(c *clientConn) {
 	f.mu.Lock()
 	f.setState(c, connIdle)
@@ -73,7 +74,7 @@
 	f.signalCapacity()
 }
 
-// setReadDeadline sets until when c is read, unless the end of all reads has come. It is called with mu held.
+// setReadDeadline sets c's read deadline, or expires it if reads have stopped. mu must be held.
 func (f *Server) setReadDeadline(c *clientConn, until time.Time) {
 	if f.readsStopped.Load() {
 		until = time.Unix(1, 0)
@@ -81,20 +82,21 @@
 	c.sock.SetReadDeadline(until)
 }
 
-// StopReads has nothing read any more: half a request is answered so, and what was not read is left to be reset. Guards against a request
-// that is read as the process ends, and never answered. It comes behind Drain.
+// StopReads expires all reads: a partial request gets an error response, and unread bytes cause a
+// reset. It is called after Shutdown, so that no request is read that the exiting process would not
+// answer.
 func (f *Server) StopReads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readsStopped.Store(true)
 	for c := range f.conns {
-		if c.state != connClosing { // that one reads no request, and its time is its client's to read the answer
+		if c.state != connClosing { // it reads no request, and its client may still be reading the response
 			c.sock.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// setState is called with mu held.
+// setState changes c's state. mu must be held.
 func (f *Server) setState(c *clientConn, s connState) {
 	if c.state == connIdle {
 		f.idleConns--
@@ -104,11 +106,11 @@
 	}
 }
 
-// serveConn reads one request after the other. A panic ends this connection only.
+// serveConn handles the requests of one connection in turn. A panic closes only this connection.
 func (f *Server) serveConn(c *clientConn) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.log.Error("panic on a client's connection", "panic", p)
+			f.log.Error("panic on a client connection", "panic", p)
 		}
 		c.sock.Close()
 		f.reportCloseStage(c, closeDone)
@@ -134,7 +136,7 @@
 			f.closeConn(c, r, reason)
 			return
 		}
-		// Guards against closing an idle connection on which a request has just come in: it is answered.
+		// A request that has arrived by the idle timeout is answered.
 		f.trace.record(c.number, traceFirstByte, time.Since(c.stateSince).Microseconds(), 0)
 		now := time.Now()
 		readBy := now.Add(requestReadTimeout)
@@ -148,16 +150,17 @@
 		}
 		f.beginIdle(c)
 		if f.drainView.Load().Idle {
-			// Guards against a drain that looked at this connection while it was busy. Its last answer did not say that it closes: the next request
-			// may be on the way.
+			// The drain skipped this connection while it was busy. Its last response did not
+			// announce a close, so the next request may be on its way.
 			c.sock.SetReadDeadline(time.Now().Add(drainGracePeriod))
 		}
 	}
 }
 
-// closeConn ends our side of c. What has been read is owed an answer, so nothing that may be a request is read from here on: a client
-// whose request crosses the end finds it reset, which tells that nobody read it, and hands it in elsewhere. A reset could overtake the
-// last answer, so the connection is closed only once the client has had time to read that and close.
+// closeConn closes the write side of c and then waits for the client. A request that was read has
+// to be answered, so nothing that may be a request is read from here on: the client sees a reset,
+// knows that the request was not read, and may retry it elsewhere. A reset may overtake the last
+// response, so the socket is closed only after the client had time to read that.
 func (f *Server) closeConn(c *clientConn, r *bufio.Reader, reason closeReason) {
 	f.mu.Lock()
 	was := c.state
@@ -165,9 +168,9 @@
 	c.stateAtClose = was
 	f.mu.Unlock()
 	f.reportCloseStage(c, closeDecided)
-	f.log.Debug("client's connection ends", "connection", c.number, "reason", reason, "buffered", r.Buffered())
+	f.log.Debug("closing a client connection", "connection", c.number, "reason", reason, "buffered", r.Buffered())
 	if reason == closedByClient || reason == closedIdle {
-		return // the last answer was read, or there was none
+		return // the client has read the last response, or there was none
 	}
 	if t, ok := c.sock.(interface{ CloseWrite() error }); !ok || t.CloseWrite() != nil {
 		return
@@ -179,11 +182,12 @@
 		return
 	}
 	if n, _ := io.CopyN(io.Discard, r, maxLingerBytes); n > 0 {
-		f.log.Debug("bytes of a client read away behind the end of its connection", "connection", c.number, "reason", reason, "bytes", n)
+		f.log.Debug("discarded bytes on a closing client connection", "connection", c.number, "reason", reason, "bytes", n)
 	}
 }
 
-// awaitClose waits until the other side has closed, without reading what it sends, or until the read deadline.
+// awaitClose waits until the peer closes or the read deadline passes, without reading what the peer
+// sends.
 func awaitClose(sock net.Conn) {
 	sc, ok := sock.(syscall.Conn)
 	if !ok {
@@ -195,7 +199,7 @@
 	}
 	raw.Read(func(fd uintptr) bool {
 		n, err := peekAt(int(fd))
-		return n == 0 && err != syscall.EAGAIN // bytes say nothing of a close: they wait until the deadline
+		return n == 0 && err != syscall.EAGAIN // pending bytes hide a close, so wait for the deadline
 	})
 }
 
--- a/internal/wire/killed_test.go
+++ b/internal/wire/crash_test.go
@@ -12,7 +12,7 @@
 	"oatfold/internal/memory/journal"
 )
 
-// snapshotFS is a folder of which pictures are taken: what SIGKILL at that moment would leave.
+// snapshotFS is a folder that is copied at given moments, as a SIGKILL would leave it.
 type snapshotFS struct {
 	journal.Dir
 	mu        sync.Mutex
@@ -20,7 +20,7 @@
 	facts     facts
 }
 
-// facts are what has happened outside the relay.
+// facts are what other programs have observed.
 type facts struct{ clientAnswered, endpointCalled, endpointAnswered, notificationAnswered bool }
 
 type diskSnapshot struct {
@@ -47,11 +47,12 @@
 	}
 	f.fs.snapshot("within a write")
 	n, err := f.File.Write(b[len(b)/2:])
-	f.fs.snapshot("behind a write")
+	f.fs.snapshot("after a write")
 	return half + n, err
 }
 
-// snapshot takes a picture. What the relay tells others of is told behind its writes, so that facts are at most as new as the files.
+// snapshot copies the files. The relay reports to others only after its writes, so the facts are
+// never newer than the files.
 func (f *snapshotFS) snapshot(at string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +64,7 @@
 	f.snapshots = append(f.snapshots, s)
 }
 
-// recordFact books a fact, then takes a picture.
+// recordFact records a fact, then takes a snapshot.
 func (f *snapshotFS) recordFact(at string, change func(*facts)) {
 	f.mu.Lock()
 	change(&f.facts)
@@ -71,21 +72,22 @@
 	f.snapshot(at)
 }
 
-// A relay that is killed at any write, within and behind it, and at each thing that others see of it, goes on as it has to: what was promised
-// is there; what was called may have run, and goes by its class; what nobody has seen goes out; what has ended stays ended, and is owed its notice.
-func TestKilledBetweenAnyTwoThings(t *testing.T) {
+// Restarts from snapshots before, within and after each write and at each externally visible event:
+// an accepted message is present, one that was called may have run, one that was not called is
+// sent, and a completed one stays so and is owed its notification.
+func TestKilledAtAnyMoment(t *testing.T) {
 	for _, class := range []string{"alert", "order", "fee"} {
 		for _, end := range []string{"delivered", "failed"} {
 			t.Run(class+" "+end, func(t *testing.T) {
 				film := &snapshotFS{Dir: journal.Dir(t.TempDir())}
 				w := startEnvOn(t, film, func(rw http.ResponseWriter, r *http.Request, body string) {
-					film.recordFact("the call is read", func(f *facts) { f.endpointCalled = true })
+					film.recordFact("the call was received", func(f *facts) { f.endpointCalled = true })
 					if end == "failed" {
 						panic(http.ErrAbortHandler)
 					}
-					film.recordFact("the answer is to be written", func(f *facts) { f.endpointAnswered = true })
+					film.recordFact("the response is about to be written", func(f *facts) { f.endpointAnswered = true })
 				})
-				w.host.Do(func(h *Host) { // one try, so that the end is there
+				w.host.Do(func(h *Host) { // one attempt, so that a failure completes the message
 					s := testSettings()
 					s.MaxAttempts = 1
 					h.relay.Reconfigure(s)
@@ -93,17 +95,17 @@
 				if status := w.post(requestText(class, "m", "Idempotency-Key: k\r\n", "body", 5000)); status != 202 {
 					t.Fatalf("answered %d", status)
 				}
-				film.recordFact("the 202 is read", func(f *facts) { f.clientAnswered = true })
+				film.recordFact("the 202 was received", func(f *facts) { f.clientAnswered = true })
 				w.waitEmpty()
 				if end == "failed" {
-					w.waitUntil("the notice", func() bool { return len(w.notifications) > 0 })
-					film.recordFact("the notice is taken", func(f *facts) { f.notificationAnswered = true })
+					w.waitUntil("the notification", func() bool { return len(w.notifications) > 0 })
+					film.recordFact("the notification was acknowledged", func(f *facts) { f.notificationAnswered = true })
 				}
 				film.mu.Lock()
 				defer film.mu.Unlock()
 				seen := map[string]bool{}
 				for i, s := range film.snapshots {
-					seen[checkRestart(t, fmt.Sprintf("picture %d, %s", i, s.moment), s, class)] = true
+					seen[checkRestart(t, fmt.Sprintf("snapshot %d, %s", i, s.moment), s, class)] = true
 				}
 				want := []string{"nothing", "untried", "over"}
 				if want = append(want, "may have run"); end == "failed" {
@@ -111,7 +113,7 @@
 				}
 				for _, state := range want {
 					if !seen[state] {
-						t.Errorf("no picture shows it %s: %v", state, seen)
+						t.Errorf("no snapshot is in state %q: %v", state, seen)
 					}
 				}
 			})
@@ -119,7 +121,8 @@
 	}
 }
 
-// checkRestart starts from a picture, checks it against what others had seen, and returns what the next process makes of the message.
+// checkRestart starts from a snapshot, checks it against the facts, and returns the state of the
+// message in the next process.
 func checkRestart(t *testing.T, at string, s diskSnapshot, class string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -145,10 +148,10 @@
 	switch {
 	case m == nil && table.RecentlyCompleted("m"):
 		if !s.endpointCalled {
-			t.Errorf("%s: over, and nobody was called", at)
+			t.Errorf("%s: completed without a call", at)
 		}
 		if _, v := h.submit(submitRequest{message: &memory.Message{ID: "m", Class: class, Dest: 7}}); !v.duplicate {
-			t.Errorf("%s: over, and taken on once more", at)
+			t.Errorf("%s: completed, and accepted again", at)
 		}
 		return "over"
 	case m == nil:
@@ -158,20 +161,20 @@
 		return "nothing"
 	case owed:
 		if goes != 0 || notices != 1 || !s.endpointCalled {
-			t.Errorf("%s: ended, and %d calls, %d notices, called: %v", at, goes, notices, s.endpointCalled)
+			t.Errorf("%s: owed: %d calls, %d notifications, called: %v", at, goes, notices, s.endpointCalled)
 		}
 		return "owed"
 	case m.MayHaveRunSince.IsZero():
 		if goes != 1 || notices != 0 || s.endpointCalled {
-			t.Errorf("%s: untried, and %d calls, %d notices, called: %v", at, goes, notices, s.endpointCalled)
+			t.Errorf("%s: never called: %d calls, %d notifications, called: %v", at, goes, notices, s.endpointCalled)
 		}
 		return "untried"
 	case class == "fee":
 		if goes != 0 || notices != 1 || m.Notification.Returned {
-			t.Errorf("%s: a charge that may have run, and %d calls, %d notices", at, goes, notices)
+			t.Errorf("%s: may have run and must not run twice: %d calls, %d notifications", at, goes, notices)
 		}
 	case goes != 1 || notices != 0:
-		t.Errorf("%s: may be repeated, and %d calls, %d notices", at, goes, notices)
+		t.Errorf("%s: may be retried: %d calls, %d notifications", at, goes, notices)
 	}
 	return "may have run"
 }
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// exchange is one request on a client's connection, and its answer.
+// exchange is one request on a client connection and its response.
 type exchange struct {
 	net.Conn
 	reader     *bufio.Reader
 	server     *Server
-	connNumber uint32 // of the connection
+	connNumber uint32
 	startedAt  time.Time
-	closeAfter bool // the client sends nothing behind this request
-	answered   bool // it was answered
+	closeAfter bool // the client sends no further request
+	answered   bool // a response was written
 }
 
-// handleExchange reads and answers one request, and tells whether the connection ends with it, and why. A panic ends this connection only; what was read
-// is answered all the same.
+// handleExchange reads and answers one request. It returns why the connection closes after it, or
+// staysOpen. A panic closes only this connection; a request that was read is still answered.
 func (f *Server) handleExchange(x *exchange) (reason closeReason) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
-		f.log.Error("panic on a client's connection", "panic", p)
+		f.log.Error("panic on a client connection", "panic", p)
 		if reason = closedMalformed; !x.answered {
 			x.closeAfter = true
 			x.reply(500, 0, nil)
@@ -38,12 +38,13 @@
 	return f.handleRequest(x)
 }
 
-// rejectMalformed ends a connection on which the request could not be read; where the client still listens, it is told.
+// rejectMalformed answers a request that could not be read, if the client may still be reading. The
+// connection closes.
 func (f *Server) rejectMalformed(x *exchange, err error) closeReason {
 	status := 0
 	switch {
 	case errors.Is(err, errFirstLine), errors.Is(err, errHeader), errors.Is(err, errLength), errors.Is(err, io.ErrUnexpectedEOF):
-		status = 400 // the last is half a request of a client that may still listen
+		status = 400 // the last is a partial request of a client that may still read
 	case errors.Is(err, errBodyTooLong):
 		status = 413
 	case errors.Is(err, errHeaderTooLong):
@@ -64,8 +65,9 @@
 var statusTexts = map[int]string{200: "OK", 202: "Accepted", 400: "Bad Request", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 422: "Unprocessable Content", 500: "Internal Server Error", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 503: "Service Unavailable"}
 
-// reply answers with a status, advice when to come again if there is any, and for a bad request what was wrong. It tells whether the
-// connection ends with this answer, and why: closedByClient where the answer did not get through.
+// reply writes a response with a status, Retry-After if retry is positive, and the text of wrong if
+// it is set. It returns why the connection closes after it: closedByClient if the response could
+// not be written, or staysOpen.
 func (x *exchange) reply(status int, retry time.Duration, wrong error) closeReason {
 	b := make([]byte, 0, 128)
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
@@ -78,14 +80,14 @@
 	case x.closeAfter:
 		reason = closedByRequest
 	case view.Close && x.reader.Buffered() == 0:
-		// A further request that came with this one has been read, and is owed an answer before the connection may end.
+		// Another request is in the buffer and has to be answered before the connection may close.
 		reason = closedByServer
 	}
 	if reason != staysOpen {
 		b = appendField(b, "Connection", "close")
 	}
 	if view.Stopping {
-		b = append(b, "X-Relay-State: stopping\r\n"...) // Guards against new requests on a connection that is closed soon
+		b = append(b, "X-Relay-State: stopping\r\n"...) // tells clients to send no new request on this connection
 	}
 	text := ""
 	if wrong != nil {
@@ -99,13 +101,13 @@
 	return reason
 }
 
-// Write notes answers in the trace.
+// Write records the response in the trace.
 func (x *exchange) Write(b []byte) (int, error) {
 	n, err := x.Conn.Write(b)
 	if len(b) > 12 {
 		status, _ := strconv.Atoi(string(b[9:12]))
 		if err != nil {
-			status = -status // it did not get through
+			status = -status // it could not be written
 		}
 		x.server.trace.record(x.connNumber, traceAnswer, int64(status), time.Since(x.startedAt).Microseconds())
 	}
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -12,16 +12,17 @@
 	"oatfold/policy"
 )
 
-// Transfer is what another process of this relay left or gave: a file of the spool, or a part of a room.
+// Transfer is what another process of this relay left or transferred: a spool file, or part of a
+// process directory.
 type Transfer struct {
-	Sender       string // the process that gave it; empty: a room
+	Sender       string // the transferring process; empty: read from its directory
 	Messages     []*memory.Message
-	CompletedIDs []string       // ids of messages that are over
+	CompletedIDs []string       // ids of completed messages
 	Update       *handover.News // nil: none
 	LastProcess  bool           // no other process is left
 }
 
-// Adopt takes over what was passed. What it returns is closed once all of it is in the journal.
+// Adopt takes over a transfer. The returned channel is closed once all of it is in the journal.
 func (h *Host) Adopt(p Transfer) <-chan struct{} {
 	done := make(chan struct{})
 	h.Do(func(h *Host) {
@@ -52,17 +53,17 @@
 	return done
 }
 
-// adopt takes one message over, as it stands. Guards against a process that died between giving a message and booking that it had: the same
-// message then comes twice, and is known by its id.
+// adopt takes over one message. It may come twice, if a process died between transferring it and
+// recording that; its id then identifies it.
 func (h *Host) adopt(m *memory.Message) {
 	delete(h.ownedElsewhere, m.ID)
 	h.sequencer.Arrived(m.ID)
-	num := m.Number // where the message keeps it, it keeps its place in the order of hand-in, here and after a restart
+	num := m.Number // a kept number preserves the order of acceptance, also after a restart
 	if have := h.table.ByID(m.ID); have != nil {
 		if have.InFlight != nil || !m.Supersedes(have) {
 			return
 		}
-		// The other account knows more: it takes the place of this one.
+		// The other copy is more recent and replaces this one.
 		h.remove(have, true)
 		h.table.ForgetCompleted(m.ID)
 		h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: have.Number})
@@ -77,8 +78,9 @@
 	h.resume(m, time.Now())
 }
 
-// removeCompleted ends the message of that id, which is over, unless its call is out. Guards against a message that was given to a process that ran it
-// and died before it had booked the gift: it is still there for the next one.
+// removeCompleted removes the message of a completed id, unless its call is in flight. A process
+// that received the message may have completed it and died before the transfer was recorded at its
+// source.
 func (h *Host) removeCompleted(id string) {
 	m := h.table.ByID(id)
 	if m == nil || m.InFlight != nil || m.Notification != nil || m.Unanswered {
@@ -88,13 +90,13 @@
 	h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: m.Number})
 }
 
-// JournalWritable tells whether the journal took what was written to it last.
+// JournalWritable reports whether the last write to the journal succeeded.
 func (h *Host) JournalWritable() (takes bool) {
 	h.Do(func(h *Host) { takes = !h.journal.Unavailable() })
 	return takes
 }
 
-// applyHandoverUpdate takes over what the process before knows beside messages.
+// applyHandoverUpdate takes over the previous process's state other than messages.
 func (h *Host) applyHandoverUpdate(n *handover.News) {
 	if l := n.List; l != nil && l.Generation > h.listGeneration {
 		pc := memory.EndpointList{Generation: l.Generation, Complete: true}
@@ -118,17 +120,17 @@
 	h.inheritedDrain = h.inheritedDrain || n.Drained
 	h.applyBackoffs(n.Waits)
 	if h.standby {
-		h.untransferredWaits = append(h.untransferredWaits, n.Waits...) // the module has yet to hear of them
+		h.untransferredWaits = append(h.untransferredWaits, n.Waits...) // Activate reports them to the policy engine
 	}
 	h.setInheritedCalls(n.Out)
 }
 
-// dateAfter is the date in so much time from now, for the process that takes this one's place.
+// dateAfter returns the time after a duration from now, on the scale shared with the next process.
 func (h *Host) dateAfter(left time.Duration) time.Time {
 	return time.UnixMicro(h.dateScale.Date(time.Now().Add(left)))
 }
 
-// applyBackoffs heeds waits that the process before was told.
+// applyBackoffs applies the Retry-After times that the previous process received.
 func (h *Host) applyBackoffs(waits []handover.Wait) {
 	for _, w := range waits {
 		left := min(time.Until(h.dateScale.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
@@ -147,14 +149,15 @@
 	}
 }
 
-// setInheritedCalls books the calls that the process before still has out.
+// setInheritedCalls records the calls that the previous process has in flight.
 func (h *Host) setInheritedCalls(out []policy.InheritedCall) {
 	h.inheritedCalls = out
 	h.relay.SetInheritedCalls(h.now(), out)
 	h.pendingEvents = append(h.pendingEvents, policy.TimerFired{})
 }
 
-// Activate begins the steps of a host that stood by, and tells whether the relay was drained by its operators.
+// Activate starts the policy steps of a standby host. It reports whether the operators had drained
+// the relay.
 func (h *Host) Activate() (drained bool) {
 	h.Do(func(h *Host) {
 		var list []policy.Endpoint
@@ -176,14 +179,15 @@
 	return drained
 }
 
-// HandOver ends the steps and gives what is not out, with what this process knows, to the one that takes its place. Files hold bodies of up to room
-// bytes; the rest goes with Give. Where the first file cannot be given, all stays as it was.
+// HandOver stops the policy steps and transfers this process's state and all messages that are not
+// in flight to the next process. Files hold bodies of up to capacity bytes; TransferRemaining sends
+// the rest. If the first file cannot be written, nothing changes.
 func (h *Host) HandOver(give func([]byte) error, drained bool, room int64) (err error) {
 	h.Do(func(h *Host) {
 		parked := h.callsAwaitingNotification
 		h.callsAwaitingNotification = nil
 		for _, cl := range parked {
-			h.endUnsentCall(cl) // its messages are given
+			h.endUnsentCall(cl) // its messages are transferred
 		}
 		learned, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
 		news := &handover.News{Drained: drained, Learned: &learned, List: &handover.List{Generation: h.listGeneration}, Numbers: &numbers}
@@ -199,7 +203,8 @@
 			if transferable(m) {
 				h.untransferred = append(h.untransferred, m)
 			} else if m.Notification == nil {
-				// Guards against giving it twice in one file, which nobody could read: it comes by itself once it may be given.
+				// It is transferred once that is possible. A file that names it twice could not be
+				// read.
 				news.Known = append(news.Known, m.ID)
 			}
 		}
@@ -214,7 +219,7 @@
 		h.table.UseSharedNumbering(numbers)
 		for cl := range h.calls {
 			for i := range cl.items {
-				cl.items[i].reported, cl.items[i].resubmit = true, true // what they leave undone is given
+				cl.items[i].reported, cl.items[i].resubmit = true, true // unfinished messages are transferred
 			}
 		}
 		for _, ep := range h.endpoints {
@@ -224,7 +229,8 @@
 	return err
 }
 
-// TransferRemaining goes on with what is left by now: what did not fit, what was still taken on, what calls have left undone.
+// TransferRemaining transfers what is left: what did not fit, messages accepted since, and those
+// that calls left unfinished.
 func (h *Host) TransferRemaining(room int64) {
 	h.Do(func(h *Host) {
 		if h.sendToSuccessor != nil {
@@ -233,16 +239,18 @@
 	})
 }
 
-// transferable tells whether m can be given: nothing of it is under way, and its body is at hand.
+// transferable reports whether m can be transferred: it is not in flight, and its body is in
+// memory.
 func transferable(m *memory.Message) bool {
 	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 && (!m.MemoryOnly || m.Body != nil)
 }
 
-// transferOverheadBytes is what a message takes of a file beside its body, as a bound.
+// transferOverheadBytes bounds the size of a transferred message without its body.
 const transferOverheadBytes = 700
 
-// transferPending gives what is left, as far as it fits, if there is anything to tell. Guards against a folder that holds all of it twice, in the room and in the spool, and goes
-// over its limit.
+// transferPending writes a file for the next process with the messages that fit into capacity
+// bytes, if there is anything to report. The limit keeps the messages, which are still in this
+// process's directory as well, within the disk budget.
 func (h *Host) transferPending(to func([]byte) error, news *handover.News, room int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.untransferred {
@@ -264,20 +272,20 @@
 		news.Out = append(news.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dateScale)); err != nil {
-		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
+		h.log.Error("transfer to the next process failed; messages stay in the process directory", "messages", len(msgs), "err", err)
 		return err
 	}
 	h.untransferredWaits, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
 	for _, m := range msgs {
-		// Its id is not kept as over: it is not.
+		// The message is not complete, so its id is not kept as such.
 		h.remove(m, true)
 		h.table.ForgetCompleted(m.ID)
 	}
 	return nil
 }
 
-// Remaining counts what a process that leaves still owes something for, its calls out, and the messages that can only be taken over with
-// its room.
+// Remaining counts the messages of a stopping process, its calls in flight, and the messages that
+// only its directory can pass on.
 func (h *Host) Remaining() (held, out, behind int) {
 	h.Do(func(h *Host) {
 		for _, m := range h.table.All() {
@@ -290,8 +298,8 @@
 	return held, out, behind
 }
 
-// SetJournalShare sets what the journal may take of the disk, of which others take so much: all of the rest, or while another process
-// writes as well, a part of it.
+// SetJournalShare sets the journal's disk budget, of total bytes shared with others' usage: all of
+// the rest if alone, else a part of it.
 func (h *Host) SetJournalShare(all, others int64, alone bool) {
 	h.Do(func(h *Host) {
 		if alone {
@@ -302,7 +310,7 @@
 	})
 }
 
-// StartGossip has the host tell other relays what it sees, from now on.
+// StartGossip starts the gossip with other relays.
 func (h *Host) StartGossip(notes *GossipSocket, among FleetIdentity) {
 	h.Do(func(h *Host) {
 		h.gossipSocket = notes
@@ -312,5 +320,5 @@
 	})
 }
 
-// SetMaxIdleConns sets how many connections to endpoints may stand idle.
+// SetMaxIdleConns limits the idle connections to endpoints.
 func (h *Host) SetMaxIdleConns(most int) { h.Do(func(h *Host) { h.maxIdleConns = most }) }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -15,9 +15,9 @@
 	"oatfold/policy"
 )
 
-// A process that takes over runs each message once by the more careful account of it, knows what the other one keeps, and heeds slots, waits and
-// the drain that it was told of.
-func TestAdoptsOnceAndHeeds(t *testing.T) {
+// An adopted message is run once, by its most recent copy. Inherited calls, Retry-After times,
+// known ids and the drain are respected.
+func TestAdoptOnce(t *testing.T) {
 	var first time.Time
 	var w *testEnv
 	w = startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
@@ -39,14 +39,14 @@
 		Update: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
 	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()), msg("alert", "a", 0, time.Time{})}})
 	if got := w.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
-		t.Errorf("what the other process keeps was answered %d", got)
+		t.Errorf("a message that the other process keeps was answered %d", got)
 	}
 	w.host.Do(func(h *Host) {
 		if len(h.inheritedCalls) != 3 || h.table.PendingCount() != 2 {
-			t.Errorf("%v lent, %d held", h.inheritedCalls, h.table.PendingCount())
+			t.Errorf("%v inherited, %d pending", h.inheritedCalls, h.table.PendingCount())
 		}
 	})
-	// A change of the list that reached the other process only is taken over; one that is older than what this one has is not.
+	// A newer endpoint list of the other process is taken over, an older one is not.
 	for _, c := range []struct {
 		generation int64
 		state      policy.EndpointState
@@ -61,25 +61,25 @@
 		})
 	}
 	if !w.host.Activate() {
-		t.Error("the drain was not passed on")
+		t.Error("the drain was not inherited")
 	}
-	w.waitUntil("the notice", func() bool { return len(w.notifications) > 0 })
+	w.waitUntil("the notification", func() bool { return len(w.notifications) > 0 })
 	w.waitEmpty()
 	w.Lock()
 	if !slices.Equal(w.calls, []string{"a"}) || first.Before(until) {
-		t.Errorf("called %v, %v before the wait was over", w.calls, until.Sub(first))
+		t.Errorf("called %v, %v before the Retry-After passed", w.calls, until.Sub(first))
 	}
 	w.Unlock()
 	<-w.host.Adopt(Transfer{LastProcess: true})
 	w.host.Do(func(h *Host) {
 		if len(h.inheritedCalls) > 0 || len(h.ownedElsewhere) > 0 {
-			t.Errorf("alone: %v lent, %v elsewhere", h.inheritedCalls, h.ownedElsewhere)
+			t.Errorf("last process: %v inherited, %v owned elsewhere", h.inheritedCalls, h.ownedElsewhere)
 		}
 	})
 }
 
-// What is over elsewhere before the module heard of it takes no slot from what comes later.
-func TestAdoptedAndOverElsewhere(t *testing.T) {
+// A message completed elsewhere before the policy engine received it takes no slot.
+func TestAdoptedAndCompletedElsewhere(t *testing.T) {
 	w := startEnv(t, answerOK)
 	w.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	var all []*memory.Message
@@ -105,8 +105,9 @@
 	}
 }
 
-// A process that hands over gives what is not out, then what it still takes on and what its calls leave undone, and makes no further step.
-func TestGivesAllThatIsLeft(t *testing.T) {
+// A process that hands over transfers what is not in flight, then what it accepts later and what
+// its calls leave unfinished, and makes no further attempt.
+func TestTransfersAllPending(t *testing.T) {
 	release := make(chan struct{})
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	var mu sync.Mutex
@@ -130,7 +131,7 @@
 		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
 	w.post(requestText("alert", "held", "", "b", 4000))
-	waitFor(t, "the host to hear that its client was told", func() (told bool) {
+	waitFor(t, "the host to learn that its client was answered", func() (told bool) {
 		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.Unanswered })
 		return told
 	})
@@ -140,20 +141,20 @@
 	mu.Lock()
 	if n := news[0]; len(given) != 1 || given[0].ID != "held" || len(n.Out) != 1 || !slices.Equal(n.Known, []string{"out"}) || !n.Drained ||
 		len(n.Waits) != 1 || len(n.List.Members) != 1 || n.List.Generation != 1 {
-		t.Errorf("first: %v, %+v", given, n)
+		t.Errorf("first file: %v, %+v", given, n)
 	}
 	mu.Unlock()
 	if got := w.post(requestText("fee", "more", "", "b", 9000)); got != 202 {
-		t.Errorf("still taken on: %d", got)
+		t.Errorf("submitted after the handover: answered %d", got)
 	}
 	close(release)
-	w.host.TransferRemaining(transferOverheadBytes) // no room for its body: it waits
+	w.host.TransferRemaining(transferOverheadBytes) // its body does not fit, so it waits
 	mu.Lock()
 	if len(given) != 1 {
-		t.Errorf("given into no room: %v", given)
+		t.Errorf("transferred without capacity: %v", given)
 	}
 	mu.Unlock()
-	waitFor(t, "the rest", func() bool {
+	waitFor(t, "the other messages", func() bool {
 		w.host.TransferRemaining(1 << 20)
 		mu.Lock()
 		defer mu.Unlock()
@@ -163,16 +164,17 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if i := slices.IndexFunc(given, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 || given[i].Attempts != 1 || given[i].MayHaveRunSince.IsZero() {
-		t.Errorf("what its call left undone: %+v", given)
+		t.Errorf("unfinished after its call: %+v", given)
 	}
 	if w.Lock(); len(w.calls) != 1 || len(w.notifications) > 0 {
-		t.Errorf("calls %v, notices %v", w.calls, w.notifications)
+		t.Errorf("calls %v, notifications %v", w.calls, w.notifications)
 	}
 	w.Unlock()
 }
 
-// What a relay has learned of a line is known to the next one, by age: its slot, its outage, its wait.
-func TestLearnedPassesOn(t *testing.T) {
+// The next process inherits what was learned of a route: its pacing interval, outage and
+// Retry-After.
+func TestInheritedPolicyState(t *testing.T) {
 	set := testSettings()
 	old, _ := policy.New(set, 1)
 	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}}
@@ -186,18 +188,18 @@
 	next.ImportState(time.Hour, list, learned)
 	acts := next.Step(time.Hour, []policy.Event{policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
 	if slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
-		t.Errorf("sent while the wait ran: %v", acts)
+		t.Errorf("sent before the Retry-After passed: %v", acts)
 	}
 	acts = next.Step(time.Hour+5*time.Second, []policy.Event{policy.TimerFired{}})
 	if !slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
-		t.Errorf("not sent after it: %v", acts)
+		t.Errorf("not sent after the Retry-After: %v", acts)
 	}
 }
 
-// Calls that the process before has out hold slots and their destination's share, until it is told that they ended; its pace goes on, so that what was
-// taken over is not handed back for want of one.
-func TestLentCallsHoldSlots(t *testing.T) {
-	set := testSettings() // four slots, three for a destination
+// The previous process's calls in flight count towards the concurrency limits until they end, and
+// its rate is inherited, so that adopted messages are not returned for lack of one.
+func TestInheritedCallsCountTowardsLimits(t *testing.T) {
+	set := testSettings() // four concurrent calls, three for a destination
 	r, _ := policy.New(set, 1)
 	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}, {Address: "f", Destination: 8, Kind: "small"}}
 	r.ImportState(time.Second, list, policy.LearnedState{CompletionRate: 20, Shortage: time.Second})
@@ -218,18 +220,19 @@
 	}
 	three := []policy.InheritedCall{{Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "e"}, {Endpoint: "gone"}}
 	if to := sends(2*time.Second, three, msg(1, 7), msg(2, 8), msg(3, 8)); !slices.Equal(to, []string{"f"}) {
-		t.Errorf("with three lent: %v", to)
+		t.Errorf("with three inherited calls: %v", to)
 	}
 	if to := sends(3*time.Second, three[:2], policy.TimerFired{}); !slices.Equal(to, []string{"e"}) {
-		t.Errorf("with two lent: %v", to)
+		t.Errorf("with two inherited calls: %v", to)
 	}
 	if to := sends(4*time.Second, nil, policy.TimerFired{}); !slices.Equal(to, []string{"f"}) {
-		t.Errorf("with none: %v", to)
+		t.Errorf("with no inherited calls: %v", to)
 	}
 }
 
-// Where the first file has no room, what is out then and ends meanwhile is given once: a file that names a message twice can't be read.
-func TestGivenOnceWhereRoomIsShort(t *testing.T) {
+// A message that was in flight during a handover without capacity is transferred once; a file that
+// names a message twice cannot be read.
+func TestTransferredOnceWithoutCapacity(t *testing.T) {
 	release := make(chan struct{})
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	ids := map[string]int{}
@@ -240,7 +243,7 @@
 		}
 		return err
 	}
-	var before uint32 // a number ahead of the message whose call is out
+	var before uint32 // precedes the number of the message in flight
 	w.host.Do(func(h *Host) { before = h.table.NextNumber() })
 	w.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
 	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
@@ -256,7 +259,7 @@
 	w.waitEmpty()
 	w.host.Do(func(*Host) {
 		if len(ids) != 2 || ids["out"] != 1 || ids["held"] != 1 {
-			t.Errorf("given %v", ids)
+			t.Errorf("transferred %v", ids)
 		}
 	})
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -26,132 +26,132 @@
 
 const (
 	eventQueueSize      = 1024
-	idleTimeoutFraction = 0.8 // of the time after which an idle connection is closed by the other side
+	idleTimeoutFraction = 0.8 // of the peer's idle timeout, so that this side closes first
 	maintenanceInterval = time.Second
 
-	// The known list may be old: what discovery's agent has by now counts as told to us, so that the first
-	// step waits a moment for its answer. Guards against sends to endpoints that left while we were down.
+	// endpointListTimeout bounds the wait of the first step for discovery's current endpoint list.
+	// Endpoints may have left the stored list while this process was down.
 	endpointListTimeout = 300 * time.Millisecond
 
-	// deadlineMargin is by how much the module's time for a message ends before the message's: what its clients see as its end comes
-	// earlier than what is counted from the first byte that was read.
+	// deadlineMargin is taken off a message's deadline for the policy engine. Clients count from
+	// when they send a request, which is earlier than when its first byte is read here.
 	deadlineMargin = 10 * time.Millisecond
 
-	unknownRiskAge = 24 * time.Hour // longer than any partner drops repeats
+	unknownRiskAge = 24 * time.Hour // longer than any partner deduplicates
 )
 
-// Host carries the decision module: one goroutine owns the module, the message table and the journal;
-// connections send it events. It never waits for a socket.
+// Host runs the policy engine. One goroutine owns the engine, the message table and the journal;
+// connections send it events. It never blocks on a socket.
 type Host struct {
 	settings              policy.Settings
 	relay                 *policy.Relay
 	table                 *memory.Table
 	journal               *journal.Journal
 	log                   *slog.Logger
-	gossiper              *peers.Gossiper // what this relay tells others and hears of them
-	gossipSocket          *GossipSocket   // nil: it tells none
-	reportedRelays        int             // relays that may be calling, as the module was told last; 0: nothing
-	identity              FleetIdentity   // what it is among the relays
+	gossiper              *peers.Gossiper // state shared with the other relays
+	gossipSocket          *GossipSocket   // nil: disabled
+	reportedRelays        int             // number of calling relays, as last reported to the policy engine; 0: not reported
+	identity              FleetIdentity
 	membersView           atomic.Pointer[members.View]
-	membersViewAt         policy.Time // when that was made
+	membersViewAt         policy.Time
 	choicesView           atomic.Pointer[Choices]
-	choicesViewAt         policy.Time  // when that was made
-	siteWatch             *sites.Watch // nil: no plan for sites
+	choicesViewAt         policy.Time
+	siteWatch             *sites.Watch // nil: no site plan
 	sitesStatus           atomic.Pointer[Sites]
-	nextSitesCheck        policy.Time   // when they are looked at again
-	sitesMembersView      *members.View // that the watch was last told of
+	nextSitesCheck        policy.Time
+	sitesMembersView      *members.View // last view passed to siteWatch
 	homeZone              string
-	zoneNames             []string // names, by number
+	zoneNames             []string // indexed by zone number
 	siteCommands          chan SiteCommand
 	dialTimeout           time.Duration
-	dateScale             clock.Scale // of what is left to other processes
+	dateScale             clock.Scale // for times written for other processes
 	startedAt             time.Time
-	seed                  int64 // of this relay's own draws
-	listGeneration        int64 // of the pool config; -1: none
+	seed                  int64 // for this relay's random numbers
+	listGeneration        int64 // of the endpoint list; -1: none
 	events                chan any
 	notifications         chan pendingNotification
-	unqueuedNotifications []pendingNotification // notices that did not fit the channel yet
+	unqueuedNotifications []pendingNotification // notifications that are not in the channel yet
 	agentAddr             atomic.Pointer[string]
-	watchCtx              context.Context // of the watch in force
+	watchCtx              context.Context // of the current discovery watch
 	cancelWatch           context.CancelFunc
 
-	uncommittedReplies        []pendingReply // hand-ins of this turn, answered once it is in the journal
-	uncommittedCalls          []*call        // calls of this turn, made once it is in the journal
+	uncommittedReplies        []pendingReply // answered once this iteration's records are in the journal
+	uncommittedCalls          []*call        // dispatched once this iteration's records are in the journal
 	pendingEvents             []policy.Event
 	arrivals                  []*memory.Message
-	lateListeners             atomic.Int32             // connections that are listened to behind the end of their calls
-	shutdownStage             atomic.Int32             // a leaveStage, which connections look at as they write
-	orderedQueues             map[string][]*queueEntry // by subject, in the order in which they were taken on
+	lateListeners             atomic.Int32             // connections that are read after their call has timed out
+	shutdownStage             atomic.Int32             // a leaveStage, read by connections before they write
+	orderedQueues             map[string][]*queueEntry // by ordering key, in order of acceptance
 	endpoints                 map[string]*endpoint
 	destBackoffs              map[int]*backoff
-	removedRouteBackoffs      map[string]*backoff // of routes apart that have left the list and still bind
+	removedRouteBackoffs      map[string]*backoff // of separate routes that left the list while a Retry-After was in force
 	targets                   peers.ReportKeys
 	calls                     map[*call]struct{}
 	kindSettings              map[string]policy.Kind
-	classes                   map[string]policy.Class // by name, as the settings have them now
+	classes                   map[string]policy.Class // current settings, by name
 	plugins                   *plugin.Holder
-	destKinds                 map[int]string // of destinations
+	destKinds                 map[int]string // partner types, by destination
 	lastStepAt                policy.Time
-	wakeAt                    policy.Time // 0: none asked for
+	wakeAt                    policy.Time // 0: no wake-up requested
 	maintenanceAt             policy.Time
-	awaitListUntil            policy.Time               // the first step waits until then for the pool config
-	stepsBlockedUntil         policy.Time               // and the first of a module that starts anew for the end of told waits
-	standby                   bool                      // another process of this relay makes the steps
-	sendToSuccessor           func([]byte) error        // another process takes this one's place: what is not out goes there
-	untransferred             []*memory.Message         // that are still to be given
-	untransferredWaits        []handover.Wait           // that the other process has yet to hear of, or this one's module
-	reportedInFlight          int                       // calls out as it was told last
-	inheritedCalls            []policy.InheritedCall    // calls that the process before still has out
-	inheritedState            policy.LearnedState       // of the process before, until the steps begin
-	inheritedDrain            bool                      // that one was drained
-	ownedElsewhere            map[string]struct{}       // ids that it took on and keeps
-	sequencer                 sequence.Sequencer        // what waits for messages that other processes still owe
-	reportedOwed              []sequence.Message        // what this one still owes, as it was told last
-	callsAwaitingNotification []*call                   // that wait for the answer to a notice
-	unansweredNotifications   unansweredNotifications   // whose answers they wait for
-	uncommittedTransfers      []chan<- struct{}         // closed once what was taken over is in the journal
-	stepsStopped              bool                      // no further steps: the rest stays in the journal
-	listReceived              bool                      // discovery has told its whole list in this life
-	loadReports               bool                      // answers may hold load reports
-	maxIdleConns              int                       // connections to endpoints that may stand idle
-	idleConns                 index.List[*endpointConn] // these, the one that was used longest ago first
-	expiries                  index.Heap[itemExpiry]    // messages whose own time is up before their call's
+	awaitListUntil            policy.Time            // the first step waits until then for the endpoint list
+	stepsBlockedUntil         policy.Time            // the first step after a policy restart waits until then
+	standby                   bool                   // another process of this relay runs the policy engine
+	sendToSuccessor           func([]byte) error     // writes to the next process; nil: no handover in progress
+	untransferred             []*memory.Message      // messages that are still to be transferred
+	untransferredWaits        []handover.Wait        // for the next process, or for this one's policy engine
+	reportedInFlight          int                    // calls in flight, as last reported to the next process
+	inheritedCalls            []policy.InheritedCall // calls that the previous process still has in flight
+	inheritedState            policy.LearnedState    // from the previous process, until Activate
+	inheritedDrain            bool                   // the operators drained the previous process
+	ownedElsewhere            map[string]struct{}    // ids of messages that the previous process accepted and keeps
+	sequencer                 sequence.Sequencer     // holds messages while another process owes earlier ones
+	reportedOwed              []sequence.Message     // messages still owed, as last reported to the next process
+	callsAwaitingNotification []*call                // calls behind a notification that the platform has not answered
+	unansweredNotifications   unansweredNotifications
+	uncommittedTransfers      []chan<- struct{}         // closed once the transferred messages are in the journal
+	stepsStopped              bool                      // no further policy steps; messages stay in the journal
+	listReceived              bool                      // discovery has sent its list to this process
+	loadReports               bool                      // responses may hold load reports
+	maxIdleConns              int                       // limit of idle connections to endpoints
+	idleConns                 index.List[*endpointConn] // least recently used first
+	expiries                  index.Heap[itemExpiry]    // messages whose deadline precedes their call's
 	metrics                   *figures.Set
-	rejectedCount             int // hand-ins turned away since the last log line
+	rejectedCount             int // requests rejected since the last log line
 }
 
-// HostConfig is what a host is made from.
+// HostConfig configures a Host.
 type HostConfig struct {
 	Settings       policy.Settings
 	Seed           int64
 	ConnectTimeout time.Duration
-	MaxIdleConns   int  // connections to endpoints that may stand idle
-	LoadReports    bool // answers may hold load reports
+	MaxIdleConns   int  // limit of idle connections to endpoints
+	LoadReports    bool // responses may hold load reports
 	KnownEndpoints memory.EndpointList
-	JournalBytes   int64 // that the journal may take; read by Reload
+	JournalBytes   int64 // limit of the journal; read by Reload
 	Table          *memory.Table
 	Journal        *journal.Journal
-	Plugins        *plugin.Holder // nil: none
-	GossipSocket   *GossipSocket  // nil: this relay tells others nothing
-	Identity       FleetIdentity  // what it is among them
-	ZoneNames      []string       // names of zones, by number
-	HomeZone       string         // this relay's own; empty: not known
-	Sites          *sites.Plan    // nil: none
-	Metrics        *figures.Set   // nil: nobody reads them
-	Standby        bool           // no steps until Activate
-	DateScale      clock.Scale    // of what is left to other processes
+	Plugins        *plugin.Holder // nil: no plug-ins
+	GossipSocket   *GossipSocket  // nil: no gossip
+	Identity       FleetIdentity
+	ZoneNames      []string     // indexed by zone number
+	HomeZone       string       // empty: unknown
+	Sites          *sites.Plan  // nil: no site plan
+	Metrics        *figures.Set // nil: not recorded
+	Standby        bool         // no policy steps until Activate
+	DateScale      clock.Scale  // for times written for other processes
 	Log            *slog.Logger
 }
 
-// FleetIdentity is what a relay is among the relays of its fleet.
+// FleetIdentity is a relay's place in its fleet.
 type FleetIdentity struct {
-	Number            int  // its number
-	MembershipEnabled bool // it asks who lives
+	Number            int
+	MembershipEnabled bool // it tracks which relays are alive
 	Choices           choice.Options
-	Zone              int // members.NoZone: not known
+	Zone              int // members.NoZone: unknown
 }
 
-// NewHost returns a host that holds again what the table holds.
+// NewHost returns a host with the recovered messages of the table.
 func NewHost(c HostConfig) (*Host, error) {
 	start := time.Now()
 	c.Settings.ClockOffset = time.Duration(start.UnixNano())
@@ -180,7 +180,7 @@
 	return h, nil
 }
 
-// indexSettings keeps what is looked up by name.
+// indexSettings rebuilds the lookup tables of classes and partner types.
 func (h *Host) indexSettings(s policy.Settings) {
 	h.classes, h.kindSettings = map[string]policy.Class{}, map[string]policy.Kind{}
 	for _, c := range s.Classes {
@@ -192,10 +192,11 @@
 	h.metrics.Classes(slices.Collect(maps.Keys(h.classes)))
 }
 
-// Events is where connections report.
+// Events returns the channel on which connections report.
 func (h *Host) Events() chan<- any { return h.events }
 
-// StartPlatformClient starts what talks to the platform: the watch of the pool config and the notices. It comes before Run.
+// StartPlatformClient starts the discovery watch, the outcome notifications and the gossip. It is
+// called before Run.
 func (h *Host) StartPlatformClient(discovery string) {
 	h.useDiscovery(discovery)
 	go runNotifier(&h.agentAddr, h.notifications, h.events, h.log)
@@ -205,7 +206,7 @@
 	}
 }
 
-// useDiscovery moves the watch and the notices to that address, unless they are there.
+// useDiscovery moves the watch and the notifications to an address, unless it is in use already.
 func (h *Host) useDiscovery(discovery string) {
 	if at := h.agentAddr.Load(); at != nil && *at == discovery {
 		return
@@ -218,8 +219,9 @@
 	go watchEndpointList(h.watchCtx, listWatcher{addr: discovery, generation: h.listGeneration, fleetSize: h.settings.Relays, polled: h.settings.MustSubscribe, seed: h.seed}, h.events, h.log)
 }
 
-// Reload puts a new configuration in force, which was checked: settings and limits at once, and discovery's new
-// address. What is held, out or known stays; the pool config stays until the new address has told its own.
+// Reload applies a validated configuration: settings and limits at once, then discovery's address.
+// Pending messages and calls in flight stay; the endpoint list stays until the new address has sent
+// its own.
 func (h *Host) Reload(c HostConfig, discovery string) (err error) {
 	h.Do(func(h *Host) {
 		c.Settings.ClockOffset = h.settings.ClockOffset
@@ -237,8 +239,9 @@
 
 func (h *Host) now() policy.Time { return time.Since(h.startedAt) }
 
-// restore hands what an earlier life left to the module, in the order in which it was taken on; notices are
-// owed from the first time on.
+// restore passes recovered messages to the policy engine in order of acceptance, and queues the
+// notifications that are owed. again is set after a policy restart, when those notifications and
+// the calls in flight are already under way.
 func (h *Host) restore(again bool) {
 	var all []*memory.Message
 	for _, m := range h.table.All() {
@@ -248,7 +251,7 @@
 	open, wall := 0, time.Now()
 	for _, m := range all {
 		if m.Notification != nil && again || m.InFlight != nil || m.Unanswered {
-			continue // its notice is on the way; its call's end, or its client's answer, will bring it
+			continue // its notification, call or response is under way and will report
 		}
 		if h.resume(m, wall) {
 			open++
@@ -259,26 +262,26 @@
 	}
 }
 
-// resume goes on with a message of an earlier life, and tells whether it has yet to end.
+// resume continues a recovered message and reports whether it is still to be completed.
 func (h *Host) resume(m *memory.Message, wall time.Time) bool {
 	if m.Notification != nil {
 		h.queueNotification(m)
 		return false
 	}
 	if m.MemoryOnly && m.Body == nil {
-		// Its body was lost with the process: it can't be sent any more.
+		// Its body was lost with the process, so it cannot be sent any more.
 		h.completeByNotification(m.Number, h.failureNotification(limits.Refuse, m))
 		return false
 	}
 	class, known := h.classes[m.Class]
 	if !known {
-		// Guards against holding for ever what the module would not know: the settings have lost its class.
-		h.log.Warn("class is not in the settings any more, its message is ended", "class", m.Class, "message", m.ID)
+		// The policy engine does not know the class, so the message would stay pending for ever.
+		h.log.Warn("class is no longer in the settings; completing its message", "class", m.Class, "message", m.ID)
 		h.completeByNotification(m.Number, h.failureNotification(limits.Refuse, m))
 		return false
 	}
 	m.Recovered = true
-	// Guards against a clock that was set back between two lives: no message has longer than its class.
+	// Bounds the deadline by the class, in case the clock was set back since the last run.
 	if m.Deadline.Sub(wall) > class.Deadline {
 		m.Deadline = wall.Add(class.Deadline)
 	}
@@ -286,7 +289,7 @@
 	return true
 }
 
-// command is run by the host's goroutine.
+// command is a function to run on the host's goroutine.
 type command func(h *Host)
 
 // Run handles events until stop is closed.
@@ -301,8 +304,8 @@
 			h.handleEvent(e)
 		case <-timer.C:
 		}
-		// All that has come in goes into this step, in the order of arrival: a told wait or a drain is known
-		// before any later send.
+		// Handle all queued events first, so that a Retry-After or a drain is known before the next
+		// send.
 		for more := true; more; {
 			select {
 			case e := <-h.events:
@@ -311,11 +314,12 @@
 				more = false
 			}
 		}
-		// Guards against clients that wait for the module: what came in is written and answered before its step.
+		// Requests are recorded and answered before the policy step, so that clients don't wait for
+		// it.
 		h.startUnblockedCalls(h.now())
 		h.commit()
 		if h.standby {
-			h.pendingEvents = nil // Activate tells the module all
+			h.pendingEvents = nil // Activate reports everything to the policy engine
 		}
 		h.releaseHeld(h.sequencer.Ready())
 		if h.sendToSuccessor != nil {
@@ -344,12 +348,12 @@
 
 func (h *Host) stepDue() bool { return !h.stepsStopped && len(h.pendingEvents)+len(h.arrivals) > 0 }
 
-// stepAt is when the next step may come.
+// stepAt returns the earliest time of the next policy step.
 func (h *Host) stepAt() policy.Time {
 	return max(h.lastStepAt+h.settings.Tick, h.awaitListUntil, h.stepsBlockedUntil)
 }
 
-// nextWakeup is when the loop has to look again without an event.
+// nextWakeup returns when the loop has to run without an event.
 func (h *Host) nextWakeup() policy.Time {
 	at := h.maintenanceAt
 	if h.stepDue() {
@@ -388,7 +392,7 @@
 		h.handleLateRetryAfter(e)
 	case endpointListUpdate:
 		if e.watchCtx != h.watchCtx {
-			return // Guards against late news of an address that a reload has replaced
+			return // the update is from an address that a reload has replaced
 		}
 		kind := policy.ListChanges
 		if e.Complete {
@@ -399,7 +403,7 @@
 	case gossipReceived:
 		out, err := h.gossiper.Receive(h.now(), e.from, e.payload)
 		if err != nil {
-			h.log.Debug("note not taken", "from", e.from, "err", err)
+			h.log.Debug("ignored a gossip message", "from", e.from, "err", err)
 		}
 		h.sendGossip(out)
 	case notificationsAccepted:
@@ -413,9 +417,9 @@
 	}
 }
 
-// --- upkeep, start and stop ---
+// --- maintenance, start and stop ---
 
-// maintain closes connections well before the other side would.
+// maintain closes idle connections before the peer does, and runs the journal's maintenance.
 func (h *Host) maintain(now policy.Time) {
 	h.maintenanceAt = now + maintenanceInterval
 	if h.settings.IdleConnTimeout > 0 {
@@ -426,7 +430,7 @@
 	}
 	h.journal.Maintain()
 	if h.rejectedCount > 0 {
-		h.log.Warn("hand-ins turned away", "count", h.rejectedCount, "held", h.table.PendingCount())
+		h.log.Warn("rejected requests", "count", h.rejectedCount, "held", h.table.PendingCount())
 		h.rejectedCount = 0
 	}
 }
@@ -438,19 +442,21 @@
 	<-done
 }
 
-// PrepareStop tells the module that the process ends soon: what may not be repeated waits for the next start.
+// PrepareStop tells the policy engine that the process is stopping: no further attempt is made at
+// messages that must not run twice.
 func (h *Host) PrepareStop() {
 	h.shutdownStage.Store(shutdownNoUnsafeCalls)
 	h.Do(func(h *Host) { h.pendingEvents = append(h.pendingEvents, policy.Stopping{}) })
 }
 
-// StopSteps ends the steps: calls out are still finished, the rest stays in the journal.
+// StopSteps ends the policy steps. Calls in flight are finished; other messages stay in the
+// journal.
 func (h *Host) StopSteps() {
 	h.shutdownStage.Store(shutdownNoCalls)
 	h.Do(func(h *Host) { h.stepsStopped = true })
 }
 
-// Load counts the messages held and the calls out.
+// Load counts the pending messages and the calls in flight.
 func (h *Host) Load() (held, out int) {
 	h.Do(func(h *Host) { held, out = len(h.table.All()), len(h.calls) })
 	return held, out
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -5,7 +5,7 @@
 	"context"
 	"fmt"
 	"io"
-	"net/http" // an independent peer for the tests; the program has its own parsers
+	"net/http" // an independent HTTP implementation
 	"net/http/httptest"
 	"runtime"
 	"strings"
@@ -21,18 +21,18 @@
 	"oatfold/policy"
 )
 
-// testEnv is what lies round a host: a platform and endpoints, all answering in the test's own way.
+// testEnv is a host with its server, a platform and an endpoint that answer as the test says.
 type testEnv struct {
 	sync.Mutex
 	t                        testing.TB
 	host                     *Host
 	table                    *memory.Table
-	endpoint                 *httptest.Server // the endpoint
+	endpoint                 *httptest.Server
 	platform                 *httptest.Server
 	handleCall               func(w http.ResponseWriter, r *http.Request, body string)
-	calls                    []string // ids of the messages called, in order
+	calls                    []string // ids of the messages in calls, in order
 	notifications            []string
-	beforeNotificationAnswer func() // not nil: called before the platform answers a notice
+	beforeNotificationAnswer func() // called before the platform answers a notification; may be nil
 	server                   *Server
 	post                     func(req string) int
 }
@@ -42,7 +42,7 @@
 		"machineType":"broker","cell":7,"lifecycle":%q,"weight":1.0,"startedAtMs":0}]}`, generation, addr, lifecycle)
 }
 
-// startHTTPServer is an HTTP server at a loopback address of this process.
+// startHTTPServer starts an HTTP server at this process's own loopback address.
 func startHTTPServer(t testing.TB, handler http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
@@ -105,7 +105,7 @@
 	done := make(chan struct{})
 	go func() { w.host.Run(stop); close(done) }()
 	go w.server.Serve()
-	waitFor(t, "the pool config", func() (listed bool) { w.host.Do(func(h *Host) { listed = h.listReceived }); return listed })
+	waitFor(t, "the endpoint list", func() (listed bool) { w.host.Do(func(h *Host) { listed = h.listReceived }); return listed })
 	w.post = func(req string) int {
 		c, r := dialListener(t, ln)
 		defer c.Close()
@@ -121,7 +121,7 @@
 		w.server.Shutdown()
 		close(stop)
 		<-done
-		w.host.cancelWatch() // else it asks on for as long as the tests run, at a port that passes to others
+		w.host.cancelWatch() // else it keeps polling a port that other tests may reuse
 		w.endpoint.CloseClientConnections()
 		w.endpoint.Close()
 		w.platform.CloseClientConnections()
@@ -145,7 +145,7 @@
 		class, id, left, more, len(body), body)
 }
 
-// answerOK answers as an endpoint that takes all: one message, or each of a batch.
+// answerOK answers as an endpoint that delivers a message, or each of a batch.
 func answerOK(w http.ResponseWriter, r *http.Request, body string) {
 	if r.URL.Path == "/hook/batch" {
 		var out []string
@@ -156,11 +156,11 @@
 	}
 }
 
-// Messages go from client to endpoint, alone and several in a call, and nothing is left; an expired one is
-// ended by a notice.
-func TestDeliversAndEnds(t *testing.T) {
+// Messages are delivered, one or several in a call, and a message without time left is completed by
+// a notification.
+func TestDeliveryAndExpiry(t *testing.T) {
 	w := startEnv(t, answerOK)
-	for i := range 6 { // with the one below, fewer than the hold takes
+	for i := range 6 { // with the one below, fewer than MaxPending
 		if got := w.post(requestText("alert", fmt.Sprint("m", i), "", "b", 5000)); got != 202 {
 			t.Fatalf("answered %d", got)
 		}
@@ -168,13 +168,13 @@
 	if got := w.post(requestText("fee", "late", "", "b", 0)); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	w.waitUntil("the notice", func() bool { return len(w.notifications) == 1 })
+	w.waitUntil("the notification", func() bool { return len(w.notifications) == 1 })
 	w.waitEmpty()
 	if n := gjson.Parse(w.notifications[0]); n.Get("message").Str != "late" || n.Get("outcome").Str != "handed_back" {
-		t.Errorf("notice %s", w.notifications[0])
+		t.Errorf("notification %s", w.notifications[0])
 	}
 	called := map[string]bool{}
-	for _, id := range w.calls { // a slow machine may repeat an alert, which is allowed
+	for _, id := range w.calls { // a slow machine may retry an alert, which is allowed
 		called[id] = true
 	}
 	if len(called) != 6 || called["late"] {
@@ -182,26 +182,25 @@
 	}
 }
 
-// No watch outlives its test. Guards against questions at a port that passes to another test's script, in any process.
-func TestWorldsLeaveNoWatch(t *testing.T) {
+// No discovery watch outlives its test and polls a port that another test reuses.
+func TestEnvLeavesNoWatch(t *testing.T) {
 	t.Run("world", func(t *testing.T) { startEnv(t, answerOK) })
 	stacks := make([]byte, 1<<20)
-	waitFor(t, "watches to end", func() bool {
+	waitFor(t, "discovery watches to end", func() bool {
 		n := runtime.Stack(stacks, true)
 		return !strings.Contains(string(stacks[:n]), "wire.watch(")
 	})
 }
 
-// Over the hold a hand-in is refused, and what the module gives up is ended, not kept. All hand-ins go into one turn
-// of the host: else the module, which gives back what fills its hold, may make room between two of them, and none is
-// refused.
-func TestFullHold(t *testing.T) {
+// Requests over the limit of pending messages are rejected. All requests are handled in one
+// event-loop iteration, so that the policy engine cannot free capacity between two of them.
+func TestPendingLimit(t *testing.T) {
 	const handIns = 12
 	release := make(chan struct{})
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	stopped, goOn := make(chan struct{}), make(chan struct{})
 	resume := sync.OnceFunc(func() { close(goOn) })
-	t.Cleanup(resume) // a test that fails here must not leave the host stopped
+	t.Cleanup(resume) // a failed test must not leave the host stopped
 	go w.host.Do(func(*Host) { close(stopped); <-goOn })
 	<-stopped
 	answers := make(chan int, handIns)
@@ -212,7 +211,7 @@
 			status = w.post(requestText("fee", fmt.Sprint("m", i), "", "b", 19000))
 		}()
 	}
-	waitFor(t, "all hand-ins to reach the host", func() bool { return len(w.host.events) == handIns })
+	waitFor(t, "all requests to reach the host", func() bool { return len(w.host.events) == handIns })
 	resume()
 	statuses := map[int]int{}
 	for range handIns {
@@ -224,16 +223,16 @@
 	defer w.Unlock()
 	held := testSettings().MaxPending
 	if statuses[202] != held || statuses[503] != handIns-held {
-		t.Errorf("answers by status: %v, want %d taken on and the rest refused", statuses, held)
+		t.Errorf("responses by status: %v, want %d accepted and the rest rejected", statuses, held)
 	}
 	if len(w.notifications)+len(w.calls) != held {
-		t.Errorf("notices %v, calls %v, want %d ends", w.notifications, w.calls, held)
+		t.Errorf("notifications %v, calls %v, want %d completions", w.notifications, w.calls, held)
 	}
 }
 
-// A panic of the module is not the relay's end: it starts anew with what is held, and each message still ends
-// once.
-func TestModulePanic(t *testing.T) {
+// After a panic the policy engine restarts with the pending messages, and each of them still
+// completes once.
+func TestPolicyPanic(t *testing.T) {
 	release := make(chan struct{})
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	w.post(requestText("fee", "out", "", "b", 19000))
@@ -244,11 +243,11 @@
 	w.waitEmpty()
 	w.waitUntil("both calls", func() bool { return len(w.calls) == 2 })
 	if len(w.notifications) != 0 {
-		t.Errorf("notices %v", w.notifications)
+		t.Errorf("notifications %v", w.notifications)
 	}
 }
 
-// newTestHost is a host without its loop, for steps by hand.
+// newTestHost returns a host without its event loop.
 func newTestHost(t *testing.T) *Host { return newTestHostOn(t, journal.Dir(t.TempDir())) }
 
 func (h *Host) addMessage(id string, dest, size int) *memory.Message {
@@ -257,8 +256,9 @@
 	return m
 }
 
-// A send that the host cannot make ends as unsent: to another destination, a second copy, no such endpoint.
-func TestSendsThatCannotBeMade(t *testing.T) {
+// A send that cannot be made ends as unsent: to another destination, a second copy, an unknown
+// endpoint.
+func TestImpossibleSendsEndUnsent(t *testing.T) {
 	h := newTestHost(t)
 	h.pendingEvents = nil
 	other, out := h.addMessage("other", 8, 1), h.addMessage("out", 7, 1)
@@ -271,7 +271,8 @@
 	}
 }
 
-// A batch ends at the kind's limit and at the longest body that may be sent, and then only if slots are left.
+// A batch is limited by its partner type's count and by the maximum body, and a further call needs
+// a free slot.
 func TestBatchLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		sizes  []int
@@ -305,33 +306,34 @@
 	}
 }
 
-// A message whose own time is up is told as timed out while the others keep the call; its late answer ends
-// nothing twice.
-func TestTimeUpInBatch(t *testing.T) {
+// A message that times out before its batch is reported at its own deadline and not again when the
+// call ends.
+func TestDeadlineWithinBatch(t *testing.T) {
 	h := newTestHost(t)
 	short, long := h.addMessage("short", 7, 1), h.addMessage("long", 7, 1)
 	wall := time.Now()
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
-	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
+	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than its time left
 	calls = h.planSend(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
 	h.pendingEvents = nil
 	h.registerCall(cl)
 	h.expireItems(time.Second - 1)
 	if len(h.pendingEvents) != 0 {
-		t.Fatalf("too early: %v", h.pendingEvents)
+		t.Fatalf("reported too early: %v", h.pendingEvents)
 	}
 	h.expireItems(time.Second)
 	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Delivered})})
 	if len(h.pendingEvents) != 2 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != policy.TimedOut || h.pendingEvents[0].(policy.AttemptEnded).ID != short.Number ||
 		h.pendingEvents[1].(policy.AttemptEnded).ID != long.Number {
-		t.Fatalf("told %+v", h.pendingEvents)
+		t.Fatalf("reported %+v", h.pendingEvents)
 	}
 }
 
-// Where a call ends with its message's time, only its own end is told: the slot is not free before.
-func TestTimeUpWithCall(t *testing.T) {
+// A call that ends at its message's deadline is reported only by its own end, when its slot is
+// free.
+func TestDeadlineWithCall(t *testing.T) {
 	h := newTestHost(t)
 	m, wall := h.addMessage("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
@@ -339,13 +341,13 @@
 	h.pendingEvents = nil
 	h.registerCall(cl)
 	if h.expireItems(2 * time.Second); len(h.pendingEvents) != 0 {
-		t.Fatalf("told %+v", h.pendingEvents)
+		t.Fatalf("reported %+v", h.pendingEvents)
 	}
 }
 
-// The pool config: a member that drains is shut to calls at once, one that moved or left loses its idle
-// connections, and idle connections are bounded.
-func TestPoolNewsAndIdle(t *testing.T) {
+// Updates of the endpoint list: a draining endpoint is closed to calls at once, one that moved or
+// left loses its idle connections, and idle connections are limited.
+func TestEndpointListUpdatesAndIdleConns(t *testing.T) {
 	h := newTestHost(t)
 	h.maxIdleConns = 2
 	ep := h.endpoints["s-1"]
@@ -365,20 +367,21 @@
 	}
 	news("127.0.0.1:1", "terminating")
 	if policy.EndpointState(ep.state.Load()) != policy.Draining || len(ep.idle) != 2 {
-		t.Errorf("draining: state %v, %d idle", ep.state.Load(), len(ep.idle))
+		t.Errorf("draining: state %v, %d idle connections", ep.state.Load(), len(ep.idle))
 	}
 	news("127.0.0.1:2", "in_service")
 	if _, open := <-idle[0].calls; open || h.endpoints["s-1"] == ep || !ep.removed() {
-		t.Error("moved: the old connections stay")
+		t.Error("moved: the old connections are still open")
 	}
 	news("127.0.0.1:2", "terminated")
 	if len(h.endpoints) != 0 {
-		t.Error("gone: still there")
+		t.Error("terminated: still listed")
 	}
 }
 
-// A repeat that partners drop for a while only is not written after that, however long its dial took; it ends as unsent, and others of the batch go.
-func TestRepeatOutsideItsWindow(t *testing.T) {
+// A retry is not written after the partner's deduplication window, however long its dial took. It
+// ends as unsent, and the rest of its batch is sent.
+func TestRetryOutsideDeduplicationWindow(t *testing.T) {
 	h := newTestHost(t)
 	set := testSettings()
 	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: time.Second, Deadline: time.Hour})
@@ -386,8 +389,8 @@
 	now := time.Now()
 	for _, c := range []struct {
 		class string
-		risk  time.Duration // ago; 0: none
-		goes  bool          // 0.6 s after the send
+		risk  time.Duration // ago; 0: no earlier attempt
+		goes  bool          // it is written 0.6 s after the send
 	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false}, {"alert", 4500 * time.Millisecond, true}} {
 		m := h.addMessage(fmt.Sprint(c), 7, 10)
 		if m.Class = c.class; c.risk > 0 {
@@ -398,20 +401,20 @@
 		calls := h.planSend(0, now, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
 		calls = h.planSend(0, now, policy.Send{ID: other.Number, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
 		if !calls[0].excludeExpired(now.Add(600 * time.Millisecond)) {
-			t.Errorf("%v: nothing goes", c)
+			t.Errorf("%v: nothing is sent", c)
 		}
 		if got := !calls[0].items[0].tooLate; got != c.goes || calls[0].items[1].tooLate {
-			t.Errorf("%v: goes %v", c, got)
+			t.Errorf("%v: sent %v", c, got)
 		}
 		if all := calls[0].markExcluded(uniformResults(calls[0], itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes || all[1].outcome != policy.Delivered {
-			t.Errorf("%v: ends %v", c, all)
+			t.Errorf("%v: ended as %v", c, all)
 		}
 	}
 }
 
-// A wait binds all endpoints of a destination, but only the one where routes are apart; a module that starts
-// anew sends nothing before its end.
-func TestGates(t *testing.T) {
+// A Retry-After blocks all endpoints of a destination, but only one endpoint where routes are
+// separate. A restarted policy engine sends nothing before it has passed.
+func TestRetryAfterScope(t *testing.T) {
 	h := newTestHost(t)
 	h.kindSettings["apart"] = policy.Kind{Name: "apart", MaxBatch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
@@ -423,17 +426,18 @@
 	h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
 	for id, closed := range map[string]bool{"s-1": true, "s-2": true, "a-1": true, "a-2": false} {
 		if h.endpoints[id].backoff.active() != closed {
-			t.Errorf("%s: closed %v", id, !closed)
+			t.Errorf("%s: blocked %v", id, !closed)
 		}
 	}
 	h.restartPolicy(h.now())
 	if h.applyEndpointList(memory.EndpointList{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
-		t.Errorf("steps from %v on", h.stepAt())
+		t.Errorf("next step at %v", h.stepAt())
 	}
 }
 
-// A watch survives errors and goes on from what it has; a line of a notice that can't be read holds up no other.
-func TestAgentInTrouble(t *testing.T) {
+// A discovery watch survives errors and continues from its generation; a malformed line of a
+// notification holds up no other.
+func TestPlatformErrors(t *testing.T) {
 	var mu sync.Mutex
 	var asked, taken []string
 	agent := startHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -470,7 +474,7 @@
 	go watchEndpointList(t.Context(), listWatcher{addr: addr, generation: -1, fleetSize: 1}, events, discardLog)
 	first, second := (<-events).(endpointListUpdate), (<-events).(endpointListUpdate)
 	if !first.Complete || first.Generation != 41 || second.Complete || second.Entries[0].State != policy.Draining {
-		t.Errorf("news %+v, then %+v", first, second)
+		t.Errorf("updates %+v, then %+v", first, second)
 	}
 	go func() {
 		for range events {
@@ -497,13 +501,13 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(taken) != 2 || gjson.Get(taken[1], "message").Str != "c\"\n" || gjson.Get(taken[1], "retry_in_ms").Int() != 500 {
-		t.Errorf("taken %q", taken)
+		t.Errorf("acknowledged %q", taken)
 	}
 }
 
-// A hand-in for a destination that no list has named is nobody's, or not yet known while no list was told; the id of
-// a message that is over is taken already; and news of a watch that a reload has ended changes nothing.
-func TestHandInsAndNewsThatDoNotCount(t *testing.T) {
+// A request for an unlisted destination is refused for good, or rejected for now until a list was
+// received; the id of a completed message is a duplicate; updates of a cancelled watch are ignored.
+func TestIgnoredRequestsAndUpdates(t *testing.T) {
 	h := newTestHost(t)
 	ask := func(id string, dest int) submitResult {
 		_, v := h.submit(submitRequest{message: &memory.Message{ID: id, Class: "alert", Dest: dest, Deadline: time.Now().Add(time.Hour)}})
@@ -518,52 +522,53 @@
 	h.watchCtx = context.Background()
 	h.handleEvent(endpointListUpdate{known, old})
 	if h.listReceived {
-		t.Error("late news of another watch counts")
+		t.Error("an update of a cancelled watch was applied")
 	}
 	h.handleEvent(endpointListUpdate{known, h.watchCtx})
 	if v := ask("a", 8); !v.unknownDest {
-		t.Errorf("nowhere: %+v", v)
+		t.Errorf("unknown destination: %+v", v)
 	}
 	if v := ask("a", 7); !v.accepted {
 		t.Errorf("first: %+v", v)
 	}
-	m := h.table.ByID("a") // handed in again before the first answer failed: it was answered as taken, and is kept
+	m := h.table.ByID("a") // submitted again before the first response failed: it was answered as accepted, and is kept
 	if v := ask("a", 7); !v.duplicate {
-		t.Errorf("again: %+v", v)
+		t.Errorf("duplicate: %+v", v)
 	}
 	if h.handleEvent(submitAnswered{m.Number, false}); h.table.ByID("a") != m {
-		t.Error("lost what was answered as taken")
+		t.Error("lost a message that was answered as accepted")
 	}
 	if v := ask("b", 7); !v.accepted {
 		t.Errorf("other: %+v", v)
 	}
 	h.handleEvent(submitAnswered{h.table.ByID("b").Number, false})
-	if v := ask("b", 7); !v.accepted { // nobody heard of it the first time
-		t.Errorf("anew: %+v", v)
+	if v := ask("b", 7); !v.accepted { // the first submission was not answered
+		t.Errorf("unanswered, then submitted again: %+v", v)
 	}
 	h.complete(m)
 	if v := ask("a", 7); v.accepted || !v.duplicate {
-		t.Errorf("over: %+v", v)
+		t.Errorf("completed: %+v", v)
 	}
 }
 
-// The clock was set back between two lives: a risk in the future counts as one of long ago, and no message gets longer than its class.
+// After the clock was set back, an attempt in the future counts as one of unknown age, and no
+// message exceeds its class's deadline.
 func TestClockSetBack(t *testing.T) {
 	h := newTestHost(t)
 	m := h.addMessage("back", 7, 1)
 	m.MayHaveRunSince, h.arrivals = time.Now().Add(time.Hour), nil
 	h.restore(false)
 	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline || h.classes["alert"].Deadline == 0 {
-		t.Fatalf("%d arrivals, %v left of %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
+		t.Fatalf("%d arrivals, %v left of the class's %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
 	}
 	if a := arrivedEvent(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownRiskAge {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A call that was cut short never ran: the journal says so, and a restart may try its message again. One that broke behind its last byte may
-// have run.
-func TestCutShortProvesThatNothingRan(t *testing.T) {
+// A call that was cut short never ran, and the journal records that, so a restart may retry its
+// message. One that broke after its last byte may have run.
+func TestCutShortCallNeverRan(t *testing.T) {
 	for outcome, ran := range map[policy.Outcome]bool{policy.RequestIncomplete: false, policy.ConnectFailed: false, policy.ConnectionLost: true, policy.TimedOut: true} {
 		h := newTestHost(t)
 		m := h.addMessage("m", 7, 1)
@@ -574,10 +579,10 @@
 		h.pendingEvents = nil
 		h.handleCallResult(callResult{call: calls[0], results: uniformResults(calls[0], itemResult{outcome: outcome})})
 		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
-			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.InFlight, m.MayHaveRunSince)
+			t.Errorf("outcome %v: in flight %v, may have run since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
 		if len(h.pendingEvents) != 1 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != outcome {
-			t.Errorf("outcome %v: the module is told %v", outcome, h.pendingEvents)
+			t.Errorf("outcome %v: the policy engine receives %v", outcome, h.pendingEvents)
 		}
 	}
 }
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -1,6 +1,6 @@
-// Package wire holds what the relay speaks: HTTP/1.1 on plain sockets towards clients (the front socket),
-// endpoints (route steps) and the platform (pool config and notices), and the host that carries the decision
-// module between them.
+// Package wire implements the relay's network protocols: the HTTP/1.1 server for clients, attempts
+// at endpoints, discovery of endpoints and outcome notifications with the platform, and gossip
+// between relays. Its Host runs the policy engine between them.
 package wire
 
 import (
@@ -11,37 +11,37 @@
 	"strings"
 )
 
-// Bounds on what a peer may send.
+// Limits on what a peer may send, in bytes unless noted.
 const (
-	maxBody             = 64 << 10 // of one message
-	maxResponseBody     = 1 << 20  // of a list or a batch's answer
-	readBufferSize      = 8 << 10  // also the size of every read buffer
+	maxBody             = 64 << 10 // of a message
+	maxResponseBody     = 1 << 20  // of an endpoint list or a batch's response
+	readBufferSize      = 8 << 10  // also the longest line of a header
 	maxHeaderBytes      = 32 << 10
 	maxFields           = 100
-	maxInterimResponses = 16 // 1xx answers ahead of one
+	maxInterimResponses = 16 // 1xx responses before the final one
 )
 
-// What may be wrong with a peer's bytes.
+// Protocol errors in what a peer sends.
 var (
 	errFirstLine         = errors.New("malformed first line")
 	errHeader            = errors.New("malformed header")
 	errLength            = errors.New("malformed length")
 	errBodyTooLong       = errors.New("body too long")
 	errHeaderTooLong     = errors.New("header too long")
-	errConflictingFields = errors.New("contradicting fields")
-	errTooManyInterim    = errors.New("too many interim answers")
+	errConflictingFields = errors.New("conflicting header fields")
+	errTooManyInterim    = errors.New("too many interim responses")
 )
 
 // field is one header line.
 type field struct{ name, value string }
 
-// head is a first line, in three parts, and the header below it.
+// head is a first line, split into three parts, and the header fields below it.
 type head struct {
 	firstLine [3]string
 	fields    []field
 }
 
-// get returns the value of the first field of that name.
+// get returns the value of the first field of that name, or "".
 func (h *head) get(name string) string {
 	for i := range h.fields {
 		if strings.EqualFold(h.fields[i].name, name) {
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// getConsistent returns the value of the field of that name. Guards against a message that others read differently: fields
-// that repeat must agree.
+// getConsistent returns the value of the field of that name, or "". Repeated fields must agree,
+// since other programs may read another one of them.
 func (h *head) getConsistent(name string) (string, error) {
 	value, seen := "", false
 	for _, f := range h.fields {
@@ -67,7 +67,8 @@
 	return value, nil
 }
 
-// readLine reads one line without its end.
+// readLine reads one line and strips its line end. left is the number of header bytes still
+// allowed.
 func readLine(r *bufio.Reader, left *int) (string, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -89,11 +90,11 @@
 	return string(b), nil
 }
 
-// readHead reads a first line and its header. Errors of the connection come through as they are; the head is
-// returned beside an error if its first line was read whole.
+// readHead reads a first line and its header. Connection errors are returned unwrapped. If the
+// first line was read, the head is returned beside an error.
 func readHead(r *bufio.Reader) (*head, error) { return readHeadWith(r, func() {}) }
 
-// readHeadWith calls begun once the first line is read.
+// readHeadWith is readHead with a callback once the first line is read.
 func readHeadWith(r *bufio.Reader, begun func()) (*head, error) {
 	left := maxHeaderBytes
 	line, err := readLine(r, &left)
@@ -126,8 +127,8 @@
 	}
 }
 
-// isToken tells whether s may name a header field. Guards against folded lines and smuggled blanks, which
-// others may read differently.
+// isToken reports whether s is a valid field name. It rejects folded lines and blanks before the
+// colon, which are used for request smuggling.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -138,7 +139,8 @@
 	return s != ""
 }
 
-// ReadRequestHead reads the head of a request that stands alone, for the operators' address, and tells whether a body follows.
+// ReadRequestHead reads the head of a single request to the admin address and reports whether a
+// body follows.
 func ReadRequestHead(r *bufio.Reader) (method, target string, body bool, err error) {
 	h, err := readHead(r)
 	if err != nil {
@@ -151,7 +153,8 @@
 	return h.firstLine[0], h.firstLine[1], chunked || length > 0, err
 }
 
-// framing tells how long the body is: a length, chunks, or none stated (-1).
+// framing returns the framing of the body: its length, or -1 if none is stated, and whether it is
+// chunked.
 func (h *head) framing() (length int, chunked bool, err error) {
 	length = -1
 	for _, f := range h.fields {
@@ -175,7 +178,7 @@
 	return length, chunked, nil
 }
 
-// parseNumber reads a plain decimal number: no sign, no blank.
+// parseNumber parses an unsigned decimal number of at most 15 digits, without blanks.
 func parseNumber(s string) (int, error) {
 	if s == "" || len(s) > 15 || strings.Trim(s, "0123456789") != "" {
 		return 0, errLength
@@ -183,7 +186,7 @@
 	return strconv.Atoi(s)
 }
 
-// readBody reads a body of the stated framing, up to limit bytes.
+// readBody reads a body of the given framing, up to limit bytes.
 func readBody(r *bufio.Reader, length int, chunked bool, limit int) ([]byte, error) {
 	if chunked {
 		return readChunks(r, limit)
@@ -197,8 +200,7 @@
 	return readAppend(nil, r, length)
 }
 
-// readAppend appends n bytes to b. Guards against memory for a body of which only the length has come: it grows with
-// what is there.
+// readAppend appends n bytes to b. Memory grows with what is received, not with the stated length.
 func readAppend(b []byte, r *bufio.Reader, n int) ([]byte, error) {
 	for n > 0 {
 		at, part := len(b), min(n, readBufferSize)
@@ -243,7 +245,7 @@
 	}
 }
 
-// unexpectedEOF is the error of a body that ends before its time.
+// unexpectedEOF replaces io.EOF for a message that is cut short.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -251,7 +253,7 @@
 	return err
 }
 
-// closesConnection tells whether the peer closes the connection after this message.
+// closesConnection reports whether the peer closes the connection after this message.
 func (h *head) closesConnection(version string) bool {
 	for _, f := range h.fields {
 		if strings.EqualFold(f.name, "Connection") {
@@ -264,19 +266,19 @@
 	return version == "HTTP/1.0"
 }
 
-// response is a response as far as it was read.
+// response is a response, as far as it was read.
 type response struct {
 	head
 	status   int
 	body     []byte
-	reusable bool // the connection can carry another call
+	reusable bool // the connection can be reused
 }
 
-// readResponseHead reads the head of a response; interim ones are passed over. The answer is returned beside an
-// error if its first line was read whole.
+// readResponseHead reads the head of a response and skips interim ones. If the first line was read,
+// the response is returned beside an error.
 func readResponseHead(r *bufio.Reader) (*response, error) { return readResponseHeadWith(r, func() {}) }
 
-// readResponseHeadWith calls begun once a first line is read.
+// readResponseHeadWith is readResponseHead with a callback once a first line is read.
 func readResponseHeadWith(r *bufio.Reader, begun func()) (*response, error) {
 	for range maxInterimResponses {
 		h, err := readHeadWith(r, begun)
@@ -294,17 +296,17 @@
 			return nil, err
 		}
 	}
-	return nil, errTooManyInterim // Guards against interim answers without end
+	return nil, errTooManyInterim
 }
 
-// readRemaining reads the body of a response whose head is read, up to limit bytes.
+// readRemaining reads the body of a response whose head was read, up to limit bytes.
 func (a *response) readRemaining(r *bufio.Reader, limit int) error {
 	length, chunked, err := a.framing()
 	if err != nil {
 		return err
 	}
 	if length < 0 && !chunked && a.status != 204 && a.status != 304 {
-		// No length: the body ends with the connection.
+		// Without a length the body extends to the end of the connection.
 		if a.body, err = io.ReadAll(io.LimitReader(r, int64(limit)+1)); len(a.body) > limit {
 			return errBodyTooLong
 		}
@@ -319,7 +321,7 @@
 	return nil
 }
 
-// appendField writes one header line. Values come from parsed lines and hold no line end.
+// appendField appends one header line. Values come from parsed lines and contain no line end.
 func appendField(b []byte, name, value string) []byte {
 	b = append(append(append(b, name...), ": "...), value...)
 	return append(b, '\r', '\n')
--- a/internal/wire/requests.go
+++ b/internal/wire/lifecycle.go
@@ -11,17 +11,19 @@
 	"oatfold/policy"
 )
 
-// This file is about what clients hand in: a message is taken on in the journal, its client is answered, and it ends once: delivered, or by an
-// outcome notification that the platform has taken.
+// The life of a message: it is recorded in the journal, its client is answered, and it is completed
+// once, by delivery or by an outcome notification that the platform has acknowledged.
 
-// queueEntry is the place of a message among those of its subject, from when it is taken on until the module is told.
+// queueEntry is a message in its ordering key's queue, from acceptance until the policy engine
+// receives it.
 type queueEntry struct {
 	message             *memory.Message
-	answered, delivered bool // its client has been answered, or could not be
+	answered, delivered bool // answered: the response was written or failed; delivered: it was written
 }
 
-// clientAnsweredInOrder books how the answer to a hand-in went, and tells the module of all whose turn it is. Guards against one that overtakes another of
-// its subject between its client's answer and the module, on goroutines of two connections.
+// clientAnsweredInOrder records the outcome of a response and passes on the messages at the head of
+// their queue. The responses of two connections may finish in either order, but messages of one
+// ordering key reach the policy engine in order of acceptance.
 func (h *Host) clientAnsweredInOrder(m *memory.Message, told bool) {
 	queue, ours := h.orderedQueues[m.OrderingKey], &queueEntry{message: m}
 	for _, t := range queue {
@@ -42,39 +44,40 @@
 	}
 }
 
-// clientAnswered goes on with a message whose client has been answered, or could not be.
+// clientAnswered continues a message whose response was written, or could not be.
 func (h *Host) clientAnswered(m *memory.Message, told bool) {
 	if h.table.Get(m.Number) != m {
-		return // it was not written, or is over
+		return // it was not recorded, or is complete
 	}
-	// Guards against losing what was handed in again meanwhile, and answered as taken.
+	// A duplicate may have been answered as accepted meanwhile.
 	if told || m.Resubmitted {
 		m.Unanswered = false
 		h.passToPolicy(m, false)
 		return
 	}
-	h.remove(m, true) // the client never heard of it, and may hand it in again
+	h.remove(m, true) // the client got no response and may submit it again
 	h.table.ForgetCompleted(m.ID)
 }
 
-// pendingReply is what a hand-in is answered with, and the message that it is about; nil where it is about none that is held.
+// pendingReply is the reply to a submitted message; message is nil if it was not accepted.
 type pendingReply struct {
 	to      chan<- submitResult
 	result  submitResult
 	message *memory.Message
 }
 
-// submit takes a message on. Its client hears of it when the turn is in the journal.
+// submit accepts or rejects a message. Its client is answered once the iteration's records are in
+// the journal.
 func (h *Host) submit(e submitRequest) (*memory.Message, submitResult) {
 	_, elsewhere := h.ownedElsewhere[e.message.ID]
 	if m := h.table.ByID(e.message.ID); m != nil || elsewhere || h.sequencer.OwedElsewhere(e.message.ID) || h.table.RecentlyCompleted(e.message.ID) {
 		if m != nil {
 			m.Resubmitted = true
 		}
-		return m, submitResult{duplicate: true} // the same hand-in once more: it is taken already
+		return m, submitResult{duplicate: true} // it was accepted before
 	}
-	// Guards against holding what no endpoint can ever take. Until discovery has told its list, a destination that is
-	// not among the known ones may still come.
+	// Rejects messages for a destination without endpoints. Until discovery has sent its list, an
+	// unlisted destination may still appear, and the client is to retry.
 	if _, named := h.destKinds[e.message.Dest]; !named && h.listReceived {
 		return nil, submitResult{unknownDest: true}
 	} else if !named && len(h.destKinds) > 0 {
@@ -82,7 +85,7 @@
 	}
 	if h.table.PendingCount() < h.settings.MaxPending {
 		e.message.Number, e.message.Unanswered = h.table.NextNumber(), true
-		if h.journal.AppendAccepted(h.table, e.message, e.message.Effect == policy.Safe) == nil { // a full budget or disk is counted below, like a full hold
+		if h.journal.AppendAccepted(h.table, e.message, e.message.Effect == policy.Safe) == nil { // a full journal is counted as a rejection below
 			if s := e.message.OrderingKey; s != "" {
 				h.orderedQueues[s] = append(h.orderedQueues[s], &queueEntry{message: e.message})
 			}
@@ -92,8 +95,8 @@
 	return nil, h.reject()
 }
 
-// commit writes the turn's records, then answers its hand-ins and makes its calls. Where the disk does not take them, no
-// message was taken on and no call goes out.
+// commit writes the iteration's records, then answers its requests and dispatches its calls. If the
+// write fails, no message is accepted and no call is made.
 func (h *Host) commit() {
 	wall := time.Now()
 	for _, cl := range h.uncommittedCalls {
@@ -137,12 +140,13 @@
 	}
 }
 
-// committedResult is the answer to a hand-in behind the turn's write. failed: some of the turn were not taken on after all, which the table tells.
+// committedResult returns the reply after the iteration's write. failed says that some messages
+// were not accepted after all; those are no longer in the table.
 func (h *Host) committedResult(r pendingReply, failed bool) submitResult {
 	gone := r.message != nil && h.table.Get(r.message.Number) != r.message
 	switch {
 	case failed && gone:
-		// Guards against answering the same hand-in once more as taken while it is not.
+		// A duplicate of a message that was not accepted must not be answered as accepted.
 		return h.reject()
 	case r.result.accepted && !gone:
 		h.logAccepted(r.message)
@@ -151,14 +155,15 @@
 	return r.result
 }
 
-// logAccepted names a message that this process owes from now on, so that one can be followed by its id through every process that held it.
+// logAccepted logs an accepted message, so that it can be followed by id through every process that
+// had it.
 func (h *Host) logAccepted(m *memory.Message) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("taken on", "message", m.ID, "dest", m.Dest, "class", m.Class, "subject", m.OrderingKey, "left", time.Until(m.Deadline))
+		h.log.Debug("accepted a message", "message", m.ID, "dest", m.Dest, "class", m.Class, "subject", m.OrderingKey, "left", time.Until(m.Deadline))
 	}
 }
 
-// reject turns a hand-in away for now.
+// reject counts a rejected request and returns its reply.
 func (h *Host) reject() submitResult {
 	h.rejectedCount++
 	v := submitResult{}
@@ -168,10 +173,10 @@
 	return v
 }
 
-// complete books that nothing more is owed for m.
+// complete records that m needs no further work.
 func (h *Host) complete(m *memory.Message) { h.remove(m, false) }
 
-// remove does so; anew says that its id may be taken on again.
+// remove takes m out of the table and the journal. reusable allows its id to be accepted again.
 func (h *Host) remove(m *memory.Message, anew bool) {
 	if h.table.Get(m.Number) == m {
 		h.table.Remove(m)
@@ -180,14 +185,15 @@
 	}
 }
 
-// completeByNotification ends m by a notice. It is owed until the platform has taken it, also after a restart.
+// completeByNotification completes a message by an outcome notification, which is owed until the
+// platform acknowledges it, also after a restart.
 func (h *Host) completeByNotification(num uint32, n memory.Notification) {
 	m := h.table.Get(num)
 	if m == nil || m.Notification != nil {
 		return
 	}
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("ended by notice", "message", m.ID, "dest", m.Dest, "class", m.Class, "steps", m.Attempts, "left", time.Until(m.Deadline),
+		h.log.Debug("completing a message by notification", "message", m.ID, "dest", m.Dest, "class", m.Class, "steps", m.Attempts, "left", time.Until(m.Deadline),
 			"handed_back", n.Returned, "advice", n.RetryAfter)
 	}
 	if n.Returned {
@@ -205,7 +211,7 @@
 	h.unqueuedNotifications = append(h.unqueuedNotifications, pendingNotification{m.Number, m.ID, *m.Notification})
 }
 
-// flushNotifications passes on the notices that may go out.
+// flushNotifications sends the notifications that may go out.
 func (h *Host) flushNotifications() {
 	wait, wall := h.journal.HasUnwritten(), time.Now()
 	var kept []pendingNotification
@@ -224,8 +230,9 @@
 	h.unqueuedNotifications = kept
 }
 
-// couldStillBeSent tells whether another life would forward a message that is ended here, were this one killed before the end is in the journal.
-// Guards against a message that is handed back, handed in elsewhere, and then forwarded from here as well.
+// couldStillBeSent reports whether, after a crash, the next process would send a message whose
+// completion is not in the journal yet. Its notification has to wait: the client may submit the
+// message elsewhere as soon as it has it.
 func (h *Host) couldStillBeSent(num uint32, wall time.Time) bool {
 	m := h.table.Get(num)
 	return m != nil && m.Deadline.Sub(wall) > deadlineMargin
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens the clients' address so that the process that takes this one's place can listen there as well. Where the system has no
-// SO_REUSEPORT the relay serves all the same; only an upgrade needs it.
+// Listen opens the clients' address with SO_REUSEPORT, so that the next process can listen there as
+// well during an upgrade. Without that option it still listens.
 func Listen(addr string) (net.Listener, error) {
 	set := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -21,11 +21,12 @@
 	return set.Listen(context.Background(), "tcp", addr)
 }
 
-// CheckAddress tells, without listening, whether this process could listen at an address: nobody does, or one who shares it.
+// CheckAddress returns an error if this process could not listen at addr, without listening. An
+// address that cannot be checked passes.
 func CheckAddress(addr string) error {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || !at.Addr().Is4() || at.Port() == 0 {
-		return nil // Listen will tell
+		return nil // left to Listen
 	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -40,8 +41,9 @@
 	return nil
 }
 
-// steerToSecondListener sends all new connections of the group to the listener that joined it second, where the kernel takes such programs. The one that
-// leaves is the first; once it is gone the program names nobody, and the kernel goes by its own hash.
+// steerToSecondListener has the kernel pass all new connections of the SO_REUSEPORT group to the
+// listener that joined second, where BPF programs are supported. Once the first one has left, the
+// index matches no listener and the kernel falls back to its own hash.
 func steerToSecondListener(ln net.Listener) error {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
@@ -61,18 +63,21 @@
 	return err
 }
 
-// acceptQueueQuietTime is how long nobody must have come before the accept queue counts as empty. What began its way before the steering is there by then.
+// acceptQueueQuietTime is how long no connection must arrive before the accept queue counts as
+// empty. It covers handshakes that began before the steering.
 const acceptQueueQuietTime = 20 * time.Millisecond
 
-// StopListening has Serve take what is in the accept queue, then close the listener. Another process listens at the address.
+// StopListening has Serve accept what is in the queue, then close the listener, while another
+// process listens at the address.
 func (f *Server) StopListening() {
 	if err := steerToSecondListener(f.listener); err != nil {
-		f.log.Debug("new connections are not steered", "err", err)
+		f.log.Debug("cannot steer new connections to the next process", "err", err)
 	}
 	f.drainAcceptQueue()
 }
 
-// drainAcceptQueue has Serve take what is in the accept queue, within bounds, then close the listener.
+// drainAcceptQueue has Serve accept what is in the queue, for a limited time, then close the
+// listener.
 func (f *Server) drainAcceptQueue() {
 	now := time.Now()
 	f.queueDrainUntil.CompareAndSwap(0, int64(now.Add(maxAcceptQueueDrain).Sub(f.startedAt)))
@@ -85,7 +90,7 @@
 	f.signalCapacity()
 }
 
-// acceptQueueDeadline is when the accept queue counts as empty if nobody comes.
+// acceptQueueDeadline returns when the accept queue counts as empty if no connection arrives.
 func (f *Server) acceptQueueDeadline(now time.Time) time.Time {
 	return earlier(now.Add(acceptQueueQuietTime), f.startedAt.Add(time.Duration(f.queueDrainUntil.Load())))
 }
--- a/internal/wire/parked.go
+++ b/internal/wire/notification_order.go
@@ -7,13 +7,15 @@
 	"oatfold/policy"
 )
 
-// This file keeps the order of a subject behind a message that a notice ends: the module lets the next one go as it ends the one before, and
-// that is over only once the platform has answered.
+// Order of an ordering key behind a message that is completed by a notification. The policy engine
+// sends the next message at once, but the earlier one is complete only when the platform has
+// acknowledged.
 
-// unansweredNotifications are messages that are ended by a notice which the platform has not answered yet: their numbers, by subject.
+// unansweredNotifications holds the numbers of messages with an unacknowledged notification, by
+// ordering key.
 type unansweredNotifications map[string]map[uint32]struct{}
 
-// trackNotification books that m is over only once the platform has answered its notice.
+// trackNotification records that m has an unacknowledged notification.
 func (h *Host) trackNotification(m *memory.Message) {
 	if m.OrderingKey == "" {
 		return
@@ -24,7 +26,7 @@
 	h.unansweredNotifications[m.OrderingKey][m.Number] = struct{}{}
 }
 
-// untrackNotification books that m is over.
+// untrackNotification records that m is complete.
 func (h *Host) untrackNotification(m *memory.Message) {
 	waiting := h.unansweredNotifications[m.OrderingKey]
 	if delete(waiting, m.Number); len(waiting) == 0 {
@@ -32,7 +34,8 @@
 	}
 }
 
-// blockedByNotification tells whether an earlier message of the subject of m is ended by a notice that the platform has not answered yet.
+// blockedByNotification reports whether an earlier message of m's ordering key has an
+// unacknowledged notification.
 func (h *Host) blockedByNotification(m *memory.Message) bool {
 	for num := range h.unansweredNotifications[m.OrderingKey] {
 		if num < m.Number {
@@ -42,7 +45,7 @@
 	return false
 }
 
-// awaitsNotification tells whether a call has to wait for the answer to a notice.
+// awaitsNotification reports whether a call has to wait for a notification's acknowledgement.
 func (h *Host) awaitsNotification(cl *call) bool {
 	return slices.ContainsFunc(cl.items, func(it callItem) bool {
 		m := h.table.Get(it.num)
@@ -50,12 +53,13 @@
 	})
 }
 
-// anyAwaitsNotification tells whether one of these calls goes to ep and has to wait.
+// anyAwaitsNotification reports whether one of calls goes to ep and has to wait.
 func (h *Host) anyAwaitsNotification(calls []*call, ep *endpoint) bool {
 	return slices.ContainsFunc(calls, func(cl *call) bool { return cl.endpoint == ep && h.awaitsNotification(cl) })
 }
 
-// startUnblockedCalls makes the calls that wait for no notice any more. One whose time is up has not been sent.
+// startUnblockedCalls starts the calls that need not wait any more, and ends those that have timed
+// out as unsent.
 func (h *Host) startUnblockedCalls(now policy.Time) {
 	parked := h.callsAwaitingNotification
 	h.callsAwaitingNotification = nil
@@ -71,13 +75,14 @@
 	}
 }
 
-// endUnsentCall ends a call that was not made: it is in no journal.
+// endUnsentCall ends a call that was not made and is not in the journal.
 func (h *Host) endUnsentCall(cl *call) {
 	cl.unrecorded = true
 	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Unsent})})
 }
 
-// earliestWaitingCallDeadline is when the first call's time is up that waits for a notice; at where that is later.
+// earliestWaitingCallDeadline returns the first deadline of a waiting call, or at if that is
+// earlier.
 func (h *Host) earliestWaitingCallDeadline(at policy.Time) policy.Time {
 	for _, cl := range h.callsAwaitingNotification {
 		at = min(at, cl.startedAt+cl.timeout)
--- a/internal/wire/parked_test.go
+++ b/internal/wire/notification_order_test.go
@@ -10,8 +10,9 @@
 	"oatfold/policy"
 )
 
-// A message is over once the platform has answered its notice: only then does the next one of its subject go out.
-func TestNextWaitsForTheNotice(t *testing.T) {
+// The next message of an ordering key is sent only after the platform has acknowledged the earlier
+// one's notification.
+func TestNextMessageWaitsForNotification(t *testing.T) {
 	for name, status := range map[string]int{"given up by the module": 500, "over by the endpoint's word": 410} {
 		t.Run(name, func(t *testing.T) {
 			asked, answer := make(chan struct{}, 9), make(chan struct{})
@@ -24,7 +25,7 @@
 			w.Lock()
 			w.beforeNotificationAnswer = func() { asked <- struct{}{}; <-answer }
 			w.Unlock()
-			w.host.Do(func(h *Host) { h.stepsStopped = true }) // both are there before the first step
+			w.host.Do(func(h *Host) { h.stepsStopped = true }) // both arrive before the first step
 			for _, id := range []string{"a", "b"} {
 				if got := w.post(orderedRequest(id)); got != 202 {
 					t.Fatalf("answered %d", got)
@@ -32,15 +33,15 @@
 			}
 			w.host.Do(func(h *Host) { h.stepsStopped = false })
 			<-asked
-			waitFor(t, "the module to let b go", func() bool { n, _ := w.attempts("b"); return n == 1 })
+			waitFor(t, "the policy engine to send b", func() bool { n, _ := w.attempts("b"); return n == 1 })
 			w.host.Do(func(h *Host) {
 				if len(h.callsAwaitingNotification) != 1 {
-					t.Errorf("%d calls wait for the notice", len(h.callsAwaitingNotification))
+					t.Errorf("%d calls wait for the notification", len(h.callsAwaitingNotification))
 				}
 			})
 			w.Lock()
 			if slices.Contains(w.calls, "b") {
-				t.Error("b was called while the notice of a was not answered")
+				t.Error("b was called before a's notification was acknowledged")
 			}
 			w.Unlock()
 			close(answer)
@@ -50,8 +51,8 @@
 	}
 }
 
-// A call whose time is up while it waits for a notice has not been sent.
-func TestParkedCallEndsUnsent(t *testing.T) {
+// A call that times out while it waits for a notification ends as unsent.
+func TestWaitingCallEndsUnsent(t *testing.T) {
 	h := newTestHost(t)
 	h.pendingEvents = nil
 	a, b := h.addMessage("a", 7, 1), h.addMessage("b", 7, 1)
@@ -60,36 +61,37 @@
 	calls := h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
 	h.registerCall(calls[0])
 	if len(h.callsAwaitingNotification) != 1 || len(h.uncommittedCalls) != 0 {
-		t.Fatalf("%d parked, %d begun", len(h.callsAwaitingNotification), len(h.uncommittedCalls))
+		t.Fatalf("%d calls waiting, %d started", len(h.callsAwaitingNotification), len(h.uncommittedCalls))
 	}
 	h.startUnblockedCalls(time.Second - 1)
 	if len(h.callsAwaitingNotification) != 1 || len(h.pendingEvents) != 0 {
-		t.Fatalf("before its time: %d parked, %v", len(h.callsAwaitingNotification), h.pendingEvents)
+		t.Fatalf("before its timeout: %d calls waiting, %v", len(h.callsAwaitingNotification), h.pendingEvents)
 	}
 	h.startUnblockedCalls(time.Second)
 	if e, ok := h.pendingEvents[0].(policy.AttemptEnded); len(h.callsAwaitingNotification) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
-		t.Errorf("%d parked, %d out, %+v", len(h.callsAwaitingNotification), len(h.calls), h.pendingEvents)
+		t.Errorf("%d calls waiting, %d in flight, %+v", len(h.callsAwaitingNotification), len(h.calls), h.pendingEvents)
 	}
 }
 
-// A notice that an earlier life owed holds the next message of its subject as well, and none of another or before it.
-func TestRestoredNoticeHoldsTheNext(t *testing.T) {
+// A recovered notification holds later messages of its ordering key, but no earlier ones and no
+// other key's.
+func TestRecoveredNotificationHoldsNext(t *testing.T) {
 	h := newTestHost(t)
 	before, a, b, other := h.addMessage("before", 7, 1), h.addMessage("a", 7, 1), h.addMessage("b", 7, 1), h.addMessage("other", 7, 1)
 	before.OrderingKey, a.OrderingKey, b.OrderingKey, other.OrderingKey = "s", "s", "s", "t"
 	h.table.MarkUndelivered(a, memory.Notification{})
 	h.restore(false)
 	if !h.blockedByNotification(b) || h.blockedByNotification(before) || h.blockedByNotification(other) {
-		t.Error("the wrong ones wait")
+		t.Error("the wrong messages wait")
 	}
 	h.complete(a)
 	if h.blockedByNotification(b) || len(h.unansweredNotifications) > 0 {
-		t.Error("it waits for a notice that was answered")
+		t.Error("it waits for an acknowledged notification")
 	}
 }
 
-// What waits for a notice takes no batch with it, and no slot that is not there.
-func TestParkedCallStandsApart(t *testing.T) {
+// A waiting call joins no batch and needs a free slot.
+func TestWaitingCallJoinsNoBatch(t *testing.T) {
 	h := newTestHost(t)
 	h.pendingEvents = nil
 	a, b := h.addMessage("a", 7, 1), h.addMessage("b", 7, 1)
@@ -108,6 +110,6 @@
 	}
 	b.InFlight = nil
 	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pendingEvents) != 1 {
-		t.Errorf("%d calls without a slot, %v", len(calls), h.pendingEvents)
+		t.Errorf("%d calls over the concurrency limit, %v", len(calls), h.pendingEvents)
 	}
 }
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -11,10 +11,10 @@
 	"oatfold/policy"
 )
 
-// This file keeps the order of a subject while another process of this relay still owes messages of it.
+// Order of an ordering key while another process of this relay still owes messages of it.
 
-// BeginTransferScan says that all that other processes have given by now is about to be adopted. From the first look on, messages of ordered
-// classes wait for the looks, until Adopt is told that no other process is left.
+// BeginTransferScan announces that everything transferred so far is about to be adopted. From the
+// first scan on, messages of ordered classes wait for scans until Adopt receives LastProcess.
 func (h *Host) BeginTransferScan() {
 	h.Do(func(h *Host) {
 		h.sequencer.LookBegins()
@@ -26,11 +26,11 @@
 	})
 }
 
-// EndTransferScan says that it is adopted.
+// EndTransferScan announces that the scan's transfers are adopted.
 func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.LookEnded() }) }
 
-// passToPolicy passes m on to the module, or holds it back while another process may owe one of its subject that was handed in earlier.
-// looked: another process gave it.
+// passToPolicy passes m to the policy engine, or holds it while another process may owe an earlier
+// message of its ordering key. transferred: m came from another process.
 func (h *Host) passToPolicy(m *memory.Message, looked bool) {
 	until := h.now() + time.Until(m.Deadline) - deadlineMargin
 	if !h.sequencer.Hold(sequenceEntry(m), until, looked) {
@@ -42,7 +42,7 @@
 	return sequence.Message{ID: m.ID, Subject: m.OrderingKey, Num: m.Number}
 }
 
-// releaseHeld passes on what was held back and need not be any more.
+// releaseHeld passes on messages that need not be held any more.
 func (h *Host) releaseHeld(nums []uint32) {
 	for _, num := range nums {
 		if m := h.table.Get(num); m != nil && m.Notification == nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// expireHeld ends messages whose time is up while they are held back: the module has not heard of them.
+// expireHeld completes held messages at their deadline; the policy engine has not received them.
 func (h *Host) expireHeld(now policy.Time) {
 	for _, num := range h.sequencer.Expired(now) {
 		if m := h.table.Get(num); m != nil {
@@ -60,7 +60,8 @@
 	}
 }
 
-// remainingOrdered lists the messages of ordered classes that this process still owes beside those that it gives now, in the order of hand-in.
+// remainingOrdered lists the messages of ordered classes that this process still owes besides those
+// in given, in order of acceptance.
 func (h *Host) remainingOrdered(given []*memory.Message) (list []sequence.Message) {
 	gives := make(map[uint32]struct{}, len(given))
 	for _, m := range given {
@@ -75,8 +76,9 @@
 	return list
 }
 
-// announceOrdered tells the successor of messages of ordered classes that this process has just taken on, before their clients hear of it. Guards against
-// the next one of a subject, which its client hands in at the successor as soon as it has the answer here.
+// announceOrdered reports accepted messages of ordered classes to the next process before their
+// clients are answered, since a client may submit the next message of the ordering key there as
+// soon as it has the response.
 func (h *Host) announceOrdered() error {
 	if h.sendToSuccessor == nil || !slices.ContainsFunc(h.uncommittedReplies, acceptedOrdered) {
 		return nil
@@ -95,10 +97,10 @@
 	return err
 }
 
-// acceptedOrdered tells whether a hand-in was taken on in an ordered class.
+// acceptedOrdered reports whether r accepts a message of an ordered class.
 func acceptedOrdered(r pendingReply) bool { return r.result.accepted && r.message.OrderingKey != "" }
 
-// earliestHeldDeadline is when the first message's time is up that is held back; at where that is later.
+// earliestHeldDeadline returns the first deadline of a held message, or at if that is earlier.
 func (h *Host) earliestHeldDeadline(at policy.Time) policy.Time {
 	if due, some := h.sequencer.Next(); some {
 		return min(at, due)
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -14,7 +14,7 @@
 	"oatfold/internal/memory/journal"
 )
 
-// orderAllClasses puts all classes of a world in order by subject, each message in a call of its own.
+// orderAllClasses makes all classes ordered, with one message per call.
 func (w *testEnv) orderAllClasses() {
 	s := testSettings()
 	s.Kinds[0].MaxBatch = 1
@@ -31,12 +31,13 @@
 	w.server.Configure(&s, 100)
 }
 
-// orderedRequest is a hand-in of the class "fee", which may not be repeated, about the subject s.
+// orderedRequest is a request of the class "fee", which may not run twice, with the ordering key
+// "s".
 func orderedRequest(id string) string {
 	return strings.Replace(requestText("fee", id, "", "x", 20_000), "/fee", "/fee?subject=s", 1)
 }
 
-// attempts is how many route steps of a message have begun, and whether it is held at all.
+// attempts returns the number of attempts begun for a message, and whether it is pending.
 func (w *testEnv) attempts(id string) (n int, there bool) {
 	w.host.Do(func(h *Host) {
 		if m := h.table.ByID(id); m != nil {
@@ -46,7 +47,8 @@
 	return n, there
 }
 
-// waitSettled waits until the host has done all that follows from what it has heard: a message of no subject, handed in now, has been delivered.
+// waitSettled waits until the host has handled all earlier events: an unordered message submitted
+// now has been delivered.
 func (w *testEnv) waitSettled(id string) {
 	w.t.Helper()
 	if got := w.post(requestText("alert", id, "", "x", 4000)); got != 202 {
@@ -55,22 +57,22 @@
 	w.waitUntil("the call of "+id, func() bool { return slices.Contains(w.calls, id) })
 }
 
-// overlap is two processes of one relay, and the spool between them.
+// overlap is two processes of one relay and the spool between them.
 type overlap struct {
 	t        *testing.T
 	old, new *testEnv
 
 	mu    sync.Mutex
 	spool [][]byte
-	calls []string // of subject s, over both processes, in order
+	calls []string // with ordering key s, of both processes, in order
 }
 
-// startOverlap starts two hosts whose endpoints answer alike. The new one stands by.
+// startOverlap starts two hosts whose endpoints give the same answers. The new one is on standby.
 func startOverlap(t *testing.T, answer func(rw http.ResponseWriter, id string)) *overlap {
 	o := &overlap{t: t}
 	endpoint := func(rw http.ResponseWriter, r *http.Request, body string) {
 		id := r.Header.Get("X-Correlation-Id")
-		// Guards against the watch of a world that is over, whose agent's port is this endpoint's now.
+		// Ignores discovery polls of an earlier test whose platform had this port.
 		if id != "" && !strings.HasPrefix(id, "mark") {
 			o.mu.Lock()
 			o.calls = append(o.calls, id)
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// scanTransfers has the new process take in all that the old one has given by now.
+// scanTransfers has the new process adopt all that the old one has transferred.
 func (o *overlap) scanTransfers() {
 	o.t.Helper()
 	o.new.host.BeginTransferScan()
@@ -114,7 +116,7 @@
 	o.new.host.EndTransferScan()
 }
 
-// handOver has the old process leave and the new one begin.
+// handOver hands over from the old process to the new one.
 func (o *overlap) handOver() {
 	o.t.Helper()
 	if err := o.old.host.HandOver(o.transfer, false, 1<<20); err != nil {
@@ -124,7 +126,7 @@
 	o.new.host.Activate()
 }
 
-// submit hands a message in at w. The host may hear later than the client that it was answered.
+// submit posts a message to env. The host may learn later than the client that it was answered.
 func (o *overlap) submit(w *testEnv, id string) {
 	o.t.Helper()
 	if got := w.post(orderedRequest(id)); got != 202 {
@@ -132,22 +134,23 @@
 	}
 }
 
-// waitAnswered waits until the host of w has heard that the client of that message was answered.
+// waitAnswered waits until the host of env knows that the message's client was answered.
 func (o *overlap) waitAnswered(w *testEnv, id string) {
 	o.t.Helper()
-	waitFor(o.t, id+" to be told", func() (told bool) {
+	waitFor(o.t, id+" to be answered", func() (told bool) {
 		w.host.Do(func(h *Host) { m := h.table.ByID(id); told = m != nil && !m.Unanswered })
 		return told
 	})
 }
 
-// expectHeld fails if a message has left the new process's hold: it waits for one that the old process owes.
+// expectHeld fails if the new process does not hold the messages while the old one owes an earlier
+// one.
 func (o *overlap) expectHeld(mark string, ids ...string) {
 	o.t.Helper()
 	o.new.waitSettled(mark)
 	for _, id := range ids {
 		if n, there := o.new.attempts(id); n != 0 || !there {
-			o.t.Fatalf("%s: %d route steps, held %v, while the old process still owes an earlier one", id, n, there)
+			o.t.Fatalf("%s: %d attempts, pending %v, while the old process still owes an earlier one", id, n, there)
 		}
 	}
 }
@@ -163,9 +166,9 @@
 	}
 }
 
-// What follows a message whose call the old process still has out waits at the new one until it is over, whether it was given or handed in there. What the
-// call leaves undone goes first.
-func TestSuccessorWaitsForCallsOfItsPredecessor(t *testing.T) {
+// Messages behind one whose call the old process has in flight wait at the new one until it
+// completes, whether transferred or submitted there. If the call fails, its message goes first.
+func TestNextProcessWaitsForInheritedCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		want   []string
@@ -207,9 +210,9 @@
 	}
 }
 
-// The old process takes a message on after it has given all, and its client hands the next one in at the new process: that one waits for a look at what was
-// given, and then for the first one.
-func TestSuccessorLooksBeforeItGoesOn(t *testing.T) {
+// A message that the old process accepts after the handover goes before one submitted later at the
+// new process, which waits for a scan.
+func TestNextProcessScansBeforeSending(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.handOver()
 	o.submit(o.new, "a")
@@ -217,18 +220,19 @@
 	o.submit(o.new, "c")
 	o.waitAnswered(o.new, "a")
 	o.waitAnswered(o.new, "c")
-	o.expectHeld("mark1", "a", "c") // no look since
+	o.expectHeld("mark1", "a", "c") // no scan since
 	o.scanTransfers()
 	o.new.waitUntil("the call of a", func() bool { return slices.Contains(o.new.calls, "a") })
-	o.expectHeld("mark2", "c") // b is announced, and not here
+	o.expectHeld("mark2", "c") // b is announced, but not transferred
 	o.waitAnswered(o.old, "b")
 	o.old.host.TransferRemaining(1 << 20)
 	o.scanTransfers()
 	o.expectCalls("a", "b", "c")
 }
 
-// Numbers of messages grow in the order of hand-in over both processes, so that a restart finds that order in the journal, whichever came here first.
-func TestNumbersKeepTheOrderOfHandIn(t *testing.T) {
+// Message numbers grow in order of acceptance over both processes, so that a restart recovers that
+// order from the journal.
+func TestNumbersKeepAcceptanceOrder(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.new.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
@@ -260,11 +264,12 @@
 		}
 	})
 	if want := []string{"a", "b", "c", "d", "e"}; !slices.Equal(got, want) {
-		t.Errorf("in the order of their numbers: %v, want %v", got, want)
+		t.Errorf("by number: %v, want %v", got, want)
 	}
 }
 
-// overlapInCall starts two processes of which the old one has the call of message a out, until the test ends.
+// overlapInCall starts two processes; the old one has the call of message a in flight until the
+// test ends.
 func overlapInCall(t *testing.T) *overlap {
 	t.Helper()
 	release := make(chan struct{})
@@ -279,24 +284,24 @@
 	return o
 }
 
-// A message of which the process before still owes an earlier one ends in its own time, as one that never ran.
-func TestHeldBackEndsInTime(t *testing.T) {
+// A held message is returned to the client at its own deadline, as never sent.
+func TestHeldMessageExpires(t *testing.T) {
 	o := overlapInCall(t)
 	o.handOver()
 	soon := strings.Replace(requestText("fee", "b", "", "x", 60), "/fee", "/fee?subject=s", 1)
 	if got := o.new.post(soon); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	o.new.waitUntil("its notice", func() bool { return len(o.new.notifications) == 1 })
+	o.new.waitUntil("its notification", func() bool { return len(o.new.notifications) == 1 })
 	o.new.Lock()
 	defer o.new.Unlock()
 	if n := o.new.notifications[0]; !strings.Contains(n, `"b"`) || !strings.Contains(n, "handed_back") || slices.Contains(o.new.calls, "b") {
-		t.Errorf("ended by %s, calls %v", n, o.new.calls)
+		t.Errorf("completed by %s, calls %v", n, o.new.calls)
 	}
 }
 
-// When no process is left that could owe anything, all that was held back goes on in the order of hand-in.
-func TestNobodyLeftReleases(t *testing.T) {
+// When no other process is left, held messages are released in order of acceptance.
+func TestLastProcessReleasesHeld(t *testing.T) {
 	o := overlapInCall(t)
 	o.submit(o.old, "b")
 	o.waitAnswered(o.old, "b")
@@ -309,8 +314,8 @@
 	o.expectCalls("a", "b", "c")
 }
 
-// What could not be told to the successor is not taken on: its client may hand the next one in there.
-func TestNotAnnouncedIsNotTakenOn(t *testing.T) {
+// A message that could not be announced to the next process is not accepted.
+func TestUnannouncedMessageRejected(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.handOver()
 	o.old.host.Do(func(h *Host) { h.sendToSuccessor = func([]byte) error { return journal.ErrUnavailable } })
@@ -318,6 +323,6 @@
 		t.Errorf("answered %d", got)
 	}
 	if _, there := o.old.attempts("a"); there {
-		t.Error("it is held all the same")
+		t.Error("it is pending nevertheless")
 	}
 }
--- a/internal/wire/peek.go
+++ b/internal/wire/peek.go
@@ -6,20 +6,21 @@
 	"syscall"
 )
 
-// stale tells, without waiting, whether an idle connection was closed by the peer or holds bytes that
-// nobody asked for.
+// stale reports, without blocking, whether an idle connection was closed by the peer or holds
+// unexpected bytes.
 func stale(sock net.Conn) bool {
 	_, err := peek(sock)
 	return err != syscall.EAGAIN
 }
 
-// HasUnreadBytes tells, without waiting, whether bytes of the peer are there to be read.
+// HasUnreadBytes reports, without blocking, whether received bytes are waiting to be read.
 func HasUnreadBytes(sock net.Conn) bool {
 	n, err := peek(sock)
 	return err == nil && n > 0
 }
 
-// peek looks at the first byte that waits, without reading it; EAGAIN where there is none, 0 and no error where the peer has closed.
+// peek looks for a received byte without consuming it. It returns EAGAIN if there is none, and 0
+// and no error if the peer has closed.
 func peek(sock net.Conn) (n int, err error) {
 	sc, ok := sock.(syscall.Conn)
 	if !ok {
@@ -35,10 +36,10 @@
 	return n, err
 }
 
-// maxPeekAttempts bounds how often a peek is made that signals interrupt.
+// maxPeekAttempts bounds the attempts at a peek that signals interrupt.
 const maxPeekAttempts = 8
 
-// peekAt asks again after a signal: this read is outside the runtime's poller, which does so for all others.
+// peekAt retries after EINTR, since this call bypasses the runtime's poller.
 func peekAt(fd int) (n int, err error) {
 	for range maxPeekAttempts {
 		var b [1]byte
--- a/internal/wire/decisions.go
+++ b/internal/wire/policy_steps.go
@@ -10,9 +10,10 @@
 	"oatfold/policy"
 )
 
-// This file carries the decision module: what it is told, the steps that it takes, and how it starts anew after a panic.
+// Steps of the policy engine: its events and actions, and its restart after a panic.
 
-// exchangeGossip tells others what this relay saw, when that is due, and the module what all see.
+// exchangeGossip sends this relay's observations to the others when due, and reports the fleet's
+// state to the policy engine.
 func (h *Host) exchangeGossip(now policy.Time) {
 	if !h.gossiper.Active() || h.stepsStopped || now < h.gossiper.NextTick() {
 		return
@@ -25,7 +26,7 @@
 	}
 	news := policy.FleetUpdate{Routes: h.gossiper.FleetAverages(now, time.Now()), Relays: h.gossiper.PossibleCallers(now)}
 	h.targets.ResolveEndpoints(news.Routes)
-	if len(news.Routes) > 0 || news.Relays != h.reportedRelays { // no step for news of nothing
+	if len(news.Routes) > 0 || news.Relays != h.reportedRelays { // an update without content needs no step
 		h.reportedRelays, h.pendingEvents = news.Relays, append(h.pendingEvents, news)
 	}
 	if h.siteWatch != nil {
@@ -34,10 +35,10 @@
 	h.updateSubsets(now)
 }
 
-// reportCallToFleet books the end of a call for the notes.
+// reportCallToFleet records the outcome of a call for the gossip.
 func (h *Host) reportCallToFleet(e callResult) {
 	if len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
-		return // that tells of other relays' idle connections only
+		return // the endpoint's connections are taken by other relays, which says nothing of its health
 	}
 	how := peers.Failed
 	switch e.results[0].outcome {
@@ -46,7 +47,7 @@
 	case policy.Rejected:
 		how = peers.Rejected
 	case policy.Unsent:
-		return // it tells nothing of the destination
+		return // says nothing of the destination
 	}
 	h.gossiper.RecordCall(h.targets.Key(e.call.endpoint.id, e.call.endpoint.dest), how)
 }
@@ -55,7 +56,7 @@
 	wall := time.Now()
 	for _, m := range h.arrivals {
 		if h.table.Get(m.Number) != m {
-			continue // over before the module heard of it
+			continue // completed before the policy engine received it
 		}
 		if m.Attempts == 0 {
 			h.targets.EachKey(m.Dest, h.gossiper.RecordArrival)
@@ -95,39 +96,40 @@
 	}
 }
 
-// arrivedEvent is what the module is told of a message, with what earlier lives did with it.
+// arrivedEvent is the event for a message, including its earlier attempts.
 func arrivedEvent(m *memory.Message, wall time.Time) policy.Submitted {
-	// Guards against an answer in the very moment in which the time is up: whoever counts from when the client sent the message is a little
-	// earlier than this relay, takes the answer for late, and waits for a notice that never comes.
+	// The client counts from when it sent the request, a little earlier than this relay. A final
+	// answer at the very deadline would look late to it.
 	left := m.Deadline.Sub(wall) - deadlineMargin
 	a := policy.Submitted{ID: m.Number, Class: m.Class, Destination: m.Dest, TimeLeft: left, Attempts: m.Attempts, Recovered: m.Recovered,
 		Tenant: m.Tenant, Key: m.OrderingKey, Terms: policy.Class{Effect: m.Effect, RepeatWindow: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
 	if !m.MayHaveRunSince.IsZero() {
 		if a.MayHaveRun, a.UncertainAge = true, wall.Sub(m.MayHaveRunSince); a.UncertainAge < 0 {
-			// Guards against a clock that was set back between two lives: how long ago it was is not known, so that no
-			// partner can be counted on to drop a repeat.
+			// The clock was set back since that attempt, so its age is unknown and no partner can
+			// be relied on to deduplicate a retry.
 			a.UncertainAge = unknownRiskAge
 		}
 	}
 	return a
 }
 
-// runPolicyStep runs one step of the module; a panic there is not the process's end.
+// runPolicyStep runs one step of the policy engine and recovers from a panic in it.
 func (h *Host) runPolicyStep(now policy.Time, events []policy.Event) (acts []policy.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.log.Error("the module panicked and starts anew", "panic", p, "stack", string(debug.Stack()))
+			h.log.Error("policy engine panicked; restarting it", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	return h.relay.Step(now, events), true
 }
 
-// restartPolicy starts the module anew with what the table holds, as after a restart, once all told waits are over.
-// A message whose call is out is handed over when the call has ended.
+// restartPolicy replaces the policy engine after a panic and passes it the messages of the table,
+// as after a restart of the process. Steps wait until every Retry-After has passed. A message whose
+// call is in flight follows when the call ends.
 func (h *Host) restartPolicy(now policy.Time) {
 	relay, err := policy.New(h.settings, now.Nanoseconds())
 	if err != nil {
-		return // the settings were good at the start
+		return // cannot happen: the settings were valid at the start
 	}
 	h.relay, h.wakeAt, h.pendingEvents, h.arrivals, h.reportedRelays = relay, 0, nil, nil, 0
 	whole := policy.EndpointListUpdate{Kind: policy.ListRestored}
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -13,10 +13,10 @@
 	"oatfold/internal/standin/disk"
 )
 
-// Found by reading, after messages were forwarded that had ended: while the disk took no records, a message was handed back and the
-// platform told; killed then, the next life found the message untried and forwarded it, while its client had handed it in elsewhere.
-// The notice waits for its record, or until its message's time is up, when no life forwards it any more.
-func TestNoticeWaitsForItsRecord(t *testing.T) {
+// A notification waits until its record is in the journal, or until its message's deadline.
+// Otherwise a process killed in between would be followed by one that sends a message which its
+// client already submits elsewhere.
+func TestNotificationWaitsForRecord(t *testing.T) {
 	d := disk.New()
 	h := newTestHostOn(t, d)
 	early, late := h.addMessage("early", 7, 1), h.addMessage("late", 7, 1)
@@ -29,24 +29,24 @@
 	h.commit()
 	h.flushNotifications()
 	if n := len(h.notifications); n != 1 || (<-h.notifications).id != "late" {
-		t.Fatalf("%d notices went out without a record", n)
+		t.Fatalf("%d notifications were sent without a record", n)
 	}
-	for h.journal.HasUnwritten() { // the disk is well again behind its failures
+	for h.journal.HasUnwritten() { // the disk works again after its failures
 		h.commit()
 	}
 	h.flushNotifications()
 	if len(h.notifications) != 1 || (<-h.notifications).id != "early" {
-		t.Error("the notice did not go out behind its record")
+		t.Error("the notification was not sent after its record")
 	}
 }
 
-// Found by reading: where the successor could not be told of hand-ins of ordered classes, those of the same turn that are in no order were
-// answered as taken, but not settled and not named in the log.
-func TestHandInsBesideOnesThatAreNotAnnounced(t *testing.T) {
+// Unordered messages of an iteration whose ordered ones could not be announced are accepted,
+// recorded as answered and logged.
+func TestUnorderedRequestsBesideUnannounced(t *testing.T) {
 	var text bytes.Buffer
 	h := newTestHostOn(t, disk.New())
 	h.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	h.sendToSuccessor = func([]byte) error { return errors.New("no room in the spool") }
+	h.sendToSuccessor = func([]byte) error { return errors.New("spool is full") }
 	answers := map[string]chan submitResult{}
 	for id, subject := range map[string]string{"plain": "", "ordered": "s"} {
 		m := &memory.Message{ID: id, Class: "alert", Dest: 7, Deadline: time.Now().Add(time.Hour), Body: []byte("b")}
@@ -59,11 +59,11 @@
 		t.Errorf("answered %+v and %+v", plain, ordered)
 	}
 	if log := text.String(); !strings.Contains(log, "message=plain") || strings.Contains(log, "message=ordered") {
-		t.Errorf("the log names what was taken on as %q", log)
+		t.Errorf("accepted messages in the log: %q", log)
 	}
 }
 
-// newTestHostOn returns a host that nobody runs, whose journal is in that folder.
+// newTestHostOn returns a host without its event loop, whose journal is in the given folder.
 func newTestHostOn(t *testing.T, fs journal.FS) *Host {
 	t.Helper()
 	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: discardLog, CompactInline: true})
--- a/internal/wire/handin.go
+++ b/internal/wire/request.go
@@ -14,27 +14,29 @@
 	"oatfold/policy"
 )
 
-// This file is about one request of a client: reading it, asking the host, answering.
+// One request of a client: parsing it, submitting it to the host, and answering.
 
-// submitRequest asks the host to take a message on.
+// submitRequest asks the host to accept a message.
 type submitRequest struct {
 	message *memory.Message
 	reply   chan submitResult
 }
 
-// submitResult is what the host says: taken, taken before, for no destination there is, or refused.
+// submitResult is the host's reply: accepted, a duplicate of an accepted message, for an unknown
+// destination, or, with none of these set, rejected.
 type submitResult struct {
 	accepted, duplicate, unknownDest bool
 	retryAfter                       time.Duration
 }
 
-// submitAnswered tells the host that the client was answered, or could not be.
+// submitAnswered tells the host that the response was written to the client, or could not be.
 type submitAnswered struct {
 	num       uint32
 	delivered bool
 }
 
-// handleRequest reads and answers one request; it tells whether the connection ends with it, and why.
+// handleRequest reads and answers one request. It returns why the connection closes after it, or
+// staysOpen.
 func (f *Server) handleRequest(x *exchange) closeReason {
 	h, err := readHead(x.reader)
 	if err != nil {
@@ -68,7 +70,7 @@
 	}
 	m, left, err := f.parseMessage(h, path, query, body)
 	if err != nil {
-		f.log.Debug("request refused", "err", err)
+		f.log.Debug("refused an invalid request", "err", err)
 		return x.reply(400, 0, err)
 	}
 	if a := f.consultPlugins(m, left); a.Verdict == abi.Reject {
@@ -80,13 +82,14 @@
 			advice = min(a.Wait, advice)
 		}
 		f.metrics.Ended(m.Class, figures.TurnedAway)
-		// Not 503: that says that the relay is full, and would keep its client from handing in anything else.
+		// 503 means that the relay is full and stops a client from submitting any other message, so
+		// this is 429.
 		return x.reply(429, advice, nil)
 	}
 	return f.submit(x, m, x.startedAt.Add(left))
 }
 
-// consultPlugins asks plug-ins about a message that comes in, on its connection's goroutine.
+// consultPlugins asks plug-ins about a submitted message, on its connection's goroutine.
 func (f *Server) consultPlugins(m *memory.Message, left time.Duration) plugin.Advice {
 	set := f.plugins.Use()
 	if set == nil {
@@ -98,7 +101,8 @@
 	return a
 }
 
-// submit has the host take m on, answers the client and tells the host that it may begin.
+// submit passes m to the host, answers the client and reports that to the host, which may then
+// begin.
 func (f *Server) submit(x *exchange, m *memory.Message, until time.Time) closeReason {
 	m.Deadline = until
 	reply := make(chan submitResult, 1)
@@ -122,20 +126,20 @@
 	return reason
 }
 
-// fieldError names what a hand-in lacks or has in a form that can't be read.
+// fieldError names a field of a request that is missing or malformed.
 type fieldError string
 
 func (e fieldError) Error() string { return "missing or malformed: " + string(e) }
 
-// unknownNameError names a class or tenant that the settings do not have.
+// unknownNameError names a class or tenant that is not in the settings.
 type unknownNameError struct{ what, name string }
 
 // Error shows at most 64 characters of the name, which the client chose.
 func (e unknownNameError) Error() string {
-	return fmt.Sprintf("unknown %s %.64q: the settings do not have it", e.what, e.name)
+	return fmt.Sprintf("unknown %s %.64q: not in the settings", e.what, e.name)
 }
 
-// parseMessage reads what the client hands in, and how long it may take.
+// parseMessage returns the message of a request and the time that is left for it.
 func (f *Server) parseMessage(h *head, path, query string, body []byte) (*memory.Message, time.Duration, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	class, known := (*f.classes.Load())[name]
@@ -157,18 +161,18 @@
 	tenant, badTenant := h.getConsistent("X-Account")
 	tenants := *f.tenants.Load()
 	if len(tenants) == 0 {
-		tenant, badTenant = "", nil // whatever it is, it is no name of ours
+		tenant, badTenant = "", nil // tenants are not configured: the header belongs to others
 	}
 	values, badQuery := url.ParseQuery(query)
 	subject := values.Get("subject")
-	limit := time.Duration(min(left, maxTimeLeftMs)) * time.Millisecond // Guards against a figure that overflows
+	limit := time.Duration(min(left, maxTimeLeftMs)) * time.Millisecond // min avoids an overflow
 	switch {
 	case !known:
 		return nil, 0, unknownNameError{"class", name}
 	case badID != nil || id == "" || len(id) > maxIDBytes || !visibleASCII(id):
 		return nil, 0, fieldError("X-Correlation-Id")
 	case badKey != nil || len(key) > maxIDBytes || !visibleASCII(key) || class.Effect == policy.Keyed && key == "":
-		return nil, 0, fieldError("Idempotency-Key") // without it a repeat would not be dropped
+		return nil, 0, fieldError("Idempotency-Key") // without it the partner could not deduplicate a retry
 	case badLeft != nil || err != nil || limit > timeLeftSlack*class.Deadline:
 		return nil, 0, fieldError("X-Time-Left-Ms")
 	case badDest != nil || dest < 0:
@@ -176,9 +180,9 @@
 	case badTenant != nil || len(tenant) > maxIDBytes || !visibleASCII(tenant):
 		return nil, 0, fieldError("X-Account")
 	case tenant != "" && !tenants[tenant]:
-		return nil, 0, unknownNameError{"tenant", tenant} // a hand-in without one is nobody's share
+		return nil, 0, unknownNameError{"tenant", tenant} // a message without a tenant counts towards no quota
 	case class.Ordered && (badQuery != nil || len(values["subject"]) > 1 || len(subject) > maxIDBytes):
-		return nil, 0, fieldError("subject in the query") // read as another, it would overtake its own
+		return nil, 0, fieldError("subject in the query") // under a wrong key it could overtake messages of its own
 	}
 	m := &memory.Message{ID: id, Class: name, IdempotencyKey: key, Dest: dest, Body: body}
 	if m.Effect, m.Tenant = class.Effect, tenant; class.Effect == policy.Keyed {
@@ -192,11 +196,11 @@
 
 const (
 	maxTimeLeftMs = 1 << 40
-	timeLeftSlack = 2 // times the class's deadline: no client has longer, also where a reload shortens it
+	timeLeftSlack = 2 // times the class's deadline; covers clients that still have the deadline of before a reload
 )
 
-// visibleASCII tells whether s is visible ASCII. Guards against an id or a key that an endpoint can't read, which would
-// close on whatever else waits on that connection.
+// visibleASCII reports whether s is visible ASCII. An endpoint that cannot parse an id or a key
+// would close the connection, with the other messages on it.
 func visibleASCII(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
--- a/internal/wire/front.go
+++ b/internal/wire/server.go
@@ -16,55 +16,55 @@
 	"oatfold/policy"
 )
 
-// A client that sends nothing of use is owed an error or a close within 3 s of connecting; a connection without an
-// open request may be closed after 2 s.
+// Clients require an error or a close within 3 s of connecting when they send no complete request;
+// a connection between requests may be closed after 2 s.
 const (
-	firstByteTimeout        = 2050 * time.Millisecond // for the first byte on a new connection
-	crowdedFirstByteTimeout = 300 * time.Millisecond  // the same, while connections are short
-	crowdedPeriod           = 2 * time.Second         // for so long after one had to give way
-	evictionInterval        = 20 * time.Millisecond   // between two looks for one that can give way
-	requestReadTimeout      = 2400 * time.Millisecond // for a request, from its first byte on; the first: from connecting on
-	responseWriteTimeout    = 600 * time.Millisecond  // for an answer
-	drainGracePeriod        = 30 * time.Millisecond   // for a request that crosses the end of a connection
-	lingerTimeout           = 200 * time.Millisecond  // for a client to read its last answer and close
+	firstByteTimeout        = 2050 * time.Millisecond // first byte on a new connection
+	crowdedFirstByteTimeout = 300 * time.Millisecond  // the same while the connection limit is reached
+	crowdedPeriod           = 2 * time.Second         // how long the shorter limit applies after an eviction
+	evictionInterval        = 20 * time.Millisecond   // between two searches for a connection to evict
+	requestReadTimeout      = 2400 * time.Millisecond // for a request, from its first byte; for the first one, from accept
+	responseWriteTimeout    = 600 * time.Millisecond  // for a response
+	drainGracePeriod        = 30 * time.Millisecond   // for a request already on its way to a draining connection
+	lingerTimeout           = 200 * time.Millisecond  // for a client to read its last response and close
 	maxLingerBytes          = 256 << 10
-	maxAcceptQueueDrain     = 250 * time.Millisecond // for the accept queue, from when the listener is to close
-	maxIDBytes              = 256                    // bytes of an id or key
+	maxAcceptQueueDrain     = 250 * time.Millisecond // from the start of the shutdown
+	maxIDBytes              = 256                    // of an id, a key or a tenant
 )
 
-// Server is the front socket: clients hand in messages here.
+// Server is the HTTP server that accepts messages from clients.
 type Server struct {
 	listener        net.Listener
 	events          chan<- any
 	classes         atomic.Pointer[map[string]policy.Class]
-	tenants         atomic.Pointer[map[string]bool] // by name; empty: the settings name none
+	tenants         atomic.Pointer[map[string]bool] // by name; empty: tenants are not configured
 	log             *slog.Logger
-	retryAdvice     atomic.Int64 // nanoseconds: when refused clients are to come again; 0: none is told
+	retryAdvice     atomic.Int64 // Retry-After of rejected requests in nanoseconds; 0: not sent
 	plugins         *plugin.Holder
 	drainView       atomic.Pointer[drain.View]
 	metrics         *figures.Set
-	drainingQueue   atomic.Bool   // the accept queue is emptied, then the listener closed
-	readsStopped    atomic.Bool   // nothing is read any more: the process is about to end
-	queueDrainUntil atomic.Int64  // so long after it began at the latest
-	capacityFreed   chan struct{} // told when a connection ends or may give way
+	drainingQueue   atomic.Bool   // the accept queue is drained before the listener closes
+	readsStopped    atomic.Bool   // no further reads: the process is about to exit
+	queueDrainUntil atomic.Int64  // latest end of the accept queue's drain, in nanoseconds since startedAt
+	capacityFreed   chan struct{} // signalled when a connection closes or becomes idle
 
 	mu             sync.Mutex
 	drainMachine   drain.Machine
-	drainTimer     *time.Timer // to the drain's next view
+	drainTimer     *time.Timer // fires at the drain's next change of view
 	startedAt      time.Time
-	shutdown       bool // Drain was called
-	maxConns       int  // connections at once
-	idleConns      int  // of these, between requests
+	shutdown       bool // Shutdown was called
+	maxConns       int  // limit of open connections
+	idleConns      int  // open connections between requests
 	keepAlive      admission.Keep
 	conns          map[*clientConn]struct{}
 	crowdedUntil   time.Time
-	lastConnNumber uint32                        // number of the last connection
-	accepting      bool                          // the accept loop runs
-	onCloseStage   func(*clientConn, closeStage) // nil but in tests
+	lastConnNumber uint32
+	accepting      bool                          // the accept loop is running
+	onCloseStage   func(*clientConn, closeStage) // test hook; nil otherwise
 	trace          trace
 }
 
-// NewServer returns a front socket on ln that takes at most so many connections at once.
+// NewServer returns a server on ln with a limit of open connections.
 func NewServer(ln net.Listener, set *policy.Settings, most int, events chan<- any, log *slog.Logger) *Server {
 	f := &Server{listener: ln, events: events, log: log, conns: map[*clientConn]struct{}{}, capacityFreed: make(chan struct{}, 1)}
 	f.drainView.Store(&drain.View{})
@@ -74,13 +74,14 @@
 	return f
 }
 
-// SetPlugins has plug-ins asked about each message that comes in. It comes before Serve.
+// SetPlugins has plug-ins consulted about each message. It is called before Serve.
 func (f *Server) SetPlugins(h *plugin.Holder) { f.plugins = h }
 
-// SetMetrics has ends that the front socket decides counted in s. It comes before Serve.
+// SetMetrics has rejections and failures at the server counted in s. It is called before Serve.
 func (f *Server) SetMetrics(s *figures.Set) { f.metrics = s }
 
-// Configure puts the classes of set and a bound of connections in force, also while the front socket serves.
+// Configure applies the classes and tenants of set and a limit of open connections, also while
+// serving.
 func (f *Server) Configure(set *policy.Settings, most int) {
 	classes := map[string]policy.Class{}
 	for _, c := range set.Classes {
@@ -100,7 +101,7 @@
 	f.mu.Unlock()
 }
 
-// Serve accepts connections until Drain.
+// Serve accepts connections until the listener is closed.
 func (f *Server) Serve() {
 	f.setAccepting(true)
 	defer f.setAccepting(false)
@@ -115,7 +116,7 @@
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			// Guards against a queue that this goroutine had no time to look at: only a look that began since counts.
+			// Only an Accept that began after the drain started shows that the queue is empty.
 			if emptying {
 				f.listener.Close()
 				return
@@ -123,7 +124,7 @@
 			continue
 		}
 		if err != nil {
-			// Guards against a spin while descriptors are short: the listener keeps what waits.
+			// Avoids a busy loop while descriptors are exhausted; the listener keeps the queue.
 			f.log.Warn("accept failed", "err", err)
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -136,7 +137,7 @@
 		f.trace.record(c.number, traceAccept, int64(len(f.conns)), 0)
 		limit := firstByteTimeout
 		if c.stateSince.Before(f.crowdedUntil) {
-			limit = crowdedFirstByteTimeout // it may have waited long to be accepted
+			limit = crowdedFirstByteTimeout // it may have waited in the accept queue
 		}
 		if f.drainView.Load().Idle {
 			limit = min(limit, drain.SilentFor)
@@ -147,8 +148,8 @@
 	}
 }
 
-// waitForCapacity waits until a further connection may be taken. Guards against crowds that connect and say nothing: those
-// of them that had their time give way, then the kept connection that has been idle longest.
+// waitForCapacity waits until another connection may be accepted. At the limit it evicts
+// connections that sent nothing within their time, or else the one that has been idle longest.
 func (f *Server) waitForCapacity() {
 	waits := time.Time{}
 	for !f.drainView.Load().Shut && !f.drainingQueue.Load() {
@@ -196,7 +197,7 @@
 	}
 }
 
-// signalCapacity wakes the accept loop, which may wait for a connection that can give way.
+// signalCapacity wakes the accept loop, which may be waiting for capacity.
 func (f *Server) signalCapacity() {
 	select {
 	case f.capacityFreed <- struct{}{}:
@@ -204,7 +205,7 @@
 	}
 }
 
-// HandleDrainEvent takes an event of the drain in, and follows the drain from there on. It may be called on any goroutine.
+// HandleDrainEvent applies an event of the drain and its effects. Safe for concurrent use.
 func (f *Server) HandleDrainEvent(e drain.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,7 +213,7 @@
 	f.applyDrainView()
 }
 
-// applyDrainView puts the drain's view in force, and comes back when it changes. It is called with mu held.
+// applyDrainView applies the drain's current view and schedules the next one. mu must be held.
 func (f *Server) applyDrainView() {
 	now := time.Since(f.startedAt)
 	was, v := f.drainView.Load(), f.drainMachine.View(now)
@@ -221,12 +222,13 @@
 	}
 	f.drainView.Store(&v)
 	if v.Shut && !was.Shut {
-		// Guards against a client whose connection waits to be accepted, perhaps with its request on it: a close would reset it.
+		// Closing the listener would reset connections in the accept queue, perhaps with a request
+		// on them.
 		f.drainAcceptQueue()
 	}
 	if v.Idle && !was.Idle {
 		for c := range f.conns {
-			if c.state == connNew || c.state == connIdle { // one that is ending has its time to read its answer
+			if c.state == connNew || c.state == connIdle { // a closing one keeps its time to deliver the last response
 				c.sock.SetReadDeadline(time.Unix(1, 0))
 			}
 		}
@@ -243,17 +245,18 @@
 	}
 }
 
-// Drained tells whether the operators have emptied the relay.
+// Drained reports whether the operators have drained the relay.
 func (f *Server) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.drainMachine.Failed()
 }
 
-// Serving tells whether the front socket serves, drained or not, and is not about to end.
+// Serving reports whether the server is serving, drained or not, and is not about to stop.
 func (f *Server) Serving() bool { return f.drainView.Load().Serving }
 
-// Shutdown empties the accept queue, closes the listener, and ends idle connections at once; what was begun is answered, then its connection ended.
+// Shutdown drains the accept queue, closes the listener and closes idle connections at once.
+// Requests that have begun are answered before their connection closes.
 func (f *Server) Shutdown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,14 +264,14 @@
 	f.applyDrainView()
 }
 
-// OpenConnections counts the connections that are still open.
+// OpenConnections counts the open connections.
 func (f *Server) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Accepting tells whether further connections may still come.
+// Accepting reports whether further connections may be accepted.
 func (f *Server) Accepting() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/wire/front_end_test.go
+++ b/internal/wire/server_close_test.go
@@ -18,18 +18,18 @@
 	"oatfold/policy"
 )
 
-// blockingListener yields connections whose reads, and its own accepts, wait where the test says so.
+// blockingListener accepts connections whose reads, and its own accepts, wait for the test.
 type blockingListener struct {
 	*net.TCPListener
-	accept, read chan struct{} // nil: nobody waits
-	bytesRead    atomic.Int64  // bytes read, of all connections
+	accept, read chan struct{} // nil: don't block
+	bytesRead    atomic.Int64  // on all connections
 }
 
 type blockingConn struct {
 	*net.TCPConn
 	read         chan struct{}
 	bytesRead    *atomic.Int64
-	readDeadline atomic.Int64 // the read deadline, in microseconds
+	readDeadline atomic.Int64 // in microseconds since 1970
 }
 
 func (c *blockingConn) SetReadDeadline(at time.Time) error {
@@ -57,7 +57,7 @@
 	return n, err
 }
 
-// closingServer is a front socket whose connections end in steps that the test takes.
+// closingServer is a server whose connections close in steps that the test releases.
 type closingServer struct {
 	*Server
 	ln     *blockingListener
@@ -80,7 +80,7 @@
 	return e
 }
 
-// waitStage waits until a connection has come to that stage of its end.
+// waitStage waits until a connection has reached a stage of its close.
 func (e *closingServer) waitStage(t *testing.T, want closeStage) {
 	t.Helper()
 	if got := <-e.stages; got != want {
@@ -106,29 +106,30 @@
 		t.Fatalf("answered %v, %v, want %d", a, err, status)
 	}
 	if _, err := io.Copy(io.Discard, a.Body); err != nil {
-		t.Fatalf("the answer is cut: %v", err)
+		t.Fatalf("the response is cut short: %v", err)
 	}
 }
 
-// expectEOF reads to the end of our side, which is no reset.
+// expectEOF checks that the connection ends without a reset or further bytes.
 func expectEOF(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("%q is left, then %v: want a plain end", rest, err)
+		t.Errorf("read %q, then %v, want io.EOF", rest, err)
 	}
 }
 
 const readyRequest = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// Bytes that nobody reads never reset the answer before them, whether they come before the end is decided, or between the decision and the
-// close of our side, or after that; and nothing of them is taken on.
-func TestUnreadBytesResetNoAnswer(t *testing.T) {
+// Unread bytes never cause a reset that overtakes the last response, whether they arrive before the
+// close is decided, between that and the close of the write side, or later; no request among them
+// is accepted.
+func TestUnreadBytesDoNotResetResponse(t *testing.T) {
 	more := strings.Repeat(requestText("alert", "late", "", "x", 1000), 200)
 	for stage := closeDecided; stage <= closeDone; stage++ {
 		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
 		first := strings.Replace(readyRequest, "Host", "Connection: close\r\nHost", 1)
-		if stage == closeDecided { // with the request itself, in one write
+		if stage == closeDecided { // in one write with the request
 			first += more
 		}
 		fmt.Fprint(sock, first)
@@ -148,15 +149,15 @@
 		e.waitStage(t, closeDone)
 		e.resume <- struct{}{}
 		if len(e.events) > 0 {
-			t.Errorf("stage %d: %T after the end was decided", stage, <-e.events)
+			t.Errorf("stage %d: %T after the close was decided", stage, <-e.events)
 		}
 		e.ln.Close()
 	}
 }
 
-// A request that crosses the end of a resting connection: there before the decision it is answered; behind it, none of its bytes is
-// read, and the connection is reset over them, which tells its client that nobody has.
-func TestRequestCrossesTheEndOfARestingConnection(t *testing.T) {
+// A request that races with the close of an idle connection is answered if it arrives before the
+// decision. After that none of its bytes is read, and the client sees a reset.
+func TestRequestRacesWithIdleClose(t *testing.T) {
 	for _, when := range []string{"before", "decided", "closed"} {
 		for _, bytes := range []string{"whole", "half", "one"} {
 			t.Run(when+" "+bytes, func(t *testing.T) {
@@ -167,24 +168,24 @@
 				fmt.Fprint(sock, readyRequest)
 				read <- struct{}{}
 				expectStatus(t, r, 200)
-				waitFor(t, "the connection to rest", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.idleConns == 1 })
+				waitFor(t, "the connection to be idle", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.idleConns == 1 })
 				req := map[string]string{"whole": readyRequest, "half": readyRequest[:len(readyRequest)/2], "one": "G"}[bytes]
 				if when == "before" {
 					fmt.Fprint(sock, req)
 				}
 				e.mu.Lock()
 				var conn net.Conn
-				for c := range e.conns { // as a drain, an eviction and the idle limit do
+				for c := range e.conns { // as a drain, an eviction and the idle timeout do
 					conn = c.sock
 					c.sock.SetReadDeadline(time.Unix(1, 0))
 				}
 				e.mu.Unlock()
 				there := func() bool { return HasUnreadBytes(conn) }
 				if when == "before" {
-					waitFor(t, "the bytes to be there", there)
+					waitFor(t, "the bytes to arrive", there)
 					close(read)
 					if bytes != "whole" {
-						fmt.Fprint(sock, readyRequest[len(req):]) // it has begun: it may be finished
+						fmt.Fprint(sock, readyRequest[len(req):]) // it has begun and may be completed
 					}
 					expectStatus(t, r, 200)
 					sock.Close()
@@ -199,7 +200,7 @@
 				e.waitStage(t, closeDecided)
 				if when == "decided" {
 					fmt.Fprint(sock, req)
-					waitFor(t, "the bytes to be there", there)
+					waitFor(t, "the bytes to arrive", there)
 				}
 				e.resume <- struct{}{}
 				e.waitStage(t, closeDone)
@@ -208,10 +209,10 @@
 				}
 				rest, err := io.ReadAll(r)
 				if len(rest) > 0 || when == "decided" && !errors.Is(err, syscall.ECONNRESET) {
-					t.Errorf("%q is left, then %v: want a reset over what was not read", rest, err)
+					t.Errorf("read %q, then %v, want a reset for unread bytes", rest, err)
 				}
 				if got := e.ln.bytesRead.Load(); got != int64(len(readyRequest)) {
-					t.Errorf("%d bytes were read, want the %d of the first request alone", got, len(readyRequest))
+					t.Errorf("%d bytes were read, want only the first request's %d", got, len(readyRequest))
 				}
 				e.resume <- struct{}{}
 			})
@@ -219,19 +220,19 @@
 	}
 }
 
-// A request that comes in one packet with the one before it was read with it: it is answered too, although the connection is about to
-// end; behind the last one it ends, and what comes then is not read.
-func TestWhatIsReadIsAnsweredBeforeTheEnd(t *testing.T) {
+// A request that was read together with the one before is answered before the connection closes;
+// later ones are not read.
+func TestReadRequestsAnsweredBeforeClose(t *testing.T) {
 	for _, half := range []bool{false, true} {
 		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
-		e.HandleDrainEvent(drain.Fail) // from here on each answer closes its connection
+		e.HandleDrainEvent(drain.Fail) // each response from here on closes its connection
 		sent := readyRequest + readyRequest
 		if half {
 			sent += readyRequest[:10]
 		}
 		fmt.Fprint(sock, sent)
-		expectStatus(t, r, 503) // not ready any more
+		expectStatus(t, r, 503) // not ready
 		expectStatus(t, r, 503)
 		if half {
 			fmt.Fprint(sock, readyRequest[10:])
@@ -247,22 +248,22 @@
 		e.resume <- struct{}{}
 		e.waitStage(t, closeDone)
 		if e.ln.bytesRead.Load() != got {
-			t.Errorf("%d bytes were read behind the last answer", e.ln.bytesRead.Load()-got)
+			t.Errorf("%d bytes were read after the last response", e.ln.bytesRead.Load()-got)
 		}
 		e.resume <- struct{}{}
 		e.ln.Close()
 	}
 }
 
-// Once reads have ended, half a request is answered so, one that is with the host gets its answer, and one that comes later is read
-// and answered or not read at all.
-func TestNothingIsReadBehindTheEndOfReads(t *testing.T) {
+// After StopReads, a partial request gets an error, a submitted one gets its response, and a later
+// one is either answered or not read.
+func TestStopReads(t *testing.T) {
 	e := startClosingServer(t, &blockingListener{})
 	e.onCloseStage = nil
 	defer e.ln.Close()
 	half, halfR := e.dial(t)
 	fmt.Fprint(half, readyRequest[:10])
-	waitFor(t, "half a request", func() bool { return e.ln.bytesRead.Load() == 10 })
+	waitFor(t, "the partial request", func() bool { return e.ln.bytesRead.Load() == 10 })
 	host, hostR := e.dial(t)
 	request := requestText("alert", "m", "", "body", 1000)
 	fmt.Fprint(host, request)
@@ -274,18 +275,18 @@
 	expectStatus(t, halfR, 408)
 	in.reply <- submitResult{accepted: true}
 	expectStatus(t, hostR, 202)
-	// A read that had begun may still take it, and then it is answered.
+	// A read that had begun may still receive it; it is answered then.
 	want := 10 + len(request)
 	if rest, _ := io.ReadAll(lateR); len(rest) > 0 {
 		want += len(readyRequest)
 	}
 	if got := e.ln.bytesRead.Load(); got != int64(want) {
-		t.Errorf("%d bytes were read, want the %d of what was answered", got, want)
+		t.Errorf("%d bytes were read, want %d of the answered requests", got, want)
 	}
 }
 
-// A connection that waits to be accepted as the listener is to close, with its request on it, is answered.
-func TestListenerClosesBehindWhoWaits(t *testing.T) {
+// A connection in the accept queue at shutdown, with its request on it, is answered.
+func TestShutdownServesAcceptQueue(t *testing.T) {
 	accept := make(chan struct{})
 	ln := &blockingListener{accept: accept}
 	e := startClosingServer(t, ln)
@@ -294,19 +295,20 @@
 	fmt.Fprint(sock, readyRequest)
 	e.Shutdown()
 	e.mu.Lock()
-	e.queueDrainUntil.Store(int64(time.Since(e.startedAt) + time.Hour)) // the bound is not what is looked at
+	e.queueDrainUntil.Store(int64(time.Since(e.startedAt) + time.Hour)) // the time limit is not tested here
 	e.mu.Unlock()
-	ln.TCPListener.SetDeadline(time.Unix(1, 0)) // the accept loop had no time to look
+	ln.TCPListener.SetDeadline(time.Unix(1, 0)) // expires before the accept loop has looked
 	close(accept)
-	expectStatus(t, r, 503) // not ready any more; any answer will do, only not a reset
+	expectStatus(t, r, 503) // not ready; anything but a reset will do
 	expectEOF(t, r)
 	waitFor(t, "the listener to close", func() bool { return !e.Accepting() })
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the listener still takes connections: %v", err)
+		t.Errorf("the listener still accepts connections: %v", err)
 	}
 }
 
-// A client that has closed its side gets its answer: of a whole hand-in that it is taken on, of half a request that it can't be read.
+// A client that has closed its write side gets its response: 202 for a complete request, 400 for a
+// partial one.
 func TestHalfClosedClients(t *testing.T) {
 	e := startClosingServer(t, &blockingListener{})
 	e.onCloseStage = nil
@@ -331,8 +333,8 @@
 	}
 }
 
-// The end of a connection is bounded, however long its client goes on sending or says nothing.
-func TestEndIsBounded(t *testing.T) {
+// The close of a connection takes limited time, whether its client floods it or is silent.
+func TestCloseIsBounded(t *testing.T) {
 	for _, flood := range []bool{false, true} {
 		e := startClosingServer(t, &blockingListener{})
 		e.onCloseStage = nil
@@ -344,18 +346,18 @@
 			once.Go(func() {
 				for b := make([]byte, 64<<10); ; {
 					if _, err := sock.Write(b); err != nil {
-						return // the relay has read away enough
+						return // the server has discarded its limit
 					}
 				}
 			})
 			once.Wait()
 		}
-		waitFor(t, "the connection to be let go", func() bool { return e.OpenConnections() == 0 })
+		waitFor(t, "the connection to close", func() bool { return e.OpenConnections() == 0 })
 		e.ln.Close()
 	}
 }
 
-// Small answers, calls, questions and notices are not held back by the system.
+// Every socket has TCP_NODELAY, so that small messages are not delayed.
 func TestNoDelayOnEverySocket(t *testing.T) {
 	check := func(what string, sock net.Conn) {
 		t.Helper()
@@ -395,7 +397,7 @@
 	c.close()
 }
 
-// A request that was read is answered also where reading it panics, which nothing is known to do; the next connection is served.
+// A request that causes a panic is answered, and the next connection is served.
 func TestPanicIsAnswered(t *testing.T) {
 	e := startClosingServer(t, &blockingListener{})
 	e.onCloseStage = nil
@@ -411,7 +413,7 @@
 	expectStatus(t, r, 200)
 }
 
-// failingListener fails some accepts before it takes the next connection.
+// failingListener fails some accepts before it accepts the next connection.
 type failingListener struct {
 	*net.TCPListener
 	errs chan error
@@ -426,8 +428,9 @@
 	}
 }
 
-// The accept loop outlasts every error that Linux documents for a moment, also while the accept queue is emptied.
-func TestAcceptFailsForAMoment(t *testing.T) {
+// The accept loop survives the transient errors that Linux documents, also while it drains the
+// accept queue.
+func TestTransientAcceptErrors(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "alert", Deadline: time.Minute}}}
 	for _, emptying := range []bool{false, true} {
 		ln := &failingListener{listenLoopback(t).(*net.TCPListener), make(chan error, 9)}
@@ -457,13 +460,13 @@
 	}
 }
 
-// Found by reading: a drain that began as a connection was ending cut the time short that its client has to read its last answer, which a
-// reset over further bytes could then overtake. It ends resting and silent connections only.
-func TestDrainLeavesAnEndingConnectionItsTime(t *testing.T) {
+// A shutdown does not shorten the time that a closing connection has to deliver its last response;
+// it expires idle and new connections only.
+func TestShutdownKeepsLingerTimeout(t *testing.T) {
 	e := startClosingServer(t, &blockingListener{})
 	defer e.ln.Close()
 	sock, r := e.dial(t)
-	e.HandleDrainEvent(drain.Fail) // answers close their connections; resting ones have a second left
+	e.HandleDrainEvent(drain.Fail) // responses close their connections; idle ones have a second left
 	fmt.Fprint(sock, readyRequest)
 	expectStatus(t, r, 503)
 	e.waitStage(t, closeDecided)
@@ -478,7 +481,7 @@
 	before := conn.readDeadline.Load()
 	e.Shutdown()
 	if after := conn.readDeadline.Load(); after != before {
-		t.Errorf("the drain set the read deadline of an ending connection to %v", time.UnixMicro(after))
+		t.Errorf("the shutdown set the read deadline of a closing connection to %v", time.UnixMicro(after))
 	}
 	e.resume <- struct{}{}
 	sock.Close()
--- a/internal/wire/front_test.go
+++ b/internal/wire/server_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"log/slog"
 	"net"
-	"net/http" // an independent peer; the program has its own parsers
+	"net/http" // an independent HTTP implementation
 	"os"
 	"runtime"
 	"slices"
@@ -33,17 +33,17 @@
 		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}}, Zones: []policy.Zone{{Name: "z"}}}
 }
 
-// ownLoopback is a loopback address that no other process listens on. Guards against strangers: whoever asks again at a
-// port of 127.0.0.1 that has passed to a listener of ours is answered by the test's script, and the test hangs.
+// ownLoopback returns a loopback address that no other process uses. A client of another process
+// that retries at a reused port of 127.0.0.1 would be answered by the test.
 func ownLoopback() string {
 	if runtime.GOOS != "linux" {
-		return "127.0.0.1" // elsewhere the others of 127.0.0.0/8 are not there unless somebody adds them
+		return "127.0.0.1" // other systems configure only 127.0.0.1
 	}
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// listenLoopback opens a loopback socket that closes with the test.
+// listenLoopback opens a loopback listener that closes with the test.
 func listenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", net.JoinHostPort(ownLoopback(), "0"))
@@ -61,11 +61,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second)) // a bound for a hang, not a measure
+	c.SetDeadline(time.Now().Add(20 * time.Second)) // only bounds a hang
 	return c, bufio.NewReader(c)
 }
 
-// waitFor waits for something that must come, with a bound for a hang only.
+// waitFor polls until ok; the limit only bounds a hang.
 func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 20_000 {
@@ -74,10 +74,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// fakeHost takes hand-ins as a host with so much room would.
+// fakeHost accepts messages up to its capacity.
 type fakeHost struct {
 	sync.Mutex
 	capacity           int
@@ -131,8 +131,8 @@
 		id, len(body), body)
 }
 
-// The model of a client's connection: what a request is answered with, and whether the connection goes on.
-// Random steps are checked against it.
+// Checks random requests on a client connection against a model: the status of each response, and
+// whether the connection stays open.
 func FuzzFront(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7}, uint8(3))
 	f.Add([]byte{1, 1, 8, 1, 9, 1, 10, 1, 11, 1, 12, 13, 1, 14, 1, 15}, uint8(1))
@@ -183,7 +183,7 @@
 				{drop("X-Time-Left-Ms"), 400, true},
 				{strings.Replace(validRequest(id, "body"), "480", "-1", 1), 400, true},
 				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=x", 1), 400, true},
-				{post("POST /order HTTP/1.1", ""), 400, true}, // keyed, without its key
+				{post("POST /order HTTP/1.1", ""), 400, true}, // keyed, without a key
 				{post("POST /order HTTP/1.1", "Idempotency-Key: k\r\n"), accepted, true},
 				{"PUT /alert HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, true},
 				{"nonsense\r\n\r\n", 400, false},
@@ -201,7 +201,7 @@
 				{post("", "Envelope: dest=7\r\n"), accepted, true},
 				{post("", "Envelope: dest=8\r\n"), 400, true},
 				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=7;dest=8", 1), 400, true},
-				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no pool config
+				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no endpoint list
 				{strings.Replace(validRequest(id, "body"), "480", "99999999", 1), 400, true},
 				{post("POST /order HTTP/1.1", "Idempotency-Key: \x7f\r\n"), 400, true},
 			}
@@ -217,7 +217,7 @@
 				t.Fatalf("step %d: %.80q: %+v, %v; want %d, open %v", s, m.send, a, err, m.status, m.open)
 			}
 			if (a.status == 503) != (a.get("Retry-After") != "") {
-				t.Fatalf("step %d: %d with advice %q", s, a.status, a.get("Retry-After"))
+				t.Fatalf("step %d: %d with Retry-After %q", s, a.status, a.get("Retry-After"))
 			}
 			if (a.status == 400 || a.status == 413 || a.status == 431) != (len(a.body) > 0) {
 				t.Fatalf("step %d: %d with text %q", s, a.status, a.body)
@@ -227,14 +227,14 @@
 			}
 			if !m.open {
 				if _, err := r.ReadByte(); err != io.EOF {
-					t.Fatalf("step %d: the connection goes on: %v", s, err)
+					t.Fatalf("step %d: the connection is still open: %v", s, err)
 				}
 				c.Close()
 				c = nil
 			}
 		}
 		front.Shutdown()
-		waitFor(t, "hand-ins to begin, each told 202 once", func() bool {
+		waitFor(t, "each accepted message to be answered once", func() bool {
 			host.Lock()
 			defer host.Unlock()
 			return front.OpenConnections() == 0 && host.accepted == taken && host.answered == taken
@@ -242,8 +242,8 @@
 	})
 }
 
-// A message handed in again under the same id on a new connection is not taken twice.
-func TestSameHandInTwice(t *testing.T) {
+// A message submitted again under the same id on a new connection is accepted once.
+func TestDuplicateRequest(t *testing.T) {
 	_, host, ln := startServer(t, 8, 10)
 	for range 2 {
 		c, r := dialListener(t, ln)
@@ -253,13 +253,13 @@
 		}
 	}
 	if host.Lock(); host.accepted != 1 || host.lastBody != "hello" {
-		t.Errorf("taken %d times, body %q", host.accepted, host.lastBody)
+		t.Errorf("accepted %d times, body %q", host.accepted, host.lastBody)
 	}
 	host.Unlock()
 }
 
-// A request that crosses the drain is answered or not read at all; one that was begun is always answered.
-func TestDrainAnswersWhatWasBegun(t *testing.T) {
+// A request that has begun is answered after a shutdown; an idle connection closes.
+func TestShutdownAnswersBegunRequests(t *testing.T) {
 	front, _, ln := startServer(t, 8, 10)
 	c, r := dialListener(t, ln)
 	req := validRequest("slow", "hello")
@@ -283,8 +283,8 @@
 	}
 }
 
-// With all connections taken, the one that has been idle longest gives way to a new one.
-func TestIdleGivesWay(t *testing.T) {
+// At the connection limit the connection that has been idle longest is evicted.
+func TestIdleConnectionEvicted(t *testing.T) {
 	front, _, ln := startServer(t, 8, 2)
 	front.HandleDrainEvent(drain.Started)
 	ask := func(c net.Conn, r *bufio.Reader) error {
@@ -310,8 +310,8 @@
 	}
 }
 
-// A crowd that connects and says nothing is closed, and does not keep a client that asks from being answered.
-func TestSilentCrowd(t *testing.T) {
+// Connections without a request are closed, and don't keep another client from being answered.
+func TestSilentConnectionsEvicted(t *testing.T) {
 	front, _, ln := startServer(t, 8, 4)
 	front.HandleDrainEvent(drain.Started)
 	var crowd []*bufio.Reader
@@ -331,7 +331,8 @@
 	}
 }
 
-// timedListener hands out connections on which a test ends the relay's waits, so that no clock does.
+// timedListener accepts connections whose read deadlines the test expires, independent of the
+// clock.
 type timedListener struct {
 	*net.TCPListener
 	accepted chan *timedConn
@@ -347,10 +348,10 @@
 	return c, nil
 }
 
-// timedConn keeps how long each wait for bytes was to last.
+// timedConn records the timeout of each read deadline.
 type timedConn struct {
 	*net.TCPConn
-	read atomic.Int64 // bytes that the relay has read
+	read atomic.Int64 // read by the server
 
 	mu       sync.Mutex
 	timeouts []time.Duration
@@ -369,11 +370,11 @@
 	return c.TCPConn.SetReadDeadline(end)
 }
 
-// expireRead waits until the relay has read so many bytes and is in the wait after the last of limits, checks each wait
-// against its limit, and ends the one that lasts.
+// expireRead waits until the server has read that many bytes and set a deadline for each of limits,
+// checks each timeout against its limit, and expires the last one.
 func (c *timedConn) expireRead(t *testing.T, read int, limits ...time.Duration) {
 	t.Helper()
-	waitFor(t, "the relay to wait", func() bool {
+	waitFor(t, "the server to wait", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.read.Load() == int64(read) && len(c.timeouts) == len(limits)
@@ -382,14 +383,15 @@
 	defer c.mu.Unlock()
 	for i, limit := range limits {
 		if c.timeouts[i] <= 0 || c.timeouts[i] > limit {
-			t.Errorf("wait %d lasts %v, want up to %v", i, c.timeouts[i], limit)
+			t.Errorf("timeout %d is %v, want up to %v", i, c.timeouts[i], limit)
 		}
 	}
 	c.TCPConn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Half a request and then silence is an error, not a connection for good; so is a kept one without a next request.
-func TestUnfinishedRequests(t *testing.T) {
+// A partial request is answered with an error after a timeout; an idle connection closes after its
+// own.
+func TestRequestAndIdleTimeouts(t *testing.T) {
 	ln := &timedListener{listenLoopback(t).(*net.TCPListener), make(chan *timedConn, 2)}
 	startServerOn(t, ln, 8, 10)
 	half, halfR := dialListener(t, ln)
@@ -411,8 +413,8 @@
 	}
 }
 
-// Once a planned stop has begun each answer tells so, and GET /ready is refused; hand-ins are still taken.
-func TestLeavingIsTold(t *testing.T) {
+// During a planned stop each response says so and GET /ready fails; messages are still accepted.
+func TestPlannedStopIsAnnounced(t *testing.T) {
 	front, host, ln := startServer(t, 4, 10)
 	front.HandleDrainEvent(drain.Started)
 	c, r := dialListener(t, ln)
@@ -431,14 +433,14 @@
 		}
 	}
 	if host.Lock(); host.accepted != 1 {
-		t.Errorf("%d taken", host.accepted)
+		t.Errorf("accepted %d", host.accepted)
 	}
 	host.Unlock()
 }
 
-// Clients that open a connection for each request and leave the old ones open don't keep all of them: the first few stay.
-func TestIdleOnesOfThoseWhoDoNotComeBackEndSoon(t *testing.T) {
-	_, _, ln := startServer(t, 4, 16) // two may stand idle for long in any case
+// Idle connections of clients that open one for each request close early; the first few stay.
+func TestUnusedIdleConnectionsCloseEarly(t *testing.T) {
+	_, _, ln := startServer(t, 4, 16) // two may always stay idle for the long timeout
 	var conns []net.Conn
 	var readers []*bufio.Reader
 	ask := func(c net.Conn, r *bufio.Reader) {
@@ -453,7 +455,7 @@
 		ask(c, r)
 		conns, readers = append(conns, c), append(readers, r)
 	}
-	// Which two stay depends on how long the six took to come.
+	// Which two stay depends on how long it took to open them.
 	type looked struct {
 		i   int
 		err error
@@ -496,8 +498,9 @@
 	}
 }
 
-// A drain is told at once on each answer, idle and silent connections go, who still comes is served, and ok ends it.
-func TestDrainAndBack(t *testing.T) {
+// A drain shows on each response at once and closes idle and new connections; later clients are
+// still served, and the drain can be ended.
+func TestDrainAndResume(t *testing.T) {
 	front, host, ln := startServer(t, 4, 10)
 	front.HandleDrainEvent(drain.Started)
 	used, usedR := dialListener(t, ln)
@@ -506,7 +509,7 @@
 	front.HandleDrainEvent(drain.Fail)
 	io.WriteString(used, validRequest("m1", "body"))
 	if res, err := http.ReadResponse(usedR, nil); err != nil || res.StatusCode != 202 || !res.Close {
-		t.Fatalf("in use: %v, %v", res, err)
+		t.Fatalf("connection in use: %v, %v", res, err)
 	}
 	for _, r := range []*bufio.Reader{usedR, idleR} {
 		if _, err := r.ReadByte(); err != io.EOF {
@@ -523,22 +526,22 @@
 		return res.StatusCode, res.Close
 	}
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !front.Serving() {
-		t.Errorf("ready: %d, close %v, serving %v", status, closes, front.Serving())
+		t.Errorf("GET /ready: %d, close %v, serving %v", status, closes, front.Serving())
 	}
 	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
-		t.Errorf("who still comes: %d, close %v", status, closes)
+		t.Errorf("new client: %d, close %v", status, closes)
 	}
 	front.HandleDrainEvent(drain.OK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
-		t.Errorf("back: %d, close %v", status, closes)
+		t.Errorf("after the drain: %d, close %v", status, closes)
 	}
 	if host.Lock(); host.accepted != 2 {
-		t.Errorf("%d taken", host.accepted)
+		t.Errorf("accepted %d", host.accepted)
 	}
 	host.Unlock()
 }
 
-// The trace tells what became of each connection, the oldest event first, and forgets the oldest when it is full.
+// The trace shows each connection's events, oldest first, and drops the oldest when full.
 func TestTrace(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -13,9 +13,9 @@
 	"oatfold/policy"
 )
 
-// Tenant and subject come in as the platform names them, are in the journal with the effect and window that bind the message, and come back
-// from it to the module.
-func TestTermsOutliveTheProcess(t *testing.T) {
+// Tenant, ordering key, effect and window of a message are stored in the journal and reported to
+// the policy engine after a restart.
+func TestTermsSurviveRestart(t *testing.T) {
 	dir, want := t.TempDir(), memory.Terms{Effect: policy.Keyed, RepeatWindow: 7 * time.Second, ZoneOnly: true, Tenant: "north", OrderingKey: "a/b"}
 	j, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: discardLog})
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	given, _, err := journal.DecodeTransfer(journal.EncodeTransfer([]*memory.Message{table.ByID("m0"), table.ByID("m1")}, nil, clock.Scale{}), clock.Scale{})
 	if err != nil || len(given) != 2 || given[0].Terms != want || given[1].Terms != (memory.Terms{}) {
-		t.Errorf("given to another process: %+v, %v", given, err)
+		t.Errorf("transferred to another process: %+v, %v", given, err)
 	}
 	if err, _ := j.Commit(); err != nil {
 		t.Fatal(err)
@@ -43,17 +43,18 @@
 	for i, terms := range []memory.Terms{want, {}, {Effect: policy.Unsafe}} {
 		m := table.ByID(fmt.Sprint("m", i))
 		if m == nil || m.Terms != terms || !m.Recovered {
-			t.Fatalf("m%d comes back as %+v", i, m)
+			t.Fatalf("m%d is recovered as %+v", i, m)
 		}
 	}
 	a := arrivedEvent(table.ByID("m0"), time.Now())
 	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.RepeatWindow != want.RepeatWindow || !a.Terms.ZoneOnly || !a.Recovered {
-		t.Errorf("the module is told %+v", a)
+		t.Errorf("the policy engine receives %+v", a)
 	}
 }
 
-// What the platform names tenant and subject is read, for the classes that have one; what can't be read is refused by name.
-func TestTenantsAndSubjectsAreRead(t *testing.T) {
+// Tenant and ordering key are parsed for the classes that have them; an error names the malformed
+// field.
+func TestParseTenantAndOrderingKey(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "posting", Effect: policy.Unsafe, Ordered: true, Deadline: time.Minute},
 		{Name: "alert", Deadline: time.Minute}, {Name: "order", Effect: policy.Keyed, RepeatWindow: time.Second, ZoneOnly: true, Deadline: time.Minute}}, Tenants: []policy.Tenant{{Name: "north"}, {Name: "b"}}}
 	f := NewServer(listenLoopback(t), set, 10, nil, discardLog)
@@ -85,16 +86,15 @@
 			t.Errorf("%s?%s of %q: %+v, %v", c.path, c.query, c.account, m, err)
 		}
 	}
-	set.Tenants = nil // then the field is none of ours, whatever it holds
+	set.Tenants = nil // the header then belongs to others, whatever it holds
 	f.Configure(set, 10)
 	if m, _, err := f.parseMessage(head("two words"), "/alert", "", nil); err != nil || m.Tenant != "" {
 		t.Errorf("without tenants: %+v, %v", m, err)
 	}
 }
 
-// Messages of one subject go one at a time, in the order in which they were taken on. Guards against a relay that does not read the subject
-// (the wide variant: 128 breaks of the rule on order in a day).
-func TestOneSubjectOneAtATime(t *testing.T) {
+// Messages of one ordering key are sent one at a time, in order of acceptance.
+func TestOrderedMessagesSentOneByOne(t *testing.T) {
 	calls, goOn := make(chan string, 9), make(chan struct{})
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 		calls <- r.Header.Get("X-Correlation-Id")
@@ -121,19 +121,20 @@
 	}
 	for i := range 3 {
 		if got := <-calls; got != fmt.Sprint("m", i) {
-			t.Fatalf("call %d is of %s", i, got)
+			t.Fatalf("call %d is for %s", i, got)
 		}
-		w.host.Do(func(*Host) {}) // whatever else would go out has gone by now
+		w.host.Do(func(*Host) {}) // any other call has been made by now
 		if len(calls) > 0 {
-			t.Fatalf("beside m%d goes %s", i, <-calls)
+			t.Fatalf("while m%d is in flight, %s is sent", i, <-calls)
 		}
 		goOn <- struct{}{}
 	}
 	w.waitEmpty()
 }
 
-// What a restart finds of a class that the settings have lost is ended with an honest answer: handed back where it never ran, given up where it may have.
-func TestClassLostOverARestart(t *testing.T) {
+// A recovered message of a removed class is returned to the client if it never ran, and given up if
+// it may have.
+func TestClassRemovedOverRestart(t *testing.T) {
 	h := newTestHost(t)
 	for _, c := range []struct {
 		risk time.Time
@@ -142,14 +143,14 @@
 		m := h.addMessage("m"+fmt.Sprint(c.want), 7, 1)
 		m.Class, m.MayHaveRunSince, m.Effect = "gone", c.risk, policy.Unsafe
 		if h.resume(m, time.Now()) || m.Notification == nil || m.Notification.Returned != c.want {
-			t.Errorf("risk %v: ended by %+v, want handed back %v", c.risk, m.Notification, c.want)
+			t.Errorf("attempt at %v: completed by %+v, want returned to the client %v", c.risk, m.Notification, c.want)
 		}
 	}
 }
 
-// The answers to two hand-ins of one subject may overtake one another on their way back to the host; the module hears of them in the order
-// in which they were taken on, also where one of the clients has gone.
-func TestAnswersOvertakeNoSubject(t *testing.T) {
+// Responses to two requests of one ordering key may finish in either order; the policy engine
+// receives the messages in order of acceptance, also if a client is gone.
+func TestResponsesKeepOrder(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		h := newTestHost(t)
 		var msgs []*memory.Message
@@ -167,7 +168,7 @@
 				got = append(got, m.ID)
 			}
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Errorf("the module hears of %v, want %v", got, want)
+				t.Errorf("the policy engine receives %v, want %v", got, want)
 			}
 		}
 		h.handleEvent(submitAnswered{msgs[2].Number, true})
@@ -181,15 +182,15 @@
 			heard("m3", "m1", "m2")
 		}
 		if len(h.orderedQueues) > 0 {
-			t.Errorf("%d subjects are still kept", len(h.orderedQueues))
+			t.Errorf("%d ordering keys are still tracked", len(h.orderedQueues))
 		}
 	}
 }
 
-// Two relays in one process, whose settings share their names and nothing else: each goes by its own, from effect and hold to what it refuses.
-func TestNamesAreOnesOwn(t *testing.T) {
+// Two relays in one process with the same names in their settings each apply their own.
+func TestSettingsAreSeparate(t *testing.T) {
 	cut := func(rw http.ResponseWriter, r *http.Request, body string) {
-		panic(http.ErrAbortHandler) // the call has come whole: it may have run
+		panic(http.ErrAbortHandler) // the call was received, so it may have run
 	}
 	a, b := startEnv(t, cut), startEnv(t, cut)
 	configure := func(w *testEnv, change func(*policy.Settings)) {
@@ -217,7 +218,7 @@
 		if status := w.post(requestText("fee", "m", "", "x", 9000)); status != 202 {
 			t.Fatalf("answered %d", status)
 		}
-		w.waitUntil("the end", func() bool { return len(w.notifications) == 1 })
+		w.waitUntil("the completion", func() bool { return len(w.notifications) == 1 })
 		w.Lock()
 		if len(w.calls) != calls {
 			t.Errorf("%d calls, want %d", len(w.calls), calls)
@@ -229,7 +230,7 @@
 		req    string
 		status int
 	}{
-		{a, requestText("alert", "n", "", "x", 1000), 400}, {b, requestText("alert", "n", "", "x", 1000), 400}, // of no class; of one that wants a key
+		{a, requestText("alert", "n", "", "x", 1000), 400}, {b, requestText("alert", "n", "", "x", 1000), 400}, // unknown class; keyed without a key
 		{b, requestText("alert", "o", "Idempotency-Key: k\r\n", "x", 5000), 400}, {a, requestText("fee", "o", "", "x", 15_000), 202},
 	} {
 		if status := c.w.post(c.req); status != c.status {
@@ -244,13 +245,13 @@
 		}
 	}
 	if full != 2 {
-		t.Errorf("a hold of one turns %d of three away", full)
+		t.Errorf("%d of three requests were rejected at a limit of one", full)
 	}
 }
 
-// A wait that a route of its own told binds it also when it leaves the list and comes back; another in its place is free, and so is the same one
-// once the wait is over.
-func TestRouteKeepsItsWait(t *testing.T) {
+// A Retry-After of a separate route stays in force when the endpoint leaves the list and returns,
+// until it has passed; other endpoints are free.
+func TestSeparateRouteKeepsRetryAfter(t *testing.T) {
 	h := newTestHost(t)
 	h.kindSettings["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	tell := func(id string, state policy.EndpointState) {
@@ -263,11 +264,11 @@
 	tell("r2", policy.Listed)
 	tell("r1", policy.Listed)
 	if !h.endpoints["r1"].backoff.active() || h.endpoints["r2"].backoff.active() {
-		t.Errorf("closed: r1 %v, r2 %v", h.endpoints["r1"].backoff.active(), h.endpoints["r2"].backoff.active())
+		t.Errorf("blocked: r1 %v, r2 %v", h.endpoints["r1"].backoff.active(), h.endpoints["r2"].backoff.active())
 	}
 	h.endpoints["r1"].backoff.until.Store(0)
 	tell("r1", policy.Removed)
 	if len(h.removedRouteBackoffs) > 0 {
-		t.Errorf("%d waits are kept that are over", len(h.removedRouteBackoffs))
+		t.Errorf("%d expired Retry-After times are kept", len(h.removedRouteBackoffs))
 	}
 }
--- a/internal/wire/trace.go
+++ b/internal/wire/trace.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// traceKind is what happened on the front socket.
+// traceKind is an event of the server.
 type traceKind uint8
 
 const (
-	traceAccept    traceKind = iota // a: connections that are open now
-	traceWait                       // the bound is reached and the next one waits; a: of the open ones, new; b: idle
-	traceWaitEnded                  // it waited no longer; a: microseconds
-	traceFirstByte                  // the first byte of a request; a: microseconds since the connection was accepted or last answered
-	traceAnswer                     // a: status; b: microseconds since the request's first byte
-	traceClose                      // a: the state it was in; b: microseconds in that state
-	traceEvict                      // it was told to close for others; a: the state it was in
+	traceAccept    traceKind = iota // a: open connections
+	traceWait                       // the connection limit is reached; a: new connections, b: idle ones
+	traceWaitEnded                  // the wait is over; a: microseconds
+	traceFirstByte                  // the first byte of a request; a: microseconds since accept or the last response
+	traceAnswer                     // a: status, negative if not written; b: microseconds since the first byte
+	traceClose                      // a: its state before; b: microseconds in that state
+	traceEvict                      // closed to make capacity; a: its state
 )
 
 var traceNames = [...]string{"accept", "wait", "waited", "first", "answer", "close", "give-way"}
 
-// traceCapacity is how many events are kept. Some 160 KB.
+// traceCapacity is the number of events kept, about 160 KB.
 const traceCapacity = 4096
 
 type traceEvent struct {
-	at   time.Duration // since the front socket began
+	at   time.Duration // since the server started
 	conn uint32
 	kind traceKind
 	a, b int64
 }
 
-// trace keeps the last events of the front socket. It costs a lock and a copy an event; nothing is formatted until it is asked for.
+// trace keeps the server's last events. Events are formatted only when the trace is written.
 type trace struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -52,7 +52,7 @@
 	t.mu.Unlock()
 }
 
-// write writes what is kept, the oldest first: seconds, connection, event, and its two figures.
+// write prints the kept events, oldest first, as seconds, connection, event and two values.
 func (t *trace) write(out io.Writer) error {
 	t.mu.Lock()
 	var all []traceEvent
@@ -68,5 +68,5 @@
 	return w.Flush()
 }
 
-// Trace writes the last events of the front socket, a line each. It may be called on any goroutine.
+// Trace writes the server's last events, one per line. Safe for concurrent use.
 func (f *Server) Trace(out io.Writer) error { return f.trace.write(out) }
