--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -27,15 +27,16 @@
 type closeReason int
 
 const (
-	staysOpen       closeReason = iota // the connection stays open
-	closedByClient                     // the client closed or reset it
-	closedIdle                         // idle timeout, eviction or drain; bytes that arrive are left unread
-	closedByServer                     // the last response said Connection: close; bytes that arrive are left unread
-	closedByRequest                    // the last request said Connection: close; bytes that arrive are no request and are discarded
-	closedMalformed                    // the request was malformed; the rest is discarded
+	staysOpen      closeReason = iota // the connection stays open
+	closedByClient                    // the client closed or reset it
+	closedIdle                        // idle timeout, eviction or drain; bytes that arrive are left unread
+	closedByServer                    // the last response said Connection: close; bytes that arrive are left unread
+	// the last request said Connection: close; bytes that arrive are no request and are discarded
+	closedByRequest
+	closedMalformed // the request was malformed; the rest is discarded
 )
 
-var closeReasonNames = [...]string{"none", "client", "resting", "told to close", "as asked", "bad request"}
+var closeReasonNames = [...]string{"none", "client", "resting", "closed by server", "closed by request", "bad request"}
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
@@ -57,26 +58,26 @@
 }
 
 // beginRequest marks c as busy with a request that has to be read by then.
-func (f *Server) beginRequest(c *clientConn, readBy time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.keepAlive.Came(c.state == connNew, time.Since(f.startedAt))
-	f.setState(c, connBusy)
-	f.setReadDeadline(c, readBy)
+func (s *Server) beginRequest(c *clientConn, readBy time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.keepAlive.Came(c.state == connNew, time.Since(s.startedAt))
+	s.setState(c, connBusy)
+	s.setReadDeadline(c, readBy)
 }
 
 // beginIdle marks c as between requests and sets its idle timeout.
-func (f *Server) beginIdle(c *clientConn) {
-	f.mu.Lock()
-	f.setState(c, connIdle)
-	f.setReadDeadline(c, c.stateSince.Add(f.keepAlive.For(f.idleConns, f.maxConns)))
-	f.mu.Unlock()
-	f.signalCapacity()
+func (s *Server) beginIdle(c *clientConn) {
+	s.mu.Lock()
+	s.setState(c, connIdle)
+	s.setReadDeadline(c, c.stateSince.Add(s.keepAlive.For(s.idleConns, s.maxConns)))
+	s.mu.Unlock()
+	s.signalCapacity()
 }
 
 // setReadDeadline sets c's read deadline, or expires it if reads have stopped. mu must be held.
-func (f *Server) setReadDeadline(c *clientConn, until time.Time) {
-	if f.readsStopped.Load() {
+func (s *Server) setReadDeadline(c *clientConn, until time.Time) {
+	if s.readsStopped.Load() {
 		until = time.Unix(1, 0)
 	}
 	c.sock.SetReadDeadline(until)
@@ -85,11 +86,11 @@
 // StopReads expires all reads: a partial request gets an error response, and unread bytes cause a
 // reset. It is called after Shutdown, so that no request is read that the exiting process would not
 // answer.
-func (f *Server) StopReads() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.readsStopped.Store(true)
-	for c := range f.conns {
+func (s *Server) StopReads() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.readsStopped.Store(true)
+	for c := range s.conns {
 		if c.state != connClosing { // it reads no request, and its client may still be reading the response
 			c.sock.SetReadDeadline(time.Unix(1, 0))
 		}
@@ -97,59 +98,61 @@
 }
 
 // setState changes c's state. mu must be held.
-func (f *Server) setState(c *clientConn, s connState) {
+func (s *Server) setState(c *clientConn, state connState) {
 	if c.state == connIdle {
-		f.idleConns--
+		s.idleConns--
 	}
-	if c.state, c.stateSince = s, time.Now(); s == connIdle {
-		f.idleConns++
+	if c.state, c.stateSince = state, time.Now(); state == connIdle {
+		s.idleConns++
 	}
 }
 
 // serveConn handles the requests of one connection in turn. A panic closes only this connection.
-func (f *Server) serveConn(c *clientConn) {
+func (s *Server) serveConn(c *clientConn) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.log.Error("panic on a client connection", "panic", p)
+			s.log.Error("panic on a client connection", "panic", p)
 		}
 		c.sock.Close()
-		f.reportCloseStage(c, closeDone)
-		f.mu.Lock()
-		delete(f.conns, c)
+		s.reportCloseStage(c, closeDone)
+		s.mu.Lock()
+		delete(s.conns, c)
 		if c.state == connIdle {
-			f.idleConns--
+			s.idleConns--
 		}
 		if c.state != connClosing {
 			c.stateAtClose = c.state
 		}
-		f.trace.record(c.number, traceClose, int64(c.stateAtClose), time.Since(c.stateSince).Microseconds())
-		f.mu.Unlock()
-		f.signalCapacity()
+		s.trace.record(c.number, traceClose, int64(c.stateAtClose), time.Since(c.stateSince).Microseconds())
+		s.mu.Unlock()
+		s.signalCapacity()
 	}()
-	r, connected := bufio.NewReaderSize(c.sock, readBufferSize), c.stateSince
+	r, acceptedAt := bufio.NewReaderSize(c.sock, readBufferSize), c.stateSince
 	for first := true; ; first = false {
-		if _, err := r.Peek(1); err != nil && (f.readsStopped.Load() || !errors.Is(err, os.ErrDeadlineExceeded) || !HasUnreadBytes(c.sock)) {
+		if _, err := r.Peek(1); err != nil &&
+			(s.readsStopped.Load() || !errors.Is(err, os.ErrDeadlineExceeded) || !HasUnreadBytes(c.sock)) {
 			reason := closedByClient
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				reason = closedIdle
 			}
-			f.closeConn(c, r, reason)
+			s.closeConn(c, r, reason)
 			return
 		}
 		// A request that has arrived by the idle timeout is answered.
-		f.trace.record(c.number, traceFirstByte, time.Since(c.stateSince).Microseconds(), 0)
+		s.trace.record(c.number, traceFirstByte, time.Since(c.stateSince).Microseconds(), 0)
 		now := time.Now()
 		readBy := now.Add(requestReadTimeout)
 		if first {
-			readBy = connected.Add(requestReadTimeout)
+			readBy = acceptedAt.Add(requestReadTimeout)
 		}
-		f.beginRequest(c, readBy)
-		if reason := f.handleExchange(&exchange{Conn: c.sock, reader: r, server: f, connNumber: c.number, startedAt: now}); reason != staysOpen {
-			f.closeConn(c, r, reason)
+		s.beginRequest(c, readBy)
+		if reason := s.handleExchange(&exchange{
+			Conn: c.sock, reader: r, server: s, connNumber: c.number, startedAt: now}); reason != staysOpen {
+			s.closeConn(c, r, reason)
 			return
 		}
-		f.beginIdle(c)
-		if f.drainView.Load().Idle {
+		s.beginIdle(c)
+		if s.drainView.Load().Idle {
 			// The drain skipped this connection while it was busy. Its last response did not
 			// announce a close, so the next request may be on its way.
 			c.sock.SetReadDeadline(time.Now().Add(drainGracePeriod))
@@ -161,28 +164,29 @@
 // to be answered, so nothing that may be a request is read from here on: the client sees a reset,
 // knows that the request was not read, and may retry it elsewhere. A reset may overtake the last
 // response, so the socket is closed only after the client had time to read that.
-func (f *Server) closeConn(c *clientConn, r *bufio.Reader, reason closeReason) {
-	f.mu.Lock()
-	was := c.state
-	f.setState(c, connClosing)
-	c.stateAtClose = was
-	f.mu.Unlock()
-	f.reportCloseStage(c, closeDecided)
-	f.log.Debug("closing a client connection", "connection", c.number, "reason", reason, "buffered", r.Buffered())
+func (s *Server) closeConn(c *clientConn, r *bufio.Reader, reason closeReason) {
+	s.mu.Lock()
+	previous := c.state
+	s.setState(c, connClosing)
+	c.stateAtClose = previous
+	s.mu.Unlock()
+	s.reportCloseStage(c, closeDecided)
+	s.log.Debug("closing a client connection", "connection", c.number, "reason", reason, "buffered", r.Buffered())
 	if reason == closedByClient || reason == closedIdle {
 		return // the client has read the last response, or there was none
 	}
 	if t, ok := c.sock.(interface{ CloseWrite() error }); !ok || t.CloseWrite() != nil {
 		return
 	}
-	f.reportCloseStage(c, closeSent)
+	s.reportCloseStage(c, closeSent)
 	c.sock.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if reason == closedByServer {
 		awaitClose(c.sock)
 		return
 	}
 	if n, _ := io.CopyN(io.Discard, r, maxLingerBytes); n > 0 {
-		f.log.Debug("discarded bytes on a closing client connection", "connection", c.number, "reason", reason, "bytes", n)
+		s.log.Debug("discarded bytes on a closing client connection",
+			"connection", c.number, "reason", reason, "bytes", n)
 	}
 }
 
@@ -203,8 +207,8 @@
 	})
 }
 
-func (f *Server) reportCloseStage(c *clientConn, s closeStage) {
-	if f.onCloseStage != nil {
-		f.onCloseStage(c, s)
+func (s *Server) reportCloseStage(c *clientConn, stage closeStage) {
+	if s.onCloseStage != nil {
+		s.onCloseStage(c, stage)
 	}
 }
--- a/internal/wire/crash_test.go
+++ b/internal/wire/crash_test.go
@@ -53,10 +53,10 @@
 
 // snapshot copies the files. The relay reports to others only after its writes, so the facts are
 // never newer than the files.
-func (f *snapshotFS) snapshot(at string) {
+func (f *snapshotFS) snapshot(moment string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := diskSnapshot{at, map[string][]byte{}, f.facts}
+	s := diskSnapshot{moment, map[string][]byte{}, f.facts}
 	names, _ := f.List()
 	for _, name := range names {
 		s.files[name], _ = f.Read(name)
@@ -65,11 +65,11 @@
 }
 
 // recordFact records a fact, then takes a snapshot.
-func (f *snapshotFS) recordFact(at string, change func(*facts)) {
+func (f *snapshotFS) recordFact(moment string, change func(*facts)) {
 	f.mu.Lock()
 	change(&f.facts)
 	f.mu.Unlock()
-	f.snapshot(at)
+	f.snapshot(moment)
 }
 
 // Restarts from snapshots before, within and after each write and at each externally visible event:
@@ -79,32 +79,33 @@
 	for _, class := range []string{"alert", "order", "fee"} {
 		for _, end := range []string{"delivered", "failed"} {
 			t.Run(class+" "+end, func(t *testing.T) {
-				film := &snapshotFS{Dir: journal.Dir(t.TempDir())}
-				w := startEnvOn(t, film, func(rw http.ResponseWriter, r *http.Request, body string) {
-					film.recordFact("the call was received", func(f *facts) { f.endpointCalled = true })
+				fs := &snapshotFS{Dir: journal.Dir(t.TempDir())}
+				env := startEnvOn(t, fs, func(rw http.ResponseWriter, r *http.Request, body string) {
+					fs.recordFact("the call was received", func(f *facts) { f.endpointCalled = true })
 					if end == "failed" {
 						panic(http.ErrAbortHandler)
 					}
-					film.recordFact("the response is about to be written", func(f *facts) { f.endpointAnswered = true })
+					fs.recordFact("the response is about to be written", func(f *facts) { f.endpointAnswered = true })
 				})
-				w.host.Do(func(h *Host) { // one attempt, so that a failure completes the message
+				env.host.Do(func(h *Host) { // one attempt, so that a failure completes the message
 					s := testSettings()
 					s.MaxAttempts = 1
 					h.relay.Reconfigure(s)
 				})
-				if status := w.post(requestText(class, "m", "Idempotency-Key: k\r\n", "body", 5000)); status != 202 {
+				if status := env.post(requestText(class, "m", "Idempotency-Key: k\r\n", "body", 5000)); status != 202 {
 					t.Fatalf("answered %d", status)
 				}
-				film.recordFact("the 202 was received", func(f *facts) { f.clientAnswered = true })
-				w.waitEmpty()
+				fs.recordFact("the 202 was received", func(f *facts) { f.clientAnswered = true })
+				env.waitEmpty()
 				if end == "failed" {
-					w.waitUntil("the notification", func() bool { return len(w.notifications) > 0 })
-					film.recordFact("the notification was acknowledged", func(f *facts) { f.notificationAnswered = true })
+					env.waitUntil("the notification", func() bool { return len(env.notifications) > 0 })
+					fs.recordFact("the notification was acknowledged",
+						func(f *facts) { f.notificationAnswered = true })
 				}
-				film.mu.Lock()
-				defer film.mu.Unlock()
+				fs.mu.Lock()
+				defer fs.mu.Unlock()
 				seen := map[string]bool{}
-				for i, s := range film.snapshots {
+				for i, s := range fs.snapshots {
 					seen[checkRestart(t, fmt.Sprintf("snapshot %d, %s", i, s.moment), s, class)] = true
 				}
 				want := []string{"nothing", "untried", "over"}
@@ -123,7 +124,7 @@
 
 // checkRestart starts from a snapshot, checks it against the facts, and returns the state of the
 // message in the next process.
-func checkRestart(t *testing.T, at string, s diskSnapshot, class string) string {
+func checkRestart(t *testing.T, moment string, s diskSnapshot, class string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, b := range s.files {
@@ -137,44 +138,47 @@
 	}
 	defer kept.Close()
 	known, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 1))
-	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept, Log: discardLog})
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept,
+		Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := table.ByID("m")
 	owed := m != nil && m.Notification != nil
 	h.step(h.now())
-	goes, notices := len(h.uncommittedCalls), len(h.unqueuedNotifications)
+	calls, notifications := len(h.uncommittedCalls), len(h.unqueuedNotifications)
 	switch {
 	case m == nil && table.RecentlyCompleted("m"):
 		if !s.endpointCalled {
-			t.Errorf("%s: completed without a call", at)
+			t.Errorf("%s: completed without a call", moment)
 		}
 		if _, v := h.submit(submitRequest{message: &memory.Message{ID: "m", Class: class, Dest: 7}}); !v.duplicate {
-			t.Errorf("%s: completed, and accepted again", at)
+			t.Errorf("%s: completed, and accepted again", moment)
 		}
 		return "over"
 	case m == nil:
 		if s.clientAnswered || s.endpointCalled {
-			t.Errorf("%s: lost", at)
+			t.Errorf("%s: lost", moment)
 		}
 		return "nothing"
 	case owed:
-		if goes != 0 || notices != 1 || !s.endpointCalled {
-			t.Errorf("%s: owed: %d calls, %d notifications, called: %v", at, goes, notices, s.endpointCalled)
+		if calls != 0 || notifications != 1 || !s.endpointCalled {
+			t.Errorf("%s: owed: %d calls, %d notifications, called: %v", moment, calls, notifications, s.endpointCalled)
 		}
 		return "owed"
 	case m.MayHaveRunSince.IsZero():
-		if goes != 1 || notices != 0 || s.endpointCalled {
-			t.Errorf("%s: never called: %d calls, %d notifications, called: %v", at, goes, notices, s.endpointCalled)
+		if calls != 1 || notifications != 0 || s.endpointCalled {
+			t.Errorf("%s: never called: %d calls, %d notifications, called: %v", moment, calls, notifications,
+				s.endpointCalled)
 		}
 		return "untried"
 	case class == "fee":
-		if goes != 0 || notices != 1 || m.Notification.Returned {
-			t.Errorf("%s: may have run and must not run twice: %d calls, %d notifications", at, goes, notices)
+		if calls != 0 || notifications != 1 || m.Notification.Returned {
+			t.Errorf("%s: may have run and must not run twice: %d calls, %d notifications", moment, calls,
+				notifications)
 		}
-	case goes != 1 || notices != 0:
-		t.Errorf("%s: may be retried: %d calls, %d notifications", at, goes, notices)
+	case calls != 1 || notifications != 0:
+		t.Errorf("%s: may be retried: %d calls, %d notifications", moment, calls, notifications)
 	}
 	return "may have run"
 }
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -23,27 +23,28 @@
 
 // handleExchange reads and answers one request. It returns why the connection closes after it, or
 // staysOpen. A panic closes only this connection; a request that was read is still answered.
-func (f *Server) handleExchange(x *exchange) (reason closeReason) {
+func (s *Server) handleExchange(x *exchange) (reason closeReason) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
-		f.log.Error("panic on a client connection", "panic", p)
+		s.log.Error("panic on a client connection", "panic", p)
 		if reason = closedMalformed; !x.answered {
 			x.closeAfter = true
 			x.reply(500, 0, nil)
 		}
 	}()
-	return f.handleRequest(x)
+	return s.handleRequest(x)
 }
 
 // rejectMalformed answers a request that could not be read, if the client may still be reading. The
 // connection closes.
-func (f *Server) rejectMalformed(x *exchange, err error) closeReason {
+func (s *Server) rejectMalformed(x *exchange, err error) closeReason {
 	status := 0
 	switch {
-	case errors.Is(err, errFirstLine), errors.Is(err, errHeader), errors.Is(err, errLength), errors.Is(err, io.ErrUnexpectedEOF):
+	case errors.Is(err, errFirstLine), errors.Is(err, errHeader), errors.Is(err, errLength),
+		errors.Is(err, io.ErrUnexpectedEOF):
 		status = 400 // the last is a partial request of a client that may still read
 	case errors.Is(err, errBodyTooLong):
 		status = 413
@@ -62,25 +63,36 @@
 	return closedMalformed
 }
 
-var statusTexts = map[int]string{200: "OK", 202: "Accepted", 400: "Bad Request", 405: "Method Not Allowed",
-	408: "Request Timeout", 413: "Content Too Large", 422: "Unprocessable Content", 500: "Internal Server Error", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 503: "Service Unavailable"}
+var statusTexts = map[int]string{
+	200: "OK",
+	202: "Accepted",
+	400: "Bad Request",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	413: "Content Too Large",
+	422: "Unprocessable Content",
+	500: "Internal Server Error",
+	429: "Too Many Requests",
+	431: "Request Header Fields Too Large",
+	503: "Service Unavailable",
+}
 
-// reply writes a response with a status, Retry-After if retry is positive, and the text of wrong if
-// it is set. It returns why the connection closes after it: closedByClient if the response could
-// not be written, or staysOpen.
-func (x *exchange) reply(status int, retry time.Duration, wrong error) closeReason {
+// reply writes a response with a status, Retry-After if retryAfter is positive, and the text of
+// problem if it is set. It returns why the connection closes after it: closedByClient if the
+// response could not be written, or staysOpen.
+func (x *exchange) reply(status int, retryAfter time.Duration, problem error) closeReason {
 	b := make([]byte, 0, 128)
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
 	b = append(append(b, statusTexts[status]...), "\r\n"...)
-	if retry > 0 {
-		b = appendField(b, "Retry-After", strconv.FormatFloat(retry.Seconds(), 'f', 3, 64))
+	if retryAfter > 0 {
+		b = appendField(b, "Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	view, reason := x.server.drainView.Load(), staysOpen
 	switch {
 	case x.closeAfter:
 		reason = closedByRequest
 	case view.Close && x.reader.Buffered() == 0:
-		// Another request is in the buffer and has to be answered before the connection may close.
+		// Requests that are in the buffer already are answered before the connection closes.
 		reason = closedByServer
 	}
 	if reason != staysOpen {
@@ -90,8 +102,8 @@
 		b = append(b, "X-Relay-State: stopping\r\n"...) // tells clients to send no new request on this connection
 	}
 	text := ""
-	if wrong != nil {
-		text = wrong.Error() + "\n"
+	if problem != nil {
+		text = problem.Error() + "\n"
 	}
 	x.answered = true
 	x.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -23,26 +23,26 @@
 }
 
 // Adopt takes over a transfer. The returned channel is closed once all of it is in the journal.
-func (h *Host) Adopt(p Transfer) <-chan struct{} {
+func (h *Host) Adopt(transfer Transfer) <-chan struct{} {
 	done := make(chan struct{})
 	h.Do(func(h *Host) {
-		if p.Update != nil && p.Update.Numbers != nil {
-			numbers := *p.Update.Numbers
+		if transfer.Update != nil && transfer.Update.Numbers != nil {
+			numbers := *transfer.Update.Numbers
 			numbers.Odd = true
 			h.table.UseSharedNumbering(numbers)
 		}
-		for _, m := range p.Messages {
+		for _, m := range transfer.Messages {
 			h.adopt(m)
 		}
-		for _, id := range p.CompletedIDs {
+		for _, id := range transfer.CompletedIDs {
 			h.removeCompleted(id)
 			h.table.MarkCompleted(id)
 		}
-		if p.Update != nil {
-			h.sequencer.Owes(p.Sender, p.Update.Owes)
-			h.applyHandoverUpdate(p.Update)
+		if transfer.Update != nil {
+			h.sequencer.Owes(transfer.Sender, transfer.Update.Owes)
+			h.applyHandoverUpdate(transfer.Update)
 		}
-		if p.LastProcess {
+		if transfer.LastProcess {
 			h.ownedElsewhere = nil
 			h.releaseHeld(h.sequencer.End())
 			h.table.StopSharedNumbering()
@@ -59,14 +59,14 @@
 	delete(h.ownedElsewhere, m.ID)
 	h.sequencer.Arrived(m.ID)
 	num := m.Number // a kept number preserves the order of acceptance, also after a restart
-	if have := h.table.ByID(m.ID); have != nil {
-		if have.InFlight != nil || !m.Supersedes(have) {
+	if existing := h.table.ByID(m.ID); existing != nil {
+		if existing.InFlight != nil || !m.Supersedes(existing) {
 			return
 		}
 		// The other copy is more recent and replaces this one.
-		h.remove(have, true)
+		h.remove(existing, true)
 		h.table.ForgetCompleted(m.ID)
-		h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: have.Number})
+		h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: existing.Number})
 		num = h.table.NextNumber()
 	} else if h.table.RecentlyCompleted(m.ID) {
 		return
@@ -91,25 +91,25 @@
 }
 
 // JournalWritable reports whether the last write to the journal succeeded.
-func (h *Host) JournalWritable() (takes bool) {
-	h.Do(func(h *Host) { takes = !h.journal.Unavailable() })
-	return takes
+func (h *Host) JournalWritable() (writable bool) {
+	h.Do(func(h *Host) { writable = !h.journal.Unavailable() })
+	return writable
 }
 
 // applyHandoverUpdate takes over the previous process's state other than messages.
-func (h *Host) applyHandoverUpdate(n *handover.News) {
-	if l := n.List; l != nil && l.Generation > h.listGeneration {
-		pc := memory.EndpointList{Generation: l.Generation, Complete: true}
+func (h *Host) applyHandoverUpdate(update *handover.News) {
+	if l := update.List; l != nil && l.Generation > h.listGeneration {
+		list := memory.EndpointList{Generation: l.Generation, Complete: true}
 		for _, m := range l.Members {
-			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
+			list.Entries = append(list.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listReceived = true
-		h.applyEndpointList(pc, policy.ListSnapshot)
+		h.applyEndpointList(list, policy.ListSnapshot)
 	}
-	if n.Learned != nil {
-		h.inheritedState = *n.Learned
+	if update.Learned != nil {
+		h.inheritedState = *update.Learned
 	}
-	for _, id := range n.Known {
+	for _, id := range update.Known {
 		if h.table.ByID(id) == nil && !h.table.RecentlyCompleted(id) {
 			if h.ownedElsewhere == nil {
 				h.ownedElsewhere = map[string]struct{}{}
@@ -117,12 +117,13 @@
 			h.ownedElsewhere[id] = struct{}{}
 		}
 	}
-	h.inheritedDrain = h.inheritedDrain || n.Drained
-	h.applyBackoffs(n.Waits)
+	h.inheritedDrain = h.inheritedDrain || update.Drained
+	h.applyBackoffs(update.Waits)
 	if h.standby {
-		h.untransferredWaits = append(h.untransferredWaits, n.Waits...) // Activate reports them to the policy engine
+		// Activate reports them to the policy engine
+		h.untransferredWaits = append(h.untransferredWaits, update.Waits...)
 	}
-	h.setInheritedCalls(n.Out)
+	h.setInheritedCalls(update.Out)
 }
 
 // dateAfter returns the time after a duration from now, on the scale shared with the next process.
@@ -137,22 +138,22 @@
 		if left <= 0 {
 			continue
 		}
-		g := h.destBackoffs[w.Dest]
+		destBackoff := h.destBackoffs[w.Dest]
 		if ep := h.endpoints[w.Endpoint]; ep != nil {
-			g = ep.backoff
-		} else if g == nil {
-			g = &backoff{}
-			h.destBackoffs[w.Dest] = g
+			destBackoff = ep.backoff
+		} else if destBackoff == nil {
+			destBackoff = &backoff{}
+			h.destBackoffs[w.Dest] = destBackoff
 		}
-		g.extend(left)
+		destBackoff.extend(left)
 		h.relay.ApplyRetryAfter(h.now(), w.Endpoint, left)
 	}
 }
 
 // setInheritedCalls records the calls that the previous process has in flight.
-func (h *Host) setInheritedCalls(out []policy.InheritedCall) {
-	h.inheritedCalls = out
-	h.relay.SetInheritedCalls(h.now(), out)
+func (h *Host) setInheritedCalls(calls []policy.InheritedCall) {
+	h.inheritedCalls = calls
+	h.relay.SetInheritedCalls(h.now(), calls)
 	h.pendingEvents = append(h.pendingEvents, policy.TimerFired{})
 }
 
@@ -162,8 +163,8 @@
 	h.Do(func(h *Host) {
 		var list []policy.Endpoint
 		for _, ep := range h.endpoints {
-			list = append(list, policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest], Zone: ep.zone,
-				State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
+			list = append(list, policy.Endpoint{Address: ep.id, Destination: ep.dest,
+				Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
 		}
 		slices.SortFunc(list, func(a, b policy.Endpoint) int { return strings.Compare(a.Address, b.Address) })
 		if h.awaitListUntil = 0; !h.listReceived {
@@ -182,20 +183,23 @@
 // HandOver stops the policy steps and transfers this process's state and all messages that are not
 // in flight to the next process. Files hold bodies of up to capacity bytes; TransferRemaining sends
 // the rest. If the first file cannot be written, nothing changes.
-func (h *Host) HandOver(give func([]byte) error, drained bool, room int64) (err error) {
+func (h *Host) HandOver(send func([]byte) error, drained bool, capacity int64) (err error) {
 	h.Do(func(h *Host) {
-		parked := h.callsAwaitingNotification
+		waiting := h.callsAwaitingNotification
 		h.callsAwaitingNotification = nil
-		for _, cl := range parked {
+		for _, cl := range waiting {
 			h.endUnsentCall(cl) // its messages are transferred
 		}
-		learned, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
-		news := &handover.News{Drained: drained, Learned: &learned, List: &handover.List{Generation: h.listGeneration}, Numbers: &numbers}
+		state, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
+		update := &handover.News{Drained: drained, Learned: &state, List: &handover.List{Generation: h.listGeneration},
+			Numbers: &numbers}
 		for _, ep := range h.endpoints {
-			news.List.Members = append(news.List.Members, handover.Member{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
-				Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
+			update.List.Members = append(update.List.Members, handover.Member{HostPort: ep.addr,
+				Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
+					Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
-				h.untransferredWaits = append(h.untransferredWaits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
+				h.untransferredWaits = append(h.untransferredWaits,
+					handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
 			}
 		}
 		h.untransferred = nil
@@ -205,16 +209,18 @@
 			} else if m.Notification == nil {
 				// It is transferred once that is possible. A file that names it twice could not be
 				// read.
-				news.Known = append(news.Known, m.ID)
+				update.Known = append(update.Known, m.ID)
 			}
 		}
-		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
+		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int {
+			return int(int64(a.Number) - int64(b.Number))
+		})
 		h.reportedInFlight = -1
-		if err = h.transferPending(give, news, room); err != nil {
+		if err = h.transferPending(send, update, capacity); err != nil {
 			h.untransferredWaits, h.untransferred = nil, nil
 			return
 		}
-		h.sendToSuccessor, h.stepsStopped, h.arrivals, h.pendingEvents = give, true, nil, nil
+		h.sendToSuccessor, h.stepsStopped, h.arrivals, h.pendingEvents = send, true, nil, nil
 		h.sequencer = sequence.Sequencer{}
 		h.table.UseSharedNumbering(numbers)
 		for cl := range h.calls {
@@ -231,10 +237,10 @@
 
 // TransferRemaining transfers what is left: what did not fit, messages accepted since, and those
 // that calls left unfinished.
-func (h *Host) TransferRemaining(room int64) {
+func (h *Host) TransferRemaining(capacity int64) {
 	h.Do(func(h *Host) {
 		if h.sendToSuccessor != nil {
-			h.transferPending(h.sendToSuccessor, &handover.News{}, room)
+			h.transferPending(h.sendToSuccessor, &handover.News{}, capacity)
 		}
 	})
 }
@@ -242,7 +248,8 @@
 // transferable reports whether m can be transferred: it is not in flight, and its body is in
 // memory.
 func transferable(m *memory.Message) bool {
-	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 && (!m.MemoryOnly || m.Body != nil)
+	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 &&
+		(!m.MemoryOnly || m.Body != nil)
 }
 
 // transferOverheadBytes bounds the size of a transferred message without its body.
@@ -251,28 +258,30 @@
 // transferPending writes a file for the next process with the messages that fit into capacity
 // bytes, if there is anything to report. The limit keeps the messages, which are still in this
 // process's directory as well, within the disk budget.
-func (h *Host) transferPending(to func([]byte) error, news *handover.News, room int64) error {
+func (h *Host) transferPending(send func([]byte) error, update *handover.News, capacity int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.untransferred {
 		if h.table.Get(m.Number) != m || !transferable(m) {
 			continue
 		}
-		if room -= int64(m.BodySize() + transferOverheadBytes); room < 0 {
+		if capacity -= int64(m.BodySize() + transferOverheadBytes); capacity < 0 {
 			rest = h.untransferred[i:]
 			break
 		}
 		msgs = append(msgs, m)
 	}
 	owes := h.remainingOrdered(msgs)
-	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight && slices.Equal(owes, h.reportedOwed) {
+	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight &&
+		slices.Equal(owes, h.reportedOwed) {
 		return nil
 	}
-	news.Waits, news.Owes = h.untransferredWaits, owes
+	update.Waits, update.Owes = h.untransferredWaits, owes
 	for cl := range h.calls {
-		news.Out = append(news.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		update.Out = append(update.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
-	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dateScale)); err != nil {
-		h.log.Error("transfer to the next process failed; messages stay in the process directory", "messages", len(msgs), "err", err)
+	if err := send(journal.EncodeTransfer(msgs, update.Encode(), h.dateScale)); err != nil {
+		h.log.Error("transfer to the next process failed; messages stay in the process directory",
+			"messages", len(msgs), "err", err)
 		return err
 	}
 	h.untransferredWaits, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
@@ -286,39 +295,39 @@
 
 // Remaining counts the messages of a stopping process, its calls in flight, and the messages that
 // only its directory can pass on.
-func (h *Host) Remaining() (held, out, behind int) {
+func (h *Host) Remaining() (pending, inFlight, untransferable int) {
 	h.Do(func(h *Host) {
 		for _, m := range h.table.All() {
 			if m.Notification == nil && m.InFlight == nil && !m.Unanswered && !transferable(m) {
-				behind++
+				untransferable++
 			}
 		}
-		held, out = len(h.table.All()), len(h.calls)
+		pending, inFlight = len(h.table.All()), len(h.calls)
 	})
-	return held, out, behind
+	return pending, inFlight, untransferable
 }
 
 // SetJournalShare sets the journal's disk budget, of total bytes shared with others' usage: all of
 // the rest if alone, else a part of it.
-func (h *Host) SetJournalShare(all, others int64, alone bool) {
+func (h *Host) SetJournalShare(total, others int64, alone bool) {
 	h.Do(func(h *Host) {
 		if alone {
-			h.journal.SetBudget(all - others)
+			h.journal.SetBudget(total - others)
 		} else {
-			h.journal.SetBudget(handover.Budget(all, h.journal.UsedBytes(), others))
+			h.journal.SetBudget(handover.Budget(total, h.journal.UsedBytes(), others))
 		}
 	})
 }
 
 // StartGossip starts the gossip with other relays.
-func (h *Host) StartGossip(notes *GossipSocket, among FleetIdentity) {
+func (h *Host) StartGossip(socket *GossipSocket, identity FleetIdentity) {
 	h.Do(func(h *Host) {
-		h.gossipSocket = notes
-		h.joinFleet(among)
-		go notes.receiveLoop(h.events)
-		go notes.sendLoop()
+		h.gossipSocket = socket
+		h.joinFleet(identity)
+		go socket.receiveLoop(h.events)
+		go socket.sendLoop()
 	})
 }
 
 // SetMaxIdleConns limits the idle connections to endpoints.
-func (h *Host) SetMaxIdleConns(most int) { h.Do(func(h *Host) { h.maxIdleConns = most }) }
+func (h *Host) SetMaxIdleConns(limit int) { h.Do(func(h *Host) { h.maxIdleConns = limit }) }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -19,29 +19,33 @@
 // known ids and the drain are respected.
 func TestAdoptOnce(t *testing.T) {
 	var first time.Time
-	var w *testEnv
-	w = startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
-		w.Lock()
+	var env *testEnv
+	env = startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
+		env.Lock()
 		if first.IsZero() {
 			first = time.Now()
 		}
-		w.Unlock()
+		env.Unlock()
 		answerOK(rw, r, body)
 	})
-	w.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
+	env.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	until := time.Now().Add(200 * time.Millisecond)
-	msg := func(class, id string, steps int, risk time.Time) *memory.Message {
-		return &memory.Message{Number: 77, ID: id, Class: class, IdempotencyKey: "k", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(4 * time.Second), Attempts: steps, MayHaveRunSince: risk}
+	msg := func(class, id string, attempts int, mayHaveRunSince time.Time) *memory.Message {
+		return &memory.Message{Number: 77, ID: id, Class: class, IdempotencyKey: "k", Dest: 7, Body: []byte("b"),
+			Deadline: time.Now().Add(4 * time.Second), Attempts: attempts, MayHaveRunSince: mayHaveRunSince}
 	}
-	lent := []policy.InheritedCall{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
-	<-w.host.Adopt(Transfer{CompletedIDs: []string{"over"}})
-	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("alert", "a", 0, time.Time{}), msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
-		Update: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
-	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()), msg("alert", "a", 0, time.Time{})}})
-	if got := w.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
+	inherited := []policy.InheritedCall{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
+	<-env.host.Adopt(Transfer{CompletedIDs: []string{"over"}})
+	<-env.host.Adopt(Transfer{Messages: []*memory.Message{msg("alert", "a", 0, time.Time{}),
+		msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
+		Update: &handover.News{Out: inherited, Known: []string{"there"}, Drained: true,
+			Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
+	<-env.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()),
+		msg("alert", "a", 0, time.Time{})}})
+	if got := env.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
 		t.Errorf("a message that the other process keeps was answered %d", got)
 	}
-	w.host.Do(func(h *Host) {
+	env.host.Do(func(h *Host) {
 		if len(h.inheritedCalls) != 3 || h.table.PendingCount() != 2 {
 			t.Errorf("%v inherited, %d pending", h.inheritedCalls, h.table.PendingCount())
 		}
@@ -52,56 +56,60 @@
 		state      policy.EndpointState
 		want       policy.EndpointState
 	}{{0, policy.Draining, policy.Listed}, {9, policy.Draining, policy.Draining}, {10, policy.Listed, policy.Listed}} {
-		<-w.host.Adopt(Transfer{Update: &handover.News{Out: lent[:1], List: &handover.List{Generation: c.generation, Members: []handover.Member{
-			{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state}, HostPort: w.endpoint.Listener.Addr().String()}}}}})
-		w.host.Do(func(h *Host) {
+		<-env.host.Adopt(Transfer{Update: &handover.News{Out: inherited[:1],
+			List: &handover.List{Generation: c.generation, Members: []handover.Member{
+				{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state},
+					HostPort: env.endpoint.Listener.Addr().String()}}}}})
+		env.host.Do(func(h *Host) {
 			if got := policy.EndpointState(h.endpoints["s-1"].state.Load()); got != c.want {
 				t.Errorf("list of generation %d: state %v, want %v", c.generation, got, c.want)
 			}
 		})
 	}
-	if !w.host.Activate() {
+	if !env.host.Activate() {
 		t.Error("the drain was not inherited")
 	}
-	w.waitUntil("the notification", func() bool { return len(w.notifications) > 0 })
-	w.waitEmpty()
-	w.Lock()
-	if !slices.Equal(w.calls, []string{"a"}) || first.Before(until) {
-		t.Errorf("called %v, %v before the Retry-After passed", w.calls, until.Sub(first))
+	env.waitUntil("the notification", func() bool { return len(env.notifications) > 0 })
+	env.waitEmpty()
+	env.Lock()
+	if !slices.Equal(env.calls, []string{"a"}) || first.Before(until) {
+		t.Errorf("called %v, %v before the Retry-After passed", env.calls, until.Sub(first))
 	}
-	w.Unlock()
-	<-w.host.Adopt(Transfer{LastProcess: true})
-	w.host.Do(func(h *Host) {
+	env.Unlock()
+	<-env.host.Adopt(Transfer{LastProcess: true})
+	env.host.Do(func(h *Host) {
 		if len(h.inheritedCalls) > 0 || len(h.ownedElsewhere) > 0 {
 			t.Errorf("last process: %v inherited, %v owned elsewhere", h.inheritedCalls, h.ownedElsewhere)
 		}
 	})
 }
 
-// A message completed elsewhere before the policy engine received it takes no slot.
+// A message completed elsewhere before the policy engine received it does not count towards the
+// limits.
 func TestAdoptedAndCompletedElsewhere(t *testing.T) {
-	w := startEnv(t, answerOK)
-	w.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
+	env := startEnv(t, answerOK)
+	env.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	var all []*memory.Message
 	var ids []string
-	most := w.host.settings.MaxConcurrentCalls * w.host.kindSettings["broker"].MaxBatch
-	for n := range uint32(most) {
-		m := &memory.Message{Number: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)}
+	limit := env.host.settings.MaxConcurrentCalls * env.host.kindSettings["broker"].MaxBatch
+	for n := range uint32(limit) {
+		m := &memory.Message{Number: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"),
+			Deadline: time.Now().Add(time.Minute)}
 		all, ids = append(all, m), append(ids, m.ID)
 	}
-	<-w.host.Adopt(Transfer{Messages: all})
-	<-w.host.Adopt(Transfer{CompletedIDs: ids})
-	<-w.host.Adopt(Transfer{LastProcess: true})
-	w.host.Activate()
-	if got := w.post(requestText("alert", "a", "", "b", 4000)); got != 202 {
+	<-env.host.Adopt(Transfer{Messages: all})
+	<-env.host.Adopt(Transfer{CompletedIDs: ids})
+	<-env.host.Adopt(Transfer{LastProcess: true})
+	env.host.Activate()
+	if got := env.post(requestText("alert", "a", "", "b", 4000)); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	w.waitUntil("the call", func() bool { return len(w.calls) > 0 })
-	w.waitEmpty()
-	w.Lock()
-	defer w.Unlock()
-	if !slices.Equal(w.calls, []string{"a"}) {
-		t.Errorf("called %v", w.calls)
+	env.waitUntil("the call", func() bool { return len(env.calls) > 0 })
+	env.waitEmpty()
+	env.Lock()
+	defer env.Unlock()
+	if !slices.Equal(env.calls, []string{"a"}) {
+		t.Errorf("called %v", env.calls)
 	}
 }
 
@@ -109,11 +117,11 @@
 // its calls leave unfinished, and makes no further attempt.
 func TestTransfersAllPending(t *testing.T) {
 	release := make(chan struct{})
-	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
+	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	var mu sync.Mutex
-	var given []*memory.Message
-	var news []*handover.News
-	give := func(b []byte) error {
+	var transferred []*memory.Message
+	var updates []*handover.News
+	send := func(b []byte) error {
 		msgs, text, err := journal.DecodeTransfer(b, clock.Scale{})
 		if err != nil {
 			return err
@@ -121,55 +129,57 @@
 		n, err := handover.Decode(text)
 		mu.Lock()
 		defer mu.Unlock()
-		given, news = append(given, msgs...), append(news, n)
+		transferred, updates = append(transferred, msgs...), append(updates, n)
 		return err
 	}
-	w.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
-	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) {
+	env.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
+	env.waitUntil("the call", func() bool { return len(env.calls) == 1 })
+	env.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
 		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
-	w.post(requestText("alert", "held", "", "b", 4000))
-	waitFor(t, "the host to learn that its client was answered", func() (told bool) {
-		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.Unanswered })
-		return told
+	env.post(requestText("alert", "held", "", "b", 4000))
+	waitFor(t, "the host to learn that its client was answered", func() (answered bool) {
+		env.host.Do(func(h *Host) { m := h.table.ByID("held"); answered = m != nil && !m.Unanswered })
+		return answered
 	})
-	if err := w.host.HandOver(give, true, 1<<20); err != nil {
+	if err := env.host.HandOver(send, true, 1<<20); err != nil {
 		t.Fatal(err)
 	}
 	mu.Lock()
-	if n := news[0]; len(given) != 1 || given[0].ID != "held" || len(n.Out) != 1 || !slices.Equal(n.Known, []string{"out"}) || !n.Drained ||
+	if n := updates[0]; len(transferred) != 1 || transferred[0].ID != "held" || len(n.Out) != 1 ||
+		!slices.Equal(n.Known, []string{"out"}) || !n.Drained ||
 		len(n.Waits) != 1 || len(n.List.Members) != 1 || n.List.Generation != 1 {
-		t.Errorf("first file: %v, %+v", given, n)
+		t.Errorf("first file: %v, %+v", transferred, n)
 	}
 	mu.Unlock()
-	if got := w.post(requestText("fee", "more", "", "b", 9000)); got != 202 {
+	if got := env.post(requestText("fee", "more", "", "b", 9000)); got != 202 {
 		t.Errorf("submitted after the handover: answered %d", got)
 	}
 	close(release)
-	w.host.TransferRemaining(transferOverheadBytes) // its body does not fit, so it waits
+	env.host.TransferRemaining(transferOverheadBytes) // its body does not fit, so it waits
 	mu.Lock()
-	if len(given) != 1 {
-		t.Errorf("transferred without capacity: %v", given)
+	if len(transferred) != 1 {
+		t.Errorf("transferred without capacity: %v", transferred)
 	}
 	mu.Unlock()
 	waitFor(t, "the other messages", func() bool {
-		w.host.TransferRemaining(1 << 20)
+		env.host.TransferRemaining(1 << 20)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(given) == 3 && len(news[len(news)-1].Out) == 0
+		return len(transferred) == 3 && len(updates[len(updates)-1].Out) == 0
 	})
-	w.waitEmpty()
+	env.waitEmpty()
 	mu.Lock()
 	defer mu.Unlock()
-	if i := slices.IndexFunc(given, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 || given[i].Attempts != 1 || given[i].MayHaveRunSince.IsZero() {
-		t.Errorf("unfinished after its call: %+v", given)
+	if i := slices.IndexFunc(transferred, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 ||
+		transferred[i].Attempts != 1 || transferred[i].MayHaveRunSince.IsZero() {
+		t.Errorf("unfinished after its call: %+v", transferred)
 	}
-	if w.Lock(); len(w.calls) != 1 || len(w.notifications) > 0 {
-		t.Errorf("calls %v, notifications %v", w.calls, w.notifications)
+	if env.Lock(); len(env.calls) != 1 || len(env.notifications) > 0 {
+		t.Errorf("calls %v, notifications %v", env.calls, env.notifications)
 	}
-	w.Unlock()
+	env.Unlock()
 }
 
 // The next process inherits what was learned of a route: its pacing interval, outage and
@@ -178,21 +188,25 @@
 	set := testSettings()
 	old, _ := policy.New(set, 1)
 	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}}
-	old.Step(time.Second, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: list}, policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
-	old.Step(2*time.Second, []policy.Event{policy.AttemptEnded{ID: 1, Endpoint: "e", Outcome: policy.Rejected, RetryAfter: 2 * time.Second}})
-	learned := old.ExportState(2500 * time.Millisecond)
-	if l := learned.Routes; len(l) != 1 || l[0].RetryAfter < 1500*time.Millisecond || l[0].SinceCall != 1500*time.Millisecond {
-		t.Fatalf("%+v", learned)
+	old.Step(time.Second, []policy.Event{policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: list},
+		policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
+	old.Step(2*time.Second, []policy.Event{policy.AttemptEnded{ID: 1, Endpoint: "e", Outcome: policy.Rejected,
+		RetryAfter: 2 * time.Second}})
+	state := old.ExportState(2500 * time.Millisecond)
+	if l := state.Routes; len(l) != 1 || l[0].RetryAfter < 1500*time.Millisecond ||
+		l[0].SinceCall != 1500*time.Millisecond {
+		t.Fatalf("%+v", state)
 	}
 	next, _ := policy.New(set, 2)
-	next.ImportState(time.Hour, list, learned)
-	acts := next.Step(time.Hour, []policy.Event{policy.Submitted{ID: 1, Class: "order", Destination: 7, TimeLeft: 20 * time.Second}})
-	if slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
-		t.Errorf("sent before the Retry-After passed: %v", acts)
+	next.ImportState(time.Hour, list, state)
+	actions := next.Step(time.Hour, []policy.Event{policy.Submitted{ID: 1, Class: "order", Destination: 7,
+		TimeLeft: 20 * time.Second}})
+	if slices.ContainsFunc(actions, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
+		t.Errorf("sent before the Retry-After passed: %v", actions)
 	}
-	acts = next.Step(time.Hour+5*time.Second, []policy.Event{policy.TimerFired{}})
-	if !slices.ContainsFunc(acts, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
-		t.Errorf("not sent after the Retry-After: %v", acts)
+	actions = next.Step(time.Hour+5*time.Second, []policy.Event{policy.TimerFired{}})
+	if !slices.ContainsFunc(actions, func(a policy.Action) bool { _, sent := a.(policy.Send); return sent }) {
+		t.Errorf("not sent after the Retry-After: %v", actions)
 	}
 }
 
@@ -201,13 +215,14 @@
 func TestInheritedCallsCountTowardsLimits(t *testing.T) {
 	set := testSettings() // four concurrent calls, three for a destination
 	r, _ := policy.New(set, 1)
-	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"}, {Address: "f", Destination: 8, Kind: "small"}}
+	list := []policy.Endpoint{{Address: "e", Destination: 7, Kind: "small"},
+		{Address: "f", Destination: 8, Kind: "small"}}
 	r.ImportState(time.Second, list, policy.LearnedState{CompletionRate: 20, Shortage: time.Second})
 	if got := r.ExportState(time.Second); got.CompletionRate != 20 || got.Shortage != time.Second {
 		t.Errorf("%+v", got)
 	}
-	sends := func(now time.Duration, lent []policy.InheritedCall, events ...policy.Event) (to []string) {
-		r.SetInheritedCalls(now, lent)
+	sends := func(now time.Duration, inherited []policy.InheritedCall, events ...policy.Event) (to []string) {
+		r.SetInheritedCalls(now, inherited)
 		for _, a := range r.Step(now, events) {
 			if s, ok := a.(policy.Send); ok {
 				to = append(to, s.Endpoint)
@@ -234,9 +249,9 @@
 // names a message twice cannot be read.
 func TestTransferredOnceWithoutCapacity(t *testing.T) {
 	release := make(chan struct{})
-	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
+	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	ids := map[string]int{}
-	give := func(b []byte) error {
+	send := func(b []byte) error {
 		msgs, _, err := journal.DecodeTransfer(b, clock.Scale{})
 		for _, m := range msgs {
 			ids[m.ID]++ // on the host's goroutine
@@ -244,20 +259,24 @@
 		return err
 	}
 	var before uint32 // precedes the number of the message in flight
-	w.host.Do(func(h *Host) { before = h.table.NextNumber() })
-	w.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
-	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) {
-		h.journal.AppendTransferred(h.table, &memory.Message{Number: before, ID: "held", Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)})
+	env.host.Do(func(h *Host) { before = h.table.NextNumber() })
+	env.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
+	env.waitUntil("the call", func() bool { return len(env.calls) == 1 })
+	env.host.Do(func(h *Host) {
+		h.journal.AppendTransferred(h.table, &memory.Message{Number: before, ID: "held", Class: "alert", Dest: 7,
+			Body: []byte("b"), Deadline: time.Now().Add(time.Minute)})
 	})
-	if err := w.host.HandOver(give, false, 0); err != nil {
+	if err := env.host.HandOver(send, false, 0); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
-	waitFor(t, "the call's end", func() (ended bool) { w.host.Do(func(h *Host) { ended = len(h.calls) == 0 }); return ended })
-	w.host.TransferRemaining(1 << 20)
-	w.waitEmpty()
-	w.host.Do(func(*Host) {
+	waitFor(t, "the call's end", func() (ended bool) {
+		env.host.Do(func(h *Host) { ended = len(h.calls) == 0 })
+		return ended
+	})
+	env.host.TransferRemaining(1 << 20)
+	env.waitEmpty()
+	env.host.Do(func(*Host) {
 		if len(ids) != 2 || ids["out"] != 1 || ids["held"] != 1 {
 			t.Errorf("transferred %v", ids)
 		}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -37,20 +37,21 @@
 	// when they send a request, which is earlier than when its first byte is read here.
 	deadlineMargin = 10 * time.Millisecond
 
-	unknownRiskAge = 24 * time.Hour // longer than any partner deduplicates
+	unknownAttemptAge = 24 * time.Hour // longer than any partner deduplicates
 )
 
 // Host runs the policy engine. One goroutine owns the engine, the message table and the journal;
 // connections send it events. It never blocks on a socket.
 type Host struct {
-	settings              policy.Settings
-	relay                 *policy.Relay
-	table                 *memory.Table
-	journal               *journal.Journal
-	log                   *slog.Logger
-	gossiper              *peers.Gossiper // state shared with the other relays
-	gossipSocket          *GossipSocket   // nil: disabled
-	reportedRelays        int             // number of calling relays, as last reported to the policy engine; 0: not reported
+	settings     policy.Settings
+	relay        *policy.Relay
+	table        *memory.Table
+	journal      *journal.Journal
+	log          *slog.Logger
+	gossiper     *peers.Gossiper // state shared with the other relays
+	gossipSocket *GossipSocket   // nil: disabled
+	// number of calling relays, as last reported to the policy engine; 0: not reported
+	reportedRelays        int
 	identity              FleetIdentity
 	membersView           atomic.Pointer[members.View]
 	membersViewAt         policy.Time
@@ -75,16 +76,17 @@
 	watchCtx              context.Context // of the current discovery watch
 	cancelWatch           context.CancelFunc
 
-	uncommittedReplies        []pendingReply // answered once this iteration's records are in the journal
-	uncommittedCalls          []*call        // dispatched once this iteration's records are in the journal
-	pendingEvents             []policy.Event
-	arrivals                  []*memory.Message
-	lateListeners             atomic.Int32             // connections that are read after their call has timed out
-	shutdownStage             atomic.Int32             // a leaveStage, read by connections before they write
-	orderedQueues             map[string][]*queueEntry // by ordering key, in order of acceptance
-	endpoints                 map[string]*endpoint
-	destBackoffs              map[int]*backoff
-	removedRouteBackoffs      map[string]*backoff // of separate routes that left the list while a Retry-After was in force
+	uncommittedReplies []pendingReply // answered once this iteration's records are in the journal
+	uncommittedCalls   []*call        // dispatched once this iteration's records are in the journal
+	pendingEvents      []policy.Event
+	arrivals           []*memory.Message
+	lateListeners      atomic.Int32             // connections that are read after their call has timed out
+	shutdownStage      atomic.Int32             // a shutdownStage, read by connections before they write
+	orderedQueues      map[string][]*queueEntry // by ordering key, in order of acceptance
+	endpoints          map[string]*endpoint
+	destBackoffs       map[int]*backoff
+	// of separate routes that left the list while a Retry-After was in force
+	removedRouteBackoffs      map[string]*backoff
 	targets                   peers.ReportKeys
 	calls                     map[*call]struct{}
 	kindSettings              map[string]policy.Kind
@@ -152,30 +154,51 @@
 }
 
 // NewHost returns a host with the recovered messages of the table.
-func NewHost(c HostConfig) (*Host, error) {
+func NewHost(config HostConfig) (*Host, error) {
 	start := time.Now()
-	c.Settings.ClockOffset = time.Duration(start.UnixNano())
-	relay, err := policy.New(c.Settings, c.Seed)
+	config.Settings.ClockOffset = time.Duration(start.UnixNano())
+	relay, err := policy.New(config.Settings, config.Seed)
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{settings: c.Settings, relay: relay, table: c.Table, journal: c.Journal, log: c.Log, plugins: c.Plugins, seed: c.Seed,
-		loadReports: c.LoadReports, dialTimeout: c.ConnectTimeout, dateScale: c.DateScale, maxIdleConns: c.MaxIdleConns, startedAt: start, events: make(chan any, eventQueueSize),
-		notifications: make(chan pendingNotification, eventQueueSize), endpoints: map[string]*endpoint{}, destBackoffs: map[int]*backoff{}, removedRouteBackoffs: map[string]*backoff{},
-		calls: map[*call]struct{}{}, orderedQueues: map[string][]*queueEntry{}, unansweredNotifications: unansweredNotifications{}, kindSettings: map[string]policy.Kind{}, destKinds: map[int]string{}, metrics: c.Metrics}
-	h.zoneNames, h.siteCommands = c.ZoneNames, make(chan SiteCommand, siteCommandQueueSize)
-	h.indexSettings(c.Settings)
-	h.gossiper = peers.New(0, 0, c.Seed)
-	if h.gossipSocket = c.GossipSocket; h.gossipSocket != nil {
-		h.joinFleet(c.Identity)
+	h := &Host{
+		settings:                config.Settings,
+		relay:                   relay,
+		table:                   config.Table,
+		journal:                 config.Journal,
+		log:                     config.Log,
+		plugins:                 config.Plugins,
+		seed:                    config.Seed,
+		loadReports:             config.LoadReports,
+		dialTimeout:             config.ConnectTimeout,
+		dateScale:               config.DateScale,
+		maxIdleConns:            config.MaxIdleConns,
+		startedAt:               start,
+		events:                  make(chan any, eventQueueSize),
+		notifications:           make(chan pendingNotification, eventQueueSize),
+		endpoints:               map[string]*endpoint{},
+		destBackoffs:            map[int]*backoff{},
+		removedRouteBackoffs:    map[string]*backoff{},
+		calls:                   map[*call]struct{}{},
+		orderedQueues:           map[string][]*queueEntry{},
+		unansweredNotifications: unansweredNotifications{},
+		kindSettings:            map[string]policy.Kind{},
+		destKinds:               map[int]string{},
+		metrics:                 config.Metrics,
 	}
-	h.lastStepAt = -c.Settings.Tick
-	h.applyEndpointList(c.KnownEndpoints, policy.ListRestored)
-	if c.Sites != nil {
-		h.applySitePlan(c.Sites, c.HomeZone)
+	h.zoneNames, h.siteCommands = config.ZoneNames, make(chan SiteCommand, siteCommandQueueSize)
+	h.indexSettings(config.Settings)
+	h.gossiper = peers.New(0, 0, config.Seed)
+	if h.gossipSocket = config.GossipSocket; h.gossipSocket != nil {
+		h.joinFleet(config.Identity)
+	}
+	h.lastStepAt = -config.Settings.Tick
+	h.applyEndpointList(config.KnownEndpoints, policy.ListRestored)
+	if config.Sites != nil {
+		h.applySitePlan(config.Sites, config.HomeZone)
 	}
 	h.awaitListUntil = endpointListTimeout
-	h.standby, h.stepsStopped = c.Standby, c.Standby
+	h.standby, h.stepsStopped = config.Standby, config.Standby
 	h.restore(false)
 	return h, nil
 }
@@ -216,21 +239,23 @@
 	}
 	h.agentAddr.Store(&discovery)
 	h.watchCtx, h.cancelWatch = context.WithCancel(context.Background())
-	go watchEndpointList(h.watchCtx, listWatcher{addr: discovery, generation: h.listGeneration, fleetSize: h.settings.Relays, polled: h.settings.MustSubscribe, seed: h.seed}, h.events, h.log)
+	go watchEndpointList(h.watchCtx, listWatcher{addr: discovery, generation: h.listGeneration,
+		fleetSize: h.settings.Relays, polled: h.settings.MustSubscribe, seed: h.seed}, h.events, h.log)
 }
 
 // Reload applies a validated configuration: settings and limits at once, then discovery's address.
 // Pending messages and calls in flight stay; the endpoint list stays until the new address has sent
 // its own.
-func (h *Host) Reload(c HostConfig, discovery string) (err error) {
+func (h *Host) Reload(config HostConfig, discovery string) (err error) {
 	h.Do(func(h *Host) {
-		c.Settings.ClockOffset = h.settings.ClockOffset
-		if err = h.relay.Reconfigure(c.Settings); err != nil {
+		config.Settings.ClockOffset = h.settings.ClockOffset
+		if err = h.relay.Reconfigure(config.Settings); err != nil {
 			return
 		}
-		h.settings, h.loadReports, h.dialTimeout, h.maxIdleConns, h.reportedRelays = c.Settings, c.LoadReports, c.ConnectTimeout, c.MaxIdleConns, 0
-		h.indexSettings(c.Settings)
-		h.journal.SetBudget(c.JournalBytes)
+		h.settings, h.loadReports, h.dialTimeout, h.maxIdleConns, h.reportedRelays = config.Settings,
+			config.LoadReports, config.ConnectTimeout, config.MaxIdleConns, 0
+		h.indexSettings(config.Settings)
+		h.journal.SetBudget(config.JournalBytes)
 		h.useDiscovery(discovery)
 		h.pendingEvents = append(h.pendingEvents, policy.TimerFired{})
 	})
@@ -240,25 +265,25 @@
 func (h *Host) now() policy.Time { return time.Since(h.startedAt) }
 
 // restore passes recovered messages to the policy engine in order of acceptance, and queues the
-// notifications that are owed. again is set after a policy restart, when those notifications and
-// the calls in flight are already under way.
-func (h *Host) restore(again bool) {
+// notifications that are owed. afterPanic is set when the policy engine restarts, since those
+// notifications and the calls in flight are then already under way.
+func (h *Host) restore(afterPanic bool) {
 	var all []*memory.Message
 	for _, m := range h.table.All() {
 		all = append(all, m)
 	}
 	slices.SortFunc(all, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
-	open, wall := 0, time.Now()
+	pending, wall := 0, time.Now()
 	for _, m := range all {
-		if m.Notification != nil && again || m.InFlight != nil || m.Unanswered {
+		if m.Notification != nil && afterPanic || m.InFlight != nil || m.Unanswered {
 			continue // its notification, call or response is under way and will report
 		}
 		if h.resume(m, wall) {
-			open++
+			pending++
 		}
 	}
 	if len(all) > 0 {
-		h.log.Info("restored", "messages", open, "notices", len(all)-open)
+		h.log.Info("restored", "messages", pending, "notices", len(all)-pending)
 	}
 }
 
@@ -380,8 +405,8 @@
 func (h *Host) handleEvent(e any) {
 	switch e := e.(type) {
 	case submitRequest:
-		m, v := h.submit(e)
-		h.uncommittedReplies = append(h.uncommittedReplies, pendingReply{e.reply, v, m})
+		m, result := h.submit(e)
+		h.uncommittedReplies = append(h.uncommittedReplies, pendingReply{e.reply, result, m})
 	case submitAnswered:
 		if m := h.table.Get(e.num); m != nil {
 			h.clientAnsweredInOrder(m, e.delivered)
@@ -457,7 +482,7 @@
 }
 
 // Load counts the pending messages and the calls in flight.
-func (h *Host) Load() (held, out int) {
-	h.Do(func(h *Host) { held, out = len(h.table.All()), len(h.calls) })
-	return held, out
+func (h *Host) Load() (pending, inFlight int) {
+	h.Do(func(h *Host) { pending, inFlight = len(h.table.All()), len(h.calls) })
+	return pending, inFlight
 }
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -57,56 +57,60 @@
 	return startEnvOn(t, journal.Dir(t.TempDir()), answer)
 }
 
-func startEnvOn(t testing.TB, folder journal.FS, answer func(w http.ResponseWriter, r *http.Request, body string)) *testEnv {
+func startEnvOn(t testing.TB, folder journal.FS,
+	answer func(w http.ResponseWriter, r *http.Request, body string)) *testEnv {
 	t.Helper()
-	w := &testEnv{t: t, handleCall: answer}
-	w.endpoint = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env := &testEnv{t: t, handleCall: answer}
+	env.endpoint = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		w.Lock()
+		env.Lock()
 		if id := r.Header.Get("X-Correlation-Id"); id != "" {
-			w.calls = append(w.calls, id)
+			env.calls = append(env.calls, id)
 		}
 		for _, v := range gjson.ParseBytes(b).Array() {
-			w.calls = append(w.calls, v.Get("id").Str)
+			env.calls = append(env.calls, v.Get("id").Str)
 		}
-		w.Unlock()
-		w.handleCall(rw, r, string(b))
+		env.Unlock()
+		env.handleCall(rw, r, string(b))
 	}))
 	stop := make(chan struct{})
-	w.platform = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env.platform = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/v1/notices" {
-			w.Lock()
-			w.notifications = append(w.notifications, strings.Split(strings.TrimSpace(string(b)), "\n")...)
-			told := w.beforeNotificationAnswer
-			w.Unlock()
-			if told != nil {
-				told()
+			env.Lock()
+			env.notifications = append(env.notifications, strings.Split(strings.TrimSpace(string(b)), "\n")...)
+			callback := env.beforeNotificationAnswer
+			env.Unlock()
+			if callback != nil {
+				callback()
 			}
 			rw.WriteHeader(204)
 		} else if r.URL.Query().Get("from") != "" {
 			<-stop
 		} else {
-			io.WriteString(rw, endpointListJSON(w.endpoint.Listener.Addr().String(), "in_service", 1))
+			io.WriteString(rw, endpointListJSON(env.endpoint.Listener.Addr().String(), "in_service", 1))
 		}
 	}))
 	kept, table, err := journal.Open(journal.Config{FS: folder, Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.table = table
-	if w.host, err = NewHost(HostConfig{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxIdleConns: 8,
-		Table: table, Journal: kept, Log: discardLog}); err != nil {
+	env.table = table
+	if env.host, err = NewHost(HostConfig{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second,
+		MaxIdleConns: 8, Table: table, Journal: kept, Log: discardLog}); err != nil {
 		t.Fatal(err)
 	}
 	set, ln := testSettings(), listenLoopback(t)
-	w.server = NewServer(ln, &set, 100, w.host.Events(), discardLog)
-	w.host.StartPlatformClient(w.platform.Listener.Addr().String())
+	env.server = NewServer(ln, &set, 100, env.host.Events(), discardLog)
+	env.host.StartPlatformClient(env.platform.Listener.Addr().String())
 	done := make(chan struct{})
-	go func() { w.host.Run(stop); close(done) }()
-	go w.server.Serve()
-	waitFor(t, "the endpoint list", func() (listed bool) { w.host.Do(func(h *Host) { listed = h.listReceived }); return listed })
-	w.post = func(req string) int {
+	go func() { env.host.Run(stop); close(done) }()
+	go env.server.Serve()
+	waitFor(t, "the endpoint list", func() (listed bool) {
+		env.host.Do(func(h *Host) { listed = h.listReceived })
+		return listed
+	})
+	env.post = func(req string) int {
 		c, r := dialListener(t, ln)
 		defer c.Close()
 		io.WriteString(c, req)
@@ -118,26 +122,30 @@
 		return a.status
 	}
 	t.Cleanup(func() {
-		w.server.Shutdown()
+		env.server.Shutdown()
 		close(stop)
 		<-done
-		w.host.cancelWatch() // else it keeps polling a port that other tests may reuse
-		w.endpoint.CloseClientConnections()
-		w.endpoint.Close()
-		w.platform.CloseClientConnections()
-		w.platform.Close()
+		env.host.cancelWatch() // else it keeps polling a port that other tests may reuse
+		env.endpoint.CloseClientConnections()
+		env.endpoint.Close()
+		env.platform.CloseClientConnections()
+		env.platform.Close()
 	})
-	return w
+	return env
 }
 
-func (w *testEnv) waitUntil(what string, ok func() bool) {
-	w.t.Helper()
-	waitFor(w.t, what, func() bool { w.Lock(); defer w.Unlock(); return ok() })
+func (env *testEnv) waitUntil(what string, ok func() bool) {
+	env.t.Helper()
+	waitFor(env.t, what, func() bool { env.Lock(); defer env.Unlock(); return ok() })
 }
 
-func (w *testEnv) waitEmpty() {
-	w.t.Helper()
-	waitFor(w.t, "the table to empty", func() bool { held, out := w.host.Load(); return held+out == 0 })
+func (env *testEnv) waitEmpty() {
+	env.t.Helper()
+	waitFor(env.t, "the table to empty", func() bool {
+		pending,
+			inFlight := env.host.Load()
+		return pending+inFlight == 0
+	})
 }
 
 func requestText(class, id, more, body string, left int) string {
@@ -159,74 +167,74 @@
 // Messages are delivered, one or several in a call, and a message without time left is completed by
 // a notification.
 func TestDeliveryAndExpiry(t *testing.T) {
-	w := startEnv(t, answerOK)
+	env := startEnv(t, answerOK)
 	for i := range 6 { // with the one below, fewer than MaxPending
-		if got := w.post(requestText("alert", fmt.Sprint("m", i), "", "b", 5000)); got != 202 {
+		if got := env.post(requestText("alert", fmt.Sprint("m", i), "", "b", 5000)); got != 202 {
 			t.Fatalf("answered %d", got)
 		}
 	}
-	if got := w.post(requestText("fee", "late", "", "b", 0)); got != 202 {
+	if got := env.post(requestText("fee", "late", "", "b", 0)); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	w.waitUntil("the notification", func() bool { return len(w.notifications) == 1 })
-	w.waitEmpty()
-	if n := gjson.Parse(w.notifications[0]); n.Get("message").Str != "late" || n.Get("outcome").Str != "handed_back" {
-		t.Errorf("notification %s", w.notifications[0])
+	env.waitUntil("the notification", func() bool { return len(env.notifications) == 1 })
+	env.waitEmpty()
+	if n := gjson.Parse(env.notifications[0]); n.Get("message").Str != "late" || n.Get("outcome").Str != "handed_back" {
+		t.Errorf("notification %s", env.notifications[0])
 	}
 	called := map[string]bool{}
-	for _, id := range w.calls { // a slow machine may retry an alert, which is allowed
+	for _, id := range env.calls { // a slow machine may retry an alert, which is allowed
 		called[id] = true
 	}
 	if len(called) != 6 || called["late"] {
-		t.Errorf("called with %v", w.calls)
+		t.Errorf("called with %v", env.calls)
 	}
 }
 
 // No discovery watch outlives its test and polls a port that another test reuses.
 func TestEnvLeavesNoWatch(t *testing.T) {
-	t.Run("world", func(t *testing.T) { startEnv(t, answerOK) })
+	t.Run("env", func(t *testing.T) { startEnv(t, answerOK) })
 	stacks := make([]byte, 1<<20)
 	waitFor(t, "discovery watches to end", func() bool {
 		n := runtime.Stack(stacks, true)
-		return !strings.Contains(string(stacks[:n]), "wire.watch(")
+		return !strings.Contains(string(stacks[:n]), "wire.watchEndpointList(")
 	})
 }
 
 // Requests over the limit of pending messages are rejected. All requests are handled in one
 // event-loop iteration, so that the policy engine cannot free capacity between two of them.
 func TestPendingLimit(t *testing.T) {
-	const handIns = 12
+	const requests = 12
 	release := make(chan struct{})
-	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
-	stopped, goOn := make(chan struct{}), make(chan struct{})
-	resume := sync.OnceFunc(func() { close(goOn) })
+	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
+	stopped, resumed := make(chan struct{}), make(chan struct{})
+	resume := sync.OnceFunc(func() { close(resumed) })
 	t.Cleanup(resume) // a failed test must not leave the host stopped
-	go w.host.Do(func(*Host) { close(stopped); <-goOn })
+	go env.host.Do(func(*Host) { close(stopped); <-resumed })
 	<-stopped
-	answers := make(chan int, handIns)
-	for i := range handIns {
+	answers := make(chan int, requests)
+	for i := range requests {
 		go func() {
 			status := 0
 			defer func() { answers <- status }()
-			status = w.post(requestText("fee", fmt.Sprint("m", i), "", "b", 19000))
+			status = env.post(requestText("fee", fmt.Sprint("m", i), "", "b", 19000))
 		}()
 	}
-	waitFor(t, "all requests to reach the host", func() bool { return len(w.host.events) == handIns })
+	waitFor(t, "all requests to reach the host", func() bool { return len(env.host.events) == requests })
 	resume()
 	statuses := map[int]int{}
-	for range handIns {
+	for range requests {
 		statuses[<-answers]++
 	}
 	close(release)
-	w.waitEmpty()
-	w.Lock()
-	defer w.Unlock()
-	held := testSettings().MaxPending
-	if statuses[202] != held || statuses[503] != handIns-held {
-		t.Errorf("responses by status: %v, want %d accepted and the rest rejected", statuses, held)
+	env.waitEmpty()
+	env.Lock()
+	defer env.Unlock()
+	limit := testSettings().MaxPending
+	if statuses[202] != limit || statuses[503] != requests-limit {
+		t.Errorf("responses by status: %v, want %d accepted and the rest rejected", statuses, limit)
 	}
-	if len(w.notifications)+len(w.calls) != held {
-		t.Errorf("notifications %v, calls %v, want %d completions", w.notifications, w.calls, held)
+	if len(env.notifications)+len(env.calls) != limit {
+		t.Errorf("notifications %v, calls %v, want %d completions", env.notifications, env.calls, limit)
 	}
 }
 
@@ -234,16 +242,16 @@
 // completes once.
 func TestPolicyPanic(t *testing.T) {
 	release := make(chan struct{})
-	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
-	w.post(requestText("fee", "out", "", "b", 19000))
-	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) { h.relay = nil; h.pendingEvents = append(h.pendingEvents, policy.TimerFired{}) })
-	w.post(requestText("alert", "next", "", "b", 5000))
+	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
+	env.post(requestText("fee", "out", "", "b", 19000))
+	env.waitUntil("the call", func() bool { return len(env.calls) == 1 })
+	env.host.Do(func(h *Host) { h.relay = nil; h.pendingEvents = append(h.pendingEvents, policy.TimerFired{}) })
+	env.post(requestText("alert", "next", "", "b", 5000))
 	close(release)
-	w.waitEmpty()
-	w.waitUntil("both calls", func() bool { return len(w.calls) == 2 })
-	if len(w.notifications) != 0 {
-		t.Errorf("notifications %v", w.notifications)
+	env.waitEmpty()
+	env.waitUntil("both calls", func() bool { return len(env.calls) == 2 })
+	if len(env.notifications) != 0 {
+		t.Errorf("notifications %v", env.notifications)
 	}
 }
 
@@ -251,7 +259,8 @@
 func newTestHost(t *testing.T) *Host { return newTestHostOn(t, journal.Dir(t.TempDir())) }
 
 func (h *Host) addMessage(id string, dest, size int) *memory.Message {
-	m := &memory.Message{Number: h.table.NextNumber(), ID: id, Class: "alert", Dest: dest, Body: make([]byte, size), Deadline: time.Now().Add(time.Hour)}
+	m := &memory.Message{Number: h.table.NextNumber(), ID: id, Class: "alert", Dest: dest, Body: make([]byte, size),
+		Deadline: time.Now().Add(time.Hour)}
 	h.table.Add(m)
 	return m
 }
@@ -263,16 +272,17 @@
 	h.pendingEvents = nil
 	other, out := h.addMessage("other", 8, 1), h.addMessage("out", 7, 1)
 	out.InFlight = &memory.Attempt{}
-	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.addMessage("x", 7, 1).Number, Endpoint: "s-9"}} {
-		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pendingEvents) != i+1 ||
-			h.pendingEvents[i].(policy.AttemptEnded).Outcome != policy.Unsent {
+	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"},
+		{ID: h.addMessage("x", 7, 1).Number, Endpoint: "s-9"}} {
+		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 ||
+			len(h.pendingEvents) != i+1 || h.pendingEvents[i].(policy.AttemptEnded).Outcome != policy.Unsent {
 			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pendingEvents)
 		}
 	}
 }
 
-// A batch is limited by its partner type's count and by the maximum body, and a further call needs
-// a free slot.
+// A batch is limited by its partner type's count and by the maximum body; a further call counts
+// towards the concurrency limit.
 func TestBatchLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		sizes  []int
@@ -291,7 +301,8 @@
 		}
 		open, calls := map[string]*call{}, []*call(nil)
 		for i, size := range c.sizes {
-			calls = h.planSend(0, time.Now(), policy.Send{ID: h.addMessage(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
+			calls = h.planSend(0, time.Now(), policy.Send{ID: h.addMessage(fmt.Sprint(i), 7, size).Number,
+				Endpoint: "s-1"}, open, calls)
 		}
 		var got []int
 		for _, cl := range calls {
@@ -314,7 +325,9 @@
 	wall := time.Now()
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
-	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than its time left
+	// The timeout is shorter than the time that the message has left.
+
+	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil)
 	calls = h.planSend(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
 	h.pendingEvents = nil
@@ -325,19 +338,21 @@
 	}
 	h.expireItems(time.Second)
 	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Delivered})})
-	if len(h.pendingEvents) != 2 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != policy.TimedOut || h.pendingEvents[0].(policy.AttemptEnded).ID != short.Number ||
+	if len(h.pendingEvents) != 2 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != policy.TimedOut ||
+		h.pendingEvents[0].(policy.AttemptEnded).ID != short.Number ||
 		h.pendingEvents[1].(policy.AttemptEnded).ID != long.Number {
 		t.Fatalf("reported %+v", h.pendingEvents)
 	}
 }
 
-// A call that ends at its message's deadline is reported only by its own end, when its slot is
-// free.
+// A call that ends at its message's deadline is reported once, when it no longer counts towards the
+// concurrency limit.
 func TestDeadlineWithCall(t *testing.T) {
 	h := newTestHost(t)
 	m, wall := h.addMessage("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
-	cl := h.planSend(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
+	cl := h.planSend(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{},
+		nil)[0]
 	h.pendingEvents = nil
 	h.registerCall(cl)
 	if h.expireItems(2 * time.Second); len(h.pendingEvents) != 0 {
@@ -352,28 +367,29 @@
 	h.maxIdleConns = 2
 	ep := h.endpoints["s-1"]
 	for range 3 {
-		h.handleCallResult(callResult{conn: &endpointConn{endpoint: ep, calls: make(chan *call, 1)}, call: &call{endpoint: ep}, reusable: true})
+		h.handleCallResult(callResult{conn: &endpointConn{endpoint: ep, calls: make(chan *call, 1)},
+			call: &call{endpoint: ep}, reusable: true})
 	}
 	idle := ep.idle
 	if len(idle) != 2 {
 		t.Fatalf("%d idle", len(idle))
 	}
-	news := func(addr, lifecycle string) {
-		pc, err := memory.ParseEndpointList(endpointListJSON(addr, lifecycle, 2))
+	update := func(addr, lifecycle string) {
+		list, err := memory.ParseEndpointList(endpointListJSON(addr, lifecycle, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.applyEndpointList(pc, policy.ListChanges)
+		h.applyEndpointList(list, policy.ListChanges)
 	}
-	news("127.0.0.1:1", "terminating")
+	update("127.0.0.1:1", "terminating")
 	if policy.EndpointState(ep.state.Load()) != policy.Draining || len(ep.idle) != 2 {
 		t.Errorf("draining: state %v, %d idle connections", ep.state.Load(), len(ep.idle))
 	}
-	news("127.0.0.1:2", "in_service")
+	update("127.0.0.1:2", "in_service")
 	if _, open := <-idle[0].calls; open || h.endpoints["s-1"] == ep || !ep.removed() {
 		t.Error("moved: the old connections are still open")
 	}
-	news("127.0.0.1:2", "terminated")
+	update("127.0.0.1:2", "terminated")
 	if len(h.endpoints) != 0 {
 		t.Error("terminated: still listed")
 	}
@@ -384,14 +400,16 @@
 func TestRetryOutsideDeduplicationWindow(t *testing.T) {
 	h := newTestHost(t)
 	set := testSettings()
-	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: time.Second, Deadline: time.Hour})
+	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second,
+		TargetLatency: time.Second, Deadline: time.Hour})
 	h.indexSettings(set)
 	now := time.Now()
 	for _, c := range []struct {
 		class string
 		risk  time.Duration // ago; 0: no earlier attempt
 		goes  bool          // it is written 0.6 s after the send
-	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false}, {"alert", 4500 * time.Millisecond, true}} {
+	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false},
+		{"alert", 4500 * time.Millisecond, true}} {
 		m := h.addMessage(fmt.Sprint(c), 7, 10)
 		if m.Class = c.class; c.risk > 0 {
 			m.MayHaveRunSince = now.Add(-c.risk)
@@ -406,7 +424,9 @@
 		if got := !calls[0].items[0].tooLate; got != c.goes || calls[0].items[1].tooLate {
 			t.Errorf("%v: sent %v", c, got)
 		}
-		if all := calls[0].markExcluded(uniformResults(calls[0], itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes || all[1].outcome != policy.Delivered {
+		if all := calls[0].markExcluded(uniformResults(calls[0],
+			itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes ||
+			all[1].outcome != policy.Delivered {
 			t.Errorf("%v: ended as %v", c, all)
 		}
 	}
@@ -419,11 +439,13 @@
 	h.kindSettings["apart"] = policy.Kind{Name: "apart", MaxBatch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
 		dest := map[string]int{"broker": 7, "apart": 9}[kind]
-		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
+		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1",
+			Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
 	}
 	h.endpoints["s-1"].backoff.extend(time.Hour)
 	h.endpoints["a-1"].backoff.extend(time.Hour)
-	h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:9", Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
+	h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:9",
+		Endpoint: policy.Endpoint{Address: "a-1", Destination: 9, Kind: "apart"}})
 	for id, closed := range map[string]bool{"s-1": true, "s-2": true, "a-1": true, "a-2": false} {
 		if h.endpoints[id].backoff.active() != closed {
 			t.Errorf("%s: blocked %v", id, !closed)
@@ -439,7 +461,7 @@
 // notification holds up no other.
 func TestPlatformErrors(t *testing.T) {
 	var mu sync.Mutex
-	var asked, taken []string
+	var queries, acknowledged []string
 	agent := startHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -453,12 +475,12 @@
 				w.WriteHeader(400)
 				return
 			}
-			taken = append(taken, lines...)
+			acknowledged = append(acknowledged, lines...)
 			w.WriteHeader(204)
 			return
 		}
-		asked = append(asked, r.URL.RawQuery)
-		switch len(asked) {
+		queries = append(queries, r.URL.RawQuery)
+		switch len(queries) {
 		case 1:
 			w.WriteHeader(500)
 		case 2:
@@ -481,13 +503,14 @@
 		}
 	}()
 	mu.Lock()
-	if !strings.Contains(asked[3], "from=41&hold_ms=") {
-		t.Errorf("asked %q", asked)
+	if !strings.Contains(queries[3], "from=41&hold_ms=") {
+		t.Errorf("asked %q", queries)
 	}
 	mu.Unlock()
 	in, acks := make(chan pendingNotification, 3), make(chan any, 3)
 	for i, id := range []string{"a", "bad", "c\"\n"} {
-		in <- pendingNotification{uint32(i), id, memory.Notification{Returned: i == 2, RetryAfter: 500 * time.Millisecond}}
+		in <- pendingNotification{uint32(i), id, memory.Notification{Returned: i == 2,
+			RetryAfter: 500 * time.Millisecond}}
 	}
 	var at atomic.Pointer[string]
 	at.Store(&addr)
@@ -500,8 +523,9 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(taken) != 2 || gjson.Get(taken[1], "message").Str != "c\"\n" || gjson.Get(taken[1], "retry_in_ms").Int() != 500 {
-		t.Errorf("acknowledged %q", taken)
+	if len(acknowledged) != 2 || gjson.Get(acknowledged[1], "message").Str != "c\"\n" ||
+		gjson.Get(acknowledged[1], "retry_in_ms").Int() != 500 {
+		t.Errorf("acknowledged %q", acknowledged)
 	}
 }
 
@@ -509,44 +533,45 @@
 // received; the id of a completed message is a duplicate; updates of a cancelled watch are ignored.
 func TestIgnoredRequestsAndUpdates(t *testing.T) {
 	h := newTestHost(t)
-	ask := func(id string, dest int) submitResult {
-		_, v := h.submit(submitRequest{message: &memory.Message{ID: id, Class: "alert", Dest: dest, Deadline: time.Now().Add(time.Hour)}})
+	submit := func(id string, dest int) submitResult {
+		_, v := h.submit(submitRequest{message: &memory.Message{ID: id, Class: "alert", Dest: dest,
+			Deadline: time.Now().Add(time.Hour)}})
 		return v
 	}
-	if v := ask("a", 8); v.accepted || v.unknownDest || v.retryAfter == 0 {
+	if v := submit("a", 8); v.accepted || v.unknownDest || v.retryAfter == 0 {
 		t.Errorf("before the list: %+v", v)
 	}
-	known, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 2))
-	old, end := context.WithCancel(context.Background())
-	defer end()
+	list, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 2))
+	oldWatch, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	h.watchCtx = context.Background()
-	h.handleEvent(endpointListUpdate{known, old})
+	h.handleEvent(endpointListUpdate{list, oldWatch})
 	if h.listReceived {
 		t.Error("an update of a cancelled watch was applied")
 	}
-	h.handleEvent(endpointListUpdate{known, h.watchCtx})
-	if v := ask("a", 8); !v.unknownDest {
+	h.handleEvent(endpointListUpdate{list, h.watchCtx})
+	if v := submit("a", 8); !v.unknownDest {
 		t.Errorf("unknown destination: %+v", v)
 	}
-	if v := ask("a", 7); !v.accepted {
+	if v := submit("a", 7); !v.accepted {
 		t.Errorf("first: %+v", v)
 	}
 	m := h.table.ByID("a") // submitted again before the first response failed: it was answered as accepted, and is kept
-	if v := ask("a", 7); !v.duplicate {
+	if v := submit("a", 7); !v.duplicate {
 		t.Errorf("duplicate: %+v", v)
 	}
 	if h.handleEvent(submitAnswered{m.Number, false}); h.table.ByID("a") != m {
 		t.Error("lost a message that was answered as accepted")
 	}
-	if v := ask("b", 7); !v.accepted {
+	if v := submit("b", 7); !v.accepted {
 		t.Errorf("other: %+v", v)
 	}
 	h.handleEvent(submitAnswered{h.table.ByID("b").Number, false})
-	if v := ask("b", 7); !v.accepted { // the first submission was not answered
+	if v := submit("b", 7); !v.accepted { // the first submission was not answered
 		t.Errorf("unanswered, then submitted again: %+v", v)
 	}
 	h.complete(m)
-	if v := ask("a", 7); v.accepted || !v.duplicate {
+	if v := submit("a", 7); v.accepted || !v.duplicate {
 		t.Errorf("completed: %+v", v)
 	}
 }
@@ -558,10 +583,12 @@
 	m := h.addMessage("back", 7, 1)
 	m.MayHaveRunSince, h.arrivals = time.Now().Add(time.Hour), nil
 	h.restore(false)
-	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline || h.classes["alert"].Deadline == 0 {
-		t.Fatalf("%d arrivals, %v left of the class's %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
+	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline ||
+		h.classes["alert"].Deadline == 0 {
+		t.Fatalf("%d arrivals, %v left of the class's %v", len(h.arrivals), time.Until(m.Deadline),
+			h.classes["alert"].Deadline)
 	}
-	if a := arrivedEvent(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownRiskAge {
+	if a := submittedEvent(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownAttemptAge {
 		t.Errorf("%+v", a)
 	}
 }
@@ -569,16 +596,19 @@
 // A call that was cut short never ran, and the journal records that, so a restart may retry its
 // message. One that broke after its last byte may have run.
 func TestCutShortCallNeverRan(t *testing.T) {
-	for outcome, ran := range map[policy.Outcome]bool{policy.RequestIncomplete: false, policy.ConnectFailed: false, policy.ConnectionLost: true, policy.TimedOut: true} {
+	for outcome, mayHaveRun := range map[policy.Outcome]bool{policy.RequestIncomplete: false,
+		policy.ConnectFailed:  false,
+		policy.ConnectionLost: true, policy.TimedOut: true} {
 		h := newTestHost(t)
 		m := h.addMessage("m", 7, 1)
-		calls := h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+		calls := h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second},
+			map[string]*call{}, nil)
 		if len(calls) != 1 || m.InFlight == nil {
 			t.Fatalf("%d calls, %+v", len(calls), m.InFlight)
 		}
 		h.pendingEvents = nil
 		h.handleCallResult(callResult{call: calls[0], results: uniformResults(calls[0], itemResult{outcome: outcome})})
-		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
+		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == mayHaveRun {
 			t.Errorf("outcome %v: in flight %v, may have run since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
 		if len(h.pendingEvents) != 1 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != outcome {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -54,15 +54,15 @@
 // getConsistent returns the value of the field of that name, or "". Repeated fields must agree,
 // since other programs may read another one of them.
 func (h *head) getConsistent(name string) (string, error) {
-	value, seen := "", false
+	value, found := "", false
 	for _, f := range h.fields {
 		if !strings.EqualFold(f.name, name) {
 			continue
 		}
-		if seen && f.value != value {
+		if found && f.value != value {
 			return "", errConflictingFields
 		}
-		value, seen = f.value, true
+		value, found = f.value, true
 	}
 	return value, nil
 }
@@ -94,14 +94,14 @@
 // first line was read, the head is returned beside an error.
 func readHead(r *bufio.Reader) (*head, error) { return readHeadWith(r, func() {}) }
 
-// readHeadWith is readHead with a callback once the first line is read.
-func readHeadWith(r *bufio.Reader, begun func()) (*head, error) {
+// readHeadWith is readHead with a callback after the first line.
+func readHeadWith(r *bufio.Reader, onFirstLine func()) (*head, error) {
 	left := maxHeaderBytes
 	line, err := readLine(r, &left)
 	if err != nil {
 		return nil, err
 	}
-	begun()
+	onFirstLine()
 	h := &head{fields: make([]field, 0, 8)}
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 2 || parts[0] == "" || parts[1] == "" {
@@ -203,12 +203,12 @@
 // readAppend appends n bytes to b. Memory grows with what is received, not with the stated length.
 func readAppend(b []byte, r *bufio.Reader, n int) ([]byte, error) {
 	for n > 0 {
-		at, part := len(b), min(n, readBufferSize)
-		b = append(b, make([]byte, part)...)
-		if _, err := io.ReadFull(r, b[at:]); err != nil {
+		start, chunk := len(b), min(n, readBufferSize)
+		b = append(b, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, b[start:]); err != nil {
 			return nil, unexpectedEOF(err)
 		}
-		n -= part
+		n -= chunk
 	}
 	return b, nil
 }
@@ -278,10 +278,10 @@
 // the response is returned beside an error.
 func readResponseHead(r *bufio.Reader) (*response, error) { return readResponseHeadWith(r, func() {}) }
 
-// readResponseHeadWith is readResponseHead with a callback once a first line is read.
-func readResponseHeadWith(r *bufio.Reader, begun func()) (*response, error) {
+// readResponseHeadWith is readResponseHead with a callback after a first line.
+func readResponseHeadWith(r *bufio.Reader, onFirstLine func()) (*response, error) {
 	for range maxInterimResponses {
-		h, err := readHeadWith(r, begun)
+		h, err := readHeadWith(r, onFirstLine)
 		if h == nil {
 			return nil, err
 		}
--- a/internal/wire/lifecycle.go
+++ b/internal/wire/lifecycle.go
@@ -24,15 +24,15 @@
 // clientAnsweredInOrder records the outcome of a response and passes on the messages at the head of
 // their queue. The responses of two connections may finish in either order, but messages of one
 // ordering key reach the policy engine in order of acceptance.
-func (h *Host) clientAnsweredInOrder(m *memory.Message, told bool) {
-	queue, ours := h.orderedQueues[m.OrderingKey], &queueEntry{message: m}
-	for _, t := range queue {
-		if t.message == m {
-			ours = t
+func (h *Host) clientAnsweredInOrder(m *memory.Message, delivered bool) {
+	queue, entry := h.orderedQueues[m.OrderingKey], &queueEntry{message: m}
+	for _, queued := range queue {
+		if queued.message == m {
+			entry = queued
 		}
 	}
-	if ours.answered, ours.delivered = true, told; !slices.Contains(queue, ours) {
-		h.clientAnswered(m, told)
+	if entry.answered, entry.delivered = true, delivered; !slices.Contains(queue, entry) {
+		h.clientAnswered(m, delivered)
 		return
 	}
 	for len(queue) > 0 && queue[0].answered {
@@ -45,12 +45,12 @@
 }
 
 // clientAnswered continues a message whose response was written, or could not be.
-func (h *Host) clientAnswered(m *memory.Message, told bool) {
+func (h *Host) clientAnswered(m *memory.Message, delivered bool) {
 	if h.table.Get(m.Number) != m {
 		return // it was not recorded, or is complete
 	}
 	// A duplicate may have been answered as accepted meanwhile.
-	if told || m.Resubmitted {
+	if delivered || m.Resubmitted {
 		m.Unanswered = false
 		h.passToPolicy(m, false)
 		return
@@ -69,8 +69,9 @@
 // submit accepts or rejects a message. Its client is answered once the iteration's records are in
 // the journal.
 func (h *Host) submit(e submitRequest) (*memory.Message, submitResult) {
-	_, elsewhere := h.ownedElsewhere[e.message.ID]
-	if m := h.table.ByID(e.message.ID); m != nil || elsewhere || h.sequencer.OwedElsewhere(e.message.ID) || h.table.RecentlyCompleted(e.message.ID) {
+	_, owned := h.ownedElsewhere[e.message.ID]
+	if m := h.table.ByID(e.message.ID); m != nil || owned || h.sequencer.OwedElsewhere(e.message.ID) ||
+		h.table.RecentlyCompleted(e.message.ID) {
 		if m != nil {
 			m.Resubmitted = true
 		}
@@ -78,14 +79,15 @@
 	}
 	// Rejects messages for a destination without endpoints. Until discovery has sent its list, an
 	// unlisted destination may still appear, and the client is to retry.
-	if _, named := h.destKinds[e.message.Dest]; !named && h.listReceived {
+	if _, listed := h.destKinds[e.message.Dest]; !listed && h.listReceived {
 		return nil, submitResult{unknownDest: true}
-	} else if !named && len(h.destKinds) > 0 {
+	} else if !listed && len(h.destKinds) > 0 {
 		return nil, h.reject()
 	}
 	if h.table.PendingCount() < h.settings.MaxPending {
 		e.message.Number, e.message.Unanswered = h.table.NextNumber(), true
-		if h.journal.AppendAccepted(h.table, e.message, e.message.Effect == policy.Safe) == nil { // a full journal is counted as a rejection below
+		// a full journal is counted as a rejection below
+		if h.journal.AppendAccepted(h.table, e.message, e.message.Effect == policy.Safe) == nil {
 			if s := e.message.OrderingKey; s != "" {
 				h.orderedQueues[s] = append(h.orderedQueues[s], &queueEntry{message: e.message})
 			}
@@ -106,7 +108,7 @@
 		}
 		h.journal.AppendAttempt(wall, msgs)
 	}
-	err, outErr := h.journal.Commit()
+	err, attemptErr := h.journal.Commit()
 	if err != nil {
 		for _, r := range h.uncommittedReplies {
 			if r.result.accepted {
@@ -125,9 +127,10 @@
 	calls := h.uncommittedCalls
 	h.uncommittedReplies, h.uncommittedCalls = h.uncommittedReplies[:0], nil
 	for _, cl := range calls {
-		if outErr != nil {
+		if attemptErr != nil {
 			cl.unrecorded = true
-			h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Unsent}), err: outErr})
+			h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Unsent}),
+				err: attemptErr})
 			continue
 		}
 		h.dispatch(cl)
@@ -143,12 +146,12 @@
 // committedResult returns the reply after the iteration's write. failed says that some messages
 // were not accepted after all; those are no longer in the table.
 func (h *Host) committedResult(r pendingReply, failed bool) submitResult {
-	gone := r.message != nil && h.table.Get(r.message.Number) != r.message
+	removed := r.message != nil && h.table.Get(r.message.Number) != r.message
 	switch {
-	case failed && gone:
+	case failed && removed:
 		// A duplicate of a message that was not accepted must not be answered as accepted.
 		return h.reject()
-	case r.result.accepted && !gone:
+	case r.result.accepted && !removed:
 		h.logAccepted(r.message)
 		h.journal.LimitBodyMemory(h.table, r.message)
 	}
@@ -159,28 +162,29 @@
 // had it.
 func (h *Host) logAccepted(m *memory.Message) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("accepted a message", "message", m.ID, "dest", m.Dest, "class", m.Class, "subject", m.OrderingKey, "left", time.Until(m.Deadline))
+		h.log.Debug("accepted a message", "message", m.ID, "dest", m.Dest, "class", m.Class,
+			"subject", m.OrderingKey, "left", time.Until(m.Deadline))
 	}
 }
 
 // reject counts a rejected request and returns its reply.
 func (h *Host) reject() submitResult {
 	h.rejectedCount++
-	v := submitResult{}
+	result := submitResult{}
 	if h.settings.SendRetryAfter {
-		v.retryAfter = h.settings.MaxRetryAfter
+		result.retryAfter = h.settings.MaxRetryAfter
 	}
-	return v
+	return result
 }
 
 // complete records that m needs no further work.
 func (h *Host) complete(m *memory.Message) { h.remove(m, false) }
 
 // remove takes m out of the table and the journal. reusable allows its id to be accepted again.
-func (h *Host) remove(m *memory.Message, anew bool) {
+func (h *Host) remove(m *memory.Message, reusable bool) {
 	if h.table.Get(m.Number) == m {
 		h.table.Remove(m)
-		h.journal.AppendCompleted(m, anew)
+		h.journal.AppendCompleted(m, reusable)
 		h.untrackNotification(m)
 	}
 }
@@ -193,8 +197,8 @@
 		return
 	}
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("completing a message by notification", "message", m.ID, "dest", m.Dest, "class", m.Class, "steps", m.Attempts, "left", time.Until(m.Deadline),
-			"handed_back", n.Returned, "advice", n.RetryAfter)
+		h.log.Debug("completing a message by notification", "message", m.ID, "dest", m.Dest, "class", m.Class,
+			"steps", m.Attempts, "left", time.Until(m.Deadline), "handed_back", n.Returned, "advice", n.RetryAfter)
 	}
 	if n.Returned {
 		h.metrics.Ended(m.Class, figures.HandedBack)
@@ -213,10 +217,10 @@
 
 // flushNotifications sends the notifications that may go out.
 func (h *Host) flushNotifications() {
-	wait, wall := h.journal.HasUnwritten(), time.Now()
+	unwritten, wall := h.journal.HasUnwritten(), time.Now()
 	var kept []pendingNotification
 	for i, n := range h.unqueuedNotifications {
-		if wait && h.couldStillBeSent(n.num, wall) {
+		if unwritten && h.couldStillBeSent(n.num, wall) {
 			kept = append(kept, n)
 			continue
 		}
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -15,10 +15,10 @@
 // Listen opens the clients' address with SO_REUSEPORT, so that the next process can listen there as
 // well during an upgrade. Without that option it still listens.
 func Listen(addr string) (net.Listener, error) {
-	set := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}
-	return set.Listen(context.Background(), "tcp", addr)
+	return config.Listen(context.Background(), "tcp", addr)
 }
 
 // CheckAddress returns an error if this process could not listen at addr, without listening. An
@@ -69,28 +69,28 @@
 
 // StopListening has Serve accept what is in the queue, then close the listener, while another
 // process listens at the address.
-func (f *Server) StopListening() {
-	if err := steerToSecondListener(f.listener); err != nil {
-		f.log.Debug("cannot steer new connections to the next process", "err", err)
+func (s *Server) StopListening() {
+	if err := steerToSecondListener(s.listener); err != nil {
+		s.log.Debug("cannot steer new connections to the next process", "err", err)
 	}
-	f.drainAcceptQueue()
+	s.drainAcceptQueue()
 }
 
 // drainAcceptQueue has Serve accept what is in the queue, for a limited time, then close the
 // listener.
-func (f *Server) drainAcceptQueue() {
+func (s *Server) drainAcceptQueue() {
 	now := time.Now()
-	f.queueDrainUntil.CompareAndSwap(0, int64(now.Add(maxAcceptQueueDrain).Sub(f.startedAt)))
-	f.drainingQueue.Store(true)
-	if d, ok := f.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		d.SetDeadline(f.acceptQueueDeadline(now))
+	s.queueDrainUntil.CompareAndSwap(0, int64(now.Add(maxAcceptQueueDrain).Sub(s.startedAt)))
+	s.drainingQueue.Store(true)
+	if d, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
+		d.SetDeadline(s.acceptQueueDeadline(now))
 	} else {
-		f.listener.Close()
+		s.listener.Close()
 	}
-	f.signalCapacity()
+	s.signalCapacity()
 }
 
 // acceptQueueDeadline returns when the accept queue counts as empty if no connection arrives.
-func (f *Server) acceptQueueDeadline(now time.Time) time.Time {
-	return earlier(now.Add(acceptQueueQuietTime), f.startedAt.Add(time.Duration(f.queueDrainUntil.Load())))
+func (s *Server) acceptQueueDeadline(now time.Time) time.Time {
+	return earlier(now.Add(acceptQueueQuietTime), s.startedAt.Add(time.Duration(s.queueDrainUntil.Load())))
 }
--- a/internal/wire/notification_order.go
+++ b/internal/wire/notification_order.go
@@ -61,9 +61,9 @@
 // startUnblockedCalls starts the calls that need not wait any more, and ends those that have timed
 // out as unsent.
 func (h *Host) startUnblockedCalls(now policy.Time) {
-	parked := h.callsAwaitingNotification
+	waiting := h.callsAwaitingNotification
 	h.callsAwaitingNotification = nil
-	for _, cl := range parked {
+	for _, cl := range waiting {
 		switch {
 		case !h.awaitsNotification(cl):
 			h.uncommittedCalls = append(h.uncommittedCalls, cl)
--- a/internal/wire/notification_order_test.go
+++ b/internal/wire/notification_order_test.go
@@ -13,40 +13,40 @@
 // The next message of an ordering key is sent only after the platform has acknowledged the earlier
 // one's notification.
 func TestNextMessageWaitsForNotification(t *testing.T) {
-	for name, status := range map[string]int{"given up by the module": 500, "over by the endpoint's word": 410} {
+	for name, status := range map[string]int{"given up by the policy engine": 500, "completed by the endpoint": 410} {
 		t.Run(name, func(t *testing.T) {
 			asked, answer := make(chan struct{}, 9), make(chan struct{})
-			w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
+			env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 				if r.Header.Get("X-Correlation-Id") == "a" {
 					rw.WriteHeader(status)
 				}
 			})
-			w.orderAllClasses()
-			w.Lock()
-			w.beforeNotificationAnswer = func() { asked <- struct{}{}; <-answer }
-			w.Unlock()
-			w.host.Do(func(h *Host) { h.stepsStopped = true }) // both arrive before the first step
+			env.orderAllClasses()
+			env.Lock()
+			env.beforeNotificationAnswer = func() { asked <- struct{}{}; <-answer }
+			env.Unlock()
+			env.host.Do(func(h *Host) { h.stepsStopped = true }) // both arrive before the first step
 			for _, id := range []string{"a", "b"} {
-				if got := w.post(orderedRequest(id)); got != 202 {
+				if got := env.post(orderedRequest(id)); got != 202 {
 					t.Fatalf("answered %d", got)
 				}
 			}
-			w.host.Do(func(h *Host) { h.stepsStopped = false })
+			env.host.Do(func(h *Host) { h.stepsStopped = false })
 			<-asked
-			waitFor(t, "the policy engine to send b", func() bool { n, _ := w.attempts("b"); return n == 1 })
-			w.host.Do(func(h *Host) {
+			waitFor(t, "the policy engine to send b", func() bool { n, _ := env.attempts("b"); return n == 1 })
+			env.host.Do(func(h *Host) {
 				if len(h.callsAwaitingNotification) != 1 {
 					t.Errorf("%d calls wait for the notification", len(h.callsAwaitingNotification))
 				}
 			})
-			w.Lock()
-			if slices.Contains(w.calls, "b") {
+			env.Lock()
+			if slices.Contains(env.calls, "b") {
 				t.Error("b was called before a's notification was acknowledged")
 			}
-			w.Unlock()
+			env.Unlock()
 			close(answer)
-			w.waitUntil("the call of b", func() bool { return slices.Contains(w.calls, "b") })
-			w.waitEmpty()
+			env.waitUntil("the call of b", func() bool { return slices.Contains(env.calls, "b") })
+			env.waitEmpty()
 		})
 	}
 }
@@ -58,7 +58,8 @@
 	a, b := h.addMessage("a", 7, 1), h.addMessage("b", 7, 1)
 	a.OrderingKey, b.OrderingKey = "s", "s"
 	h.completeByNotification(a.Number, memory.Notification{})
-	calls := h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
+	calls := h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second},
+		map[string]*call{}, nil)
 	h.registerCall(calls[0])
 	if len(h.callsAwaitingNotification) != 1 || len(h.uncommittedCalls) != 0 {
 		t.Fatalf("%d calls waiting, %d started", len(h.callsAwaitingNotification), len(h.uncommittedCalls))
@@ -68,7 +69,8 @@
 		t.Fatalf("before its timeout: %d calls waiting, %v", len(h.callsAwaitingNotification), h.pendingEvents)
 	}
 	h.startUnblockedCalls(time.Second)
-	if e, ok := h.pendingEvents[0].(policy.AttemptEnded); len(h.callsAwaitingNotification) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
+	if e, ok := h.pendingEvents[0].(policy.AttemptEnded); len(h.callsAwaitingNotification) != 0 || len(h.calls) != 0 ||
+		!ok || e.Outcome != policy.Unsent || b.InFlight != nil {
 		t.Errorf("%d calls waiting, %d in flight, %+v", len(h.callsAwaitingNotification), len(h.calls), h.pendingEvents)
 	}
 }
@@ -77,7 +79,8 @@
 // other key's.
 func TestRecoveredNotificationHoldsNext(t *testing.T) {
 	h := newTestHost(t)
-	before, a, b, other := h.addMessage("before", 7, 1), h.addMessage("a", 7, 1), h.addMessage("b", 7, 1), h.addMessage("other", 7, 1)
+	before, a, b, other := h.addMessage("before", 7, 1), h.addMessage("a", 7, 1), h.addMessage("b", 7, 1),
+		h.addMessage("other", 7, 1)
 	before.OrderingKey, a.OrderingKey, b.OrderingKey, other.OrderingKey = "s", "s", "s", "t"
 	h.table.MarkUndelivered(a, memory.Notification{})
 	h.restore(false)
@@ -90,7 +93,7 @@
 	}
 }
 
-// A waiting call joins no batch and needs a free slot.
+// A waiting call joins no batch and counts towards the concurrency limit.
 func TestWaitingCallJoinsNoBatch(t *testing.T) {
 	h := newTestHost(t)
 	h.pendingEvents = nil
@@ -109,7 +112,8 @@
 		h.calls[&call{endpoint: calls[0].endpoint}] = struct{}{}
 	}
 	b.InFlight = nil
-	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pendingEvents) != 1 {
+	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open,
+		nil); len(calls) > 0 || len(h.pendingEvents) != 1 {
 		t.Errorf("%d calls over the concurrency limit, %v", len(calls), h.pendingEvents)
 	}
 }
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -31,9 +31,9 @@
 
 // passToPolicy passes m to the policy engine, or holds it while another process may owe an earlier
 // message of its ordering key. transferred: m came from another process.
-func (h *Host) passToPolicy(m *memory.Message, looked bool) {
+func (h *Host) passToPolicy(m *memory.Message, transferred bool) {
 	until := h.now() + time.Until(m.Deadline) - deadlineMargin
-	if !h.sequencer.Hold(sequenceEntry(m), until, looked) {
+	if !h.sequencer.Hold(sequenceEntry(m), until, transferred) {
 		h.arrivals = append(h.arrivals, m)
 	}
 }
@@ -63,12 +63,12 @@
 // remainingOrdered lists the messages of ordered classes that this process still owes besides those
 // in given, in order of acceptance.
 func (h *Host) remainingOrdered(given []*memory.Message) (list []sequence.Message) {
-	gives := make(map[uint32]struct{}, len(given))
+	excluded := make(map[uint32]struct{}, len(given))
 	for _, m := range given {
-		gives[m.Number] = struct{}{}
+		excluded[m.Number] = struct{}{}
 	}
 	for _, m := range h.table.All() {
-		if _, now := gives[m.Number]; !now && m.OrderingKey != "" {
+		if _, skip := excluded[m.Number]; !skip && m.OrderingKey != "" {
 			list = append(list, sequenceEntry(m))
 		}
 	}
@@ -102,7 +102,7 @@
 
 // earliestHeldDeadline returns the first deadline of a held message, or at if that is earlier.
 func (h *Host) earliestHeldDeadline(at policy.Time) policy.Time {
-	if due, some := h.sequencer.Next(); some {
+	if due, ok := h.sequencer.Next(); ok {
 		return min(at, due)
 	}
 	return at
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -15,20 +15,20 @@
 )
 
 // orderAllClasses makes all classes ordered, with one message per call.
-func (w *testEnv) orderAllClasses() {
+func (env *testEnv) orderAllClasses() {
 	s := testSettings()
 	s.Kinds[0].MaxBatch = 1
 	for i := range s.Classes {
 		s.Classes[i].Ordered = true
 	}
-	w.host.Do(func(h *Host) {
+	env.host.Do(func(h *Host) {
 		if err := h.relay.Reconfigure(s); err != nil {
-			w.t.Error(err)
+			env.t.Error(err)
 		}
 		h.settings = s
 		h.indexSettings(s)
 	})
-	w.server.Configure(&s, 100)
+	env.server.Configure(&s, 100)
 }
 
 // orderedRequest is a request of the class "fee", which may not run twice, with the ordering key
@@ -38,23 +38,23 @@
 }
 
 // attempts returns the number of attempts begun for a message, and whether it is pending.
-func (w *testEnv) attempts(id string) (n int, there bool) {
-	w.host.Do(func(h *Host) {
+func (env *testEnv) attempts(id string) (n int, pending bool) {
+	env.host.Do(func(h *Host) {
 		if m := h.table.ByID(id); m != nil {
-			n, there = m.Attempts, true
+			n, pending = m.Attempts, true
 		}
 	})
-	return n, there
+	return n, pending
 }
 
 // waitSettled waits until the host has handled all earlier events: an unordered message submitted
 // now has been delivered.
-func (w *testEnv) waitSettled(id string) {
-	w.t.Helper()
-	if got := w.post(requestText("alert", id, "", "x", 4000)); got != 202 {
-		w.t.Fatalf("%s was answered %d", id, got)
+func (env *testEnv) waitSettled(id string) {
+	env.t.Helper()
+	if got := env.post(requestText("alert", id, "", "x", 4000)); got != 202 {
+		env.t.Fatalf("%s was answered %d", id, got)
 	}
-	w.waitUntil("the call of "+id, func() bool { return slices.Contains(w.calls, id) })
+	env.waitUntil("the call of "+id, func() bool { return slices.Contains(env.calls, id) })
 }
 
 // overlap is two processes of one relay and the spool between them.
@@ -107,11 +107,11 @@
 		if err != nil {
 			o.t.Fatal(err)
 		}
-		news, err := handover.Decode(text)
+		update, err := handover.Decode(text)
 		if err != nil {
 			o.t.Fatal(err)
 		}
-		<-o.new.host.Adopt(Transfer{Sender: "old", Messages: msgs, Update: news})
+		<-o.new.host.Adopt(Transfer{Sender: "old", Messages: msgs, Update: update})
 	}
 	o.new.host.EndTransferScan()
 }
@@ -127,19 +127,19 @@
 }
 
 // submit posts a message to env. The host may learn later than the client that it was answered.
-func (o *overlap) submit(w *testEnv, id string) {
+func (o *overlap) submit(env *testEnv, id string) {
 	o.t.Helper()
-	if got := w.post(orderedRequest(id)); got != 202 {
+	if got := env.post(orderedRequest(id)); got != 202 {
 		o.t.Fatalf("%s was answered %d", id, got)
 	}
 }
 
 // waitAnswered waits until the host of env knows that the message's client was answered.
-func (o *overlap) waitAnswered(w *testEnv, id string) {
+func (o *overlap) waitAnswered(env *testEnv, id string) {
 	o.t.Helper()
-	waitFor(o.t, id+" to be answered", func() (told bool) {
-		w.host.Do(func(h *Host) { m := h.table.ByID(id); told = m != nil && !m.Unanswered })
-		return told
+	waitFor(o.t, id+" to be answered", func() (answered bool) {
+		env.host.Do(func(h *Host) { m := h.table.ByID(id); answered = m != nil && !m.Unanswered })
+		return answered
 	})
 }
 
@@ -149,8 +149,8 @@
 	o.t.Helper()
 	o.new.waitSettled(mark)
 	for _, id := range ids {
-		if n, there := o.new.attempts(id); n != 0 || !there {
-			o.t.Fatalf("%s: %d attempts, pending %v, while the old process still owes an earlier one", id, n, there)
+		if n, pending := o.new.attempts(id); n != 0 || !pending {
+			o.t.Fatalf("%s: %d attempts, pending %v, while the old process still owes an earlier one", id, n, pending)
 		}
 	}
 }
@@ -174,16 +174,16 @@
 		want   []string
 	}{"delivered": {200, []string{"a", "b", "c"}}, "undone": {503, []string{"a", "a", "b", "c"}}} {
 		t.Run(name, func(t *testing.T) {
-			held, first := make(chan struct{}), true
-			release := sync.OnceFunc(func() { close(held) })
+			blocked, first := make(chan struct{}), true
+			release := sync.OnceFunc(func() { close(blocked) })
 			var mu sync.Mutex
 			o := startOverlap(t, func(rw http.ResponseWriter, id string) {
 				mu.Lock()
-				out := id == "a" && first
-				first = first && !out
+				blocks := id == "a" && first
+				first = first && !blocks
 				mu.Unlock()
-				if out {
-					<-held
+				if blocks {
+					<-blocked
 					rw.WriteHeader(c.status)
 				}
 			})
@@ -200,8 +200,8 @@
 			release()
 			waitFor(t, "the old process to be empty", func() bool {
 				o.old.host.TransferRemaining(1 << 20)
-				held, out := o.old.host.Load()
-				return held+out == 0
+				pending, inFlight := o.old.host.Load()
+				return pending+inFlight == 0
 			})
 			o.old.host.TransferRemaining(1 << 20)
 			o.scanTransfers()
@@ -295,7 +295,8 @@
 	o.new.waitUntil("its notification", func() bool { return len(o.new.notifications) == 1 })
 	o.new.Lock()
 	defer o.new.Unlock()
-	if n := o.new.notifications[0]; !strings.Contains(n, `"b"`) || !strings.Contains(n, "handed_back") || slices.Contains(o.new.calls, "b") {
+	if n := o.new.notifications[0]; !strings.Contains(n, `"b"`) || !strings.Contains(n, "handed_back") ||
+		slices.Contains(o.new.calls, "b") {
 		t.Errorf("completed by %s, calls %v", n, o.new.calls)
 	}
 }
@@ -322,7 +323,7 @@
 	if got := o.old.post(orderedRequest("a")); got != 503 && got != 429 {
 		t.Errorf("answered %d", got)
 	}
-	if _, there := o.old.attempts("a"); there {
+	if _, pending := o.old.attempts("a"); pending {
 		t.Error("it is pending nevertheless")
 	}
 }
--- a/internal/wire/policy_steps.go
+++ b/internal/wire/policy_steps.go
@@ -18,38 +18,39 @@
 	if !h.gossiper.Active() || h.stepsStopped || now < h.gossiper.NextTick() {
 		return
 	}
-	out, turned := h.gossiper.Tick(now)
+	out, ticked := h.gossiper.Tick(now)
 	h.sendGossip(out)
 	h.updateMembersView(now)
-	if !turned {
+	if !ticked {
 		return
 	}
-	news := policy.FleetUpdate{Routes: h.gossiper.FleetAverages(now, time.Now()), Relays: h.gossiper.PossibleCallers(now)}
-	h.targets.ResolveEndpoints(news.Routes)
-	if len(news.Routes) > 0 || news.Relays != h.reportedRelays { // an update without content needs no step
-		h.reportedRelays, h.pendingEvents = news.Relays, append(h.pendingEvents, news)
+	update := policy.FleetUpdate{Routes: h.gossiper.FleetAverages(now, time.Now()),
+		Relays: h.gossiper.PossibleCallers(now)}
+	h.targets.ResolveEndpoints(update.Routes)
+	if len(update.Routes) > 0 || update.Relays != h.reportedRelays { // an update without content needs no step
+		h.reportedRelays, h.pendingEvents = update.Relays, append(h.pendingEvents, update)
 	}
 	if h.siteWatch != nil {
-		h.siteWatch.Heard(now, news.Routes)
+		h.siteWatch.Heard(now, update.Routes)
 	}
 	h.updateSubsets(now)
 }
 
 // reportCallToFleet records the outcome of a call for the gossip.
-func (h *Host) reportCallToFleet(e callResult) {
-	if len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
+func (h *Host) reportCallToFleet(result callResult) {
+	if len(result.results) == 0 || errors.Is(result.err, errConnectionLimit) {
 		return // the endpoint's connections are taken by other relays, which says nothing of its health
 	}
-	how := peers.Failed
-	switch e.results[0].outcome {
+	outcome := peers.Failed
+	switch result.results[0].outcome {
 	case policy.Delivered, policy.Errored:
-		how = peers.Accepted
+		outcome = peers.Accepted
 	case policy.Rejected:
-		how = peers.Rejected
+		outcome = peers.Rejected
 	case policy.Unsent:
 		return // says nothing of the destination
 	}
-	h.gossiper.RecordCall(h.targets.Key(e.call.endpoint.id, e.call.endpoint.dest), how)
+	h.gossiper.RecordCall(h.targets.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
 }
 
 func (h *Host) step(now policy.Time) {
@@ -61,11 +62,11 @@
 		if m.Attempts == 0 {
 			h.targets.EachKey(m.Dest, h.gossiper.RecordArrival)
 		}
-		h.pendingEvents = append(h.pendingEvents, arrivedEvent(m, wall))
+		h.pendingEvents = append(h.pendingEvents, submittedEvent(m, wall))
 	}
 	events := h.pendingEvents
 	h.pendingEvents, h.arrivals, h.lastStepAt = nil, nil, now
-	acts, ok := h.runPolicyStep(now, events)
+	actions, ok := h.runPolicyStep(now, events)
 	if !ok {
 		h.restartPolicy(now)
 		return
@@ -73,7 +74,7 @@
 	h.metrics.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	var calls []*call
 	open := map[string]*call{}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Send:
 			calls = h.planSend(now, wall, a, open, calls)
@@ -96,25 +97,26 @@
 	}
 }
 
-// arrivedEvent is the event for a message, including its earlier attempts.
-func arrivedEvent(m *memory.Message, wall time.Time) policy.Submitted {
+// submittedEvent is the event for a message, including its earlier attempts.
+func submittedEvent(m *memory.Message, wall time.Time) policy.Submitted {
 	// The client counts from when it sent the request, a little earlier than this relay. A final
 	// answer at the very deadline would look late to it.
 	left := m.Deadline.Sub(wall) - deadlineMargin
-	a := policy.Submitted{ID: m.Number, Class: m.Class, Destination: m.Dest, TimeLeft: left, Attempts: m.Attempts, Recovered: m.Recovered,
-		Tenant: m.Tenant, Key: m.OrderingKey, Terms: policy.Class{Effect: m.Effect, RepeatWindow: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
+	a := policy.Submitted{ID: m.Number, Class: m.Class, Destination: m.Dest, TimeLeft: left,
+		Attempts: m.Attempts, Recovered: m.Recovered, Tenant: m.Tenant, Key: m.OrderingKey,
+		Terms: policy.Class{Effect: m.Effect, RepeatWindow: m.RepeatWindow, ZoneOnly: m.ZoneOnly}}
 	if !m.MayHaveRunSince.IsZero() {
 		if a.MayHaveRun, a.UncertainAge = true, wall.Sub(m.MayHaveRunSince); a.UncertainAge < 0 {
 			// The clock was set back since that attempt, so its age is unknown and no partner can
 			// be relied on to deduplicate a retry.
-			a.UncertainAge = unknownRiskAge
+			a.UncertainAge = unknownAttemptAge
 		}
 	}
 	return a
 }
 
 // runPolicyStep runs one step of the policy engine and recovers from a panic in it.
-func (h *Host) runPolicyStep(now policy.Time, events []policy.Event) (acts []policy.Action, ok bool) {
+func (h *Host) runPolicyStep(now policy.Time, events []policy.Event) (actions []policy.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.log.Error("policy engine panicked; restarting it", "panic", p, "stack", string(debug.Stack()))
@@ -132,12 +134,12 @@
 		return // cannot happen: the settings were valid at the start
 	}
 	h.relay, h.wakeAt, h.pendingEvents, h.arrivals, h.reportedRelays = relay, 0, nil, nil, 0
-	whole := policy.EndpointListUpdate{Kind: policy.ListRestored}
+	list := policy.EndpointListUpdate{Kind: policy.ListRestored}
 	for _, ep := range h.endpoints {
-		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest,
+		list.Entries = append(list.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest,
 			Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
 	}
-	h.pendingEvents = append(h.pendingEvents, whole)
+	h.pendingEvents = append(h.pendingEvents, list)
 	h.gossiper.ResendSubsets()
 	if h.siteWatch != nil {
 		h.pendingEvents = append(h.pendingEvents, policy.SitesUpdate{Plan: h.siteWatch})
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -55,7 +55,8 @@
 		h.handleEvent(submitRequest{m, answers[id]})
 	}
 	h.commit()
-	if plain, ordered := <-answers["plain"], <-answers["ordered"]; !plain.accepted || ordered.accepted || ordered.duplicate {
+	if plain, ordered := <-answers["plain"], <-answers["ordered"]; !plain.accepted || ordered.accepted ||
+		ordered.duplicate {
 		t.Errorf("answered %+v and %+v", plain, ordered)
 	}
 	if log := text.String(); !strings.Contains(log, "message=plain") || strings.Contains(log, "message=ordered") {
@@ -74,7 +75,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept, Log: discardLog})
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept,
+		Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -37,92 +37,93 @@
 
 // handleRequest reads and answers one request. It returns why the connection closes after it, or
 // staysOpen.
-func (f *Server) handleRequest(x *exchange) closeReason {
+func (s *Server) handleRequest(x *exchange) closeReason {
 	h, err := readHead(x.reader)
 	if err != nil {
-		return f.rejectMalformed(x, err)
+		return s.rejectMalformed(x, err)
 	}
 	method, target, version := h.firstLine[0], h.firstLine[1], h.firstLine[2]
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return f.rejectMalformed(x, errFirstLine)
+		return s.rejectMalformed(x, errFirstLine)
 	}
 	length, chunked, err := h.framing()
 	if err != nil {
-		return f.rejectMalformed(x, err)
+		return s.rejectMalformed(x, err)
 	}
 	if strings.EqualFold(h.get("Expect"), "100-continue") {
 		x.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	body, err := readBody(x.reader, length, chunked, maxBody)
 	if err != nil {
-		return f.rejectMalformed(x, err)
+		return s.rejectMalformed(x, err)
 	}
 	x.closeAfter = h.closesConnection(version)
 	path, query, _ := strings.Cut(target, "?")
 	switch {
 	case method == "GET" && path == "/ready":
-		if f.drainView.Load().Ready {
+		if s.drainView.Load().Ready {
 			return x.reply(200, 0, nil)
 		}
 		return x.reply(503, 0, nil)
 	case method != "POST":
 		return x.reply(405, 0, nil)
 	}
-	m, left, err := f.parseMessage(h, path, query, body)
+	m, left, err := s.parseMessage(h, path, query, body)
 	if err != nil {
-		f.log.Debug("refused an invalid request", "err", err)
+		s.log.Debug("refused an invalid request", "err", err)
 		return x.reply(400, 0, err)
 	}
-	if a := f.consultPlugins(m, left); a.Verdict == abi.Reject {
-		f.metrics.Ended(m.Class, figures.Failed)
-		return x.reply(422, 0, errors.New(a.Reason))
-	} else if a.Verdict == abi.Refuse {
-		advice := time.Duration(f.retryAdvice.Load())
-		if a.Wait > 0 {
-			advice = min(a.Wait, advice)
+	if advice := s.consultPlugins(m, left); advice.Verdict == abi.Reject {
+		s.metrics.Ended(m.Class, figures.Failed)
+		return x.reply(422, 0, errors.New(advice.Reason))
+	} else if advice.Verdict == abi.Refuse {
+		retryAfter := time.Duration(s.retryAdvice.Load())
+		if advice.Wait > 0 {
+			retryAfter = min(advice.Wait, retryAfter)
 		}
-		f.metrics.Ended(m.Class, figures.TurnedAway)
+		s.metrics.Ended(m.Class, figures.TurnedAway)
 		// 503 means that the relay is full and stops a client from submitting any other message, so
 		// this is 429.
-		return x.reply(429, advice, nil)
+		return x.reply(429, retryAfter, nil)
 	}
-	return f.submit(x, m, x.startedAt.Add(left))
+	return s.submit(x, m, x.startedAt.Add(left))
 }
 
 // consultPlugins asks plug-ins about a submitted message, on its connection's goroutine.
-func (f *Server) consultPlugins(m *memory.Message, left time.Duration) plugin.Advice {
-	set := f.plugins.Use()
+func (s *Server) consultPlugins(m *memory.Message, left time.Duration) plugin.Advice {
+	set := s.plugins.Use()
 	if set == nil {
 		return plugin.Advice{Verdict: abi.Take}
 	}
 	defer set.Done()
-	a := set.HandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.IdempotencyKey, Dest: m.Dest, Attempt: -1, Left: left, Body: m.Body})
-	m.PluginNotes = a.Notes
-	return a
+	advice := set.HandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.IdempotencyKey, Dest: m.Dest, Attempt: -1,
+		Left: left, Body: m.Body})
+	m.PluginNotes = advice.Notes
+	return advice
 }
 
 // submit passes m to the host, answers the client and reports that to the host, which may then
 // begin.
-func (f *Server) submit(x *exchange, m *memory.Message, until time.Time) closeReason {
-	m.Deadline = until
+func (s *Server) submit(x *exchange, m *memory.Message, deadline time.Time) closeReason {
+	m.Deadline = deadline
 	reply := make(chan submitResult, 1)
-	f.events <- submitRequest{m, reply}
-	v := <-reply
-	if v.unknownDest {
-		f.metrics.Ended(m.Class, figures.Failed)
+	s.events <- submitRequest{m, reply}
+	result := <-reply
+	if result.unknownDest {
+		s.metrics.Ended(m.Class, figures.Failed)
 		return x.reply(400, 0, fieldError("dest in Envelope: no such destination"))
 	}
-	if !v.accepted {
+	if !result.accepted {
 		status := 503
-		if v.duplicate {
+		if result.duplicate {
 			status = 202
 		} else {
-			f.metrics.Ended(m.Class, figures.TurnedAway)
+			s.metrics.Ended(m.Class, figures.TurnedAway)
 		}
-		return x.reply(status, v.retryAfter, nil)
+		return x.reply(status, result.retryAfter, nil)
 	}
 	reason := x.reply(202, 0, nil)
-	f.events <- submitAnswered{m.Number, reason != closedByClient}
+	s.events <- submitAnswered{m.Number, reason != closedByClient}
 	return reason
 }
 
@@ -140,13 +141,13 @@
 }
 
 // parseMessage returns the message of a request and the time that is left for it.
-func (f *Server) parseMessage(h *head, path, query string, body []byte) (*memory.Message, time.Duration, error) {
+func (s *Server) parseMessage(h *head, path, query string, body []byte) (*memory.Message, time.Duration, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	class, known := (*f.classes.Load())[name]
+	class, known := (*s.classes.Load())[name]
 	id, badID := h.getConsistent("X-Correlation-Id")
 	key, badKey := h.getConsistent("Idempotency-Key")
-	text, badLeft := h.getConsistent("X-Time-Left-Ms")
-	left, err := parseNumber(text)
+	timeLeft, badLeft := h.getConsistent("X-Time-Left-Ms")
+	left, err := parseNumber(timeLeft)
 	envelope, badDest := h.getConsistent("Envelope")
 	dest := -1
 	for _, part := range strings.FieldsFunc(envelope, func(c rune) bool { return strings.ContainsRune(",;& ", c) }) {
@@ -159,7 +160,7 @@
 		}
 	}
 	tenant, badTenant := h.getConsistent("X-Account")
-	tenants := *f.tenants.Load()
+	tenants := *s.tenants.Load()
 	if len(tenants) == 0 {
 		tenant, badTenant = "", nil // tenants are not configured: the header belongs to others
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -23,13 +23,14 @@
 	crowdedFirstByteTimeout = 300 * time.Millisecond  // the same while the connection limit is reached
 	crowdedPeriod           = 2 * time.Second         // how long the shorter limit applies after an eviction
 	evictionInterval        = 20 * time.Millisecond   // between two searches for a connection to evict
-	requestReadTimeout      = 2400 * time.Millisecond // for a request, from its first byte; for the first one, from accept
-	responseWriteTimeout    = 600 * time.Millisecond  // for a response
-	drainGracePeriod        = 30 * time.Millisecond   // for a request already on its way to a draining connection
-	lingerTimeout           = 200 * time.Millisecond  // for a client to read its last response and close
-	maxLingerBytes          = 256 << 10
-	maxAcceptQueueDrain     = 250 * time.Millisecond // from the start of the shutdown
-	maxIDBytes              = 256                    // of an id, a key or a tenant
+	// for a request, from its first byte; for the first one, from accept
+	requestReadTimeout   = 2400 * time.Millisecond
+	responseWriteTimeout = 600 * time.Millisecond // for a response
+	drainGracePeriod     = 30 * time.Millisecond  // for a request already on its way to a draining connection
+	lingerTimeout        = 200 * time.Millisecond // for a client to read its last response and close
+	maxLingerBytes       = 256 << 10
+	maxAcceptQueueDrain  = 250 * time.Millisecond // from the start of the shutdown
+	maxIDBytes           = 256                    // of an id, a key or a tenant
 )
 
 // Server is the HTTP server that accepts messages from clients.
@@ -64,222 +65,225 @@
 	trace          trace
 }
 
-// NewServer returns a server on ln with a limit of open connections.
-func NewServer(ln net.Listener, set *policy.Settings, most int, events chan<- any, log *slog.Logger) *Server {
-	f := &Server{listener: ln, events: events, log: log, conns: map[*clientConn]struct{}{}, capacityFreed: make(chan struct{}, 1)}
-	f.drainView.Store(&drain.View{})
-	f.startedAt = time.Now()
-	f.trace.startedAt = f.startedAt
-	f.Configure(set, most)
-	return f
+// NewServer returns a server on listener with a limit of open connections.
+func NewServer(listener net.Listener, settings *policy.Settings, maxConns int, events chan<- any,
+	log *slog.Logger) *Server {
+	s := &Server{listener: listener, events: events, log: log, conns: map[*clientConn]struct{}{},
+		capacityFreed: make(chan struct{}, 1)}
+	s.drainView.Store(&drain.View{})
+	s.startedAt = time.Now()
+	s.trace.startedAt = s.startedAt
+	s.Configure(settings, maxConns)
+	return s
 }
 
 // SetPlugins has plug-ins consulted about each message. It is called before Serve.
-func (f *Server) SetPlugins(h *plugin.Holder) { f.plugins = h }
+func (s *Server) SetPlugins(holder *plugin.Holder) { s.plugins = holder }
 
-// SetMetrics has rejections and failures at the server counted in s. It is called before Serve.
-func (f *Server) SetMetrics(s *figures.Set) { f.metrics = s }
+// SetMetrics has rejections and failures at the server counted in metrics. It is called before
+// Serve.
+func (s *Server) SetMetrics(metrics *figures.Set) { s.metrics = metrics }
 
-// Configure applies the classes and tenants of set and a limit of open connections, also while
+// Configure applies the classes and tenants of settings and a limit of open connections, also while
 // serving.
-func (f *Server) Configure(set *policy.Settings, most int) {
+func (s *Server) Configure(settings *policy.Settings, maxConns int) {
 	classes := map[string]policy.Class{}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		classes[c.Name] = c
 	}
-	f.classes.Store(&classes)
+	s.classes.Store(&classes)
 	tenants := map[string]bool{}
-	for _, t := range set.Tenants {
+	for _, t := range settings.Tenants {
 		tenants[t.Name] = true
 	}
-	f.tenants.Store(&tenants)
-	if f.retryAdvice.Store(0); set.SendRetryAfter {
-		f.retryAdvice.Store(int64(set.MaxRetryAfter))
+	s.tenants.Store(&tenants)
+	if s.retryAdvice.Store(0); settings.SendRetryAfter {
+		s.retryAdvice.Store(int64(settings.MaxRetryAfter))
 	}
-	f.mu.Lock()
-	f.maxConns = most
-	f.mu.Unlock()
+	s.mu.Lock()
+	s.maxConns = maxConns
+	s.mu.Unlock()
 }
 
 // Serve accepts connections until the listener is closed.
-func (f *Server) Serve() {
-	f.setAccepting(true)
-	defer f.setAccepting(false)
+func (s *Server) Serve() {
+	s.setAccepting(true)
+	defer s.setAccepting(false)
 	for {
-		f.waitForCapacity()
-		emptying := f.drainingQueue.Load()
+		s.waitForCapacity()
+		emptying := s.drainingQueue.Load()
 		if emptying {
-			f.listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(f.acceptQueueDeadline(time.Now()))
+			s.listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(s.acceptQueueDeadline(time.Now()))
 		}
-		sock, err := f.listener.Accept()
+		sock, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			// Only an Accept that began after the drain started shows that the queue is empty.
 			if emptying {
-				f.listener.Close()
+				s.listener.Close()
 				return
 			}
 			continue
 		}
 		if err != nil {
 			// Avoids a busy loop while descriptors are exhausted; the listener keeps the queue.
-			f.log.Warn("accept failed", "err", err)
+			s.log.Warn("accept failed", "err", err)
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		c := &clientConn{sock: sock, stateSince: time.Now()}
-		f.mu.Lock()
-		f.lastConnNumber++
-		c.number = f.lastConnNumber
-		f.conns[c] = struct{}{}
-		f.trace.record(c.number, traceAccept, int64(len(f.conns)), 0)
+		s.mu.Lock()
+		s.lastConnNumber++
+		c.number = s.lastConnNumber
+		s.conns[c] = struct{}{}
+		s.trace.record(c.number, traceAccept, int64(len(s.conns)), 0)
 		limit := firstByteTimeout
-		if c.stateSince.Before(f.crowdedUntil) {
+		if c.stateSince.Before(s.crowdedUntil) {
 			limit = crowdedFirstByteTimeout // it may have waited in the accept queue
 		}
-		if f.drainView.Load().Idle {
+		if s.drainView.Load().Idle {
 			limit = min(limit, drain.SilentFor)
 		}
-		f.setReadDeadline(c, c.stateSince.Add(limit))
-		f.mu.Unlock()
-		go f.serveConn(c)
+		s.setReadDeadline(c, c.stateSince.Add(limit))
+		s.mu.Unlock()
+		go s.serveConn(c)
 	}
 }
 
 // waitForCapacity waits until another connection may be accepted. At the limit it evicts
 // connections that sent nothing within their time, or else the one that has been idle longest.
-func (f *Server) waitForCapacity() {
-	waits := time.Time{}
-	for !f.drainView.Load().Shut && !f.drainingQueue.Load() {
-		f.mu.Lock()
-		now, short := time.Now(), len(f.conns) >= f.maxConns
-		if short {
+func (s *Server) waitForCapacity() {
+	waitingSince := time.Time{}
+	for !s.drainView.Load().Shut && !s.drainingQueue.Load() {
+		s.mu.Lock()
+		now, atLimit := time.Now(), len(s.conns) >= s.maxConns
+		if atLimit {
 			var oldest *clientConn
-			silent, fresh, idle := 0, 0, 0
-			for c := range f.conns {
+			evicted, newConns, idleConns := 0, 0, 0
+			for c := range s.conns {
 				switch c.state {
 				case connNew:
-					fresh++
+					newConns++
 				case connIdle:
-					idle++
+					idleConns++
 				}
 				switch {
 				case c.state == connNew && now.Sub(c.stateSince) >= crowdedFirstByteTimeout:
 					c.sock.SetReadDeadline(time.Unix(1, 0))
-					f.trace.record(c.number, traceEvict, int64(c.state), 0)
-					silent++
+					s.trace.record(c.number, traceEvict, int64(c.state), 0)
+					evicted++
 				case c.state == connIdle && (oldest == nil || c.stateSince.Before(oldest.stateSince)):
 					oldest = c
 				}
 			}
-			if f.crowdedUntil = now.Add(crowdedPeriod); silent == 0 && oldest != nil {
+			if s.crowdedUntil = now.Add(crowdedPeriod); evicted == 0 && oldest != nil {
 				oldest.sock.SetReadDeadline(time.Unix(1, 0))
-				f.trace.record(oldest.number, traceEvict, int64(oldest.state), 0)
+				s.trace.record(oldest.number, traceEvict, int64(oldest.state), 0)
 			}
-			if waits.IsZero() {
-				waits = now
-				f.trace.record(0, traceWait, int64(fresh), int64(idle))
+			if waitingSince.IsZero() {
+				waitingSince = now
+				s.trace.record(0, traceWait, int64(newConns), int64(idleConns))
 			}
 		}
-		f.mu.Unlock()
-		if !short {
-			if !waits.IsZero() {
-				f.trace.record(0, traceWaitEnded, now.Sub(waits).Microseconds(), 0)
+		s.mu.Unlock()
+		if !atLimit {
+			if !waitingSince.IsZero() {
+				s.trace.record(0, traceWaitEnded, now.Sub(waitingSince).Microseconds(), 0)
 			}
 			return
 		}
 		select {
-		case <-f.capacityFreed:
+		case <-s.capacityFreed:
 		case <-time.After(evictionInterval):
 		}
 	}
 }
 
 // signalCapacity wakes the accept loop, which may be waiting for capacity.
-func (f *Server) signalCapacity() {
+func (s *Server) signalCapacity() {
 	select {
-	case f.capacityFreed <- struct{}{}:
+	case s.capacityFreed <- struct{}{}:
 	default:
 	}
 }
 
 // HandleDrainEvent applies an event of the drain and its effects. Safe for concurrent use.
-func (f *Server) HandleDrainEvent(e drain.Event) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.drainMachine.Do(e, time.Since(f.startedAt))
-	f.applyDrainView()
+func (s *Server) HandleDrainEvent(e drain.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.drainMachine.Do(e, time.Since(s.startedAt))
+	s.applyDrainView()
 }
 
 // applyDrainView applies the drain's current view and schedules the next one. mu must be held.
-func (f *Server) applyDrainView() {
-	now := time.Since(f.startedAt)
-	was, v := f.drainView.Load(), f.drainMachine.View(now)
-	if f.shutdown {
-		v = drain.View{Stopping: v.Stopping, Close: true, Idle: true, Shut: true}
+func (s *Server) applyDrainView() {
+	now := time.Since(s.startedAt)
+	previous, view := s.drainView.Load(), s.drainMachine.View(now)
+	if s.shutdown {
+		view = drain.View{Stopping: view.Stopping, Close: true, Idle: true, Shut: true}
 	}
-	f.drainView.Store(&v)
-	if v.Shut && !was.Shut {
+	s.drainView.Store(&view)
+	if view.Shut && !previous.Shut {
 		// Closing the listener would reset connections in the accept queue, perhaps with a request
 		// on them.
-		f.drainAcceptQueue()
+		s.drainAcceptQueue()
 	}
-	if v.Idle && !was.Idle {
-		for c := range f.conns {
+	if view.Idle && !previous.Idle {
+		for c := range s.conns {
 			if c.state == connNew || c.state == connIdle { // a closing one keeps its time to deliver the last response
 				c.sock.SetReadDeadline(time.Unix(1, 0))
 			}
 		}
 	}
-	if f.drainTimer != nil {
-		f.drainTimer.Stop()
+	if s.drainTimer != nil {
+		s.drainTimer.Stop()
 	}
-	if next := f.drainMachine.Next(now); next > 0 && !f.shutdown {
-		f.drainTimer = time.AfterFunc(next, func() {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.applyDrainView()
+	if next := s.drainMachine.Next(now); next > 0 && !s.shutdown {
+		s.drainTimer = time.AfterFunc(next, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.applyDrainView()
 		})
 	}
 }
 
 // Drained reports whether the operators have drained the relay.
-func (f *Server) Drained() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.drainMachine.Failed()
+func (s *Server) Drained() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.drainMachine.Failed()
 }
 
 // Serving reports whether the server is serving, drained or not, and is not about to stop.
-func (f *Server) Serving() bool { return f.drainView.Load().Serving }
+func (s *Server) Serving() bool { return s.drainView.Load().Serving }
 
 // Shutdown drains the accept queue, closes the listener and closes idle connections at once.
 // Requests that have begun are answered before their connection closes.
-func (f *Server) Shutdown() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.shutdown = true
-	f.applyDrainView()
+func (s *Server) Shutdown() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.shutdown = true
+	s.applyDrainView()
 }
 
 // OpenConnections counts the open connections.
-func (f *Server) OpenConnections() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
+func (s *Server) OpenConnections() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
 }
 
 // Accepting reports whether further connections may be accepted.
-func (f *Server) Accepting() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.accepting
+func (s *Server) Accepting() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepting
 }
 
-func (f *Server) setAccepting(on bool) {
-	f.mu.Lock()
-	f.accepting = on
-	f.mu.Unlock()
+func (s *Server) setAccepting(on bool) {
+	s.mu.Lock()
+	s.accepting = on
+	s.mu.Unlock()
 }
--- a/internal/wire/server_close_test.go
+++ b/internal/wire/server_close_test.go
@@ -168,8 +168,13 @@
 				fmt.Fprint(sock, readyRequest)
 				read <- struct{}{}
 				expectStatus(t, r, 200)
-				waitFor(t, "the connection to be idle", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.idleConns == 1 })
-				req := map[string]string{"whole": readyRequest, "half": readyRequest[:len(readyRequest)/2], "one": "G"}[bytes]
+				waitFor(t, "the connection to be idle", func() bool {
+					e.mu.Lock()
+					defer e.mu.Unlock()
+					return e.idleConns == 1
+				})
+				req := map[string]string{"whole": readyRequest, "half": readyRequest[:len(readyRequest)/2],
+					"one": "G"}[bytes]
 				if when == "before" {
 					fmt.Fprint(sock, req)
 				}
@@ -223,18 +228,18 @@
 // A request that was read together with the one before is answered before the connection closes;
 // later ones are not read.
 func TestReadRequestsAnsweredBeforeClose(t *testing.T) {
-	for _, half := range []bool{false, true} {
+	for _, partial := range []bool{false, true} {
 		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
 		e.HandleDrainEvent(drain.Fail) // each response from here on closes its connection
 		sent := readyRequest + readyRequest
-		if half {
+		if partial {
 			sent += readyRequest[:10]
 		}
 		fmt.Fprint(sock, sent)
 		expectStatus(t, r, 503) // not ready
 		expectStatus(t, r, 503)
-		if half {
+		if partial {
 			fmt.Fprint(sock, readyRequest[10:])
 			expectStatus(t, r, 503)
 		}
@@ -366,7 +371,10 @@
 			t.Fatal(err)
 		}
 		on := 0
-		raw.Control(func(fd uintptr) { on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) })
+		raw.Control(func(fd uintptr) {
+			on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP,
+				syscall.TCP_NODELAY)
+		})
 		if err != nil || on == 0 {
 			t.Errorf("%s: TCP_NODELAY %d, %v", what, on, err)
 		}
@@ -434,7 +442,8 @@
 	set := &policy.Settings{Classes: []policy.Class{{Name: "alert", Deadline: time.Minute}}}
 	for _, emptying := range []bool{false, true} {
 		ln := &failingListener{listenLoopback(t).(*net.TCPListener), make(chan error, 9)}
-		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO} {
+		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
+			syscall.ENOMEM, syscall.EINTR, syscall.EPROTO} {
 			ln.errs <- errno
 		}
 		f := NewServer(ln, set, 10, make(chan any, 9), discardLog)
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -24,13 +24,18 @@
 var discardLog = slog.New(slog.DiscardHandler)
 
 func testSettings() policy.Settings {
-	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
-		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: time.Second, OverloadFactor: 2,
-		OverloadTime: 3 * time.Second, Classes: []policy.Class{
+	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true,
+		MaxRetryAfter: 3 * time.Second,
+		Tick:          time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2,
+		WarmUpTime:     time.Second,
+		OverloadFactor: 2,
+		OverloadTime:   3 * time.Second, Classes: []policy.Class{
 			{Name: "alert", Effect: policy.Safe, TargetLatency: 2 * time.Second, Deadline: 6 * time.Second, Value: 1},
-			{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2},
+			{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second,
+				Deadline: 20 * time.Second, Value: 2},
 			{Name: "fee", Effect: policy.Unsafe, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 5}},
-		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}}, Zones: []policy.Zone{{Name: "z"}}}
+		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}},
+		Zones: []policy.Zone{{Name: "z"}}}
 }
 
 // ownLoopback returns a loopback address that no other process uses. A client of another process
@@ -87,19 +92,19 @@
 	seen               map[string]bool
 }
 
-func startServer(t testing.TB, room, most int) (*Server, *fakeHost, net.Listener) {
+func startServer(t testing.TB, capacity, maxConns int) (*Server, *fakeHost, net.Listener) {
 	ln := listenLoopback(t)
-	f, h := startServerOn(t, ln, room, most)
-	return f, h, ln
+	server, h := startServerOn(t, ln, capacity, maxConns)
+	return server, h, ln
 }
 
-func startServerOn(t testing.TB, ln net.Listener, room, most int) (*Server, *fakeHost) {
-	h := &fakeHost{capacity: room, events: make(chan any), seen: map[string]bool{}}
+func startServerOn(t testing.TB, ln net.Listener, capacity, maxConns int) (*Server, *fakeHost) {
+	h := &fakeHost{capacity: capacity, events: make(chan any), seen: map[string]bool{}}
 	set := testSettings()
-	f := NewServer(ln, &set, most, h.events, discardLog)
+	server := NewServer(ln, &set, maxConns, h.events, discardLog)
 	done := make(chan struct{})
-	t.Cleanup(func() { f.Shutdown(); close(done) })
-	go f.Serve()
+	t.Cleanup(func() { server.Shutdown(); close(done) })
+	go server.Serve()
 	go func() {
 		for {
 			select {
@@ -109,13 +114,15 @@
 				h.Lock()
 				switch e := e.(type) {
 				case submitRequest:
-					v := submitResult{duplicate: h.seen[e.message.ID], retryAfter: time.Second}
+					result := submitResult{duplicate: h.seen[e.message.ID], retryAfter: time.Second}
 					if e.message.Dest == 404 {
-						v = submitResult{unknownDest: true}
-					} else if !v.duplicate && h.accepted < h.capacity {
-						h.accepted, h.lastBody, h.seen[e.message.ID], v = h.accepted+1, string(e.message.Body), true, submitResult{accepted: true}
+						result = submitResult{unknownDest: true}
+					} else if !result.duplicate && h.accepted < h.capacity {
+						h.accepted, h.lastBody, h.seen[e.message.ID], result = h.accepted+1, string(e.message.Body),
+							true,
+							submitResult{accepted: true}
 					}
-					e.reply <- v
+					e.reply <- result
 				case submitAnswered:
 					h.answered++
 				}
@@ -123,7 +130,7 @@
 			}
 		}
 	}()
-	return f, h
+	return server, h
 }
 
 func validRequest(id, body string) string {
@@ -140,12 +147,12 @@
 	f.Add([]byte{24, 1, 25, 26, 27, 1, 28, 29, 30, 31, 1}, uint8(40))
 	f.Add([]byte{1, 16, 17, 1, 18, 19, 20, 1, 1, 1, 1, 1, 1}, uint8(255))
 	f.Fuzz(func(t *testing.T, steps []byte, split uint8) {
-		const room = 4
-		front, host, ln := startServer(t, room, 10)
-		front.HandleDrainEvent(drain.Started)
+		const capacity = 4
+		server, host, ln := startServer(t, capacity, 10)
+		server.HandleDrainEvent(drain.Started)
 		var c net.Conn
 		var r *bufio.Reader
-		taken, ids := 0, 0
+		acceptedCount, ids := 0, 0
 		for _, s := range steps[:min(len(steps), 24)] {
 			if c == nil {
 				c, r = dialListener(t, ln)
@@ -167,7 +174,7 @@
 			}
 			drop := func(name string) string { return strings.Replace(validRequest(id, "body"), name, "X-Other", 1) }
 			accepted := 202
-			if taken >= room {
+			if acceptedCount >= capacity {
 				accepted = 503
 			}
 			model := []step{
@@ -176,7 +183,8 @@
 				{post("", "Connection: close\r\n"), accepted, false},
 				{post("POST /alert HTTP/1.0", ""), accepted, false},
 				{post("POST /alert/x?y=1 HTTP/1.1", "X-Repeat: again\r\n"), accepted, true},
-				{strings.Replace(strings.Replace(post("", "Transfer-Encoding: chunked\r\n"), "Content-Length: 4\r\n", "", 1),
+				{strings.Replace(
+					strings.Replace(post("", "Transfer-Encoding: chunked\r\n"), "Content-Length: 4\r\n", "", 1),
 					"\r\n\r\nbody", "\r\n\r\n3;x=1\r\nbod\r\n1\r\ny\r\n0\r\nT: 1\r\n\r\n", 1), accepted, true},
 				{post("POST /nobody HTTP/1.1", ""), 400, true},
 				{drop("X-Correlation-Id"), 400, true},
@@ -223,7 +231,7 @@
 				t.Fatalf("step %d: %d with text %q", s, a.status, a.body)
 			}
 			if a.status == 202 {
-				taken++
+				acceptedCount++
 			}
 			if !m.open {
 				if _, err := r.ReadByte(); err != io.EOF {
@@ -233,11 +241,11 @@
 				c = nil
 			}
 		}
-		front.Shutdown()
+		server.Shutdown()
 		waitFor(t, "each accepted message to be answered once", func() bool {
 			host.Lock()
 			defer host.Unlock()
-			return front.OpenConnections() == 0 && host.accepted == taken && host.answered == taken
+			return server.OpenConnections() == 0 && host.accepted == acceptedCount && host.answered == acceptedCount
 		})
 	})
 }
@@ -260,21 +268,21 @@
 
 // A request that has begun is answered after a shutdown; an idle connection closes.
 func TestShutdownAnswersBegunRequests(t *testing.T) {
-	front, _, ln := startServer(t, 8, 10)
+	server, _, ln := startServer(t, 8, 10)
 	c, r := dialListener(t, ln)
 	req := validRequest("slow", "hello")
 	io.WriteString(c, req[:20])
-	idle, idleR := dialListener(t, ln)
+	idle, idleReader := dialListener(t, ln)
 	waitFor(t, "one connection to be busy", func() (busy bool) {
-		front.mu.Lock()
-		defer front.mu.Unlock()
-		for fc := range front.conns {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for fc := range server.conns {
 			busy = busy || fc.state == connBusy
 		}
-		return busy && len(front.conns) == 2
+		return busy && len(server.conns) == 2
 	})
-	front.Shutdown()
-	if _, err := idleR.ReadByte(); err != io.EOF {
+	server.Shutdown()
+	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection %v: %v", idle.LocalAddr(), err)
 	}
 	io.WriteString(c, req[20:])
@@ -285,8 +293,8 @@
 
 // At the connection limit the connection that has been idle longest is evicted.
 func TestIdleConnectionEvicted(t *testing.T) {
-	front, _, ln := startServer(t, 8, 2)
-	front.HandleDrainEvent(drain.Started)
+	server, _, ln := startServer(t, 8, 2)
+	server.HandleDrainEvent(drain.Started)
 	ask := func(c net.Conn, r *bufio.Reader) error {
 		io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
 		a, err := readResponseHead(r)
@@ -312,19 +320,19 @@
 
 // Connections without a request are closed, and don't keep another client from being answered.
 func TestSilentConnectionsEvicted(t *testing.T) {
-	front, _, ln := startServer(t, 8, 4)
-	front.HandleDrainEvent(drain.Started)
-	var crowd []*bufio.Reader
+	server, _, ln := startServer(t, 8, 4)
+	server.HandleDrainEvent(drain.Started)
+	var silent []*bufio.Reader
 	for range 12 {
 		_, r := dialListener(t, ln)
-		crowd = append(crowd, r)
+		silent = append(silent, r)
 	}
 	c, r := dialListener(t, ln)
 	io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
 	if a, err := readResponseHead(r); err != nil || a.status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	for _, r := range crowd {
+	for _, r := range silent {
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Fatalf("still open: %v", err)
 		}
@@ -394,37 +402,38 @@
 func TestRequestAndIdleTimeouts(t *testing.T) {
 	ln := &timedListener{listenLoopback(t).(*net.TCPListener), make(chan *timedConn, 2)}
 	startServerOn(t, ln, 8, 10)
-	half, halfR := dialListener(t, ln)
+	partial, partialReader := dialListener(t, ln)
 	request := validRequest("half", "hello")[:40]
-	io.WriteString(half, request)
+	io.WriteString(partial, request)
 	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout)
-	if a, err := readResponseHead(halfR); err != nil || a.status != 408 {
+	if a, err := readResponseHead(partialReader); err != nil || a.status != 408 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	kept, keptR := dialListener(t, ln)
+	kept, keptReader := dialListener(t, ln)
 	request = validRequest("kept", "hello")
 	io.WriteString(kept, request)
-	if a, err := readResponseHead(keptR); err != nil || a.status != 202 {
+	if a, err := readResponseHead(keptReader); err != nil || a.status != 202 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.Long)
-	if _, err := keptR.ReadByte(); err != io.EOF {
+	if _, err := keptReader.ReadByte(); err != io.EOF {
 		t.Fatalf("still open: %v", err)
 	}
 }
 
 // During a planned stop each response says so and GET /ready fails; messages are still accepted.
 func TestPlannedStopIsAnnounced(t *testing.T) {
-	front, host, ln := startServer(t, 4, 10)
-	front.HandleDrainEvent(drain.Started)
+	server, host, ln := startServer(t, 4, 10)
+	server.HandleDrainEvent(drain.Started)
 	c, r := dialListener(t, ln)
 	for _, s := range []struct {
 		leave         bool
 		request, says string
 		status        int
-	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503}, {true, validRequest("m1", "body"), "stopping", 202}} {
+	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503},
+		{true, validRequest("m1", "body"), "stopping", 202}} {
 		if s.leave {
-			front.HandleDrainEvent(drain.Stop)
+			server.HandleDrainEvent(drain.Stop)
 		}
 		io.WriteString(c, s.request)
 		res, err := http.ReadResponse(r, nil)
@@ -501,17 +510,17 @@
 // A drain shows on each response at once and closes idle and new connections; later clients are
 // still served, and the drain can be ended.
 func TestDrainAndResume(t *testing.T) {
-	front, host, ln := startServer(t, 4, 10)
-	front.HandleDrainEvent(drain.Started)
-	used, usedR := dialListener(t, ln)
-	_, idleR := dialListener(t, ln)
-	waitFor(t, "both connections", func() bool { return front.OpenConnections() == 2 })
-	front.HandleDrainEvent(drain.Fail)
-	io.WriteString(used, validRequest("m1", "body"))
-	if res, err := http.ReadResponse(usedR, nil); err != nil || res.StatusCode != 202 || !res.Close {
+	server, host, ln := startServer(t, 4, 10)
+	server.HandleDrainEvent(drain.Started)
+	busy, busyReader := dialListener(t, ln)
+	_, idleReader := dialListener(t, ln)
+	waitFor(t, "both connections", func() bool { return server.OpenConnections() == 2 })
+	server.HandleDrainEvent(drain.Fail)
+	io.WriteString(busy, validRequest("m1", "body"))
+	if res, err := http.ReadResponse(busyReader, nil); err != nil || res.StatusCode != 202 || !res.Close {
 		t.Fatalf("connection in use: %v, %v", res, err)
 	}
-	for _, r := range []*bufio.Reader{usedR, idleR} {
+	for _, r := range []*bufio.Reader{busyReader, idleReader} {
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Fatalf("still open: %v", err)
 		}
@@ -525,13 +534,13 @@
 		}
 		return res.StatusCode, res.Close
 	}
-	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !front.Serving() {
-		t.Errorf("GET /ready: %d, close %v, serving %v", status, closes, front.Serving())
+	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !server.Serving() {
+		t.Errorf("GET /ready: %d, close %v, serving %v", status, closes, server.Serving())
 	}
 	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
 		t.Errorf("new client: %d, close %v", status, closes)
 	}
-	front.HandleDrainEvent(drain.OK)
+	server.HandleDrainEvent(drain.OK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
 		t.Errorf("after the drain: %d, close %v", status, closes)
 	}
@@ -547,9 +556,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewServer(ln, &policy.Settings{}, 10, make(chan any, 1), discardLog)
-	f.HandleDrainEvent(drain.Started)
-	go f.Serve()
+	server := NewServer(ln, &policy.Settings{}, 10, make(chan any, 1), discardLog)
+	server.HandleDrainEvent(drain.Started)
+	go server.Serve()
 	sock, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -561,13 +570,13 @@
 		}
 	}
 	sock.Close()
-	for f.OpenConnections() > 0 {
+	for server.OpenConnections() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.Shutdown()
+	server.Shutdown()
 	names := func() (all []string) {
 		var out strings.Builder
-		if err := f.Trace(&out); err != nil {
+		if err := server.Trace(&out); err != nil {
 			t.Fatal(err)
 		}
 		for line := range strings.Lines(out.String()) {
@@ -586,7 +595,7 @@
 		}
 	}
 	for range traceCapacity - 1 {
-		f.trace.record(1, traceClose, 2, 0)
+		server.trace.record(1, traceClose, 2, 0)
 	}
 	if all := names(); len(all) != traceCapacity || all[0] != "close 1" || all[traceCapacity-1] != "close 2" {
 		t.Errorf("%d events, from %q to %q", len(all), all[0], all[len(all)-1])
--- a/internal/wire/trace.go
+++ b/internal/wire/trace.go
@@ -55,18 +55,18 @@
 // write prints the kept events, oldest first, as seconds, connection, event and two values.
 func (t *trace) write(out io.Writer) error {
 	t.mu.Lock()
-	var all []traceEvent
+	var events []traceEvent
 	if t.full {
-		all = append(all, t.ring[t.next:]...)
+		events = append(events, t.ring[t.next:]...)
 	}
-	all = append(all, t.ring[:t.next]...)
+	events = append(events, t.ring[:t.next]...)
 	t.mu.Unlock()
 	w := bufio.NewWriter(out)
-	for _, e := range all {
+	for _, e := range events {
 		fmt.Fprintf(w, "trace %.6f c%d %s %d %d\n", e.at.Seconds(), e.conn, traceNames[e.kind], e.a, e.b)
 	}
 	return w.Flush()
 }
 
 // Trace writes the server's last events, one per line. Safe for concurrent use.
-func (f *Server) Trace(out io.Writer) error { return f.trace.write(out) }
+func (s *Server) Trace(out io.Writer) error { return s.trace.write(out) }
