--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -111,8 +111,8 @@
 	defer s.setAccepting(false)
 	for {
 		s.waitForCapacity()
-		emptying := s.drainingQueue.Load()
-		if emptying {
+		draining := s.drainingQueue.Load()
+		if draining {
 			s.listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(s.acceptQueueDeadline(time.Now()))
 		}
 		sock, err := s.listener.Accept()
@@ -121,7 +121,7 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			// Only an Accept that began after the drain started shows that the queue is empty.
-			if emptying {
+			if draining {
 				s.listener.Close()
 				return
 			}
--- a/internal/wire/server_close_test.go
+++ b/internal/wire/server_close_test.go
@@ -440,7 +440,7 @@
 // accept queue.
 func TestTransientAcceptErrors(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "alert", Deadline: time.Minute}}}
-	for _, emptying := range []bool{false, true} {
+	for _, draining := range []bool{false, true} {
 		ln := &failingListener{listenLoopback(t).(*net.TCPListener), make(chan error, 9)}
 		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 			syscall.ENOMEM, syscall.EINTR, syscall.EPROTO} {
@@ -453,7 +453,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprint(sock, readyRequest)
-		if emptying {
+		if draining {
 			f.mu.Lock()
 			f.drainAcceptQueue()
 			f.mu.Unlock()
@@ -462,7 +462,7 @@
 		sock.SetDeadline(time.Now().Add(20 * time.Second))
 		expectStatus(t, bufio.NewReader(sock), 200)
 		sock.Close()
-		if emptying {
+		if draining {
 			waitFor(t, "the listener to close", func() bool { return !f.Accepting() })
 		}
 		ln.Close()
