--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -17,17 +17,17 @@
 type Transfer struct {
 	Sender       string // the transferring process; empty: read from its directory
 	Messages     []*memory.Message
-	CompletedIDs []string       // ids of completed messages
-	Update       *handover.News // nil: none
-	LastProcess  bool           // no other process is left
+	CompletedIDs []string         // ids of completed messages
+	Update       *handover.Update // nil: none
+	LastProcess  bool             // no other process is left
 }
 
 // Adopt takes over a transfer. The returned channel is closed once all of it is in the journal.
 func (h *Host) Adopt(transfer Transfer) <-chan struct{} {
 	done := make(chan struct{})
 	h.Do(func(h *Host) {
-		if transfer.Update != nil && transfer.Update.Numbers != nil {
-			numbers := *transfer.Update.Numbers
+		if transfer.Update != nil && transfer.Update.Numbering != nil {
+			numbers := *transfer.Update.Numbering
 			numbers.Odd = true
 			h.table.UseSharedNumbering(numbers)
 		}
@@ -39,12 +39,12 @@
 			h.table.MarkCompleted(id)
 		}
 		if transfer.Update != nil {
-			h.sequencer.Owes(transfer.Sender, transfer.Update.Owes)
+			h.sequencer.SetPending(transfer.Sender, transfer.Update.PendingOrdered)
 			h.applyHandoverUpdate(transfer.Update)
 		}
 		if transfer.LastProcess {
 			h.ownedElsewhere = nil
-			h.releaseHeld(h.sequencer.End())
+			h.releaseHeld(h.sequencer.Finish())
 			h.table.StopSharedNumbering()
 			h.setInheritedCalls(nil)
 		}
@@ -57,7 +57,7 @@
 // recording that; its id then identifies it.
 func (h *Host) adopt(m *memory.Message) {
 	delete(h.ownedElsewhere, m.ID)
-	h.sequencer.Arrived(m.ID)
+	h.sequencer.MarkArrived(m.ID)
 	num := m.Number // a kept number preserves the order of acceptance, also after a restart
 	if existing := h.table.ByID(m.ID); existing != nil {
 		if existing.InFlight != nil || !m.Supersedes(existing) {
@@ -97,19 +97,19 @@
 }
 
 // applyHandoverUpdate takes over the previous process's state other than messages.
-func (h *Host) applyHandoverUpdate(update *handover.News) {
-	if l := update.List; l != nil && l.Generation > h.listGeneration {
+func (h *Host) applyHandoverUpdate(update *handover.Update) {
+	if l := update.EndpointList; l != nil && l.Generation > h.listGeneration {
 		list := memory.EndpointList{Generation: l.Generation, Complete: true}
-		for _, m := range l.Members {
+		for _, m := range l.Endpoints {
 			list.Entries = append(list.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listReceived = true
 		h.applyEndpointList(list, policy.ListSnapshot)
 	}
-	if update.Learned != nil {
-		h.inheritedState = *update.Learned
+	if update.LearnedState != nil {
+		h.inheritedState = *update.LearnedState
 	}
-	for _, id := range update.Known {
+	for _, id := range update.OwnedIDs {
 		if h.table.ByID(id) == nil && !h.table.RecentlyCompleted(id) {
 			if h.ownedElsewhere == nil {
 				h.ownedElsewhere = map[string]struct{}{}
@@ -118,12 +118,12 @@
 		}
 	}
 	h.inheritedDrain = h.inheritedDrain || update.Drained
-	h.applyBackoffs(update.Waits)
+	h.applyBackoffs(update.RetryAfters)
 	if h.standby {
 		// Activate reports them to the policy engine
-		h.untransferredWaits = append(h.untransferredWaits, update.Waits...)
+		h.untransferredWaits = append(h.untransferredWaits, update.RetryAfters...)
 	}
-	h.setInheritedCalls(update.Out)
+	h.setInheritedCalls(update.InFlightCalls)
 }
 
 // dateAfter returns the time after a duration from now, on the scale shared with the next process.
@@ -132,7 +132,7 @@
 }
 
 // applyBackoffs applies the Retry-After times that the previous process received.
-func (h *Host) applyBackoffs(waits []handover.Wait) {
+func (h *Host) applyBackoffs(waits []handover.RetryAfter) {
 	for _, w := range waits {
 		left := min(time.Until(h.dateScale.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
 		if left <= 0 {
@@ -191,15 +191,15 @@
 			h.endUnsentCall(cl) // its messages are transferred
 		}
 		state, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
-		update := &handover.News{Drained: drained, Learned: &state, List: &handover.List{Generation: h.listGeneration},
-			Numbers: &numbers}
+		update := &handover.Update{Drained: drained, LearnedState: &state, EndpointList: &handover.EndpointList{Generation: h.listGeneration},
+			Numbering: &numbers}
 		for _, ep := range h.endpoints {
-			update.List.Members = append(update.List.Members, handover.Member{HostPort: ep.addr,
+			update.EndpointList.Endpoints = append(update.EndpointList.Endpoints, handover.ListedEndpoint{HostPort: ep.addr,
 				Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
 					Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
 				h.untransferredWaits = append(h.untransferredWaits,
-					handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
+					handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
 			}
 		}
 		h.untransferred = nil
@@ -209,7 +209,7 @@
 			} else if m.Notification == nil {
 				// It is transferred once that is possible. A file that names it twice could not be
 				// read.
-				update.Known = append(update.Known, m.ID)
+				update.OwnedIDs = append(update.OwnedIDs, m.ID)
 			}
 		}
 		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int {
@@ -240,7 +240,7 @@
 func (h *Host) TransferRemaining(capacity int64) {
 	h.Do(func(h *Host) {
 		if h.sendToSuccessor != nil {
-			h.transferPending(h.sendToSuccessor, &handover.News{}, capacity)
+			h.transferPending(h.sendToSuccessor, &handover.Update{}, capacity)
 		}
 	})
 }
@@ -258,7 +258,7 @@
 // transferPending writes a file for the next process with the messages that fit into capacity
 // bytes, if there is anything to report. The limit keeps the messages, which are still in this
 // process's directory as well, within the disk budget.
-func (h *Host) transferPending(send func([]byte) error, update *handover.News, capacity int64) error {
+func (h *Host) transferPending(send func([]byte) error, update *handover.Update, capacity int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.untransferred {
 		if h.table.Get(m.Number) != m || !transferable(m) {
@@ -275,9 +275,9 @@
 		slices.Equal(owes, h.reportedOwed) {
 		return nil
 	}
-	update.Waits, update.Owes = h.untransferredWaits, owes
+	update.RetryAfters, update.PendingOrdered = h.untransferredWaits, owes
 	for cl := range h.calls {
-		update.Out = append(update.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		update.InFlightCalls = append(update.InFlightCalls, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := send(journal.EncodeTransfer(msgs, update.Encode(), h.dateScale)); err != nil {
 		h.log.Error("transfer to the next process failed; messages stay in the process directory",
@@ -314,7 +314,7 @@
 		if alone {
 			h.journal.SetBudget(total - others)
 		} else {
-			h.journal.SetBudget(handover.Budget(total, h.journal.UsedBytes(), others))
+			h.journal.SetBudget(handover.JournalBudget(total, h.journal.UsedBytes(), others))
 		}
 	})
 }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -38,8 +38,8 @@
 	<-env.host.Adopt(Transfer{CompletedIDs: []string{"over"}})
 	<-env.host.Adopt(Transfer{Messages: []*memory.Message{msg("alert", "a", 0, time.Time{}),
 		msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
-		Update: &handover.News{Out: inherited, Known: []string{"there"}, Drained: true,
-			Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
+		Update: &handover.Update{InFlightCalls: inherited, OwnedIDs: []string{"there"}, Drained: true,
+			RetryAfters: []handover.RetryAfter{{Endpoint: "s-1", Dest: 7, Until: until}}}})
 	<-env.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()),
 		msg("alert", "a", 0, time.Time{})}})
 	if got := env.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
@@ -56,8 +56,8 @@
 		state      policy.EndpointState
 		want       policy.EndpointState
 	}{{0, policy.Draining, policy.Listed}, {9, policy.Draining, policy.Draining}, {10, policy.Listed, policy.Listed}} {
-		<-env.host.Adopt(Transfer{Update: &handover.News{Out: inherited[:1],
-			List: &handover.List{Generation: c.generation, Members: []handover.Member{
+		<-env.host.Adopt(Transfer{Update: &handover.Update{InFlightCalls: inherited[:1],
+			EndpointList: &handover.EndpointList{Generation: c.generation, Endpoints: []handover.ListedEndpoint{
 				{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state},
 					HostPort: env.endpoint.Listener.Addr().String()}}}}})
 		env.host.Do(func(h *Host) {
@@ -120,7 +120,7 @@
 	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	var mu sync.Mutex
 	var transferred []*memory.Message
-	var updates []*handover.News
+	var updates []*handover.Update
 	send := func(b []byte) error {
 		msgs, text, err := journal.DecodeTransfer(b, clock.Scale{})
 		if err != nil {
@@ -147,9 +147,9 @@
 		t.Fatal(err)
 	}
 	mu.Lock()
-	if n := updates[0]; len(transferred) != 1 || transferred[0].ID != "held" || len(n.Out) != 1 ||
-		!slices.Equal(n.Known, []string{"out"}) || !n.Drained ||
-		len(n.Waits) != 1 || len(n.List.Members) != 1 || n.List.Generation != 1 {
+	if n := updates[0]; len(transferred) != 1 || transferred[0].ID != "held" || len(n.InFlightCalls) != 1 ||
+		!slices.Equal(n.OwnedIDs, []string{"out"}) || !n.Drained ||
+		len(n.RetryAfters) != 1 || len(n.EndpointList.Endpoints) != 1 || n.EndpointList.Generation != 1 {
 		t.Errorf("first file: %v, %+v", transferred, n)
 	}
 	mu.Unlock()
@@ -167,7 +167,7 @@
 		env.host.TransferRemaining(1 << 20)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(transferred) == 3 && len(updates[len(updates)-1].Out) == 0
+		return len(transferred) == 3 && len(updates[len(updates)-1].InFlightCalls) == 0
 	})
 	env.waitEmpty()
 	mu.Lock()
--- a/internal/wire/lifecycle.go
+++ b/internal/wire/lifecycle.go
@@ -70,7 +70,7 @@
 // the journal.
 func (h *Host) submit(e submitRequest) (*memory.Message, submitResult) {
 	_, owned := h.ownedElsewhere[e.message.ID]
-	if m := h.table.ByID(e.message.ID); m != nil || owned || h.sequencer.OwedElsewhere(e.message.ID) ||
+	if m := h.table.ByID(e.message.ID); m != nil || owned || h.sequencer.PendingElsewhere(e.message.ID) ||
 		h.table.RecentlyCompleted(e.message.ID) {
 		if m != nil {
 			m.Resubmitted = true
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -17,7 +17,7 @@
 // first scan on, messages of ordered classes wait for scans until Adopt receives LastProcess.
 func (h *Host) BeginTransferScan() {
 	h.Do(func(h *Host) {
-		h.sequencer.LookBegins()
+		h.sequencer.BeginScan()
 		arrivals := h.arrivals
 		h.arrivals = nil
 		for _, m := range arrivals {
@@ -27,7 +27,7 @@
 }
 
 // EndTransferScan announces that the scan's transfers are adopted.
-func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.LookEnded() }) }
+func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.EndScan() }) }
 
 // passToPolicy passes m to the policy engine, or holds it while another process may owe an earlier
 // message of its ordering key. transferred: m came from another process.
@@ -39,7 +39,7 @@
 }
 
 func sequenceEntry(m *memory.Message) sequence.Message {
-	return sequence.Message{ID: m.ID, Subject: m.OrderingKey, Num: m.Number}
+	return sequence.Message{ID: m.ID, OrderingKey: m.OrderingKey, Number: m.Number}
 }
 
 // releaseHeld passes on messages that need not be held any more.
@@ -72,7 +72,7 @@
 			list = append(list, sequenceEntry(m))
 		}
 	}
-	slices.SortFunc(list, func(a, b sequence.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+	slices.SortFunc(list, func(a, b sequence.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 	return list
 }
 
@@ -83,7 +83,7 @@
 	if h.sendToSuccessor == nil || !slices.ContainsFunc(h.uncommittedReplies, acceptedOrdered) {
 		return nil
 	}
-	err := h.transferPending(h.sendToSuccessor, &handover.News{}, 0)
+	err := h.transferPending(h.sendToSuccessor, &handover.Update{}, 0)
 	if err == nil {
 		return nil
 	}
@@ -102,7 +102,7 @@
 
 // earliestHeldDeadline returns the first deadline of a held message, or at if that is earlier.
 func (h *Host) earliestHeldDeadline(at policy.Time) policy.Time {
-	if due, ok := h.sequencer.Next(); ok {
+	if due, ok := h.sequencer.NextDeadline(); ok {
 		return min(at, due)
 	}
 	return at
