--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -191,12 +191,14 @@
 			h.endUnsentCall(cl) // its messages are transferred
 		}
 		state, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
-		update := &handover.Update{Drained: drained, LearnedState: &state, EndpointList: &handover.EndpointList{Generation: h.listGeneration},
-			Numbering: &numbers}
+		update := &handover.Update{Drained: drained, LearnedState: &state,
+			EndpointList: &handover.EndpointList{Generation: h.listGeneration},
+			Numbering:    &numbers}
 		for _, ep := range h.endpoints {
-			update.EndpointList.Endpoints = append(update.EndpointList.Endpoints, handover.ListedEndpoint{HostPort: ep.addr,
-				Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
-					Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
+			update.EndpointList.Endpoints = append(update.EndpointList.Endpoints,
+				handover.ListedEndpoint{HostPort: ep.addr,
+					Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
+						Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
 				h.untransferredWaits = append(h.untransferredWaits,
 					handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
@@ -277,7 +279,8 @@
 	}
 	update.RetryAfters, update.PendingOrdered = h.untransferredWaits, owes
 	for cl := range h.calls {
-		update.InFlightCalls = append(update.InFlightCalls, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		update.InFlightCalls = append(update.InFlightCalls,
+			policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := send(journal.EncodeTransfer(msgs, update.Encode(), h.dateScale)); err != nil {
 		h.log.Error("transfer to the next process failed; messages stay in the process directory",
