--- /dev/null
+++ b/internal/wire/server.go
@@ -0,0 +1,289 @@
+package wire
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"oatfold/internal/admission"
+	"oatfold/internal/drain"
+	"oatfold/internal/figures"
+	"oatfold/internal/plugin"
+	"oatfold/policy"
+)
+
+// Clients require an error or a close within 3 s of connecting when they send no complete request;
+// a connection between requests may be closed after 2 s.
+const (
+	firstByteTimeout        = 2050 * time.Millisecond // first byte on a new connection
+	crowdedFirstByteTimeout = 300 * time.Millisecond  // the same while the connection limit is reached
+	crowdedPeriod           = 2 * time.Second         // how long the shorter limit applies after an eviction
+	evictionInterval        = 20 * time.Millisecond   // between two searches for a connection to evict
+	// for a request, from its first byte; for the first one, from accept
+	requestReadTimeout   = 2400 * time.Millisecond
+	responseWriteTimeout = 600 * time.Millisecond // for a response
+	drainGracePeriod     = 30 * time.Millisecond  // for a request already on its way to a draining connection
+	lingerTimeout        = 200 * time.Millisecond // for a client to read its last response and close
+	maxLingerBytes       = 256 << 10
+	maxAcceptQueueDrain  = 250 * time.Millisecond // from the start of the shutdown
+	maxIDBytes           = 256                    // of an id, a key or a tenant
+)
+
+// Server is the HTTP server that accepts messages from clients.
+type Server struct {
+	listener        net.Listener
+	events          chan<- any
+	classes         atomic.Pointer[map[string]policy.Class]
+	tenants         atomic.Pointer[map[string]bool] // by name; empty: tenants are not configured
+	log             *slog.Logger
+	retryAdvice     atomic.Int64 // Retry-After of rejected requests in nanoseconds; 0: not sent
+	plugins         *plugin.Holder
+	drainView       atomic.Pointer[drain.View]
+	metrics         *figures.Set
+	drainingQueue   atomic.Bool   // the accept queue is drained before the listener closes
+	readsStopped    atomic.Bool   // no further reads: the process is about to exit
+	queueDrainUntil atomic.Int64  // latest end of the accept queue's drain, in nanoseconds since startedAt
+	capacityFreed   chan struct{} // signalled when a connection closes or becomes idle
+
+	mu             sync.Mutex
+	drainMachine   drain.Machine
+	drainTimer     *time.Timer // fires at the drain's next change of view
+	startedAt      time.Time
+	shutdown       bool // Shutdown was called
+	maxConns       int  // limit of open connections
+	idleConns      int  // open connections between requests
+	keepAlive      admission.Keep
+	conns          map[*clientConn]struct{}
+	crowdedUntil   time.Time
+	lastConnNumber uint32
+	accepting      bool                          // the accept loop is running
+	onCloseStage   func(*clientConn, closeStage) // test hook; nil otherwise
+	trace          trace
+}
+
+// NewServer returns a server on listener with a limit of open connections.
+func NewServer(listener net.Listener, settings *policy.Settings, maxConns int, events chan<- any,
+	log *slog.Logger) *Server {
+	s := &Server{listener: listener, events: events, log: log, conns: map[*clientConn]struct{}{},
+		capacityFreed: make(chan struct{}, 1)}
+	s.drainView.Store(&drain.View{})
+	s.startedAt = time.Now()
+	s.trace.startedAt = s.startedAt
+	s.Configure(settings, maxConns)
+	return s
+}
+
+// SetPlugins has plug-ins consulted about each message. It is called before Serve.
+func (s *Server) SetPlugins(holder *plugin.Holder) { s.plugins = holder }
+
+// SetMetrics has rejections and failures at the server counted in metrics. It is called before
+// Serve.
+func (s *Server) SetMetrics(metrics *figures.Set) { s.metrics = metrics }
+
+// Configure applies the classes and tenants of settings and a limit of open connections, also while
+// serving.
+func (s *Server) Configure(settings *policy.Settings, maxConns int) {
+	classes := map[string]policy.Class{}
+	for _, c := range settings.Classes {
+		classes[c.Name] = c
+	}
+	s.classes.Store(&classes)
+	tenants := map[string]bool{}
+	for _, t := range settings.Tenants {
+		tenants[t.Name] = true
+	}
+	s.tenants.Store(&tenants)
+	if s.retryAdvice.Store(0); settings.SendRetryAfter {
+		s.retryAdvice.Store(int64(settings.MaxRetryAfter))
+	}
+	s.mu.Lock()
+	s.maxConns = maxConns
+	s.mu.Unlock()
+}
+
+// Serve accepts connections until the listener is closed.
+func (s *Server) Serve() {
+	s.setAccepting(true)
+	defer s.setAccepting(false)
+	for {
+		s.waitForCapacity()
+		draining := s.drainingQueue.Load()
+		if draining {
+			s.listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(s.acceptQueueDeadline(time.Now()))
+		}
+		sock, err := s.listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			// Only an Accept that began after the drain started shows that the queue is empty.
+			if draining {
+				s.listener.Close()
+				return
+			}
+			continue
+		}
+		if err != nil {
+			// Avoids a busy loop while descriptors are exhausted; the listener keeps the queue.
+			s.log.Warn("accept failed", "err", err)
+			time.Sleep(20 * time.Millisecond)
+			continue
+		}
+		c := &clientConn{sock: sock, stateSince: time.Now()}
+		s.mu.Lock()
+		s.lastConnNumber++
+		c.number = s.lastConnNumber
+		s.conns[c] = struct{}{}
+		s.trace.record(c.number, traceAccept, int64(len(s.conns)), 0)
+		limit := firstByteTimeout
+		if c.stateSince.Before(s.crowdedUntil) {
+			limit = crowdedFirstByteTimeout // it may have waited in the accept queue
+		}
+		if s.drainView.Load().Idle {
+			limit = min(limit, drain.SilentFor)
+		}
+		s.setReadDeadline(c, c.stateSince.Add(limit))
+		s.mu.Unlock()
+		go s.serveConn(c)
+	}
+}
+
+// waitForCapacity waits until another connection may be accepted. At the limit it evicts
+// connections that sent nothing within their time, or else the one that has been idle longest.
+func (s *Server) waitForCapacity() {
+	waitingSince := time.Time{}
+	for !s.drainView.Load().Shut && !s.drainingQueue.Load() {
+		s.mu.Lock()
+		now, atLimit := time.Now(), len(s.conns) >= s.maxConns
+		if atLimit {
+			var oldest *clientConn
+			evicted, newConns, idleConns := 0, 0, 0
+			for c := range s.conns {
+				switch c.state {
+				case connNew:
+					newConns++
+				case connIdle:
+					idleConns++
+				}
+				switch {
+				case c.state == connNew && now.Sub(c.stateSince) >= crowdedFirstByteTimeout:
+					c.sock.SetReadDeadline(time.Unix(1, 0))
+					s.trace.record(c.number, traceEvict, int64(c.state), 0)
+					evicted++
+				case c.state == connIdle && (oldest == nil || c.stateSince.Before(oldest.stateSince)):
+					oldest = c
+				}
+			}
+			if s.crowdedUntil = now.Add(crowdedPeriod); evicted == 0 && oldest != nil {
+				oldest.sock.SetReadDeadline(time.Unix(1, 0))
+				s.trace.record(oldest.number, traceEvict, int64(oldest.state), 0)
+			}
+			if waitingSince.IsZero() {
+				waitingSince = now
+				s.trace.record(0, traceWait, int64(newConns), int64(idleConns))
+			}
+		}
+		s.mu.Unlock()
+		if !atLimit {
+			if !waitingSince.IsZero() {
+				s.trace.record(0, traceWaitEnded, now.Sub(waitingSince).Microseconds(), 0)
+			}
+			return
+		}
+		select {
+		case <-s.capacityFreed:
+		case <-time.After(evictionInterval):
+		}
+	}
+}
+
+// signalCapacity wakes the accept loop, which may be waiting for capacity.
+func (s *Server) signalCapacity() {
+	select {
+	case s.capacityFreed <- struct{}{}:
+	default:
+	}
+}
+
+// HandleDrainEvent applies an event of the drain and its effects. Safe for concurrent use.
+func (s *Server) HandleDrainEvent(e drain.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.drainMachine.Do(e, time.Since(s.startedAt))
+	s.applyDrainView()
+}
+
+// applyDrainView applies the drain's current view and schedules the next one. mu must be held.
+func (s *Server) applyDrainView() {
+	now := time.Since(s.startedAt)
+	previous, view := s.drainView.Load(), s.drainMachine.View(now)
+	if s.shutdown {
+		view = drain.View{Stopping: view.Stopping, Close: true, Idle: true, Shut: true}
+	}
+	s.drainView.Store(&view)
+	if view.Shut && !previous.Shut {
+		// Closing the listener would reset connections in the accept queue, perhaps with a request
+		// on them.
+		s.drainAcceptQueue()
+	}
+	if view.Idle && !previous.Idle {
+		for c := range s.conns {
+			if c.state == connNew || c.state == connIdle { // a closing one keeps its time to deliver the last response
+				c.sock.SetReadDeadline(time.Unix(1, 0))
+			}
+		}
+	}
+	if s.drainTimer != nil {
+		s.drainTimer.Stop()
+	}
+	if next := s.drainMachine.Next(now); next > 0 && !s.shutdown {
+		s.drainTimer = time.AfterFunc(next, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.applyDrainView()
+		})
+	}
+}
+
+// Drained reports whether the operators have drained the relay.
+func (s *Server) Drained() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.drainMachine.Failed()
+}
+
+// Serving reports whether the server is serving, drained or not, and is not about to stop.
+func (s *Server) Serving() bool { return s.drainView.Load().Serving }
+
+// Shutdown drains the accept queue, closes the listener and closes idle connections at once.
+// Requests that have begun are answered before their connection closes.
+func (s *Server) Shutdown() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.shutdown = true
+	s.applyDrainView()
+}
+
+// OpenConnections counts the open connections.
+func (s *Server) OpenConnections() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
+}
+
+// Accepting reports whether further connections may be accepted.
+func (s *Server) Accepting() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepting
+}
+
+func (s *Server) setAccepting(on bool) {
+	s.mu.Lock()
+	s.accepting = on
+	s.mu.Unlock()
+}
--- a/internal/wire/front_test.go
+++ b/internal/wire/server_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"log/slog"
 	"net"
-	"net/http" // an independent peer; the program has its own parsers
+	"net/http" // an independent HTTP implementation
 	"os"
 	"runtime"
 	"slices"
@@ -24,26 +24,31 @@
 var discardLog = slog.New(slog.DiscardHandler)
 
 func testSettings() policy.Settings {
-	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
-		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: time.Second, OverloadFactor: 2,
-		OverloadTime: 3 * time.Second, Classes: []policy.Class{
+	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true,
+		MaxRetryAfter: 3 * time.Second,
+		Tick:          time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2,
+		WarmUpTime:     time.Second,
+		OverloadFactor: 2,
+		OverloadTime:   3 * time.Second, Classes: []policy.Class{
 			{Name: "alert", Effect: policy.Safe, TargetLatency: 2 * time.Second, Deadline: 6 * time.Second, Value: 1},
-			{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2},
+			{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second,
+				Deadline: 20 * time.Second, Value: 2},
 			{Name: "fee", Effect: policy.Unsafe, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 5}},
-		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}}, Zones: []policy.Zone{{Name: "z"}}}
+		Kinds: []policy.Kind{{Name: "broker", MaxBatch: 5}, {Name: "small", MaxBatch: 1}},
+		Zones: []policy.Zone{{Name: "z"}}}
 }
 
-// ownLoopback is a loopback address that no other process listens on. Guards against strangers: whoever asks again at a
-// port of 127.0.0.1 that has passed to a listener of ours is answered by the test's script, and the test hangs.
+// ownLoopback returns a loopback address that no other process uses. A client of another process
+// that retries at a reused port of 127.0.0.1 would be answered by the test.
 func ownLoopback() string {
 	if runtime.GOOS != "linux" {
-		return "127.0.0.1" // elsewhere the others of 127.0.0.0/8 are not there unless somebody adds them
+		return "127.0.0.1" // other systems configure only 127.0.0.1
 	}
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// listenLoopback opens a loopback socket that closes with the test.
+// listenLoopback opens a loopback listener that closes with the test.
 func listenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", net.JoinHostPort(ownLoopback(), "0"))
@@ -61,11 +66,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second)) // a bound for a hang, not a measure
+	c.SetDeadline(time.Now().Add(20 * time.Second)) // only bounds a hang
 	return c, bufio.NewReader(c)
 }
 
-// waitFor waits for something that must come, with a bound for a hang only.
+// waitFor polls until ok; the limit only bounds a hang.
 func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 20_000 {
@@ -74,10 +79,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// fakeHost takes hand-ins as a host with so much room would.
+// fakeHost accepts messages up to its capacity.
 type fakeHost struct {
 	sync.Mutex
 	capacity           int
@@ -87,19 +92,19 @@
 	seen               map[string]bool
 }
 
-func startServer(t testing.TB, room, most int) (*Server, *fakeHost, net.Listener) {
+func startServer(t testing.TB, capacity, maxConns int) (*Server, *fakeHost, net.Listener) {
 	ln := listenLoopback(t)
-	f, h := startServerOn(t, ln, room, most)
-	return f, h, ln
+	server, h := startServerOn(t, ln, capacity, maxConns)
+	return server, h, ln
 }
 
-func startServerOn(t testing.TB, ln net.Listener, room, most int) (*Server, *fakeHost) {
-	h := &fakeHost{capacity: room, events: make(chan any), seen: map[string]bool{}}
+func startServerOn(t testing.TB, ln net.Listener, capacity, maxConns int) (*Server, *fakeHost) {
+	h := &fakeHost{capacity: capacity, events: make(chan any), seen: map[string]bool{}}
 	set := testSettings()
-	f := NewServer(ln, &set, most, h.events, discardLog)
+	server := NewServer(ln, &set, maxConns, h.events, discardLog)
 	done := make(chan struct{})
-	t.Cleanup(func() { f.Shutdown(); close(done) })
-	go f.Serve()
+	t.Cleanup(func() { server.Shutdown(); close(done) })
+	go server.Serve()
 	go func() {
 		for {
 			select {
@@ -109,13 +114,15 @@
 				h.Lock()
 				switch e := e.(type) {
 				case submitRequest:
-					v := submitResult{duplicate: h.seen[e.message.ID], retryAfter: time.Second}
+					result := submitResult{duplicate: h.seen[e.message.ID], retryAfter: time.Second}
 					if e.message.Dest == 404 {
-						v = submitResult{unknownDest: true}
-					} else if !v.duplicate && h.accepted < h.capacity {
-						h.accepted, h.lastBody, h.seen[e.message.ID], v = h.accepted+1, string(e.message.Body), true, submitResult{accepted: true}
+						result = submitResult{unknownDest: true}
+					} else if !result.duplicate && h.accepted < h.capacity {
+						h.accepted, h.lastBody, h.seen[e.message.ID], result = h.accepted+1, string(e.message.Body),
+							true,
+							submitResult{accepted: true}
 					}
-					e.reply <- v
+					e.reply <- result
 				case submitAnswered:
 					h.answered++
 				}
@@ -123,7 +130,7 @@
 			}
 		}
 	}()
-	return f, h
+	return server, h
 }
 
 func validRequest(id, body string) string {
@@ -131,8 +138,8 @@
 		id, len(body), body)
 }
 
-// The model of a client's connection: what a request is answered with, and whether the connection goes on.
-// Random steps are checked against it.
+// Checks random requests on a client connection against a model: the status of each response, and
+// whether the connection stays open.
 func FuzzFront(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7}, uint8(3))
 	f.Add([]byte{1, 1, 8, 1, 9, 1, 10, 1, 11, 1, 12, 13, 1, 14, 1, 15}, uint8(1))
@@ -140,12 +147,12 @@
 	f.Add([]byte{24, 1, 25, 26, 27, 1, 28, 29, 30, 31, 1}, uint8(40))
 	f.Add([]byte{1, 16, 17, 1, 18, 19, 20, 1, 1, 1, 1, 1, 1}, uint8(255))
 	f.Fuzz(func(t *testing.T, steps []byte, split uint8) {
-		const room = 4
-		front, host, ln := startServer(t, room, 10)
-		front.HandleDrainEvent(drain.Started)
+		const capacity = 4
+		server, host, ln := startServer(t, capacity, 10)
+		server.HandleDrainEvent(drain.Started)
 		var c net.Conn
 		var r *bufio.Reader
-		taken, ids := 0, 0
+		acceptedCount, ids := 0, 0
 		for _, s := range steps[:min(len(steps), 24)] {
 			if c == nil {
 				c, r = dialListener(t, ln)
@@ -167,7 +174,7 @@
 			}
 			drop := func(name string) string { return strings.Replace(validRequest(id, "body"), name, "X-Other", 1) }
 			accepted := 202
-			if taken >= room {
+			if acceptedCount >= capacity {
 				accepted = 503
 			}
 			model := []step{
@@ -176,14 +183,15 @@
 				{post("", "Connection: close\r\n"), accepted, false},
 				{post("POST /alert HTTP/1.0", ""), accepted, false},
 				{post("POST /alert/x?y=1 HTTP/1.1", "X-Repeat: again\r\n"), accepted, true},
-				{strings.Replace(strings.Replace(post("", "Transfer-Encoding: chunked\r\n"), "Content-Length: 4\r\n", "", 1),
+				{strings.Replace(
+					strings.Replace(post("", "Transfer-Encoding: chunked\r\n"), "Content-Length: 4\r\n", "", 1),
 					"\r\n\r\nbody", "\r\n\r\n3;x=1\r\nbod\r\n1\r\ny\r\n0\r\nT: 1\r\n\r\n", 1), accepted, true},
 				{post("POST /nobody HTTP/1.1", ""), 400, true},
 				{drop("X-Correlation-Id"), 400, true},
 				{drop("X-Time-Left-Ms"), 400, true},
 				{strings.Replace(validRequest(id, "body"), "480", "-1", 1), 400, true},
 				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=x", 1), 400, true},
-				{post("POST /order HTTP/1.1", ""), 400, true}, // keyed, without its key
+				{post("POST /order HTTP/1.1", ""), 400, true}, // keyed, without a key
 				{post("POST /order HTTP/1.1", "Idempotency-Key: k\r\n"), accepted, true},
 				{"PUT /alert HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, true},
 				{"nonsense\r\n\r\n", 400, false},
@@ -201,7 +209,7 @@
 				{post("", "Envelope: dest=7\r\n"), accepted, true},
 				{post("", "Envelope: dest=8\r\n"), 400, true},
 				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=7;dest=8", 1), 400, true},
-				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no pool config
+				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no endpoint list
 				{strings.Replace(validRequest(id, "body"), "480", "99999999", 1), 400, true},
 				{post("POST /order HTTP/1.1", "Idempotency-Key: \x7f\r\n"), 400, true},
 			}
@@ -217,33 +225,33 @@
 				t.Fatalf("step %d: %.80q: %+v, %v; want %d, open %v", s, m.send, a, err, m.status, m.open)
 			}
 			if (a.status == 503) != (a.get("Retry-After") != "") {
-				t.Fatalf("step %d: %d with advice %q", s, a.status, a.get("Retry-After"))
+				t.Fatalf("step %d: %d with Retry-After %q", s, a.status, a.get("Retry-After"))
 			}
 			if (a.status == 400 || a.status == 413 || a.status == 431) != (len(a.body) > 0) {
 				t.Fatalf("step %d: %d with text %q", s, a.status, a.body)
 			}
 			if a.status == 202 {
-				taken++
+				acceptedCount++
 			}
 			if !m.open {
 				if _, err := r.ReadByte(); err != io.EOF {
-					t.Fatalf("step %d: the connection goes on: %v", s, err)
+					t.Fatalf("step %d: the connection is still open: %v", s, err)
 				}
 				c.Close()
 				c = nil
 			}
 		}
-		front.Shutdown()
-		waitFor(t, "hand-ins to begin, each told 202 once", func() bool {
+		server.Shutdown()
+		waitFor(t, "each accepted message to be answered once", func() bool {
 			host.Lock()
 			defer host.Unlock()
-			return front.OpenConnections() == 0 && host.accepted == taken && host.answered == taken
+			return server.OpenConnections() == 0 && host.accepted == acceptedCount && host.answered == acceptedCount
 		})
 	})
 }
 
-// A message handed in again under the same id on a new connection is not taken twice.
-func TestSameHandInTwice(t *testing.T) {
+// A message submitted again under the same id on a new connection is accepted once.
+func TestDuplicateRequest(t *testing.T) {
 	_, host, ln := startServer(t, 8, 10)
 	for range 2 {
 		c, r := dialListener(t, ln)
@@ -253,28 +261,28 @@
 		}
 	}
 	if host.Lock(); host.accepted != 1 || host.lastBody != "hello" {
-		t.Errorf("taken %d times, body %q", host.accepted, host.lastBody)
+		t.Errorf("accepted %d times, body %q", host.accepted, host.lastBody)
 	}
 	host.Unlock()
 }
 
-// A request that crosses the drain is answered or not read at all; one that was begun is always answered.
-func TestDrainAnswersWhatWasBegun(t *testing.T) {
-	front, _, ln := startServer(t, 8, 10)
+// A request that has begun is answered after a shutdown; an idle connection closes.
+func TestShutdownAnswersBegunRequests(t *testing.T) {
+	server, _, ln := startServer(t, 8, 10)
 	c, r := dialListener(t, ln)
 	req := validRequest("slow", "hello")
 	io.WriteString(c, req[:20])
-	idle, idleR := dialListener(t, ln)
+	idle, idleReader := dialListener(t, ln)
 	waitFor(t, "one connection to be busy", func() (busy bool) {
-		front.mu.Lock()
-		defer front.mu.Unlock()
-		for fc := range front.conns {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for fc := range server.conns {
 			busy = busy || fc.state == connBusy
 		}
-		return busy && len(front.conns) == 2
+		return busy && len(server.conns) == 2
 	})
-	front.Shutdown()
-	if _, err := idleR.ReadByte(); err != io.EOF {
+	server.Shutdown()
+	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection %v: %v", idle.LocalAddr(), err)
 	}
 	io.WriteString(c, req[20:])
@@ -283,10 +291,10 @@
 	}
 }
 
-// With all connections taken, the one that has been idle longest gives way to a new one.
-func TestIdleGivesWay(t *testing.T) {
-	front, _, ln := startServer(t, 8, 2)
-	front.HandleDrainEvent(drain.Started)
+// At the connection limit the connection that has been idle longest is evicted.
+func TestIdleConnectionEvicted(t *testing.T) {
+	server, _, ln := startServer(t, 8, 2)
+	server.HandleDrainEvent(drain.Started)
 	ask := func(c net.Conn, r *bufio.Reader) error {
 		io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
 		a, err := readResponseHead(r)
@@ -310,28 +318,29 @@
 	}
 }
 
-// A crowd that connects and says nothing is closed, and does not keep a client that asks from being answered.
-func TestSilentCrowd(t *testing.T) {
-	front, _, ln := startServer(t, 8, 4)
-	front.HandleDrainEvent(drain.Started)
-	var crowd []*bufio.Reader
+// Connections without a request are closed, and don't keep another client from being answered.
+func TestSilentConnectionsEvicted(t *testing.T) {
+	server, _, ln := startServer(t, 8, 4)
+	server.HandleDrainEvent(drain.Started)
+	var silent []*bufio.Reader
 	for range 12 {
 		_, r := dialListener(t, ln)
-		crowd = append(crowd, r)
+		silent = append(silent, r)
 	}
 	c, r := dialListener(t, ln)
 	io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
 	if a, err := readResponseHead(r); err != nil || a.status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	for _, r := range crowd {
+	for _, r := range silent {
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Fatalf("still open: %v", err)
 		}
 	}
 }
 
-// timedListener hands out connections on which a test ends the relay's waits, so that no clock does.
+// timedListener accepts connections whose read deadlines the test expires, independent of the
+// clock.
 type timedListener struct {
 	*net.TCPListener
 	accepted chan *timedConn
@@ -347,10 +356,10 @@
 	return c, nil
 }
 
-// timedConn keeps how long each wait for bytes was to last.
+// timedConn records the timeout of each read deadline.
 type timedConn struct {
 	*net.TCPConn
-	read atomic.Int64 // bytes that the relay has read
+	read atomic.Int64 // read by the server
 
 	mu       sync.Mutex
 	timeouts []time.Duration
@@ -369,11 +378,11 @@
 	return c.TCPConn.SetReadDeadline(end)
 }
 
-// expireRead waits until the relay has read so many bytes and is in the wait after the last of limits, checks each wait
-// against its limit, and ends the one that lasts.
+// expireRead waits until the server has read that many bytes and set a deadline for each of limits,
+// checks each timeout against its limit, and expires the last one.
 func (c *timedConn) expireRead(t *testing.T, read int, limits ...time.Duration) {
 	t.Helper()
-	waitFor(t, "the relay to wait", func() bool {
+	waitFor(t, "the server to wait", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.read.Load() == int64(read) && len(c.timeouts) == len(limits)
@@ -382,47 +391,49 @@
 	defer c.mu.Unlock()
 	for i, limit := range limits {
 		if c.timeouts[i] <= 0 || c.timeouts[i] > limit {
-			t.Errorf("wait %d lasts %v, want up to %v", i, c.timeouts[i], limit)
+			t.Errorf("timeout %d is %v, want up to %v", i, c.timeouts[i], limit)
 		}
 	}
 	c.TCPConn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Half a request and then silence is an error, not a connection for good; so is a kept one without a next request.
-func TestUnfinishedRequests(t *testing.T) {
+// A partial request is answered with an error after a timeout; an idle connection closes after its
+// own.
+func TestRequestAndIdleTimeouts(t *testing.T) {
 	ln := &timedListener{listenLoopback(t).(*net.TCPListener), make(chan *timedConn, 2)}
 	startServerOn(t, ln, 8, 10)
-	half, halfR := dialListener(t, ln)
+	partial, partialReader := dialListener(t, ln)
 	request := validRequest("half", "hello")[:40]
-	io.WriteString(half, request)
+	io.WriteString(partial, request)
 	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout)
-	if a, err := readResponseHead(halfR); err != nil || a.status != 408 {
+	if a, err := readResponseHead(partialReader); err != nil || a.status != 408 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	kept, keptR := dialListener(t, ln)
+	kept, keptReader := dialListener(t, ln)
 	request = validRequest("kept", "hello")
 	io.WriteString(kept, request)
-	if a, err := readResponseHead(keptR); err != nil || a.status != 202 {
+	if a, err := readResponseHead(keptReader); err != nil || a.status != 202 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.Long)
-	if _, err := keptR.ReadByte(); err != io.EOF {
+	if _, err := keptReader.ReadByte(); err != io.EOF {
 		t.Fatalf("still open: %v", err)
 	}
 }
 
-// Once a planned stop has begun each answer tells so, and GET /ready is refused; hand-ins are still taken.
-func TestLeavingIsTold(t *testing.T) {
-	front, host, ln := startServer(t, 4, 10)
-	front.HandleDrainEvent(drain.Started)
+// During a planned stop each response says so and GET /ready fails; messages are still accepted.
+func TestPlannedStopIsAnnounced(t *testing.T) {
+	server, host, ln := startServer(t, 4, 10)
+	server.HandleDrainEvent(drain.Started)
 	c, r := dialListener(t, ln)
 	for _, s := range []struct {
 		leave         bool
 		request, says string
 		status        int
-	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503}, {true, validRequest("m1", "body"), "stopping", 202}} {
+	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503},
+		{true, validRequest("m1", "body"), "stopping", 202}} {
 		if s.leave {
-			front.HandleDrainEvent(drain.Stop)
+			server.HandleDrainEvent(drain.Stop)
 		}
 		io.WriteString(c, s.request)
 		res, err := http.ReadResponse(r, nil)
@@ -431,14 +442,14 @@
 		}
 	}
 	if host.Lock(); host.accepted != 1 {
-		t.Errorf("%d taken", host.accepted)
+		t.Errorf("accepted %d", host.accepted)
 	}
 	host.Unlock()
 }
 
-// Clients that open a connection for each request and leave the old ones open don't keep all of them: the first few stay.
-func TestIdleOnesOfThoseWhoDoNotComeBackEndSoon(t *testing.T) {
-	_, _, ln := startServer(t, 4, 16) // two may stand idle for long in any case
+// Idle connections of clients that open one for each request close early; the first few stay.
+func TestUnusedIdleConnectionsCloseEarly(t *testing.T) {
+	_, _, ln := startServer(t, 4, 16) // two may always stay idle for the long timeout
 	var conns []net.Conn
 	var readers []*bufio.Reader
 	ask := func(c net.Conn, r *bufio.Reader) {
@@ -453,7 +464,7 @@
 		ask(c, r)
 		conns, readers = append(conns, c), append(readers, r)
 	}
-	// Which two stay depends on how long the six took to come.
+	// Which two stay depends on how long it took to open them.
 	type looked struct {
 		i   int
 		err error
@@ -496,19 +507,20 @@
 	}
 }
 
-// A drain is told at once on each answer, idle and silent connections go, who still comes is served, and ok ends it.
-func TestDrainAndBack(t *testing.T) {
-	front, host, ln := startServer(t, 4, 10)
-	front.HandleDrainEvent(drain.Started)
-	used, usedR := dialListener(t, ln)
-	_, idleR := dialListener(t, ln)
-	waitFor(t, "both connections", func() bool { return front.OpenConnections() == 2 })
-	front.HandleDrainEvent(drain.Fail)
-	io.WriteString(used, validRequest("m1", "body"))
-	if res, err := http.ReadResponse(usedR, nil); err != nil || res.StatusCode != 202 || !res.Close {
-		t.Fatalf("in use: %v, %v", res, err)
-	}
-	for _, r := range []*bufio.Reader{usedR, idleR} {
+// A drain shows on each response at once and closes idle and new connections; later clients are
+// still served, and the drain can be ended.
+func TestDrainAndResume(t *testing.T) {
+	server, host, ln := startServer(t, 4, 10)
+	server.HandleDrainEvent(drain.Started)
+	busy, busyReader := dialListener(t, ln)
+	_, idleReader := dialListener(t, ln)
+	waitFor(t, "both connections", func() bool { return server.OpenConnections() == 2 })
+	server.HandleDrainEvent(drain.Fail)
+	io.WriteString(busy, validRequest("m1", "body"))
+	if res, err := http.ReadResponse(busyReader, nil); err != nil || res.StatusCode != 202 || !res.Close {
+		t.Fatalf("connection in use: %v, %v", res, err)
+	}
+	for _, r := range []*bufio.Reader{busyReader, idleReader} {
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Fatalf("still open: %v", err)
 		}
@@ -522,31 +534,31 @@
 		}
 		return res.StatusCode, res.Close
 	}
-	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !front.Serving() {
-		t.Errorf("ready: %d, close %v, serving %v", status, closes, front.Serving())
+	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !server.Serving() {
+		t.Errorf("GET /ready: %d, close %v, serving %v", status, closes, server.Serving())
 	}
 	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
-		t.Errorf("who still comes: %d, close %v", status, closes)
+		t.Errorf("new client: %d, close %v", status, closes)
 	}
-	front.HandleDrainEvent(drain.OK)
+	server.HandleDrainEvent(drain.OK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
-		t.Errorf("back: %d, close %v", status, closes)
+		t.Errorf("after the drain: %d, close %v", status, closes)
 	}
 	if host.Lock(); host.accepted != 2 {
-		t.Errorf("%d taken", host.accepted)
+		t.Errorf("accepted %d", host.accepted)
 	}
 	host.Unlock()
 }
 
-// The trace tells what became of each connection, the oldest event first, and forgets the oldest when it is full.
+// The trace shows each connection's events, oldest first, and drops the oldest when full.
 func TestTrace(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewServer(ln, &policy.Settings{}, 10, make(chan any, 1), discardLog)
-	f.HandleDrainEvent(drain.Started)
-	go f.Serve()
+	server := NewServer(ln, &policy.Settings{}, 10, make(chan any, 1), discardLog)
+	server.HandleDrainEvent(drain.Started)
+	go server.Serve()
 	sock, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -558,13 +570,13 @@
 		}
 	}
 	sock.Close()
-	for f.OpenConnections() > 0 {
+	for server.OpenConnections() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.Shutdown()
+	server.Shutdown()
 	names := func() (all []string) {
 		var out strings.Builder
-		if err := f.Trace(&out); err != nil {
+		if err := server.Trace(&out); err != nil {
 			t.Fatal(err)
 		}
 		for line := range strings.Lines(out.String()) {
@@ -583,7 +595,7 @@
 		}
 	}
 	for range traceCapacity - 1 {
-		f.trace.record(1, traceClose, 2, 0)
+		server.trace.record(1, traceClose, 2, 0)
 	}
 	if all := names(); len(all) != traceCapacity || all[0] != "close 1" || all[traceCapacity-1] != "close 2" {
 		t.Errorf("%d events, from %q to %q", len(all), all[0], all[len(all)-1])
