--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -9,45 +9,49 @@
 	"oatfold/policy"
 )
 
-// This file is about attempts that end without an answer, and what that means for a repeat.
+// This file defines attempts that end without an answer, and what that means for a retry.
 
-// Stage is how far a route step had come.
+// Stage is the progress of an attempt.
 type Stage int
 
-// The stages of a route step.
+// The stages of an attempt.
 const (
-	Started  Stage = iota // no connection yet
-	Dialled               // the connection is up, the last byte is not written
-	Written               // the last byte is written: from here on the call may have run
-	Answered              // the first line of the answer was read
+	Started   Stage = iota // no connection yet
+	Connected              // the connection is up, the last byte is not written
+	Written                // the last byte is written: from here on the call may have run
+	Answered               // the first line of the answer was read
 )
 
-// AttemptError is the end of a route step without an answer. What it means for a repeat follows from the stage.
+// AttemptError is an attempt that ended without a usable answer. The stage decides what that means
+// for a retry.
 type AttemptError struct {
 	Stage Stage
 	Err   error
 }
 
+// Error returns the stage and the cause.
 func (e *AttemptError) Error() string {
 	return fmt.Sprintf("%s: %v", [...]string{"not dialled", "dialled", "written", "answered"}[e.Stage], e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// NeverRan tells whether the error proves that the endpoint has not run the call.
+// NeverRan reports whether the endpoint certainly did not run the call.
 func (e *AttemptError) NeverRan() bool { return e.Stage < Written }
 
-// Outcome is what the module is told.
+// Outcome returns the outcome that is reported to the policy engine.
 func (e *AttemptError) Outcome() policy.Outcome {
 	switch {
-	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut), e.Stage == Started && transient.Resource(e.Err):
-		return policy.Unsent // it tells nothing of the endpoint
+	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut),
+		e.Stage == Started && transient.Resource(e.Err):
+		return policy.Unsent // says nothing about the endpoint
 	case errors.Is(e.Err, errNewConnectionCut):
 		return policy.RequestIncomplete
 	case e.NeverRan():
 		return policy.ConnectFailed
 	case e.Stage == Answered, malformedAnswer(e.Err):
-		// An answer came, but it tells nothing: unlike a lost one it says nothing against idle connections.
+		// Unlike a lost answer, an unusable one is no sign that idle connections fail.
 		return policy.Errored
 	case errors.Is(e.Err, os.ErrDeadlineExceeded):
 		return policy.TimedOut
@@ -55,7 +59,7 @@
 	return policy.ConnectionLost
 }
 
-// malformedAnswer tells whether the bytes that came were no answer.
+// malformedAnswer reports whether the bytes received are no valid answer.
 func malformedAnswer(err error) bool {
 	for _, e := range []error{errLine, errHeader, errLength, errTooLong, errHead, errInterim} {
 		if errors.Is(err, e) {
@@ -65,18 +69,22 @@
 	return false
 }
 
-// errBlocked ends a call whose destination told a wait, or whose endpoint was drained, while it was dialled.
-var errBlocked = errors.New("destination may not be sent to now")
+// errBlocked ends a call that must not be written: its destination sent Retry-After, its endpoint
+// was drained, or the process shuts down.
+var errBlocked = errors.New("endpoint must not be called now")
 
-// errConnectionCut ends a call whose connection spoke before the last byte was written, or ended so and had served other calls. It tells of
-// that connection, not of the endpoint's health.
-var errConnectionCut = errors.New("connection cut before the last byte")
+// errConnectionCut ends a call whose connection received data before the last byte was written, or
+// closed by then and had served other calls. It says nothing about the endpoint's health.
+var errConnectionCut = errors.New("connection closed before the last byte")
 
-// errNewConnectionCut ends a call whose new connection ended before the last byte was written: nothing gets through to the endpoint.
-var errNewConnectionCut = errors.New("new connection cut before the last byte")
+// errNewConnectionCut ends a call whose new connection closed before the last byte was written: no
+// call gets through to the endpoint.
+var errNewConnectionCut = errors.New("new connection closed before the last byte")
 
-// earlyEndError names what a connection's end, or first byte, before the last byte of a call tells. err is nil where the endpoint spoke.
-// Risk: an endpoint that takes connections and resets each uses up all attempts of a charge within a moment, and is never taken for out.
+// earlyEndError returns the error for a connection that closed, or received data, before the last
+// byte of a call was written. err is nil if data was received. A new connection that closes counts
+// as a failure of the endpoint: one that resets every connection would otherwise use up all
+// attempts at once.
 func (c *endpointConn) earlyEndError(err error) error {
 	if err != nil && c.lastAnswerAt.IsZero() {
 		return errNewConnectionCut
@@ -84,12 +92,13 @@
 	return errConnectionCut
 }
 
-// errConnectionLimit ends a call whose endpoint holds as many connections as it can.
-var errConnectionLimit = errors.New("endpoint takes no further connection")
+// errConnectionLimit ends a call whose endpoint accepts no further connections.
+var errConnectionLimit = errors.New("endpoint accepts no further connections")
 
-// atConnectionLimit tells whether an answer, the first on its connection, says that the endpoint takes no more of them: it turns the call away,
-// tells no wait and closes. Risk: taken for a refusal above the limit, it lengthens the slot, while the relays that hold idle
-// connections keep the endpoint to themselves.
+// atConnectionLimit reports whether an answer, the first on its connection, says that the endpoint
+// accepts no further connections: a 503 without Wait-Ms and Slots-Taken that closes the connection.
+// It must not count as a rejection for exceeding the rate, or this relay would slow down while
+// relays with idle connections keep the endpoint to themselves.
 func atConnectionLimit(a *answer) bool {
 	return a.status == 503 && !a.keep && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
 }
--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -12,54 +12,70 @@
 	"oatfold/policy"
 )
 
-// This file turns what the module decides to send into calls, and their ends into what the module is told.
+// This file turns the sends of the policy engine into calls, and reports their results to it.
 
-// planSend adds a message to the call that the step makes to its endpoint, up to the kind's batch. What can't be
-// sent ends as unsent, with the next step.
-func (h *Host) planSend(now policy.Time, wall time.Time, a policy.Send, open map[string]*call, calls []*call) []*call {
-	m, ep := h.table.Get(a.ID), h.endpoints[a.Endpoint]
+// planSend adds a message to the call that this step makes to its endpoint, up to the batch limit
+// of the partner type. A message that cannot be sent is reported as unsent with the next step.
+func (h *Host) planSend(now policy.Time, wall time.Time, send policy.Send, openCalls map[string]*call,
+	calls []*call) []*call {
+	m, ep := h.table.Get(send.ID), h.endpoints[send.Endpoint]
 	if m == nil {
 		return calls
 	}
 	if ep == nil || ep.dest != m.Dest || m.InFlight != nil || m.Notification != nil {
-		// Guards against a call to an endpoint of another destination or a second copy, whatever the module says.
-		h.log.Error("send not made", "message", m.ID, "endpoint", a.Endpoint)
-		h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+		// Never call an endpoint of another destination or send a second copy, whatever the policy
+		// engine says.
+		h.log.Error("policy engine requested an impossible send", "message", m.ID, "endpoint", send.Endpoint)
+		h.pending = append(h.pending,
+			policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: send.Endpoint, Outcome: policy.Unsent})
 		m.Attempts++
 		return calls
 	}
-	cl, apart := open[a.Endpoint], h.behindNotice(m)
-	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].MaxBatch && cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
-	if tooLong || apart || cl == nil && h.parksOne(calls, ep) {
-		// Guards against a batch whose body is longer than any body may be, or all of which waits for one message's notice: it takes a
-		// slot of its own, if there is one.
+	cl, separate := openCalls[send.Endpoint], h.behindNotice(m)
+	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].MaxBatch &&
+		cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
+	if tooLong || separate || cl == nil && h.parksOne(calls, ep) {
+		// Start another call, within the concurrency limit, if the batch body would be too long or
+		// if the whole batch would have to wait for one message's notification.
 		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.MaxConcurrentCalls {
-			h.pending = append(h.pending, policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: a.Endpoint, Outcome: policy.Unsent})
+			h.pending = append(h.pending,
+				policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: send.Endpoint, Outcome: policy.Unsent})
 			m.Attempts++
 			return calls
 		}
 	}
 	if cl == nil || len(cl.items) >= max(1, h.kindOf[h.kinds[m.Dest]].MaxBatch) {
 		cl = &call{endpoint: ep, kind: h.kinds[m.Dest], startedAt: now}
-		if calls = append(calls, cl); !apart {
-			open[a.Endpoint] = cl
+		if calls = append(calls, cl); !separate {
+			openCalls[send.Endpoint] = cl
 		}
 	}
 	m.InFlight = &memory.Attempt{Number: m.Attempts, StartedAt: wall}
 	m.Attempts++
-	// Guards against a message whose time is up while a more patient one keeps the call out, however short its own
-	// time-out was.
-	it := callItem{num: m.Number, attempt: m.InFlight.Number, id: m.ID, key: m.IdempotencyKey, class: m.Class, pluginNotes: m.PluginNotes, body: m.Body, loadBody: h.bodyLoader(m), expiresAt: now + m.Deadline.Sub(wall), writeBy: h.writeDeadline(m)}
-	// A batch lasts as long as its most patient message: to end one earlier would leave a live call behind it.
-	if cl.timeout = max(cl.timeout, a.Timeout); h.strictestEffect(m) == policy.Unsafe {
+	// expiresAt times the item out even if an item with a longer timeout keeps the call open.
+	it := callItem{
+		num:         m.Number,
+		attempt:     m.InFlight.Number,
+		id:          m.ID,
+		key:         m.IdempotencyKey,
+		class:       m.Class,
+		pluginNotes: m.PluginNotes,
+		body:        m.Body,
+		loadBody:    h.bodyLoader(m),
+		expiresAt:   now + m.Deadline.Sub(wall),
+		writeBy:     h.writeDeadline(m),
+	}
+	// A batch lasts as long as its longest timeout. Ending it earlier would leave a live call
+	// behind.
+	if cl.timeout = max(cl.timeout, send.Timeout); h.strictestEffect(m) == policy.Unsafe {
 		cl.lastByteDelay = lastByteDelay
 	}
 	cl.items, cl.batchSize = append(cl.items, it), cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize())
 	return calls
 }
 
-// writeDeadline is when m may be written at the latest. Guards against a repeat that the module sent within the partner's window, and that was dialled until after it: the partner would
-// run it a second time.
+// writeDeadline returns the latest time to write m. A repeat that is dialed until after the
+// partner's repeat window would run a second time.
 func (h *Host) writeDeadline(m *memory.Message) time.Time {
 	if w := h.repeatWindow(m); w > 0 && !m.MayHaveRunSince.IsZero() {
 		return earlier(m.Deadline, m.MayHaveRunSince.Add(w))
@@ -67,26 +83,28 @@
 	return m.Deadline
 }
 
-// strictestEffect is the stricter one of what m was taken on under and what its class has now.
+// strictestEffect returns the stricter of the effect that m was accepted with and that of its class
+// now.
 func (h *Host) strictestEffect(m *memory.Message) policy.Effect {
 	return max(m.Effect, h.classes[m.Class].Effect)
 }
 
-// repeatWindow is for how long a partner can be counted on to drop repeats of m; 0: no such bound.
+// repeatWindow returns how long the partner drops repeats of m; 0: without limit.
 func (h *Host) repeatWindow(m *memory.Message) time.Duration {
-	was, now := m.RepeatWindow, h.classes[m.Class].RepeatWindow
+	accepted, current := m.RepeatWindow, h.classes[m.Class].RepeatWindow
 	switch {
 	case m.Effect != policy.Keyed && h.classes[m.Class].Effect != policy.Keyed:
 		return 0
 	case m.Effect != policy.Keyed:
-		return now
+		return current
 	case h.classes[m.Class].Effect != policy.Keyed:
-		return was
+		return accepted
 	}
-	return min(was, now)
+	return min(accepted, current)
 }
 
-// bodyLoader reads the body of m again on the goroutine of its route step; nil where it is in memory.
+// bodyLoader returns a function that reads the body of m from the journal, for the goroutine of the
+// connection; nil if the body is in memory.
 func (h *Host) bodyLoader(m *memory.Message) func() ([]byte, error) {
 	if m.SpilledBytes == 0 {
 		return nil
@@ -94,24 +112,25 @@
 	return h.journal.BodyLoader(m)
 }
 
-// maxItemSize bounds what a message with a body of so many bytes adds to a batch's body.
+// maxItemSize returns an upper bound, in bytes, of what a message with a body of that length adds
+// to a batch body.
 func maxItemSize(id, key string, body int) int {
 	return base64.StdEncoding.EncodedLen(body) + 6*(len(id)+len(key)) + len(`{"id":"","key":"","body":""},[]`)
 }
 
-// itemExpiry is an item that may have to end while its call goes on.
+// itemExpiry is an item that may time out before its call.
 type itemExpiry struct {
 	item      *callItem
 	endpoint  *endpoint
 	startedAt policy.Time
 }
 
-// registerCall books the call, which is made once it is in the journal.
+// registerCall registers a call, which is made once it is recorded in the journal.
 func (h *Host) registerCall(cl *call) {
 	for i := range cl.items {
 		if it := &cl.items[i]; it.expiresAt >= cl.startedAt+cl.timeout-h.set.Tick {
-			// Guards against telling the module of a free slot while the connection still holds it: where the
-			// call itself lasts no longer, its end will tell.
+			// The call ends soon enough and reports the result. Reporting the item earlier would
+			// free a place in the concurrency limit that the connection still uses.
 			continue
 		} else if it.expiresAt > 0 {
 			it.expiry = h.expiries.Push(it.expiresAt, itemExpiry{it, cl.endpoint, cl.startedAt})
@@ -125,71 +144,83 @@
 	h.begun = append(h.begun, cl)
 }
 
-// dispatch gives a call that is recorded to a connection.
+// dispatch hands a recorded call to a connection.
 func (h *Host) dispatch(cl *call) {
-	// Guards against a call that outlasts its messages by what the journal took: its time runs from the module's step.
+	// The timeout counts from the step, not from the end of the journal write.
 	cl.deadline = h.start.Add(cl.startedAt + cl.timeout)
 	c := h.takeIdleConn(cl.endpoint)
 	if c == nil {
-		c = &endpointConn{endpoint: cl.endpoint, calls: make(chan *call, 1), dialTimeout: h.dialTimeout, lateListeners: &h.listening, shutdown: &h.leaving, plugins: h.plugins, metrics: h.figures}
+		c = &endpointConn{
+			endpoint:      cl.endpoint,
+			calls:         make(chan *call, 1),
+			dialTimeout:   h.dialTimeout,
+			lateListeners: &h.listening,
+			shutdown:      &h.leaving,
+			plugins:       h.plugins,
+			metrics:       h.figures,
+		}
 		go c.run(h.events)
 	}
 	c.calls <- cl
 }
 
-// handleCallResult tells the module how each message of a call ended.
-func (h *Host) handleCallResult(e callResult) {
+// handleCallResult reports the result of each message of a call to the policy engine.
+func (h *Host) handleCallResult(result callResult) {
 	now := h.now()
-	delete(h.calls, e.call)
-	h.shared(e)
-	h.recordSiteResult(e, now)
-	h.applyRetryAfter(e.call.endpoint, e.retryAfter)
+	delete(h.calls, result.call)
+	h.shared(result)
+	h.recordSiteResult(result, now)
+	h.applyRetryAfter(result.call.endpoint, result.retryAfter)
 	if !h.reports {
-		e.report = nil // Guards against figures where the settings have none
+		result.report = nil // the settings describe no load reports
 	}
-	if e.conn != nil && e.reusable {
-		e.conn.lastUsed = time.Now()
-		if e.conn.endpoint.removed() || h.giving != nil {
-			close(e.conn.calls)
+	if result.conn != nil && result.reusable {
+		result.conn.lastUsed = time.Now()
+		if result.conn.endpoint.removed() || h.giving != nil {
+			close(result.conn.calls)
 		} else {
-			e.conn.endpoint.idle = append(e.conn.endpoint.idle, e.conn)
-			e.conn.idleNode = h.idle.Push(e.conn)
+			result.conn.endpoint.idle = append(result.conn.endpoint.idle, result.conn)
+			result.conn.idleNode = h.idle.Push(result.conn)
 			h.limitIdleConns()
 		}
 	}
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
-		h.log.Debug("route step", "endpoint", e.call.endpoint.id, "dest", e.call.endpoint.dest, "messages", e.call.ids(),
-			"after", now-e.call.startedAt, "wait", e.retryAfter, "ends", e.results, "out", len(h.calls), "held", h.table.PendingCount(), "err", e.err)
+		h.log.Debug("attempt completed", "endpoint", result.call.endpoint.id, "dest", result.call.endpoint.dest,
+			"messages", result.call.ids(), "after", now-result.call.startedAt, "wait", result.retryAfter,
+			"ends", result.results, "out", len(h.calls), "held", h.table.PendingCount(), "err", result.err)
 	}
-	for i := range e.call.items {
-		h.expiries.Remove(e.call.items[i].expiry)
-		h.handleItemResult(&e.call.items[i], e, e.results[i], now)
+	for i := range result.call.items {
+		h.expiries.Remove(result.call.items[i].expiry)
+		h.handleItemResult(&result.call.items[i], result, result.results[i], now)
 	}
 }
 
-func (h *Host) handleItemResult(it *callItem, e callResult, r itemResult, now policy.Time) {
+// handleItemResult updates the message of one item and reports the result to the policy engine.
+func (h *Host) handleItemResult(it *callItem, result callResult, r itemResult, now policy.Time) {
 	m := h.table.Get(it.num)
 	if m != nil && m.InFlight != nil && m.InFlight.Number == it.attempt {
-		began := m.InFlight.StartedAt
+		startedAt := m.InFlight.StartedAt
 		m.InFlight = nil
 		switch r.outcome {
 		case policy.Delivered:
 		case policy.Rejected, policy.ConnectFailed, policy.RequestIncomplete, policy.Unsent:
-			// Guards against a proof for a step that is not in the journal: it would count for the one before.
-			if !e.call.unrecorded {
+			// An unrecorded attempt needs no record that it never ran: that would apply to the
+			// attempt before.
+			if !result.call.unrecorded {
 				h.journal.AppendNotRun(m)
 			}
 		default:
 			if m.MayHaveRunSince.IsZero() {
-				m.MayHaveRunSince = began
+				m.MayHaveRunSince = startedAt
 			}
 		}
 		if r.outcome == policy.Delivered && m.Notification == nil {
 			h.figures.Ended(m.Class, figures.Delivered)
 			h.over(m)
 		} else if r.final {
-			// Guards against a client that went away as its 202 was written: the endpoint says that the message is over, and the
-			// platform may still count it as taken on. A notice of what is over does no harm.
+			// The endpoint says that the message is completed. Its client may have left before it
+			// read the 202, so that the platform still counts the message as accepted. A
+			// superfluous notification does no harm.
 			h.finish(m.Number, memory.Notification{})
 		} else if r.pluginFailure != nil {
 			h.finish(m.Number, h.failureNotification(r.pluginFailure.Then, m))
@@ -202,30 +233,46 @@
 		return
 	}
 	it.reported = true
-	h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.call.endpoint.id,
-		Outcome: r.outcome, Duration: now - e.call.startedAt, Final: r.outcome == policy.Delivered || r.final || r.pluginFailure != nil,
-		RetryAfter: e.retryAfter, Report: e.report})
+	h.pending = append(h.pending, policy.AttemptEnded{
+		ID:         it.num,
+		Attempt:    it.attempt,
+		Endpoint:   result.call.endpoint.id,
+		Outcome:    r.outcome,
+		Duration:   now - result.call.startedAt,
+		Final:      r.outcome == policy.Delivered || r.final || r.pluginFailure != nil,
+		RetryAfter: result.retryAfter,
+		Report:     result.report,
+	})
 }
 
-// failureNotification is the notice of a message that a plug-in failed before it went out. Guards against handing back, as if it
-// had never run, what an earlier step may have run: its client would hand it in again.
-func (h *Host) failureNotification(t limits.Then, m *memory.Message) memory.Notification {
-	n := memory.Notification{Returned: t == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe)}
-	if n.Returned && h.set.SendRetryAfter {
-		n.RetryAfter = h.set.MaxRetryAfter
+// failureNotification returns the notification for a message that failed before it was sent. The
+// message is returned to the client only if no earlier attempt may have run, or if it is safe to
+// repeat.
+func (h *Host) failureNotification(then limits.Then, m *memory.Message) memory.Notification {
+	notification := memory.Notification{
+		Returned: then == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe),
+	}
+	if notification.Returned && h.set.SendRetryAfter {
+		notification.RetryAfter = h.set.MaxRetryAfter
 	}
-	return n
+	return notification
 }
 
-// expireItems ends messages whose own time is up while others keep their call out. The call goes on, without them if it is not written yet
-// (call.inTime); should it still deliver, that does no harm. Guards against a notice that comes too late.
+// expireItems times out messages whose own time is up while others keep their call open. The call
+// goes on, without them if it is not written yet (see excludeExpired). A late delivery does no
+// harm.
 func (h *Host) expireItems(now policy.Time) {
-	for e := h.expiries.First(); e != nil && now >= e.At(); e = h.expiries.First() {
-		h.expiries.Remove(e)
-		if it := e.Value.item; !it.reported {
+	for entry := h.expiries.First(); entry != nil && now >= entry.At(); entry = h.expiries.First() {
+		h.expiries.Remove(entry)
+		if it := entry.Value.item; !it.reported {
 			it.reported = true
-			h.pending = append(h.pending, policy.AttemptEnded{ID: it.num, Attempt: it.attempt, Endpoint: e.Value.endpoint.id,
-				Outcome: policy.TimedOut, Duration: now - e.Value.startedAt})
+			h.pending = append(h.pending, policy.AttemptEnded{
+				ID:       it.num,
+				Attempt:  it.attempt,
+				Endpoint: entry.Value.endpoint.id,
+				Outcome:  policy.TimedOut,
+				Duration: now - entry.Value.startedAt,
+			})
 		}
 	}
 }
--- a/internal/wire/choices.go
+++ b/internal/wire/choices.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	choicesInterval = 2 * members.Period // between two views of choices that operators see
-	maxChoices      = 256                // destinations in one
+	choicesInterval = 2 * members.Period // between published views
+	maxChoices      = 256                // destinations per view
 )
 
-// Choices is what this relay made of what it knows of the fleet, as operators see it.
+// Choices is the operators' view of how this relay shares destinations with the fleet.
 type Choices struct {
 	Set          choice.Options
 	Me           int
-	Place        int // -1: not known
+	Place        int // -1: unknown
 	Live         int
 	At           policy.Time
 	Subsets      []Subset
 	Destinations []DestinationState
-	Omitted      int // destinations that did not fit
+	Omitted      int // destinations that were left out
 }
 
-// Subset is the subset of a destination.
+// Subset lists the endpoints of a destination that this relay keeps connections to.
 type Subset struct {
 	Dest, Total int
 	Endpoints   []choice.Endpoint
 }
 
-// DestinationState is what was last made of a destination's news.
+// DestinationState is what the fleet last reported of a destination.
 type DestinationState struct {
 	Dest int
 	peers.DestinationStatus
 }
 
-// updateSubsets tells the module which endpoints it keeps connections to, where that has changed.
+// updateSubsets tells the policy engine which endpoints to keep connections to, where that has
+// changed.
 func (h *Host) updateSubsets(now policy.Time) {
-	for _, s := range h.pool.ChangedSubsets(now) {
-		h.pending = append(h.pending, s)
+	for _, subset := range h.pool.ChangedSubsets(now) {
+		h.pending = append(h.pending, subset)
 	}
 	if h.pool.Choices().Any() && now >= h.choicesAt+choicesInterval {
 		h.choicesAt = now
@@ -49,27 +50,29 @@
 	}
 }
 
+// buildChoices returns the current view.
 func (h *Host) buildChoices(now policy.Time) *Choices {
-	c := &Choices{Set: h.pool.Choices(), Me: h.among.Me, At: now}
-	c.Place, c.Live = h.pool.Place()
-	h.pool.EachSubset(func(dest int, mine []choice.Endpoint, of int) bool {
-		if len(c.Subsets) == maxChoices {
-			c.Omitted++
-			return c.Omitted < maxChoices // no more than it takes to say that there are many
+	view := &Choices{Set: h.pool.Choices(), Me: h.among.Me, At: now}
+	view.Place, view.Live = h.pool.Place()
+	h.pool.EachSubset(func(dest int, endpoints []choice.Endpoint, total int) bool {
+		if len(view.Subsets) == maxChoices {
+			view.Omitted++
+			return view.Omitted < maxChoices // enough to show that there are many
 		}
-		c.Subsets = append(c.Subsets, Subset{dest, of, mine})
+		view.Subsets = append(view.Subsets, Subset{dest, total, endpoints})
 		return true
 	})
-	for dest, s := range h.pool.DestinationStatuses() {
-		c.Destinations = append(c.Destinations, DestinationState{dest, s})
+	for dest, state := range h.pool.DestinationStatuses() {
+		view.Destinations = append(view.Destinations, DestinationState{dest, state})
 	}
-	slices.SortFunc(c.Subsets, func(a, b Subset) int { return a.Dest - b.Dest })
-	slices.SortFunc(c.Destinations, func(a, b DestinationState) int { return a.Dest - b.Dest })
-	return c
+	slices.SortFunc(view.Subsets, func(a, b Subset) int { return a.Dest - b.Dest })
+	slices.SortFunc(view.Destinations, func(a, b DestinationState) int { return a.Dest - b.Dest })
+	return view
 }
 
-// Choices are the latest; nil: none are shared. Anyone may call it: it waits for nothing.
+// Choices returns the latest view; nil if nothing is shared. It may be called on any goroutine and
+// does not block.
 func (h *Host) Choices() *Choices { return h.choices.Load() }
 
-// Now is the moment on the clock that views are dated by.
+// Now returns the time on the clock that dates the views.
 func (h *Host) Now() policy.Time { return h.now() }
--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -13,7 +13,7 @@
 	"oatfold/policy"
 )
 
-// completeAnswers is what an answer proves when all of it could be read.
+// completeAnswers holds what an answer proves if all of it can be read.
 var completeAnswers = []struct {
 	write string
 	items int
@@ -33,10 +33,9 @@
 	{httpResponse("429 X\r\nWait-Ms: 60000", "no"), 2, policy.Rejected, true},
 }
 
-// An answer that is cut at any byte, in its status line, head, length, chunk or body, proves nothing: the call may have run. Only a first line with
-// 200 that came whole, to a call with one message, stands by itself. A wait binds from the byte on that ends its line, and not before; the
-// connection is not used again.
-func TestAnswerCutAtEachByte(t *testing.T) {
+// An answer that is truncated at any byte proves nothing, except for a whole status line with 200
+// for a single message. Wait-Ms applies once its line is complete. The connection is not reused.
+func TestAnswerTruncatedAtEachByte(t *testing.T) {
 	for _, a := range completeAnswers {
 		line := strings.Index(a.write, "200 OK\r\n")
 		waitLine := "Wait-Ms: 60000\r\n"
@@ -60,49 +59,52 @@
 			}()
 			ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
 			c := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
-			cl := &call{endpoint: ep, items: []callItem{{id: "a"}, {id: "b"}}[:a.items], deadline: time.Now().Add(time.Minute)}
+			cl := &call{endpoint: ep, items: []callItem{{id: "a"}, {id: "b"}}[:a.items],
+				deadline: time.Now().Add(time.Minute)}
 			res := c.makeCall(cl)
 			c.close()
 			ln.Close()
 			got := res.results[0].outcome
 			switch whole := n == len(a.write); {
 			case whole && (got != a.want || (res.retryAfter > 0) != a.wait):
-				t.Errorf("%q: outcome %v, wait %v", a.write, got, res.retryAfter)
+				t.Errorf("%q: outcome %v, Retry-After %v", a.write, got, res.retryAfter)
 			case whole:
 			case a.items == 1 && line == len("HTTP/1.1 ") && n >= line+len("200 OK\r\n"):
 				if got != policy.Delivered {
-					t.Errorf("%q: outcome %v behind a first line with 200", a.write[:n], got)
+					t.Errorf("%q: outcome %v after a status line with 200", a.write[:n], got)
 				}
 			case got != policy.Errored && got != policy.ConnectionLost:
-				t.Errorf("%q: outcome %v of a cut answer", a.write[:n], got)
+				t.Errorf("%q: outcome %v of a truncated answer", a.write[:n], got)
 			case res.reusable:
-				t.Errorf("%q: kept", a.write[:n])
+				t.Errorf("%q: the connection is reusable", a.write[:n])
 			}
 			if wait := a.wait && n >= bound; ep.backoff.active() != wait || (res.retryAfter > 0) != wait {
-				t.Errorf("%q: gate closed %v, wait %v", a.write[:n], ep.backoff.active(), res.retryAfter)
+				t.Errorf("%q: backoff %v, Retry-After %v", a.write[:n], ep.backoff.active(), res.retryAfter)
 			}
 		}
 	}
 }
 
-// The answer to several proves what it says of each message that it names once, and of no other: those that it leaves out, names twice or gives a
-// state that nobody knows may have run.
-func TestAnswerToSeveral(t *testing.T) {
+// The answer to a batch proves the result of each message that it names once with a known state.
+// All others may have run.
+func TestBatchAnswer(t *testing.T) {
 	const ok, gone, later, may = policy.Delivered, policy.Unsent, policy.Rejected, policy.Errored
 	for body, want := range map[string][]policy.Outcome{
-		`[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"gone"}]`:                             {ok, later, gone},
-		`[{"id":"c","state":"ok"},{"id":"a","state":"later"}]`:                                                       {later, may, ok},
-		`[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"}]`:                            {may, later, may},
-		`[{"id":"a","state":"later"},{"id":"b","state":"ok"},{"id":"a","state":"later"},{"id":"c","state":"later"}]`: {may, ok, later},
-		`[{"id":"a","state":"later"},{"id":"a","state":"odd"},{"id":"b","state":"ok"}]`:                              {may, ok, may},
-		`[{"id":"a","state":"later"},{"id":"a"},{"id":"b","state":"ok"}]`:                                            {may, ok, may},
-		`[{"id":"x","state":"later"},{"id":"b","state":"later"},{"id":"y","state":"ok"}]`:                            {may, later, may},
-		`[{"id":"a","state":"odd"},{"id":"b"},{"state":"later"}]`:                                                    {may, may, may},
-		`[{"id":7,"state":"later"},null,"a",[]]`:                                                                     {may, may, may},
-		`{"id":"a","state":"later"}`:                                                                                 {may, may, may},
-		`[{"id":"a","state":"later"}`:                                                                                {may, may, may},
-		`[]`:                                                                                                         {may, may, may},
-		``:                                                                                                           {may, may, may},
+		`[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"gone"}]`:  {ok, later, gone},
+		`[{"id":"c","state":"ok"},{"id":"a","state":"later"}]`:                            {later, may, ok},
+		`[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"}]`: {may, later, may},
+		`[{"id":"a","state":"later"},{"id":"b","state":"ok"},{"id":"a","state":"later"},{"id":"c","state":"later"}]`: {
+			may, ok, later,
+		},
+		`[{"id":"a","state":"later"},{"id":"a","state":"odd"},{"id":"b","state":"ok"}]`:   {may, ok, may},
+		`[{"id":"a","state":"later"},{"id":"a"},{"id":"b","state":"ok"}]`:                 {may, ok, may},
+		`[{"id":"x","state":"later"},{"id":"b","state":"later"},{"id":"y","state":"ok"}]`: {may, later, may},
+		`[{"id":"a","state":"odd"},{"id":"b"},{"state":"later"}]`:                         {may, may, may},
+		`[{"id":7,"state":"later"},null,"a",[]]`:                                          {may, may, may},
+		`{"id":"a","state":"later"}`:                                                      {may, may, may},
+		`[{"id":"a","state":"later"}`:                                                     {may, may, may},
+		`[]`:                                                                              {may, may, may},
+		``:                                                                                {may, may, may},
 	} {
 		cl := &call{items: []callItem{{id: "a"}, {id: "b"}, {id: "c"}}}
 		var got []policy.Outcome
@@ -115,9 +117,9 @@
 	}
 }
 
-// What is left over on a connection that stands idle, from one byte to a whole second answer, or its close, is never read as the answer to the next
-// call: that goes on a connection of its own.
-func TestLeftoverOfAnIdleConnection(t *testing.T) {
+// Surplus bytes or a close on an idle connection are never read as the answer to the next call,
+// which gets a new connection.
+func TestSurplusBytesOnIdleConnection(t *testing.T) {
 	second := httpResponse("200 OK", "")
 	for _, left := range []string{"H", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", second, "close"} {
 		ln := listen(t)
@@ -154,25 +156,26 @@
 		} else {
 			fmt.Fprint(sock, left)
 		}
-		waitFor(t, "what is left over to come", func() bool { return stale(c.sock) })
+		waitFor(t, "the surplus bytes to arrive", func() bool { return stale(c.sock) })
 		if res := carry(httpResponse("503 X", "")); res.results[0].outcome != policy.Rejected {
-			t.Errorf("%q: the next call ends as %v", left, res.results[0].outcome)
+			t.Errorf("%q: outcome %v of the next call", left, res.results[0].outcome)
 		}
 		if len(socks) != 1 {
-			t.Errorf("%q: the next call has no connection of its own", left)
+			t.Errorf("%q: the next call got no new connection", left)
 		}
 		c.close()
 	}
 }
 
-// A time that is up against an answer, both in one turn and in both orders: each try has one end towards the module, and the message one end. The answer
-// wins where it came first; where the time was first, its late answer changes nothing that was said.
-func TestTimeAgainstAnswer(t *testing.T) {
+// A timeout and an answer in one iteration give the message one result: that of whichever came
+// first.
+func TestTimeoutAgainstAnswer(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
 		h := bare(t)
 		ep := h.endpoints["s-1"]
 		m := h.message("m", 7, 1)
-		calls := h.planSend(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour}, map[string]*call{}, nil)
+		calls := h.planSend(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour},
+			map[string]*call{}, nil)
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
@@ -201,10 +204,10 @@
 			want = policy.Delivered
 		}
 		if len(ends) != 1 || ends[0].Outcome != want {
-			t.Errorf("answer first %v: ends %+v", answerFirst, ends)
+			t.Errorf("answer first %v: results %+v", answerFirst, ends)
 		}
 		if h.table.Get(m.Number) != nil || len(h.unsent) > 0 || h.expiries.First() != nil {
-			t.Errorf("answer first %v: held %v, notices %v", answerFirst, h.table.Get(m.Number), h.unsent)
+			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number), h.unsent)
 		}
 	}
 }
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -23,8 +23,8 @@
 	"oatfold/policy"
 )
 
-// loadDeployment returns the settings of one of two deployments that share no name: "alerts" has no tenants, "postings" has
-// tenants, charges in order and routes apart.
+// loadDeployment returns the settings of one of two deployments that share no name: "alerts" has no
+// tenants, "postings" has tenants, ordered charges and separate routes.
 func loadDeployment(t *testing.T, name string) policy.Settings {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "daemon", "config", "testdata", name+".json"))
@@ -38,14 +38,14 @@
 	return set
 }
 
-// deploymentPairs is each deployment beside the other.
+// deploymentPairs returns each deployment with the other one.
 func deploymentPairs(t *testing.T) [2][2]policy.Settings {
 	t.Helper()
 	alerts, postings := loadDeployment(t, "alerts"), loadDeployment(t, "postings")
 	return [2][2]policy.Settings{{alerts, postings}, {postings, alerts}}
 }
 
-// logBuffer is a log that the test reads.
+// logBuffer collects log lines for a test.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -70,7 +70,7 @@
 
 func (l *logBuffer) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
-// requestAs is a whole hand-in of a class for a tenant; empty: it names none.
+// requestAs returns a client's request of a class for a tenant; empty: it names none.
 func requestAs(class, tenant, id string) string {
 	more := "Idempotency-Key: k-" + id + "\r\n"
 	if tenant != "" {
@@ -79,9 +79,9 @@
 	return hand(class+"?subject="+url.QueryEscape("key "+id), id, more, "body", 480)
 }
 
-// A class or tenant of another deployment is refused with 400 and its name in the answer. The connection goes on, and what
-// this deployment names is taken on over it. Where the settings name no tenants, X-Account is not read.
-func TestNamesOfAnotherDeploymentAreRefused(t *testing.T) {
+// A class or tenant that the settings do not have is rejected with 400 and its name, and the
+// connection goes on. Without tenants in the settings, X-Account is ignored.
+func TestUnknownNamesAreRejected(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other := pair[0], pair[1]
 		front, host, ln := startFront(t, 100, 10)
@@ -102,14 +102,14 @@
 			}
 			return a.status, string(a.body)
 		}
-		refused := func(class, tenant, name string) {
+		reject := func(class, tenant, name string) {
 			t.Helper()
 			if status, says := ask(class, tenant); status != 400 || !strings.Contains(says, fmt.Sprintf("%q", name)) {
 				t.Errorf("%s of %q: answered %d, %q", class, tenant, status, says)
 			}
 		}
 		accepted := 0
-		takenOn := func(class, tenant string) {
+		accept := func(class, tenant string) {
 			t.Helper()
 			accepted++
 			if status, says := ask(class, tenant); status != 202 {
@@ -117,43 +117,45 @@
 			}
 		}
 		for _, class := range other.Classes {
-			refused(class.Name, "", class.Name)
+			reject(class.Name, "", class.Name)
 		}
 		for _, kind := range own.Kinds {
-			refused(kind.Name, "", kind.Name) // a kind of partner is no class
+			reject(kind.Name, "", kind.Name) // a partner type is no class
 		}
 		for _, class := range own.Classes {
 			for _, tenant := range other.Tenants {
 				if len(own.Tenants) == 0 {
-					takenOn(class.Name, tenant.Name)
+					accept(class.Name, tenant.Name)
 				}
 			}
 			if len(own.Tenants) > 0 {
-				refused(class.Name, "a-stranger", "a-stranger")
-				refused(class.Name, own.Kinds[0].Name, own.Kinds[0].Name)
+				reject(class.Name, "a-stranger", "a-stranger")
+				reject(class.Name, own.Kinds[0].Name, own.Kinds[0].Name)
 			}
 			for _, tenant := range own.Tenants {
-				takenOn(class.Name, tenant.Name)
+				accept(class.Name, tenant.Name)
 			}
-			takenOn(class.Name, "")
+			accept(class.Name, "")
 		}
 		host.Lock()
 		if host.taken != accepted {
-			t.Errorf("%d taken on, want %d", host.taken, accepted)
+			t.Errorf("%d accepted, want %d", host.taken, accepted)
 		}
 		host.Unlock()
 	}
 }
 
-// A name that a client makes up is shown in parts, and quoted: it can't fill or forge a line of the log.
-func TestUnknownNamesAreShownInParts(t *testing.T) {
+// Unknown names are quoted and truncated, so that a client can neither fill the log nor forge a
+// line of it.
+func TestUnknownNamesAreTruncated(t *testing.T) {
 	text := unknownError{"class", "a\nb" + strings.Repeat("x", maxLine)}.Error()
 	if len(text) > 150 || strings.Contains(text, "\n") || !strings.Contains(text, `"a\nbxx`) {
 		t.Errorf("%q", text)
 	}
 }
 
-// newIdleHost is a host without its loop under these settings, with what the journal in dir holds.
+// newIdleHost returns a host with these settings and the journal in dir. Its event loop does not
+// run.
 func newIdleHost(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
 	t.Helper()
 	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
@@ -168,30 +170,37 @@
 	return h
 }
 
-// listedEndpoint is an endpoint of destination 7 in the terms of a deployment.
+// listedEndpoint returns an endpoint of destination 7 with a partner type and a zone of a
+// deployment.
 func listedEndpoint(set policy.Settings) memory.EndpointEntry {
 	return memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: "s-1", Destination: 7,
 		Kind: set.Kinds[0].Name, Zone: set.Zones[0].Name, State: policy.Listed}}
 }
 
-// A list with kinds and zones of another deployment is named in the log, once, and its endpoints are used: one message in
-// a call.
-func TestKindsOfAnotherDeploymentAreNamedAndServed(t *testing.T) {
+// Unknown partner types and zones of a list are logged once. Their endpoints are used, with one
+// message per call.
+func TestUnknownKindsAreLoggedAndServed(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other, log := pair[0], pair[1], &logBuffer{}
 		h := newIdleHost(t, own, t.TempDir(), log.logger())
-		list := memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}
+		list := memory.EndpointList{Generation: 1, Complete: true,
+			Entries: []memory.EndpointEntry{listedEndpoint(other)}}
 		h.applyEndpointList(list, policy.ListSnapshot)
 		h.applyEndpointList(list, policy.ListSnapshot)
 		for key, name := range map[string]string{"kinds": other.Kinds[0].Name, "zones": other.Zones[0].Name} {
-			lines := log.lines("pool config has " + key)
+			lines := log.lines("endpoint list has " + key)
 			if len(lines) != 1 || !strings.Contains(lines[0], name) {
 				t.Errorf("%s: %q, want one line with %s", key, lines, name)
 			}
 		}
 		for i := range 2 {
-			m := &memory.Message{Number: h.table.NextNumber(), ID: fmt.Sprint("m", i), Class: own.Classes[0].Name, Dest: 7,
-				Deadline: time.Now().Add(own.Classes[0].Deadline)}
+			m := &memory.Message{
+				Number:   h.table.NextNumber(),
+				ID:       fmt.Sprint("m", i),
+				Class:    own.Classes[0].Name,
+				Dest:     7,
+				Deadline: time.Now().Add(own.Classes[0].Deadline),
+			}
 			h.table.Add(m)
 			h.arrivals = append(h.arrivals, m)
 		}
@@ -201,15 +210,15 @@
 		}
 		for _, cl := range h.begun {
 			if len(cl.items) != 1 {
-				t.Errorf("%d messages in a call to a kind that is not in the settings", len(cl.items))
+				t.Errorf("%d messages in a call to an unknown partner type", len(cl.items))
 			}
 		}
 	}
 }
 
-// A restart under the settings of another deployment ends each message that the journal holds, once, by a notice, and
-// names the class that is gone.
-func TestRestartUnderAnotherDeploymentsSettings(t *testing.T) {
+// After a restart with settings that lack its class, each recovered message completes once, by a
+// notification, and the log names the class.
+func TestRestartWithOtherSettings(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logBuffer{}
 		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
@@ -217,8 +226,15 @@
 			t.Fatal(err)
 		}
 		for i, class := range own.Classes {
-			m := &memory.Message{Number: table.NextNumber(), ID: fmt.Sprint("m", i), Class: class.Name, Dest: 7, Body: []byte("body"),
-				Deadline: time.Now().Add(class.Deadline), Terms: memory.Terms{Effect: class.Effect, RepeatWindow: class.RepeatWindow}}
+			m := &memory.Message{
+				Number:   table.NextNumber(),
+				ID:       fmt.Sprint("m", i),
+				Class:    class.Name,
+				Dest:     7,
+				Body:     []byte("body"),
+				Deadline: time.Now().Add(class.Deadline),
+				Terms:    memory.Terms{Effect: class.Effect, RepeatWindow: class.RepeatWindow},
+			}
 			if err := kept.AppendAccepted(table, m, false); err != nil {
 				t.Fatal(err)
 			}
@@ -228,22 +244,23 @@
 		}
 		kept.Close()
 		h := newIdleHost(t, other, dir, log.logger())
-		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true, Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
+		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true,
+			Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
 		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
 			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
 		}
 		for _, class := range own.Classes {
 			if lines := log.lines("class=" + class.Name); len(lines) != 1 {
-				t.Errorf("%s is named in %q", class.Name, lines)
+				t.Errorf("class %s is logged in %q, want one line", class.Name, lines)
 			}
 		}
 	}
 }
 
-// A reload to the settings of another deployment loses nothing of what is held: it goes out under the terms that it was
-// taken on under, and each message ends once. New ones of the old classes are refused by name.
-func TestReloadToAnotherDeploymentsSettings(t *testing.T) {
+// After a reload to other settings, pending messages are sent under the terms that they were
+// accepted with, and each completes once. New messages of the old classes are rejected.
+func TestReloadToOtherSettings(t *testing.T) {
 	release := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(release) })
 	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
@@ -251,12 +268,14 @@
 	old := testSettings().Classes
 	for _, class := range old {
 		more := "Idempotency-Key: k\r\n"
-		if status := w.client(hand(class.Name, class.Name, more, "b", int(class.Deadline.Milliseconds()))); status != 202 {
+		if status := w.client(hand(class.Name, class.Name, more, "b",
+			int(class.Deadline.Milliseconds()))); status != 202 {
 			t.Fatalf("%s: answered %d", class.Name, status)
 		}
 	}
 	other := loadDeployment(t, "postings")
-	if err := w.host.Reload(HostConfig{Settings: other, DiskBytes: 3e6, ConnectTimeout: time.Second, IdleMost: 8}, w.agent.Listener.Addr().String()); err != nil {
+	if err := w.host.Reload(HostConfig{Settings: other, DiskBytes: 3e6, ConnectTimeout: time.Second, IdleMost: 8},
+		w.agent.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	w.front.Configure(&other, 100)
@@ -265,7 +284,8 @@
 			t.Errorf("%s: answered %d after the reload", class.Name, status)
 		}
 	}
-	if status := w.client(hand(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b", 19000)); status != 202 {
+	if status := w.client(hand(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b",
+		19000)); status != 202 {
 		t.Errorf("a class of the new settings: answered %d", status)
 	}
 	goOn()
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -8,19 +8,21 @@
 	"oatfold/policy"
 )
 
-// What the host knows of endpoints: the pool config, and the connections to them that stand idle.
+// This file keeps the endpoint list and the idle connections to its endpoints.
 
-func (h *Host) applyEndpointList(pc memory.EndpointList, kind policy.ListUpdateKind) {
-	news := policy.EndpointListUpdate{Kind: kind}
+// applyEndpointList applies a list or changes of discovery to the endpoints and passes them on to the
+// policy engine.
+func (h *Host) applyEndpointList(list memory.EndpointList, kind policy.ListUpdateKind) {
+	update := policy.EndpointListUpdate{Kind: kind}
 	named := map[string]bool{}
-	if h.generation = pc.Generation; pc.Generation == 0 && len(pc.Entries) == 0 {
+	if h.generation = list.Generation; list.Generation == 0 && len(list.Entries) == 0 {
 		h.generation = -1
 	}
-	h.warnUnknown(pc.Entries)
-	for _, mb := range pc.Entries {
-		named[mb.Address] = true
-		news.Entries = append(news.Entries, mb.Endpoint)
-		h.applyEndpoint(mb)
+	h.warnUnknown(list.Entries)
+	for _, member := range list.Entries {
+		named[member.Address] = true
+		update.Entries = append(update.Entries, member.Endpoint)
+		h.applyEndpoint(member)
 	}
 	if kind != policy.ListChanges {
 		for id, ep := range h.endpoints {
@@ -34,95 +36,101 @@
 			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
 			h.targets.Remove(id, ep.dest)
-			if maps.DeleteFunc(h.routes, func(_ string, g *backoff) bool { return !g.active() }); ep.backoff.active() && ep.backoff != h.gates[ep.dest] {
+			if maps.DeleteFunc(h.routes, func(_ string, b *backoff) bool { return !b.active() }); ep.backoff.active() &&
+				ep.backoff != h.gates[ep.dest] {
 				h.routes[id] = ep.backoff
 			}
 		}
 	}
 	h.figures.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
-	if pc.Skipped > 0 {
-		h.log.Warn("pool config has entries that can't be read", "count", pc.Skipped, "generation", pc.Generation)
+	if list.Skipped > 0 {
+		h.log.Warn("endpoint list has malformed entries", "count", list.Skipped, "generation", list.Generation)
 	}
-	h.pending = append(h.pending, news)
-	h.pool.UpdateEndpoints(news)
+	h.pending = append(h.pending, update)
+	h.pool.UpdateEndpoints(update)
 	if h.watch != nil {
-		h.watch.List(news)
+		h.watch.List(update)
 	}
-	h.log.Debug("pool config", "generation", pc.Generation, "entries", len(pc.Entries), "whole", kind != policy.ListChanges)
+	h.log.Debug("endpoint list updated",
+		"generation", list.Generation, "entries", len(list.Entries), "whole", kind != policy.ListChanges)
 }
 
-// warnUnknown logs the kinds and zones that a list brings up and the settings do not have. Their endpoints are used all
-// the same, with one message in a call, one route for a destination and no fee: a relay without them would lose messages.
+// warnUnknown logs the partner types and zones of a list that the settings do not name. Their
+// endpoints are used all the same, with one message per call, one route per destination and no fee,
+// so that no message is lost.
 func (h *Host) warnUnknown(members []memory.EndpointEntry) {
 	kinds, zones := map[string]bool{}, map[string]bool{}
-	for _, mb := range members {
-		if mb.State == policy.Removed {
+	for _, member := range members {
+		if member.State == policy.Removed {
 			continue
 		}
-		kind, listed := h.kinds[mb.Destination]
-		if _, known := h.kindOf[mb.Kind]; !known && !(listed && kind == mb.Kind) {
-			kinds[mb.Kind] = true
+		kind, listed := h.kinds[member.Destination]
+		if _, known := h.kindOf[member.Kind]; !known && !(listed && kind == member.Kind) {
+			kinds[member.Kind] = true
 		}
-		ep := h.endpoints[mb.Address]
-		if !h.zoneKnown(mb.Zone) && !(ep != nil && ep.zone == mb.Zone) {
-			zones[mb.Zone] = true
+		ep := h.endpoints[member.Address]
+		if !h.zoneKnown(member.Zone) && !(ep != nil && ep.zone == member.Zone) {
+			zones[member.Zone] = true
 		}
 	}
 	if len(kinds) > 0 && len(h.kindOf) > 0 {
-		h.log.Warn("pool config has kinds that are not in the settings", "kinds", slices.Sorted(maps.Keys(kinds)))
+		h.log.Warn("endpoint list has kinds that are not in the settings", "kinds", slices.Sorted(maps.Keys(kinds)))
 	}
 	if len(zones) > 0 && len(h.set.Zones) > 0 {
-		h.log.Warn("pool config has zones that are not in the settings", "zones", slices.Sorted(maps.Keys(zones)))
+		h.log.Warn("endpoint list has zones that are not in the settings", "zones", slices.Sorted(maps.Keys(zones)))
 	}
 }
 
-// zoneKnown tells whether the settings name the zone.
+// zoneKnown reports whether the settings name the zone.
 func (h *Host) zoneKnown(name string) bool {
 	return slices.ContainsFunc(h.set.Zones, func(z policy.Zone) bool { return z.Name == name })
 }
 
-func (h *Host) applyEndpoint(mb memory.EndpointEntry) {
-	ep := h.endpoints[mb.Address]
-	if mb.State == policy.Removed {
+// applyEndpoint adds, updates or removes one endpoint.
+func (h *Host) applyEndpoint(member memory.EndpointEntry) {
+	ep := h.endpoints[member.Address]
+	if member.State == policy.Removed {
 		if ep != nil {
 			ep.state.Store(int32(policy.Removed))
 		}
 		return
 	}
-	if ep != nil && mb.HostPort == "" {
-		mb.HostPort = ep.addr // a change need not name it again
+	if ep != nil && member.HostPort == "" {
+		member.HostPort = ep.addr // a change may omit it
 	}
-	if ep == nil || ep.addr != mb.HostPort || ep.dest != mb.Destination {
+	if ep == nil || ep.addr != member.HostPort || ep.dest != member.Destination {
 		if ep != nil {
-			ep.state.Store(int32(policy.Removed)) // its connections lead elsewhere now
+			ep.state.Store(int32(policy.Removed)) // its connections go to the old address
 			h.closeIdleConns(ep)
 		}
-		g := h.gates[mb.Destination]
-		if ep != nil && ep.dest == mb.Destination {
-			g = ep.backoff
-		} else if h.kindOf[mb.Kind].SeparateRoutes {
-			// Where routes are apart, a wait binds the one endpoint, also if it leaves the list and comes back.
-			if g = h.routes[mb.Address]; g == nil {
-				g = &backoff{}
+		shared := h.gates[member.Destination]
+		if ep != nil && ep.dest == member.Destination {
+			shared = ep.backoff
+		} else if h.kindOf[member.Kind].SeparateRoutes {
+			// With separate routes, a backoff applies to one endpoint, also if it leaves the list
+			// and returns.
+			if shared = h.routes[member.Address]; shared == nil {
+				shared = &backoff{}
 			}
-		} else if g == nil {
-			g = &backoff{}
-			h.gates[mb.Destination] = g
+		} else if shared == nil {
+			shared = &backoff{}
+			h.gates[member.Destination] = shared
 		}
-		delete(h.routes, mb.Address)
-		ep = &endpoint{id: mb.Address, addr: mb.HostPort, dest: mb.Destination, backoff: g}
-		h.endpoints[mb.Address] = ep
+		delete(h.routes, member.Address)
+		ep = &endpoint{id: member.Address, addr: member.HostPort, dest: member.Destination, backoff: shared}
+		h.endpoints[member.Address] = ep
 	}
-	ep.zone, ep.rate = mb.Zone, mb.Rate
-	ep.state.Store(int32(mb.State))
-	if h.kinds[mb.Destination] = mb.Kind; h.kindOf[mb.Kind].SeparateRoutes {
-		h.targets.Add(mb.Address, mb.Destination)
+	ep.zone, ep.rate = member.Zone, member.Rate
+	ep.state.Store(int32(member.State))
+	if h.kinds[member.Destination] = member.Kind; h.kindOf[member.Kind].SeparateRoutes {
+		h.targets.Add(member.Address, member.Destination)
 	}
 }
 
+// removed reports whether the endpoint has left the list.
 func (ep *endpoint) removed() bool { return policy.EndpointState(ep.state.Load()) == policy.Removed }
 
-// takeIdleConn takes the idle connection to ep that was used last, if there is one.
+// takeIdleConn returns the idle connection to ep that was used last, or nil.
 func (h *Host) takeIdleConn(ep *endpoint) *endpointConn {
 	n := len(ep.idle)
 	if n == 0 {
@@ -143,7 +151,8 @@
 	ep.idle = nil
 }
 
-// closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its endpoint's.
+// closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its
+// endpoint.
 func (h *Host) closeOldestIdleConn() {
 	c := h.idle.First().Value
 	h.idle.Remove(c.idleNode)
@@ -151,7 +160,7 @@
 	close(c.calls)
 }
 
-// limitIdleConns bounds the descriptors that idle connections hold.
+// limitIdleConns bounds the descriptors of idle connections.
 func (h *Host) limitIdleConns() {
 	if h.idle.Len() > h.idleMost {
 		h.closeOldestIdleConn()
--- a/internal/wire/gate.go
+++ b/internal/wire/gate.go
@@ -8,28 +8,29 @@
 	"oatfold/policy"
 )
 
-// This file is about when nothing may be written to an endpoint.
+// This file decides when nothing may be written to an endpoint.
 
-// backoff is what the connections of a destination share: until when it must not be sent to. That is kept on the monotonic clock: a wait
-// is a span, and a step of the wall clock would open the gate or keep it shut.
-type backoff struct{ until atomic.Int64 } // as clock.Since
+// backoff is the time until which a destination must not be called. Its connections share it. It
+// uses the monotonic clock, so that a step of the wall clock neither ends nor extends it.
+type backoff struct{ until atomic.Int64 } // nanoseconds of clock.Since
 
-// extend closes the gate for at least d from now on.
-func (g *backoff) extend(d time.Duration) {
-	for end := int64(clock.Since() + d); ; {
-		was := g.until.Load()
-		if was >= end || g.until.CompareAndSwap(was, end) {
+// extend makes the backoff last for at least d from now.
+func (b *backoff) extend(d time.Duration) {
+	for until := int64(clock.Since() + d); ; {
+		current := b.until.Load()
+		if current >= until || b.until.CompareAndSwap(current, until) {
 			return
 		}
 	}
 }
 
-// remaining is for how long the gate stays closed; negative once it is open.
-func (g *backoff) remaining() time.Duration { return time.Duration(g.until.Load()) - clock.Since() }
+// remaining returns how long the backoff still lasts; negative once it has ended.
+func (b *backoff) remaining() time.Duration { return time.Duration(b.until.Load()) - clock.Since() }
 
-func (g *backoff) active() bool { return g.remaining() > 0 }
+// active reports whether the backoff still lasts.
+func (b *backoff) active() bool { return b.remaining() > 0 }
 
-// endpoint is where a member of the pool config is reached. The state is read by its connections.
+// endpoint is an entry of the endpoint list. Its connections read the state.
 type endpoint struct {
 	id, addr string
 	dest     int
@@ -37,10 +38,11 @@
 	rate     float64
 	state    atomic.Int32 // policy.EndpointState
 	backoff  *backoff
-	idle     []*endpointConn // last used last
+	idle     []*endpointConn // the one used last is last
 }
 
-// blocked tells whether nothing may be written to the endpoint now: a wait was told, or it is drained or gone.
+// blocked reports whether nothing may be written to the endpoint now: it backs off, drains or is
+// removed.
 func (ep *endpoint) blocked() bool {
 	return ep.backoff.active() || policy.EndpointState(ep.state.Load()) != policy.Listed
 }
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -14,30 +14,36 @@
 	"oatfold/policy"
 )
 
-// A dial that comes up late, behind whatever has ended its call meanwhile: nothing is written, nothing has run, no descriptor is left. Where
-// nothing has ended it, it goes.
-func TestDialComesUpLate(t *testing.T) {
+// A connection that comes up after its call became invalid is closed, and nothing is written on it.
+// If the call is still valid, it is made.
+func TestLateConnection(t *testing.T) {
 	type crossing struct {
 		rc *endpointConn
 		cl *call
 	}
 	for name, c := range map[string]struct {
-		careful time.Duration
-		meant   func(*crossing)
-		goes    bool
+		lastByteDelay time.Duration
+		event         func(*crossing)
+		sent          bool
 	}{
-		"nothing":                         {0, func(*crossing) {}, true},
-		"a told wait":                     {0, func(x *crossing) { x.rc.endpoint.backoff.extend(time.Hour) }, false},
-		"the endpoint drains":             {0, func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Draining)) }, false},
-		"the endpoint is gone":            {0, func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Removed)) }, false},
-		"the message's time is up":        {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now() }, false},
-		"the call's time is up":           {0, func(x *crossing) { x.cl.deadline = time.Now() }, false},
-		"the process ends, charge":        {time.Millisecond, func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, false},
-		"the process ends, alert":         {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, true},
-		"the process is quiet, alert":     {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
-		"the process is quiet, charge":    {time.Millisecond, func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
-		"the repeat window has closed":    {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(minTimeLeft / 2) }, false},
-		"the repeat window is still open": {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(time.Minute) }, true},
+		"nothing":       {0, func(*crossing) {}, true},
+		"a Retry-After": {0, func(x *crossing) { x.rc.endpoint.backoff.extend(time.Hour) }, false},
+		"the endpoint drains": {0,
+			func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Draining)) }, false},
+		"the endpoint is removed": {0,
+			func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Removed)) }, false},
+		"the message expired": {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now() }, false},
+		"the call timed out":  {0, func(x *crossing) { x.cl.deadline = time.Now() }, false},
+		"no unsafe calls, unsafe": {time.Millisecond,
+			func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, false},
+		"no unsafe calls, safe": {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, true},
+		"no calls, safe":        {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
+		"no calls, unsafe": {time.Millisecond,
+			func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
+		"the repeat window has closed": {0,
+			func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(minTimeLeft / 2) }, false},
+		"the repeat window is still open": {0,
+			func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(time.Minute) }, true},
 	} {
 		ln := listen(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
@@ -56,7 +62,8 @@
 			}
 			return made, err
 		}
-		x.cl = &call{endpoint: ep, lastByteDelay: c.careful, items: []callItem{{id: "m", body: []byte("x")}}, deadline: time.Now().Add(time.Minute)}
+		x.cl = &call{endpoint: ep, lastByteDelay: c.lastByteDelay,
+			items: []callItem{{id: "m", body: []byte("x")}}, deadline: time.Now().Add(time.Minute)}
 		ended := make(chan callResult)
 		go func() {
 			res := x.rc.makeCall(x.cl)
@@ -66,10 +73,10 @@
 			ended <- res
 		}()
 		<-dialling
-		c.meant(x)
+		c.event(x)
 		close(up)
 		res := <-ended
-		if c.goes {
+		if c.sent {
 			if res.results[0].outcome != policy.Delivered {
 				t.Errorf("%s: %+v, %v", name, res.results, res.err)
 			}
@@ -77,24 +84,25 @@
 			continue
 		}
 		if o := res.results[0].outcome; o != policy.Unsent && o != policy.ConnectFailed {
-			t.Errorf("%s: outcome %v, %v: it never ran", name, o, res.err)
+			t.Errorf("%s: outcome %v, %v, want one that never ran", name, o, res.err)
 		}
 		if len(seen) > 0 {
 			t.Errorf("%s: a call was written", name)
 		}
 		if err := sock.SetDeadline(time.Time{}); err == nil {
-			t.Errorf("%s: its descriptor is open", name)
+			t.Errorf("%s: its descriptor was not closed", name)
 		}
 	}
 }
 
-// scriptedAgent answers the questions of a watch in order, and tells of each.
+// scriptedAgent answers the requests of a watch in order, and reports each.
 type scriptedAgent struct {
-	ln    net.Listener
-	asked chan string
-	say   chan func(net.Conn)
+	ln       net.Listener
+	requests chan string
+	answers  chan func(net.Conn)
 }
 
+// startScriptedAgent listens and answers each request with the next of its answers.
 func startScriptedAgent(t *testing.T) *scriptedAgent {
 	s := &scriptedAgent{listen(t), make(chan string, 9), make(chan func(net.Conn), 9)}
 	go func() {
@@ -110,8 +118,8 @@
 					if err != nil {
 						return
 					}
-					s.asked <- strings.Fields(string(b[:n]))[1]
-					(<-s.say)(sock)
+					s.requests <- strings.Fields(string(b[:n]))[1]
+					(<-s.answers)(sock)
 				}
 			}()
 		}
@@ -119,17 +127,18 @@
 	return s
 }
 
+// respondWithList answers with 200 and that endpoint list.
 func respondWithList(text string) func(net.Conn) {
 	return func(sock net.Conn) {
 		fmt.Fprintf(sock, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 }
 
-// silenceableConn is a watch's connection that a test ends the wait on, so that no clock does.
+// silenceableConn is a connection of a watch whose read a test can time out.
 type silenceableConn struct {
 	*net.TCPConn
 	read    atomic.Int64 // bytes that the watch has read
-	allowed atomic.Int64 // nanoseconds that it allows for the answer to its last question
+	allowed atomic.Int64 // timeout of its last request, in nanoseconds
 }
 
 func (c *silenceableConn) Read(b []byte) (int, error) {
@@ -143,24 +152,24 @@
 	return c.TCPConn.SetDeadline(end)
 }
 
-// fallSilent waits until the watch has read so many bytes in all, then ends its wait for more as its own limit would.
+// fallSilent waits until the watch has read that many bytes in all, then times out its read.
 func (c *silenceableConn) fallSilent(t *testing.T, read int64) {
 	t.Helper()
-	waitFor(t, "the watch to read what there is", func() bool { return c.read.Load() == read })
+	waitFor(t, "the watch to read all data", func() bool { return c.read.Load() == read })
 	if allowed := time.Duration(c.allowed.Load()); allowed <= 0 || allowed > watchHold+watchAnswerMargin {
 		t.Errorf("the watch allows %v for an answer", allowed)
 	}
 	c.TCPConn.SetDeadline(time.Unix(1, 0))
 }
 
-// A watch that falls silent, at the first question, behind half a line, or later on, is opened anew with the same question; what the old one
-// says then is heard by nobody, and each list is told once.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// A watch without an answer, or with a part of one, is reopened with the same request. Late data on
+// the old connection is ignored, and each list is reported once.
+func TestSilentWatchIsReopened(t *testing.T) {
 	s := startScriptedAgent(t)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	events := make(chan any)
-	// Risk: the usual pause would be longer with each silence, up to 2 s for such a fleet; an agent that comes back meanwhile is not heard.
+	// The usual backoff would grow with each silence and delay updates once the agent is back.
 	pause := func(d time.Duration) {
 		if d > 2*silentWatchBackoff {
 			t.Errorf("a pause of %v after silence", d)
@@ -176,7 +185,8 @@
 		dialled <- c
 		return c, nil
 	}
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause, dial: dial}, events, quiet)
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300,
+		onPause: pause, dial: dial}, events, quiet)
 	old := make(chan net.Conn, 3)
 	silent := func(said string) func(net.Conn) {
 		return func(sock net.Conn) {
@@ -188,44 +198,45 @@
 		return "\n {\n\t" + strings.TrimPrefix(pool("127.0.0.1:1", "in_service", generation), "{")
 	}
 	for _, half := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"gen"} {
-		s.say <- silent(half)
-		if got := <-s.asked; got != "/v1/endpoints" {
-			t.Errorf("asks %s", got)
+		s.answers <- silent(half)
+		if got := <-s.requests; got != "/v1/endpoints" {
+			t.Errorf("requested %s", got)
 		}
 		(<-dialled).fallSilent(t, int64(len(half)))
 	}
-	s.say <- func(sock net.Conn) {
+	s.answers <- func(sock net.Conn) {
 		for range 3 {
 			fmt.Fprint(<-old, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // too late
 		}
 		respondWithList(list(41))(sock)
 	}
-	if got := <-s.asked; got != "/v1/endpoints" {
-		t.Errorf("asks %s", got)
+	if got := <-s.requests; got != "/v1/endpoints" {
+		t.Errorf("requested %s", got)
 	}
 	if n := (<-events).(endpointListUpdate); n.Generation != 41 || !n.Complete || len(n.Entries) != 1 {
-		t.Errorf("hears %+v", n)
+		t.Errorf("got update %+v", n)
 	}
 	kept, half := <-dialled, "HTTP/1.1 200 OK\r\nContent-Len"
 	whole := kept.read.Load()
-	s.say <- silent(half)
-	if got := <-s.asked; !strings.Contains(got, "from=41&") {
-		t.Errorf("asks %s, want what came behind 41", got)
+	s.answers <- silent(half)
+	if got := <-s.requests; !strings.Contains(got, "from=41&") {
+		t.Errorf("requested %s, want the changes since 41", got)
 	}
 	kept.fallSilent(t, whole+int64(len(half)))
-	s.say <- respondWithList(`{"generation":42,"reset":false,"instances":[]}`)
-	s.say <- respondWithList(list(43))
+	s.answers <- respondWithList(`{"generation":42,"reset":false,"instances":[]}`)
+	s.answers <- respondWithList(list(43))
 	for i, want := range []string{"from=41&", "from=42&"} {
-		if got := <-s.asked; !strings.Contains(got, want) {
-			t.Errorf("question %d: %s, want %s", i, got, want)
+		if got := <-s.requests; !strings.Contains(got, want) {
+			t.Errorf("request %d: %s, want %s", i, got, want)
 		}
 	}
 	if n := (<-events).(endpointListUpdate); n.Generation != 43 {
-		t.Errorf("hears %+v, want 43 and nothing between", n)
+		t.Errorf("got update %+v, want 43 and none between", n)
 	}
 }
 
-// Changes of a lower generation than what is known change nothing; the whole list is asked for. A whole list of a lower one is a new start.
+// Changes with a lower generation are ignored, and the whole list is requested. A whole list with a
+// lower generation is a restart of discovery.
 func TestLowerGeneration(t *testing.T) {
 	s := startScriptedAgent(t)
 	ctx, end := context.WithCancel(t.Context())
@@ -233,24 +244,25 @@
 	events := make(chan any)
 	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 1}, events, quiet)
 	old := strings.Replace(pool("127.0.0.1:1", "in_service", 7), `"reset":true`, `"reset":false`, 1)
-	s.say <- respondWithList(pool("127.0.0.1:1", "terminating", 41))
-	s.say <- respondWithList(old)
-	s.say <- respondWithList(pool("127.0.0.1:1", "terminating", 42))
-	s.say <- respondWithList(pool("127.0.0.1:1", "in_service", 3))
+	s.answers <- respondWithList(pool("127.0.0.1:1", "terminating", 41))
+	s.answers <- respondWithList(old)
+	s.answers <- respondWithList(pool("127.0.0.1:1", "terminating", 42))
+	s.answers <- respondWithList(pool("127.0.0.1:1", "in_service", 3))
 	for _, want := range []int64{41, 42, 3} {
 		if n := (<-events).(endpointListUpdate); n.Generation != want || !n.Complete {
-			t.Errorf("hears %+v, want %d", n, want)
+			t.Errorf("got update %+v, want %d", n, want)
 		}
 	}
 	for i, want := range []string{"/v1/endpoints", "from=41", "/v1/endpoints", "from=42"} {
-		if got := <-s.asked; !strings.Contains(got, want) || !strings.HasPrefix(want, "from") && strings.Contains(got, "from") {
-			t.Errorf("question %d: %s, want %s", i, got, want)
+		if got := <-s.requests; !strings.Contains(got, want) || !strings.HasPrefix(want, "from") &&
+			strings.Contains(got, "from") {
+			t.Errorf("request %d: %s, want %s", i, got, want)
 		}
 	}
 }
 
-// After silence the watch is asked anew at once, however large the fleet: an agent that comes back has its news count as told.
-func TestPauseAfterSilence(t *testing.T) {
+// After a silence the watch is reopened quickly, however large the fleet.
+func TestPauseAfterSilentWatch(t *testing.T) {
 	w := listWatcher{fleetSize: 300, seed: 7}
 	w.firstDelay()
 	seen := map[time.Duration]bool{}
@@ -265,9 +277,9 @@
 	}
 }
 
-// A discovery that turns questions away, ends them or answers nonsense, one after the other, is heard as soon as it answers: no pause before
-// that is longer than the bound.
-func TestNewsBehindManyFailures(t *testing.T) {
+// A discovery that rejects requests, closes connections or answers nonsense is asked again soon:
+// every pause is bounded.
+func TestUpdateAfterManyFailures(t *testing.T) {
 	s := startScriptedAgent(t)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
@@ -277,21 +289,23 @@
 			t.Errorf("a pause of %v", d)
 		}
 	}
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300, onPause: pause}, events, quiet)
-	for _, fails := range []string{httpResponse("503 X", ""), "", httpResponse("200 OK", "{"), "HTTP/1.1 200 OK\r\nConten"} {
-		s.say <- func(sock net.Conn) {
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300,
+		onPause: pause}, events, quiet)
+	for _, fails := range []string{httpResponse("503 X", ""), "", httpResponse("200 OK", "{"),
+		"HTTP/1.1 200 OK\r\nConten"} {
+		s.answers <- func(sock net.Conn) {
 			io.WriteString(sock, fails)
 			sock.Close()
 		}
-		<-s.asked
+		<-s.requests
 	}
-	s.say <- respondWithList(pool("127.0.0.1:1", "in_service", 41))
+	s.answers <- respondWithList(pool("127.0.0.1:1", "in_service", 41))
 	if n := (<-events).(endpointListUpdate); n.Generation != 41 || !n.Complete {
-		t.Errorf("hears %+v", n)
+		t.Errorf("got update %+v", n)
 	}
 }
 
-// firstLineWriter tells of the first line that a log says.
+// firstLineWriter passes on the first line of a log.
 type firstLineWriter struct{ first chan string }
 
 func (s firstLineWriter) Write(b []byte) (int, error) {
@@ -302,17 +316,18 @@
 	return len(b), nil
 }
 
-// An agent that nobody answers for at the start, and that is back later at its address, is heard then.
-func TestAgentComesLater(t *testing.T) {
+// An agent that starts after the relay, at its known address, is found.
+func TestAgentStartsLater(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	events, log := make(chan any), firstLineWriter{make(chan string, 1)}
-	go watchEndpointList(ctx, listWatcher{addr: addr, generation: -1, fleetSize: 300}, events, slog.New(slog.NewTextHandler(log, nil)))
-	if line := <-log.first; !strings.Contains(line, "discovery fails") || !strings.Contains(line, addr) {
-		t.Errorf("says %s", line)
+	go watchEndpointList(ctx, listWatcher{addr: addr, generation: -1, fleetSize: 300}, events,
+		slog.New(slog.NewTextHandler(log, nil)))
+	if line := <-log.first; !strings.Contains(line, "discovery request failed") || !strings.Contains(line, addr) {
+		t.Errorf("logged %s", line)
 	}
 	back, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -334,6 +349,6 @@
 		}
 	}()
 	if n := (<-events).(endpointListUpdate); n.Generation != 5 || !n.Complete {
-		t.Errorf("hears %+v", n)
+		t.Errorf("got update %+v", n)
 	}
 }
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	membersViewInterval = members.Period / 3 // between two views that operators see, where something has changed
-	membersViewMaxAge   = 5 * members.Period // and where nothing has
+	membersViewInterval = members.Period / 3 // between published views, after a change
+	membersViewMaxAge   = 5 * members.Period // and without one
 )
 
-// joinFleet makes the pool anew for a relay that has its notes' socket.
+// joinFleet sets up the gossip state of a relay that has a gossip socket.
 func (h *Host) joinFleet(among Among) {
 	h.among = among
 	h.pool = peers.New(among.Me, len(h.notes.peers), h.seed)
 	if among.Members {
-		// Guards against a configuration that gives two processes one seed: the second would be taken for the first one's old notes.
+		// The configured seed alone may be shared by two processes: the second would count as an
+		// old incarnation of the first.
 		h.pool.EnableMembership(among.Zone, h.seed^h.start.UnixNano())
 	}
 	h.pool.EnableChoices(among.Choices)
 }
 
-// sendGossip hands notes over to the socket.
-func (h *Host) sendGossip(out []members.Datagram) {
-	for _, o := range out {
-		h.notes.enqueue(o)
+// sendGossip queues messages on the gossip socket.
+func (h *Host) sendGossip(messages []members.Datagram) {
+	for _, message := range messages {
+		h.notes.enqueue(message)
 	}
 }
 
-// updateMembersView makes a view for those who ask, now and then, and logs the changes that it shows. Whoever reads of a change in the log and then
-// asks has to find it in the answer, so no change is logged before its view is there.
+// updateMembersView publishes a view of the members when it is due, and logs the changes in it. A
+// change is logged only after its view is published, so that whoever reads the log finds it there.
 func (h *Host) updateMembersView(now policy.Time) {
 	list := h.pool.Members()
 	if list == nil || !h.membersViewDue(list, now) {
@@ -40,12 +41,12 @@
 	}
 	h.publishMembersView(list.View(now))
 	h.viewAt = now
-	for _, c := range list.Changes() {
-		h.logMemberChange(c)
+	for _, change := range list.Changes() {
+		h.logMemberChange(change)
 	}
 }
 
-// membersViewDue tells whether it is time for another view of the members.
+// membersViewDue reports whether another view is due.
 func (h *Host) membersViewDue(list *members.List, now policy.Time) bool {
 	shown := h.view.Load()
 	if shown == nil {
@@ -57,36 +58,40 @@
 	return now >= h.viewAt+membersViewInterval
 }
 
-// publishMembersView puts a view in place of the last one, and warns where this relay has begun to doubt itself.
-func (h *Host) publishMembersView(v *members.View) {
-	was := h.view.Swap(v)
-	if was != nil && was.Isolated == v.Isolated && was.DuplicateNumber == v.DuplicateNumber {
+// publishMembersView replaces the published view, and warns if this relay may be cut off or if
+// another process uses its number.
+func (h *Host) publishMembersView(view *members.View) {
+	previous := h.view.Swap(view)
+	if previous != nil && previous.Isolated == view.Isolated && previous.DuplicateNumber == view.DuplicateNumber {
 		return
 	}
-	if v.Isolated {
-		h.log.Warn("no other relay is heard: this one may be cut off")
+	if view.Isolated {
+		h.log.Warn("no gossip received from other relays: this one may be cut off")
 	}
-	if v.DuplicateNumber {
+	if view.DuplicateNumber {
 		h.log.Error("another process speaks under this relay's number", "number", h.among.Me)
 	}
 }
 
-// logMemberChange logs what a member is taken for from now on.
-func (h *Host) logMemberChange(c members.Change) {
+// logMemberChange logs the new state of a member.
+func (h *Host) logMemberChange(change members.Change) {
 	level := slog.LevelInfo
-	if c.To == members.Suspect || c.From == members.Suspect && c.To == members.Alive {
-		level = slog.LevelDebug // a doubt that may pass
+	if change.To == members.Suspect || change.From == members.Suspect && change.To == members.Alive {
+		level = slog.LevelDebug // a suspicion may pass
 	}
-	h.log.Log(h.watching, level, "member", "number", c.Number, "state", c.To.String(), "was", c.From.String(), "incarnation", c.Incarnation, "why", c.Reason)
+	h.log.Log(h.watching, level, "member", "number", change.Number,
+		"state", change.To.String(), "was", change.From.String(),
+		"incarnation", change.Incarnation, "why", change.Reason)
 }
 
-// Members is the latest view of the fleet; nil: who lives is not asked. Anyone may call it: it waits for nothing.
+// Members returns the latest view of the fleet; nil if members are not tracked. It may be called on
+// any goroutine and does not block.
 func (h *Host) Members() *members.View { return h.view.Load() }
 
-// SetLeaving tells the fleet that this relay ends, or is empty; or that it is back.
-func (h *Host) SetLeaving(on bool) {
+// SetLeaving tells the fleet that this relay leaves or is drained, or that it is back.
+func (h *Host) SetLeaving(leaving bool) {
 	h.Do(func(h *Host) {
-		if on {
+		if leaving {
 			h.pool.Leave(h.now())
 		} else {
 			h.pool.CancelLeave(h.now())
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// Whoever reads of a change in the log finds it in the view, also where the change comes right behind an earlier view.
-func TestLoggedChangeIsInTheView(t *testing.T) {
+// A logged change of a member is in the published view, also right after an earlier view.
+func TestLoggedMemberChangeIsInView(t *testing.T) {
 	other := peers.New(1, 2, 2)
 	other.EnableMembership(0, 2)
 	h := &Host{pool: peers.New(0, 2, 1), watching: context.Background()}
@@ -65,17 +65,17 @@
 	left := time.Millisecond
 	for ; h.pool.Members().State(1) != members.Left; left += members.Period {
 		if left > 10*members.Period {
-			t.Fatal("the other never said that it leaves")
+			t.Fatal("the other relay never announced that it leaves")
 		}
 		hear(left)
 	}
-	h.viewAt = left // a view was made just now
+	h.viewAt = left // a view was just published
 	h.updateMembersView(left)
 	if len(logged) > 0 {
-		t.Errorf("logged %v, and the view is not due", logged)
+		t.Errorf("logged %v before the view is due", logged)
 	}
 	h.updateMembersView(left + membersViewInterval)
 	if len(logged) == 0 || logged[len(logged)-1] != "left" {
-		t.Errorf("logged %v, not that the other left", logged)
+		t.Errorf("logged %v, want that the other relay left", logged)
 	}
 }
--- a/internal/wire/notes.go
+++ b/internal/wire/notes.go
@@ -11,10 +11,11 @@
 	"oatfold/internal/peers/members"
 )
 
-// gossipQueueSize is how many notes may wait to go out; more are dropped, as the network may drop them.
+// gossipQueueSize is how many messages may wait to be sent. Further ones are dropped, as the
+// network may drop them.
 const gossipQueueSize = 256
 
-// gossipReadRetryDelay is the pause behind a read that failed.
+// gossipReadRetryDelay is the pause after a failed read.
 const gossipReadRetryDelay = 20 * time.Millisecond
 
 // gossipReceived is a datagram of another relay.
@@ -23,7 +24,7 @@
 	payload []byte
 }
 
-// GossipSocket is the socket between relays. What it carries may be lost, late or senseless; it decides nothing.
+// GossipSocket exchanges datagrams with the other relays. They may be lost, late or malformed.
 type GossipSocket struct {
 	sock  *net.UDPConn
 	peers []netip.AddrPort
@@ -32,68 +33,70 @@
 }
 
 // ListenGossip opens the socket at listen. all holds the address of each relay, by number.
-func ListenGossip(listen string, all []string, log *slog.Logger) (*GossipSocket, error) {
-	n := &GossipSocket{queue: make(chan members.Datagram, gossipQueueSize), log: log}
-	for _, a := range all {
-		at, err := netip.ParseAddrPort(a)
+func ListenGossip(listen string, addrs []string, log *slog.Logger) (*GossipSocket, error) {
+	s := &GossipSocket{queue: make(chan members.Datagram, gossipQueueSize), log: log}
+	for _, addr := range addrs {
+		peer, err := netip.ParseAddrPort(addr)
 		if err != nil {
 			return nil, err
 		}
-		n.peers = append(n.peers, at)
+		s.peers = append(s.peers, peer)
 	}
-	at, err := net.ResolveUDPAddr("udp4", listen)
+	local, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	if n.sock, err = net.ListenUDP("udp4", at); err != nil {
+	if s.sock, err = net.ListenUDP("udp4", local); err != nil {
 		return nil, err
 	}
-	return n, nil
+	return s, nil
 }
 
 // Close ends both goroutines.
-func (n *GossipSocket) Close() { n.sock.Close(); close(n.queue) }
+func (s *GossipSocket) Close() { s.sock.Close(); close(s.queue) }
 
-// receiveLoop reports what comes in until the socket is closed. Only relays that the configuration names are heard.
-func (n *GossipSocket) receiveLoop(events chan<- any) {
-	who := map[netip.AddrPort]int{}
-	for i, at := range n.peers {
-		who[at] = i
+// receiveLoop reports received datagrams until the socket is closed. It ignores senders that the
+// configuration does not name.
+func (s *GossipSocket) receiveLoop(events chan<- any) {
+	numbers := map[netip.AddrPort]int{}
+	for i, addr := range s.peers {
+		numbers[addr] = i
 	}
 	buf := make([]byte, 4*peers.MaxDatagramBytes)
 	for {
-		size, from, err := n.sock.ReadFromUDPAddrPort(buf)
+		size, from, err := s.sock.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// Guards against a relay that hears nobody for good, for a read that failed for a moment.
-			n.log.Debug("no note read", "err", err)
+			// A failed read may be temporary and must not end the loop.
+			s.log.Debug("gossip read failed", "err", err)
 			time.Sleep(gossipReadRetryDelay)
 			continue
 		}
-		i, known := who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		number, known := numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known || size > peers.MaxDatagramBytes {
-			n.log.Debug("note of nobody", "from", from, "bytes", size)
+			s.log.Debug("gossip of an unknown sender or of excessive size ignored", "from", from, "bytes", size)
 			continue
 		}
-		events <- gossipReceived{i, append([]byte(nil), buf[:size]...)}
+		events <- gossipReceived{number, append([]byte(nil), buf[:size]...)}
 	}
 }
 
-// sendLoop writes what the host has put out. It does so on a goroutine of its own: the host never waits for a socket.
-func (n *GossipSocket) sendLoop() {
-	for o := range n.queue {
-		if _, err := n.sock.WriteToUDPAddrPort(o.Payload, n.peers[o.To]); err != nil {
-			n.log.Debug("note not sent", "to", o.To, "err", err)
+// sendLoop writes queued messages. It has a goroutine of its own, since the host never waits for a
+// socket.
+func (s *GossipSocket) sendLoop() {
+	for message := range s.queue {
+		if _, err := s.sock.WriteToUDPAddrPort(message.Payload, s.peers[message.To]); err != nil {
+			s.log.Debug("gossip write failed", "to", message.To, "err", err)
 		}
 	}
 }
 
-// enqueue hands a note over, or drops it.
-func (n *GossipSocket) enqueue(o members.Datagram) {
+// enqueue queues a message, or drops it if the queue is full.
+func (s *GossipSocket) enqueue(message members.Datagram) {
 	select {
-	case n.queue <- o:
+	case s.queue <- message:
 	default:
 	}
 }
--- a/internal/wire/notes_test.go
+++ b/internal/wire/notes_test.go
@@ -9,9 +9,9 @@
 	"oatfold/internal/peers/members"
 )
 
-// Notes reach the relays that they are for, and only those that the configuration names are heard: not a stranger, not 257 bytes. Losing the socket
-// ends nothing.
-func TestNotes(t *testing.T) {
+// Gossip reaches the relays that it is addressed to. Unknown senders and oversized datagrams are
+// ignored.
+func TestGossipSocket(t *testing.T) {
 	free := func() string {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
@@ -47,16 +47,16 @@
 		select {
 		case e := <-events:
 			if n, ok := e.(gossipReceived); !ok || n.from != 0 || string(n.payload) != "hello" {
-				t.Errorf("heard %+v", e)
+				t.Errorf("received %+v", e)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing heard")
+			t.Fatal("nothing received")
 		}
 	}
 	if len(heard[0]) > 0 {
-		t.Error("told itself")
+		t.Error("the sender received its own message")
 	}
-	for range 2 * gossipQueueSize { // never blocks, however many
+	for range 2 * gossipQueueSize { // never blocks
 		socks[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
@@ -64,7 +64,7 @@
 			t.Errorf("listens at %q", bad)
 		}
 		if _, err := ListenGossip(all[0], []string{bad}, quiet); err == nil {
-			t.Errorf("a relay at %q", bad)
+			t.Errorf("accepted a relay at %q", bad)
 		}
 	}
 }
--- a/internal/wire/notice.go
+++ b/internal/wire/notice.go
@@ -13,63 +13,72 @@
 	"oatfold/internal/memory"
 )
 
-// A notice is due within 300 ms of its message's time. The platform answers at once, but a connection may hang or come up late, and an
-// agent may be slow: a further attempt is made beside the one that is out, which may still be answered.
+// A notification is due within 300 ms of its message's deadline. A connection may hang or come up
+// late, and an agent may be slow, so another attempt is made in parallel with an unanswered one.
 const (
-	notificationPatience       = 120 * time.Millisecond // for an answer, until the next attempt goes out beside it
-	maxNotificationAttempts    = 6                      // attempts that are out at once, each with a connection
+	notificationPatience       = 120 * time.Millisecond // without an answer, before a parallel attempt starts
+	maxNotificationAttempts    = 6                      // attempts in flight, each on its own connection
 	notificationTimeout        = maxNotificationAttempts * notificationPatience
 	notificationBackoff        = 20 * time.Millisecond // after a failure
-	maxNotificationsPerRequest = 200                   // lines in one request
+	maxNotificationsPerRequest = 200                   // lines per request
 )
 
-// pendingNotification is a notice on its way to the platform.
+// pendingNotification is an outcome notification that the platform has not accepted yet.
 type pendingNotification struct {
 	num uint32
 	id  string
 	memory.Notification
 }
 
-// notificationsAccepted tells the host which notices the platform has taken.
+// notificationsAccepted tells the host which notifications the platform has accepted.
 type notificationsAccepted struct{ nums []uint32 }
 
-// notificationResult is how an attempt to hand notices to the platform ended.
+// notificationResult is the result of an attempt to send notifications.
 type notificationResult struct {
 	conn   *agentConn
 	list   []pendingNotification
-	status int // of the answer; 0: there was none
+	status int // of the answer; 0: none
 	err    error
 }
 
-// notifier sends notices, each again until the platform has taken it, which does no harm. One goroutine owns it.
+// notifier sends notifications and repeats each until the platform accepts it. Repeats do no harm.
+// One goroutine owns it.
 type notifier struct {
 	agentAddr   *atomic.Pointer[string]
 	log         *slog.Logger
-	queue       []pendingNotification // not taken yet, the oldest first
-	idle        *agentConn            // a connection that carries no attempt; nil: none
+	queue       []pendingNotification // not accepted yet, the oldest first
+	idle        *agentConn            // idle connection; nil: none
 	inFlight    int                   // attempts
 	results     chan notificationResult
-	nextAttempt time.Time // no attempt before; while one is out, when the next goes out beside it
+	nextAttempt time.Time // earliest time of the next attempt
 	batchLimit  int       // lines in the next request
 	failing     bool
 }
 
-// runNotifier sends what comes in, for good. The address may change at any time; what the old one has not taken goes to the new one.
-func runNotifier(at *atomic.Pointer[string], in <-chan pendingNotification, events chan<- any, log *slog.Logger) {
-	n := &notifier{agentAddr: at, log: log, results: make(chan notificationResult, maxNotificationAttempts), batchLimit: maxNotificationsPerRequest}
+// runNotifier sends what arrives on in and never returns. The address may change at any time; what
+// the old one has not accepted goes to the new one.
+func runNotifier(
+	agentAddr *atomic.Pointer[string], in <-chan pendingNotification, events chan<- any, log *slog.Logger,
+) {
+	n := &notifier{
+		agentAddr:  agentAddr,
+		log:        log,
+		results:    make(chan notificationResult, maxNotificationAttempts),
+		batchLimit: maxNotificationsPerRequest,
+	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var due <-chan time.Time // nil: there is nothing to send, or no lane for it
+		var due <-chan time.Time // nil: nothing to send, or too many attempts in flight
 		if len(n.queue) > 0 && n.inFlight < maxNotificationAttempts {
 			timer.Reset(time.Until(n.nextAttempt))
 			due = timer.C
 		}
 		select {
-		case one := <-in:
-			n.queue = append(n.queue, one)
-		case e := <-n.results:
-			if nums := n.handleResult(e); len(nums) > 0 {
+		case notification := <-in:
+			n.queue = append(n.queue, notification)
+		case result := <-n.results:
+			if nums := n.handleResult(result); len(nums) > 0 {
 				events <- notificationsAccepted{nums}
 			}
 		case <-due:
@@ -79,107 +88,110 @@
 	}
 }
 
-// drainInput takes in all that has come, so that it goes out in one request.
+// drainInput queues all that has arrived, so that it goes out in one request.
 func (n *notifier) drainInput(in <-chan pendingNotification) {
 	for {
 		select {
-		case one := <-in:
-			n.queue = append(n.queue, one)
+		case notification := <-in:
+			n.queue = append(n.queue, notification)
 		default:
 			return
 		}
 	}
 }
 
-// send makes an attempt with the oldest notices.
+// send starts an attempt with the oldest notifications.
 func (n *notifier) send() {
-	addr, p := *n.agentAddr.Load(), n.idle
-	if n.idle = nil; p != nil && p.addr != addr {
-		p.close()
-		p = nil
+	addr, conn := *n.agentAddr.Load(), n.idle
+	if n.idle = nil; conn != nil && conn.addr != addr {
+		conn.close()
+		conn = nil
 	}
-	if p == nil {
-		p = &agentConn{addr: addr}
+	if conn == nil {
+		conn = &agentConn{addr: addr}
 	}
-	list := append([]pendingNotification(nil), n.queue[:min(len(n.queue), n.batchLimit)]...)
+	batch := append([]pendingNotification(nil), n.queue[:min(len(n.queue), n.batchLimit)]...)
 	n.inFlight++
 	n.nextAttempt = time.Now().Add(notificationPatience)
 	go func() {
-		e := notificationResult{conn: p, list: list}
-		a, err := p.roundTrip(context.Background(), notificationRequest(p.addr, list), notificationTimeout)
-		if e.err = err; err == nil {
-			e.status = a.status
+		result := notificationResult{conn: conn, list: batch}
+		a, err := conn.roundTrip(context.Background(), notificationRequest(conn.addr, batch), notificationTimeout)
+		if result.err = err; err == nil {
+			result.status = a.status
 		}
-		n.results <- e
+		n.results <- result
 	}()
 }
 
-// handleResult takes the end of an attempt in, and returns what the platform has taken with it.
-func (n *notifier) handleResult(e notificationResult) (nums []uint32) {
+// handleResult processes the result of an attempt. It returns the numbers of the messages whose
+// notifications were accepted.
+func (n *notifier) handleResult(result notificationResult) (nums []uint32) {
 	n.inFlight--
 	if n.idle != nil {
-		n.idle.close() // one is enough while nothing hangs
+		n.idle.close() // one idle connection is enough
 	}
-	n.idle = e.conn
+	n.idle = result.conn
 	switch {
-	case e.status == 204:
+	case result.status == 204:
 		n.batchLimit = maxNotificationsPerRequest
-		nums = n.removeAccepted(e.list)
-	case e.status == 400 && len(e.list) == 1:
-		// Guards against one line that the platform can't read blocking all others for good.
-		n.log.Error("notice refused by the platform", "message", e.list[0].id)
-		nums = n.removeAccepted(e.list)
-	case e.status == 400:
-		n.batchLimit, n.nextAttempt = 1, time.Time{} // find the line that can't be read
+		nums = n.removeAccepted(result.list)
+	case result.status == 400 && len(result.list) == 1:
+		// A line that the platform cannot read must not block all others.
+		n.log.Error("notification rejected by the platform", "message", result.list[0].id)
+		nums = n.removeAccepted(result.list)
+	case result.status == 400:
+		n.batchLimit, n.nextAttempt = 1, time.Time{} // find the malformed line
 	default:
-		n.recordFailure(e)
+		n.recordFailure(result)
 	}
 	return nums
 }
 
-// removeAccepted takes what the platform has out of the queue.
-func (n *notifier) removeAccepted(list []pendingNotification) (nums []uint32) {
+// removeAccepted removes accepted notifications from the queue and returns the numbers of their
+// messages.
+func (n *notifier) removeAccepted(batch []pendingNotification) (nums []uint32) {
 	if n.failing {
-		n.log.Info("notices are taken again", "owed", len(n.queue))
+		n.log.Info("notifications are accepted again", "owed", len(n.queue))
 	}
 	n.failing, n.nextAttempt = false, time.Time{}
-	gone := make(map[uint32]struct{}, len(list))
-	for _, one := range list {
-		gone[one.num] = struct{}{}
+	accepted := make(map[uint32]struct{}, len(batch))
+	for _, notification := range batch {
+		accepted[notification.num] = struct{}{}
 	}
-	left := n.queue[:0]
-	for _, one := range n.queue {
-		if _, taken := gone[one.num]; taken {
-			nums = append(nums, one.num)
+	remaining := n.queue[:0]
+	for _, notification := range n.queue {
+		if _, isAccepted := accepted[notification.num]; isAccepted {
+			nums = append(nums, notification.num)
 			continue
 		}
-		left = append(left, one)
+		remaining = append(remaining, notification)
 	}
-	n.queue = left
+	n.queue = remaining
 	return nums
 }
 
-// recordFailure books an attempt without an answer of use.
-func (n *notifier) recordFailure(e notificationResult) {
-	if e.err == nil {
-		e.err = fmt.Errorf("status %d", e.status)
+// recordFailure records an attempt without a usable answer.
+func (n *notifier) recordFailure(result notificationResult) {
+	if result.err == nil {
+		result.err = fmt.Errorf("status %d", result.status)
 	}
 	if !n.failing {
-		n.log.Warn("notices fail and are tried again", "err", e.err, "owed", len(n.queue))
+		n.log.Warn("notifications failed and are retried", "err", result.err, "owed", len(n.queue))
 	}
 	n.failing = true
-	if again := time.Now().Add(notificationBackoff); again.Before(n.nextAttempt) {
-		n.nextAttempt = again
+	if retryAt := time.Now().Add(notificationBackoff); retryAt.Before(n.nextAttempt) {
+		n.nextAttempt = retryAt
 	}
 }
 
-func notificationRequest(addr string, list []pendingNotification) []byte {
+// notificationRequest returns the HTTP request for a batch, with one JSON object per line.
+func notificationRequest(addr string, batch []pendingNotification) []byte {
 	var body []byte
-	for _, n := range list {
-		body = gjson.AppendJSONString(append(body, `{"message":`...), n.id)
-		if n.Returned {
+	for _, notification := range batch {
+		body = gjson.AppendJSONString(append(body, `{"message":`...), notification.id)
+		if notification.Returned {
 			body = append(body, `,"outcome":"handed_back"`...)
-			if ms := n.RetryAfter.Milliseconds(); ms > 0 {
+			if ms := notification.RetryAfter.Milliseconds(); ms > 0 {
 				body = strconv.AppendInt(append(body, `,"retry_in_ms":`...), ms, 10)
 			}
 		} else {
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -7,60 +7,63 @@
 	"time"
 )
 
-// agentConn is a kept connection to the platform's agent, for one request at a time.
+// agentConn is a persistent connection to the platform's agent, for one request at a time.
 type agentConn struct {
 	addr   string
 	sock   net.Conn
 	reader *bufio.Reader
-	dial   dialFunc // nil but in tests
+	dial   dialFunc // set by tests only
 }
 
-// dialFunc opens a connection as net.Dialer does.
+// dialFunc opens a connection as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
+// agentDialTimeout bounds a connection attempt to the agent.
 const agentDialTimeout = 2 * time.Second
 
-// roundTrip sends one request and reads its answer within limit, or until ctx ends. Any error closes the connection.
-func (p *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
-	if p.sock != nil && stale(p.sock) {
-		p.close()
+// roundTrip sends one request and reads its answer within limit, or until ctx ends. Any error
+// closes the connection.
+func (c *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
+	if c.sock != nil && stale(c.sock) {
+		c.close()
 	}
-	if p.sock == nil {
-		dial := p.dial
+	if c.sock == nil {
+		dial := c.dial
 		if dial == nil {
 			dial = (&net.Dialer{Timeout: min(limit, agentDialTimeout), KeepAlive: -1}).DialContext
 		}
-		sock, err := dial(ctx, "tcp", p.addr)
+		sock, err := dial(ctx, "tcp", c.addr)
 		if err != nil {
 			return nil, &AttemptError{Started, err}
 		}
-		p.sock, p.reader = sock, bufio.NewReaderSize(sock, maxLine)
+		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
 	}
-	sock := p.sock
+	sock := c.sock
 	sock.SetDeadline(time.Now().Add(limit))
-	// Guards against a watch that hangs at an address which a reload has replaced.
+	// A request to an address that a reload has replaced must not hang.
 	defer context.AfterFunc(ctx, func() { sock.SetDeadline(time.Unix(1, 0)) })()
 	if _, err := sock.Write(request); err != nil {
-		p.close()
-		return nil, &AttemptError{Dialled, err}
+		c.close()
+		return nil, &AttemptError{Connected, err}
 	}
-	a, err := readStatus(p.reader)
+	a, err := readStatus(c.reader)
 	if err == nil {
-		err = a.readRest(p.reader, maxAnswer)
+		err = a.readRest(c.reader, maxAnswer)
 	}
 	if err != nil {
-		p.close()
+		c.close()
 		return nil, &AttemptError{Written, err}
 	}
-	if !a.keep || p.reader.Buffered() > 0 {
-		p.close()
+	if !a.keep || c.reader.Buffered() > 0 {
+		c.close()
 	}
 	return a, nil
 }
 
-func (p *agentConn) close() {
-	if p.sock != nil {
-		p.sock.Close()
-		p.sock = nil
+// close closes the connection, if there is one.
+func (c *agentConn) close() {
+	if c.sock != nil {
+		c.sock.Close()
+		c.sock = nil
 	}
 }
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -31,36 +31,36 @@
 	attempt       int
 	id, key       string
 	class         string
-	pluginNotes   []byte                   // of plug-ins, as it came in
-	body          []byte                   // as it goes out
-	loadBody      func() ([]byte, error)   // reads the body first, where it is not in memory
-	headers       [][2]string              // that plug-ins add
-	pluginFailure *pluginFailure           // a plug-in failed it: it does not go out
-	expiresAt     policy.Time              // when its own time is up
-	writeBy       time.Time                // when it may be written at the latest, on the wall; zero: at any time
-	tooLate       bool                     // it is up, or nearly, before the call could be written, or its body is not at hand: it does not go out
-	expiry        *index.Entry[itemExpiry] // of that time, where the call goes on beyond it
-	reported      bool                     // its end was told to the module
-	resubmit      bool                     // the module started anew since: it is told of the message instead
+	pluginNotes   []byte                   // set by plug-ins when the message arrived
+	body          []byte                   // as sent
+	loadBody      func() ([]byte, error)   // reads a body that is not in memory; else nil
+	headers       [][2]string              // added by plug-ins
+	pluginFailure *pluginFailure           // it failed before it was sent: excluded from the call
+	expiresAt     policy.Time              // when the message's own time is up
+	writeBy       time.Time                // latest time to write it; zero: no limit
+	tooLate       bool                     // too little time left, or no body for now: excluded from the call
+	expiry        *index.Entry[itemExpiry] // timer for expiresAt, if the call may last longer
+	reported      bool                     // its result was reported to the policy engine
+	resubmit      bool                     // the policy engine restarted: give it the message again
 }
 
-// pluginFailure is what the operator wants of a message that a plug-in failed before it went out.
+// pluginFailure says how to complete a message that failed before it was sent.
 type pluginFailure struct{ limits.Then }
 
-// call is one route step on its way: one message, or several of one step to one endpoint.
+// call is one attempt: a request with one message, or a batch of messages to one endpoint.
 type call struct {
 	endpoint      *endpoint
 	kind          string // of the destination
 	items         []callItem
-	batchSize     int // bytes that the body of a batch takes, at most
+	batchSize     int // upper bound of the body of a batch, in bytes
 	startedAt     policy.Time
-	unrecorded    bool          // the journal did not take it: it was not made
-	lastByteDelay time.Duration // how long to look whether the connection holds before the last byte; 0: not at all
+	unrecorded    bool          // the journal did not record it, so it was not made
+	lastByteDelay time.Duration // how long to hold back the last byte and watch the connection; 0: not at all
 	timeout       time.Duration
 	deadline      time.Time
 }
 
-// ids names the messages of the call.
+// ids returns the ids of the call's messages.
 func (cl *call) ids() (ids []string) {
 	for i := range cl.items {
 		ids = append(ids, cl.items[i].id)
@@ -68,43 +68,46 @@
 	return ids
 }
 
-// itemResult is how one item of a call ended.
+// itemResult is the result of one item of a call.
 type itemResult struct {
 	outcome       policy.Outcome
-	final         bool // the endpoint says that nothing more is owed
+	final         bool // the endpoint says that the message is completed
 	pluginFailure *pluginFailure
 }
 
-// callResult is what a connection reports of a call.
+// callResult is a connection's report of a completed call.
 type callResult struct {
 	conn       *endpointConn
 	call       *call
-	results    []itemResult // one for each item
+	results    []itemResult // one per item
 	retryAfter time.Duration
 	report     *policy.LimitReport
 	err        error
-	reusable   bool // the connection is idle now
+	reusable   bool // the connection can carry another call
 }
 
-// endpointConn is one connection to an endpoint; its goroutine carries one call at a time.
+// endpointConn is a connection to an endpoint. Its goroutine carries one call at a time.
 type endpointConn struct {
 	endpoint      *endpoint
 	calls         chan *call
 	sock          net.Conn
 	reader        *bufio.Reader
 	lastUsed      time.Time                  // owned by the host
-	idleNode      *index.Node[*endpointConn] // among idle ones, owned by the host
-	lastAnswerAt  time.Time                  // when its last answer was read; zero: it has had none
+	idleNode      *index.Node[*endpointConn] // position among idle connections; owned by the host
+	lastAnswerAt  time.Time                  // when the last answer was read; zero: never
 	dialTimeout   time.Duration
-	lateListeners *atomic.Int32                                            // connections listened to behind their calls' end; nil: not counted
-	shutdown      *atomic.Int32                                            // how far the process has come in its stop, a leaveStage; nil: it does not stop
-	dial          func(addr string, limit time.Duration) (net.Conn, error) // nil but in tests
-	plugins       *plugin.Holder
-	metrics       *figures.Set // nil: none are kept
-	buf           []byte
+	lateListeners *atomic.Int32 // connections read after their call timed out; nil: not counted
+	shutdown      *atomic.Int32 // a shutdownStage; nil: the process never shuts down
+
+	// dial is set by tests only.
+	dial func(addr string, limit time.Duration) (net.Conn, error)
+
+	plugins *plugin.Holder
+	metrics *figures.Set // nil: none are recorded
+	buf     []byte
 }
 
-// run carries calls until the channel is closed or the connection is of no more use.
+// run makes calls until the channel is closed or the connection is no longer usable.
 func (c *endpointConn) run(events chan<- any) {
 	for cl := range c.calls {
 		res := c.makeCall(cl)
@@ -114,7 +117,7 @@
 		}
 		events <- res
 		if listen {
-			// Guards against a wait that crosses the end of its call: it binds from when it was written.
+			// A Retry-After that arrives just after the timeout still applies.
 			if wait := c.readLateRetryAfter(); wait > 0 {
 				events <- lateRetryAfter{c.endpoint, wait}
 			}
@@ -128,6 +131,7 @@
 	c.close()
 }
 
+// close closes the socket, if there is one. The next call dials again.
 func (c *endpointConn) close() {
 	if c.sock != nil {
 		c.sock.Close()
@@ -135,13 +139,14 @@
 	}
 }
 
-// makeCall makes one call. A panic ends the connection and the call, nothing else.
+// makeCall makes one call. A panic ends only this connection and this call.
 func (c *endpointConn) makeCall(cl *call) (res callResult) {
 	res = callResult{conn: c, call: cl}
 	stage := Started
 	fail := func(err error) {
-		se := &AttemptError{stage, err}
-		res.err, res.reusable, res.results = se, false, cl.markExcluded(uniformResults(cl, itemResult{outcome: se.Outcome()}))
+		attemptErr := &AttemptError{stage, err}
+		res.err, res.reusable, res.results = attemptErr, false,
+			cl.markExcluded(uniformResults(cl, itemResult{outcome: attemptErr.Outcome()}))
 	}
 	defer func() {
 		if p := recover(); p != nil {
@@ -149,7 +154,8 @@
 		}
 	}()
 	if err := cl.loadBodies(); cl.includedCount() == 0 {
-		res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})), c.sock != nil
+		res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})),
+			c.sock != nil
 		res.err = err
 		return res
 	}
@@ -157,19 +163,20 @@
 	if plugins != nil {
 		defer plugins.Done()
 		if cl.shapeRequests(plugins) == 0 || !time.Now().Before(cl.deadline) {
-			// Guards against booking to the endpoint what plug-ins have spent.
-			res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})), c.sock != nil
+			// Time spent in plug-ins must not count against the endpoint.
+			res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})),
+				c.sock != nil
 			return res
 		}
 	}
 	if c.sock != nil {
-		// Guards against a second copy or noise that comes right behind an answer, and would be read as the next
-		// call's: what belongs to the last answer has come when the next call is written, and shows as stale.
+		// Surplus bytes after the last answer arrive within this delay and make the connection
+		// stale. Otherwise they would be read as the answer to this call.
 		time.Sleep(settleDelay - time.Since(c.lastAnswerAt))
 	}
 	if c.sock != nil && stale(c.sock) {
-		// Guards against a request written to a connection that the endpoint closed while it stood idle:
-		// that would end as a reset, and the message might have run.
+		// A request on a connection that the endpoint closed while it was idle would end in a
+		// reset, and the message might have run.
 		c.close()
 	}
 	if c.sock == nil {
@@ -185,43 +192,43 @@
 		}
 		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
 	}
-	stage = Dialled
+	stage = Connected
 	if !cl.excludeExpired(time.Now()) {
 		fail(errBlocked)
 		return res
 	}
 	c.sock.SetDeadline(cl.deadline)
-	// Guards against an answer that comes in the time that is told, and that nobody waits for any more: the dial has used some of it up.
+	// Dialing has used up part of the call's time: the request states what is left.
 	c.buf = appendRequest(c.buf[:0], cl, time.Until(cl.deadline))
-	last := len(c.buf)
-	// Guards against breaking a told wait or a drain that was learned while this call was dialled or built, and against a call that is cut
-	// by the process's end just after its last byte: it waits for the next start instead.
+	writeEnd := len(c.buf)
+	// A Retry-After or a drain may have arrived while this call was dialed or built. A process that
+	// shuts down leaves the call to the next start instead of being cut off after the last byte.
 	if c.blockedByShutdown(cl) || cl.endpoint.blocked() {
 		fail(errBlocked)
 		return res
 	}
 	if cl.lastByteDelay > 0 {
-		last--
+		writeEnd--
 	}
-	if _, err := c.sock.Write(c.buf[:last]); err != nil {
+	if _, err := c.sock.Write(c.buf[:writeEnd]); err != nil {
 		fail(err)
 		return res
 	}
 	if cl.lastByteDelay > 0 {
-		// Guards against losing a charge to a connection that is reset as its request comes: until the last byte is
-		// written, the call has not run and may be made again.
+		// Until the last byte is written the call has not run. A reset that shows up now allows a
+		// retry.
 		c.sock.SetReadDeadline(time.Now().Add(cl.lastByteDelay))
 		if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			fail(c.earlyEndError(err))
 			return res
 		}
-		// Guards against a wait, a drain or the process's end in the time of that look.
+		// A Retry-After, a drain or the shutdown may have come during the delay.
 		if c.blockedByShutdown(cl) || cl.endpoint.blocked() {
 			fail(errBlocked)
 			return res
 		}
 		c.sock.SetReadDeadline(cl.deadline)
-		if _, err := c.sock.Write(c.buf[last:]); err != nil {
+		if _, err := c.sock.Write(c.buf[writeEnd:]); err != nil {
 			fail(err)
 			return res
 		}
@@ -229,49 +236,52 @@
 	stage = Written
 	c.metrics.Tried(cl.includedCount())
 	a, err := readStatusWith(c.reader, func() {
-		// Guards against a head or a body that never ends: once an answer has begun, all of it follows at once,
-		// or it is spoilt and its slot is free.
+		// Once an answer has begun, the rest has to follow quickly: an endless head or body must
+		// not use up the concurrency limit.
 		c.sock.SetReadDeadline(earlier(cl.deadline, time.Now().Add(answerRestTimeout)))
 	})
 	if a != nil {
 		stage = Answered
-		// Guards against a wait that binds only once its answer's body has come, or not at all where that is cut or spoilt.
+		// Retry-After applies before the body is read, which may be slow, truncated or malformed.
 		res.retryAfter = cl.endpoint.recordRetryAfter(&a.head)
 	}
-	single, first := cl.includedCount() == 1, c.lastAnswerAt.IsZero()
+	single, firstAnswer := cl.includedCount() == 1, c.lastAnswerAt.IsZero()
 	if err != nil {
 		if fail(err); a != nil && a.status == 200 && single {
-			// Guards against failing, or sending again, what a first line with 200 has delivered.
+			// A complete status line with 200 proves the delivery of a single message.
 			res.results = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Delivered}))
 		}
 		return res
 	}
-	rest := a.readRest(c.reader, maxBody)
+	bodyErr := a.readRest(c.reader, maxBody)
 	res.report = parseLoadReport(a.get("X-Backend-Load"))
-	if rest != nil && !(a.status == 200 && single) {
-		// Guards against resending a charge that was run: a refusal counts as one only if all of it could be read.
-		fail(rest)
+	if bodyErr != nil && !(a.status == 200 && single) {
+		// A rejection counts only if all of the answer could be read; else the message may have
+		// run.
+		fail(bodyErr)
 		return res
 	}
-	// Guards against taking what an endpoint wrote past its answer for the answer to the next call.
-	res.reusable = rest == nil && a.keep && c.reader.Buffered() == 0
+	// Bytes after the answer must not be read as the answer to the next call.
+	res.reusable = bodyErr == nil && a.keep && c.reader.Buffered() == 0
 	res.results, c.lastAnswerAt = cl.markExcluded(itemResults(cl, a)), time.Now()
-	if first && atConnectionLimit(a) && rest == nil {
-		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})), errConnectionLimit
+	if firstAnswer && atConnectionLimit(a) && bodyErr == nil {
+		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})),
+			errConnectionLimit
 	}
-	if plugins != nil && rest == nil && plugins.Asks(abi.ReadAnswer) {
-		if w := cl.readAnswer(plugins, a, res.results, res.retryAfter); w > res.retryAfter {
-			res.retryAfter = w
-			cl.endpoint.backoff.extend(w)
+	if plugins != nil && bodyErr == nil && plugins.Asks(abi.ReadAnswer) {
+		if delay := cl.readAnswer(plugins, a, res.results, res.retryAfter); delay > res.retryAfter {
+			res.retryAfter = delay
+			cl.endpoint.backoff.extend(delay)
 		}
 	}
 	return res
 }
 
-// dialRetryDelay is the pause behind a dial that this machine had no room or no way for.
+// dialRetryDelay is the pause after a transient failure of this machine.
 const dialRetryDelay = 20 * time.Millisecond
 
-// dialWithRetry dials within limit. Guards against booking to the endpoint what passes on this machine: it dials again.
+// dialWithRetry dials within limit. It retries transient failures of this machine, which say
+// nothing about the endpoint.
 func (c *endpointConn) dialWithRetry(limit time.Duration) (net.Conn, error) {
 	dial := c.dial
 	if dial == nil {
@@ -279,9 +289,9 @@
 			return (&net.Dialer{Timeout: limit, KeepAlive: -1}).Dial("tcp", addr)
 		}
 	}
-	for by := time.Now().Add(limit); ; {
+	for giveUpAt := time.Now().Add(limit); ; {
 		sock, err := dial(c.endpoint.addr, limit)
-		if limit = time.Until(by); err == nil || !transient.Is(err) || limit <= dialRetryDelay {
+		if limit = time.Until(giveUpAt); err == nil || !transient.Is(err) || limit <= dialRetryDelay {
 			return sock, err
 		}
 		time.Sleep(dialRetryDelay)
@@ -289,16 +299,16 @@
 	}
 }
 
-// shutdownStage is how far a planned stop has come.
+// shutdownStage is the progress of a planned shutdown.
 type shutdownStage = int32
 
 const (
 	shutdownNone          shutdownStage = iota
-	shutdownNoUnsafeCalls               // nothing is written any more that may not be repeated
-	shutdownNoCalls                     // nothing at all
+	shutdownNoUnsafeCalls               // no call is written that must not run twice
+	shutdownNoCalls                     // no call is written
 )
 
-// blockedByShutdown tells whether the call is held back by the process's stop.
+// blockedByShutdown reports whether the shutdown forbids to write the call.
 func (c *endpointConn) blockedByShutdown(cl *call) bool {
 	if c.shutdown == nil {
 		return false
@@ -307,20 +317,21 @@
 	return stage >= shutdownNoCalls || stage >= shutdownNoUnsafeCalls && cl.lastByteDelay > 0
 }
 
-// loadBodies reads the bodies that are not in memory. A message whose body is lost does not go out, and ends.
+// loadBodies reads bodies that are not in memory. A message whose body is lost is excluded and
+// fails.
 func (cl *call) loadBodies() (err error) {
 	for i := range cl.items {
 		it := &cl.items[i]
 		if it.loadBody == nil {
 			continue
 		}
-		var bad error
-		if it.body, bad = it.loadBody(); bad == nil {
+		var readErr error
+		if it.body, readErr = it.loadBody(); readErr == nil {
 			continue
 		}
-		err = fmt.Errorf("%s: %w", it.id, bad)
-		if transient.Is(bad) {
-			// Guards against ending a message whose body a disk in trouble does not give now: it goes out later.
+		err = fmt.Errorf("%s: %w", it.id, readErr)
+		if transient.Is(readErr) {
+			// The disk may recover: the message is sent later.
 			it.tooLate = true
 			time.Sleep(dialRetryDelay)
 			continue
@@ -332,14 +343,15 @@
 
 // --- plug-ins ---
 
-// pluginMessage is what plug-ins are told of an item.
+// pluginMessage describes an item to plug-ins.
 func (cl *call) pluginMessage(it *callItem) *plugin.Message {
-	return &plugin.Message{Class: it.class, Kind: cl.kind, ID: it.id, Key: it.key, Dest: cl.endpoint.dest, Attempt: it.attempt,
-		Left: time.Until(cl.deadline), Notes: it.pluginNotes, Body: it.body}
+	return &plugin.Message{Class: it.class, Kind: cl.kind, ID: it.id, Key: it.key, Dest: cl.endpoint.dest,
+		Attempt: it.attempt,
+		Left:    time.Until(cl.deadline), Notes: it.pluginNotes, Body: it.body}
 }
 
-// shapeRequests asks plug-ins for the body and the headers of each item, before anything of the call goes out. It returns how
-// many items still go.
+// shapeRequests asks plug-ins for the body and the headers of each item, before the call is
+// written. It returns the number of items that are still included.
 func (cl *call) shapeRequests(set *plugin.Set) int {
 	if !set.Asks(abi.ShapeRequest) {
 		return len(cl.items)
@@ -352,7 +364,7 @@
 		}
 		body, headers, failed := set.Shape(cl.pluginMessage(it))
 		if failed == nil && len(cl.items) > 1 && size+maxItemSize(it.id, it.key, len(body)) > maxBody {
-			// Guards against a batch that shaping made longer than any body may be.
+			// The shaped bodies do not fit in one batch.
 			failed = &plugin.Failed{Then: limits.Refuse}
 		}
 		if failed != nil {
@@ -361,11 +373,11 @@
 		}
 		it.body, it.headers, size = body, headers, size+maxItemSize(it.id, it.key, len(body))
 	}
-	cl.timeout = time.Until(cl.deadline) // what is left is what the call states
+	cl.timeout = time.Until(cl.deadline) // time left, as the request states it
 	return cl.includedCount()
 }
 
-// includedCount counts the items that go out.
+// includedCount returns the number of items to send.
 func (cl *call) includedCount() (n int) {
 	for i := range cl.items {
 		if !cl.items[i].excluded() {
@@ -375,14 +387,16 @@
 	return n
 }
 
-// excluded tells whether the item does not go out.
+// excluded reports whether the item is left out of the request.
 func (it *callItem) excluded() bool { return it.pluginFailure != nil || it.tooLate }
 
-// minTimeLeft is what an item must have left as its call is written: no partner answers in less, and what is over is not sent.
+// minTimeLeft is the time an item must have left when its call is written. No partner answers
+// faster.
 const minTimeLeft = 20 * time.Millisecond
 
-// excludeExpired takes out the items whose time was up while the call was dialled, and tells whether any still goes. Guards against sending what
-// has had its final answer: one item of a batch may end while the call lasts as long as its most patient one.
+// excludeExpired excludes items whose time ran out while the call was dialed, and reports whether
+// any item is left. An item of a batch may expire before the batch, and its client has then had the
+// final answer.
 func (cl *call) excludeExpired(now time.Time) bool {
 	for i := range cl.items {
 		it := &cl.items[i]
@@ -391,27 +405,28 @@
 	return cl.includedCount() > 0
 }
 
-// markExcluded puts right the ends of items that plug-ins held back: nothing of them went out.
-func (cl *call) markExcluded(all []itemResult) []itemResult {
+// markExcluded sets the results of excluded items to unsent.
+func (cl *call) markExcluded(results []itemResult) []itemResult {
 	for i := range cl.items {
 		if it := &cl.items[i]; it.excluded() {
-			all[i] = itemResult{outcome: policy.Unsent, pluginFailure: it.pluginFailure}
+			results[i] = itemResult{outcome: policy.Unsent, pluginFailure: it.pluginFailure}
 		}
 	}
-	return all
+	return results
 }
 
-// readAnswer asks plug-ins what an answer means for each item, and for how long to wait.
-func (cl *call) readAnswer(set *plugin.Set, a *answer, all []itemResult, wait time.Duration) time.Duration {
-	in := plugin.Answer{Status: a.status, Body: a.body, Wait: wait}
+// readAnswer asks plug-ins what an answer means for each item. It returns the delay before the next
+// call.
+func (cl *call) readAnswer(set *plugin.Set, a *answer, results []itemResult, delay time.Duration) time.Duration {
+	in := plugin.Answer{Status: a.status, Body: a.body, Wait: delay}
 	for _, f := range a.fields {
 		in.Headers = append(in.Headers, [2]string{f.name, f.value})
 	}
-	for i := range all {
-		if cl.items[i].excluded() || all[i].final {
+	for i := range results {
+		if cl.items[i].excluded() || results[i].final {
 			continue
 		}
-		switch all[i].outcome {
+		switch results[i].outcome {
 		case policy.Delivered:
 			in.Outcome = abi.Delivered
 		case policy.Rejected, policy.Unsent:
@@ -419,20 +434,21 @@
 		default:
 			in.Outcome = abi.MayHave
 		}
-		was := in.Outcome
-		if in.Outcome, in.Wait = set.Read(cl.pluginMessage(&cl.items[i]), in); in.Outcome != was {
-			all[i] = itemResult{outcome: policy.Errored}
+		before := in.Outcome
+		if in.Outcome, in.Wait = set.Read(cl.pluginMessage(&cl.items[i]), in); in.Outcome != before {
+			results[i] = itemResult{outcome: policy.Errored}
 		}
 	}
 	return in.Wait
 }
 
 const (
-	answerRestTimeout = 500 * time.Millisecond // for the rest of an answer, from its first line on
-	lastByteDelay     = 4 * time.Millisecond   // before the last byte of what must not run twice, whether the connection holds
-	settleDelay       = 10 * time.Millisecond  // from an answer to the next call on its connection
+	answerRestTimeout = 500 * time.Millisecond // for the rest of an answer after its first line
+	lastByteDelay     = 4 * time.Millisecond   // before the last byte of a call that must not run twice
+	settleDelay       = 10 * time.Millisecond  // from an answer to the next call on the same connection
 )
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -440,20 +456,21 @@
 	return b
 }
 
-func uniformResults(cl *call, e itemResult) []itemResult {
-	out := make([]itemResult, len(cl.items))
-	for i := range out {
-		out[i] = e
+// uniformResults returns the same result for each item of the call.
+func uniformResults(cl *call, result itemResult) []itemResult {
+	results := make([]itemResult, len(cl.items))
+	for i := range results {
+		results[i] = result
 	}
-	return out
+	return results
 }
 
-// itemResults reads how each item of the call ended.
+// itemResults derives the result of each item from the answer.
 func itemResults(cl *call, a *answer) []itemResult {
 	switch a.status {
 	case 200:
 		if cl.includedCount() == 1 {
-			return uniformResults(cl, itemResult{outcome: policy.Delivered}) // the body means nothing
+			return uniformResults(cl, itemResult{outcome: policy.Delivered}) // the body is ignored
 		}
 		return batchResults(cl, a.body)
 	case 429:
@@ -471,64 +488,68 @@
 	return uniformResults(cl, itemResult{outcome: policy.Errored})
 }
 
+// batchItemStates maps the states in the answer to a batch to results.
 var batchItemStates = map[string]itemResult{
 	"ok": {outcome: policy.Delivered}, "error": {outcome: policy.Errored}, "later": {outcome: policy.Rejected},
 	"gone": {outcome: policy.Unsent, final: true}, "exhausted": {outcome: policy.Unsent},
 }
 
-// batchResults reads the answer to several: what it says of each message that it names once. Any other may have run.
+// batchResults reads the answer to a batch. A message that it does not name exactly once with a
+// known state may have run.
 func batchResults(cl *call, body []byte) []itemResult {
-	out := uniformResults(cl, itemResult{outcome: policy.Errored})
-	all := gjson.ParseBytes(body)
-	if !gjson.ValidBytes(body) || !all.IsArray() {
-		return out
+	results := uniformResults(cl, itemResult{outcome: policy.Errored})
+	answers := gjson.ParseBytes(body)
+	if !gjson.ValidBytes(body) || !answers.IsArray() {
+		return results
 	}
-	named, told := map[string]int{}, map[string]itemResult{}
-	for _, v := range all.Array() {
+	mentions, reported := map[string]int{}, map[string]itemResult{}
+	for _, v := range answers.Array() {
 		id := v.Get("id").Str
-		named[id]++
-		if e, ok := batchItemStates[v.Get("state").Str]; ok {
-			told[id] = e
+		mentions[id]++
+		if result, ok := batchItemStates[v.Get("state").Str]; ok {
+			reported[id] = result
 		}
 	}
 	for i := range cl.items {
 		id := cl.items[i].id
-		if e, ok := told[id]; ok && named[id] == 1 {
-			out[i] = e
+		if result, ok := reported[id]; ok && mentions[id] == 1 {
+			results[i] = result
 		}
 	}
-	return out
+	return results
 }
 
-// parseLoadReport reads a line like x0=0.4,x1=25; nil where it tells no limit or can't be read.
+// parseLoadReport reads a load report such as x0=0.4,x1=25. It returns nil if the report states no
+// limit or is malformed.
 func parseLoadReport(s string) *policy.LimitReport {
 	if s == "" {
 		return nil
 	}
-	var rep policy.LimitReport
-	told := false
+	var report policy.LimitReport
+	hasLimit := false
 	for _, part := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0) || math.IsInf(v, 1) {
-			return nil // Guards against half a report that reads as another, and against figures that are none
+			return nil // a partial report could be misread
 		}
 		switch name {
 		case "x0":
-			rep.Remaining = v
+			report.Remaining = v
 		case "x1":
-			rep.Limit, told = v, true
+			report.Limit, hasLimit = v, true
 		}
 	}
-	if !told {
+	if !hasLimit {
 		return nil
 	}
-	return &rep
+	return &report
 }
 
-// appendRequest writes the request, which is waited for so long: of one message as it came, of several as a JSON array.
-func appendRequest(b []byte, cl *call, wait time.Duration) []byte {
-	left := strconv.FormatInt(max(1, wait.Milliseconds()), 10)
+// appendRequest appends the HTTP request of the call: one message as it is, several as a JSON
+// array. timeLeft is how long the relay waits for the answer.
+func appendRequest(b []byte, cl *call, timeLeft time.Duration) []byte {
+	timeLeftMs := strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)
 	if cl.includedCount() == 1 {
 		it := &cl.items[slices.IndexFunc(cl.items, func(it callItem) bool { return !it.excluded() })]
 		b = append(b, "POST /hook HTTP/1.1\r\n"...)
@@ -539,7 +560,7 @@
 		for _, h := range it.headers {
 			b = appendField(b, h[0], h[1])
 		}
-		b = appendLength(appendField(b, "X-Time-Left-Ms", left), len(it.body))
+		b = appendLength(appendField(b, "X-Time-Left-Ms", timeLeftMs), len(it.body))
 		return append(b, it.body...)
 	}
 	body := []byte{'['}
@@ -561,6 +582,6 @@
 	body = append(body, ']')
 	b = append(b, "POST /hook/batch HTTP/1.1\r\n"...)
 	b = appendField(appendField(b, "Host", cl.endpoint.addr), "Content-Type", "application/json")
-	b = appendLength(appendField(b, "X-Time-Left-Ms", left), len(body))
+	b = appendLength(appendField(b, "X-Time-Left-Ms", timeLeftMs), len(body))
 	return append(b, body...)
 }
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -18,32 +18,37 @@
 	"oatfold/policy"
 )
 
-// endpointScript is what an endpoint does with one call: the bytes it writes, then whether it closes.
+// endpointScript is what an endpoint does with one call: the bytes it writes, and whether it then
+// closes.
 type endpointScript struct {
 	write  string
 	close  bool
 	silent bool // it neither answers nor closes
-	stalls bool // it begins an answer, and neither ends it nor closes
+	stalls bool // it begins an answer, and neither completes it nor closes
 
-	outcomes   []policy.Outcome // what must come of it, for one message or for three
+	outcomes   []policy.Outcome // expected, for one message or for three
 	final      bool
 	retryAfter bool
 	reusable   bool
 }
 
+// httpResponse returns an answer with that status, followed by header lines, and that body.
 func httpResponse(head string, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
+// oneOutcome and threeOutcomes list the outcome of each item.
 func oneOutcome(o policy.Outcome) []policy.Outcome    { return []policy.Outcome{o} }
 func threeOutcomes(o policy.Outcome) []policy.Outcome { return []policy.Outcome{o, o, o} }
 
-// The model of an endpoint's connection: each way a call may end, and whether the connection carries another.
+// endpointScripts holds each way a call may end, and whether the connection can carry another.
 var endpointScripts = []endpointScript{
 	{write: httpResponse("200 OK", "hello"), outcomes: oneOutcome(policy.Delivered), reusable: true},
-	{write: httpResponse("503 X", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Rejected)}, // more than one answer
+	// More than one answer.
+	{write: httpResponse("503 X", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Rejected)},
 	{write: httpResponse("200 OK\r\nConnection: close", ""), outcomes: oneOutcome(policy.Delivered)},
-	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: oneOutcome(policy.Rejected), retryAfter: true, reusable: true},
+	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: oneOutcome(policy.Rejected), retryAfter: true,
+		reusable: true},
 	{write: httpResponse("503 X", ""), outcomes: oneOutcome(policy.Rejected), reusable: true},
 	{write: httpResponse("503 X\r\nSlots-Taken: 1", ""), outcomes: oneOutcome(policy.Unsent), reusable: true},
 	{write: httpResponse("504 X", ""), outcomes: oneOutcome(policy.Unsent), reusable: true},
@@ -52,12 +57,15 @@
 	{close: true, outcomes: oneOutcome(policy.ConnectionLost)},
 	{write: "HTTP/1.1 200 OK\r\n", close: true, outcomes: oneOutcome(policy.Delivered)},
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", close: true, outcomes: oneOutcome(policy.Delivered)},
-	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // the rest never comes
+	{write: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel", stalls: true,
+		outcomes: oneOutcome(policy.Delivered)}, // the rest never comes
 	{write: "HTTP/1.1 503 X\r\nWa", close: true, outcomes: oneOutcome(policy.Errored)},
 	{write: "nonsense\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
 	{silent: true, outcomes: oneOutcome(policy.TimedOut)},
-	{write: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", outcomes: oneOutcome(policy.Delivered), reusable: true},
-	{write: httpResponse("200 OK", "closes while it stands idle"), close: true, outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+		outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: httpResponse("200 OK", "closes while it stands idle"), close: true,
+		outcomes: oneOutcome(policy.Delivered), reusable: true},
 	{write: "HTTP/1.0 200 OK\r\n\r\nuntil the end", close: true, outcomes: oneOutcome(policy.Delivered)},
 
 	{write: httpResponse("200 OK", `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
@@ -66,28 +74,35 @@
 		outcomes: []policy.Outcome{policy.Unsent, policy.Delivered, policy.Errored}, retryAfter: true, reusable: true},
 	{write: httpResponse("200 OK", `[{"id":`), outcomes: threeOutcomes(policy.Errored), reusable: true},
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[", close: true, outcomes: threeOutcomes(policy.Errored)},
-	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: threeOutcomes(policy.Rejected), retryAfter: true, reusable: true},
+	{write: httpResponse("429 X\r\nWait-Ms: 60000", ""), outcomes: threeOutcomes(policy.Rejected),
+		retryAfter: true, reusable: true},
 	{write: httpResponse("413 X", ""), outcomes: threeOutcomes(policy.Unsent), reusable: true},
 	{silent: true, outcomes: threeOutcomes(policy.TimedOut)},
 
-	// Spoilt answers: all may have run, unless a first line with 200 answers one message.
+	// Malformed answers: the message may have run, unless a status line with 200 answers a single
+	// one.
 	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 429 X\r\nContent-Length: 3000000000\r\n\r\nkeeps coming", outcomes: oneOutcome(policy.Errored)},
-	{write: "HTTP/1.1 410 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhey", outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 410 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhey",
+		outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 504 X\r\nContent-Length: -1\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
-	{write: "HTTP/1.1 503 X\r\n\r\n" + strings.Repeat("x", maxBody+1), outcomes: oneOutcome(policy.Errored)}, // no end in sight
+	// An endless body.
+	{write: "HTTP/1.1 503 X\r\n\r\n" + strings.Repeat("x", maxBody+1), outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 503 X\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 503 X\r\nA: " + strings.Repeat("x", maxLine), outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Delivered)},
-	{write: "HTTP/1.1 200 OK\r\nA: b\r\n", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // its head never ends
+	{write: "HTTP/1.1 200 OK\r\nA: b\r\n", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // endless head
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n[", outcomes: threeOutcomes(policy.Errored)},
 	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: threeOutcomes(policy.Errored)},
-	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterim+1) + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Errored)},
-	{write: httpResponse("200 OK", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Delivered)}, // a second copy
-	{write: httpResponse("200 OK\r\nX-Backend-Load: x0=nan,x1=1e999", ""), outcomes: oneOutcome(policy.Delivered), reusable: true},
+	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterim+1) + httpResponse("200 OK", ""),
+		outcomes: oneOutcome(policy.Errored)},
+	// A duplicate answer.
+	{write: httpResponse("200 OK", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Delivered)},
+	{write: httpResponse("200 OK\r\nX-Backend-Load: x0=nan,x1=1e999", ""), outcomes: oneOutcome(policy.Delivered),
+		reusable: true},
 }
 
-// serveScripts serves scripts on every connection and hands on what it read.
+// serveScripts plays scripts on every connection and passes on what it read.
 func serveScripts(ln net.Listener, scripts <-chan endpointScript, seen chan<- *head, bodies chan<- []byte) {
 	for {
 		sock, err := ln.Accept()
@@ -115,13 +130,13 @@
 	}
 }
 
-// stallingConn ends the wait for the rest of a stalled answer at once, however long the machine takes: what the
-// relay set as the end of that wait is checked instead of waited for.
+// stallingConn times out the read of a stalled answer at once, and records the timeout that the
+// relay set for it. So the test does not depend on the machine's speed.
 type stallingConn struct {
 	*net.TCPConn
 	stalls  bool          // the answer to the call in progress never ends
-	waits   time.Duration // the longest wait for the rest that the relay allowed
-	bounded bool          // it allowed one at all
+	waits   time.Duration // longest timeout that the relay set
+	bounded bool          // the relay set a timeout
 }
 
 // SetReadDeadline is called by the relay once the first line of an answer was read.
@@ -133,8 +148,8 @@
 	return c.TCPConn.SetReadDeadline(end)
 }
 
-// Random steps on one endpoint's connections are checked against the model: each message gets one end, which
-// says no more of what ran than the call's stage proves, and a connection is used again only if it can be.
+// FuzzRoute plays random scripts on one endpoint. Each message gets one result that claims no more
+// than the stage proves, and a connection is reused only if it can be.
 func FuzzRoute(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
 	f.Add([]byte{25, 0, 25, 1, 1, 0})
@@ -169,40 +184,45 @@
 			done := make(chan callResult, 1)
 			go func() { done <- c.makeCall(cl) }()
 			h, body := <-seen, <-bodies
-			if s.silent { // the time is up as soon as the call was read, however slow the machine is
+			if s.silent { // time out as soon as the call was read
 				c.sock.SetReadDeadline(time.Unix(1, 0))
 			}
 			res := <-done
-			if sock, _ := c.sock.(*stallingConn); s.stalls && (sock == nil || !sock.bounded || sock.waits > answerRestTimeout) {
-				t.Fatalf("step %d: a stalled answer is waited for: %+v", b, sock)
+			if sock, _ := c.sock.(*stallingConn); s.stalls &&
+				(sock == nil || !sock.bounded || sock.waits > answerRestTimeout) {
+				t.Fatalf("step %d: no bounded timeout for a stalled answer: %+v", b, sock)
 			}
-			if len(s.outcomes) == 1 && (h.line[1] != "/hook" || h.get("X-Correlation-Id") != "a" || h.get("Idempotency-Key") != "k" ||
+			if len(s.outcomes) == 1 && (h.line[1] != "/hook" || h.get("X-Correlation-Id") != "a" ||
+				h.get("Idempotency-Key") != "k" ||
 				string(body) != string(cl.items[0].body)) {
 				t.Fatalf("call %+v with body %q", h, body)
 			}
-			if list := gjson.ParseBytes(body).Array(); len(s.outcomes) == 3 && (h.line[1] != "/hook/batch" || len(list) != 3 ||
-				list[2].Get("id").Str != "c" || list[2].Get("key").Str != "k" ||
-				list[2].Get("body").Str != base64.StdEncoding.EncodeToString(cl.items[2].body)) {
+			if list := gjson.ParseBytes(body).Array(); len(s.outcomes) == 3 &&
+				(h.line[1] != "/hook/batch" || len(list) != 3 ||
+					list[2].Get("id").Str != "c" || list[2].Get("key").Str != "k" ||
+					list[2].Get("body").Str != base64.StdEncoding.EncodeToString(cl.items[2].body)) {
 				t.Fatalf("batch %+v with body %q", h, body)
 			}
 			var got []policy.Outcome
 			for _, e := range res.results {
 				got = append(got, e.outcome)
 				if e.final != s.final {
-					t.Fatalf("step %d: over %v", b, e.final)
+					t.Fatalf("step %d: final %v", b, e.final)
 				}
 			}
-			if !slices.Equal(got, s.outcomes) || res.reusable != s.reusable || (res.retryAfter > 0) != s.retryAfter || ep.backoff.active() != s.retryAfter {
-				t.Fatalf("step %d: ends %v, keep %v, wait %v, error %v; want %+v", b, got, res.reusable, res.retryAfter, res.err, s)
+			if !slices.Equal(got, s.outcomes) || res.reusable != s.reusable ||
+				(res.retryAfter > 0) != s.retryAfter || ep.backoff.active() != s.retryAfter {
+				t.Fatalf("step %d: outcomes %v, reusable %v, Retry-After %v, error %v; want %+v", b, got,
+					res.reusable, res.retryAfter, res.err, s)
 			}
 			var se *AttemptError
 			if errors.As(res.err, &se) && se.Stage < Written {
 				t.Fatalf("step %d: stage %d of a call that was read", b, se.Stage)
 			}
-			if s.retryAfter { // a call that was on its way meets the closed gate, and nothing of it is written
+			if s.retryAfter { // a further call meets the backoff, and nothing of it is written
 				held := c.makeCall(cl)
 				if held.results[0].outcome != policy.Unsent || !errors.Is(held.err, errBlocked) || len(seen) > 0 {
-					t.Fatalf("sent in spite of a wait: %+v", held)
+					t.Fatalf("sent in spite of a backoff: %+v", held)
 				}
 				c.close()
 				ep.backoff.until.Store(0)
@@ -215,23 +235,25 @@
 	})
 }
 
-// An endpoint that holds as many connections as it can says so in its first answer on a new one, and closes. That tells nothing of its limit: it is
-// a connection that could not be had. One that was used before, a told wait, or an answer that keeps the connection is a refusal.
-func TestConnectionTableFull(t *testing.T) {
+// A 503 that closes a new connection means that the endpoint's connection limit is reached. On a
+// used connection, with Wait-Ms, or without a close it is a rejection.
+func TestConnectionLimitReached(t *testing.T) {
 	full := httpResponse("503 X\r\nConnection: close", "")
 	for name, c := range map[string]struct {
 		before, answer string
 		want           policy.Outcome
 	}{
-		"full":           {"", full, policy.ConnectFailed},
-		"in use before":  {httpResponse("200 OK", ""), full, policy.Rejected},
-		"tells a wait":   {"", httpResponse("503 X\r\nWait-Ms: 9\r\nConnection: close", ""), policy.Rejected},
-		"keeps it":       {"", httpResponse("503 X", ""), policy.Rejected},
-		"a limit":        {"", httpResponse("429 X\r\nConnection: close", ""), policy.Rejected},
-		"no slot":        {"", httpResponse("503 X\r\nSlots-Taken: 1\r\nConnection: close", ""), policy.Unsent},
-		"spoilt":         {"", "HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 3000000000\r\n\r\n", policy.Errored},
-		"dialled anew":   {"drop", full, policy.ConnectFailed},
-		"an interim one": {"", "HTTP/1.1 102 X\r\n\r\n" + full, policy.ConnectFailed},
+		"full":              {"", full, policy.ConnectFailed},
+		"in use before":     {httpResponse("200 OK", ""), full, policy.Rejected},
+		"with Wait-Ms":      {"", httpResponse("503 X\r\nWait-Ms: 9\r\nConnection: close", ""), policy.Rejected},
+		"stays open":        {"", httpResponse("503 X", ""), policy.Rejected},
+		"too many requests": {"", httpResponse("429 X\r\nConnection: close", ""), policy.Rejected},
+		"no slot": {"", httpResponse("503 X\r\nSlots-Taken: 1\r\nConnection: close", ""),
+			policy.Unsent},
+		"spoilt": {"", "HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 3000000000\r\n\r\n",
+			policy.Errored},
+		"new connection":          {"drop", full, policy.ConnectFailed},
+		"after an interim answer": {"", "HTTP/1.1 102 X\r\n\r\n" + full, policy.ConnectFailed},
 	} {
 		ln := listen(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
@@ -255,16 +277,17 @@
 	}
 }
 
-// What never ran is told apart from what may have run by how far the attempt came.
-func TestStepErrorOutcomes(t *testing.T) {
+// The stage of an attempt separates calls that never ran from calls that may have run.
+func TestAttemptErrorOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		stage Stage
 		err   error
 		want  policy.Outcome
 		never bool
 	}{
-		{Started, os.ErrDeadlineExceeded, policy.ConnectFailed, true}, {Dialled, io.ErrShortWrite, policy.ConnectFailed, true},
-		{Dialled, errBlocked, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
+		{Started, os.ErrDeadlineExceeded, policy.ConnectFailed, true},
+		{Connected, io.ErrShortWrite, policy.ConnectFailed, true},
+		{Connected, errBlocked, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
 		{Written, io.EOF, policy.ConnectionLost, false}, {Answered, io.EOF, policy.Errored, false},
 		{Written, errLine, policy.Errored, false}, {Answered, os.ErrDeadlineExceeded, policy.Errored, false},
 	} {
@@ -275,59 +298,64 @@
 	}
 }
 
-// Nobody listening, a drained endpoint and a panic each end the call once, as what never ran.
-func TestCallsThatAreNotMade(t *testing.T) {
+// A refused connection, a drained endpoint and a panic each end the call once, as never run.
+func TestCallsNeverRun(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	call := func(ep *endpoint) callResult {
-		return (&endpointConn{endpoint: ep, dialTimeout: time.Second}).makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
+		return (&endpointConn{endpoint: ep, dialTimeout: time.Second}).makeCall(&call{endpoint: ep,
+			items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
 	}
-	if got := call(&endpoint{addr: addr, backoff: &backoff{}}); got.results[0].outcome != policy.ConnectFailed || got.reusable {
-		t.Errorf("nobody listens: %+v", got)
+	if got := call(&endpoint{addr: addr, backoff: &backoff{}}); got.results[0].outcome != policy.ConnectFailed ||
+		got.reusable {
+		t.Errorf("connection refused: %+v", got)
 	}
 	drained := &endpoint{addr: listen(t).Addr().String(), backoff: &backoff{}}
 	drained.state.Store(int32(policy.Draining))
 	if got := call(drained); got.results[0].outcome != policy.Unsent {
 		t.Errorf("drained: %+v", got)
 	}
-	if got := call(&endpoint{addr: listen(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed || !strings.Contains(got.err.Error(), "panic") {
+	if got := call(&endpoint{addr: listen(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed ||
+		!strings.Contains(got.err.Error(), "panic") {
 		t.Errorf("panic: %+v", got)
 	}
 }
 
-// A batch that was dialled for longer than one of its messages had goes without that one: its client has had the final answer. One that nobody
-// waits for any more does not go at all.
-func TestWhatIsOverDoesNotGo(t *testing.T) {
+// Items whose time ran out while the call was dialed are not sent, and a call without items is not
+// made.
+func TestExpiredItemsAreNotSent(t *testing.T) {
 	ln := listen(t)
 	scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
 	go serveScripts(ln, scripts, seen, bodies)
 	now := time.Now()
 	rc := &endpointConn{endpoint: &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
 	scripts <- endpointScript{write: httpResponse("200 OK", "")}
-	res := rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute), items: []callItem{{id: "late", writeBy: now}, {id: "kept", body: []byte("x"), writeBy: now.Add(time.Minute)}}})
+	res := rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute),
+		items: []callItem{{id: "late", writeBy: now}, {id: "kept", body: []byte("x"), writeBy: now.Add(time.Minute)}}})
 	h, body := <-seen, <-bodies
 	if h.line[1] != "/hook" || h.get("X-Correlation-Id") != "kept" || string(body) != "x" {
 		t.Errorf("sent %v with %q", h, body)
 	}
 	if res.results[0].outcome != policy.Unsent || res.results[1].outcome != policy.Delivered {
-		t.Errorf("ends %+v, %v", res.results, res.err)
+		t.Errorf("results %+v, %v", res.results, res.err)
 	}
-	res = rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute), items: []callItem{{id: "late", writeBy: now}}})
+	res = rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute),
+		items: []callItem{{id: "late", writeBy: now}}})
 	if res.results[0].outcome != policy.Unsent || len(seen) > 0 {
 		t.Errorf("alone: %+v, %d calls seen", res.results, len(seen))
 	}
 	rc.close()
 }
 
-// A connection that is reset, or speaks, as the request of a charge comes proves that it never ran; one that holds gets
-// the last byte. A new one that ends so tells that nothing gets through, one that has served other calls tells of itself alone.
-func TestCareful(t *testing.T) {
+// A reset, or data, before the last byte of an unsafe call proves that it never ran. A reset of a
+// new connection counts against the endpoint, one of a used connection does not.
+func TestLastByteDelay(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		close  bool
 		served bool          // the connection has carried a call before
-		look   time.Duration // a minute is a bound for a hang, not a measure
+		look   time.Duration // a minute only bounds a hang
 		want   policy.Outcome
 	}{
 		"holds":               {httpResponse("200 OK", ""), false, false, time.Millisecond, policy.Delivered},
@@ -354,7 +382,7 @@
 				}
 				io.WriteString(sock, httpResponse("200 OK", ""))
 			}
-			n, _ := sock.Read(b) // all but the last byte: it comes only when the connection was seen to hold
+			n, _ := sock.Read(b) // all but the last byte, which follows only if the connection holds
 			if !c.close {
 				m, _ := io.ReadAtLeast(sock, b[n:], 1)
 				n += m
@@ -365,7 +393,8 @@
 		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
 		rc := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
 		carry := func(id, body string, careful time.Duration) callResult {
-			return rc.makeCall(&call{endpoint: ep, lastByteDelay: careful, items: []callItem{{id: id, body: []byte(body)}}, deadline: time.Now().Add(2 * time.Minute)})
+			return rc.makeCall(&call{endpoint: ep, lastByteDelay: careful,
+				items: []callItem{{id: id, body: []byte(body)}}, deadline: time.Now().Add(2 * time.Minute)})
 		}
 		if c.served {
 			if res := carry("b", "before", 0); !res.reusable {
--- a/internal/wire/sim/host.go
+++ b/internal/wire/sim/host.go
@@ -11,68 +11,69 @@
 	"oatfold/policy"
 )
 
-// Host runs the relays of one process. They share nothing but the numbered lists of the wire.
+// Host runs the relays of one process. They share nothing but the numbered endpoint lists.
 type Host struct {
 	relays  map[int]*policy.Relay
-	columns map[int][]string // of each relay's load reports
-	sheets  map[int][]Entry
+	columns map[int][]string // of load reports, by relay
+	lists   map[int][]Entry
 }
 
 // NewHost returns a host without relays.
 func NewHost() *Host {
-	return &Host{relays: map[int]*policy.Relay{}, columns: map[int][]string{}, sheets: map[int][]Entry{}}
+	return &Host{relays: map[int]*policy.Relay{}, columns: map[int][]string{}, lists: map[int][]Entry{}}
 }
 
-// Serve answers each line of in with one line on out until in ends.
+// Serve answers each line of in with one line on out until in ends. Errors name the line.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	w := bufio.NewWriter(out)
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
+	reader := bufio.NewReaderSize(in, 1<<16)
+	writer := bufio.NewWriter(out)
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := h.answer(line, w); err != nil {
-				return fmt.Errorf("line %d: %w", n, err)
+			if err := h.answer(line, writer); err != nil {
+				return fmt.Errorf("line %d: %w", lineNumber, err)
 			}
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 	}
 }
 
-func (h *Host) answer(line []byte, w *bufio.Writer) error {
-	b, err := ParseBatch(line)
+// answer handles one line of input and writes the reply.
+func (h *Host) answer(line []byte, writer *bufio.Writer) error {
+	batch, err := ParseBatch(line)
 	if err != nil {
 		return err
 	}
-	reply, err := h.Batch(b)
+	reply, err := h.Batch(batch)
 	if err != nil {
 		return err
 	}
-	if err := json.NewEncoder(w).Encode(reply); err != nil {
+	if err := json.NewEncoder(writer).Encode(reply); err != nil {
 		return err
 	}
-	return w.Flush()
+	return writer.Flush()
 }
 
-// Batch takes one batch: the events of each relay are handed to it together.
-func (h *Host) Batch(b Batch) (Reply, error) {
+// Batch handles one batch. Each relay gets its events in one step.
+func (h *Host) Batch(batch Batch) (Reply, error) {
 	reply := Reply{Actions: []Action{}}
 	var order []int
 	pending := map[int][]policy.Event{}
-	for i := range b.Events {
-		e := &b.Events[i]
-		if e.What == "REGISTER" {
-			h.sheets[*e.Sheet] = e.Members
+	for i := range batch.Events {
+		event := &batch.Events[i]
+		if event.Type == "REGISTER" {
+			h.lists[*event.List] = event.Members
 			continue
 		}
-		id := *e.Relay
-		switch e.What {
+		id := *event.Relay
+		switch event.Type {
 		case "BOOT":
-			if err := h.boot(id, e); err != nil {
+			if err := h.boot(id, event); err != nil {
 				return reply, fmt.Errorf("event %d: BOOT of relay %d: %w", i+1, id, err)
 			}
 			pending[id] = nil
@@ -84,22 +85,22 @@
 		if h.relays[id] == nil {
 			continue
 		}
-		var sheet []Entry
-		if e.Sheet != nil {
-			sheet = h.sheets[*e.Sheet]
+		var list []Entry
+		if event.List != nil {
+			list = h.lists[*event.List]
 		}
-		ev, err := e.Translate(sheet, h.columns[id])
+		policyEvent, err := event.Translate(list, h.columns[id])
 		if err != nil {
 			return reply, fmt.Errorf("event %d: %w", i+1, err)
 		}
-		if _, seen := pending[id]; !seen || e.What == "BOOT" {
+		if _, seen := pending[id]; !seen || event.Type == "BOOT" {
 			order = append(order, id)
 		}
 		if pending[id] == nil {
 			pending[id] = []policy.Event{}
 		}
-		if ev != nil {
-			pending[id] = append(pending[id], ev)
+		if policyEvent != nil {
+			pending[id] = append(pending[id], policyEvent)
 		}
 	}
 	for _, id := range order {
@@ -108,17 +109,18 @@
 			continue
 		}
 		delete(pending, id)
-		reply.Actions = h.step(id, us(*b.Clock), events, reply.Actions)
+		reply.Actions = h.step(id, microseconds(*batch.TimeUs), events, reply.Actions)
 	}
 	return reply, nil
 }
 
-func (h *Host) boot(id int, e *Event) error {
-	settings, columns, err := config.ParseSettings(string(e.Info))
+// boot starts a relay with the settings of the event.
+func (h *Host) boot(id int, event *Event) error {
+	settings, columns, err := config.ParseSettings(string(event.Info))
 	if err != nil {
 		return err
 	}
-	relay, err := policy.New(settings, e.Seed)
+	relay, err := policy.New(settings, event.Seed)
 	if err != nil {
 		return err
 	}
@@ -126,16 +128,18 @@
 	return nil
 }
 
-// step runs one relay; a panic of the module is reported as such and ends nothing else.
-func (h *Host) step(id int, now policy.Time, events []policy.Event, out []Action) (res []Action) {
-	res = out
+// step runs one relay. A panic of the policy engine becomes a BUG action and affects no other
+// relay.
+func (h *Host) step(id int, now policy.Time, events []policy.Event, actions []Action) (result []Action) {
+	result = actions
 	defer func() {
 		if p := recover(); p != nil {
-			res = append(out[:len(out):len(out)], Action{What: "BUG", Relay: id, NoteText: fmt.Sprint("panic: ", p)})
+			result = append(actions[:len(actions):len(actions)],
+				Action{Type: "BUG", Relay: id, Text: fmt.Sprint("panic: ", p)})
 		}
 	}()
-	for _, a := range h.relays[id].Step(now, events) {
-		res = append(res, FromModule(id, a))
+	for _, action := range h.relays[id].Step(now, events) {
+		result = append(result, ActionFromPolicy(id, action))
 	}
-	return res
+	return result
 }
--- a/internal/wire/sim/wire_test.go
+++ b/internal/wire/sim/wire_test.go
@@ -57,14 +57,15 @@
 	if lines[0] != `{"actions":[]}` {
 		t.Errorf("empty batch answered with %s", lines[0])
 	}
-	for _, want := range []string{`"what":"TRACK","relay":0`, `"on":true`, `"what":"TRY","relay":0,"req":9,"endpoint":"a:1"`} {
+	for _, want := range []string{`"what":"TRACK","relay":0`, `"on":true`,
+		`"what":"TRY","relay":0,"req":9,"endpoint":"a:1"`} {
 		if !strings.Contains(lines[1], want) {
 			t.Errorf("no %s in %s", want, lines[1])
 		}
 	}
 }
 
-// A list number used twice in one batch means what it held at each event.
+// An event refers to the list that its number holds at that point of the batch.
 func TestReusedListNumber(t *testing.T) {
 	out, err := serve(t, line(0, boot(0), boot(1), register(0, 1, "a:1"), listed(0, 0), register(0, 1, "b:1"),
 		listed(1, 0), knock(0, 1, 1), knock(1, 2, 1)))
@@ -78,7 +79,7 @@
 	}
 }
 
-// A relay killed and started in one batch knows nothing of before.
+// A relay that is killed and booted in one batch has no earlier state.
 func TestKillAndBoot(t *testing.T) {
 	out, err := serve(t, line(0, register(0, 1, "a:1"), boot(0), listed(0, 0))+
 		line(5000, knock(0, 7, 1), `{"what":"KILL","relay":0}`, boot(0), listed(0, 0), knock(0, 8, 1))+
@@ -95,8 +96,8 @@
 	}
 }
 
-// Relays act alike whether they share a process or not.
-func TestApartOrTogether(t *testing.T) {
+// A relay acts the same whether or not it shares its process.
+func TestSharedProcess(t *testing.T) {
 	script := func(relays ...int) string {
 		var in string
 		for at := range 400 {
@@ -173,23 +174,24 @@
 	})
 }
 
-// A panic inside the module is reported as BUG for its relay and drops that relay's half-made actions.
+// A panic of the policy engine is reported as BUG for its relay, whose actions of that step are
+// dropped.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	h.relays[3] = nil
-	acts := h.step(3, 0, nil, []Action{{What: "TRACE", Relay: 1}})
-	if len(acts) != 2 || acts[1].What != "BUG" || acts[1].Relay != 3 || !strings.Contains(acts[1].NoteText, "panic") {
+	acts := h.step(3, 0, nil, []Action{{Type: "TRACE", Relay: 1}})
+	if len(acts) != 2 || acts[1].Type != "BUG" || acts[1].Relay != 3 || !strings.Contains(acts[1].Text, "panic") {
 		t.Fatalf("got %+v", acts)
 	}
 }
 
-// What an answer tells of a limit: by the columns' names, in any order, with unknown, missing and null values.
-func TestReports(t *testing.T) {
+// Load reports are read by column name, in any order, with unknown, missing and null values.
+func TestLoadReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		columns, row string
 		want         *policy.LimitReport
 	}{
-		"as told":        {`["x0","x1"]`, `[0.5,40]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
+		"usual order":    {`["x0","x1"]`, `[0.5,40]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
 		"other order":    {`["x1","nobody_knows","x0"]`, `[40,7,0.5]`, &policy.LimitReport{Remaining: 0.5, Limit: 40}},
 		"no limit":       {`["x0","x1"]`, `[0,0]`, &policy.LimitReport{}},
 		"no report":      {`["x0","x1"]`, `null`, nil},
@@ -203,7 +205,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := ParseBatch([]byte(line(0, `{"what":"FINISHED","relay":0,"req":1,"code":"delivered","report":`+c.row+`}`)))
+		b, err := ParseBatch([]byte(line(0,
+			`{"what":"FINISHED","relay":0,"req":1,"code":"delivered","report":`+c.row+`}`)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -10,46 +10,51 @@
 )
 
 const (
-	sitesInterval        = members.Period / 4 // between two looks at sites, and two views that operators see
-	siteCommandQueueSize = 16                 // words of operators that may wait for a look
+	sitesInterval        = members.Period / 4 // between checks of the sites, each of which publishes a view
+	siteCommandQueueSize = 16                 // commands that may wait for a check
 )
 
-// SiteCommand is the word of an operator that a site is out, or may come back.
+// SiteCommand is an operator's command to take a site out, or to let it return.
 type SiteCommand struct {
 	Zone string
 	Out  bool
 }
 
-// Sites is what this relay makes of sites, as operators see it.
+// Sites is the operators' view of the sites.
 type Sites struct {
 	At   policy.Time
 	Home string
 	All  []sites.Standing
 }
 
-// applySitePlan has the host act on a plan; nil: on none. Sites that operators have taken out stay out.
+// applySitePlan puts a plan in force; nil: none. Sites that operators have taken out stay out.
 func (h *Host) applySitePlan(plan *sites.Plan, home string) {
-	was := h.watch
-	if was != nil && was.Keeps(plan, home) {
-		return // what it has seen stays, also in the middle of a loss
+	previous := h.watch
+	if previous != nil && previous.Keeps(plan, home) {
+		return // keeps its observations, also during the loss of a site
 	}
 	if h.watch = nil; plan == nil {
 		h.sites.Store(nil)
-		if was != nil {
+		if previous != nil {
 			h.pending = append(h.pending, policy.SitesUpdate{})
 		}
 		return
 	}
 	h.watch, h.sitesHome = sites.NewWatch(plan, home, h.seed^h.start.UnixNano()), home
-	whole := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
+	list := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for _, ep := range h.endpoints {
-		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest, Zone: ep.zone, State: policy.EndpointState(ep.state.Load())})
+		list.Entries = append(list.Entries, policy.Endpoint{
+			Address:     ep.id,
+			Destination: ep.dest,
+			Zone:        ep.zone,
+			State:       policy.EndpointState(ep.state.Load()),
+		})
 	}
-	h.watch.List(whole)
-	if was != nil {
-		for _, s := range was.Standings() {
-			if s.Out {
-				h.watch.ByHand(h.now(), s.Zone, true)
+	h.watch.List(list)
+	if previous != nil {
+		for _, site := range previous.Standings() {
+			if site.Out {
+				h.watch.ByHand(h.now(), site.Zone, true)
 			}
 		}
 	}
@@ -58,12 +63,12 @@
 	h.updateSites(h.now())
 }
 
-// SetSitePlan puts a plan in force. Anyone but the owner may call it.
+// SetSitePlan puts a plan in force. It must not be called on the host's goroutine.
 func (h *Host) SetSitePlan(plan *sites.Plan, home string) {
 	h.Do(func(h *Host) { h.applySitePlan(plan, home) })
 }
 
-// updateSites looks at sites, hears what operators say of them, and makes a view for those who ask.
+// updateSites processes operator commands, checks the sites and publishes a view.
 func (h *Host) updateSites(now policy.Time) {
 	if h.watch == nil || now < h.sitesAt {
 		return
@@ -71,88 +76,92 @@
 	h.sitesAt = now + sitesInterval
 	for more := true; more; {
 		select {
-		case w := <-h.byHand:
-			h.watch.ByHand(now, w.Zone, w.Out)
+		case command := <-h.byHand:
+			h.watch.ByHand(now, command.Zone, command.Out)
 		default:
 			more = false
 		}
 	}
-	if v := h.view.Load(); v != nil && v != h.sitesView {
-		h.sitesView = v
+	if view := h.view.Load(); view != nil && view != h.sitesView {
+		h.sitesView = view
 		relays, alive := map[string]int{}, map[string]int{}
-		for _, m := range v.Members {
-			if m.Number == v.Self || m.Zone >= len(h.zones) {
+		for _, member := range view.Members {
+			if member.Number == view.Self || member.Zone >= len(h.zones) {
 				continue
 			}
-			if relays[h.zones[m.Zone]]++; m.State < members.Dead {
-				alive[h.zones[m.Zone]]++
+			if relays[h.zones[member.Zone]]++; member.State < members.Dead {
+				alive[h.zones[member.Zone]]++
 			}
 		}
-		for z, n := range relays {
-			h.watch.Members(z, n, alive[z])
+		for zone, count := range relays {
+			h.watch.Members(zone, count, alive[zone])
 		}
 	}
 	h.exchangeSiteReports(now)
 	h.watch.Turn(now)
 	if changes := h.watch.Changes(); len(changes) > 0 {
-		for _, c := range changes {
-			h.log.Warn("site", "zone", c.Zone, "state", c.To.String(), "was", c.From.String(), "why", c.Why)
-			h.pending = append(h.pending, c.News(h.watch))
+		for _, change := range changes {
+			h.log.Warn("site", "zone", change.Zone,
+				"state", change.To.String(), "was", change.From.String(), "why", change.Why)
+			h.pending = append(h.pending, change.News(h.watch))
 		}
 	}
 	h.sites.Store(&Sites{At: now, Home: h.sitesHome, All: h.watch.Standings()})
 }
 
-// exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
+// exchangeSiteReports takes in what other relays report about sites, and reports what this one
+// observes.
 func (h *Host) exchangeSiteReports(now policy.Time) {
 	lost, levels := map[int]int{}, map[int][]float64{}
-	h.pool.EachSiteReport(now, func(one peers.SiteReport) {
-		if one.LoadFraction == 0 {
-			lost[one.Zone]++
+	h.pool.EachSiteReport(now, func(report peers.SiteReport) {
+		if report.LoadFraction == 0 {
+			lost[report.Zone]++
 		} else {
-			levels[one.Zone] = append(levels[one.Zone], one.LoadFraction)
+			levels[report.Zone] = append(levels[report.Zone], report.LoadFraction)
 		}
 	})
-	var mine []peers.SiteReport
-	for z, name := range h.zones {
-		h.watch.Said(name, lost[z], levels[z])
+	var reports []peers.SiteReport
+	for zone, name := range h.zones {
+		h.watch.Said(name, lost[zone], levels[zone])
 		if level, ok := h.watch.Word(name); ok {
-			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
+			reports = append(reports, peers.SiteReport{Zone: zone, LoadFraction: level})
 		}
 	}
-	h.pool.SetSiteReports(mine)
+	h.pool.SetSiteReports(reports)
 }
 
-// recordSiteResult tells the watch how a call ended.
-func (h *Host) recordSiteResult(e callResult, now policy.Time) {
-	if h.watch == nil || len(e.results) == 0 || errors.Is(e.err, errConnectionLimit) {
+// recordSiteResult reports the result of a call to the site watch.
+func (h *Host) recordSiteResult(completed callResult, now policy.Time) {
+	if h.watch == nil || len(completed.results) == 0 || errors.Is(completed.err, errConnectionLimit) {
 		return
 	}
-	how := sites.Failed
-	switch e.results[0].outcome {
+	result := sites.Failed
+	switch completed.results[0].outcome {
 	case policy.Delivered, policy.Errored:
-		how = sites.Taken
+		result = sites.Taken
 	case policy.Rejected:
-		how = sites.Refused
+		result = sites.Refused
 	case policy.TimedOut:
-		how = sites.Silent
+		result = sites.Silent
 	case policy.ConnectFailed:
-		if now-e.call.startedAt >= min(h.dialTimeout, e.call.timeout) { // nobody said no
-			how = sites.Silent
+		if now-completed.call.startedAt >= min(h.dialTimeout, completed.call.timeout) { // no refusal was received
+			result = sites.Silent
 		}
 	case policy.Unsent:
 		return
 	}
-	h.watch.Ended(now, e.call.startedAt, e.call.endpoint.id, how)
+	h.watch.Ended(now, completed.call.startedAt, completed.call.endpoint.id, result)
 }
 
-// Sites is the latest view; nil: no plan is in force. Anyone may call it: it waits for nothing.
+// Sites returns the latest view; nil if no plan is in force. It may be called on any goroutine and
+// does not block.
 func (h *Host) Sites() *Sites { return h.sites.Load() }
 
-// SubmitSiteCommand hands an operator's word to the owner, without waiting for it; it is false where too many wait.
-func (h *Host) SubmitSiteCommand(w SiteCommand) bool {
+// SubmitSiteCommand queues an operator's command without waiting for it. It returns false if the
+// queue is full.
+func (h *Host) SubmitSiteCommand(command SiteCommand) bool {
 	select {
-	case h.byHand <- w:
+	case h.byHand <- command:
 		return true
 	default:
 		return false
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -9,18 +9,20 @@
 	"oatfold/policy"
 )
 
-// A host with a plan shows its sites, hears operators without being waited for, keeps what it has seen when the same plan comes again, keeps what is out by hand under another plan, and is rid of all without one.
-// No call goes to what is out; calls that end there are evidence.
-func TestPlanSites(t *testing.T) {
+// A site plan publishes a view and takes operator commands without blocking. The same plan keeps
+// what was observed, another one keeps sites that operators took out, and no plan removes all.
+func TestSitePlan(t *testing.T) {
 	h := bare(t)
 	for id, zone := range map[string]string{"a-1": "a", "b-1": "b"} {
-		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
+		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1",
+			Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
 	}
 	if h.Sites() != nil {
 		t.Fatal("sites without a plan")
 	}
 	plan := func() *sites.Plan {
-		return &sites.Plan{Ramp: time.Second, Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, Spill: 1}}}, {Zone: "b"}}}
+		return &sites.Plan{Ramp: time.Second,
+			Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, Spill: 1}}}, {Zone: "b"}}}
 	}
 	h.applySitePlan(plan(), "b")
 	if v := h.Sites(); v == nil || v.Home != "b" || len(v.All) != 2 || v.All[0].Endpoint != 1 || v.All[1].Tier != 0 {
@@ -33,34 +35,42 @@
 	}
 	for range siteCommandQueueSize {
 		if !h.SubmitSiteCommand(SiteCommand{"a", true}) {
-			t.Fatal("no room for a word")
+			t.Fatal("queue full")
 		}
 	}
 	if h.SubmitSiteCommand(SiteCommand{"a", true}) {
-		t.Error("words wait without bound")
+		t.Error("the queue of commands is unbounded")
 	}
 	if st := look(); !st.Out || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
 	since := h.watch
 	if h.applySitePlan(plan(), "b"); h.watch != since {
-		t.Error("the same plan is another")
+		t.Error("the same plan replaced the watch")
 	}
 	other := plan()
 	other.Ramp++
 	if h.applySitePlan(other, "b"); h.watch == since || !look().Out {
-		t.Error("another plan lets in what is out by hand")
+		t.Error("another plan lets a site return that an operator took out")
 	}
 	if h.watch.Allows(7, "a", false) || !h.watch.Allows(7, "b", true) {
-		t.Error("what may go where")
+		t.Error("wrong sites are open")
 	}
-	// Ends of calls are told by what they prove of the site.
+	// Results of calls count by what they prove about the site.
 	h.SubmitSiteCommand(SiteCommand{"a", false})
 	look()
-	for _, o := range []policy.Outcome{policy.ConnectFailed, policy.Unsent, policy.Rejected, policy.Delivered, policy.TimedOut, policy.ConnectionLost} {
-		h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute}, results: []itemResult{{outcome: o}}}, h.now())
+	for _, o := range []policy.Outcome{policy.ConnectFailed, policy.Unsent, policy.Rejected, policy.Delivered,
+		policy.TimedOut, policy.ConnectionLost} {
+		h.recordSiteResult(callResult{
+			call:    &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute},
+			results: []itemResult{{outcome: o}},
+		}, h.now())
 	}
-	h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now()}, results: []itemResult{{outcome: policy.ConnectFailed}}, err: errConnectionLimit}, h.now())
+	h.recordSiteResult(callResult{
+		call:    &call{endpoint: h.endpoints["a-1"], startedAt: h.now()},
+		results: []itemResult{{outcome: policy.ConnectFailed}},
+		err:     errConnectionLimit,
+	}, h.now())
 	if st := h.watch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
 		t.Errorf("%+v", st)
 	}
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -11,22 +11,23 @@
 	"oatfold/internal/handover"
 )
 
-// What endpoints tell this relay to wait for, however and whenever it comes. A wait counts from the moment in which
-// the endpoint writes it, so it is read as early as it can be, and also behind the end of its call.
+// This file handles the Wait-Ms header of endpoints. The delay counts from when the endpoint writes
+// it, so it is read as early as possible, and also after the call has timed out.
 
 const (
-	maxRetryAfterMs = 600_000 // a longer wait is taken for this one
+	maxRetryAfterMs = 600_000 // longer delays are reduced to this one
 
-	// lateAnswerWindow is for how long a call that timed out is listened to, from the end of our sending on. An answer that was
-	// written before the endpoint saw that end arrives within a round trip.
+	// lateAnswerWindow is how long a connection is read after its call timed out and its sending
+	// side was closed. An answer that was written before the endpoint saw that arrives within a
+	// round trip.
 	lateAnswerWindow = 200 * time.Millisecond
 )
 
-// MaxLateListeners is how many connections at once are listened to behind the end of their calls: descriptors that nothing else
-// may count on. The next ones are closed at once, and a wait that crosses there is lost.
+// MaxLateListeners is how many connections at once are read after their call timed out. Descriptors
+// are reserved for them. Further ones are closed at once, and a late Retry-After is lost.
 const MaxLateListeners = 16
 
-// retryAfter is the longest wait that the fields of an answer tell, rounded up to a millisecond; 0: none.
+// retryAfter returns the longest delay of the Wait-Ms fields, rounded up to a millisecond; 0: none.
 func (h *head) retryAfter() time.Duration {
 	var longest time.Duration
 	for _, f := range h.fields {
@@ -37,10 +38,10 @@
 	return longest
 }
 
-// parseWaitMs reads milliseconds, whole or decimal; 0 for what is no such number.
+// parseWaitMs reads whole or decimal milliseconds; 0 if s is not such a number.
 func parseWaitMs(s string) time.Duration {
 	if strings.Trim(s, "0123456789.") != "" {
-		return 0 // neither a sign nor an exponent, and no name of a number
+		return 0 // no sign, no exponent, no Inf or NaN
 	}
 	ms, err := strconv.ParseFloat(s, 64)
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
@@ -49,17 +50,18 @@
 	return time.Duration(math.Ceil(min(ms, maxRetryAfterMs))) * time.Millisecond
 }
 
-// lateRetryAfter is a wait that came behind the end of its call.
+// lateRetryAfter is a Retry-After that arrived after its call timed out.
 type lateRetryAfter struct {
 	endpoint   *endpoint
 	retryAfter time.Duration
 }
 
-// closeSending gives up a call that timed out by ending our side of its connection, and tells whether the other side may
-// still be listened to.
+// closeSending gives up a call that timed out by closing the sending side of its connection. It
+// reports whether the other side may still be read.
 func (c *endpointConn) closeSending(res callResult) bool {
-	var step *AttemptError
-	if !errors.As(res.err, &step) || step.Stage != Written || !errors.Is(step.Err, os.ErrDeadlineExceeded) {
+	var attemptErr *AttemptError
+	if !errors.As(res.err, &attemptErr) || attemptErr.Stage != Written ||
+		!errors.Is(attemptErr.Err, os.ErrDeadlineExceeded) {
 		return false
 	}
 	if c.lateListeners != nil && c.lateListeners.Add(1) > MaxLateListeners {
@@ -74,15 +76,16 @@
 	return true
 }
 
-// releaseListener makes room for another connection to be listened to.
+// releaseListener lets another connection be read after its call.
 func (c *endpointConn) releaseListener() {
 	if c.lateListeners != nil {
 		c.lateListeners.Add(-1)
 	}
 }
 
-// readLateRetryAfter listens to a connection whose sending was ended, closes the gate for a wait that its answer tells, and
-// returns that wait; 0: none. The rest of such an answer proves nothing any more: its call has had its end.
+// readLateRetryAfter reads a connection whose sending side is closed. It applies and returns the
+// Retry-After of the answer; 0: none. The rest of the answer is ignored, since its call has a
+// result already.
 func (c *endpointConn) readLateRetryAfter() time.Duration {
 	c.sock.SetReadDeadline(time.Now().Add(lateAnswerWindow))
 	a, _ := readStatus(c.reader)
@@ -92,7 +95,8 @@
 	return c.endpoint.recordRetryAfter(&a.head)
 }
 
-// recordRetryAfter closes the gate for the wait that the head of an answer tells, as far as it was read, and returns that wait.
+// recordRetryAfter extends the backoff by the Retry-After of an answer's head, as far as it was
+// read, and returns that delay.
 func (ep *endpoint) recordRetryAfter(h *head) time.Duration {
 	wait := h.retryAfter()
 	if wait > 0 {
@@ -101,8 +105,9 @@
 	return wait
 }
 
-// applyRetryAfter passes a wait on: to other relays, to the process that takes this one's place, and to what stands in the
-// list for ep now, which may have left it while its call was out. The gate is closed already.
+// applyRetryAfter passes a Retry-After on to other relays, to the next process, and to the endpoint
+// that is listed now: ep may have left the list during the call. The backoff of ep is extended
+// already.
 func (h *Host) applyRetryAfter(ep *endpoint, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -114,7 +119,7 @@
 	listed := h.endpoints[ep.id]
 	switch {
 	case ep.backoff == h.gates[ep.dest]:
-		// The destination's own gate outlasts its endpoints.
+		// The destination's backoff outlives its endpoints.
 	case listed == nil:
 		h.routes[ep.id] = ep.backoff
 	case listed.dest == ep.dest && listed.backoff != ep.backoff:
@@ -122,10 +127,11 @@
 	}
 }
 
-// handleLateRetryAfter tells the module of a wait that came behind the end of its call. Guards against calls that it would send
-// into the closed gate, each of which would use up an attempt.
-func (h *Host) handleLateRetryAfter(e lateRetryAfter) {
-	h.log.Debug("wait told behind the end of its call", "endpoint", e.endpoint.id, "dest", e.endpoint.dest, "wait", e.retryAfter)
-	h.applyRetryAfter(e.endpoint, e.retryAfter)
-	h.relay.ApplyRetryAfter(h.now(), e.endpoint.id, e.retryAfter)
+// handleLateRetryAfter reports a late Retry-After to the policy engine, which would otherwise use
+// up attempts on an endpoint that is blocked.
+func (h *Host) handleLateRetryAfter(late lateRetryAfter) {
+	h.log.Debug("received Retry-After after the call timed out",
+		"endpoint", late.endpoint.id, "dest", late.endpoint.dest, "wait", late.retryAfter)
+	h.applyRetryAfter(late.endpoint, late.retryAfter)
+	h.relay.ApplyRetryAfter(h.now(), late.endpoint.id, late.retryAfter)
 }
--- a/internal/wire/waits_test.go
+++ b/internal/wire/waits_test.go
@@ -14,7 +14,8 @@
 	"oatfold/policy"
 )
 
-// acceptOneCall takes one connection, reads a call without a body from it, and hands the connection on once it was read whole.
+// acceptOneCall accepts one connection, reads a call without a body from it, and passes the
+// connection on.
 func acceptOneCall(t *testing.T) (addr string, called <-chan net.Conn) {
 	ln, socks := listen(t), make(chan net.Conn, 1)
 	go func() {
@@ -32,8 +33,11 @@
 	return ln.Addr().String(), socks
 }
 
-// startTestCall makes one call with an empty body to ep on a connection of its own, which wrap may replace.
-func startTestCall(ep *endpoint, listening *atomic.Int32, wrap func(net.Conn) net.Conn) (c *endpointConn, events chan any) {
+// startTestCall makes one call with an empty body to ep on a new connection, which wrap may
+// replace.
+func startTestCall(
+	ep *endpoint, listening *atomic.Int32, wrap func(net.Conn) net.Conn,
+) (c *endpointConn, events chan any) {
 	events = make(chan any, 9)
 	c = &endpointConn{endpoint: ep, calls: make(chan *call, 1), dialTimeout: time.Minute, lateListeners: listening}
 	c.dial = func(addr string, _ time.Duration) (net.Conn, error) {
@@ -50,23 +54,23 @@
 
 func unwrappedConn(sock net.Conn) net.Conn { return sock }
 
-// nextEvent is the next event, which must come.
+// nextEvent returns the next event, which has to arrive and to be an E.
 func nextEvent[E any](t *testing.T, events <-chan any) (e E) {
 	t.Helper()
 	select {
 	case got := <-events:
 		e, ok := got.(E)
 		if !ok {
-			t.Fatalf("%T in place of %T", got, e)
+			t.Fatalf("got %T, want %T", got, e)
 		}
 		return e
-	case <-time.After(20 * time.Second): // a bound for a hang, not a measure
-		t.Fatalf("waited in vain for %T", e)
+	case <-time.After(20 * time.Second): // only bounds a hang
+		t.Fatalf("no %T arrived", e)
 	}
 	return e
 }
 
-// chunkedReadConn is a connection on which each read brings the next part of an answer, and none is late.
+// chunkedReadConn is a connection on which each read returns the next part of an answer.
 type chunkedReadConn struct {
 	net.Conn
 	parts chan string
@@ -74,35 +78,35 @@
 
 func (p chunkedReadConn) Read(b []byte) (int, error) { return copy(b, <-p.parts), nil }
 
-// A wait binds once its line has come, however long the body of its answer takes.
-func TestWaitBindsBeforeItsBody(t *testing.T) {
+// Wait-Ms applies once its line has arrived, however long the body takes.
+func TestRetryAfterAppliesBeforeBody(t *testing.T) {
 	for _, line := range []string{"200 OK", "429 X", "503 X", "500 X"} {
 		addr, _ := acceptOneCall(t)
 		ep := &endpoint{addr: addr, backoff: &backoff{}}
 		parts := make(chan string, 1)
 		c, events := startTestCall(ep, nil, func(sock net.Conn) net.Conn { return chunkedReadConn{sock, parts} })
 		parts <- "HTTP/1.1 " + line + "\r\nWait-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo"
-		waitFor(t, "the gate to close", ep.backoff.active)
+		waitFor(t, "the backoff to start", ep.backoff.active)
 		parts <- "dy"
 		res := nextEvent[callResult](t, events)
 		if res.retryAfter != time.Minute || !res.reusable {
-			t.Errorf("%s: wait %v, kept %v, %v", line, res.retryAfter, res.reusable, res.err)
+			t.Errorf("%s: Retry-After %v, reusable %v, %v", line, res.retryAfter, res.reusable, res.err)
 		}
 		close(c.calls)
 	}
 }
 
-// A wait that was read binds, whatever the rest of its answer is.
-func TestWaitOfASpoiltAnswer(t *testing.T) {
+// Wait-Ms applies even if the rest of the answer is malformed.
+func TestRetryAfterOfMalformedAnswer(t *testing.T) {
 	for name, rest := range map[string]string{
-		"head cut":            "",
-		"no colon":            "no colon\r\n\r\n",
-		"two lengths":         "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhey",
-		"no length":           "Content-Length: -1\r\n\r\n",
-		"too long":            "Content-Length: 3000000000\r\n\r\n",
-		"body cut":            "Content-Length: 9\r\n\r\nhel",
-		"chunk cut":           "Transfer-Encoding: chunked\r\n\r\n9\r\nhel",
-		"more than an answer": "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
+		"head cut":             "",
+		"no colon":             "no colon\r\n\r\n",
+		"two lengths":          "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhey",
+		"no length":            "Content-Length: -1\r\n\r\n",
+		"too long":             "Content-Length: 3000000000\r\n\r\n",
+		"body cut":             "Content-Length: 9\r\n\r\nhel",
+		"chunk cut":            "Transfer-Encoding: chunked\r\n\r\n9\r\nhel",
+		"more than one answer": "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
 		addr, called := acceptOneCall(t)
 		ep := &endpoint{addr: addr, backoff: &backoff{}}
@@ -112,13 +116,14 @@
 		sock.Close()
 		res := nextEvent[callResult](t, events)
 		if res.retryAfter != time.Minute || !ep.backoff.active() || res.reusable {
-			t.Errorf("%s: wait %v, gate closed %v, kept %v", name, res.retryAfter, ep.backoff.active(), res.reusable)
+			t.Errorf("%s: Retry-After %v, backoff %v, reusable %v", name, res.retryAfter, ep.backoff.active(),
+				res.reusable)
 		}
 	}
 }
 
-// A call that times out is given up at once, and a wait that its late answer tells binds all the same.
-func TestWaitBehindTheEndOfItsCall(t *testing.T) {
+// A call that times out is given up at once, and Wait-Ms in its late answer still applies.
+func TestRetryAfterAfterTimeout(t *testing.T) {
 	addr, called := acceptOneCall(t)
 	ep := &endpoint{addr: addr, backoff: &backoff{}}
 	dialled := make(chan net.Conn, 1)
@@ -131,22 +136,23 @@
 	(<-dialled).SetReadDeadline(time.Unix(1, 0))
 	res := nextEvent[callResult](t, events)
 	if res.results[0].outcome != policy.TimedOut || res.reusable || ep.backoff.active() {
-		t.Fatalf("%+v, gate closed %v", res, ep.backoff.active())
+		t.Fatalf("%+v, backoff %v", res, ep.backoff.active())
 	}
 	if _, err := sock.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the call is not given up: %v", err)
+		t.Errorf("the call was not given up: %v", err)
 	}
 	io.WriteString(sock, httpResponse("429 X\r\nWait-Ms: 60000", ""))
-	if late := nextEvent[lateRetryAfter](t, events); late.retryAfter != time.Minute || late.endpoint != ep || !ep.backoff.active() {
-		t.Errorf("%+v, gate closed %v", late, ep.backoff.active())
+	if late := nextEvent[lateRetryAfter](t, events); late.retryAfter != time.Minute || late.endpoint != ep ||
+		!ep.backoff.active() {
+		t.Errorf("%+v, backoff %v", late, ep.backoff.active())
 	}
 	if n, err := sock.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Errorf("the connection goes on: %d bytes, %v", n, err)
+		t.Errorf("the connection is still open: %d bytes, %v", n, err)
 	}
-	waitFor(t, "its descriptor to be free", func() bool { return listening.Load() == 0 })
+	waitFor(t, "its descriptor to be released", func() bool { return listening.Load() == 0 })
 }
 
-// No more connections are listened to behind the end of their calls than descriptors are kept for: the next is closed.
+// A bounded number of connections is read after the call timed out. The next one is closed.
 func TestLateListenersAreBounded(t *testing.T) {
 	addr, called := acceptOneCall(t)
 	var listening atomic.Int32
@@ -163,11 +169,12 @@
 		t.Errorf("%+v", res)
 	}
 	if ours.SetDeadline(time.Time{}) == nil || listening.Load() != MaxLateListeners {
-		t.Errorf("its descriptor is open, %d are listened to", listening.Load())
+		t.Errorf("its descriptor is open, or %d listeners are counted", listening.Load())
 	}
 }
 
-// deadlineHookConn is a connection that tells of each deadline that is set for it, and of that for reads only.
+// deadlineHookConn calls a hook for each deadline that is set, for both directions or for reads
+// only.
 type deadlineHookConn struct {
 	net.Conn
 	both, reads func()
@@ -179,19 +186,19 @@
 	return h.Conn.SetReadDeadline(at)
 }
 
-// A wait, or a drain, that is learned as the call is built, or in the look before the last byte of a charge, keeps that
-// byte back: the call never ran.
-func TestWaitCrossesTheWrite(t *testing.T) {
+// A Retry-After or a drain that arrives while the call is built, or before the last byte of an
+// unsafe call, keeps that byte back: the call never ran.
+func TestRetryAfterDuringWrite(t *testing.T) {
 	none := func() {}
-	for name, shut := range map[string]func(*endpoint){
+	for name, block := range map[string]func(*endpoint){
 		"wait":  func(ep *endpoint) { ep.backoff.extend(time.Hour) },
 		"drain": func(ep *endpoint) { ep.state.Store(int32(policy.Draining)) },
 	} {
-		for _, careful := range []time.Duration{0, time.Millisecond} {
+		for _, lastByteDelay := range []time.Duration{0, time.Millisecond} {
 			addr, called := acceptOneCall(t)
 			ep := &endpoint{addr: addr, backoff: &backoff{}}
-			hook := deadlineHookConn{both: func() { shut(ep) }, reads: none}
-			if careful > 0 {
+			hook := deadlineHookConn{both: func() { block(ep) }, reads: none}
+			if lastByteDelay > 0 {
 				hook.both, hook.reads = none, hook.both
 			}
 			c := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
@@ -200,7 +207,8 @@
 				hook.Conn = sock
 				return hook, err
 			}
-			cl := &call{endpoint: ep, lastByteDelay: careful, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)}
+			cl := &call{endpoint: ep, lastByteDelay: lastByteDelay, items: []callItem{{id: "a"}},
+				deadline: time.Now().Add(time.Minute)}
 			go func() {
 				if sock := <-called; sock != nil {
 					io.WriteString(sock, httpResponse("200 OK", ""))
@@ -209,14 +217,14 @@
 			res := c.makeCall(cl)
 			c.close()
 			if res.results[0].outcome != policy.Unsent || !errors.Is(res.err, errBlocked) || res.reusable {
-				t.Errorf("%s, careful %v: %+v", name, careful, res)
+				t.Errorf("%s, last byte delay %v: %+v", name, lastByteDelay, res)
 			}
 		}
 	}
 }
 
-// What Wait-Ms may hold: whole and decimal milliseconds, more than once, more than any wait is kept, and what is none.
-func TestToldWait(t *testing.T) {
+// Wait-Ms may hold whole or decimal milliseconds, repeat, exceed the maximum or be malformed.
+func TestParseWaitMs(t *testing.T) {
 	for fields, want := range map[string]time.Duration{
 		"":                                 0,
 		"Wait-Ms: 250\r\n":                 250 * time.Millisecond,
@@ -248,7 +256,7 @@
 	}
 }
 
-// setSeparateRoute tells a host of a route of its own, and hands its endpoint out.
+// setSeparateRoute sets the state of an endpoint with a route of its own, and returns the endpoint.
 func setSeparateRoute(h *Host, id string, state policy.EndpointState) *endpoint {
 	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	h.applyEndpointList(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
@@ -256,9 +264,9 @@
 	return h.endpoints[id]
 }
 
-// An endpoint that leaves the list while a call to it is out, and is told of a wait only then, is bound by it when it
-// comes back, before or behind the call's end, and whether that end or a late answer tells it.
-func TestWaitOfACallThatOutlastsItsEndpoint(t *testing.T) {
+// A Retry-After for an endpoint that left the list during the call applies when it returns, whether
+// the result or a late answer carries it.
+func TestRetryAfterForRemovedEndpoint(t *testing.T) {
 	for _, back := range []string{"before", "behind"} {
 		for _, late := range []bool{false, true} {
 			h := bare(t)
@@ -278,19 +286,19 @@
 				setSeparateRoute(h, "r1", policy.Listed)
 			}
 			if ep := h.endpoints["r1"]; ep == was || !ep.backoff.active() {
-				t.Errorf("back %s the end, late %v: gate closed %v", back, late, ep.backoff.active())
+				t.Errorf("listed again %s the result, late %v: backoff %v", back, late, ep.backoff.active())
 			}
 			if other := setSeparateRoute(h, "r2", policy.Listed); other.backoff.active() {
-				t.Errorf("back %s the end, late %v: another is bound", back, late)
+				t.Errorf("listed again %s the result, late %v: another endpoint backs off", back, late)
 			}
 		}
 	}
 }
 
-// The module hears of a wait that came behind the end of its call, and uses up no attempt on the closed gate.
-func TestModuleHearsALateWait(t *testing.T) {
+// The policy engine learns of a late Retry-After and spends no attempt on a blocked endpoint.
+func TestPolicyReceivesLateRetryAfter(t *testing.T) {
 	h := bare(t)
-	h.step(h.now()) // it knows the list
+	h.step(h.now()) // the policy engine takes in the list
 	ep := h.endpoints["s-1"]
 	ep.backoff.extend(time.Hour)
 	h.take(lateRetryAfter{ep, time.Hour})
@@ -298,6 +306,6 @@
 	h.arrivals = append(h.arrivals, m)
 	h.step(h.now())
 	if len(h.begun) > 0 || m.Attempts > 0 {
-		t.Errorf("%d calls into a closed gate", len(h.begun))
+		t.Errorf("%d calls to a blocked endpoint", len(h.begun))
 	}
 }
