--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -12,56 +12,59 @@
 	"oatfold/internal/spread"
 )
 
-// What discovery has to tell counts as told after 6 s even if it did not arrive: a watch that hangs unseen must
-// be given up, and asked anew, well before that.
+// A relay counts as informed 6 s after discovery has an update. A watch that hangs has to be given
+// up and reopened well before that.
 const (
-	watchHold         = 3 * time.Second // how long a watch may wait for news
-	watchAnswerMargin = time.Second     // and how much longer we wait for its answer
+	watchHold         = 3 * time.Second // how long discovery may wait for an update
+	watchAnswerMargin = time.Second     // and how much longer the relay waits for the answer
 
-	minWatchBackoff      = 100 * time.Millisecond // after a failure; under the 200 ms that keep a watch going
-	silentWatchBackoff   = 50 * time.Millisecond  // the same after a silent one, which was a pause by itself
-	watchBackoffPerRelay = 25 * time.Millisecond  // of the longest pause for each relay of the fleet
+	minWatchBackoff      = 100 * time.Millisecond // after a failure; a watch has to be renewed within 200 ms
+	silentWatchBackoff   = 50 * time.Millisecond  // after a request without an answer, which was a pause by itself
+	watchBackoffPerRelay = 25 * time.Millisecond  // of the longest pause, per relay of the fleet
 
-	// maxWatchBackoff is the pause after many failures, and half as long again at most. Guards against a change that counts as told 6 s after
-	// discovery had it, whatever failed before: a question that hangs for all of its time, fails and is followed by the longest pause ends
-	// within 5 s.
+	// maxWatchBackoff is the pause after many failures; jitter adds up to half of it. A request
+	// that hangs for its whole timeout and the longest pause must end within 5 s, since a relay
+	// counts as informed 6 s after discovery has an update.
 	maxWatchBackoff   = 500 * time.Millisecond
-	pollTimePerRelay  = 100 * time.Millisecond // of discovery's time for each relay, where lists are asked for and not pushed
-	maxFirstPollDelay = 9 * time.Second        // before the first question: who has not asked for 10 s counts as told
+	pollTimePerRelay  = 100 * time.Millisecond // time that discovery needs per relay, where lists are polled
+	maxFirstPollDelay = 9 * time.Second        // a relay that has not polled for 10 s counts as informed
 
-	// maxPollBackoff is the pause after many failures where lists are asked for, unless discovery needs longer for the whole fleet.
+	// maxPollBackoff is the pause after many failures where lists are polled, unless discovery
+	// needs longer for the whole fleet.
 	maxPollBackoff = time.Second
 )
 
-// listWatcher says how a watch goes about its questions.
+// listWatcher holds the parameters and the retry state of a watch.
 type listWatcher struct {
 	addr           string
-	generation     int64 // generation of the list that the relay was given, -1: none
+	generation     int64 // of the list that the relay started with; -1: none
 	fleetSize      int   // relays that share discovery
-	polled         bool  // lists come only to those that ask, and discovery serves so many a second
-	seed           int64 // of this relay's own draws
+	polled         bool  // discovery does not push lists, and limits the requests per second
+	seed           int64 // for jitter
 	failureBackoff *spread.Backoff
 	silenceBackoff *spread.Backoff
-	onPause        func(time.Duration) // nil but in tests: told of each pause
-	dial           dialFunc            // nil but in tests
+	onPause        func(time.Duration) // set by tests only: called with each pause
+	dial           dialFunc            // set by tests only
 }
 
-// firstDelay is when the first question goes out. Risk: all relays of a release start at once, discovery serves some ten of their questions
-// a second, turns the others away, and what it turns away uses up its time as well: most relays then never hear of a change.
-// So each takes a moment of its own in the time that discovery needs for all of them; a fleet that it pushes to need not.
+// firstDelay returns the delay before the first request and sets up the backoffs. Where lists are
+// polled, all relays of a release start at once and discovery rejects most of their requests, which
+// uses up its capacity as well. So each relay draws a delay from the time that discovery needs for
+// all of them. A discovery that pushes its lists needs no delay.
 func (w *listWatcher) firstDelay() time.Duration {
-	fleet, least := time.Duration(min(max(1, w.fleetSize), 1000)), minWatchBackoff
-	most := min(max(minWatchBackoff, fleet*watchBackoffPerRelay), maxWatchBackoff)
-	var first time.Duration
+	fleet, minPause := time.Duration(min(max(1, w.fleetSize), 1000)), minWatchBackoff
+	maxPause := min(max(minWatchBackoff, fleet*watchBackoffPerRelay), maxWatchBackoff)
+	var delay time.Duration
 	if w.polled && fleet > 1 {
-		least = min(max(minWatchBackoff, fleet*pollTimePerRelay), maxFirstPollDelay)
-		if most = maxPollBackoff; least > maxPollBackoff {
-			most = 2 * maxFirstPollDelay // so many would keep it shut
+		minPause = min(max(minWatchBackoff, fleet*pollTimePerRelay), maxFirstPollDelay)
+		if maxPause = maxPollBackoff; minPause > maxPollBackoff {
+			maxPause = 2 * maxFirstPollDelay // faster retries would keep discovery overloaded
 		}
-		first = spread.Within(least, w.seed)
+		delay = spread.Within(minPause, w.seed)
 	}
-	w.failureBackoff, w.silenceBackoff = spread.NewBackoff(least, most, w.seed), spread.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
-	return first
+	w.failureBackoff, w.silenceBackoff = spread.NewBackoff(minPause, maxPause, w.seed),
+		spread.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
+	return delay
 }
 
 // endpointListUpdate is an answer of discovery to one watch.
@@ -70,45 +73,48 @@
 	watchCtx context.Context
 }
 
-// watchEndpointList keeps the pool config up to date until ctx ends: the whole list first, or what has changed in the one that the relay was
-// given, then changes. A silent or failing discovery changes nothing but the log.
+// watchEndpointList keeps the endpoint list up to date until ctx ends: first the whole list, or the
+// changes to the list that the relay started with, then changes. While discovery is silent or
+// fails, the list stays as it is.
 func watchEndpointList(ctx context.Context, w listWatcher, events chan<- any, log *slog.Logger) {
-	p := &agentConn{addr: w.addr, dial: w.dial}
-	defer p.close()
-	have, failing, told := int64(-1), false, false
+	conn := &agentConn{addr: w.addr, dial: w.dial}
+	defer conn.close()
+	known, failing, reported := int64(-1), false, false
 	sleep(ctx, w.firstDelay())
 	if w.polled {
-		have = w.generation // one question in place of two
+		known = w.generation // saves the request for the whole list
 	}
 	for ctx.Err() == nil {
 		path := "/v1/endpoints"
-		if have >= 0 {
-			path = fmt.Sprintf("/v1/endpoints?from=%d&hold_ms=%d", have, watchHold.Milliseconds())
+		if known >= 0 {
+			path = fmt.Sprintf("/v1/endpoints?from=%d&hold_ms=%d", known, watchHold.Milliseconds())
 		}
-		a, err := p.roundTrip(ctx, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, w.addr), watchHold+watchAnswerMargin)
+		a, err := conn.roundTrip(ctx,
+			fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, w.addr), watchHold+watchAnswerMargin)
 		silent := errors.Is(err, os.ErrDeadlineExceeded)
-		var pc memory.EndpointList
+		var list memory.EndpointList
 		if err == nil && a.status != 200 {
 			err = fmt.Errorf("status %d", a.status)
 		}
 		if err == nil {
-			pc, err = memory.ParseEndpointList(string(a.body))
+			list, err = memory.ParseEndpointList(string(a.body))
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && !pc.Complete && pc.Generation < have {
-			// Guards against changes from before what is known: they would bring back what has drained or gone since.
-			err, have = fmt.Errorf("generation %d after %d", pc.Generation, have), -1
+		if err == nil && !list.Complete && list.Generation < known {
+			// Outdated changes would bring back endpoints that have drained or left since.
+			err, known = fmt.Errorf("generation %d is older than %d", list.Generation, known), -1
 		}
-		log.Debug("asked discovery", "path", path, "generation", pc.Generation, "entries", len(pc.Entries), "err", err)
+		log.Debug("requested endpoint list from discovery",
+			"path", path, "generation", list.Generation, "entries", len(list.Entries), "err", err)
 		if err != nil {
 			if !failing {
-				log.Warn("discovery fails, the pool config stays as it is", "address", w.addr, "err", err)
+				log.Warn("discovery request failed, the endpoint list stays as it is", "address", w.addr, "err", err)
 			}
 			failing = true
 			if silent && !w.polled {
-				// Guards against the news of an agent that comes back while nobody asks: they count as told at once.
+				// Ask again quickly: once the agent is back, its updates count as known at once.
 				w.pause(ctx, w.silenceBackoff.Failed())
 				continue
 			}
@@ -116,20 +122,21 @@
 			continue
 		}
 		if failing {
-			log.Info("discovery answers again", "generation", pc.Generation)
+			log.Info("discovery request succeeded again", "generation", list.Generation)
 		}
 		failing = false
 		w.failureBackoff.Worked()
-		if have < 0 {
-			pc.Complete = true
+		if known < 0 {
+			list.Complete = true
 		}
-		if have = pc.Generation; !told || pc.Complete || len(pc.Entries) > 0 {
-			told = true
-			events <- endpointListUpdate{pc, ctx}
+		if known = list.Generation; !reported || list.Complete || len(list.Entries) > 0 {
+			reported = true
+			events <- endpointListUpdate{list, ctx}
 		}
 	}
 }
 
+// pause waits for d, or until ctx ends.
 func (w *listWatcher) pause(ctx context.Context, d time.Duration) {
 	if w.onPause != nil {
 		w.onPause(d)
--- a/internal/wire/watch_test.go
+++ b/internal/wire/watch_test.go
@@ -6,64 +6,67 @@
 	"time"
 )
 
-// rateLimitedDiscovery is a discovery that serves so many questions a second; what it turns away uses its time up as well.
+// rateLimitedDiscovery serves a limited rate of requests. Rejected ones use up its capacity as
+// well.
 type rateLimitedDiscovery struct {
-	rate, room, tokens float64
-	at                 time.Duration
+	rate, capacity, tokens float64
+	at                     time.Duration
 }
 
 func (o *rateLimitedDiscovery) serves(now time.Duration) bool {
-	o.tokens, o.at = min(o.room, o.tokens+o.rate*(now-o.at).Seconds()), now
+	o.tokens, o.at = min(o.capacity, o.tokens+o.rate*(now-o.at).Seconds()), now
 	ok := o.tokens >= 1
 	o.tokens = max(0, o.tokens-1)
 	return ok
 }
 
-// simulateFirstPolls plays the first questions of a fleet whose relays all start at once, and returns how many were served by the given time.
-func simulateFirstPolls(fleet int, by time.Duration, asked bool) (served, turnedAway int) {
+// simulateFirstPolls plays the first polls of a fleet whose relays start at once, and returns how
+// many were served and rejected by the given time.
+func simulateFirstPolls(fleet int, by time.Duration, polled bool) (served, rejected int) {
 	type relay struct {
 		w    listWatcher
 		next time.Duration
 	}
 	var all []*relay
 	for n := range fleet {
-		r := &relay{w: listWatcher{fleetSize: fleet, polled: asked, seed: int64(n)*7919 + 1}}
+		r := &relay{w: listWatcher{fleetSize: fleet, polled: polled, seed: int64(n)*7919 + 1}}
 		r.next = r.w.firstDelay()
 		all = append(all, r)
 	}
-	d := &rateLimitedDiscovery{rate: 10, room: 10, tokens: 10}
+	discovery := &rateLimitedDiscovery{rate: 10, capacity: 10, tokens: 10}
 	for len(all) > 0 {
 		slices.SortFunc(all, func(a, b *relay) int { return int(a.next - b.next) })
 		r := all[0]
 		if r.next > by {
 			break
 		}
-		if d.serves(r.next) {
+		if discovery.serves(r.next) {
 			served, all = served+1, all[1:]
 		} else {
-			turnedAway++
+			rejected++
 			r.next += r.w.failureBackoff.Failed()
 		}
 	}
-	return served, turnedAway
+	return served, rejected
 }
 
-// A fleet that starts at once hears of the list within the time that discovery needs for it, whatever its size; without turns the questions
-// that are turned away would keep it shut.
-func TestListQuestionsTakeTurns(t *testing.T) {
+// A fleet that starts at once gets its list within the time that discovery needs for it. Without
+// staggering, rejected requests would keep discovery overloaded.
+func TestFirstPollsAreStaggered(t *testing.T) {
 	for _, fleet := range []int{1, 3, 80, 200} {
 		by := time.Duration(fleet)*pollTimePerRelay*5/2 + time.Second
-		if served, away := simulateFirstPolls(fleet, by, true); served < fleet*95/100 || away > 2*fleet {
-			t.Errorf("%d relays: %d served within %v, %d turned away", fleet, served, by, away)
+		if served, rejected := simulateFirstPolls(fleet, by, true); served < fleet*95/100 || rejected > 2*fleet {
+			t.Errorf("%d relays: %d served within %v, %d rejected", fleet, served, by, rejected)
 		}
 	}
 	if served, _ := simulateFirstPolls(80, 20*time.Second, false); served > 40 {
-		t.Errorf("without turns %d of 80 are served: the model shows no trouble", served)
+		t.Errorf("without staggering %d of 80 are served: the model shows no overload", served)
 	}
 }
 
-// A fleet told nothing of its size, or something senseless, asks all the same, and a fleet that is pushed to asks at once.
-func TestFirstQuestion(t *testing.T) {
+// A missing or absurd fleet size does not prevent the first request. Pushed lists are requested at
+// once.
+func TestFirstRequestDelay(t *testing.T) {
 	for _, fleet := range []int{-1, 0, 1} {
 		w := listWatcher{fleetSize: fleet, polled: true}
 		if d := w.firstDelay(); d != 0 {
@@ -71,34 +74,35 @@
 		}
 	}
 	if w := (listWatcher{fleetSize: 80}); w.firstDelay() != 0 {
-		t.Error("a pushed list waits")
+		t.Error("the request for a pushed list is delayed")
 	}
-	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay || w.failureBackoff.Failed() > 3*maxFirstPollDelay {
+	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay ||
+		w.failureBackoff.Failed() > 3*maxFirstPollDelay {
 		t.Error("a huge fleet waits longer than any relay may")
 	}
 }
 
-// updateDeadline is how long after discovery has a change, and can be reached, it counts as told.
+// updateDeadline is when a relay counts as informed of an update that discovery has.
 const updateDeadline = 6 * time.Second
 
-// Whatever failed before, a question that hangs for all of its time as discovery comes back, fails and is followed by the longest pause leaves
-// time for the next one to be answered. Where lists are asked for, that holds for fleets that discovery can serve.
-func TestPausesLeaveTimeForNews(t *testing.T) {
-	const answered = 500 * time.Millisecond // that the next question may take
-	for _, asked := range []bool{false, true} {
+// A request that hangs for its whole timeout and the longest pause after it leave time for the next
+// request. Where lists are polled, that holds for fleets that discovery can serve.
+func TestPausesLeaveTimeForUpdates(t *testing.T) {
+	const nextRequest = 500 * time.Millisecond // that the next request may take
+	for _, polled := range []bool{false, true} {
 		for _, fleet := range []int{0, 1, 3, 8, 300, 1000} {
-			if asked && time.Duration(fleet)*pollTimePerRelay > maxPollBackoff {
+			if polled && time.Duration(fleet)*pollTimePerRelay > maxPollBackoff {
 				continue
 			}
-			w := listWatcher{fleetSize: fleet, polled: asked, seed: int64(fleet)}
+			w := listWatcher{fleetSize: fleet, polled: polled, seed: int64(fleet)}
 			w.firstDelay()
 			var longest time.Duration
 			for range 1000 {
 				longest = max(longest, w.failureBackoff.Failed(), w.silenceBackoff.Failed())
 			}
-			hangs := max(watchHold+watchAnswerMargin, agentDialTimeout)
-			if hangs+longest+answered > updateDeadline {
-				t.Errorf("fleet of %d, asked %v: a pause of %v behind a question of %v", fleet, asked, longest, hangs)
+			hang := max(watchHold+watchAnswerMargin, agentDialTimeout)
+			if hang+longest+nextRequest > updateDeadline {
+				t.Errorf("fleet of %d, polled %v: a pause of %v after a request of %v", fleet, polled, longest, hang)
 			}
 		}
 	}
