--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -175,7 +175,7 @@
 				if oldest == nil || since.Before(s.conns[oldest]) {
 					oldest = c
 				}
-				if (silent == nil || since.Before(s.conns[silent])) && !wire.Waiting(c) {
+				if (silent == nil || since.Before(s.conns[silent])) && !wire.HasUnreadBytes(c) {
 					silent = c
 				}
 			}
@@ -213,7 +213,7 @@
 	}()
 	sock.SetReadDeadline(time.Now().Add(headFor))
 	r := bufio.NewReader(sock)
-	method, target, body, err := wire.ReadCall(r)
+	method, target, body, err := wire.ReadRequestHead(r)
 	status, text := 400, []byte(nil)
 	switch {
 	case err == nil:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,10 +69,10 @@
 	folder            *rooms.Folder
 	room              *rooms.Room
 	host              *wire.Host
-	serving           atomic.Pointer[wire.Host]  // nil: there is none yet
-	zones             []string                   // names, as configured at the start
-	front             atomic.Pointer[wire.Front] // nil: it does not serve yet
-	standby           atomic.Bool                // it could, and waits for the baton
+	serving           atomic.Pointer[wire.Host]   // nil: there is none yet
+	zones             []string                    // names, as configured at the start
+	front             atomic.Pointer[wire.Server] // nil: it does not serve yet
+	standby           atomic.Bool                 // it could, and waits for the baton
 	notes             *wire.GossipSocket
 	holder            *plugin.Holder
 	count             *figures.Set
@@ -171,21 +171,21 @@
 		}
 	}
 	set := hostConfig(c)
-	set.Zones, set.Home, set.Sites = c.Zones, r.home(), plan
-	set.Plugins, set.Figures = r.holder, r.count
+	set.ZoneNames, set.HomeZone, set.Sites = c.Zones, r.home(), plan
+	set.Plugins, set.Metrics = r.holder, r.count
 	set.Table, set.Journal, set.Log = table, kept, log
-	set.Dates = r.folder.Dates()
+	set.DateScale = r.folder.Dates()
 	set.Standby = !active || r.shared()
 	if active {
 		if r.listenNotes(); r.notes != nil {
-			set.Notes, set.Among = r.notes, among(c)
+			set.GossipSocket, set.Identity = r.notes, among(c)
 		}
 	}
 	if r.host, err = wire.NewHost(set); err != nil {
 		return err
 	}
 	r.serving.Store(r.host)
-	r.host.Watch(c.Discovery)
+	r.host.StartPlatformClient(c.Discovery)
 	ended := make(chan struct{})
 	done := make(chan struct{})
 	go func() { r.host.Run(ended); close(done) }()
@@ -232,7 +232,7 @@
 			// Guards against a disk limit that the journal here and the room of one that stands by go over together.
 			if used := r.folder.Used(r.room); !r.inheriting.Load() && used != r.others {
 				r.others = used
-				r.host.Share(r.disk(), used, true)
+				r.host.SetJournalShare(r.disk(), used, true)
 			}
 			r.tellDrain()
 		case p := <-r.loading:
@@ -254,7 +254,7 @@
 // enter takes the baton and the room that goes with it, or a room to stand by in.
 func (r *relay) enter() (active bool, err error) {
 	// Guards against a process of an earlier version, which knows no baton: its journal must not be opened beside it.
-	if err := r.starting("address can't be looked at", func() error { return wire.Free(r.c.Listen) }); err != nil {
+	if err := r.starting("address can't be looked at", func() error { return wire.CheckAddress(r.c.Listen) }); err != nil {
 		return false, fmt.Errorf("listen: %w", err)
 	}
 	for _, step := range []func() error{
@@ -353,17 +353,17 @@
 	if leaving {
 		clients = max(1, clients/2)
 	}
-	front := wire.NewFront(ln, &r.c.Settings, clients, r.host.Events(), r.log)
-	front.Plug(r.holder)
-	front.Count(r.count)
+	front := wire.NewServer(ln, &r.c.Settings, clients, r.host.Events(), r.log)
+	front.SetPlugins(r.holder)
+	front.SetMetrics(r.count)
 	if r.host.Activate() || r.folder.Drained() {
-		front.Turn(drain.Fail)
+		front.HandleDrainEvent(drain.Fail)
 	}
 	go front.Serve()
 	if !leaving {
 		giveBack()
 	}
-	front.Turn(drain.Started)
+	front.HandleDrainEvent(drain.Started)
 	r.front.Store(front)
 	if err := r.room.Say(rooms.Serving); err != nil {
 		r.log.Warn("the state folder takes no word: an upgrade won't be seen", "err", err)
@@ -376,8 +376,8 @@
 	return follow, nil
 }
 
-func among(c *config.Config) wire.Among {
-	return wire.Among{Me: c.Me, Members: c.Members, Zone: c.Zone, Choices: c.Choices}
+func among(c *config.Config) wire.FleetIdentity {
+	return wire.FleetIdentity{Number: c.Me, MembershipEnabled: c.Members, Zone: c.Zone, Choices: c.Choices}
 }
 
 // listenNotes opens the socket between relays. Notes are a help: where it can't be had, the relay serves without.
@@ -413,7 +413,7 @@
 			if on {
 				e = drain.Fail
 			}
-			f.Turn(e)
+			f.HandleDrainEvent(e)
 			go r.markDrain()
 			return true
 		}}
--- a/internal/daemon/inherit.go
+++ b/internal/daemon/inherit.go
@@ -105,7 +105,7 @@
 			return err
 		}
 		n, part := copyPart(left, handover.Part(h.free()))
-		if !h.wait(h.host.Adopt(wire.Passed{Msgs: part})) {
+		if !h.wait(h.host.Adopt(wire.Transfer{Messages: part})) {
 			return h.ctx.Err()
 		}
 		for _, m := range left[:n] {
@@ -116,7 +116,7 @@
 		}
 		left = left[n:]
 	}
-	if !h.wait(h.host.Adopt(wire.Passed{Overs: i.table.CompletedIDs()})) {
+	if !h.wait(h.host.Adopt(wire.Transfer{CompletedIDs: i.table.CompletedIDs()})) {
 		return h.ctx.Err()
 	}
 	return h.folder.Clear(i.room)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -115,13 +115,13 @@
 
 func hostConfig(c *config.Config) wire.HostConfig {
 	_, idle := sockets(c)
-	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout, Reports: c.Reports,
-		IdleMost: idle, Known: c.Known, DiskBytes: c.DiskBytes}
+	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout, LoadReports: c.Reports,
+		MaxIdleConns: idle, KnownEndpoints: c.Known, JournalBytes: c.DiskBytes}
 }
 
 // reload puts the configuration as it is now in force and returns it. Guards against a file that is wrong or half
 // written: it is read and checked whole before anything changes, and the old one stays.
-func reload(old *config.Config, got read, host *wire.Host, front *wire.Front, log *slog.Logger) *config.Config {
+func reload(old *config.Config, got read, host *wire.Host, front *wire.Server, log *slog.Logger) *config.Config {
 	c, err := got.c, got.err
 	if err == nil {
 		err = host.Reload(hostConfig(c), c.Discovery)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -45,29 +45,29 @@
 
 // stopping serves on for a moment, closes the front socket, finishes the calls that are out and leaves the
 // rest in the journal.
-func stopping(host *wire.Host, front *wire.Front, log *slog.Logger) {
+func stopping(host *wire.Host, front *wire.Server, log *slog.Logger) {
 	began := time.Now()
 	log.Info("stopping")
-	front.Turn(drain.Stop)
+	front.HandleDrainEvent(drain.Stop)
 	host.SetLeaving(true)
 	time.Sleep(drain.ServeOn)
 	leaving, quiet, read := false, false, false
 	for time.Since(began) < leaveBy {
 		held, out := host.Load()
 		// Guards against a connection that is accepted between two looks: once nothing is accepted, none is added.
-		if accepting := front.Accepting(); !accepting && front.Busy() == 0 && out == 0 && (held == 0 || quiet) {
+		if accepting := front.Accepting(); !accepting && front.OpenConnections() == 0 && out == 0 && (held == 0 || quiet) {
 			break
 		}
 		if !leaving && time.Since(began) >= riskOn {
-			host.Leave()
+			host.PrepareStop()
 			leaving = true
 		}
 		if !quiet && time.Since(began) >= stepOn {
-			host.Quiet()
+			host.StopSteps()
 			quiet = true
 		}
 		if !read && time.Since(began) >= readOn {
-			front.EndReads()
+			front.StopReads()
 			read = true
 		}
 		time.Sleep(lookTurn)
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -37,7 +37,7 @@
 
 // take takes over what is there, and tells whether a process is still leaving.
 func (h *successor) take() (leaving bool) {
-	h.host.LookBegins()
+	h.host.BeginTransferScan()
 	var held []string
 	var fallen []*rooms.Room
 	err := h.patiently("rooms of other processes can't be looked at", func() (err error) {
@@ -65,20 +65,20 @@
 		}
 		clear(h.latest)
 		h.folder.Sweep()
-		h.wait(h.host.Adopt(wire.Passed{Last: true}))
+		h.wait(h.host.Adopt(wire.Transfer{LastProcess: true}))
 	} else if h.ctx.Err() == nil {
-		h.host.LookEnded()
+		h.host.EndTransferScan()
 	}
-	h.host.Share(h.disk(), h.folder.Used(h.room), !leaving)
+	h.host.SetJournalShare(h.disk(), h.folder.Used(h.room), !leaving)
 	return leaving
 }
 
 // follow goes on until nobody is leaving.
 func (h *successor) follow() {
 	_, idle := sockets(h.c)
-	h.host.Idle(idle / 2)
+	h.host.SetMaxIdleConns(idle / 2)
 	if h.listenNotes(); h.notes != nil {
-		h.host.Tell(h.notes, among(h.c))
+		h.host.StartGossip(h.notes, among(h.c))
 	}
 	for h.take() {
 		select {
@@ -91,7 +91,7 @@
 		return
 	}
 	clients, idle := sockets(h.c)
-	h.host.Idle(idle)
+	h.host.SetMaxIdleConns(idle)
 	h.front.Load().Configure(&h.c.Settings, clients)
 	h.inheriting.Store(false)
 	h.log.Info("the process before has left, all is taken over")
@@ -106,7 +106,7 @@
 	case <-h.ctx.Done():
 	}
 	for {
-		records := h.host.TakesRecords()
+		records := h.host.JournalWritable()
 		select {
 		case <-done:
 			return true
@@ -146,7 +146,7 @@
 		if !leaving {
 			news = &handover.News{Numbers: news.Numbers} // who gave it is gone, perhaps for long
 		}
-		if h.wait(h.host.Adopt(wire.Passed{From: from, Msgs: msgs, News: news})) {
+		if h.wait(h.host.Adopt(wire.Transfer{Sender: from, Messages: msgs, Update: news})) {
 			h.adopted(name, from, news, len(msgs) > 0)
 		}
 	}
@@ -191,7 +191,7 @@
 		return false
 	}
 	began, front := time.Now(), r.front.Load()
-	r.host.Share(r.disk(), r.folder.Used(r.room), false)
+	r.host.SetJournalShare(r.disk(), r.folder.Used(r.room), false)
 	if r.host.HandOver(r.folder.Give, front.Drained(), handover.Part(r.free())) != nil {
 		return false
 	}
@@ -203,20 +203,20 @@
 	if err := r.folder.Pass(); err != nil {
 		r.log.Error("the baton is not given up before this process ends", "err", err)
 	}
-	front.Turn(drain.HandOver)
+	front.HandleDrainEvent(drain.HandOver)
 	facts, letGo, read := handover.Facts{}, false, false
 	for {
 		if len(r.folder.Given()) < givenMost {
-			r.host.Give(handover.Part(r.free()))
+			r.host.TransferRemaining(handover.Part(r.free()))
 		}
 		// In this order: once nothing is accepted, no connection is added.
 		facts.Accepting = front.Accepting()
-		facts.Since, facts.Clients = time.Since(began), front.Busy()
+		facts.Since, facts.Clients = time.Since(began), front.OpenConnections()
 		if !read && facts.Since >= readOn {
-			front.EndReads()
+			front.StopReads()
 			read = true
 		}
-		facts.Held, facts.Out, facts.StaysBehind = r.host.Left()
+		facts.Held, facts.Out, facts.StaysBehind = r.host.Remaining()
 		facts.Taken = facts.Taken || slices.ContainsFunc(held, func(name string) bool { return r.folder.Said(name) == rooms.Serving })
 		switch handover.Next(facts) {
 		case handover.Exit:
@@ -224,7 +224,7 @@
 			return true
 		case handover.LetGo:
 			if !letGo {
-				front.LetGo()
+				front.StopListening()
 			}
 			letGo = true
 		}
--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -61,7 +61,7 @@
 
 // malformedAnswer reports whether the bytes received are no valid answer.
 func malformedAnswer(err error) bool {
-	for _, e := range []error{errLine, errHeader, errLength, errTooLong, errHead, errInterim} {
+	for _, e := range []error{errFirstLine, errHeader, errLength, errBodyTooLong, errHeaderTooLong, errTooManyInterim} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -99,6 +99,6 @@
 // accepts no further connections: a 503 without Wait-Ms and Slots-Taken that closes the connection.
 // It must not count as a rejection for exceeding the rate, or this relay would slow down while
 // relays with idle connections keep the endpoint to themselves.
-func atConnectionLimit(a *answer) bool {
-	return a.status == 503 && !a.keep && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
+func atConnectionLimit(a *response) bool {
+	return a.status == 503 && !a.reusable && a.get("Wait-Ms") == "" && a.get("Slots-Taken") == ""
 }
--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -26,26 +26,26 @@
 		// Never call an endpoint of another destination or send a second copy, whatever the policy
 		// engine says.
 		h.log.Error("policy engine requested an impossible send", "message", m.ID, "endpoint", send.Endpoint)
-		h.pending = append(h.pending,
+		h.pendingEvents = append(h.pendingEvents,
 			policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: send.Endpoint, Outcome: policy.Unsent})
 		m.Attempts++
 		return calls
 	}
-	cl, separate := openCalls[send.Endpoint], h.behindNotice(m)
-	tooLong := cl != nil && len(cl.items) < h.kindOf[h.kinds[m.Dest]].MaxBatch &&
+	cl, separate := openCalls[send.Endpoint], h.blockedByNotification(m)
+	tooLong := cl != nil && len(cl.items) < h.kindSettings[h.destKinds[m.Dest]].MaxBatch &&
 		cl.batchSize+maxItemSize(m.ID, m.IdempotencyKey, m.BodySize()) > maxBody
-	if tooLong || separate || cl == nil && h.parksOne(calls, ep) {
+	if tooLong || separate || cl == nil && h.anyAwaitsNotification(calls, ep) {
 		// Start another call, within the concurrency limit, if the batch body would be too long or
 		// if the whole batch would have to wait for one message's notification.
-		if cl = nil; len(h.calls)+len(h.lent)+len(calls) >= h.set.MaxConcurrentCalls {
-			h.pending = append(h.pending,
+		if cl = nil; len(h.calls)+len(h.inheritedCalls)+len(calls) >= h.settings.MaxConcurrentCalls {
+			h.pendingEvents = append(h.pendingEvents,
 				policy.AttemptEnded{ID: m.Number, Attempt: m.Attempts, Endpoint: send.Endpoint, Outcome: policy.Unsent})
 			m.Attempts++
 			return calls
 		}
 	}
-	if cl == nil || len(cl.items) >= max(1, h.kindOf[h.kinds[m.Dest]].MaxBatch) {
-		cl = &call{endpoint: ep, kind: h.kinds[m.Dest], startedAt: now}
+	if cl == nil || len(cl.items) >= max(1, h.kindSettings[h.destKinds[m.Dest]].MaxBatch) {
+		cl = &call{endpoint: ep, kind: h.destKinds[m.Dest], startedAt: now}
 		if calls = append(calls, cl); !separate {
 			openCalls[send.Endpoint] = cl
 		}
@@ -128,7 +128,7 @@
 // registerCall registers a call, which is made once it is recorded in the journal.
 func (h *Host) registerCall(cl *call) {
 	for i := range cl.items {
-		if it := &cl.items[i]; it.expiresAt >= cl.startedAt+cl.timeout-h.set.Tick {
+		if it := &cl.items[i]; it.expiresAt >= cl.startedAt+cl.timeout-h.settings.Tick {
 			// The call ends soon enough and reports the result. Reporting the item earlier would
 			// free a place in the concurrency limit that the connection still uses.
 			continue
@@ -137,27 +137,27 @@
 		}
 	}
 	h.calls[cl] = struct{}{}
-	if h.parks(cl) {
-		h.parked = append(h.parked, cl)
+	if h.awaitsNotification(cl) {
+		h.callsAwaitingNotification = append(h.callsAwaitingNotification, cl)
 		return
 	}
-	h.begun = append(h.begun, cl)
+	h.uncommittedCalls = append(h.uncommittedCalls, cl)
 }
 
 // dispatch hands a recorded call to a connection.
 func (h *Host) dispatch(cl *call) {
 	// The timeout counts from the step, not from the end of the journal write.
-	cl.deadline = h.start.Add(cl.startedAt + cl.timeout)
+	cl.deadline = h.startedAt.Add(cl.startedAt + cl.timeout)
 	c := h.takeIdleConn(cl.endpoint)
 	if c == nil {
 		c = &endpointConn{
 			endpoint:      cl.endpoint,
 			calls:         make(chan *call, 1),
 			dialTimeout:   h.dialTimeout,
-			lateListeners: &h.listening,
-			shutdown:      &h.leaving,
+			lateListeners: &h.lateListeners,
+			shutdown:      &h.shutdownStage,
 			plugins:       h.plugins,
-			metrics:       h.figures,
+			metrics:       h.metrics,
 		}
 		go c.run(h.events)
 	}
@@ -168,19 +168,19 @@
 func (h *Host) handleCallResult(result callResult) {
 	now := h.now()
 	delete(h.calls, result.call)
-	h.shared(result)
+	h.reportCallToFleet(result)
 	h.recordSiteResult(result, now)
 	h.applyRetryAfter(result.call.endpoint, result.retryAfter)
-	if !h.reports {
+	if !h.loadReports {
 		result.report = nil // the settings describe no load reports
 	}
 	if result.conn != nil && result.reusable {
 		result.conn.lastUsed = time.Now()
-		if result.conn.endpoint.removed() || h.giving != nil {
+		if result.conn.endpoint.removed() || h.sendToSuccessor != nil {
 			close(result.conn.calls)
 		} else {
 			result.conn.endpoint.idle = append(result.conn.endpoint.idle, result.conn)
-			result.conn.idleNode = h.idle.Push(result.conn)
+			result.conn.idleNode = h.idleConns.Push(result.conn)
 			h.limitIdleConns()
 		}
 	}
@@ -215,15 +215,15 @@
 			}
 		}
 		if r.outcome == policy.Delivered && m.Notification == nil {
-			h.figures.Ended(m.Class, figures.Delivered)
-			h.over(m)
+			h.metrics.Ended(m.Class, figures.Delivered)
+			h.complete(m)
 		} else if r.final {
 			// The endpoint says that the message is completed. Its client may have left before it
 			// read the 202, so that the platform still counts the message as accepted. A
 			// superfluous notification does no harm.
-			h.finish(m.Number, memory.Notification{})
+			h.completeByNotification(m.Number, memory.Notification{})
 		} else if r.pluginFailure != nil {
-			h.finish(m.Number, h.failureNotification(r.pluginFailure.Then, m))
+			h.completeByNotification(m.Number, h.failureNotification(r.pluginFailure.Then, m))
 		}
 	}
 	if it.resubmit && m != nil && m.Notification == nil && h.table.Get(it.num) != nil {
@@ -233,7 +233,7 @@
 		return
 	}
 	it.reported = true
-	h.pending = append(h.pending, policy.AttemptEnded{
+	h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{
 		ID:         it.num,
 		Attempt:    it.attempt,
 		Endpoint:   result.call.endpoint.id,
@@ -252,8 +252,8 @@
 	notification := memory.Notification{
 		Returned: then == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe),
 	}
-	if notification.Returned && h.set.SendRetryAfter {
-		notification.RetryAfter = h.set.MaxRetryAfter
+	if notification.Returned && h.settings.SendRetryAfter {
+		notification.RetryAfter = h.settings.MaxRetryAfter
 	}
 	return notification
 }
@@ -266,7 +266,7 @@
 		h.expiries.Remove(entry)
 		if it := entry.Value.item; !it.reported {
 			it.reported = true
-			h.pending = append(h.pending, policy.AttemptEnded{
+			h.pendingEvents = append(h.pendingEvents, policy.AttemptEnded{
 				ID:       it.num,
 				Attempt:  it.attempt,
 				Endpoint: entry.Value.endpoint.id,
--- a/internal/wire/choices.go
+++ b/internal/wire/choices.go
@@ -41,20 +41,20 @@
 // updateSubsets tells the policy engine which endpoints to keep connections to, where that has
 // changed.
 func (h *Host) updateSubsets(now policy.Time) {
-	for _, subset := range h.pool.ChangedSubsets(now) {
-		h.pending = append(h.pending, subset)
+	for _, subset := range h.gossiper.ChangedSubsets(now) {
+		h.pendingEvents = append(h.pendingEvents, subset)
 	}
-	if h.pool.Choices().Any() && now >= h.choicesAt+choicesInterval {
-		h.choicesAt = now
-		h.choices.Store(h.buildChoices(now))
+	if h.gossiper.Choices().Any() && now >= h.choicesViewAt+choicesInterval {
+		h.choicesViewAt = now
+		h.choicesView.Store(h.buildChoices(now))
 	}
 }
 
 // buildChoices returns the current view.
 func (h *Host) buildChoices(now policy.Time) *Choices {
-	view := &Choices{Set: h.pool.Choices(), Me: h.among.Me, At: now}
-	view.Place, view.Live = h.pool.Place()
-	h.pool.EachSubset(func(dest int, endpoints []choice.Endpoint, total int) bool {
+	view := &Choices{Set: h.gossiper.Choices(), Me: h.identity.Number, At: now}
+	view.Place, view.Live = h.gossiper.Place()
+	h.gossiper.EachSubset(func(dest int, endpoints []choice.Endpoint, total int) bool {
 		if len(view.Subsets) == maxChoices {
 			view.Omitted++
 			return view.Omitted < maxChoices // enough to show that there are many
@@ -62,7 +62,7 @@
 		view.Subsets = append(view.Subsets, Subset{dest, total, endpoints})
 		return true
 	})
-	for dest, state := range h.pool.DestinationStatuses() {
+	for dest, state := range h.gossiper.DestinationStatuses() {
 		view.Destinations = append(view.Destinations, DestinationState{dest, state})
 	}
 	slices.SortFunc(view.Subsets, func(a, b Subset) int { return a.Dest - b.Dest })
@@ -72,7 +72,7 @@
 
 // Choices returns the latest view; nil if nothing is shared. It may be called on any goroutine and
 // does not block.
-func (h *Host) Choices() *Choices { return h.choices.Load() }
+func (h *Host) Choices() *Choices { return h.choicesView.Load() }
 
 // Now returns the time on the clock that dates the views.
 func (h *Host) Now() policy.Time { return h.now() }
--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -41,7 +41,7 @@
 		waitLine := "Wait-Ms: 60000\r\n"
 		bound := strings.Index(a.write, waitLine) + len(waitLine)
 		for n := range len(a.write) + 1 {
-			ln := listen(t)
+			ln := listenLoopback(t)
 			go func() {
 				sock, err := ln.Accept()
 				if err != nil {
@@ -54,7 +54,7 @@
 					return
 				}
 				length, _, _ := h.framing()
-				readBody(r, length, false, maxAnswer)
+				readBody(r, length, false, maxResponseBody)
 				io.WriteString(sock, a.write[:n])
 			}()
 			ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
@@ -122,7 +122,7 @@
 func TestSurplusBytesOnIdleConnection(t *testing.T) {
 	second := httpResponse("200 OK", "")
 	for _, left := range []string{"H", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\n", second, "close"} {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		socks := make(chan net.Conn, 2)
 		answers := make(chan string, 2)
 		go func() {
@@ -171,9 +171,9 @@
 // first.
 func TestTimeoutAgainstAnswer(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		h := bare(t)
+		h := newTestHost(t)
 		ep := h.endpoints["s-1"]
-		m := h.message("m", 7, 1)
+		m := h.addMessage("m", 7, 1)
 		calls := h.planSend(h.now(), time.Now(), policy.Send{ID: m.Number, Endpoint: ep.id, Timeout: time.Hour},
 			map[string]*call{}, nil)
 		if len(calls) != 1 {
@@ -183,9 +183,9 @@
 		cl.items[0].expiresAt = h.now() + time.Millisecond
 		cl.timeout = time.Hour
 		h.registerCall(cl)
-		h.begun, h.pending = nil, nil
+		h.uncommittedCalls, h.pendingEvents = nil, nil
 		late := h.now() + time.Hour
-		answer := func() { h.take(callResult{call: cl, results: []itemResult{{outcome: policy.Delivered}}}) }
+		answer := func() { h.handleEvent(callResult{call: cl, results: []itemResult{{outcome: policy.Delivered}}}) }
 		if answerFirst {
 			answer()
 			h.expireItems(late)
@@ -194,7 +194,7 @@
 			answer()
 		}
 		var ends []policy.AttemptEnded
-		for _, e := range h.pending {
+		for _, e := range h.pendingEvents {
 			if e, ok := e.(policy.AttemptEnded); ok {
 				ends = append(ends, e)
 			}
@@ -206,8 +206,8 @@
 		if len(ends) != 1 || ends[0].Outcome != want {
 			t.Errorf("answer first %v: results %+v", answerFirst, ends)
 		}
-		if h.table.Get(m.Number) != nil || len(h.unsent) > 0 || h.expiries.First() != nil {
-			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number), h.unsent)
+		if h.table.Get(m.Number) != nil || len(h.unqueuedNotifications) > 0 || h.expiries.First() != nil {
+			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number), h.unqueuedNotifications)
 		}
 	}
 }
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -76,7 +76,7 @@
 	if tenant != "" {
 		more += "X-Account: " + tenant + "\r\n"
 	}
-	return hand(class+"?subject="+url.QueryEscape("key "+id), id, more, "body", 480)
+	return requestText(class+"?subject="+url.QueryEscape("key "+id), id, more, "body", 480)
 }
 
 // A class or tenant that the settings do not have is rejected with 400 and its name, and the
@@ -84,20 +84,20 @@
 func TestUnknownNamesAreRejected(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other := pair[0], pair[1]
-		front, host, ln := startFront(t, 100, 10)
+		front, host, ln := startServer(t, 100, 10)
 		front.Configure(&own, 10)
-		front.Turn(drain.Started)
-		sock, r := dial(t, ln)
+		front.HandleDrainEvent(drain.Started)
+		sock, r := dialListener(t, ln)
 		sent := 0
 		ask := func(class, tenant string) (int, string) {
 			t.Helper()
 			sent++
 			io.WriteString(sock, requestAs(class, tenant, fmt.Sprint("m", sent)))
-			a, err := readStatus(r)
+			a, err := readResponseHead(r)
 			if err == nil {
-				err = a.readRest(r, maxBody)
+				err = a.readRemaining(r, maxBody)
 			}
-			if err != nil || !a.keep {
+			if err != nil || !a.reusable {
 				t.Fatalf("%s of %q: %+v, %v", class, tenant, a, err)
 			}
 			return a.status, string(a.body)
@@ -138,8 +138,8 @@
 			accept(class.Name, "")
 		}
 		host.Lock()
-		if host.taken != accepted {
-			t.Errorf("%d accepted, want %d", host.taken, accepted)
+		if host.accepted != accepted {
+			t.Errorf("%d accepted, want %d", host.accepted, accepted)
 		}
 		host.Unlock()
 	}
@@ -148,7 +148,7 @@
 // Unknown names are quoted and truncated, so that a client can neither fill the log nor forge a
 // line of it.
 func TestUnknownNamesAreTruncated(t *testing.T) {
-	text := unknownError{"class", "a\nb" + strings.Repeat("x", maxLine)}.Error()
+	text := unknownNameError{"class", "a\nb" + strings.Repeat("x", readBufferSize)}.Error()
 	if len(text) > 150 || strings.Contains(text, "\n") || !strings.Contains(text, `"a\nbxx`) {
 		t.Errorf("%q", text)
 	}
@@ -158,7 +158,7 @@
 // run.
 func newIdleHost(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
+	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,10 +205,10 @@
 			h.arrivals = append(h.arrivals, m)
 		}
 		h.step(h.now())
-		if len(h.begun) == 0 || len(h.unsent) > 0 {
-			t.Errorf("%d calls, notices %v", len(h.begun), h.unsent)
+		if len(h.uncommittedCalls) == 0 || len(h.unqueuedNotifications) > 0 {
+			t.Errorf("%d calls, notices %v", len(h.uncommittedCalls), h.unqueuedNotifications)
 		}
-		for _, cl := range h.begun {
+		for _, cl := range h.uncommittedCalls {
 			if len(cl.items) != 1 {
 				t.Errorf("%d messages in a call to an unknown partner type", len(cl.items))
 			}
@@ -221,7 +221,7 @@
 func TestRestartWithOtherSettings(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logBuffer{}
-		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
+		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -247,8 +247,8 @@
 		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true,
 			Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
-		if len(h.unsent) != len(own.Classes) || len(h.begun) > 0 {
-			t.Errorf("%d notices and %d calls for %d messages", len(h.unsent), len(h.begun), len(own.Classes))
+		if len(h.unqueuedNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
+			t.Errorf("%d notices and %d calls for %d messages", len(h.unqueuedNotifications), len(h.uncommittedCalls), len(own.Classes))
 		}
 		for _, class := range own.Classes {
 			if lines := log.lines("class=" + class.Name); len(lines) != 1 {
@@ -263,46 +263,46 @@
 func TestReloadToOtherSettings(t *testing.T) {
 	release := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(release) })
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	t.Cleanup(goOn)
 	old := testSettings().Classes
 	for _, class := range old {
 		more := "Idempotency-Key: k\r\n"
-		if status := w.client(hand(class.Name, class.Name, more, "b",
+		if status := w.post(requestText(class.Name, class.Name, more, "b",
 			int(class.Deadline.Milliseconds()))); status != 202 {
 			t.Fatalf("%s: answered %d", class.Name, status)
 		}
 	}
 	other := loadDeployment(t, "postings")
-	if err := w.host.Reload(HostConfig{Settings: other, DiskBytes: 3e6, ConnectTimeout: time.Second, IdleMost: 8},
-		w.agent.Listener.Addr().String()); err != nil {
+	if err := w.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second, MaxIdleConns: 8},
+		w.platform.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	w.front.Configure(&other, 100)
+	w.server.Configure(&other, 100)
 	for _, class := range old {
-		if status := w.client(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
+		if status := w.post(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
 			t.Errorf("%s: answered %d after the reload", class.Name, status)
 		}
 	}
-	if status := w.client(hand(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b",
+	if status := w.post(requestText(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b",
 		19000)); status != 202 {
 		t.Errorf("a class of the new settings: answered %d", status)
 	}
 	goOn()
-	w.empty()
+	w.waitEmpty()
 	w.Lock()
 	defer w.Unlock()
 	attempts, notices := map[string]int{}, map[string]int{}
 	for _, id := range w.calls {
 		attempts[id]++
 	}
-	for _, notice := range w.notices {
+	for _, notice := range w.notifications {
 		notices[gjson.Get(notice, "message").Str]++
 	}
 	for _, id := range []string{"alert", "order", "fee", "posting"} {
 		unsafe := id == "fee" || id == "posting" // a slow machine may repeat the others, which is allowed
 		if attempts[id] == 0 || notices[id] > 0 || unsafe && attempts[id] > 1 {
-			t.Errorf("%s: calls %v, notices %v, want it delivered", id, w.calls, w.notices)
+			t.Errorf("%s: calls %v, notices %v, want it delivered", id, w.calls, w.notifications)
 		}
 	}
 }
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -17,7 +17,7 @@
 // A dial that fails for want of a local port, buffer or descriptor is retried. If none succeeds in
 // time, that does not count against the endpoint.
 func TestTransientDialFailures(t *testing.T) {
-	server := serve(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	server := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	for _, c := range []struct {
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -15,8 +15,8 @@
 func (h *Host) applyEndpointList(list memory.EndpointList, kind policy.ListUpdateKind) {
 	update := policy.EndpointListUpdate{Kind: kind}
 	named := map[string]bool{}
-	if h.generation = list.Generation; list.Generation == 0 && len(list.Entries) == 0 {
-		h.generation = -1
+	if h.listGeneration = list.Generation; list.Generation == 0 && len(list.Entries) == 0 {
+		h.listGeneration = -1
 	}
 	h.warnUnknown(list.Entries)
 	for _, member := range list.Entries {
@@ -36,20 +36,20 @@
 			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
 			h.targets.Remove(id, ep.dest)
-			if maps.DeleteFunc(h.routes, func(_ string, b *backoff) bool { return !b.active() }); ep.backoff.active() &&
-				ep.backoff != h.gates[ep.dest] {
-				h.routes[id] = ep.backoff
+			if maps.DeleteFunc(h.removedRouteBackoffs, func(_ string, b *backoff) bool { return !b.active() }); ep.backoff.active() &&
+				ep.backoff != h.destBackoffs[ep.dest] {
+				h.removedRouteBackoffs[id] = ep.backoff
 			}
 		}
 	}
-	h.figures.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
+	h.metrics.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	if list.Skipped > 0 {
 		h.log.Warn("endpoint list has malformed entries", "count", list.Skipped, "generation", list.Generation)
 	}
-	h.pending = append(h.pending, update)
-	h.pool.UpdateEndpoints(update)
-	if h.watch != nil {
-		h.watch.List(update)
+	h.pendingEvents = append(h.pendingEvents, update)
+	h.gossiper.UpdateEndpoints(update)
+	if h.siteWatch != nil {
+		h.siteWatch.List(update)
 	}
 	h.log.Debug("endpoint list updated",
 		"generation", list.Generation, "entries", len(list.Entries), "whole", kind != policy.ListChanges)
@@ -64,8 +64,8 @@
 		if member.State == policy.Removed {
 			continue
 		}
-		kind, listed := h.kinds[member.Destination]
-		if _, known := h.kindOf[member.Kind]; !known && !(listed && kind == member.Kind) {
+		kind, listed := h.destKinds[member.Destination]
+		if _, known := h.kindSettings[member.Kind]; !known && !(listed && kind == member.Kind) {
 			kinds[member.Kind] = true
 		}
 		ep := h.endpoints[member.Address]
@@ -73,17 +73,17 @@
 			zones[member.Zone] = true
 		}
 	}
-	if len(kinds) > 0 && len(h.kindOf) > 0 {
+	if len(kinds) > 0 && len(h.kindSettings) > 0 {
 		h.log.Warn("endpoint list has kinds that are not in the settings", "kinds", slices.Sorted(maps.Keys(kinds)))
 	}
-	if len(zones) > 0 && len(h.set.Zones) > 0 {
+	if len(zones) > 0 && len(h.settings.Zones) > 0 {
 		h.log.Warn("endpoint list has zones that are not in the settings", "zones", slices.Sorted(maps.Keys(zones)))
 	}
 }
 
 // zoneKnown reports whether the settings name the zone.
 func (h *Host) zoneKnown(name string) bool {
-	return slices.ContainsFunc(h.set.Zones, func(z policy.Zone) bool { return z.Name == name })
+	return slices.ContainsFunc(h.settings.Zones, func(z policy.Zone) bool { return z.Name == name })
 }
 
 // applyEndpoint adds, updates or removes one endpoint.
@@ -103,26 +103,26 @@
 			ep.state.Store(int32(policy.Removed)) // its connections go to the old address
 			h.closeIdleConns(ep)
 		}
-		shared := h.gates[member.Destination]
+		shared := h.destBackoffs[member.Destination]
 		if ep != nil && ep.dest == member.Destination {
 			shared = ep.backoff
-		} else if h.kindOf[member.Kind].SeparateRoutes {
+		} else if h.kindSettings[member.Kind].SeparateRoutes {
 			// With separate routes, a backoff applies to one endpoint, also if it leaves the list
 			// and returns.
-			if shared = h.routes[member.Address]; shared == nil {
+			if shared = h.removedRouteBackoffs[member.Address]; shared == nil {
 				shared = &backoff{}
 			}
 		} else if shared == nil {
 			shared = &backoff{}
-			h.gates[member.Destination] = shared
+			h.destBackoffs[member.Destination] = shared
 		}
-		delete(h.routes, member.Address)
+		delete(h.removedRouteBackoffs, member.Address)
 		ep = &endpoint{id: member.Address, addr: member.HostPort, dest: member.Destination, backoff: shared}
 		h.endpoints[member.Address] = ep
 	}
 	ep.zone, ep.rate = member.Zone, member.Rate
 	ep.state.Store(int32(member.State))
-	if h.kinds[member.Destination] = member.Kind; h.kindOf[member.Kind].SeparateRoutes {
+	if h.destKinds[member.Destination] = member.Kind; h.kindSettings[member.Kind].SeparateRoutes {
 		h.targets.Add(member.Address, member.Destination)
 	}
 }
@@ -138,14 +138,14 @@
 	}
 	c := ep.idle[n-1]
 	ep.idle = ep.idle[:n-1]
-	h.idle.Remove(c.idleNode)
+	h.idleConns.Remove(c.idleNode)
 	return c
 }
 
 // closeIdleConns closes the connections to ep that carry no call.
 func (h *Host) closeIdleConns(ep *endpoint) {
 	for _, c := range ep.idle {
-		h.idle.Remove(c.idleNode)
+		h.idleConns.Remove(c.idleNode)
 		close(c.calls)
 	}
 	ep.idle = nil
@@ -154,15 +154,15 @@
 // closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its
 // endpoint.
 func (h *Host) closeOldestIdleConn() {
-	c := h.idle.First().Value
-	h.idle.Remove(c.idleNode)
+	c := h.idleConns.First().Value
+	h.idleConns.Remove(c.idleNode)
 	c.endpoint.idle = c.endpoint.idle[1:]
 	close(c.calls)
 }
 
 // limitIdleConns bounds the descriptors of idle connections.
 func (h *Host) limitIdleConns() {
-	if h.idle.Len() > h.idleMost {
+	if h.idleConns.Len() > h.maxIdleConns {
 		h.closeOldestIdleConn()
 	}
 }
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -13,40 +13,40 @@
 // exchange is one request on a client's connection, and its answer.
 type exchange struct {
 	net.Conn
-	r     *bufio.Reader
-	f     *Front
-	no    uint32 // of the connection
-	began time.Time
-	last  bool // the client sends nothing behind this request
-	over  bool // it was answered
+	reader     *bufio.Reader
+	server     *Server
+	connNumber uint32 // of the connection
+	startedAt  time.Time
+	closeAfter bool // the client sends nothing behind this request
+	answered   bool // it was answered
 }
 
-// carry reads and answers one request, and tells whether the connection ends with it, and why. A panic ends this connection only; what was read
+// handleExchange reads and answers one request, and tells whether the connection ends with it, and why. A panic ends this connection only; what was read
 // is answered all the same.
-func (f *Front) carry(x *exchange) (reason closeReason) {
+func (f *Server) handleExchange(x *exchange) (reason closeReason) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
 		f.log.Error("panic on a client's connection", "panic", p)
-		if reason = closedBad; !x.over {
-			x.last = true
+		if reason = closedMalformed; !x.answered {
+			x.closeAfter = true
 			x.reply(500, 0, nil)
 		}
 	}()
-	return f.one(x)
+	return f.handleRequest(x)
 }
 
-// bad ends a connection on which the request could not be read; where the client still listens, it is told.
-func (f *Front) bad(x *exchange, err error) closeReason {
+// rejectMalformed ends a connection on which the request could not be read; where the client still listens, it is told.
+func (f *Server) rejectMalformed(x *exchange, err error) closeReason {
 	status := 0
 	switch {
-	case errors.Is(err, errLine), errors.Is(err, errHeader), errors.Is(err, errLength), errors.Is(err, io.ErrUnexpectedEOF):
+	case errors.Is(err, errFirstLine), errors.Is(err, errHeader), errors.Is(err, errLength), errors.Is(err, io.ErrUnexpectedEOF):
 		status = 400 // the last is half a request of a client that may still listen
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		status = 413
-	case errors.Is(err, errHead):
+	case errors.Is(err, errHeaderTooLong):
 		status = 431
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = 408
@@ -54,14 +54,14 @@
 	if status == 0 {
 		return closedByClient
 	}
-	x.last = true
+	x.closeAfter = true
 	if x.reply(status, 0, err) == closedByClient {
 		return closedByClient
 	}
-	return closedBad
+	return closedMalformed
 }
 
-var reasons = map[int]string{200: "OK", 202: "Accepted", 400: "Bad Request", 405: "Method Not Allowed",
+var statusTexts = map[int]string{200: "OK", 202: "Accepted", 400: "Bad Request", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 422: "Unprocessable Content", 500: "Internal Server Error", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 503: "Service Unavailable"}
 
 // reply answers with a status, advice when to come again if there is any, and for a bad request what was wrong. It tells whether the
@@ -69,17 +69,17 @@
 func (x *exchange) reply(status int, retry time.Duration, wrong error) closeReason {
 	b := make([]byte, 0, 128)
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
-	b = append(append(b, reasons[status]...), "\r\n"...)
+	b = append(append(b, statusTexts[status]...), "\r\n"...)
 	if retry > 0 {
 		b = appendField(b, "Retry-After", strconv.FormatFloat(retry.Seconds(), 'f', 3, 64))
 	}
-	view, reason := x.f.view.Load(), staysOpen
+	view, reason := x.server.drainView.Load(), staysOpen
 	switch {
-	case x.last:
-		reason = closedAsAsked
-	case view.Close && x.r.Buffered() == 0:
+	case x.closeAfter:
+		reason = closedByRequest
+	case view.Close && x.reader.Buffered() == 0:
 		// A further request that came with this one has been read, and is owed an answer before the connection may end.
-		reason = closedByUs
+		reason = closedByServer
 	}
 	if reason != staysOpen {
 		b = appendField(b, "Connection", "close")
@@ -91,8 +91,8 @@
 	if wrong != nil {
 		text = wrong.Error() + "\n"
 	}
-	x.over = true
-	x.SetWriteDeadline(time.Now().Add(writeLimit))
+	x.answered = true
+	x.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	if _, err := x.Write(append(appendLength(b, len(text)), text...)); err != nil {
 		return closedByClient
 	}
@@ -107,7 +107,7 @@
 		if err != nil {
 			status = -status // it did not get through
 		}
-		x.f.trace.note(x.no, traceAnswer, int64(status), time.Since(x.began).Microseconds())
+		x.server.trace.record(x.connNumber, traceAnswer, int64(status), time.Since(x.startedAt).Microseconds())
 	}
 	return n, err
 }
--- a/internal/wire/front_end_test.go
+++ b/internal/wire/front_end_test.go
@@ -18,26 +18,26 @@
 	"oatfold/policy"
 )
 
-// heldListener yields connections whose reads, and its own accepts, wait where the test says so.
-type heldListener struct {
+// blockingListener yields connections whose reads, and its own accepts, wait where the test says so.
+type blockingListener struct {
 	*net.TCPListener
 	accept, read chan struct{} // nil: nobody waits
-	got          atomic.Int64  // bytes read, of all connections
+	bytesRead    atomic.Int64  // bytes read, of all connections
 }
 
-type heldConn struct {
+type blockingConn struct {
 	*net.TCPConn
-	read  chan struct{}
-	got   *atomic.Int64
-	until atomic.Int64 // the read deadline, in microseconds
+	read         chan struct{}
+	bytesRead    *atomic.Int64
+	readDeadline atomic.Int64 // the read deadline, in microseconds
 }
 
-func (c *heldConn) SetReadDeadline(at time.Time) error {
-	c.until.Store(at.UnixMicro())
+func (c *blockingConn) SetReadDeadline(at time.Time) error {
+	c.readDeadline.Store(at.UnixMicro())
 	return c.TCPConn.SetReadDeadline(at)
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	if l.accept != nil {
 		<-l.accept
 	}
@@ -45,50 +45,50 @@
 	if err != nil {
 		return nil, err
 	}
-	return &heldConn{TCPConn: sock.(*net.TCPConn), read: l.read, got: &l.got}, nil
+	return &blockingConn{TCPConn: sock.(*net.TCPConn), read: l.read, bytesRead: &l.bytesRead}, nil
 }
 
-func (c *heldConn) Read(b []byte) (int, error) {
+func (c *blockingConn) Read(b []byte) (int, error) {
 	if c.read != nil {
 		<-c.read
 	}
 	n, err := c.TCPConn.Read(b)
-	c.got.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// ending is a front socket whose connections end in steps that the test takes.
-type ending struct {
-	*Front
-	ln     *heldListener
+// closingServer is a front socket whose connections end in steps that the test takes.
+type closingServer struct {
+	*Server
+	ln     *blockingListener
 	events chan any
-	stages chan endStage
-	goOn   chan struct{}
+	stages chan closeStage
+	resume chan struct{}
 }
 
-func startEnding(t *testing.T, ln *heldListener) *ending {
-	e := &ending{ln: ln, events: make(chan any, 9), stages: make(chan endStage), goOn: make(chan struct{})}
-	ln.TCPListener = listen(t).(*net.TCPListener)
+func startClosingServer(t *testing.T, ln *blockingListener) *closingServer {
+	e := &closingServer{ln: ln, events: make(chan any, 9), stages: make(chan closeStage), resume: make(chan struct{})}
+	ln.TCPListener = listenLoopback(t).(*net.TCPListener)
 	set := &policy.Settings{Classes: []policy.Class{{Name: "alert", Deadline: time.Minute}}}
-	e.Front = NewFront(ln, set, 10, e.events, quiet)
-	e.ends = func(_ *frontConn, s endStage) {
+	e.Server = NewServer(ln, set, 10, e.events, discardLog)
+	e.onCloseStage = func(_ *clientConn, s closeStage) {
 		e.stages <- s
-		<-e.goOn
+		<-e.resume
 	}
-	e.Turn(drain.Started)
+	e.HandleDrainEvent(drain.Started)
 	go e.Serve()
 	return e
 }
 
-// step waits until a connection has come to that stage of its end.
-func (e *ending) step(t *testing.T, want endStage) {
+// waitStage waits until a connection has come to that stage of its end.
+func (e *closingServer) waitStage(t *testing.T, want closeStage) {
 	t.Helper()
 	if got := <-e.stages; got != want {
 		t.Fatalf("stage %d, want %d", got, want)
 	}
 }
 
-func (e *ending) dial(t *testing.T) (*net.TCPConn, *bufio.Reader) {
+func (e *closingServer) dial(t *testing.T) (*net.TCPConn, *bufio.Reader) {
 	t.Helper()
 	sock, err := net.Dial("tcp", e.ln.Addr().String())
 	if err != nil {
@@ -99,7 +99,7 @@
 	return sock.(*net.TCPConn), bufio.NewReader(sock)
 }
 
-func answered(t *testing.T, r *bufio.Reader, status int) {
+func expectStatus(t *testing.T, r *bufio.Reader, status int) {
 	t.Helper()
 	a, err := http.ReadResponse(r, nil)
 	if err != nil || a.StatusCode != status {
@@ -110,43 +110,43 @@
 	}
 }
 
-// closedClean reads to the end of our side, which is no reset.
-func closedClean(t *testing.T, r *bufio.Reader) {
+// expectEOF reads to the end of our side, which is no reset.
+func expectEOF(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
 		t.Errorf("%q is left, then %v: want a plain end", rest, err)
 	}
 }
 
-const ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
+const readyRequest = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // Bytes that nobody reads never reset the answer before them, whether they come before the end is decided, or between the decision and the
 // close of our side, or after that; and nothing of them is taken on.
 func TestUnreadBytesResetNoAnswer(t *testing.T) {
-	more := strings.Repeat(hand("alert", "late", "", "x", 1000), 200)
-	for stage := endDecided; stage <= endClosed; stage++ {
-		e := startEnding(t, &heldListener{})
+	more := strings.Repeat(requestText("alert", "late", "", "x", 1000), 200)
+	for stage := closeDecided; stage <= closeDone; stage++ {
+		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
-		first := strings.Replace(ready, "Host", "Connection: close\r\nHost", 1)
-		if stage == endDecided { // with the request itself, in one write
+		first := strings.Replace(readyRequest, "Host", "Connection: close\r\nHost", 1)
+		if stage == closeDecided { // with the request itself, in one write
 			first += more
 		}
 		fmt.Fprint(sock, first)
-		e.step(t, endDecided)
-		if stage == endSaid {
+		e.waitStage(t, closeDecided)
+		if stage == closeSent {
 			fmt.Fprint(sock, more)
 		}
-		e.goOn <- struct{}{}
-		e.step(t, endSaid)
-		if stage == endClosed {
+		e.resume <- struct{}{}
+		e.waitStage(t, closeSent)
+		if stage == closeDone {
 			fmt.Fprint(sock, more)
 		}
-		answered(t, r, 200)
-		e.goOn <- struct{}{}
-		closedClean(t, r)
+		expectStatus(t, r, 200)
+		e.resume <- struct{}{}
+		expectEOF(t, r)
 		sock.Close()
-		e.step(t, endClosed)
-		e.goOn <- struct{}{}
+		e.waitStage(t, closeDone)
+		e.resume <- struct{}{}
 		if len(e.events) > 0 {
 			t.Errorf("stage %d: %T after the end was decided", stage, <-e.events)
 		}
@@ -161,14 +161,14 @@
 		for _, bytes := range []string{"whole", "half", "one"} {
 			t.Run(when+" "+bytes, func(t *testing.T) {
 				read := make(chan struct{})
-				e := startEnding(t, &heldListener{read: read})
+				e := startClosingServer(t, &blockingListener{read: read})
 				defer e.ln.Close()
 				sock, r := e.dial(t)
-				fmt.Fprint(sock, ready)
+				fmt.Fprint(sock, readyRequest)
 				read <- struct{}{}
-				answered(t, r, 200)
-				waitFor(t, "the connection to rest", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.idle == 1 })
-				req := map[string]string{"whole": ready, "half": ready[:len(ready)/2], "one": "G"}[bytes]
+				expectStatus(t, r, 200)
+				waitFor(t, "the connection to rest", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.idleConns == 1 })
+				req := map[string]string{"whole": readyRequest, "half": readyRequest[:len(readyRequest)/2], "one": "G"}[bytes]
 				if when == "before" {
 					fmt.Fprint(sock, req)
 				}
@@ -179,30 +179,30 @@
 					c.sock.SetReadDeadline(time.Unix(1, 0))
 				}
 				e.mu.Unlock()
-				there := func() bool { return Waiting(conn) }
+				there := func() bool { return HasUnreadBytes(conn) }
 				if when == "before" {
 					waitFor(t, "the bytes to be there", there)
 					close(read)
 					if bytes != "whole" {
-						fmt.Fprint(sock, ready[len(req):]) // it has begun: it may be finished
+						fmt.Fprint(sock, readyRequest[len(req):]) // it has begun: it may be finished
 					}
-					answered(t, r, 200)
+					expectStatus(t, r, 200)
 					sock.Close()
 					for s := range e.stages {
-						e.goOn <- struct{}{}
-						if s == endClosed {
+						e.resume <- struct{}{}
+						if s == closeDone {
 							return
 						}
 					}
 				}
 				close(read)
-				e.step(t, endDecided)
+				e.waitStage(t, closeDecided)
 				if when == "decided" {
 					fmt.Fprint(sock, req)
 					waitFor(t, "the bytes to be there", there)
 				}
-				e.goOn <- struct{}{}
-				e.step(t, endClosed)
+				e.resume <- struct{}{}
+				e.waitStage(t, closeDone)
 				if when == "closed" {
 					fmt.Fprint(sock, req)
 				}
@@ -210,10 +210,10 @@
 				if len(rest) > 0 || when == "decided" && !errors.Is(err, syscall.ECONNRESET) {
 					t.Errorf("%q is left, then %v: want a reset over what was not read", rest, err)
 				}
-				if got := e.ln.got.Load(); got != int64(len(ready)) {
-					t.Errorf("%d bytes were read, want the %d of the first request alone", got, len(ready))
+				if got := e.ln.bytesRead.Load(); got != int64(len(readyRequest)) {
+					t.Errorf("%d bytes were read, want the %d of the first request alone", got, len(readyRequest))
 				}
-				e.goOn <- struct{}{}
+				e.resume <- struct{}{}
 			})
 		}
 	}
@@ -223,33 +223,33 @@
 // end; behind the last one it ends, and what comes then is not read.
 func TestWhatIsReadIsAnsweredBeforeTheEnd(t *testing.T) {
 	for _, half := range []bool{false, true} {
-		e := startEnding(t, &heldListener{})
+		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
-		e.Turn(drain.Fail) // from here on each answer closes its connection
-		sent := ready + ready
+		e.HandleDrainEvent(drain.Fail) // from here on each answer closes its connection
+		sent := readyRequest + readyRequest
 		if half {
-			sent += ready[:10]
+			sent += readyRequest[:10]
 		}
 		fmt.Fprint(sock, sent)
-		answered(t, r, 503) // not ready any more
-		answered(t, r, 503)
+		expectStatus(t, r, 503) // not ready any more
+		expectStatus(t, r, 503)
 		if half {
-			fmt.Fprint(sock, ready[10:])
-			answered(t, r, 503)
+			fmt.Fprint(sock, readyRequest[10:])
+			expectStatus(t, r, 503)
 		}
-		e.step(t, endDecided)
-		got := e.ln.got.Load()
-		fmt.Fprint(sock, ready)
-		e.goOn <- struct{}{}
-		e.step(t, endSaid)
-		closedClean(t, r)
+		e.waitStage(t, closeDecided)
+		got := e.ln.bytesRead.Load()
+		fmt.Fprint(sock, readyRequest)
+		e.resume <- struct{}{}
+		e.waitStage(t, closeSent)
+		expectEOF(t, r)
 		sock.Close()
-		e.goOn <- struct{}{}
-		e.step(t, endClosed)
-		if e.ln.got.Load() != got {
-			t.Errorf("%d bytes were read behind the last answer", e.ln.got.Load()-got)
+		e.resume <- struct{}{}
+		e.waitStage(t, closeDone)
+		if e.ln.bytesRead.Load() != got {
+			t.Errorf("%d bytes were read behind the last answer", e.ln.bytesRead.Load()-got)
 		}
-		e.goOn <- struct{}{}
+		e.resume <- struct{}{}
 		e.ln.Close()
 	}
 }
@@ -257,29 +257,29 @@
 // Once reads have ended, half a request is answered so, one that is with the host gets its answer, and one that comes later is read
 // and answered or not read at all.
 func TestNothingIsReadBehindTheEndOfReads(t *testing.T) {
-	e := startEnding(t, &heldListener{})
-	e.ends = nil
+	e := startClosingServer(t, &blockingListener{})
+	e.onCloseStage = nil
 	defer e.ln.Close()
 	half, halfR := e.dial(t)
-	fmt.Fprint(half, ready[:10])
-	waitFor(t, "half a request", func() bool { return e.ln.got.Load() == 10 })
+	fmt.Fprint(half, readyRequest[:10])
+	waitFor(t, "half a request", func() bool { return e.ln.bytesRead.Load() == 10 })
 	host, hostR := e.dial(t)
-	request := hand("alert", "m", "", "body", 1000)
+	request := requestText("alert", "m", "", "body", 1000)
 	fmt.Fprint(host, request)
-	in := (<-e.events).(handIn)
+	in := (<-e.events).(submitRequest)
 	late, lateR := e.dial(t)
-	waitFor(t, "the third connection", func() bool { return e.Busy() == 3 })
-	e.EndReads()
-	fmt.Fprint(late, ready)
-	answered(t, halfR, 408)
-	in.reply <- verdict{taken: true}
-	answered(t, hostR, 202)
+	waitFor(t, "the third connection", func() bool { return e.OpenConnections() == 3 })
+	e.StopReads()
+	fmt.Fprint(late, readyRequest)
+	expectStatus(t, halfR, 408)
+	in.reply <- submitResult{accepted: true}
+	expectStatus(t, hostR, 202)
 	// A read that had begun may still take it, and then it is answered.
 	want := 10 + len(request)
 	if rest, _ := io.ReadAll(lateR); len(rest) > 0 {
-		want += len(ready)
+		want += len(readyRequest)
 	}
-	if got := e.ln.got.Load(); got != int64(want) {
+	if got := e.ln.bytesRead.Load(); got != int64(want) {
 		t.Errorf("%d bytes were read, want the %d of what was answered", got, want)
 	}
 }
@@ -287,19 +287,19 @@
 // A connection that waits to be accepted as the listener is to close, with its request on it, is answered.
 func TestListenerClosesBehindWhoWaits(t *testing.T) {
 	accept := make(chan struct{})
-	ln := &heldListener{accept: accept}
-	e := startEnding(t, ln)
-	e.ends = nil
+	ln := &blockingListener{accept: accept}
+	e := startClosingServer(t, ln)
+	e.onCloseStage = nil
 	sock, r := e.dial(t)
-	fmt.Fprint(sock, ready)
-	e.Drain()
+	fmt.Fprint(sock, readyRequest)
+	e.Shutdown()
 	e.mu.Lock()
-	e.emptyTil.Store(int64(time.Since(e.began) + time.Hour)) // the bound is not what is looked at
+	e.queueDrainUntil.Store(int64(time.Since(e.startedAt) + time.Hour)) // the bound is not what is looked at
 	e.mu.Unlock()
 	ln.TCPListener.SetDeadline(time.Unix(1, 0)) // the accept loop had no time to look
 	close(accept)
-	answered(t, r, 503) // not ready any more; any answer will do, only not a reset
-	closedClean(t, r)
+	expectStatus(t, r, 503) // not ready any more; any answer will do, only not a reset
+	expectEOF(t, r)
 	waitFor(t, "the listener to close", func() bool { return !e.Accepting() })
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("the listener still takes connections: %v", err)
@@ -308,17 +308,17 @@
 
 // A client that has closed its side gets its answer: of a whole hand-in that it is taken on, of half a request that it can't be read.
 func TestHalfClosedClients(t *testing.T) {
-	e := startEnding(t, &heldListener{})
-	e.ends = nil
+	e := startClosingServer(t, &blockingListener{})
+	e.onCloseStage = nil
 	defer e.ln.Close()
 	go func() {
 		for ev := range e.events {
-			if in, ok := ev.(handIn); ok {
-				in.reply <- verdict{taken: true}
+			if in, ok := ev.(submitRequest); ok {
+				in.reply <- submitResult{accepted: true}
 			}
 		}
 	}()
-	whole := hand("alert", "m", "", "body", 1000)
+	whole := requestText("alert", "m", "", "body", 1000)
 	for _, c := range []struct {
 		sent   string
 		status int
@@ -326,19 +326,19 @@
 		sock, r := e.dial(t)
 		fmt.Fprint(sock, c.sent)
 		sock.CloseWrite()
-		answered(t, r, c.status)
-		closedClean(t, r)
+		expectStatus(t, r, c.status)
+		expectEOF(t, r)
 	}
 }
 
 // The end of a connection is bounded, however long its client goes on sending or says nothing.
 func TestEndIsBounded(t *testing.T) {
 	for _, flood := range []bool{false, true} {
-		e := startEnding(t, &heldListener{})
-		e.ends = nil
+		e := startClosingServer(t, &blockingListener{})
+		e.onCloseStage = nil
 		sock, r := e.dial(t)
-		fmt.Fprint(sock, strings.Replace(ready, "Host", "Connection: close\r\nHost", 1))
-		answered(t, r, 200)
+		fmt.Fprint(sock, strings.Replace(readyRequest, "Host", "Connection: close\r\nHost", 1))
+		expectStatus(t, r, 200)
 		if flood {
 			var once sync.WaitGroup
 			once.Go(func() {
@@ -350,7 +350,7 @@
 			})
 			once.Wait()
 		}
-		waitFor(t, "the connection to be let go", func() bool { return e.Busy() == 0 })
+		waitFor(t, "the connection to be let go", func() bool { return e.OpenConnections() == 0 })
 		e.ln.Close()
 	}
 }
@@ -369,19 +369,19 @@
 			t.Errorf("%s: TCP_NODELAY %d, %v", what, on, err)
 		}
 	}
-	e := startEnding(t, &heldListener{})
-	e.ends = nil
+	e := startClosingServer(t, &blockingListener{})
+	e.onCloseStage = nil
 	defer e.ln.Close()
 	sock, r := e.dial(t)
-	fmt.Fprint(sock, ready)
-	answered(t, r, 200)
+	fmt.Fprint(sock, readyRequest)
+	expectStatus(t, r, 200)
 	e.mu.Lock()
 	for c := range e.conns {
 		check("client", c.sock)
 	}
 	e.mu.Unlock()
 	p := &agentConn{addr: e.ln.Addr().String()}
-	if _, err := p.roundTrip(t.Context(), []byte(ready), time.Minute); err != nil {
+	if _, err := p.roundTrip(t.Context(), []byte(readyRequest), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	check("platform", p.sock)
@@ -397,18 +397,18 @@
 
 // A request that was read is answered also where reading it panics, which nothing is known to do; the next connection is served.
 func TestPanicIsAnswered(t *testing.T) {
-	e := startEnding(t, &heldListener{})
-	e.ends = nil
+	e := startClosingServer(t, &blockingListener{})
+	e.onCloseStage = nil
 	defer e.ln.Close()
 	classes := e.classes.Swap(nil)
 	sock, r := e.dial(t)
-	fmt.Fprint(sock, hand("alert", "m", "", "body", 1000))
-	answered(t, r, 500)
-	closedClean(t, r)
+	fmt.Fprint(sock, requestText("alert", "m", "", "body", 1000))
+	expectStatus(t, r, 500)
+	expectEOF(t, r)
 	e.classes.Store(classes)
 	sock, r = e.dial(t)
-	fmt.Fprint(sock, ready)
-	answered(t, r, 200)
+	fmt.Fprint(sock, readyRequest)
+	expectStatus(t, r, 200)
 }
 
 // failingListener fails some accepts before it takes the next connection.
@@ -430,25 +430,25 @@
 func TestAcceptFailsForAMoment(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "alert", Deadline: time.Minute}}}
 	for _, emptying := range []bool{false, true} {
-		ln := &failingListener{listen(t).(*net.TCPListener), make(chan error, 9)}
+		ln := &failingListener{listenLoopback(t).(*net.TCPListener), make(chan error, 9)}
 		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO} {
 			ln.errs <- errno
 		}
-		f := NewFront(ln, set, 10, make(chan any, 9), quiet)
-		f.Turn(drain.Started)
+		f := NewServer(ln, set, 10, make(chan any, 9), discardLog)
+		f.HandleDrainEvent(drain.Started)
 		sock, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprint(sock, ready)
+		fmt.Fprint(sock, readyRequest)
 		if emptying {
 			f.mu.Lock()
-			f.empty()
+			f.drainAcceptQueue()
 			f.mu.Unlock()
 		}
 		go f.Serve()
 		sock.SetDeadline(time.Now().Add(20 * time.Second))
-		answered(t, bufio.NewReader(sock), 200)
+		expectStatus(t, bufio.NewReader(sock), 200)
 		sock.Close()
 		if emptying {
 			waitFor(t, "the listener to close", func() bool { return !f.Accepting() })
@@ -460,28 +460,28 @@
 // Found by reading: a drain that began as a connection was ending cut the time short that its client has to read its last answer, which a
 // reset over further bytes could then overtake. It ends resting and silent connections only.
 func TestDrainLeavesAnEndingConnectionItsTime(t *testing.T) {
-	e := startEnding(t, &heldListener{})
+	e := startClosingServer(t, &blockingListener{})
 	defer e.ln.Close()
 	sock, r := e.dial(t)
-	e.Turn(drain.Fail) // answers close their connections; resting ones have a second left
-	fmt.Fprint(sock, ready)
-	answered(t, r, 503)
-	e.step(t, endDecided)
-	e.goOn <- struct{}{}
-	e.step(t, endSaid)
+	e.HandleDrainEvent(drain.Fail) // answers close their connections; resting ones have a second left
+	fmt.Fprint(sock, readyRequest)
+	expectStatus(t, r, 503)
+	e.waitStage(t, closeDecided)
+	e.resume <- struct{}{}
+	e.waitStage(t, closeSent)
 	e.mu.Lock()
-	var conn *heldConn
+	var conn *blockingConn
 	for c := range e.conns {
-		conn = c.sock.(*heldConn)
+		conn = c.sock.(*blockingConn)
 	}
 	e.mu.Unlock()
-	before := conn.until.Load()
-	e.Drain()
-	if after := conn.until.Load(); after != before {
+	before := conn.readDeadline.Load()
+	e.Shutdown()
+	if after := conn.readDeadline.Load(); after != before {
 		t.Errorf("the drain set the read deadline of an ending connection to %v", time.UnixMicro(after))
 	}
-	e.goOn <- struct{}{}
+	e.resume <- struct{}{}
 	sock.Close()
-	e.step(t, endClosed)
-	e.goOn <- struct{}{}
+	e.waitStage(t, closeDone)
+	e.resume <- struct{}{}
 }
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -21,7 +21,7 @@
 	"oatfold/policy"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 func testSettings() policy.Settings {
 	return policy.Settings{Relays: 1, MaxConcurrentCalls: 4, MaxPending: 8, MaxAttempts: 6, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// listen opens a loopback socket that closes with the test.
-func listen(t testing.TB) net.Listener {
+// listenLoopback opens a loopback socket that closes with the test.
+func listenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", net.JoinHostPort(ownLoopback(), "0"))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return ln
 }
 
-func dial(t testing.TB, ln net.Listener) (net.Conn, *bufio.Reader) {
+func dialListener(t testing.TB, ln net.Listener) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -80,25 +80,25 @@
 // fakeHost takes hand-ins as a host with so much room would.
 type fakeHost struct {
 	sync.Mutex
-	room         int
-	taken, begun int
-	events       chan any
-	last         string
-	known        map[string]bool
+	capacity           int
+	accepted, answered int
+	events             chan any
+	lastBody           string
+	seen               map[string]bool
 }
 
-func startFront(t testing.TB, room, most int) (*Front, *fakeHost, net.Listener) {
-	ln := listen(t)
-	f, h := startFrontOn(t, ln, room, most)
+func startServer(t testing.TB, room, most int) (*Server, *fakeHost, net.Listener) {
+	ln := listenLoopback(t)
+	f, h := startServerOn(t, ln, room, most)
 	return f, h, ln
 }
 
-func startFrontOn(t testing.TB, ln net.Listener, room, most int) (*Front, *fakeHost) {
-	h := &fakeHost{room: room, events: make(chan any), known: map[string]bool{}}
+func startServerOn(t testing.TB, ln net.Listener, room, most int) (*Server, *fakeHost) {
+	h := &fakeHost{capacity: room, events: make(chan any), seen: map[string]bool{}}
 	set := testSettings()
-	f := NewFront(ln, &set, most, h.events, quiet)
+	f := NewServer(ln, &set, most, h.events, discardLog)
 	done := make(chan struct{})
-	t.Cleanup(func() { f.Drain(); close(done) })
+	t.Cleanup(func() { f.Shutdown(); close(done) })
 	go f.Serve()
 	go func() {
 		for {
@@ -108,16 +108,16 @@
 			case e := <-h.events:
 				h.Lock()
 				switch e := e.(type) {
-				case handIn:
-					v := verdict{known: h.known[e.msg.ID], retry: time.Second}
-					if e.msg.Dest == 404 {
-						v = verdict{nowhere: true}
-					} else if !v.known && h.taken < h.room {
-						h.taken, h.last, h.known[e.msg.ID], v = h.taken+1, string(e.msg.Body), true, verdict{taken: true}
+				case submitRequest:
+					v := submitResult{duplicate: h.seen[e.message.ID], retryAfter: time.Second}
+					if e.message.Dest == 404 {
+						v = submitResult{unknownDest: true}
+					} else if !v.duplicate && h.accepted < h.capacity {
+						h.accepted, h.lastBody, h.seen[e.message.ID], v = h.accepted+1, string(e.message.Body), true, submitResult{accepted: true}
 					}
 					e.reply <- v
-				case handedIn:
-					h.begun++
+				case submitAnswered:
+					h.answered++
 				}
 				h.Unlock()
 			}
@@ -126,7 +126,7 @@
 	return f, h
 }
 
-func good(id, body string) string {
+func validRequest(id, body string) string {
 	return fmt.Sprintf("POST /alert HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 480\r\nEnvelope: dest=7\r\nContent-Length: %d\r\n\r\n%s",
 		id, len(body), body)
 }
@@ -141,14 +141,14 @@
 	f.Add([]byte{1, 16, 17, 1, 18, 19, 20, 1, 1, 1, 1, 1, 1}, uint8(255))
 	f.Fuzz(func(t *testing.T, steps []byte, split uint8) {
 		const room = 4
-		front, host, ln := startFront(t, room, 10)
-		front.Turn(drain.Started)
+		front, host, ln := startServer(t, room, 10)
+		front.HandleDrainEvent(drain.Started)
 		var c net.Conn
 		var r *bufio.Reader
 		taken, ids := 0, 0
 		for _, s := range steps[:min(len(steps), 24)] {
 			if c == nil {
-				c, r = dial(t, ln)
+				c, r = dialListener(t, ln)
 			}
 			ids++
 			id := fmt.Sprint("m", ids)
@@ -158,21 +158,21 @@
 				open   bool
 			}
 			post := func(line, with string) string {
-				req := good(id, "body")
+				req := validRequest(id, "body")
 				if line != "" {
 					_, rest, _ := strings.Cut(req, "\r\n")
 					req = line + "\r\n" + rest
 				}
 				return strings.Replace(req, "\r\n\r\n", "\r\n"+with+"\r\n", 1)
 			}
-			drop := func(name string) string { return strings.Replace(good(id, "body"), name, "X-Other", 1) }
+			drop := func(name string) string { return strings.Replace(validRequest(id, "body"), name, "X-Other", 1) }
 			accepted := 202
 			if taken >= room {
 				accepted = 503
 			}
 			model := []step{
 				{"GET /ready HTTP/1.1\r\n\r\n", 200, true},
-				{good(id, "body"), accepted, true},
+				{validRequest(id, "body"), accepted, true},
 				{post("", "Connection: close\r\n"), accepted, false},
 				{post("POST /alert HTTP/1.0", ""), accepted, false},
 				{post("POST /alert/x?y=1 HTTP/1.1", "X-Repeat: again\r\n"), accepted, true},
@@ -181,8 +181,8 @@
 				{post("POST /nobody HTTP/1.1", ""), 400, true},
 				{drop("X-Correlation-Id"), 400, true},
 				{drop("X-Time-Left-Ms"), 400, true},
-				{strings.Replace(good(id, "body"), "480", "-1", 1), 400, true},
-				{strings.Replace(good(id, "body"), "dest=7", "dest=x", 1), 400, true},
+				{strings.Replace(validRequest(id, "body"), "480", "-1", 1), 400, true},
+				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=x", 1), 400, true},
 				{post("POST /order HTTP/1.1", ""), 400, true}, // keyed, without its key
 				{post("POST /order HTTP/1.1", "Idempotency-Key: k\r\n"), accepted, true},
 				{"PUT /alert HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, true},
@@ -193,27 +193,27 @@
 				{post("", "Content-Length: 5\r\n"), 400, false},
 				{post("", "Transfer-Encoding: chunked\r\n"), 400, false},
 				{fmt.Sprintf("POST /alert HTTP/1.1\r\nContent-Length: %d\r\n\r\n", maxBody+1), 413, false},
-				{"GET /" + strings.Repeat("x", maxLine) + " HTTP/1.1\r\n\r\n", 431, false},
+				{"GET /" + strings.Repeat("x", readBufferSize) + " HTTP/1.1\r\n\r\n", 431, false},
 				{"GET /ready HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", maxFields+1) + "\r\n", 431, false},
-				{good(id, strings.Repeat("b", maxBody)), accepted, true},
+				{validRequest(id, strings.Repeat("b", maxBody)), accepted, true},
 				{post("", "X-Correlation-Id: other\r\n"), 400, true},
 				{post("", "X-Time-Left-Ms: 481\r\n"), 400, true},
 				{post("", "Envelope: dest=7\r\n"), accepted, true},
 				{post("", "Envelope: dest=8\r\n"), 400, true},
-				{strings.Replace(good(id, "body"), "dest=7", "dest=7;dest=8", 1), 400, true},
-				{strings.Replace(good(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no pool config
-				{strings.Replace(good(id, "body"), "480", "99999999", 1), 400, true},
+				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=7;dest=8", 1), 400, true},
+				{strings.Replace(validRequest(id, "body"), "dest=7", "dest=404", 1), 400, true}, // in no pool config
+				{strings.Replace(validRequest(id, "body"), "480", "99999999", 1), 400, true},
 				{post("POST /order HTTP/1.1", "Idempotency-Key: \x7f\r\n"), 400, true},
 			}
 			m := model[int(s)%len(model)]
 			at := int(split) % len(m.send)
 			io.WriteString(c, m.send[:at])
 			io.WriteString(c, m.send[at:])
-			a, err := readStatus(r)
+			a, err := readResponseHead(r)
 			if err == nil {
-				err = a.readRest(r, maxBody)
+				err = a.readRemaining(r, maxBody)
 			}
-			if err != nil || a.status != m.status || a.keep != m.open {
+			if err != nil || a.status != m.status || a.reusable != m.open {
 				t.Fatalf("step %d: %.80q: %+v, %v; want %d, open %v", s, m.send, a, err, m.status, m.open)
 			}
 			if (a.status == 503) != (a.get("Retry-After") != "") {
@@ -233,71 +233,71 @@
 				c = nil
 			}
 		}
-		front.Drain()
+		front.Shutdown()
 		waitFor(t, "hand-ins to begin, each told 202 once", func() bool {
 			host.Lock()
 			defer host.Unlock()
-			return front.Busy() == 0 && host.taken == taken && host.begun == taken
+			return front.OpenConnections() == 0 && host.accepted == taken && host.answered == taken
 		})
 	})
 }
 
 // A message handed in again under the same id on a new connection is not taken twice.
 func TestSameHandInTwice(t *testing.T) {
-	_, host, ln := startFront(t, 8, 10)
+	_, host, ln := startServer(t, 8, 10)
 	for range 2 {
-		c, r := dial(t, ln)
-		io.WriteString(c, good("same", "hello"))
-		if a, err := readStatus(r); err != nil || a.status != 202 {
+		c, r := dialListener(t, ln)
+		io.WriteString(c, validRequest("same", "hello"))
+		if a, err := readResponseHead(r); err != nil || a.status != 202 {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	if host.Lock(); host.taken != 1 || host.last != "hello" {
-		t.Errorf("taken %d times, body %q", host.taken, host.last)
+	if host.Lock(); host.accepted != 1 || host.lastBody != "hello" {
+		t.Errorf("taken %d times, body %q", host.accepted, host.lastBody)
 	}
 	host.Unlock()
 }
 
 // A request that crosses the drain is answered or not read at all; one that was begun is always answered.
 func TestDrainAnswersWhatWasBegun(t *testing.T) {
-	front, _, ln := startFront(t, 8, 10)
-	c, r := dial(t, ln)
-	req := good("slow", "hello")
+	front, _, ln := startServer(t, 8, 10)
+	c, r := dialListener(t, ln)
+	req := validRequest("slow", "hello")
 	io.WriteString(c, req[:20])
-	idle, idleR := dial(t, ln)
+	idle, idleR := dialListener(t, ln)
 	waitFor(t, "one connection to be busy", func() (busy bool) {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		for fc := range front.conns {
-			busy = busy || fc.state == frontBusy
+			busy = busy || fc.state == connBusy
 		}
 		return busy && len(front.conns) == 2
 	})
-	front.Drain()
+	front.Shutdown()
 	if _, err := idleR.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection %v: %v", idle.LocalAddr(), err)
 	}
 	io.WriteString(c, req[20:])
-	if a, err := readStatus(r); err != nil || a.status != 202 || !a.closes("HTTP/1.1") {
+	if a, err := readResponseHead(r); err != nil || a.status != 202 || !a.closesConnection("HTTP/1.1") {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
 // With all connections taken, the one that has been idle longest gives way to a new one.
 func TestIdleGivesWay(t *testing.T) {
-	front, _, ln := startFront(t, 8, 2)
-	front.Turn(drain.Started)
+	front, _, ln := startServer(t, 8, 2)
+	front.HandleDrainEvent(drain.Started)
 	ask := func(c net.Conn, r *bufio.Reader) error {
 		io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
-		a, err := readStatus(r)
+		a, err := readResponseHead(r)
 		if err == nil {
-			err = a.readRest(r, maxBody)
+			err = a.readRemaining(r, maxBody)
 		}
 		return err
 	}
 	var first *bufio.Reader
 	for i := range 4 {
-		c, r := dial(t, ln)
+		c, r := dialListener(t, ln)
 		if err := ask(c, r); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
@@ -312,16 +312,16 @@
 
 // A crowd that connects and says nothing is closed, and does not keep a client that asks from being answered.
 func TestSilentCrowd(t *testing.T) {
-	front, _, ln := startFront(t, 8, 4)
-	front.Turn(drain.Started)
+	front, _, ln := startServer(t, 8, 4)
+	front.HandleDrainEvent(drain.Started)
 	var crowd []*bufio.Reader
 	for range 12 {
-		_, r := dial(t, ln)
+		_, r := dialListener(t, ln)
 		crowd = append(crowd, r)
 	}
-	c, r := dial(t, ln)
+	c, r := dialListener(t, ln)
 	io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
-	if a, err := readStatus(r); err != nil || a.status != 200 {
+	if a, err := readResponseHead(r); err != nil || a.status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	for _, r := range crowd {
@@ -352,8 +352,8 @@
 	*net.TCPConn
 	read atomic.Int64 // bytes that the relay has read
 
-	mu    sync.Mutex
-	waits []time.Duration
+	mu       sync.Mutex
+	timeouts []time.Duration
 }
 
 func (c *timedConn) Read(b []byte) (int, error) {
@@ -365,24 +365,24 @@
 func (c *timedConn) SetReadDeadline(end time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waits = append(c.waits, time.Until(end))
+	c.timeouts = append(c.timeouts, time.Until(end))
 	return c.TCPConn.SetReadDeadline(end)
 }
 
-// runOut waits until the relay has read so many bytes and is in the wait after the last of limits, checks each wait
+// expireRead waits until the relay has read so many bytes and is in the wait after the last of limits, checks each wait
 // against its limit, and ends the one that lasts.
-func (c *timedConn) runOut(t *testing.T, read int, limits ...time.Duration) {
+func (c *timedConn) expireRead(t *testing.T, read int, limits ...time.Duration) {
 	t.Helper()
 	waitFor(t, "the relay to wait", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.read.Load() == int64(read) && len(c.waits) == len(limits)
+		return c.read.Load() == int64(read) && len(c.timeouts) == len(limits)
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, limit := range limits {
-		if c.waits[i] <= 0 || c.waits[i] > limit {
-			t.Errorf("wait %d lasts %v, want up to %v", i, c.waits[i], limit)
+		if c.timeouts[i] <= 0 || c.timeouts[i] > limit {
+			t.Errorf("wait %d lasts %v, want up to %v", i, c.timeouts[i], limit)
 		}
 	}
 	c.TCPConn.SetReadDeadline(time.Unix(1, 0))
@@ -390,22 +390,22 @@
 
 // Half a request and then silence is an error, not a connection for good; so is a kept one without a next request.
 func TestUnfinishedRequests(t *testing.T) {
-	ln := &timedListener{listen(t).(*net.TCPListener), make(chan *timedConn, 2)}
-	startFrontOn(t, ln, 8, 10)
-	half, halfR := dial(t, ln)
-	request := good("half", "hello")[:40]
+	ln := &timedListener{listenLoopback(t).(*net.TCPListener), make(chan *timedConn, 2)}
+	startServerOn(t, ln, 8, 10)
+	half, halfR := dialListener(t, ln)
+	request := validRequest("half", "hello")[:40]
 	io.WriteString(half, request)
-	(<-ln.accepted).runOut(t, len(request), silentLimit, readLimit)
-	if a, err := readStatus(halfR); err != nil || a.status != 408 {
+	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout)
+	if a, err := readResponseHead(halfR); err != nil || a.status != 408 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	kept, keptR := dial(t, ln)
-	request = good("kept", "hello")
+	kept, keptR := dialListener(t, ln)
+	request = validRequest("kept", "hello")
 	io.WriteString(kept, request)
-	if a, err := readStatus(keptR); err != nil || a.status != 202 {
+	if a, err := readResponseHead(keptR); err != nil || a.status != 202 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	(<-ln.accepted).runOut(t, len(request), silentLimit, readLimit, admission.Long)
+	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.Long)
 	if _, err := keptR.ReadByte(); err != io.EOF {
 		t.Fatalf("still open: %v", err)
 	}
@@ -413,16 +413,16 @@
 
 // Once a planned stop has begun each answer tells so, and GET /ready is refused; hand-ins are still taken.
 func TestLeavingIsTold(t *testing.T) {
-	front, host, ln := startFront(t, 4, 10)
-	front.Turn(drain.Started)
-	c, r := dial(t, ln)
+	front, host, ln := startServer(t, 4, 10)
+	front.HandleDrainEvent(drain.Started)
+	c, r := dialListener(t, ln)
 	for _, s := range []struct {
 		leave         bool
 		request, says string
 		status        int
-	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503}, {true, good("m1", "body"), "stopping", 202}} {
+	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503}, {true, validRequest("m1", "body"), "stopping", 202}} {
 		if s.leave {
-			front.Turn(drain.Stop)
+			front.HandleDrainEvent(drain.Stop)
 		}
 		io.WriteString(c, s.request)
 		res, err := http.ReadResponse(r, nil)
@@ -430,15 +430,15 @@
 			t.Errorf("%q: %v, %v", s.request, res, err)
 		}
 	}
-	if host.Lock(); host.taken != 1 {
-		t.Errorf("%d taken", host.taken)
+	if host.Lock(); host.accepted != 1 {
+		t.Errorf("%d taken", host.accepted)
 	}
 	host.Unlock()
 }
 
 // Clients that open a connection for each request and leave the old ones open don't keep all of them: the first few stay.
 func TestIdleOnesOfThoseWhoDoNotComeBackEndSoon(t *testing.T) {
-	_, _, ln := startFront(t, 4, 16) // two may stand idle for long in any case
+	_, _, ln := startServer(t, 4, 16) // two may stand idle for long in any case
 	var conns []net.Conn
 	var readers []*bufio.Reader
 	ask := func(c net.Conn, r *bufio.Reader) {
@@ -449,7 +449,7 @@
 		}
 	}
 	for range 6 {
-		c, r := dial(t, ln)
+		c, r := dialListener(t, ln)
 		ask(c, r)
 		conns, readers = append(conns, c), append(readers, r)
 	}
@@ -498,13 +498,13 @@
 
 // A drain is told at once on each answer, idle and silent connections go, who still comes is served, and ok ends it.
 func TestDrainAndBack(t *testing.T) {
-	front, host, ln := startFront(t, 4, 10)
-	front.Turn(drain.Started)
-	used, usedR := dial(t, ln)
-	_, idleR := dial(t, ln)
-	waitFor(t, "both connections", func() bool { return front.Busy() == 2 })
-	front.Turn(drain.Fail)
-	io.WriteString(used, good("m1", "body"))
+	front, host, ln := startServer(t, 4, 10)
+	front.HandleDrainEvent(drain.Started)
+	used, usedR := dialListener(t, ln)
+	_, idleR := dialListener(t, ln)
+	waitFor(t, "both connections", func() bool { return front.OpenConnections() == 2 })
+	front.HandleDrainEvent(drain.Fail)
+	io.WriteString(used, validRequest("m1", "body"))
 	if res, err := http.ReadResponse(usedR, nil); err != nil || res.StatusCode != 202 || !res.Close {
 		t.Fatalf("in use: %v, %v", res, err)
 	}
@@ -514,7 +514,7 @@
 		}
 	}
 	ask := func(request string) (status int, closes bool) {
-		c, r := dial(t, ln)
+		c, r := dialListener(t, ln)
 		io.WriteString(c, request)
 		res, err := http.ReadResponse(r, nil)
 		if err != nil {
@@ -525,15 +525,15 @@
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 503 || !closes || !front.Serving() {
 		t.Errorf("ready: %d, close %v, serving %v", status, closes, front.Serving())
 	}
-	if status, closes := ask(good("m2", "body")); status != 202 || !closes {
+	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
 		t.Errorf("who still comes: %d, close %v", status, closes)
 	}
-	front.Turn(drain.OK)
+	front.HandleDrainEvent(drain.OK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
 		t.Errorf("back: %d, close %v", status, closes)
 	}
-	if host.Lock(); host.taken != 2 {
-		t.Errorf("%d taken", host.taken)
+	if host.Lock(); host.accepted != 2 {
+		t.Errorf("%d taken", host.accepted)
 	}
 	host.Unlock()
 }
@@ -544,8 +544,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFront(ln, &policy.Settings{}, 10, make(chan any, 1), quiet)
-	f.Turn(drain.Started)
+	f := NewServer(ln, &policy.Settings{}, 10, make(chan any, 1), discardLog)
+	f.HandleDrainEvent(drain.Started)
 	go f.Serve()
 	sock, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -558,10 +558,10 @@
 		}
 	}
 	sock.Close()
-	for f.Busy() > 0 {
+	for f.OpenConnections() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.Drain()
+	f.Shutdown()
 	names := func() (all []string) {
 		var out strings.Builder
 		if err := f.Trace(&out); err != nil {
@@ -582,10 +582,10 @@
 			t.Fatalf("trace %q, want %q at %d", got, want, i)
 		}
 	}
-	for range traceRoom - 1 {
-		f.trace.note(1, traceClose, 2, 0)
+	for range traceCapacity - 1 {
+		f.trace.record(1, traceClose, 2, 0)
 	}
-	if all := names(); len(all) != traceRoom || all[0] != "close 1" || all[traceRoom-1] != "close 2" {
+	if all := names(); len(all) != traceCapacity || all[0] != "close 1" || all[traceCapacity-1] != "close 2" {
 		t.Errorf("%d events, from %q to %q", len(all), all[0], all[len(all)-1])
 	}
 }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -19,31 +19,31 @@
 // the drain that it was told of.
 func TestAdoptsOnceAndHeeds(t *testing.T) {
 	var first time.Time
-	var w *world
-	w = startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) {
+	var w *testEnv
+	w = startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 		w.Lock()
 		if first.IsZero() {
 			first = time.Now()
 		}
 		w.Unlock()
-		okay(rw, r, body)
+		answerOK(rw, r, body)
 	})
-	w.host.Do(func(h *Host) { h.standby, h.quiet = true, true })
+	w.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	until := time.Now().Add(200 * time.Millisecond)
 	msg := func(class, id string, steps int, risk time.Time) *memory.Message {
 		return &memory.Message{Number: 77, ID: id, Class: class, IdempotencyKey: "k", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(4 * time.Second), Attempts: steps, MayHaveRunSince: risk}
 	}
 	lent := []policy.InheritedCall{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
-	<-w.host.Adopt(Passed{Overs: []string{"over"}})
-	<-w.host.Adopt(Passed{Msgs: []*memory.Message{msg("alert", "a", 0, time.Time{}), msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
-		News: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
-	<-w.host.Adopt(Passed{Msgs: []*memory.Message{msg("fee", "f", 1, time.Now()), msg("alert", "a", 0, time.Time{})}})
-	if got := w.client(hand("alert", "there", "", "b", 4000)); got != 202 {
+	<-w.host.Adopt(Transfer{CompletedIDs: []string{"over"}})
+	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("alert", "a", 0, time.Time{}), msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
+		Update: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
+	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()), msg("alert", "a", 0, time.Time{})}})
+	if got := w.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
 		t.Errorf("what the other process keeps was answered %d", got)
 	}
 	w.host.Do(func(h *Host) {
-		if len(h.lent) != 3 || h.table.PendingCount() != 2 {
-			t.Errorf("%v lent, %d held", h.lent, h.table.PendingCount())
+		if len(h.inheritedCalls) != 3 || h.table.PendingCount() != 2 {
+			t.Errorf("%v lent, %d held", h.inheritedCalls, h.table.PendingCount())
 		}
 	})
 	// A change of the list that reached the other process only is taken over; one that is older than what this one has is not.
@@ -52,8 +52,8 @@
 		state      policy.EndpointState
 		want       policy.EndpointState
 	}{{0, policy.Draining, policy.Listed}, {9, policy.Draining, policy.Draining}, {10, policy.Listed, policy.Listed}} {
-		<-w.host.Adopt(Passed{News: &handover.News{Out: lent[:1], List: &handover.List{Generation: c.generation, Members: []handover.Member{
-			{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state}, HostPort: w.ln.Listener.Addr().String()}}}}})
+		<-w.host.Adopt(Transfer{Update: &handover.News{Out: lent[:1], List: &handover.List{Generation: c.generation, Members: []handover.Member{
+			{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state}, HostPort: w.endpoint.Listener.Addr().String()}}}}})
 		w.host.Do(func(h *Host) {
 			if got := policy.EndpointState(h.endpoints["s-1"].state.Load()); got != c.want {
 				t.Errorf("list of generation %d: state %v, want %v", c.generation, got, c.want)
@@ -63,41 +63,41 @@
 	if !w.host.Activate() {
 		t.Error("the drain was not passed on")
 	}
-	w.until("the notice", func() bool { return len(w.notices) > 0 })
-	w.empty()
+	w.waitUntil("the notice", func() bool { return len(w.notifications) > 0 })
+	w.waitEmpty()
 	w.Lock()
 	if !slices.Equal(w.calls, []string{"a"}) || first.Before(until) {
 		t.Errorf("called %v, %v before the wait was over", w.calls, until.Sub(first))
 	}
 	w.Unlock()
-	<-w.host.Adopt(Passed{Last: true})
+	<-w.host.Adopt(Transfer{LastProcess: true})
 	w.host.Do(func(h *Host) {
-		if len(h.lent) > 0 || len(h.elsewhere) > 0 {
-			t.Errorf("alone: %v lent, %v elsewhere", h.lent, h.elsewhere)
+		if len(h.inheritedCalls) > 0 || len(h.ownedElsewhere) > 0 {
+			t.Errorf("alone: %v lent, %v elsewhere", h.inheritedCalls, h.ownedElsewhere)
 		}
 	})
 }
 
 // What is over elsewhere before the module heard of it takes no slot from what comes later.
 func TestAdoptedAndOverElsewhere(t *testing.T) {
-	w := startWorld(t, okay)
-	w.host.Do(func(h *Host) { h.standby, h.quiet = true, true })
+	w := startEnv(t, answerOK)
+	w.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	var all []*memory.Message
 	var ids []string
-	most := w.host.set.MaxConcurrentCalls * w.host.kindOf["broker"].MaxBatch
+	most := w.host.settings.MaxConcurrentCalls * w.host.kindSettings["broker"].MaxBatch
 	for n := range uint32(most) {
 		m := &memory.Message{Number: 70 + n, ID: fmt.Sprint("over-", n), Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)}
 		all, ids = append(all, m), append(ids, m.ID)
 	}
-	<-w.host.Adopt(Passed{Msgs: all})
-	<-w.host.Adopt(Passed{Overs: ids})
-	<-w.host.Adopt(Passed{Last: true})
+	<-w.host.Adopt(Transfer{Messages: all})
+	<-w.host.Adopt(Transfer{CompletedIDs: ids})
+	<-w.host.Adopt(Transfer{LastProcess: true})
 	w.host.Activate()
-	if got := w.client(hand("alert", "a", "", "b", 4000)); got != 202 {
+	if got := w.post(requestText("alert", "a", "", "b", 4000)); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	w.until("the call", func() bool { return len(w.calls) > 0 })
-	w.empty()
+	w.waitUntil("the call", func() bool { return len(w.calls) > 0 })
+	w.waitEmpty()
 	w.Lock()
 	defer w.Unlock()
 	if !slices.Equal(w.calls, []string{"a"}) {
@@ -108,7 +108,7 @@
 // A process that hands over gives what is not out, then what it still takes on and what its calls leave undone, and makes no further step.
 func TestGivesAllThatIsLeft(t *testing.T) {
 	release := make(chan struct{})
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	var mu sync.Mutex
 	var given []*memory.Message
 	var news []*handover.News
@@ -123,13 +123,13 @@
 		given, news = append(given, msgs...), append(news, n)
 		return err
 	}
-	w.client(hand("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
-	w.until("the call", func() bool { return len(w.calls) == 1 })
+	w.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
+	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
 	w.host.Do(func(h *Host) {
 		h.endpoints["s-1"].backoff.extend(time.Minute)
 		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
-	w.client(hand("alert", "held", "", "b", 4000))
+	w.post(requestText("alert", "held", "", "b", 4000))
 	waitFor(t, "the host to hear that its client was told", func() (told bool) {
 		w.host.Do(func(h *Host) { m := h.table.ByID("held"); told = m != nil && !m.Unanswered })
 		return told
@@ -143,30 +143,30 @@
 		t.Errorf("first: %v, %+v", given, n)
 	}
 	mu.Unlock()
-	if got := w.client(hand("fee", "more", "", "b", 9000)); got != 202 {
+	if got := w.post(requestText("fee", "more", "", "b", 9000)); got != 202 {
 		t.Errorf("still taken on: %d", got)
 	}
 	close(release)
-	w.host.Give(giveCost) // no room for its body: it waits
+	w.host.TransferRemaining(transferOverheadBytes) // no room for its body: it waits
 	mu.Lock()
 	if len(given) != 1 {
 		t.Errorf("given into no room: %v", given)
 	}
 	mu.Unlock()
 	waitFor(t, "the rest", func() bool {
-		w.host.Give(1 << 20)
+		w.host.TransferRemaining(1 << 20)
 		mu.Lock()
 		defer mu.Unlock()
 		return len(given) == 3 && len(news[len(news)-1].Out) == 0
 	})
-	w.empty()
+	w.waitEmpty()
 	mu.Lock()
 	defer mu.Unlock()
 	if i := slices.IndexFunc(given, func(m *memory.Message) bool { return m.ID == "out" }); i < 0 || given[i].Attempts != 1 || given[i].MayHaveRunSince.IsZero() {
 		t.Errorf("what its call left undone: %+v", given)
 	}
-	if w.Lock(); len(w.calls) != 1 || len(w.notices) > 0 {
-		t.Errorf("calls %v, notices %v", w.calls, w.notices)
+	if w.Lock(); len(w.calls) != 1 || len(w.notifications) > 0 {
+		t.Errorf("calls %v, notices %v", w.calls, w.notifications)
 	}
 	w.Unlock()
 }
@@ -231,7 +231,7 @@
 // Where the first file has no room, what is out then and ends meanwhile is given once: a file that names a message twice can't be read.
 func TestGivenOnceWhereRoomIsShort(t *testing.T) {
 	release := make(chan struct{})
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	ids := map[string]int{}
 	give := func(b []byte) error {
 		msgs, _, err := journal.DecodeTransfer(b, clock.Scale{})
@@ -242,8 +242,8 @@
 	}
 	var before uint32 // a number ahead of the message whose call is out
 	w.host.Do(func(h *Host) { before = h.table.NextNumber() })
-	w.client(hand("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
-	w.until("the call", func() bool { return len(w.calls) == 1 })
+	w.post(requestText("order", "out", "Idempotency-Key: k\r\n", "b", 9000))
+	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
 	w.host.Do(func(h *Host) {
 		h.journal.AppendTransferred(h.table, &memory.Message{Number: before, ID: "held", Class: "alert", Dest: 7, Body: []byte("b"), Deadline: time.Now().Add(time.Minute)})
 	})
@@ -252,8 +252,8 @@
 	}
 	close(release)
 	waitFor(t, "the call's end", func() (ended bool) { w.host.Do(func(h *Host) { ended = len(h.calls) == 0 }); return ended })
-	w.host.Give(1 << 20)
-	w.empty()
+	w.host.TransferRemaining(1 << 20)
+	w.waitEmpty()
 	w.host.Do(func(*Host) {
 		if len(ids) != 2 || ids["out"] != 1 || ids["held"] != 1 {
 			t.Errorf("given %v", ids)
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -21,46 +21,46 @@
 	"oatfold/policy"
 )
 
-// world is what lies round a host: a platform and endpoints, all answering in the test's own way.
-type world struct {
+// testEnv is what lies round a host: a platform and endpoints, all answering in the test's own way.
+type testEnv struct {
 	sync.Mutex
-	t       testing.TB
-	host    *Host
-	table   *memory.Table
-	ln      *httptest.Server // the endpoint
-	agent   *httptest.Server
-	answer  func(w http.ResponseWriter, r *http.Request, body string)
-	calls   []string // ids of the messages called, in order
-	notices []string
-	told    func() // not nil: called before the platform answers a notice
-	front   *Front
-	client  func(req string) int
+	t                        testing.TB
+	host                     *Host
+	table                    *memory.Table
+	endpoint                 *httptest.Server // the endpoint
+	platform                 *httptest.Server
+	handleCall               func(w http.ResponseWriter, r *http.Request, body string)
+	calls                    []string // ids of the messages called, in order
+	notifications            []string
+	beforeNotificationAnswer func() // not nil: called before the platform answers a notice
+	server                   *Server
+	post                     func(req string) int
 }
 
-func pool(addr, lifecycle string, generation int) string {
+func endpointListJSON(addr, lifecycle string, generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"z",
 		"machineType":"broker","cell":7,"lifecycle":%q,"weight":1.0,"startedAtMs":0}]}`, generation, addr, lifecycle)
 }
 
-// serve is an HTTP server at a loopback address of this process.
-func serve(t testing.TB, handler http.HandlerFunc) *httptest.Server {
+// startHTTPServer is an HTTP server at a loopback address of this process.
+func startHTTPServer(t testing.TB, handler http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
 	server.Listener.Close()
-	server.Listener = listen(t)
+	server.Listener = listenLoopback(t)
 	server.Start()
 	return server
 }
 
-func startWorld(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, body string)) *world {
+func startEnv(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, body string)) *testEnv {
 	t.Helper()
-	return startWorldOn(t, journal.Dir(t.TempDir()), answer)
+	return startEnvOn(t, journal.Dir(t.TempDir()), answer)
 }
 
-func startWorldOn(t testing.TB, folder journal.FS, answer func(w http.ResponseWriter, r *http.Request, body string)) *world {
+func startEnvOn(t testing.TB, folder journal.FS, answer func(w http.ResponseWriter, r *http.Request, body string)) *testEnv {
 	t.Helper()
-	w := &world{t: t, answer: answer}
-	w.ln = serve(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w := &testEnv{t: t, handleCall: answer}
+	w.endpoint = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Lock()
 		if id := r.Header.Get("X-Correlation-Id"); id != "" {
@@ -70,15 +70,15 @@
 			w.calls = append(w.calls, v.Get("id").Str)
 		}
 		w.Unlock()
-		w.answer(rw, r, string(b))
+		w.handleCall(rw, r, string(b))
 	}))
 	stop := make(chan struct{})
-	w.agent = serve(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w.platform = startHTTPServer(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/v1/notices" {
 			w.Lock()
-			w.notices = append(w.notices, strings.Split(strings.TrimSpace(string(b)), "\n")...)
-			told := w.told
+			w.notifications = append(w.notifications, strings.Split(strings.TrimSpace(string(b)), "\n")...)
+			told := w.beforeNotificationAnswer
 			w.Unlock()
 			if told != nil {
 				told()
@@ -87,30 +87,30 @@
 		} else if r.URL.Query().Get("from") != "" {
 			<-stop
 		} else {
-			io.WriteString(rw, pool(w.ln.Listener.Addr().String(), "in_service", 1))
+			io.WriteString(rw, endpointListJSON(w.endpoint.Listener.Addr().String(), "in_service", 1))
 		}
 	}))
-	kept, table, err := journal.Open(journal.Config{FS: folder, Budget: 3e6, Log: quiet})
+	kept, table, err := journal.Open(journal.Config{FS: folder, Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.table = table
-	if w.host, err = NewHost(HostConfig{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, IdleMost: 8,
-		Table: table, Journal: kept, Log: quiet}); err != nil {
+	if w.host, err = NewHost(HostConfig{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxIdleConns: 8,
+		Table: table, Journal: kept, Log: discardLog}); err != nil {
 		t.Fatal(err)
 	}
-	set, ln := testSettings(), listen(t)
-	w.front = NewFront(ln, &set, 100, w.host.Events(), quiet)
-	w.host.Watch(w.agent.Listener.Addr().String())
+	set, ln := testSettings(), listenLoopback(t)
+	w.server = NewServer(ln, &set, 100, w.host.Events(), discardLog)
+	w.host.StartPlatformClient(w.platform.Listener.Addr().String())
 	done := make(chan struct{})
 	go func() { w.host.Run(stop); close(done) }()
-	go w.front.Serve()
-	waitFor(t, "the pool config", func() (listed bool) { w.host.Do(func(h *Host) { listed = h.listed }); return listed })
-	w.client = func(req string) int {
-		c, r := dial(t, ln)
+	go w.server.Serve()
+	waitFor(t, "the pool config", func() (listed bool) { w.host.Do(func(h *Host) { listed = h.listReceived }); return listed })
+	w.post = func(req string) int {
+		c, r := dialListener(t, ln)
 		defer c.Close()
 		io.WriteString(c, req)
-		a, err := readStatus(r)
+		a, err := readResponseHead(r)
 		if err != nil {
 			t.Error(err)
 			return 0
@@ -118,35 +118,35 @@
 		return a.status
 	}
 	t.Cleanup(func() {
-		w.front.Drain()
+		w.server.Shutdown()
 		close(stop)
 		<-done
-		w.host.unwatch() // else it asks on for as long as the tests run, at a port that passes to others
-		w.ln.CloseClientConnections()
-		w.ln.Close()
-		w.agent.CloseClientConnections()
-		w.agent.Close()
+		w.host.cancelWatch() // else it asks on for as long as the tests run, at a port that passes to others
+		w.endpoint.CloseClientConnections()
+		w.endpoint.Close()
+		w.platform.CloseClientConnections()
+		w.platform.Close()
 	})
 	return w
 }
 
-func (w *world) until(what string, ok func() bool) {
+func (w *testEnv) waitUntil(what string, ok func() bool) {
 	w.t.Helper()
 	waitFor(w.t, what, func() bool { w.Lock(); defer w.Unlock(); return ok() })
 }
 
-func (w *world) empty() {
+func (w *testEnv) waitEmpty() {
 	w.t.Helper()
 	waitFor(w.t, "the table to empty", func() bool { held, out := w.host.Load(); return held+out == 0 })
 }
 
-func hand(class, id, more, body string, left int) string {
+func requestText(class, id, more, body string, left int) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=7\r\n%sContent-Length: %d\r\n\r\n%s",
 		class, id, left, more, len(body), body)
 }
 
-// okay answers as an endpoint that takes all: one message, or each of a batch.
-func okay(w http.ResponseWriter, r *http.Request, body string) {
+// answerOK answers as an endpoint that takes all: one message, or each of a batch.
+func answerOK(w http.ResponseWriter, r *http.Request, body string) {
 	if r.URL.Path == "/hook/batch" {
 		var out []string
 		for _, v := range gjson.Parse(body).Array() {
@@ -159,19 +159,19 @@
 // Messages go from client to endpoint, alone and several in a call, and nothing is left; an expired one is
 // ended by a notice.
 func TestDeliversAndEnds(t *testing.T) {
-	w := startWorld(t, okay)
+	w := startEnv(t, answerOK)
 	for i := range 6 { // with the one below, fewer than the hold takes
-		if got := w.client(hand("alert", fmt.Sprint("m", i), "", "b", 5000)); got != 202 {
+		if got := w.post(requestText("alert", fmt.Sprint("m", i), "", "b", 5000)); got != 202 {
 			t.Fatalf("answered %d", got)
 		}
 	}
-	if got := w.client(hand("fee", "late", "", "b", 0)); got != 202 {
+	if got := w.post(requestText("fee", "late", "", "b", 0)); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	w.until("the notice", func() bool { return len(w.notices) == 1 })
-	w.empty()
-	if n := gjson.Parse(w.notices[0]); n.Get("message").Str != "late" || n.Get("outcome").Str != "handed_back" {
-		t.Errorf("notice %s", w.notices[0])
+	w.waitUntil("the notice", func() bool { return len(w.notifications) == 1 })
+	w.waitEmpty()
+	if n := gjson.Parse(w.notifications[0]); n.Get("message").Str != "late" || n.Get("outcome").Str != "handed_back" {
+		t.Errorf("notice %s", w.notifications[0])
 	}
 	called := map[string]bool{}
 	for _, id := range w.calls { // a slow machine may repeat an alert, which is allowed
@@ -184,7 +184,7 @@
 
 // No watch outlives its test. Guards against questions at a port that passes to another test's script, in any process.
 func TestWorldsLeaveNoWatch(t *testing.T) {
-	t.Run("world", func(t *testing.T) { startWorld(t, okay) })
+	t.Run("world", func(t *testing.T) { startEnv(t, answerOK) })
 	stacks := make([]byte, 1<<20)
 	waitFor(t, "watches to end", func() bool {
 		n := runtime.Stack(stacks, true)
@@ -198,7 +198,7 @@
 func TestFullHold(t *testing.T) {
 	const handIns = 12
 	release := make(chan struct{})
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	stopped, goOn := make(chan struct{}), make(chan struct{})
 	resume := sync.OnceFunc(func() { close(goOn) })
 	t.Cleanup(resume) // a test that fails here must not leave the host stopped
@@ -209,7 +209,7 @@
 		go func() {
 			status := 0
 			defer func() { answers <- status }()
-			status = w.client(hand("fee", fmt.Sprint("m", i), "", "b", 19000))
+			status = w.post(requestText("fee", fmt.Sprint("m", i), "", "b", 19000))
 		}()
 	}
 	waitFor(t, "all hand-ins to reach the host", func() bool { return len(w.host.events) == handIns })
@@ -219,15 +219,15 @@
 		statuses[<-answers]++
 	}
 	close(release)
-	w.empty()
+	w.waitEmpty()
 	w.Lock()
 	defer w.Unlock()
 	held := testSettings().MaxPending
 	if statuses[202] != held || statuses[503] != handIns-held {
 		t.Errorf("answers by status: %v, want %d taken on and the rest refused", statuses, held)
 	}
-	if len(w.notices)+len(w.calls) != held {
-		t.Errorf("notices %v, calls %v, want %d ends", w.notices, w.calls, held)
+	if len(w.notifications)+len(w.calls) != held {
+		t.Errorf("notices %v, calls %v, want %d ends", w.notifications, w.calls, held)
 	}
 }
 
@@ -235,23 +235,23 @@
 // once.
 func TestModulePanic(t *testing.T) {
 	release := make(chan struct{})
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; okay(rw, r, body) })
-	w.client(hand("fee", "out", "", "b", 19000))
-	w.until("the call", func() bool { return len(w.calls) == 1 })
-	w.host.Do(func(h *Host) { h.relay = nil; h.pending = append(h.pending, policy.TimerFired{}) })
-	w.client(hand("alert", "next", "", "b", 5000))
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
+	w.post(requestText("fee", "out", "", "b", 19000))
+	w.waitUntil("the call", func() bool { return len(w.calls) == 1 })
+	w.host.Do(func(h *Host) { h.relay = nil; h.pendingEvents = append(h.pendingEvents, policy.TimerFired{}) })
+	w.post(requestText("alert", "next", "", "b", 5000))
 	close(release)
-	w.empty()
-	w.until("both calls", func() bool { return len(w.calls) == 2 })
-	if len(w.notices) != 0 {
-		t.Errorf("notices %v", w.notices)
+	w.waitEmpty()
+	w.waitUntil("both calls", func() bool { return len(w.calls) == 2 })
+	if len(w.notifications) != 0 {
+		t.Errorf("notices %v", w.notifications)
 	}
 }
 
-// bare is a host without its loop, for steps by hand.
-func bare(t *testing.T) *Host { return bareOn(t, journal.Dir(t.TempDir())) }
+// newTestHost is a host without its loop, for steps by hand.
+func newTestHost(t *testing.T) *Host { return newTestHostOn(t, journal.Dir(t.TempDir())) }
 
-func (h *Host) message(id string, dest, size int) *memory.Message {
+func (h *Host) addMessage(id string, dest, size int) *memory.Message {
 	m := &memory.Message{Number: h.table.NextNumber(), ID: id, Class: "alert", Dest: dest, Body: make([]byte, size), Deadline: time.Now().Add(time.Hour)}
 	h.table.Add(m)
 	return m
@@ -259,14 +259,14 @@
 
 // A send that the host cannot make ends as unsent: to another destination, a second copy, no such endpoint.
 func TestSendsThatCannotBeMade(t *testing.T) {
-	h := bare(t)
-	h.pending = nil
-	other, out := h.message("other", 8, 1), h.message("out", 7, 1)
+	h := newTestHost(t)
+	h.pendingEvents = nil
+	other, out := h.addMessage("other", 8, 1), h.addMessage("out", 7, 1)
 	out.InFlight = &memory.Attempt{}
-	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.message("x", 7, 1).Number, Endpoint: "s-9"}} {
-		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pending) != i+1 ||
-			h.pending[i].(policy.AttemptEnded).Outcome != policy.Unsent {
-			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pending)
+	for i, a := range []policy.Send{{ID: other.Number, Endpoint: "s-1"}, {ID: out.Number, Endpoint: "s-1"}, {ID: h.addMessage("x", 7, 1).Number, Endpoint: "s-9"}} {
+		if calls := h.planSend(0, time.Now(), a, map[string]*call{}, nil); len(calls) != 0 || len(h.pendingEvents) != i+1 ||
+			h.pendingEvents[i].(policy.AttemptEnded).Outcome != policy.Unsent {
+			t.Errorf("%+v: %d calls, %v", a, len(calls), h.pendingEvents)
 		}
 	}
 }
@@ -283,24 +283,24 @@
 		"by length": {[]int{20 << 10, 20 << 10, 20 << 10}, 0, []int{2, 1}, 0},
 		"no slot":   {[]int{20 << 10, 20 << 10, 20 << 10}, 3, []int{2}, 1},
 	} {
-		h := bare(t)
-		h.pending = nil
+		h := newTestHost(t)
+		h.pendingEvents = nil
 		for range c.out {
 			h.calls[&call{}] = struct{}{}
 		}
 		open, calls := map[string]*call{}, []*call(nil)
 		for i, size := range c.sizes {
-			calls = h.planSend(0, time.Now(), policy.Send{ID: h.message(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
+			calls = h.planSend(0, time.Now(), policy.Send{ID: h.addMessage(fmt.Sprint(i), 7, size).Number, Endpoint: "s-1"}, open, calls)
 		}
 		var got []int
 		for _, cl := range calls {
 			got = append(got, len(cl.items))
-			if body := appendRequest(nil, cl, time.Second); len(cl.items) > 1 && len(body) > maxBody+maxLine {
+			if body := appendRequest(nil, cl, time.Second); len(cl.items) > 1 && len(body) > maxBody+readBufferSize {
 				t.Errorf("%s: a batch of %d bytes", name, len(body))
 			}
 		}
-		if fmt.Sprint(got) != fmt.Sprint(c.calls) || len(h.pending) != c.unsent {
-			t.Errorf("%s: calls %v, %d unsent, want %v, %d", name, got, len(h.pending), c.calls, c.unsent)
+		if fmt.Sprint(got) != fmt.Sprint(c.calls) || len(h.pendingEvents) != c.unsent {
+			t.Errorf("%s: calls %v, %d unsent, want %v, %d", name, got, len(h.pendingEvents), c.calls, c.unsent)
 		}
 	}
 }
@@ -308,46 +308,46 @@
 // A message whose own time is up is told as timed out while the others keep the call; its late answer ends
 // nothing twice.
 func TestTimeUpInBatch(t *testing.T) {
-	h := bare(t)
-	short, long := h.message("short", 7, 1), h.message("long", 7, 1)
+	h := newTestHost(t)
+	short, long := h.addMessage("short", 7, 1), h.addMessage("long", 7, 1)
 	wall := time.Now()
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
 	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil) // less than it has left
 	calls = h.planSend(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
-	h.pending = nil
+	h.pendingEvents = nil
 	h.registerCall(cl)
 	h.expireItems(time.Second - 1)
-	if len(h.pending) != 0 {
-		t.Fatalf("too early: %v", h.pending)
+	if len(h.pendingEvents) != 0 {
+		t.Fatalf("too early: %v", h.pendingEvents)
 	}
 	h.expireItems(time.Second)
 	h.handleCallResult(callResult{call: cl, results: uniformResults(cl, itemResult{outcome: policy.Delivered})})
-	if len(h.pending) != 2 || h.pending[0].(policy.AttemptEnded).Outcome != policy.TimedOut || h.pending[0].(policy.AttemptEnded).ID != short.Number ||
-		h.pending[1].(policy.AttemptEnded).ID != long.Number {
-		t.Fatalf("told %+v", h.pending)
+	if len(h.pendingEvents) != 2 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != policy.TimedOut || h.pendingEvents[0].(policy.AttemptEnded).ID != short.Number ||
+		h.pendingEvents[1].(policy.AttemptEnded).ID != long.Number {
+		t.Fatalf("told %+v", h.pendingEvents)
 	}
 }
 
 // Where a call ends with its message's time, only its own end is told: the slot is not free before.
 func TestTimeUpWithCall(t *testing.T) {
-	h := bare(t)
-	m, wall := h.message("m", 7, 1), time.Now()
+	h := newTestHost(t)
+	m, wall := h.addMessage("m", 7, 1), time.Now()
 	m.Deadline = wall.Add(time.Second)
 	cl := h.planSend(0, wall, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)[0]
-	h.pending = nil
+	h.pendingEvents = nil
 	h.registerCall(cl)
-	if h.expireItems(2 * time.Second); len(h.pending) != 0 {
-		t.Fatalf("told %+v", h.pending)
+	if h.expireItems(2 * time.Second); len(h.pendingEvents) != 0 {
+		t.Fatalf("told %+v", h.pendingEvents)
 	}
 }
 
 // The pool config: a member that drains is shut to calls at once, one that moved or left loses its idle
 // connections, and idle connections are bounded.
 func TestPoolNewsAndIdle(t *testing.T) {
-	h := bare(t)
-	h.idleMost = 2
+	h := newTestHost(t)
+	h.maxIdleConns = 2
 	ep := h.endpoints["s-1"]
 	for range 3 {
 		h.handleCallResult(callResult{conn: &endpointConn{endpoint: ep, calls: make(chan *call, 1)}, call: &call{endpoint: ep}, reusable: true})
@@ -357,7 +357,7 @@
 		t.Fatalf("%d idle", len(idle))
 	}
 	news := func(addr, lifecycle string) {
-		pc, err := memory.ParseEndpointList(pool(addr, lifecycle, 2))
+		pc, err := memory.ParseEndpointList(endpointListJSON(addr, lifecycle, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -379,21 +379,21 @@
 
 // A repeat that partners drop for a while only is not written after that, however long its dial took; it ends as unsent, and others of the batch go.
 func TestRepeatOutsideItsWindow(t *testing.T) {
-	h := bare(t)
+	h := newTestHost(t)
 	set := testSettings()
 	set.Classes = append(set.Classes, policy.Class{Name: "order", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: time.Second, Deadline: time.Hour})
-	h.name(set)
+	h.indexSettings(set)
 	now := time.Now()
 	for _, c := range []struct {
 		class string
 		risk  time.Duration // ago; 0: none
 		goes  bool          // 0.6 s after the send
 	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false}, {"alert", 4500 * time.Millisecond, true}} {
-		m := h.message(fmt.Sprint(c), 7, 10)
+		m := h.addMessage(fmt.Sprint(c), 7, 10)
 		if m.Class = c.class; c.risk > 0 {
 			m.MayHaveRunSince = now.Add(-c.risk)
 		}
-		other := h.message(fmt.Sprint("other ", c), 7, 10)
+		other := h.addMessage(fmt.Sprint("other ", c), 7, 10)
 		open := map[string]*call{}
 		calls := h.planSend(0, now, policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Minute}, open, nil)
 		calls = h.planSend(0, now, policy.Send{ID: other.Number, Endpoint: "s-1", Timeout: time.Minute}, open, calls)
@@ -412,8 +412,8 @@
 // A wait binds all endpoints of a destination, but only the one where routes are apart; a module that starts
 // anew sends nothing before its end.
 func TestGates(t *testing.T) {
-	h := bare(t)
-	h.kindOf["apart"] = policy.Kind{Name: "apart", MaxBatch: 1, SeparateRoutes: true}
+	h := newTestHost(t)
+	h.kindSettings["apart"] = policy.Kind{Name: "apart", MaxBatch: 1, SeparateRoutes: true}
 	for id, kind := range map[string]string{"s-2": "broker", "a-1": "apart", "a-2": "apart"} {
 		dest := map[string]int{"broker": 7, "apart": 9}[kind]
 		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1", Endpoint: policy.Endpoint{Address: id, Destination: dest, Kind: kind}})
@@ -426,7 +426,7 @@
 			t.Errorf("%s: closed %v", id, !closed)
 		}
 	}
-	h.rebuild(h.now())
+	h.restartPolicy(h.now())
 	if h.applyEndpointList(memory.EndpointList{}, policy.ListChanges); h.stepAt() < 59*time.Minute {
 		t.Errorf("steps from %v on", h.stepAt())
 	}
@@ -436,7 +436,7 @@
 func TestAgentInTrouble(t *testing.T) {
 	var mu sync.Mutex
 	var asked, taken []string
-	agent := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	agent := startHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if r.URL.Path == "/v1/notices" {
@@ -458,16 +458,16 @@
 		case 1:
 			w.WriteHeader(500)
 		case 2:
-			io.WriteString(w, pool("127.0.0.1:1", "in_service", 41))
+			io.WriteString(w, endpointListJSON("127.0.0.1:1", "in_service", 41))
 		case 3:
 			io.WriteString(w, "{")
 		default:
-			io.WriteString(w, strings.Replace(pool("127.0.0.1:1", "terminating", 42), "true", "false", 1))
+			io.WriteString(w, strings.Replace(endpointListJSON("127.0.0.1:1", "terminating", 42), "true", "false", 1))
 		}
 	}))
 	defer agent.Close()
 	addr, events := agent.Listener.Addr().String(), make(chan any)
-	go watchEndpointList(t.Context(), listWatcher{addr: addr, generation: -1, fleetSize: 1}, events, quiet)
+	go watchEndpointList(t.Context(), listWatcher{addr: addr, generation: -1, fleetSize: 1}, events, discardLog)
 	first, second := (<-events).(endpointListUpdate), (<-events).(endpointListUpdate)
 	if !first.Complete || first.Generation != 41 || second.Complete || second.Entries[0].State != policy.Draining {
 		t.Errorf("news %+v, then %+v", first, second)
@@ -487,7 +487,7 @@
 	}
 	var at atomic.Pointer[string]
 	at.Store(&addr)
-	go runNotifier(&at, in, acks, quiet)
+	go runNotifier(&at, in, acks, discardLog)
 	got := map[uint32]bool{}
 	for len(got) < 3 {
 		for _, n := range (<-acks).(notificationsAccepted).nums {
@@ -504,59 +504,59 @@
 // A hand-in for a destination that no list has named is nobody's, or not yet known while no list was told; the id of
 // a message that is over is taken already; and news of a watch that a reload has ended changes nothing.
 func TestHandInsAndNewsThatDoNotCount(t *testing.T) {
-	h := bare(t)
-	ask := func(id string, dest int) verdict {
-		_, v := h.handIn(handIn{msg: &memory.Message{ID: id, Class: "alert", Dest: dest, Deadline: time.Now().Add(time.Hour)}})
+	h := newTestHost(t)
+	ask := func(id string, dest int) submitResult {
+		_, v := h.submit(submitRequest{message: &memory.Message{ID: id, Class: "alert", Dest: dest, Deadline: time.Now().Add(time.Hour)}})
 		return v
 	}
-	if v := ask("a", 8); v.taken || v.nowhere || v.retry == 0 {
+	if v := ask("a", 8); v.accepted || v.unknownDest || v.retryAfter == 0 {
 		t.Errorf("before the list: %+v", v)
 	}
-	known, _ := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 2))
+	known, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 2))
 	old, end := context.WithCancel(context.Background())
 	defer end()
-	h.watching = context.Background()
-	h.take(endpointListUpdate{known, old})
-	if h.listed {
+	h.watchCtx = context.Background()
+	h.handleEvent(endpointListUpdate{known, old})
+	if h.listReceived {
 		t.Error("late news of another watch counts")
 	}
-	h.take(endpointListUpdate{known, h.watching})
-	if v := ask("a", 8); !v.nowhere {
+	h.handleEvent(endpointListUpdate{known, h.watchCtx})
+	if v := ask("a", 8); !v.unknownDest {
 		t.Errorf("nowhere: %+v", v)
 	}
-	if v := ask("a", 7); !v.taken {
+	if v := ask("a", 7); !v.accepted {
 		t.Errorf("first: %+v", v)
 	}
 	m := h.table.ByID("a") // handed in again before the first answer failed: it was answered as taken, and is kept
-	if v := ask("a", 7); !v.known {
+	if v := ask("a", 7); !v.duplicate {
 		t.Errorf("again: %+v", v)
 	}
-	if h.take(handedIn{m.Number, false}); h.table.ByID("a") != m {
+	if h.handleEvent(submitAnswered{m.Number, false}); h.table.ByID("a") != m {
 		t.Error("lost what was answered as taken")
 	}
-	if v := ask("b", 7); !v.taken {
+	if v := ask("b", 7); !v.accepted {
 		t.Errorf("other: %+v", v)
 	}
-	h.take(handedIn{h.table.ByID("b").Number, false})
-	if v := ask("b", 7); !v.taken { // nobody heard of it the first time
+	h.handleEvent(submitAnswered{h.table.ByID("b").Number, false})
+	if v := ask("b", 7); !v.accepted { // nobody heard of it the first time
 		t.Errorf("anew: %+v", v)
 	}
-	h.over(m)
-	if v := ask("a", 7); v.taken || !v.known {
+	h.complete(m)
+	if v := ask("a", 7); v.accepted || !v.duplicate {
 		t.Errorf("over: %+v", v)
 	}
 }
 
 // The clock was set back between two lives: a risk in the future counts as one of long ago, and no message gets longer than its class.
 func TestClockSetBack(t *testing.T) {
-	h := bare(t)
-	m := h.message("back", 7, 1)
+	h := newTestHost(t)
+	m := h.addMessage("back", 7, 1)
 	m.MayHaveRunSince, h.arrivals = time.Now().Add(time.Hour), nil
 	h.restore(false)
 	if len(h.arrivals) != 1 || time.Until(m.Deadline) > h.classes["alert"].Deadline || h.classes["alert"].Deadline == 0 {
 		t.Fatalf("%d arrivals, %v left of %v", len(h.arrivals), time.Until(m.Deadline), h.classes["alert"].Deadline)
 	}
-	if a := arrived(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownAge {
+	if a := arrivedEvent(m, time.Now()); !a.MayHaveRun || a.UncertainAge != unknownRiskAge {
 		t.Errorf("%+v", a)
 	}
 }
@@ -565,19 +565,19 @@
 // have run.
 func TestCutShortProvesThatNothingRan(t *testing.T) {
 	for outcome, ran := range map[policy.Outcome]bool{policy.RequestIncomplete: false, policy.ConnectFailed: false, policy.ConnectionLost: true, policy.TimedOut: true} {
-		h := bare(t)
-		m := h.message("m", 7, 1)
+		h := newTestHost(t)
+		m := h.addMessage("m", 7, 1)
 		calls := h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
 		if len(calls) != 1 || m.InFlight == nil {
 			t.Fatalf("%d calls, %+v", len(calls), m.InFlight)
 		}
-		h.pending = nil
+		h.pendingEvents = nil
 		h.handleCallResult(callResult{call: calls[0], results: uniformResults(calls[0], itemResult{outcome: outcome})})
 		if m.InFlight != nil || m.MayHaveRunSince.IsZero() == ran {
 			t.Errorf("outcome %v: out %v, at risk since %v", outcome, m.InFlight, m.MayHaveRunSince)
 		}
-		if len(h.pending) != 1 || h.pending[0].(policy.AttemptEnded).Outcome != outcome {
-			t.Errorf("outcome %v: the module is told %v", outcome, h.pending)
+		if len(h.pendingEvents) != 1 || h.pendingEvents[0].(policy.AttemptEnded).Outcome != outcome {
+			t.Errorf("outcome %v: the module is told %v", outcome, h.pendingEvents)
 		}
 	}
 }
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -13,23 +13,23 @@
 
 // Bounds on what a peer may send.
 const (
-	maxBody    = 64 << 10 // of one message
-	maxAnswer  = 1 << 20  // of a list or a batch's answer
-	maxLine    = 8 << 10  // also the size of every read buffer
-	maxHead    = 32 << 10
-	maxFields  = 100
-	maxInterim = 16 // 1xx answers ahead of one
+	maxBody             = 64 << 10 // of one message
+	maxResponseBody     = 1 << 20  // of a list or a batch's answer
+	readBufferSize      = 8 << 10  // also the size of every read buffer
+	maxHeaderBytes      = 32 << 10
+	maxFields           = 100
+	maxInterimResponses = 16 // 1xx answers ahead of one
 )
 
 // What may be wrong with a peer's bytes.
 var (
-	errLine    = errors.New("malformed first line")
-	errHeader  = errors.New("malformed header")
-	errLength  = errors.New("malformed length")
-	errTooLong = errors.New("body too long")
-	errHead    = errors.New("header too long")
-	errTwice   = errors.New("contradicting fields")
-	errInterim = errors.New("too many interim answers")
+	errFirstLine         = errors.New("malformed first line")
+	errHeader            = errors.New("malformed header")
+	errLength            = errors.New("malformed length")
+	errBodyTooLong       = errors.New("body too long")
+	errHeaderTooLong     = errors.New("header too long")
+	errConflictingFields = errors.New("contradicting fields")
+	errTooManyInterim    = errors.New("too many interim answers")
 )
 
 // field is one header line.
@@ -37,8 +37,8 @@
 
 // head is a first line, in three parts, and the header below it.
 type head struct {
-	line   [3]string
-	fields []field
+	firstLine [3]string
+	fields    []field
 }
 
 // get returns the value of the first field of that name.
@@ -51,16 +51,16 @@
 	return ""
 }
 
-// only returns the value of the field of that name. Guards against a message that others read differently: fields
+// getConsistent returns the value of the field of that name. Guards against a message that others read differently: fields
 // that repeat must agree.
-func (h *head) only(name string) (string, error) {
+func (h *head) getConsistent(name string) (string, error) {
 	value, seen := "", false
 	for _, f := range h.fields {
 		if !strings.EqualFold(f.name, name) {
 			continue
 		}
 		if seen && f.value != value {
-			return "", errTwice
+			return "", errConflictingFields
 		}
 		value, seen = f.value, true
 	}
@@ -71,7 +71,7 @@
 func readLine(r *bufio.Reader, left *int) (string, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return "", errHead
+		return "", errHeaderTooLong
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -80,7 +80,7 @@
 		return "", err
 	}
 	if *left -= len(b); *left < 0 {
-		return "", errHead
+		return "", errHeaderTooLong
 	}
 	b = b[:len(b)-1]
 	if n := len(b); n > 0 && b[n-1] == '\r' {
@@ -95,7 +95,7 @@
 
 // readHeadWith calls begun once the first line is read.
 func readHeadWith(r *bufio.Reader, begun func()) (*head, error) {
-	left := maxHead
+	left := maxHeaderBytes
 	line, err := readLine(r, &left)
 	if err != nil {
 		return nil, err
@@ -104,31 +104,31 @@
 	h := &head{fields: make([]field, 0, 8)}
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 2 || parts[0] == "" || parts[1] == "" {
-		return nil, errLine
+		return nil, errFirstLine
 	}
-	copy(h.line[:], parts)
+	copy(h.firstLine[:], parts)
 	for {
 		line, err := readLine(r, &left)
 		if err != nil {
-			return h, short(err)
+			return h, unexpectedEOF(err)
 		}
 		if line == "" {
 			return h, nil
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !token(name) || strings.ContainsAny(value, "\r\x00") {
+		if !ok || !isToken(name) || strings.ContainsAny(value, "\r\x00") {
 			return h, errHeader
 		}
 		if len(h.fields) == maxFields {
-			return h, errHead
+			return h, errHeaderTooLong
 		}
 		h.fields = append(h.fields, field{name, strings.Trim(value, " \t")})
 	}
 }
 
-// token tells whether s may name a header field. Guards against folded lines and smuggled blanks, which
+// isToken tells whether s may name a header field. Guards against folded lines and smuggled blanks, which
 // others may read differently.
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
@@ -138,17 +138,17 @@
 	return s != ""
 }
 
-// ReadCall reads the head of a request that stands alone, for the operators' address, and tells whether a body follows.
-func ReadCall(r *bufio.Reader) (method, target string, body bool, err error) {
+// ReadRequestHead reads the head of a request that stands alone, for the operators' address, and tells whether a body follows.
+func ReadRequestHead(r *bufio.Reader) (method, target string, body bool, err error) {
 	h, err := readHead(r)
 	if err != nil {
 		return "", "", false, err
 	}
-	if v := h.line[2]; v != "HTTP/1.1" && v != "HTTP/1.0" {
-		return "", "", false, errLine
+	if v := h.firstLine[2]; v != "HTTP/1.1" && v != "HTTP/1.0" {
+		return "", "", false, errFirstLine
 	}
 	length, chunked, err := h.framing()
-	return h.line[0], h.line[1], chunked || length > 0, err
+	return h.firstLine[0], h.firstLine[1], chunked || length > 0, err
 }
 
 // framing tells how long the body is: a length, chunks, or none stated (-1).
@@ -157,7 +157,7 @@
 	for _, f := range h.fields {
 		switch {
 		case strings.EqualFold(f.name, "Content-Length"):
-			n, err := number(f.value)
+			n, err := parseNumber(f.value)
 			if err != nil || length >= 0 && n != length {
 				return 0, false, errLength
 			}
@@ -175,8 +175,8 @@
 	return length, chunked, nil
 }
 
-// number reads a plain decimal number: no sign, no blank.
-func number(s string) (int, error) {
+// parseNumber reads a plain decimal number: no sign, no blank.
+func parseNumber(s string) (int, error) {
 	if s == "" || len(s) > 15 || strings.Trim(s, "0123456789") != "" {
 		return 0, errLength
 	}
@@ -189,22 +189,22 @@
 		return readChunks(r, limit)
 	}
 	if length > limit {
-		return nil, errTooLong
+		return nil, errBodyTooLong
 	}
 	if length <= 0 {
 		return nil, nil
 	}
-	return readMore(nil, r, length)
+	return readAppend(nil, r, length)
 }
 
-// readMore appends n bytes to b. Guards against memory for a body of which only the length has come: it grows with
+// readAppend appends n bytes to b. Guards against memory for a body of which only the length has come: it grows with
 // what is there.
-func readMore(b []byte, r *bufio.Reader, n int) ([]byte, error) {
+func readAppend(b []byte, r *bufio.Reader, n int) ([]byte, error) {
 	for n > 0 {
-		at, part := len(b), min(n, maxLine)
+		at, part := len(b), min(n, readBufferSize)
 		b = append(b, make([]byte, part)...)
 		if _, err := io.ReadFull(r, b[at:]); err != nil {
-			return nil, short(err)
+			return nil, unexpectedEOF(err)
 		}
 		n -= part
 	}
@@ -213,10 +213,10 @@
 
 func readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	var b []byte
-	for left := maxHead; ; {
+	for left := maxHeaderBytes; ; {
 		line, err := readLine(r, &left)
 		if err != nil {
-			return nil, short(err)
+			return nil, unexpectedEOF(err)
 		}
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
@@ -227,32 +227,32 @@
 			break
 		}
 		if len(b)+int(n) > limit {
-			return nil, errTooLong
+			return nil, errBodyTooLong
 		}
-		if b, err = readMore(b, r, int(n)); err != nil {
+		if b, err = readAppend(b, r, int(n)); err != nil {
 			return nil, err
 		}
 		if line, err := readLine(r, &left); err != nil || line != "" {
 			return nil, errLength
 		}
 	}
-	for left := maxHead; ; {
+	for left := maxHeaderBytes; ; {
 		if line, err := readLine(r, &left); err != nil || line == "" {
-			return b, short(err)
+			return b, unexpectedEOF(err)
 		}
 	}
 }
 
-// short is the error of a body that ends before its time.
-func short(err error) error {
+// unexpectedEOF is the error of a body that ends before its time.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// closes tells whether the peer closes the connection after this message.
-func (h *head) closes(version string) bool {
+// closesConnection tells whether the peer closes the connection after this message.
+func (h *head) closesConnection(version string) bool {
 	for _, f := range h.fields {
 		if strings.EqualFold(f.name, "Connection") {
 			if strings.Contains(strings.ToLower(f.value), "close") {
@@ -264,41 +264,41 @@
 	return version == "HTTP/1.0"
 }
 
-// answer is a response as far as it was read.
-type answer struct {
+// response is a response as far as it was read.
+type response struct {
 	head
-	status int
-	body   []byte
-	keep   bool // the connection can carry another call
+	status   int
+	body     []byte
+	reusable bool // the connection can carry another call
 }
 
-// readStatus reads the head of a response; interim ones are passed over. The answer is returned beside an
+// readResponseHead reads the head of a response; interim ones are passed over. The answer is returned beside an
 // error if its first line was read whole.
-func readStatus(r *bufio.Reader) (*answer, error) { return readStatusWith(r, func() {}) }
+func readResponseHead(r *bufio.Reader) (*response, error) { return readResponseHeadWith(r, func() {}) }
 
-// readStatusWith calls begun once a first line is read.
-func readStatusWith(r *bufio.Reader, begun func()) (*answer, error) {
-	for range maxInterim {
+// readResponseHeadWith calls begun once a first line is read.
+func readResponseHeadWith(r *bufio.Reader, begun func()) (*response, error) {
+	for range maxInterimResponses {
 		h, err := readHeadWith(r, begun)
 		if h == nil {
 			return nil, err
 		}
-		n, bad := number(h.line[1])
-		if bad != nil || n < 100 || n > 999 || !strings.HasPrefix(h.line[0], "HTTP/1.") {
-			return nil, errLine
+		n, bad := parseNumber(h.firstLine[1])
+		if bad != nil || n < 100 || n > 999 || !strings.HasPrefix(h.firstLine[0], "HTTP/1.") {
+			return nil, errFirstLine
 		}
 		if n >= 200 {
-			return &answer{head: *h, status: n}, err
+			return &response{head: *h, status: n}, err
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return nil, errInterim // Guards against interim answers without end
+	return nil, errTooManyInterim // Guards against interim answers without end
 }
 
-// readRest reads the body of a response whose head is read, up to limit bytes.
-func (a *answer) readRest(r *bufio.Reader, limit int) error {
+// readRemaining reads the body of a response whose head is read, up to limit bytes.
+func (a *response) readRemaining(r *bufio.Reader, limit int) error {
 	length, chunked, err := a.framing()
 	if err != nil {
 		return err
@@ -306,7 +306,7 @@
 	if length < 0 && !chunked && a.status != 204 && a.status != 304 {
 		// No length: the body ends with the connection.
 		if a.body, err = io.ReadAll(io.LimitReader(r, int64(limit)+1)); len(a.body) > limit {
-			return errTooLong
+			return errBodyTooLong
 		}
 		return err
 	}
@@ -315,7 +315,7 @@
 			return err
 		}
 	}
-	a.keep = !a.closes(a.line[0])
+	a.reusable = !a.closesConnection(a.firstLine[0])
 	return nil
 }
 
--- a/internal/wire/killed_test.go
+++ b/internal/wire/killed_test.go
@@ -12,63 +12,63 @@
 	"oatfold/internal/memory/journal"
 )
 
-// filmed is a folder of which pictures are taken: what SIGKILL at that moment would leave.
-type filmed struct {
+// snapshotFS is a folder of which pictures are taken: what SIGKILL at that moment would leave.
+type snapshotFS struct {
 	journal.Dir
-	mu    sync.Mutex
-	shots []shot
-	facts facts
+	mu        sync.Mutex
+	snapshots []diskSnapshot
+	facts     facts
 }
 
 // facts are what has happened outside the relay.
-type facts struct{ told, called, answered, noticed bool }
+type facts struct{ clientAnswered, endpointCalled, endpointAnswered, notificationAnswered bool }
 
-type shot struct {
-	at    string
-	files map[string][]byte
+type diskSnapshot struct {
+	moment string
+	files  map[string][]byte
 	facts
 }
 
-type filmedFile struct {
+type snapshotFile struct {
 	journal.File
-	of *filmed
+	fs *snapshotFS
 }
 
-func (f *filmed) Create(name string) (journal.File, error) {
+func (f *snapshotFS) Create(name string) (journal.File, error) {
 	made, err := f.Dir.Create(name)
-	return filmedFile{made, f}, err
+	return snapshotFile{made, f}, err
 }
 
-func (f filmedFile) Write(b []byte) (int, error) {
-	f.of.take("before a write")
+func (f snapshotFile) Write(b []byte) (int, error) {
+	f.fs.snapshot("before a write")
 	half, err := f.File.Write(b[:len(b)/2])
 	if err != nil {
 		return half, err
 	}
-	f.of.take("within a write")
+	f.fs.snapshot("within a write")
 	n, err := f.File.Write(b[len(b)/2:])
-	f.of.take("behind a write")
+	f.fs.snapshot("behind a write")
 	return half + n, err
 }
 
-// take takes a picture. What the relay tells others of is told behind its writes, so that facts are at most as new as the files.
-func (f *filmed) take(at string) {
+// snapshot takes a picture. What the relay tells others of is told behind its writes, so that facts are at most as new as the files.
+func (f *snapshotFS) snapshot(at string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := shot{at, map[string][]byte{}, f.facts}
+	s := diskSnapshot{at, map[string][]byte{}, f.facts}
 	names, _ := f.List()
 	for _, name := range names {
 		s.files[name], _ = f.Read(name)
 	}
-	f.shots = append(f.shots, s)
+	f.snapshots = append(f.snapshots, s)
 }
 
-// happened books a fact, then takes a picture.
-func (f *filmed) happened(at string, change func(*facts)) {
+// recordFact books a fact, then takes a picture.
+func (f *snapshotFS) recordFact(at string, change func(*facts)) {
 	f.mu.Lock()
 	change(&f.facts)
 	f.mu.Unlock()
-	f.take(at)
+	f.snapshot(at)
 }
 
 // A relay that is killed at any write, within and behind it, and at each thing that others see of it, goes on as it has to: what was promised
@@ -77,33 +77,33 @@
 	for _, class := range []string{"alert", "order", "fee"} {
 		for _, end := range []string{"delivered", "failed"} {
 			t.Run(class+" "+end, func(t *testing.T) {
-				film := &filmed{Dir: journal.Dir(t.TempDir())}
-				w := startWorldOn(t, film, func(rw http.ResponseWriter, r *http.Request, body string) {
-					film.happened("the call is read", func(f *facts) { f.called = true })
+				film := &snapshotFS{Dir: journal.Dir(t.TempDir())}
+				w := startEnvOn(t, film, func(rw http.ResponseWriter, r *http.Request, body string) {
+					film.recordFact("the call is read", func(f *facts) { f.endpointCalled = true })
 					if end == "failed" {
 						panic(http.ErrAbortHandler)
 					}
-					film.happened("the answer is to be written", func(f *facts) { f.answered = true })
+					film.recordFact("the answer is to be written", func(f *facts) { f.endpointAnswered = true })
 				})
 				w.host.Do(func(h *Host) { // one try, so that the end is there
 					s := testSettings()
 					s.MaxAttempts = 1
 					h.relay.Reconfigure(s)
 				})
-				if status := w.client(hand(class, "m", "Idempotency-Key: k\r\n", "body", 5000)); status != 202 {
+				if status := w.post(requestText(class, "m", "Idempotency-Key: k\r\n", "body", 5000)); status != 202 {
 					t.Fatalf("answered %d", status)
 				}
-				film.happened("the 202 is read", func(f *facts) { f.told = true })
-				w.empty()
+				film.recordFact("the 202 is read", func(f *facts) { f.clientAnswered = true })
+				w.waitEmpty()
 				if end == "failed" {
-					w.until("the notice", func() bool { return len(w.notices) > 0 })
-					film.happened("the notice is taken", func(f *facts) { f.noticed = true })
+					w.waitUntil("the notice", func() bool { return len(w.notifications) > 0 })
+					film.recordFact("the notice is taken", func(f *facts) { f.notificationAnswered = true })
 				}
 				film.mu.Lock()
 				defer film.mu.Unlock()
 				seen := map[string]bool{}
-				for i, s := range film.shots {
-					seen[restarted(t, fmt.Sprintf("picture %d, %s", i, s.at), s, class)] = true
+				for i, s := range film.snapshots {
+					seen[checkRestart(t, fmt.Sprintf("picture %d, %s", i, s.moment), s, class)] = true
 				}
 				want := []string{"nothing", "untried", "over"}
 				if want = append(want, "may have run"); end == "failed" {
@@ -119,8 +119,8 @@
 	}
 }
 
-// restarted starts from a picture, checks it against what others had seen, and returns what the next process makes of the message.
-func restarted(t *testing.T, at string, s shot, class string) string {
+// checkRestart starts from a picture, checks it against what others had seen, and returns what the next process makes of the message.
+func checkRestart(t *testing.T, at string, s diskSnapshot, class string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, b := range s.files {
@@ -128,42 +128,42 @@
 			t.Fatal(err)
 		}
 	}
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: quiet})
+	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	known, _ := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 1))
-	h, err := NewHost(HostConfig{Settings: testSettings(), Known: known, Table: table, Journal: kept, Log: quiet})
+	known, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 1))
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := table.ByID("m")
 	owed := m != nil && m.Notification != nil
 	h.step(h.now())
-	goes, notices := len(h.begun), len(h.unsent)
+	goes, notices := len(h.uncommittedCalls), len(h.unqueuedNotifications)
 	switch {
 	case m == nil && table.RecentlyCompleted("m"):
-		if !s.called {
+		if !s.endpointCalled {
 			t.Errorf("%s: over, and nobody was called", at)
 		}
-		if _, v := h.handIn(handIn{msg: &memory.Message{ID: "m", Class: class, Dest: 7}}); !v.known {
+		if _, v := h.submit(submitRequest{message: &memory.Message{ID: "m", Class: class, Dest: 7}}); !v.duplicate {
 			t.Errorf("%s: over, and taken on once more", at)
 		}
 		return "over"
 	case m == nil:
-		if s.told || s.called {
+		if s.clientAnswered || s.endpointCalled {
 			t.Errorf("%s: lost", at)
 		}
 		return "nothing"
 	case owed:
-		if goes != 0 || notices != 1 || !s.called {
-			t.Errorf("%s: ended, and %d calls, %d notices, called: %v", at, goes, notices, s.called)
+		if goes != 0 || notices != 1 || !s.endpointCalled {
+			t.Errorf("%s: ended, and %d calls, %d notices, called: %v", at, goes, notices, s.endpointCalled)
 		}
 		return "owed"
 	case m.MayHaveRunSince.IsZero():
-		if goes != 1 || notices != 0 || s.called {
-			t.Errorf("%s: untried, and %d calls, %d notices, called: %v", at, goes, notices, s.called)
+		if goes != 1 || notices != 0 || s.endpointCalled {
+			t.Errorf("%s: untried, and %d calls, %d notices, called: %v", at, goes, notices, s.endpointCalled)
 		}
 		return "untried"
 	case class == "fee":
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -45,7 +45,7 @@
 		"the repeat window is still open": {0,
 			func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(time.Minute) }, true},
 	} {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
 		go serveScripts(ln, scripts, seen, bodies)
 		scripts <- endpointScript{write: httpResponse("200 OK", "")}
@@ -104,7 +104,7 @@
 
 // startScriptedAgent listens and answers each request with the next of its answers.
 func startScriptedAgent(t *testing.T) *scriptedAgent {
-	s := &scriptedAgent{listen(t), make(chan string, 9), make(chan func(net.Conn), 9)}
+	s := &scriptedAgent{listenLoopback(t), make(chan string, 9), make(chan func(net.Conn), 9)}
 	go func() {
 		for {
 			sock, err := s.ln.Accept()
@@ -112,7 +112,7 @@
 				return
 			}
 			go func() {
-				b := make([]byte, maxLine)
+				b := make([]byte, readBufferSize)
 				for {
 					n, err := sock.Read(b)
 					if err != nil {
@@ -186,7 +186,7 @@
 		return c, nil
 	}
 	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300,
-		onPause: pause, dial: dial}, events, quiet)
+		onPause: pause, dial: dial}, events, discardLog)
 	old := make(chan net.Conn, 3)
 	silent := func(said string) func(net.Conn) {
 		return func(sock net.Conn) {
@@ -195,7 +195,7 @@
 		}
 	}
 	list := func(generation int) string {
-		return "\n {\n\t" + strings.TrimPrefix(pool("127.0.0.1:1", "in_service", generation), "{")
+		return "\n {\n\t" + strings.TrimPrefix(endpointListJSON("127.0.0.1:1", "in_service", generation), "{")
 	}
 	for _, half := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"gen"} {
 		s.answers <- silent(half)
@@ -242,12 +242,12 @@
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	events := make(chan any)
-	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 1}, events, quiet)
-	old := strings.Replace(pool("127.0.0.1:1", "in_service", 7), `"reset":true`, `"reset":false`, 1)
-	s.answers <- respondWithList(pool("127.0.0.1:1", "terminating", 41))
+	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 1}, events, discardLog)
+	old := strings.Replace(endpointListJSON("127.0.0.1:1", "in_service", 7), `"reset":true`, `"reset":false`, 1)
+	s.answers <- respondWithList(endpointListJSON("127.0.0.1:1", "terminating", 41))
 	s.answers <- respondWithList(old)
-	s.answers <- respondWithList(pool("127.0.0.1:1", "terminating", 42))
-	s.answers <- respondWithList(pool("127.0.0.1:1", "in_service", 3))
+	s.answers <- respondWithList(endpointListJSON("127.0.0.1:1", "terminating", 42))
+	s.answers <- respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 3))
 	for _, want := range []int64{41, 42, 3} {
 		if n := (<-events).(endpointListUpdate); n.Generation != want || !n.Complete {
 			t.Errorf("got update %+v, want %d", n, want)
@@ -290,7 +290,7 @@
 		}
 	}
 	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300,
-		onPause: pause}, events, quiet)
+		onPause: pause}, events, discardLog)
 	for _, fails := range []string{httpResponse("503 X", ""), "", httpResponse("200 OK", "{"),
 		"HTTP/1.1 200 OK\r\nConten"} {
 		s.answers <- func(sock net.Conn) {
@@ -299,7 +299,7 @@
 		}
 		<-s.requests
 	}
-	s.answers <- respondWithList(pool("127.0.0.1:1", "in_service", 41))
+	s.answers <- respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 41))
 	if n := (<-events).(endpointListUpdate); n.Generation != 41 || !n.Complete {
 		t.Errorf("got update %+v", n)
 	}
@@ -318,7 +318,7 @@
 
 // An agent that starts after the relay, at its known address, is found.
 func TestAgentStartsLater(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	ctx, end := context.WithCancel(t.Context())
@@ -342,8 +342,8 @@
 			}
 			go func() {
 				defer sock.Close()
-				if _, err := sock.Read(make([]byte, maxLine)); err == nil {
-					respondWithList(pool("127.0.0.1:1", "in_service", 5))(sock)
+				if _, err := sock.Read(make([]byte, readBufferSize)); err == nil {
+					respondWithList(endpointListJSON("127.0.0.1:1", "in_service", 5))(sock)
 				}
 			}()
 		}
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -21,8 +21,8 @@
 	return set.Listen(context.Background(), "tcp", addr)
 }
 
-// Free tells, without listening, whether this process could listen at an address: nobody does, or one who shares it.
-func Free(addr string) error {
+// CheckAddress tells, without listening, whether this process could listen at an address: nobody does, or one who shares it.
+func CheckAddress(addr string) error {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || !at.Addr().Is4() || at.Port() == 0 {
 		return nil // Listen will tell
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// steer sends all new connections of the group to the listener that joined it second, where the kernel takes such programs. The one that
+// steerToSecondListener sends all new connections of the group to the listener that joined it second, where the kernel takes such programs. The one that
 // leaves is the first; once it is gone the program names nobody, and the kernel goes by its own hash.
-func steer(ln net.Listener) error {
+func steerToSecondListener(ln net.Listener) error {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -61,31 +61,31 @@
 	return err
 }
 
-// emptyFor is how long nobody must have come before the accept queue counts as empty. What began its way before the steering is there by then.
-const emptyFor = 20 * time.Millisecond
+// acceptQueueQuietTime is how long nobody must have come before the accept queue counts as empty. What began its way before the steering is there by then.
+const acceptQueueQuietTime = 20 * time.Millisecond
 
-// LetGo has Serve take what is in the accept queue, then close the listener. Another process listens at the address.
-func (f *Front) LetGo() {
-	if err := steer(f.ln); err != nil {
+// StopListening has Serve take what is in the accept queue, then close the listener. Another process listens at the address.
+func (f *Server) StopListening() {
+	if err := steerToSecondListener(f.listener); err != nil {
 		f.log.Debug("new connections are not steered", "err", err)
 	}
-	f.empty()
+	f.drainAcceptQueue()
 }
 
-// empty has Serve take what is in the accept queue, within bounds, then close the listener.
-func (f *Front) empty() {
+// drainAcceptQueue has Serve take what is in the accept queue, within bounds, then close the listener.
+func (f *Server) drainAcceptQueue() {
 	now := time.Now()
-	f.emptyTil.CompareAndSwap(0, int64(now.Add(emptyMost).Sub(f.began)))
-	f.emptying.Store(true)
-	if d, ok := f.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		d.SetDeadline(f.emptyBy(now))
+	f.queueDrainUntil.CompareAndSwap(0, int64(now.Add(maxAcceptQueueDrain).Sub(f.startedAt)))
+	f.drainingQueue.Store(true)
+	if d, ok := f.listener.(interface{ SetDeadline(time.Time) error }); ok {
+		d.SetDeadline(f.acceptQueueDeadline(now))
 	} else {
-		f.ln.Close()
+		f.listener.Close()
 	}
-	f.tell()
+	f.signalCapacity()
 }
 
-// emptyBy is when the accept queue counts as empty if nobody comes.
-func (f *Front) emptyBy(now time.Time) time.Time {
-	return earlier(now.Add(emptyFor), f.began.Add(time.Duration(f.emptyTil.Load())))
+// acceptQueueDeadline is when the accept queue counts as empty if nobody comes.
+func (f *Server) acceptQueueDeadline(now time.Time) time.Time {
+	return earlier(now.Add(acceptQueueQuietTime), f.startedAt.Add(time.Duration(f.queueDrainUntil.Load())))
 }
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -42,10 +42,10 @@
 func TestLoggedMemberChangeIsInView(t *testing.T) {
 	other := peers.New(1, 2, 2)
 	other.EnableMembership(0, 2)
-	h := &Host{pool: peers.New(0, 2, 1), watching: context.Background()}
-	h.pool.EnableMembership(0, 1)
+	h := &Host{gossiper: peers.New(0, 2, 1), watchCtx: context.Background()}
+	h.gossiper.EnableMembership(0, 1)
 	var logged []string
-	h.log = slog.New(memberLogHandler{quiet.Handler(), func(number int64, state string) {
+	h.log = slog.New(memberLogHandler{discardLog.Handler(), func(number int64, state string) {
 		logged = append(logged, state)
 		if shown := h.Members(); shown == nil || shown.Members[number].State.String() != state {
 			t.Errorf("member %d is logged as %s before the view shows it", number, state)
@@ -54,7 +54,7 @@
 	hear := func(now policy.Time) {
 		out, _ := other.Tick(now)
 		for _, o := range out {
-			if _, err := h.pool.Receive(now, 1, o.Payload); err != nil {
+			if _, err := h.gossiper.Receive(now, 1, o.Payload); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -63,13 +63,13 @@
 	h.updateMembersView(0)
 	other.Leave(time.Millisecond)
 	left := time.Millisecond
-	for ; h.pool.Members().State(1) != members.Left; left += members.Period {
+	for ; h.gossiper.Members().State(1) != members.Left; left += members.Period {
 		if left > 10*members.Period {
 			t.Fatal("the other relay never announced that it leaves")
 		}
 		hear(left)
 	}
-	h.viewAt = left // a view was just published
+	h.membersViewAt = left // a view was just published
 	h.updateMembersView(left)
 	if len(logged) > 0 {
 		t.Errorf("logged %v before the view is due", logged)
--- a/internal/wire/notes_test.go
+++ b/internal/wire/notes_test.go
@@ -24,7 +24,7 @@
 	var socks []*GossipSocket
 	var heard []chan any
 	for _, at := range all {
-		n, err := ListenGossip(at, all, quiet)
+		n, err := ListenGossip(at, all, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,10 +60,10 @@
 		socks[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
-		if _, err := ListenGossip(bad, all, quiet); err == nil && bad != "" {
+		if _, err := ListenGossip(bad, all, discardLog); err == nil && bad != "" {
 			t.Errorf("listens at %q", bad)
 		}
-		if _, err := ListenGossip(all[0], []string{bad}, quiet); err == nil {
+		if _, err := ListenGossip(all[0], []string{bad}, discardLog); err == nil {
 			t.Errorf("accepted a relay at %q", bad)
 		}
 	}
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -13,37 +13,37 @@
 
 // This file keeps the order of a subject while another process of this relay still owes messages of it.
 
-// LookBegins says that all that other processes have given by now is about to be adopted. From the first look on, messages of ordered
+// BeginTransferScan says that all that other processes have given by now is about to be adopted. From the first look on, messages of ordered
 // classes wait for the looks, until Adopt is told that no other process is left.
-func (h *Host) LookBegins() {
+func (h *Host) BeginTransferScan() {
 	h.Do(func(h *Host) {
-		h.sequence.LookBegins()
+		h.sequencer.LookBegins()
 		arrivals := h.arrivals
 		h.arrivals = nil
 		for _, m := range arrivals {
-			h.onward(m, false)
+			h.passToPolicy(m, false)
 		}
 	})
 }
 
-// LookEnded says that it is adopted.
-func (h *Host) LookEnded() { h.Do(func(h *Host) { h.sequence.LookEnded() }) }
+// EndTransferScan says that it is adopted.
+func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.LookEnded() }) }
 
-// onward passes m on to the module, or holds it back while another process may owe one of its subject that was handed in earlier.
+// passToPolicy passes m on to the module, or holds it back while another process may owe one of its subject that was handed in earlier.
 // looked: another process gave it.
-func (h *Host) onward(m *memory.Message, looked bool) {
-	until := h.now() + time.Until(m.Deadline) - endBefore
-	if !h.sequence.Hold(placeOf(m), until, looked) {
+func (h *Host) passToPolicy(m *memory.Message, looked bool) {
+	until := h.now() + time.Until(m.Deadline) - deadlineMargin
+	if !h.sequencer.Hold(sequenceEntry(m), until, looked) {
 		h.arrivals = append(h.arrivals, m)
 	}
 }
 
-func placeOf(m *memory.Message) sequence.Message {
+func sequenceEntry(m *memory.Message) sequence.Message {
 	return sequence.Message{ID: m.ID, Subject: m.OrderingKey, Num: m.Number}
 }
 
-// release passes on what was held back and need not be any more.
-func (h *Host) release(nums []uint32) {
+// releaseHeld passes on what was held back and need not be any more.
+func (h *Host) releaseHeld(nums []uint32) {
 	for _, num := range nums {
 		if m := h.table.Get(num); m != nil && m.Notification == nil {
 			h.arrivals = append(h.arrivals, m)
@@ -53,54 +53,54 @@
 
 // expireHeld ends messages whose time is up while they are held back: the module has not heard of them.
 func (h *Host) expireHeld(now policy.Time) {
-	for _, num := range h.sequence.Expired(now) {
+	for _, num := range h.sequencer.Expired(now) {
 		if m := h.table.Get(num); m != nil {
-			h.finish(num, h.failureNotification(limits.Refuse, m))
+			h.completeByNotification(num, h.failureNotification(limits.Refuse, m))
 		}
 	}
 }
 
-// owes lists the messages of ordered classes that this process still owes beside those that it gives now, in the order of hand-in.
-func (h *Host) owes(given []*memory.Message) (list []sequence.Message) {
+// remainingOrdered lists the messages of ordered classes that this process still owes beside those that it gives now, in the order of hand-in.
+func (h *Host) remainingOrdered(given []*memory.Message) (list []sequence.Message) {
 	gives := make(map[uint32]struct{}, len(given))
 	for _, m := range given {
 		gives[m.Number] = struct{}{}
 	}
 	for _, m := range h.table.All() {
 		if _, now := gives[m.Number]; !now && m.OrderingKey != "" {
-			list = append(list, placeOf(m))
+			list = append(list, sequenceEntry(m))
 		}
 	}
 	slices.SortFunc(list, func(a, b sequence.Message) int { return int(int64(a.Num) - int64(b.Num)) })
 	return list
 }
 
-// announce tells the successor of messages of ordered classes that this process has just taken on, before their clients hear of it. Guards against
+// announceOrdered tells the successor of messages of ordered classes that this process has just taken on, before their clients hear of it. Guards against
 // the next one of a subject, which its client hands in at the successor as soon as it has the answer here.
-func (h *Host) announce() error {
-	if h.giving == nil || !slices.ContainsFunc(h.replies, ordered) {
+func (h *Host) announceOrdered() error {
+	if h.sendToSuccessor == nil || !slices.ContainsFunc(h.uncommittedReplies, acceptedOrdered) {
 		return nil
 	}
-	err := h.give(h.giving, &handover.News{}, 0)
+	err := h.transferPending(h.sendToSuccessor, &handover.News{}, 0)
 	if err == nil {
 		return nil
 	}
-	for _, r := range h.replies {
-		if ordered(r) {
-			h.end(r.msg, true)
-			h.table.ForgetCompleted(r.msg.ID)
-			h.inTurn(r.msg, false)
+	for _, r := range h.uncommittedReplies {
+		if acceptedOrdered(r) {
+			h.remove(r.message, true)
+			h.table.ForgetCompleted(r.message.ID)
+			h.clientAnsweredInOrder(r.message, false)
 		}
 	}
 	return err
 }
 
-// ordered tells whether a hand-in was taken on in an ordered class.
-func ordered(r heldReply) bool { return r.v.taken && r.msg.OrderingKey != "" }
+// acceptedOrdered tells whether a hand-in was taken on in an ordered class.
+func acceptedOrdered(r pendingReply) bool { return r.result.accepted && r.message.OrderingKey != "" }
 
-// heldUntil is when the first message's time is up that is held back; at where that is later.
-func (h *Host) heldUntil(at policy.Time) policy.Time {
-	if due, some := h.sequence.Next(); some {
+// earliestHeldDeadline is when the first message's time is up that is held back; at where that is later.
+func (h *Host) earliestHeldDeadline(at policy.Time) policy.Time {
+	if due, some := h.sequencer.Next(); some {
 		return min(at, due)
 	}
 	return at
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -14,8 +14,8 @@
 	"oatfold/internal/memory/journal"
 )
 
-// order puts all classes of a world in order by subject, each message in a call of its own.
-func (w *world) order() {
+// orderAllClasses puts all classes of a world in order by subject, each message in a call of its own.
+func (w *testEnv) orderAllClasses() {
 	s := testSettings()
 	s.Kinds[0].MaxBatch = 1
 	for i := range s.Classes {
@@ -25,19 +25,19 @@
 		if err := h.relay.Reconfigure(s); err != nil {
 			w.t.Error(err)
 		}
-		h.set = s
-		h.name(s)
+		h.settings = s
+		h.indexSettings(s)
 	})
-	w.front.Configure(&s, 100)
+	w.server.Configure(&s, 100)
 }
 
-// ofSubject is a hand-in of the class "fee", which may not be repeated, about the subject s.
-func ofSubject(id string) string {
-	return strings.Replace(hand("fee", id, "", "x", 20_000), "/fee", "/fee?subject=s", 1)
+// orderedRequest is a hand-in of the class "fee", which may not be repeated, about the subject s.
+func orderedRequest(id string) string {
+	return strings.Replace(requestText("fee", id, "", "x", 20_000), "/fee", "/fee?subject=s", 1)
 }
 
-// steps is how many route steps of a message have begun, and whether it is held at all.
-func (w *world) steps(id string) (n int, there bool) {
+// attempts is how many route steps of a message have begun, and whether it is held at all.
+func (w *testEnv) attempts(id string) (n int, there bool) {
 	w.host.Do(func(h *Host) {
 		if m := h.table.ByID(id); m != nil {
 			n, there = m.Attempts, true
@@ -46,19 +46,19 @@
 	return n, there
 }
 
-// settled waits until the host has done all that follows from what it has heard: a message of no subject, handed in now, has been delivered.
-func (w *world) settled(id string) {
+// waitSettled waits until the host has done all that follows from what it has heard: a message of no subject, handed in now, has been delivered.
+func (w *testEnv) waitSettled(id string) {
 	w.t.Helper()
-	if got := w.client(hand("alert", id, "", "x", 4000)); got != 202 {
+	if got := w.post(requestText("alert", id, "", "x", 4000)); got != 202 {
 		w.t.Fatalf("%s was answered %d", id, got)
 	}
-	w.until("the call of "+id, func() bool { return slices.Contains(w.calls, id) })
+	w.waitUntil("the call of "+id, func() bool { return slices.Contains(w.calls, id) })
 }
 
 // overlap is two processes of one relay, and the spool between them.
 type overlap struct {
 	t        *testing.T
-	old, new *world
+	old, new *testEnv
 
 	mu    sync.Mutex
 	spool [][]byte
@@ -78,24 +78,24 @@
 		}
 		answer(rw, id)
 	}
-	o.old, o.new = startWorld(t, endpoint), startWorld(t, endpoint)
-	o.old.order()
-	o.new.order()
-	o.new.host.Do(func(h *Host) { h.standby, h.quiet = true, true })
+	o.old, o.new = startEnv(t, endpoint), startEnv(t, endpoint)
+	o.old.orderAllClasses()
+	o.new.orderAllClasses()
+	o.new.host.Do(func(h *Host) { h.standby, h.stepsStopped = true, true })
 	return o
 }
 
-func (o *overlap) give(b []byte) error {
+func (o *overlap) transfer(b []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.spool = append(o.spool, b)
 	return nil
 }
 
-// look has the new process take in all that the old one has given by now.
-func (o *overlap) look() {
+// scanTransfers has the new process take in all that the old one has given by now.
+func (o *overlap) scanTransfers() {
 	o.t.Helper()
-	o.new.host.LookBegins()
+	o.new.host.BeginTransferScan()
 	o.mu.Lock()
 	files := o.spool
 	o.spool = nil
@@ -109,31 +109,31 @@
 		if err != nil {
 			o.t.Fatal(err)
 		}
-		<-o.new.host.Adopt(Passed{From: "old", Msgs: msgs, News: news})
+		<-o.new.host.Adopt(Transfer{Sender: "old", Messages: msgs, Update: news})
 	}
-	o.new.host.LookEnded()
+	o.new.host.EndTransferScan()
 }
 
 // handOver has the old process leave and the new one begin.
 func (o *overlap) handOver() {
 	o.t.Helper()
-	if err := o.old.host.HandOver(o.give, false, 1<<20); err != nil {
+	if err := o.old.host.HandOver(o.transfer, false, 1<<20); err != nil {
 		o.t.Fatal(err)
 	}
-	o.look()
+	o.scanTransfers()
 	o.new.host.Activate()
 }
 
-// take hands a message in at w. The host may hear later than the client that it was answered.
-func (o *overlap) take(w *world, id string) {
+// submit hands a message in at w. The host may hear later than the client that it was answered.
+func (o *overlap) submit(w *testEnv, id string) {
 	o.t.Helper()
-	if got := w.client(ofSubject(id)); got != 202 {
+	if got := w.post(orderedRequest(id)); got != 202 {
 		o.t.Fatalf("%s was answered %d", id, got)
 	}
 }
 
-// heldIn waits until the host of w has heard that the client of that message was answered.
-func (o *overlap) heldIn(w *world, id string) {
+// waitAnswered waits until the host of w has heard that the client of that message was answered.
+func (o *overlap) waitAnswered(w *testEnv, id string) {
 	o.t.Helper()
 	waitFor(o.t, id+" to be told", func() (told bool) {
 		w.host.Do(func(h *Host) { m := h.table.ByID(id); told = m != nil && !m.Unanswered })
@@ -141,21 +141,21 @@
 	})
 }
 
-// untouched fails if a message has left the new process's hold: it waits for one that the old process owes.
-func (o *overlap) untouched(mark string, ids ...string) {
+// expectHeld fails if a message has left the new process's hold: it waits for one that the old process owes.
+func (o *overlap) expectHeld(mark string, ids ...string) {
 	o.t.Helper()
-	o.new.settled(mark)
+	o.new.waitSettled(mark)
 	for _, id := range ids {
-		if n, there := o.new.steps(id); n != 0 || !there {
+		if n, there := o.new.attempts(id); n != 0 || !there {
 			o.t.Fatalf("%s: %d route steps, held %v, while the old process still owes an earlier one", id, n, there)
 		}
 	}
 }
 
-func (o *overlap) called(want ...string) {
+func (o *overlap) expectCalls(want ...string) {
 	o.t.Helper()
 	waitFor(o.t, "the calls", func() bool { o.mu.Lock(); defer o.mu.Unlock(); return len(o.calls) >= len(want) })
-	o.new.empty()
+	o.new.waitEmpty()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !slices.Equal(o.calls, want) {
@@ -185,24 +185,24 @@
 				}
 			})
 			t.Cleanup(release)
-			o.take(o.old, "a")
-			o.old.until("its call", func() bool { return len(o.old.calls) == 1 })
-			o.take(o.old, "b")
-			o.heldIn(o.old, "b")
+			o.submit(o.old, "a")
+			o.old.waitUntil("its call", func() bool { return len(o.old.calls) == 1 })
+			o.submit(o.old, "b")
+			o.waitAnswered(o.old, "b")
 			o.handOver()
-			o.take(o.new, "c")
-			o.heldIn(o.new, "c")
-			o.look()
-			o.untouched("mark1", "b", "c")
+			o.submit(o.new, "c")
+			o.waitAnswered(o.new, "c")
+			o.scanTransfers()
+			o.expectHeld("mark1", "b", "c")
 			release()
 			waitFor(t, "the old process to be empty", func() bool {
-				o.old.host.Give(1 << 20)
+				o.old.host.TransferRemaining(1 << 20)
 				held, out := o.old.host.Load()
 				return held+out == 0
 			})
-			o.old.host.Give(1 << 20)
-			o.look()
-			o.called(c.want...)
+			o.old.host.TransferRemaining(1 << 20)
+			o.scanTransfers()
+			o.expectCalls(c.want...)
 		})
 	}
 }
@@ -212,19 +212,19 @@
 func TestSuccessorLooksBeforeItGoesOn(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.handOver()
-	o.take(o.new, "a")
-	o.take(o.old, "b")
-	o.take(o.new, "c")
-	o.heldIn(o.new, "a")
-	o.heldIn(o.new, "c")
-	o.untouched("mark1", "a", "c") // no look since
-	o.look()
-	o.new.until("the call of a", func() bool { return slices.Contains(o.new.calls, "a") })
-	o.untouched("mark2", "c") // b is announced, and not here
-	o.heldIn(o.old, "b")
-	o.old.host.Give(1 << 20)
-	o.look()
-	o.called("a", "b", "c")
+	o.submit(o.new, "a")
+	o.submit(o.old, "b")
+	o.submit(o.new, "c")
+	o.waitAnswered(o.new, "a")
+	o.waitAnswered(o.new, "c")
+	o.expectHeld("mark1", "a", "c") // no look since
+	o.scanTransfers()
+	o.new.waitUntil("the call of a", func() bool { return slices.Contains(o.new.calls, "a") })
+	o.expectHeld("mark2", "c") // b is announced, and not here
+	o.waitAnswered(o.old, "b")
+	o.old.host.TransferRemaining(1 << 20)
+	o.scanTransfers()
+	o.expectCalls("a", "b", "c")
 }
 
 // Numbers of messages grow in the order of hand-in over both processes, so that a restart finds that order in the journal, whichever came here first.
@@ -238,16 +238,16 @@
 		h.endpoints["s-1"].backoff.extend(time.Minute)
 		h.relay.ApplyRetryAfter(h.now(), "s-1", time.Minute)
 	})
-	o.take(o.old, "a")
-	o.heldIn(o.old, "a")
+	o.submit(o.old, "a")
+	o.waitAnswered(o.old, "a")
 	o.handOver()
 	for i, id := range []string{"b", "c", "d", "e"} {
-		o.take([]*world{o.new, o.old}[i%2], id)
+		o.submit([]*testEnv{o.new, o.old}[i%2], id)
 	}
-	o.heldIn(o.old, "c")
-	o.heldIn(o.old, "e")
-	o.old.host.Give(1 << 20)
-	o.look()
+	o.waitAnswered(o.old, "c")
+	o.waitAnswered(o.old, "e")
+	o.old.host.TransferRemaining(1 << 20)
+	o.scanTransfers()
 	var got []string
 	o.new.host.Do(func(h *Host) {
 		var all []*memory.Message
@@ -274,8 +274,8 @@
 		}
 	})
 	t.Cleanup(func() { close(release) })
-	o.take(o.old, "a")
-	o.old.until("its call", func() bool { return len(o.old.calls) == 1 })
+	o.submit(o.old, "a")
+	o.old.waitUntil("its call", func() bool { return len(o.old.calls) == 1 })
 	return o
 }
 
@@ -283,14 +283,14 @@
 func TestHeldBackEndsInTime(t *testing.T) {
 	o := overlapInCall(t)
 	o.handOver()
-	soon := strings.Replace(hand("fee", "b", "", "x", 60), "/fee", "/fee?subject=s", 1)
-	if got := o.new.client(soon); got != 202 {
+	soon := strings.Replace(requestText("fee", "b", "", "x", 60), "/fee", "/fee?subject=s", 1)
+	if got := o.new.post(soon); got != 202 {
 		t.Fatalf("answered %d", got)
 	}
-	o.new.until("its notice", func() bool { return len(o.new.notices) == 1 })
+	o.new.waitUntil("its notice", func() bool { return len(o.new.notifications) == 1 })
 	o.new.Lock()
 	defer o.new.Unlock()
-	if n := o.new.notices[0]; !strings.Contains(n, `"b"`) || !strings.Contains(n, "handed_back") || slices.Contains(o.new.calls, "b") {
+	if n := o.new.notifications[0]; !strings.Contains(n, `"b"`) || !strings.Contains(n, "handed_back") || slices.Contains(o.new.calls, "b") {
 		t.Errorf("ended by %s, calls %v", n, o.new.calls)
 	}
 }
@@ -298,26 +298,26 @@
 // When no process is left that could owe anything, all that was held back goes on in the order of hand-in.
 func TestNobodyLeftReleases(t *testing.T) {
 	o := overlapInCall(t)
-	o.take(o.old, "b")
-	o.heldIn(o.old, "b")
+	o.submit(o.old, "b")
+	o.waitAnswered(o.old, "b")
 	o.handOver()
-	o.take(o.new, "c")
-	o.heldIn(o.new, "c")
-	o.look()
-	o.untouched("mark1", "b", "c")
-	<-o.new.host.Adopt(Passed{Last: true})
-	o.called("a", "b", "c")
+	o.submit(o.new, "c")
+	o.waitAnswered(o.new, "c")
+	o.scanTransfers()
+	o.expectHeld("mark1", "b", "c")
+	<-o.new.host.Adopt(Transfer{LastProcess: true})
+	o.expectCalls("a", "b", "c")
 }
 
 // What could not be told to the successor is not taken on: its client may hand the next one in there.
 func TestNotAnnouncedIsNotTakenOn(t *testing.T) {
 	o := startOverlap(t, func(http.ResponseWriter, string) {})
 	o.handOver()
-	o.old.host.Do(func(h *Host) { h.giving = func([]byte) error { return journal.ErrUnavailable } })
-	if got := o.old.client(ofSubject("a")); got != 503 && got != 429 {
+	o.old.host.Do(func(h *Host) { h.sendToSuccessor = func([]byte) error { return journal.ErrUnavailable } })
+	if got := o.old.post(orderedRequest("a")); got != 503 && got != 429 {
 		t.Errorf("answered %d", got)
 	}
-	if _, there := o.old.steps("a"); there {
+	if _, there := o.old.attempts("a"); there {
 		t.Error("it is held all the same")
 	}
 }
--- a/internal/wire/parked_test.go
+++ b/internal/wire/parked_test.go
@@ -15,27 +15,27 @@
 	for name, status := range map[string]int{"given up by the module": 500, "over by the endpoint's word": 410} {
 		t.Run(name, func(t *testing.T) {
 			asked, answer := make(chan struct{}, 9), make(chan struct{})
-			w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) {
+			w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 				if r.Header.Get("X-Correlation-Id") == "a" {
 					rw.WriteHeader(status)
 				}
 			})
-			w.order()
+			w.orderAllClasses()
 			w.Lock()
-			w.told = func() { asked <- struct{}{}; <-answer }
+			w.beforeNotificationAnswer = func() { asked <- struct{}{}; <-answer }
 			w.Unlock()
-			w.host.Do(func(h *Host) { h.quiet = true }) // both are there before the first step
+			w.host.Do(func(h *Host) { h.stepsStopped = true }) // both are there before the first step
 			for _, id := range []string{"a", "b"} {
-				if got := w.client(ofSubject(id)); got != 202 {
+				if got := w.post(orderedRequest(id)); got != 202 {
 					t.Fatalf("answered %d", got)
 				}
 			}
-			w.host.Do(func(h *Host) { h.quiet = false })
+			w.host.Do(func(h *Host) { h.stepsStopped = false })
 			<-asked
-			waitFor(t, "the module to let b go", func() bool { n, _ := w.steps("b"); return n == 1 })
+			waitFor(t, "the module to let b go", func() bool { n, _ := w.attempts("b"); return n == 1 })
 			w.host.Do(func(h *Host) {
-				if len(h.parked) != 1 {
-					t.Errorf("%d calls wait for the notice", len(h.parked))
+				if len(h.callsAwaitingNotification) != 1 {
+					t.Errorf("%d calls wait for the notice", len(h.callsAwaitingNotification))
 				}
 			})
 			w.Lock()
@@ -44,70 +44,70 @@
 			}
 			w.Unlock()
 			close(answer)
-			w.until("the call of b", func() bool { return slices.Contains(w.calls, "b") })
-			w.empty()
+			w.waitUntil("the call of b", func() bool { return slices.Contains(w.calls, "b") })
+			w.waitEmpty()
 		})
 	}
 }
 
 // A call whose time is up while it waits for a notice has not been sent.
 func TestParkedCallEndsUnsent(t *testing.T) {
-	h := bare(t)
-	h.pending = nil
-	a, b := h.message("a", 7, 1), h.message("b", 7, 1)
+	h := newTestHost(t)
+	h.pendingEvents = nil
+	a, b := h.addMessage("a", 7, 1), h.addMessage("b", 7, 1)
 	a.OrderingKey, b.OrderingKey = "s", "s"
-	h.finish(a.Number, memory.Notification{})
+	h.completeByNotification(a.Number, memory.Notification{})
 	calls := h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, map[string]*call{}, nil)
 	h.registerCall(calls[0])
-	if len(h.parked) != 1 || len(h.begun) != 0 {
-		t.Fatalf("%d parked, %d begun", len(h.parked), len(h.begun))
+	if len(h.callsAwaitingNotification) != 1 || len(h.uncommittedCalls) != 0 {
+		t.Fatalf("%d parked, %d begun", len(h.callsAwaitingNotification), len(h.uncommittedCalls))
 	}
-	h.unpark(time.Second - 1)
-	if len(h.parked) != 1 || len(h.pending) != 0 {
-		t.Fatalf("before its time: %d parked, %v", len(h.parked), h.pending)
+	h.startUnblockedCalls(time.Second - 1)
+	if len(h.callsAwaitingNotification) != 1 || len(h.pendingEvents) != 0 {
+		t.Fatalf("before its time: %d parked, %v", len(h.callsAwaitingNotification), h.pendingEvents)
 	}
-	h.unpark(time.Second)
-	if e, ok := h.pending[0].(policy.AttemptEnded); len(h.parked) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
-		t.Errorf("%d parked, %d out, %+v", len(h.parked), len(h.calls), h.pending)
+	h.startUnblockedCalls(time.Second)
+	if e, ok := h.pendingEvents[0].(policy.AttemptEnded); len(h.callsAwaitingNotification) != 0 || len(h.calls) != 0 || !ok || e.Outcome != policy.Unsent || b.InFlight != nil {
+		t.Errorf("%d parked, %d out, %+v", len(h.callsAwaitingNotification), len(h.calls), h.pendingEvents)
 	}
 }
 
 // A notice that an earlier life owed holds the next message of its subject as well, and none of another or before it.
 func TestRestoredNoticeHoldsTheNext(t *testing.T) {
-	h := bare(t)
-	before, a, b, other := h.message("before", 7, 1), h.message("a", 7, 1), h.message("b", 7, 1), h.message("other", 7, 1)
+	h := newTestHost(t)
+	before, a, b, other := h.addMessage("before", 7, 1), h.addMessage("a", 7, 1), h.addMessage("b", 7, 1), h.addMessage("other", 7, 1)
 	before.OrderingKey, a.OrderingKey, b.OrderingKey, other.OrderingKey = "s", "s", "s", "t"
 	h.table.MarkUndelivered(a, memory.Notification{})
 	h.restore(false)
-	if !h.behindNotice(b) || h.behindNotice(before) || h.behindNotice(other) {
+	if !h.blockedByNotification(b) || h.blockedByNotification(before) || h.blockedByNotification(other) {
 		t.Error("the wrong ones wait")
 	}
-	h.over(a)
-	if h.behindNotice(b) || len(h.awaited) > 0 {
+	h.complete(a)
+	if h.blockedByNotification(b) || len(h.unansweredNotifications) > 0 {
 		t.Error("it waits for a notice that was answered")
 	}
 }
 
 // What waits for a notice takes no batch with it, and no slot that is not there.
 func TestParkedCallStandsApart(t *testing.T) {
-	h := bare(t)
-	h.pending = nil
-	a, b := h.message("a", 7, 1), h.message("b", 7, 1)
+	h := newTestHost(t)
+	h.pendingEvents = nil
+	a, b := h.addMessage("a", 7, 1), h.addMessage("b", 7, 1)
 	a.OrderingKey, b.OrderingKey = "s", "s"
-	h.finish(a.Number, memory.Notification{})
+	h.completeByNotification(a.Number, memory.Notification{})
 	open := map[string]*call{}
 	var calls []*call
-	for _, m := range []*memory.Message{h.message("c", 7, 1), b, h.message("d", 7, 1)} {
+	for _, m := range []*memory.Message{h.addMessage("c", 7, 1), b, h.addMessage("d", 7, 1)} {
 		calls = h.planSend(0, time.Now(), policy.Send{ID: m.Number, Endpoint: "s-1", Timeout: time.Second}, open, calls)
 	}
 	if len(calls) != 2 || len(calls[0].items) != 2 || calls[1].items[0].id != "b" {
 		t.Errorf("%d calls", len(calls))
 	}
-	for len(h.calls) < h.set.MaxConcurrentCalls {
+	for len(h.calls) < h.settings.MaxConcurrentCalls {
 		h.calls[&call{endpoint: calls[0].endpoint}] = struct{}{}
 	}
 	b.InFlight = nil
-	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pending) != 1 {
-		t.Errorf("%d calls without a slot, %v", len(calls), h.pending)
+	if calls = h.planSend(0, time.Now(), policy.Send{ID: b.Number, Endpoint: "s-1", Timeout: time.Second}, open, nil); len(calls) > 0 || len(h.pendingEvents) != 1 {
+		t.Errorf("%d calls without a slot, %v", len(calls), h.pendingEvents)
 	}
 }
--- a/internal/wire/peek.go
+++ b/internal/wire/peek.go
@@ -13,8 +13,8 @@
 	return err != syscall.EAGAIN
 }
 
-// Waiting tells, without waiting, whether bytes of the peer are there to be read.
-func Waiting(sock net.Conn) bool {
+// HasUnreadBytes tells, without waiting, whether bytes of the peer are there to be read.
+func HasUnreadBytes(sock net.Conn) bool {
 	n, err := peek(sock)
 	return err == nil && n > 0
 }
@@ -35,12 +35,12 @@
 	return n, err
 }
 
-// peekTries bounds how often a peek is made that signals interrupt.
-const peekTries = 8
+// maxPeekAttempts bounds how often a peek is made that signals interrupt.
+const maxPeekAttempts = 8
 
 // peekAt asks again after a signal: this read is outside the runtime's poller, which does so for all others.
 func peekAt(fd int) (n int, err error) {
-	for range peekTries {
+	for range maxPeekAttempts {
 		var b [1]byte
 		if n, _, err = syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
 			break
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -23,7 +23,7 @@
 
 // roundTrip sends one request and reads its answer within limit, or until ctx ends. Any error
 // closes the connection.
-func (c *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*answer, error) {
+func (c *agentConn) roundTrip(ctx context.Context, request []byte, limit time.Duration) (*response, error) {
 	if c.sock != nil && stale(c.sock) {
 		c.close()
 	}
@@ -36,7 +36,7 @@
 		if err != nil {
 			return nil, &AttemptError{Started, err}
 		}
-		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
+		c.sock, c.reader = sock, bufio.NewReaderSize(sock, readBufferSize)
 	}
 	sock := c.sock
 	sock.SetDeadline(time.Now().Add(limit))
@@ -46,15 +46,15 @@
 		c.close()
 		return nil, &AttemptError{Connected, err}
 	}
-	a, err := readStatus(c.reader)
+	a, err := readResponseHead(c.reader)
 	if err == nil {
-		err = a.readRest(c.reader, maxAnswer)
+		err = a.readRemaining(c.reader, maxResponseBody)
 	}
 	if err != nil {
 		c.close()
 		return nil, &AttemptError{Written, err}
 	}
-	if !a.keep || c.reader.Buffered() > 0 {
+	if !a.reusable || c.reader.Buffered() > 0 {
 		c.close()
 	}
 	return a, nil
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -18,24 +18,24 @@
 // The notice waits for its record, or until its message's time is up, when no life forwards it any more.
 func TestNoticeWaitsForItsRecord(t *testing.T) {
 	d := disk.New()
-	h := bareOn(t, d)
-	early, late := h.message("early", 7, 1), h.message("late", 7, 1)
+	h := newTestHostOn(t, d)
+	early, late := h.addMessage("early", 7, 1), h.addMessage("late", 7, 1)
 	late.Deadline = time.Now()
 	for n := 1; n < 20; n++ {
 		d.Fail(d.Ops()+n, disk.Error)
 	}
-	h.finish(early.Number, memory.Notification{Returned: true})
-	h.finish(late.Number, memory.Notification{})
+	h.completeByNotification(early.Number, memory.Notification{Returned: true})
+	h.completeByNotification(late.Number, memory.Notification{})
 	h.commit()
-	h.flushNotices()
-	if n := len(h.notices); n != 1 || (<-h.notices).id != "late" {
+	h.flushNotifications()
+	if n := len(h.notifications); n != 1 || (<-h.notifications).id != "late" {
 		t.Fatalf("%d notices went out without a record", n)
 	}
 	for h.journal.HasUnwritten() { // the disk is well again behind its failures
 		h.commit()
 	}
-	h.flushNotices()
-	if len(h.notices) != 1 || (<-h.notices).id != "early" {
+	h.flushNotifications()
+	if len(h.notifications) != 1 || (<-h.notifications).id != "early" {
 		t.Error("the notice did not go out behind its record")
 	}
 }
@@ -44,18 +44,18 @@
 // answered as taken, but not settled and not named in the log.
 func TestHandInsBesideOnesThatAreNotAnnounced(t *testing.T) {
 	var text bytes.Buffer
-	h := bareOn(t, disk.New())
+	h := newTestHostOn(t, disk.New())
 	h.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	h.giving = func([]byte) error { return errors.New("no room in the spool") }
-	answers := map[string]chan verdict{}
+	h.sendToSuccessor = func([]byte) error { return errors.New("no room in the spool") }
+	answers := map[string]chan submitResult{}
 	for id, subject := range map[string]string{"plain": "", "ordered": "s"} {
 		m := &memory.Message{ID: id, Class: "alert", Dest: 7, Deadline: time.Now().Add(time.Hour), Body: []byte("b")}
 		m.OrderingKey = subject
-		answers[id] = make(chan verdict, 1)
-		h.take(handIn{m, answers[id]})
+		answers[id] = make(chan submitResult, 1)
+		h.handleEvent(submitRequest{m, answers[id]})
 	}
 	h.commit()
-	if plain, ordered := <-answers["plain"], <-answers["ordered"]; !plain.taken || ordered.taken || ordered.known {
+	if plain, ordered := <-answers["plain"], <-answers["ordered"]; !plain.accepted || ordered.accepted || ordered.duplicate {
 		t.Errorf("answered %+v and %+v", plain, ordered)
 	}
 	if log := text.String(); !strings.Contains(log, "message=plain") || strings.Contains(log, "message=ordered") {
@@ -63,18 +63,18 @@
 	}
 }
 
-// bareOn returns a host that nobody runs, whose journal is in that folder.
-func bareOn(t *testing.T, fs journal.FS) *Host {
+// newTestHostOn returns a host that nobody runs, whose journal is in that folder.
+func newTestHostOn(t *testing.T, fs journal.FS) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: quiet, CompactInline: true})
+	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: discardLog, CompactInline: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, err := memory.ParseEndpointList(pool("127.0.0.1:1", "in_service", 1))
+	known, err := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := NewHost(HostConfig{Settings: testSettings(), Known: known, Table: table, Journal: kept, Log: quiet})
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -190,7 +190,7 @@
 			fail(err)
 			return res
 		}
-		c.sock, c.reader = sock, bufio.NewReaderSize(sock, maxLine)
+		c.sock, c.reader = sock, bufio.NewReaderSize(sock, readBufferSize)
 	}
 	stage = Connected
 	if !cl.excludeExpired(time.Now()) {
@@ -235,7 +235,7 @@
 	}
 	stage = Written
 	c.metrics.Tried(cl.includedCount())
-	a, err := readStatusWith(c.reader, func() {
+	a, err := readResponseHeadWith(c.reader, func() {
 		// Once an answer has begun, the rest has to follow quickly: an endless head or body must
 		// not use up the concurrency limit.
 		c.sock.SetReadDeadline(earlier(cl.deadline, time.Now().Add(answerRestTimeout)))
@@ -253,7 +253,7 @@
 		}
 		return res
 	}
-	bodyErr := a.readRest(c.reader, maxBody)
+	bodyErr := a.readRemaining(c.reader, maxBody)
 	res.report = parseLoadReport(a.get("X-Backend-Load"))
 	if bodyErr != nil && !(a.status == 200 && single) {
 		// A rejection counts only if all of the answer could be read; else the message may have
@@ -262,7 +262,7 @@
 		return res
 	}
 	// Bytes after the answer must not be read as the answer to the next call.
-	res.reusable = bodyErr == nil && a.keep && c.reader.Buffered() == 0
+	res.reusable = bodyErr == nil && a.reusable && c.reader.Buffered() == 0
 	res.results, c.lastAnswerAt = cl.markExcluded(itemResults(cl, a)), time.Now()
 	if firstAnswer && atConnectionLimit(a) && bodyErr == nil {
 		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})),
@@ -417,7 +417,7 @@
 
 // readAnswer asks plug-ins what an answer means for each item. It returns the delay before the next
 // call.
-func (cl *call) readAnswer(set *plugin.Set, a *answer, results []itemResult, delay time.Duration) time.Duration {
+func (cl *call) readAnswer(set *plugin.Set, a *response, results []itemResult, delay time.Duration) time.Duration {
 	in := plugin.Answer{Status: a.status, Body: a.body, Wait: delay}
 	for _, f := range a.fields {
 		in.Headers = append(in.Headers, [2]string{f.name, f.value})
@@ -466,7 +466,7 @@
 }
 
 // itemResults derives the result of each item from the answer.
-func itemResults(cl *call, a *answer) []itemResult {
+func itemResults(cl *call, a *response) []itemResult {
 	switch a.status {
 	case 200:
 		if cl.includedCount() == 1 {
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -89,12 +89,12 @@
 	// An endless body.
 	{write: "HTTP/1.1 503 X\r\n\r\n" + strings.Repeat("x", maxBody+1), outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 503 X\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Errored)},
-	{write: "HTTP/1.1 503 X\r\nA: " + strings.Repeat("x", maxLine), outcomes: oneOutcome(policy.Errored)},
+	{write: "HTTP/1.1 503 X\r\nA: " + strings.Repeat("x", readBufferSize), outcomes: oneOutcome(policy.Errored)},
 	{write: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", outcomes: oneOutcome(policy.Delivered)},
 	{write: "HTTP/1.1 200 OK\r\nA: b\r\n", stalls: true, outcomes: oneOutcome(policy.Delivered)}, // endless head
 	{write: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n[", outcomes: threeOutcomes(policy.Errored)},
 	{write: "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhel", stalls: true, outcomes: threeOutcomes(policy.Errored)},
-	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterim+1) + httpResponse("200 OK", ""),
+	{write: strings.Repeat("HTTP/1.1 102 X\r\n\r\n", maxInterimResponses+1) + httpResponse("200 OK", ""),
 		outcomes: oneOutcome(policy.Errored)},
 	// A duplicate answer.
 	{write: httpResponse("200 OK", "") + httpResponse("200 OK", ""), outcomes: oneOutcome(policy.Delivered)},
@@ -111,13 +111,13 @@
 		}
 		go func() {
 			defer sock.Close()
-			for r := bufio.NewReaderSize(sock, maxLine); ; {
+			for r := bufio.NewReaderSize(sock, readBufferSize); ; {
 				h, err := readHead(r)
 				if err != nil {
 					return
 				}
 				length, chunked, _ := h.framing()
-				body, _ := readBody(r, length, chunked, maxAnswer)
+				body, _ := readBody(r, length, chunked, maxResponseBody)
 				s := <-scripts
 				seen <- h
 				bodies <- body
@@ -156,7 +156,7 @@
 	f.Add([]byte{26, 0, 27, 28, 0, 29, 30, 31, 32, 0, 33, 34, 35, 36, 37, 38, 0, 39, 0})
 	f.Add([]byte{13, 0, 14, 0, 15, 16, 0, 16, 18, 17, 0, 18, 19, 20, 21, 22, 23, 24, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 1), make(chan []byte, 1)
 		go serveScripts(ln, scripts, seen, bodies)
 		ep := &endpoint{id: "e", addr: ln.Addr().String(), backoff: &backoff{}}
@@ -192,13 +192,13 @@
 				(sock == nil || !sock.bounded || sock.waits > answerRestTimeout) {
 				t.Fatalf("step %d: no bounded timeout for a stalled answer: %+v", b, sock)
 			}
-			if len(s.outcomes) == 1 && (h.line[1] != "/hook" || h.get("X-Correlation-Id") != "a" ||
+			if len(s.outcomes) == 1 && (h.firstLine[1] != "/hook" || h.get("X-Correlation-Id") != "a" ||
 				h.get("Idempotency-Key") != "k" ||
 				string(body) != string(cl.items[0].body)) {
 				t.Fatalf("call %+v with body %q", h, body)
 			}
 			if list := gjson.ParseBytes(body).Array(); len(s.outcomes) == 3 &&
-				(h.line[1] != "/hook/batch" || len(list) != 3 ||
+				(h.firstLine[1] != "/hook/batch" || len(list) != 3 ||
 					list[2].Get("id").Str != "c" || list[2].Get("key").Str != "k" ||
 					list[2].Get("body").Str != base64.StdEncoding.EncodeToString(cl.items[2].body)) {
 				t.Fatalf("batch %+v with body %q", h, body)
@@ -255,7 +255,7 @@
 		"new connection":          {"drop", full, policy.ConnectFailed},
 		"after an interim answer": {"", "HTTP/1.1 102 X\r\n\r\n" + full, policy.ConnectFailed},
 	} {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
 		go serveScripts(ln, scripts, seen, bodies)
 		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
@@ -289,7 +289,7 @@
 		{Connected, io.ErrShortWrite, policy.ConnectFailed, true},
 		{Connected, errBlocked, policy.Unsent, true}, {Written, os.ErrDeadlineExceeded, policy.TimedOut, false},
 		{Written, io.EOF, policy.ConnectionLost, false}, {Answered, io.EOF, policy.Errored, false},
-		{Written, errLine, policy.Errored, false}, {Answered, os.ErrDeadlineExceeded, policy.Errored, false},
+		{Written, errFirstLine, policy.Errored, false}, {Answered, os.ErrDeadlineExceeded, policy.Errored, false},
 	} {
 		e := &AttemptError{c.stage, c.err}
 		if e.Outcome() != c.want || e.NeverRan() != c.never || !strings.Contains(e.Error(), c.err.Error()) {
@@ -300,7 +300,7 @@
 
 // A refused connection, a drained endpoint and a panic each end the call once, as never run.
 func TestCallsNeverRun(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	call := func(ep *endpoint) callResult {
@@ -311,12 +311,12 @@
 		got.reusable {
 		t.Errorf("connection refused: %+v", got)
 	}
-	drained := &endpoint{addr: listen(t).Addr().String(), backoff: &backoff{}}
+	drained := &endpoint{addr: listenLoopback(t).Addr().String(), backoff: &backoff{}}
 	drained.state.Store(int32(policy.Draining))
 	if got := call(drained); got.results[0].outcome != policy.Unsent {
 		t.Errorf("drained: %+v", got)
 	}
-	if got := call(&endpoint{addr: listen(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed ||
+	if got := call(&endpoint{addr: listenLoopback(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed ||
 		!strings.Contains(got.err.Error(), "panic") {
 		t.Errorf("panic: %+v", got)
 	}
@@ -325,7 +325,7 @@
 // Items whose time ran out while the call was dialed are not sent, and a call without items is not
 // made.
 func TestExpiredItemsAreNotSent(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
 	go serveScripts(ln, scripts, seen, bodies)
 	now := time.Now()
@@ -334,7 +334,7 @@
 	res := rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute),
 		items: []callItem{{id: "late", writeBy: now}, {id: "kept", body: []byte("x"), writeBy: now.Add(time.Minute)}}})
 	h, body := <-seen, <-bodies
-	if h.line[1] != "/hook" || h.get("X-Correlation-Id") != "kept" || string(body) != "x" {
+	if h.firstLine[1] != "/hook" || h.get("X-Correlation-Id") != "kept" || string(body) != "x" {
 		t.Errorf("sent %v with %q", h, body)
 	}
 	if res.results[0].outcome != policy.Unsent || res.results[1].outcome != policy.Delivered {
@@ -365,14 +365,14 @@
 		"served, then cut":    {"", true, true, time.Minute, policy.Unsent},
 		"served, then speaks": {httpResponse("200 OK", ""), true, true, time.Minute, policy.Unsent},
 	} {
-		ln, read := listen(t), make(chan string, 1)
+		ln, read := listenLoopback(t), make(chan string, 1)
 		go func() {
 			sock, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			defer sock.Close()
-			b := make([]byte, maxLine)
+			b := make([]byte, readBufferSize)
 			if c.served {
 				for all := ""; !strings.HasSuffix(all, "\r\n\r\nbefore"); {
 					n, err := sock.Read(b)
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -29,18 +29,18 @@
 
 // applySitePlan puts a plan in force; nil: none. Sites that operators have taken out stay out.
 func (h *Host) applySitePlan(plan *sites.Plan, home string) {
-	previous := h.watch
+	previous := h.siteWatch
 	if previous != nil && previous.Keeps(plan, home) {
 		return // keeps its observations, also during the loss of a site
 	}
-	if h.watch = nil; plan == nil {
-		h.sites.Store(nil)
+	if h.siteWatch = nil; plan == nil {
+		h.sitesStatus.Store(nil)
 		if previous != nil {
-			h.pending = append(h.pending, policy.SitesUpdate{})
+			h.pendingEvents = append(h.pendingEvents, policy.SitesUpdate{})
 		}
 		return
 	}
-	h.watch, h.sitesHome = sites.NewWatch(plan, home, h.seed^h.start.UnixNano()), home
+	h.siteWatch, h.homeZone = sites.NewWatch(plan, home, h.seed^h.startedAt.UnixNano()), home
 	list := policy.EndpointListUpdate{Kind: policy.ListSnapshot}
 	for _, ep := range h.endpoints {
 		list.Entries = append(list.Entries, policy.Endpoint{
@@ -50,16 +50,16 @@
 			State:       policy.EndpointState(ep.state.Load()),
 		})
 	}
-	h.watch.List(list)
+	h.siteWatch.List(list)
 	if previous != nil {
 		for _, site := range previous.Standings() {
 			if site.Out {
-				h.watch.ByHand(h.now(), site.Zone, true)
+				h.siteWatch.ByHand(h.now(), site.Zone, true)
 			}
 		}
 	}
-	h.pending = append(h.pending, policy.SitesUpdate{Plan: h.watch})
-	h.viewAt, h.sitesAt = 0, 0
+	h.pendingEvents = append(h.pendingEvents, policy.SitesUpdate{Plan: h.siteWatch})
+	h.membersViewAt, h.nextSitesCheck = 0, 0
 	h.updateSites(h.now())
 }
 
@@ -70,50 +70,50 @@
 
 // updateSites processes operator commands, checks the sites and publishes a view.
 func (h *Host) updateSites(now policy.Time) {
-	if h.watch == nil || now < h.sitesAt {
+	if h.siteWatch == nil || now < h.nextSitesCheck {
 		return
 	}
-	h.sitesAt = now + sitesInterval
+	h.nextSitesCheck = now + sitesInterval
 	for more := true; more; {
 		select {
-		case command := <-h.byHand:
-			h.watch.ByHand(now, command.Zone, command.Out)
+		case command := <-h.siteCommands:
+			h.siteWatch.ByHand(now, command.Zone, command.Out)
 		default:
 			more = false
 		}
 	}
-	if view := h.view.Load(); view != nil && view != h.sitesView {
-		h.sitesView = view
+	if view := h.membersView.Load(); view != nil && view != h.sitesMembersView {
+		h.sitesMembersView = view
 		relays, alive := map[string]int{}, map[string]int{}
 		for _, member := range view.Members {
-			if member.Number == view.Self || member.Zone >= len(h.zones) {
+			if member.Number == view.Self || member.Zone >= len(h.zoneNames) {
 				continue
 			}
-			if relays[h.zones[member.Zone]]++; member.State < members.Dead {
-				alive[h.zones[member.Zone]]++
+			if relays[h.zoneNames[member.Zone]]++; member.State < members.Dead {
+				alive[h.zoneNames[member.Zone]]++
 			}
 		}
 		for zone, count := range relays {
-			h.watch.Members(zone, count, alive[zone])
+			h.siteWatch.Members(zone, count, alive[zone])
 		}
 	}
 	h.exchangeSiteReports(now)
-	h.watch.Turn(now)
-	if changes := h.watch.Changes(); len(changes) > 0 {
+	h.siteWatch.Turn(now)
+	if changes := h.siteWatch.Changes(); len(changes) > 0 {
 		for _, change := range changes {
 			h.log.Warn("site", "zone", change.Zone,
 				"state", change.To.String(), "was", change.From.String(), "why", change.Why)
-			h.pending = append(h.pending, change.News(h.watch))
+			h.pendingEvents = append(h.pendingEvents, change.News(h.siteWatch))
 		}
 	}
-	h.sites.Store(&Sites{At: now, Home: h.sitesHome, All: h.watch.Standings()})
+	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Standings()})
 }
 
 // exchangeSiteReports takes in what other relays report about sites, and reports what this one
 // observes.
 func (h *Host) exchangeSiteReports(now policy.Time) {
 	lost, levels := map[int]int{}, map[int][]float64{}
-	h.pool.EachSiteReport(now, func(report peers.SiteReport) {
+	h.gossiper.EachSiteReport(now, func(report peers.SiteReport) {
 		if report.LoadFraction == 0 {
 			lost[report.Zone]++
 		} else {
@@ -121,18 +121,18 @@
 		}
 	})
 	var reports []peers.SiteReport
-	for zone, name := range h.zones {
-		h.watch.Said(name, lost[zone], levels[zone])
-		if level, ok := h.watch.Word(name); ok {
+	for zone, name := range h.zoneNames {
+		h.siteWatch.Said(name, lost[zone], levels[zone])
+		if level, ok := h.siteWatch.Word(name); ok {
 			reports = append(reports, peers.SiteReport{Zone: zone, LoadFraction: level})
 		}
 	}
-	h.pool.SetSiteReports(reports)
+	h.gossiper.SetSiteReports(reports)
 }
 
 // recordSiteResult reports the result of a call to the site watch.
 func (h *Host) recordSiteResult(completed callResult, now policy.Time) {
-	if h.watch == nil || len(completed.results) == 0 || errors.Is(completed.err, errConnectionLimit) {
+	if h.siteWatch == nil || len(completed.results) == 0 || errors.Is(completed.err, errConnectionLimit) {
 		return
 	}
 	result := sites.Failed
@@ -150,18 +150,18 @@
 	case policy.Unsent:
 		return
 	}
-	h.watch.Ended(now, completed.call.startedAt, completed.call.endpoint.id, result)
+	h.siteWatch.Ended(now, completed.call.startedAt, completed.call.endpoint.id, result)
 }
 
 // Sites returns the latest view; nil if no plan is in force. It may be called on any goroutine and
 // does not block.
-func (h *Host) Sites() *Sites { return h.sites.Load() }
+func (h *Host) Sites() *Sites { return h.sitesStatus.Load() }
 
 // SubmitSiteCommand queues an operator's command without waiting for it. It returns false if the
 // queue is full.
 func (h *Host) SubmitSiteCommand(command SiteCommand) bool {
 	select {
-	case h.byHand <- command:
+	case h.siteCommands <- command:
 		return true
 	default:
 		return false
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -12,7 +12,7 @@
 // A site plan publishes a view and takes operator commands without blocking. The same plan keeps
 // what was observed, another one keeps sites that operators took out, and no plan removes all.
 func TestSitePlan(t *testing.T) {
-	h := bare(t)
+	h := newTestHost(t)
 	for id, zone := range map[string]string{"a-1": "a", "b-1": "b"} {
 		h.applyEndpoint(memory.EndpointEntry{HostPort: "127.0.0.1:1",
 			Endpoint: policy.Endpoint{Address: id, Destination: 7, Kind: "broker", Zone: zone}})
@@ -29,7 +29,7 @@
 		t.Fatalf("%+v", v)
 	}
 	look := func() sites.Standing {
-		h.sitesAt = 0
+		h.nextSitesCheck = 0
 		h.updateSites(h.now())
 		return h.Sites().All[0]
 	}
@@ -44,16 +44,16 @@
 	if st := look(); !st.Out || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
-	since := h.watch
-	if h.applySitePlan(plan(), "b"); h.watch != since {
+	since := h.siteWatch
+	if h.applySitePlan(plan(), "b"); h.siteWatch != since {
 		t.Error("the same plan replaced the watch")
 	}
 	other := plan()
 	other.Ramp++
-	if h.applySitePlan(other, "b"); h.watch == since || !look().Out {
+	if h.applySitePlan(other, "b"); h.siteWatch == since || !look().Out {
 		t.Error("another plan lets a site return that an operator took out")
 	}
-	if h.watch.Allows(7, "a", false) || !h.watch.Allows(7, "b", true) {
+	if h.siteWatch.Allows(7, "a", false) || !h.siteWatch.Allows(7, "b", true) {
 		t.Error("wrong sites are open")
 	}
 	// Results of calls count by what they prove about the site.
@@ -71,11 +71,11 @@
 		results: []itemResult{{outcome: policy.ConnectFailed}},
 		err:     errConnectionLimit,
 	}, h.now())
-	if st := h.watch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
+	if st := h.siteWatch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
 		t.Errorf("%+v", st)
 	}
-	h.pending = nil
-	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pending) != 1 || h.pending[0] != (policy.SitesUpdate{}) {
-		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pending)
+	h.pendingEvents = nil
+	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pendingEvents) != 1 || h.pendingEvents[0] != (policy.SitesUpdate{}) {
+		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pendingEvents)
 	}
 }
