--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -17,7 +17,7 @@
 // from it to the module.
 func TestTermsOutliveTheProcess(t *testing.T) {
 	dir, want := t.TempDir(), memory.Terms{Effect: policy.Keyed, RepeatWindow: 7 * time.Second, ZoneOnly: true, Tenant: "north", OrderingKey: "a/b"}
-	j, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: quiet})
+	j, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	j.Close()
-	j, table, err = journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: quiet})
+	j, table, err = journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 			t.Fatalf("m%d comes back as %+v", i, m)
 		}
 	}
-	a := arrived(table.ByID("m0"), time.Now())
+	a := arrivedEvent(table.ByID("m0"), time.Now())
 	if a.Tenant != "north" || a.Key != "a/b" || a.Terms.Effect != policy.Keyed || a.Terms.RepeatWindow != want.RepeatWindow || !a.Terms.ZoneOnly || !a.Recovered {
 		t.Errorf("the module is told %+v", a)
 	}
@@ -56,7 +56,7 @@
 func TestTenantsAndSubjectsAreRead(t *testing.T) {
 	set := &policy.Settings{Classes: []policy.Class{{Name: "posting", Effect: policy.Unsafe, Ordered: true, Deadline: time.Minute},
 		{Name: "alert", Deadline: time.Minute}, {Name: "order", Effect: policy.Keyed, RepeatWindow: time.Second, ZoneOnly: true, Deadline: time.Minute}}, Tenants: []policy.Tenant{{Name: "north"}, {Name: "b"}}}
-	f := NewFront(listen(t), set, 10, nil, quiet)
+	f := NewServer(listenLoopback(t), set, 10, nil, discardLog)
 	head := func(account string) *head {
 		return &head{fields: []field{{"X-Correlation-Id", "i"}, {"X-Time-Left-Ms", "1000"}, {"Envelope", "dest=1"}, {"Idempotency-Key", "k"}, {"X-Account", account}}}
 	}
@@ -72,11 +72,11 @@
 		{"/order", "", "", memory.Terms{Effect: policy.Keyed, RepeatWindow: time.Second, ZoneOnly: true}, ""},
 		{"/posting", "subject=a&subject=b", "", memory.Terms{}, "subject"},
 		{"/posting", "subject=%zz", "", memory.Terms{}, "subject"},
-		{"/posting", "subject=" + strings.Repeat("x", maxID+1), "", memory.Terms{}, "subject"},
+		{"/posting", "subject=" + strings.Repeat("x", maxIDBytes+1), "", memory.Terms{}, "subject"},
 		{"/alert", "", "two words", memory.Terms{}, "X-Account"},
 		{"/unheard-of", "", "", memory.Terms{}, "class"},
 	} {
-		m, _, err := f.message(head(c.account), c.path, c.query, nil)
+		m, _, err := f.parseMessage(head(c.account), c.path, c.query, nil)
 		if c.bad != "" {
 			if err == nil || !strings.Contains(err.Error(), c.bad) {
 				t.Errorf("%s?%s of %q: %v, want %s named", c.path, c.query, c.account, err, c.bad)
@@ -87,7 +87,7 @@
 	}
 	set.Tenants = nil // then the field is none of ours, whatever it holds
 	f.Configure(set, 10)
-	if m, _, err := f.message(head("two words"), "/alert", "", nil); err != nil || m.Tenant != "" {
+	if m, _, err := f.parseMessage(head("two words"), "/alert", "", nil); err != nil || m.Tenant != "" {
 		t.Errorf("without tenants: %+v, %v", m, err)
 	}
 }
@@ -96,14 +96,14 @@
 // (the wide variant: 128 breaks of the rule on order in a day).
 func TestOneSubjectOneAtATime(t *testing.T) {
 	calls, goOn := make(chan string, 9), make(chan struct{})
-	w := startWorld(t, func(rw http.ResponseWriter, r *http.Request, body string) {
+	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 		calls <- r.Header.Get("X-Correlation-Id")
 		<-goOn
-		okay(rw, r, body)
+		answerOK(rw, r, body)
 	})
 	t.Cleanup(func() { close(goOn) })
 	w.host.Do(func(h *Host) {
-		s := h.set
+		s := h.settings
 		s.Classes = append([]policy.Class(nil), s.Classes...)
 		for i := range s.Classes {
 			s.Classes[i].Ordered = true
@@ -111,11 +111,11 @@
 		if err := h.relay.Reconfigure(s); err != nil {
 			t.Error(err)
 		}
-		h.set = s
-		w.front.Configure(&s, 100)
+		h.settings = s
+		w.server.Configure(&s, 100)
 	})
 	for i := range 3 {
-		if status := w.client(strings.Replace(hand("fee", fmt.Sprint("m", i), "", "x", 20_000), "/fee", "/fee?subject=s", 1)); status != 202 {
+		if status := w.post(strings.Replace(requestText("fee", fmt.Sprint("m", i), "", "x", 20_000), "/fee", "/fee?subject=s", 1)); status != 202 {
 			t.Fatalf("answered %d", status)
 		}
 	}
@@ -129,17 +129,17 @@
 		}
 		goOn <- struct{}{}
 	}
-	w.empty()
+	w.waitEmpty()
 }
 
 // What a restart finds of a class that the settings have lost is ended with an honest answer: handed back where it never ran, given up where it may have.
 func TestClassLostOverARestart(t *testing.T) {
-	h := bare(t)
+	h := newTestHost(t)
 	for _, c := range []struct {
 		risk time.Time
 		want bool
 	}{{time.Time{}, true}, {time.Now(), false}} {
-		m := h.message("m"+fmt.Sprint(c.want), 7, 1)
+		m := h.addMessage("m"+fmt.Sprint(c.want), 7, 1)
 		m.Class, m.MayHaveRunSince, m.Effect = "gone", c.risk, policy.Unsafe
 		if h.resume(m, time.Now()) || m.Notification == nil || m.Notification.Returned != c.want {
 			t.Errorf("risk %v: ended by %+v, want handed back %v", c.risk, m.Notification, c.want)
@@ -151,12 +151,12 @@
 // in which they were taken on, also where one of the clients has gone.
 func TestAnswersOvertakeNoSubject(t *testing.T) {
 	for _, told := range []bool{true, false} {
-		h := bare(t)
+		h := newTestHost(t)
 		var msgs []*memory.Message
 		for i, subject := range []string{"s", "other", "s", ""} {
 			m := &memory.Message{ID: fmt.Sprint("m", i), Class: "fee", Dest: 7, Deadline: time.Now().Add(time.Minute)}
 			m.OrderingKey = subject
-			h.take(handIn{m, make(chan verdict, 1)})
+			h.handleEvent(submitRequest{m, make(chan submitResult, 1)})
 			msgs = append(msgs, m)
 		}
 		h.commit()
@@ -170,18 +170,18 @@
 				t.Errorf("the module hears of %v, want %v", got, want)
 			}
 		}
-		h.take(handedIn{msgs[2].Number, true})
+		h.handleEvent(submitAnswered{msgs[2].Number, true})
 		heard()
-		h.take(handedIn{msgs[3].Number, true})
-		h.take(handedIn{msgs[1].Number, true})
+		h.handleEvent(submitAnswered{msgs[3].Number, true})
+		h.handleEvent(submitAnswered{msgs[1].Number, true})
 		heard("m3", "m1")
-		if h.take(handedIn{msgs[0].Number, told}); told {
+		if h.handleEvent(submitAnswered{msgs[0].Number, told}); told {
 			heard("m3", "m1", "m0", "m2")
 		} else {
 			heard("m3", "m1", "m2")
 		}
-		if len(h.turns) > 0 {
-			t.Errorf("%d subjects are still kept", len(h.turns))
+		if len(h.orderedQueues) > 0 {
+			t.Errorf("%d subjects are still kept", len(h.orderedQueues))
 		}
 	}
 }
@@ -191,18 +191,18 @@
 	cut := func(rw http.ResponseWriter, r *http.Request, body string) {
 		panic(http.ErrAbortHandler) // the call has come whole: it may have run
 	}
-	a, b := startWorld(t, cut), startWorld(t, cut)
-	configure := func(w *world, change func(*policy.Settings)) {
+	a, b := startEnv(t, cut), startEnv(t, cut)
+	configure := func(w *testEnv, change func(*policy.Settings)) {
 		s := testSettings()
 		change(&s)
 		w.host.Do(func(h *Host) {
 			if err := h.relay.Reconfigure(s); err != nil {
 				t.Error(err)
 			}
-			h.set = s
-			h.name(s)
+			h.settings = s
+			h.indexSettings(s)
 		})
-		w.front.Configure(&s, 100)
+		w.server.Configure(&s, 100)
 	}
 	configure(a, func(s *policy.Settings) {
 		s.Classes = []policy.Class{{Name: "fee", Effect: policy.Safe, TargetLatency: time.Second, Deadline: 10 * time.Second, Value: 1}}
@@ -213,11 +213,11 @@
 			{Name: "alert", Effect: policy.Keyed, RepeatWindow: time.Second, TargetLatency: time.Second, Deadline: 2 * time.Second, Value: 1}}
 		s.MaxPending = 1
 	})
-	for w, calls := range map[*world]int{a: 2, b: 1} {
-		if status := w.client(hand("fee", "m", "", "x", 9000)); status != 202 {
+	for w, calls := range map[*testEnv]int{a: 2, b: 1} {
+		if status := w.post(requestText("fee", "m", "", "x", 9000)); status != 202 {
 			t.Fatalf("answered %d", status)
 		}
-		w.until("the end", func() bool { return len(w.notices) == 1 })
+		w.waitUntil("the end", func() bool { return len(w.notifications) == 1 })
 		w.Lock()
 		if len(w.calls) != calls {
 			t.Errorf("%d calls, want %d", len(w.calls), calls)
@@ -225,21 +225,21 @@
 		w.Unlock()
 	}
 	for _, c := range []struct {
-		w      *world
+		w      *testEnv
 		req    string
 		status int
 	}{
-		{a, hand("alert", "n", "", "x", 1000), 400}, {b, hand("alert", "n", "", "x", 1000), 400}, // of no class; of one that wants a key
-		{b, hand("alert", "o", "Idempotency-Key: k\r\n", "x", 5000), 400}, {a, hand("fee", "o", "", "x", 15_000), 202},
+		{a, requestText("alert", "n", "", "x", 1000), 400}, {b, requestText("alert", "n", "", "x", 1000), 400}, // of no class; of one that wants a key
+		{b, requestText("alert", "o", "Idempotency-Key: k\r\n", "x", 5000), 400}, {a, requestText("fee", "o", "", "x", 15_000), 202},
 	} {
-		if status := c.w.client(c.req); status != c.status {
+		if status := c.w.post(c.req); status != c.status {
 			t.Errorf("%q: answered %d, want %d", c.req[:12], status, c.status)
 		}
 	}
 	full := 0
-	b.host.Do(func(h *Host) { h.holdTil = h.now() + time.Hour })
+	b.host.Do(func(h *Host) { h.stepsBlockedUntil = h.now() + time.Hour })
 	for i := range 3 {
-		if b.client(hand("fee", fmt.Sprint("f", i), "", "x", 9000)) == 503 {
+		if b.post(requestText("fee", fmt.Sprint("f", i), "", "x", 9000)) == 503 {
 			full++
 		}
 	}
@@ -251,8 +251,8 @@
 // A wait that a route of its own told binds it also when it leaves the list and comes back; another in its place is free, and so is the same one
 // once the wait is over.
 func TestRouteKeepsItsWait(t *testing.T) {
-	h := bare(t)
-	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
+	h := newTestHost(t)
+	h.kindSettings["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	tell := func(id string, state policy.EndpointState) {
 		h.applyEndpointList(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 			Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
@@ -267,7 +267,7 @@
 	}
 	h.endpoints["r1"].backoff.until.Store(0)
 	tell("r1", policy.Removed)
-	if len(h.routes) > 0 {
-		t.Errorf("%d waits are kept that are over", len(h.routes))
+	if len(h.removedRouteBackoffs) > 0 {
+		t.Errorf("%d waits are kept that are over", len(h.removedRouteBackoffs))
 	}
 }
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -88,7 +88,7 @@
 // result already.
 func (c *endpointConn) readLateRetryAfter() time.Duration {
 	c.sock.SetReadDeadline(time.Now().Add(lateAnswerWindow))
-	a, _ := readStatus(c.reader)
+	a, _ := readResponseHead(c.reader)
 	if a == nil {
 		return 0
 	}
@@ -112,16 +112,16 @@
 	if wait <= 0 {
 		return
 	}
-	h.pool.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
-	if h.giving != nil {
-		h.waits = append(h.waits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.date(wait)})
+	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
+	if h.sendToSuccessor != nil {
+		h.untransferredWaits = append(h.untransferredWaits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(wait)})
 	}
 	listed := h.endpoints[ep.id]
 	switch {
-	case ep.backoff == h.gates[ep.dest]:
+	case ep.backoff == h.destBackoffs[ep.dest]:
 		// The destination's backoff outlives its endpoints.
 	case listed == nil:
-		h.routes[ep.id] = ep.backoff
+		h.removedRouteBackoffs[ep.id] = ep.backoff
 	case listed.dest == ep.dest && listed.backoff != ep.backoff:
 		listed.backoff.extend(wait)
 	}
--- a/internal/wire/waits_test.go
+++ b/internal/wire/waits_test.go
@@ -17,7 +17,7 @@
 // acceptOneCall accepts one connection, reads a call without a body from it, and passes the
 // connection on.
 func acceptOneCall(t *testing.T) (addr string, called <-chan net.Conn) {
-	ln, socks := listen(t), make(chan net.Conn, 1)
+	ln, socks := listenLoopback(t), make(chan net.Conn, 1)
 	go func() {
 		defer close(socks)
 		sock, err := ln.Accept()
@@ -25,8 +25,8 @@
 			return
 		}
 		t.Cleanup(func() { sock.Close() })
-		h, err := readHead(bufio.NewReaderSize(sock, maxLine))
-		if err == nil && h.line[0] == "POST" {
+		h, err := readHead(bufio.NewReaderSize(sock, readBufferSize))
+		if err == nil && h.firstLine[0] == "POST" {
 			socks <- sock
 		}
 	}()
@@ -249,7 +249,7 @@
 		"Wait-Ms:\r\n":       0,
 		"Retry-After: 3\r\n": 0,
 	} {
-		a, err := readStatus(bufio.NewReader(strings.NewReader("HTTP/1.1 429 X\r\n" + fields + "\r\n")))
+		a, err := readResponseHead(bufio.NewReader(strings.NewReader("HTTP/1.1 429 X\r\n" + fields + "\r\n")))
 		if err != nil || a.retryAfter() != want {
 			t.Errorf("%.60q: %v, %v, want %v", fields, a.retryAfter(), err, want)
 		}
@@ -258,7 +258,7 @@
 
 // setSeparateRoute sets the state of an endpoint with a route of its own, and returns the endpoint.
 func setSeparateRoute(h *Host, id string, state policy.EndpointState) *endpoint {
-	h.kindOf["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
+	h.kindSettings["apart"] = policy.Kind{Name: "apart", SeparateRoutes: true}
 	h.applyEndpointList(memory.EndpointList{Generation: 2, Entries: []memory.EndpointEntry{{HostPort: "127.0.0.1:1",
 		Endpoint: policy.Endpoint{Address: id, Destination: 8, Kind: "apart", State: state}}}}, policy.ListChanges)
 	return h.endpoints[id]
@@ -269,7 +269,7 @@
 func TestRetryAfterForRemovedEndpoint(t *testing.T) {
 	for _, back := range []string{"before", "behind"} {
 		for _, late := range []bool{false, true} {
-			h := bare(t)
+			h := newTestHost(t)
 			was := setSeparateRoute(h, "r1", policy.Listed)
 			cl := &call{endpoint: was}
 			setSeparateRoute(h, "r1", policy.Removed)
@@ -278,9 +278,9 @@
 			}
 			was.backoff.extend(time.Hour) // as its connection does
 			if late {
-				h.take(lateRetryAfter{was, time.Hour})
+				h.handleEvent(lateRetryAfter{was, time.Hour})
 			} else {
-				h.take(callResult{call: cl, retryAfter: time.Hour})
+				h.handleEvent(callResult{call: cl, retryAfter: time.Hour})
 			}
 			if back == "behind" {
 				setSeparateRoute(h, "r1", policy.Listed)
@@ -297,15 +297,15 @@
 
 // The policy engine learns of a late Retry-After and spends no attempt on a blocked endpoint.
 func TestPolicyReceivesLateRetryAfter(t *testing.T) {
-	h := bare(t)
+	h := newTestHost(t)
 	h.step(h.now()) // the policy engine takes in the list
 	ep := h.endpoints["s-1"]
 	ep.backoff.extend(time.Hour)
-	h.take(lateRetryAfter{ep, time.Hour})
-	m := h.message("m", ep.dest, 1)
+	h.handleEvent(lateRetryAfter{ep, time.Hour})
+	m := h.addMessage("m", ep.dest, 1)
 	h.arrivals = append(h.arrivals, m)
 	h.step(h.now())
-	if len(h.begun) > 0 || m.Attempts > 0 {
-		t.Errorf("%d calls to a blocked endpoint", len(h.begun))
+	if len(h.uncommittedCalls) > 0 || m.Attempts > 0 {
+		t.Errorf("%d calls to a blocked endpoint", len(h.uncommittedCalls))
 	}
 }
