--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -207,7 +207,8 @@
 			t.Errorf("answer first %v: results %+v", answerFirst, ends)
 		}
 		if h.table.Get(m.Number) != nil || len(h.unqueuedNotifications) > 0 || h.expiries.First() != nil {
-			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number), h.unqueuedNotifications)
+			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number),
+				h.unqueuedNotifications)
 		}
 	}
 }
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -248,7 +248,8 @@
 			Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
 		if len(h.unqueuedNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
-			t.Errorf("%d notices and %d calls for %d messages", len(h.unqueuedNotifications), len(h.uncommittedCalls), len(own.Classes))
+			t.Errorf("%d notices and %d calls for %d messages", len(h.unqueuedNotifications),
+				len(h.uncommittedCalls), len(own.Classes))
 		}
 		for _, class := range own.Classes {
 			if lines := log.lines("class=" + class.Name); len(lines) != 1 {
@@ -274,7 +275,8 @@
 		}
 	}
 	other := loadDeployment(t, "postings")
-	if err := w.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second, MaxIdleConns: 8},
+	if err := w.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second,
+		MaxIdleConns: 8},
 		w.platform.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -36,8 +36,9 @@
 			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
 			h.targets.Remove(id, ep.dest)
-			if maps.DeleteFunc(h.removedRouteBackoffs, func(_ string, b *backoff) bool { return !b.active() }); ep.backoff.active() &&
-				ep.backoff != h.destBackoffs[ep.dest] {
+			if maps.DeleteFunc(h.removedRouteBackoffs, func(_ string, b *backoff) bool {
+				return !b.active()
+			}); ep.backoff.active() && ep.backoff != h.destBackoffs[ep.dest] {
 				h.removedRouteBackoffs[id] = ep.backoff
 			}
 		}
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -316,8 +316,9 @@
 	if got := call(drained); got.results[0].outcome != policy.Unsent {
 		t.Errorf("drained: %+v", got)
 	}
-	if got := call(&endpoint{addr: listenLoopback(t).Addr().String()}); got.results[0].outcome != policy.ConnectFailed ||
-		!strings.Contains(got.err.Error(), "panic") {
+	if got := call(&endpoint{
+		addr: listenLoopback(t).Addr().String(),
+	}); got.results[0].outcome != policy.ConnectFailed || !strings.Contains(got.err.Error(), "panic") {
 		t.Errorf("panic: %+v", got)
 	}
 }
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -75,7 +75,8 @@
 		t.Errorf("%+v", st)
 	}
 	h.pendingEvents = nil
-	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pendingEvents) != 1 || h.pendingEvents[0] != (policy.SitesUpdate{}) {
+	if h.applySitePlan(nil, "b"); h.Sites() != nil || len(h.pendingEvents) != 1 ||
+		h.pendingEvents[0] != (policy.SitesUpdate{}) {
 		t.Errorf("without a plan: %+v, %+v", h.Sites(), h.pendingEvents)
 	}
 }
