--- a/internal/wire/cut_test.go
+++ b/internal/wire/cut_test.go
@@ -15,10 +15,10 @@
 
 // completeAnswers holds what an answer proves if all of it can be read.
 var completeAnswers = []struct {
-	write string
-	items int
-	want  policy.Outcome
-	wait  bool
+	write      string
+	items      int
+	want       policy.Outcome
+	retryAfter bool
 }{
 	{httpResponse("200 OK", "done"), 1, policy.Delivered, false},
 	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 1, policy.Delivered, false},
@@ -39,7 +39,7 @@
 	for _, a := range completeAnswers {
 		line := strings.Index(a.write, "200 OK\r\n")
 		waitLine := "Wait-Ms: 60000\r\n"
-		bound := strings.Index(a.write, waitLine) + len(waitLine)
+		waitLineEnd := strings.Index(a.write, waitLine) + len(waitLine)
 		for n := range len(a.write) + 1 {
 			ln := listenLoopback(t)
 			go func() {
@@ -66,7 +66,7 @@
 			ln.Close()
 			got := res.results[0].outcome
 			switch whole := n == len(a.write); {
-			case whole && (got != a.want || (res.retryAfter > 0) != a.wait):
+			case whole && (got != a.want || (res.retryAfter > 0) != a.retryAfter):
 				t.Errorf("%q: outcome %v, Retry-After %v", a.write, got, res.retryAfter)
 			case whole:
 			case a.items == 1 && line == len("HTTP/1.1 ") && n >= line+len("200 OK\r\n"):
@@ -78,7 +78,7 @@
 			case res.reusable:
 				t.Errorf("%q: the connection is reusable", a.write[:n])
 			}
-			if wait := a.wait && n >= bound; ep.backoff.active() != wait || (res.retryAfter > 0) != wait {
+			if wantBackoff := a.retryAfter && n >= waitLineEnd; ep.backoff.active() != wantBackoff || (res.retryAfter > 0) != wantBackoff {
 				t.Errorf("%q: backoff %v, Retry-After %v", a.write[:n], ep.backoff.active(), res.retryAfter)
 			}
 		}
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -158,12 +158,12 @@
 // run.
 func newIdleHost(t *testing.T, set policy.Settings, dir string, log *slog.Logger) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
+	store, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { kept.Close() })
-	h, err := NewHost(HostConfig{Settings: set, Table: table, Journal: kept, Log: log})
+	t.Cleanup(func() { store.Close() })
+	h, err := NewHost(HostConfig{Settings: set, Table: table, Journal: store, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 		}
 		h.step(h.now())
 		if len(h.uncommittedCalls) == 0 || len(h.unqueuedNotifications) > 0 {
-			t.Errorf("%d calls, notices %v", len(h.uncommittedCalls), h.unqueuedNotifications)
+			t.Errorf("%d calls, notifications %v", len(h.uncommittedCalls), h.unqueuedNotifications)
 		}
 		for _, cl := range h.uncommittedCalls {
 			if len(cl.items) != 1 {
@@ -221,7 +221,7 @@
 func TestRestartWithOtherSettings(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other, dir, log := pair[0], pair[1], t.TempDir(), &logBuffer{}
-		kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
+		store, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,20 +235,20 @@
 				Deadline: time.Now().Add(class.Deadline),
 				Terms:    memory.Terms{Effect: class.Effect, RepeatWindow: class.RepeatWindow},
 			}
-			if err := kept.AppendAccepted(table, m, false); err != nil {
+			if err := store.AppendAccepted(table, m, false); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err, _ := kept.Commit(); err != nil {
+		if err, _ := store.Commit(); err != nil {
 			t.Fatal(err)
 		}
-		kept.Close()
+		store.Close()
 		h := newIdleHost(t, other, dir, log.logger())
 		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true,
 			Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
 		if len(h.unqueuedNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
-			t.Errorf("%d notices and %d calls for %d messages", len(h.unqueuedNotifications),
+			t.Errorf("%d notifications and %d calls for %d messages", len(h.unqueuedNotifications),
 				len(h.uncommittedCalls), len(own.Classes))
 		}
 		for _, class := range own.Classes {
@@ -294,17 +294,17 @@
 	w.waitEmpty()
 	w.Lock()
 	defer w.Unlock()
-	attempts, notices := map[string]int{}, map[string]int{}
+	attempts, notifications := map[string]int{}, map[string]int{}
 	for _, id := range w.calls {
 		attempts[id]++
 	}
-	for _, notice := range w.notifications {
-		notices[gjson.Get(notice, "message").Str]++
+	for _, notification := range w.notifications {
+		notifications[gjson.Get(notification, "message").Str]++
 	}
 	for _, id := range []string{"alert", "order", "fee", "posting"} {
 		unsafe := id == "fee" || id == "posting" // a slow machine may repeat the others, which is allowed
-		if attempts[id] == 0 || notices[id] > 0 || unsafe && attempts[id] > 1 {
-			t.Errorf("%s: calls %v, notices %v, want it delivered", id, w.calls, w.notifications)
+		if attempts[id] == 0 || notifications[id] > 0 || unsafe && attempts[id] > 1 {
+			t.Errorf("%s: calls %v, notifications %v, want it delivered", id, w.calls, w.notifications)
 		}
 	}
 }
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -152,8 +152,8 @@
 	ep.idle = nil
 }
 
-// closeOldestIdleConn closes the idle connection that was used longest ago. It is the first of its
-// endpoint.
+// closeOldestIdleConn closes the idle connection that was used longest ago. It is the first in
+// its endpoint's list.
 func (h *Host) closeOldestIdleConn() {
 	c := h.idleConns.First().Value
 	h.idleConns.Remove(c.idleNode)
--- a/internal/wire/gate.go
+++ b/internal/wire/gate.go
@@ -41,7 +41,7 @@
 	idle     []*endpointConn // the one used last is last
 }
 
-// blocked reports whether nothing may be written to the endpoint now: it backs off, drains or is
+// blocked reports whether nothing may be written to the endpoint now: it is backing off, draining or
 // removed.
 func (ep *endpoint) blocked() bool {
 	return ep.backoff.active() || policy.EndpointState(ep.state.Load()) != policy.Listed
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -175,14 +175,14 @@
 			t.Errorf("a pause of %v after silence", d)
 		}
 	}
-	dialled := make(chan *silenceableConn, 9)
+	conns := make(chan *silenceableConn, 9)
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		sock, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		c := &silenceableConn{TCPConn: sock.(*net.TCPConn)}
-		dialled <- c
+		conns <- c
 		return c, nil
 	}
 	go watchEndpointList(ctx, listWatcher{addr: s.ln.Addr().String(), generation: -1, fleetSize: 300,
@@ -202,7 +202,7 @@
 		if got := <-s.requests; got != "/v1/endpoints" {
 			t.Errorf("requested %s", got)
 		}
-		(<-dialled).fallSilent(t, int64(len(half)))
+		(<-conns).fallSilent(t, int64(len(half)))
 	}
 	s.answers <- func(sock net.Conn) {
 		for range 3 {
@@ -216,13 +216,13 @@
 	if n := (<-events).(endpointListUpdate); n.Generation != 41 || !n.Complete || len(n.Entries) != 1 {
 		t.Errorf("got update %+v", n)
 	}
-	kept, half := <-dialled, "HTTP/1.1 200 OK\r\nContent-Len"
-	whole := kept.read.Load()
+	current, half := <-conns, "HTTP/1.1 200 OK\r\nContent-Len"
+	whole := current.read.Load()
 	s.answers <- silent(half)
 	if got := <-s.requests; !strings.Contains(got, "from=41&") {
 		t.Errorf("requested %s, want the changes since 41", got)
 	}
-	kept.fallSilent(t, whole+int64(len(half)))
+	current.fallSilent(t, whole+int64(len(half)))
 	s.answers <- respondWithList(`{"generation":42,"reset":false,"instances":[]}`)
 	s.answers <- respondWithList(list(43))
 	for i, want := range []string{"from=41&", "from=42&"} {
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -51,7 +51,7 @@
 			t.Errorf("member %d is logged as %s before the view shows it", number, state)
 		}
 	}})
-	hear := func(now policy.Time) {
+	receive := func(now policy.Time) {
 		out, _ := other.Tick(now)
 		for _, o := range out {
 			if _, err := h.gossiper.Receive(now, 1, o.Payload); err != nil {
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	hear(0)
+	receive(0)
 	h.updateMembersView(0)
 	other.Leave(time.Millisecond)
 	left := time.Millisecond
@@ -67,7 +67,7 @@
 		if left > 10*members.Period {
 			t.Fatal("the other relay never announced that it leaves")
 		}
-		hear(left)
+		receive(left)
 	}
 	h.membersViewAt = left // a view was just published
 	h.updateMembersView(left)
--- a/internal/wire/notes_test.go
+++ b/internal/wire/notes_test.go
@@ -21,8 +21,8 @@
 		return c.LocalAddr().String()
 	}
 	all := []string{free(), free(), free()}
-	var socks []*GossipSocket
-	var heard []chan any
+	var sockets []*GossipSocket
+	var received []chan any
 	for _, at := range all {
 		n, err := ListenGossip(at, all, discardLog)
 		if err != nil {
@@ -32,7 +32,7 @@
 		events := make(chan any, 16)
 		go n.receiveLoop(events)
 		go n.sendLoop()
-		socks, heard = append(socks, n), append(heard, events)
+		sockets, received = append(sockets, n), append(received, events)
 	}
 	stranger, err := net.Dial("udp4", all[1])
 	if err != nil {
@@ -40,10 +40,10 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("stranger"))
-	socks[2].enqueue(members.Datagram{To: 1, Payload: make([]byte, peers.MaxDatagramBytes+1)})
-	socks[0].enqueue(members.Datagram{To: 1, Payload: []byte("hello")})
-	socks[0].enqueue(members.Datagram{To: 2, Payload: []byte("hello")})
-	for _, events := range heard[1:] {
+	sockets[2].enqueue(members.Datagram{To: 1, Payload: make([]byte, peers.MaxDatagramBytes+1)})
+	sockets[0].enqueue(members.Datagram{To: 1, Payload: []byte("hello")})
+	sockets[0].enqueue(members.Datagram{To: 2, Payload: []byte("hello")})
+	for _, events := range received[1:] {
 		select {
 		case e := <-events:
 			if n, ok := e.(gossipReceived); !ok || n.from != 0 || string(n.payload) != "hello" {
@@ -53,11 +53,11 @@
 			t.Fatal("nothing received")
 		}
 	}
-	if len(heard[0]) > 0 {
+	if len(received[0]) > 0 {
 		t.Error("the sender received its own message")
 	}
 	for range 2 * gossipQueueSize { // never blocks
-		socks[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
+		sockets[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
 		if _, err := ListenGossip(bad, all, discardLog); err == nil && bad != "" {
--- a/internal/wire/route.go
+++ b/internal/wire/route.go
@@ -118,8 +118,8 @@
 		events <- res
 		if listen {
 			// A Retry-After that arrives just after the timeout still applies.
-			if wait := c.readLateRetryAfter(); wait > 0 {
-				events <- lateRetryAfter{c.endpoint, wait}
+			if delay := c.readLateRetryAfter(); delay > 0 {
+				events <- lateRetryAfter{c.endpoint, delay}
 			}
 			c.close()
 			c.releaseListener()
@@ -308,7 +308,7 @@
 	shutdownNoCalls                     // no call is written
 )
 
-// blockedByShutdown reports whether the shutdown forbids to write the call.
+// blockedByShutdown reports whether the shutdown forbids writing the call.
 func (c *endpointConn) blockedByShutdown(cl *call) bool {
 	if c.shutdown == nil {
 		return false
--- a/internal/wire/route_test.go
+++ b/internal/wire/route_test.go
@@ -135,14 +135,14 @@
 type stallingConn struct {
 	*net.TCPConn
 	stalls  bool          // the answer to the call in progress never ends
-	waits   time.Duration // longest timeout that the relay set
+	timeout time.Duration // longest timeout that the relay set
 	bounded bool          // the relay set a timeout
 }
 
 // SetReadDeadline is called by the relay once the first line of an answer was read.
 func (c *stallingConn) SetReadDeadline(end time.Time) error {
 	if c.stalls {
-		c.bounded, c.waits = true, max(c.waits, time.Until(end))
+		c.bounded, c.timeout = true, max(c.timeout, time.Until(end))
 		end = time.Unix(1, 0)
 	}
 	return c.TCPConn.SetReadDeadline(end)
@@ -189,7 +189,7 @@
 			}
 			res := <-done
 			if sock, _ := c.sock.(*stallingConn); s.stalls &&
-				(sock == nil || !sock.bounded || sock.waits > answerRestTimeout) {
+				(sock == nil || !sock.bounded || sock.timeout > answerRestTimeout) {
 				t.Fatalf("step %d: no bounded timeout for a stalled answer: %+v", b, sock)
 			}
 			if len(s.outcomes) == 1 && (h.firstLine[1] != "/hook" || h.get("X-Correlation-Id") != "a" ||
@@ -220,9 +220,9 @@
 				t.Fatalf("step %d: stage %d of a call that was read", b, se.Stage)
 			}
 			if s.retryAfter { // a further call meets the backoff, and nothing of it is written
-				held := c.makeCall(cl)
-				if held.results[0].outcome != policy.Unsent || !errors.Is(held.err, errBlocked) || len(seen) > 0 {
-					t.Fatalf("sent in spite of a backoff: %+v", held)
+				blocked := c.makeCall(cl)
+				if blocked.results[0].outcome != policy.Unsent || !errors.Is(blocked.err, errBlocked) || len(seen) > 0 {
+					t.Fatalf("sent in spite of a backoff: %+v", blocked)
 				}
 				c.close()
 				ep.backoff.until.Store(0)
--- a/internal/wire/sim/wire_test.go
+++ b/internal/wire/sim/wire_test.go
@@ -179,9 +179,9 @@
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	h.relays[3] = nil
-	acts := h.step(3, 0, nil, []Action{{Type: "TRACE", Relay: 1}})
-	if len(acts) != 2 || acts[1].Type != "BUG" || acts[1].Relay != 3 || !strings.Contains(acts[1].Text, "panic") {
-		t.Fatalf("got %+v", acts)
+	actions := h.step(3, 0, nil, []Action{{Type: "TRACE", Relay: 1}})
+	if len(actions) != 2 || actions[1].Type != "BUG" || actions[1].Relay != 3 || !strings.Contains(actions[1].Text, "panic") {
+		t.Fatalf("got %+v", actions)
 	}
 }
 
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -15,7 +15,7 @@
 // it, so it is read as early as possible, and also after the call has timed out.
 
 const (
-	maxRetryAfterMs = 600_000 // longer delays are reduced to this one
+	maxRetryAfterMs = 600_000 // longer delays are cut to this
 
 	// lateAnswerWindow is how long a connection is read after its call timed out and its sending
 	// side was closed. An answer that was written before the endpoint saw that arrives within a
@@ -98,24 +98,24 @@
 // recordRetryAfter extends the backoff by the Retry-After of an answer's head, as far as it was
 // read, and returns that delay.
 func (ep *endpoint) recordRetryAfter(h *head) time.Duration {
-	wait := h.retryAfter()
-	if wait > 0 {
-		ep.backoff.extend(wait)
+	delay := h.retryAfter()
+	if delay > 0 {
+		ep.backoff.extend(delay)
 	}
-	return wait
+	return delay
 }
 
 // applyRetryAfter passes a Retry-After on to other relays, to the next process, and to the endpoint
 // that is listed now: ep may have left the list during the call. The backoff of ep is extended
 // already.
-func (h *Host) applyRetryAfter(ep *endpoint, wait time.Duration) {
-	if wait <= 0 {
+func (h *Host) applyRetryAfter(ep *endpoint, delay time.Duration) {
+	if delay <= 0 {
 		return
 	}
-	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
+	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), delay)
 	if h.sendToSuccessor != nil {
 		h.untransferredWaits = append(h.untransferredWaits,
-			handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(wait)})
+			handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(delay)})
 	}
 	listed := h.endpoints[ep.id]
 	switch {
@@ -124,7 +124,7 @@
 	case listed == nil:
 		h.removedRouteBackoffs[ep.id] = ep.backoff
 	case listed.dest == ep.dest && listed.backoff != ep.backoff:
-		listed.backoff.extend(wait)
+		listed.backoff.extend(delay)
 	}
 }
 
--- a/internal/wire/waits_test.go
+++ b/internal/wire/waits_test.go
@@ -126,14 +126,14 @@
 func TestRetryAfterAfterTimeout(t *testing.T) {
 	addr, called := acceptOneCall(t)
 	ep := &endpoint{addr: addr, backoff: &backoff{}}
-	dialled := make(chan net.Conn, 1)
+	conns := make(chan net.Conn, 1)
 	var listening atomic.Int32
 	_, events := startTestCall(ep, &listening, func(sock net.Conn) net.Conn {
-		dialled <- sock
+		conns <- sock
 		return sock
 	})
 	sock := <-called
-	(<-dialled).SetReadDeadline(time.Unix(1, 0))
+	(<-conns).SetReadDeadline(time.Unix(1, 0))
 	res := nextEvent[callResult](t, events)
 	if res.results[0].outcome != policy.TimedOut || res.reusable || ep.backoff.active() {
 		t.Fatalf("%+v, backoff %v", res, ep.backoff.active())
@@ -157,13 +157,13 @@
 	addr, called := acceptOneCall(t)
 	var listening atomic.Int32
 	listening.Store(MaxLateListeners)
-	dialled := make(chan net.Conn, 1)
+	conns := make(chan net.Conn, 1)
 	_, events := startTestCall(&endpoint{addr: addr, backoff: &backoff{}}, &listening, func(sock net.Conn) net.Conn {
-		dialled <- sock
+		conns <- sock
 		return sock
 	})
 	<-called
-	ours := <-dialled
+	ours := <-conns
 	ours.SetReadDeadline(time.Unix(1, 0))
 	if res := nextEvent[callResult](t, events); res.results[0].outcome != policy.TimedOut {
 		t.Errorf("%+v", res)
