--- a/internal/wire/retry_after.go
+++ b/internal/wire/retry_after.go
@@ -115,7 +115,7 @@
 	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), delay)
 	if h.sendToSuccessor != nil {
 		h.untransferredWaits = append(h.untransferredWaits,
-			handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(delay)})
+			handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(delay)})
 	}
 	listed := h.endpoints[ep.id]
 	switch {
