--- a/internal/wire/sim/protocol_test.go
+++ b/internal/wire/sim/protocol_test.go
@@ -180,7 +180,8 @@
 	h := NewHost()
 	h.relays[3] = nil
 	actions := h.step(3, 0, nil, []Action{{Type: "TRACE", Relay: 1}})
-	if len(actions) != 2 || actions[1].Type != "BUG" || actions[1].Relay != 3 || !strings.Contains(actions[1].Text, "panic") {
+	if len(actions) != 2 || actions[1].Type != "BUG" || actions[1].Relay != 3 ||
+		!strings.Contains(actions[1].Text, "panic") {
 		t.Fatalf("got %+v", actions)
 	}
 }
--- a/internal/wire/truncated_answer_test.go
+++ b/internal/wire/truncated_answer_test.go
@@ -78,7 +78,8 @@
 			case res.reusable:
 				t.Errorf("%q: the connection is reusable", a.write[:n])
 			}
-			if wantBackoff := a.retryAfter && n >= waitLineEnd; ep.backoff.active() != wantBackoff || (res.retryAfter > 0) != wantBackoff {
+			if wantBackoff := a.retryAfter && n >= waitLineEnd; ep.backoff.active() != wantBackoff ||
+				(res.retryAfter > 0) != wantBackoff {
 				t.Errorf("%q: backoff %v, Retry-After %v", a.write[:n], ep.backoff.active(), res.retryAfter)
 			}
 		}
