--- a/internal/wire/notes_test.go
+++ b/internal/wire/gossip_test.go
@@ -9,9 +9,9 @@
 	"oatfold/internal/peers/members"
 )
 
-// Notes reach the relays that they are for, and only those that the configuration names are heard: not a stranger, not 257 bytes. Losing the socket
-// ends nothing.
-func TestNotes(t *testing.T) {
+// Gossip reaches the relays that it is addressed to. Unknown senders and oversized datagrams are
+// ignored.
+func TestGossipSocket(t *testing.T) {
 	free := func() string {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
@@ -21,8 +21,8 @@
 		return c.LocalAddr().String()
 	}
 	all := []string{free(), free(), free()}
-	var socks []*GossipSocket
-	var heard []chan any
+	var sockets []*GossipSocket
+	var received []chan any
 	for _, at := range all {
 		n, err := ListenGossip(at, all, discardLog)
 		if err != nil {
@@ -32,7 +32,7 @@
 		events := make(chan any, 16)
 		go n.receiveLoop(events)
 		go n.sendLoop()
-		socks, heard = append(socks, n), append(heard, events)
+		sockets, received = append(sockets, n), append(received, events)
 	}
 	stranger, err := net.Dial("udp4", all[1])
 	if err != nil {
@@ -40,31 +40,31 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("stranger"))
-	socks[2].enqueue(members.Datagram{To: 1, Payload: make([]byte, peers.MaxDatagramBytes+1)})
-	socks[0].enqueue(members.Datagram{To: 1, Payload: []byte("hello")})
-	socks[0].enqueue(members.Datagram{To: 2, Payload: []byte("hello")})
-	for _, events := range heard[1:] {
+	sockets[2].enqueue(members.Datagram{To: 1, Payload: make([]byte, peers.MaxDatagramBytes+1)})
+	sockets[0].enqueue(members.Datagram{To: 1, Payload: []byte("hello")})
+	sockets[0].enqueue(members.Datagram{To: 2, Payload: []byte("hello")})
+	for _, events := range received[1:] {
 		select {
 		case e := <-events:
 			if n, ok := e.(gossipReceived); !ok || n.from != 0 || string(n.payload) != "hello" {
-				t.Errorf("heard %+v", e)
+				t.Errorf("received %+v", e)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing heard")
+			t.Fatal("nothing received")
 		}
 	}
-	if len(heard[0]) > 0 {
-		t.Error("told itself")
+	if len(received[0]) > 0 {
+		t.Error("the sender received its own message")
 	}
-	for range 2 * gossipQueueSize { // never blocks, however many
-		socks[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
+	for range 2 * gossipQueueSize { // never blocks
+		sockets[1].enqueue(members.Datagram{To: 1, Payload: []byte("x")})
 	}
 	for _, bad := range []string{"", "nowhere", "127.0.0.1:99999"} {
 		if _, err := ListenGossip(bad, all, discardLog); err == nil && bad != "" {
 			t.Errorf("listens at %q", bad)
 		}
 		if _, err := ListenGossip(all[0], []string{bad}, discardLog); err == nil {
-			t.Errorf("a relay at %q", bad)
+			t.Errorf("accepted a relay at %q", bad)
 		}
 	}
 }
