--- a/policy/api.go
+++ b/policy/api.go
@@ -9,30 +9,30 @@
 // Time is a moment on the caller's monotonic clock, counted from any fixed start.
 type Time = time.Duration
 
-// Settings is what a relay is told when it starts. It never changes afterwards.
+// Settings configures a relay's policy. New and Relay.Reconfigure check them.
 type Settings struct {
-	Relays               int             // relays that share the destinations, this one counted
-	TimeSlots            pacing.Schedule // this relay's among them; the zero value: it keeps none
-	ClockOffset          time.Duration   // what the clock that all relays share shows at Time 0
-	MaxConcurrentCalls   int             // calls this relay may have out at once
-	NoGossip             bool            // relays may not tell one another anything
-	MaxDestinationShare  float64         // most of them that one destination may hold; 0: three quarters
-	MaxPending           int             // messages it may hold, sent or not
-	MaxAttempts          int             // attempts for one message, unused ones counted
-	MustSubscribe        bool            // endpoint news comes only to those that subscribe
-	MaxSubscribeInterval time.Duration   // an unsubscribed relay has to ask at least this often
-	SendRetryAfter       bool            // clients hear Refuse.RetryAfter
-	MaxRetryAfter        time.Duration   // the longest advice that a client observes
+	Relays               int             // relays that share the destinations, including this one
+	TimeSlots            pacing.Schedule // this relay's time slots; the zero value has none
+	ClockOffset          time.Duration   // reading of the clock that all relays share at Time 0
+	MaxConcurrentCalls   int             // calls in flight from this relay at once
+	NoGossip             bool            // relays exchange no gossip
+	MaxDestinationShare  float64         // share of MaxConcurrentCalls for one destination; 0: three quarters
+	MaxPending           int             // accepted messages that have not completed
+	MaxAttempts          int             // attempts for one message, including those that were never sent
+	MustSubscribe        bool            // endpoint list updates come only to subscribers
+	MaxSubscribeInterval time.Duration   // longest time between two attempts to subscribe
+	SendRetryAfter       bool            // clients receive Refuse.RetryAfter
+	MaxRetryAfter        time.Duration   // longest Retry-After that a client observes
 	Tick                 time.Duration   // shortest time between two steps
 	IdleConnTimeout      time.Duration   // connections unused for this long close by themselves
-	RatesListed          bool            // Endpoint.Rate holds the destination's calls a second
-	ColdStartShare       float64         // share of its capacity that a returning destination has at once
-	WarmUpTime           time.Duration   // and all of it after this
-	OverloadFactor       float64         // more than this multiple of its present capacity ...
-	OverloadTime         time.Duration   // ... for this long knocks a cold destination over
-	KeyQuietTime         time.Duration   // rest of an ordered key after an attempt that may still run
-	ExponentialDecay     bool            // worth halves with each further aim; else it falls evenly to the deadline
-	OverQuotaValue       float64         // worth of a message past its tenant's share
+	RatesListed          bool            // Endpoint.Rate holds the destination's rate limit
+	ColdStartShare       float64         // share of its capacity that a recovered destination has at once
+	WarmUpTime           time.Duration   // time until a recovered destination has its whole capacity
+	OverloadFactor       float64         // a cold destination fails at this multiple of its capacity ...
+	OverloadTime         time.Duration   // ... when the load lasts this long
+	KeyQuietTime         time.Duration   // pause of an ordering key after an attempt that may still run
+	ExponentialDecay     bool            // value halves per TargetLatency of delay; else it falls linearly
+	OverQuotaValue       float64         // factor on the value of a message over its tenant's quota
 	Classes              []Class
 	Tenants              []Tenant
 	Kinds                []Kind
@@ -44,45 +44,45 @@
 
 // The effects of a repeat.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // a repeat is dropped by some endpoints for a while
-	Unsafe               // must never run twice
+	Safe   Effect = iota // idempotent
+	Keyed                // some endpoints drop a repeat with the same idempotency key for a limited time
+	Unsafe               // must not run twice
 )
 
-// Class is a class of message.
+// Class is a class of messages.
 type Class struct {
 	Name          string
 	Effect        Effect
-	ZoneOnly      bool          // Keyed: only endpoints of one zone drop repeats of each other
-	RepeatWindow  time.Duration // Keyed: for how long repeats are dropped
-	Ordered       bool          // messages with one key go one at a time
-	TargetLatency time.Duration // full worth until then
-	Deadline      time.Duration // no worth after it
+	ZoneOnly      bool          // Keyed: repeats are dropped only among the endpoints of one zone
+	RepeatWindow  time.Duration // Keyed: how long repeats are dropped
+	Ordered       bool          // messages with the same ordering key are sent one at a time
+	TargetLatency time.Duration // a message delivered within it keeps its full value
+	Deadline      time.Duration // a message delivered after it has no value
 	Value         float64
-	LateValue     float64 // share of the worth left at the deadline
+	LateValue     float64 // share of the value left at the deadline
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
 	Name  string
-	Share float64
-	Quota float64 // messages a second over all relays within its share
+	Share float64 // of the service
+	Quota float64 // messages per second over all relays within its share
 }
 
-// Kind is a kind of destination.
+// Kind is a partner type: what destinations of one sort have in common.
 type Kind struct {
 	Name           string
-	MaxBatch       int  // messages in one call at most
-	SeparateRoutes bool // each endpoint has its own limit, pace and outages
+	MaxBatch       int  // messages in one call
+	SeparateRoutes bool // each endpoint has its own rate limit and health
 }
 
-// Zone is a place endpoints are in.
+// Zone is a failure domain that holds endpoints.
 type Zone struct {
 	Name string
-	Fee  float64 // cost of a message on a separate route there, in worth
+	Fee  float64 // cost of a message to an endpoint there, in units of value; separate routes only
 }
 
-// EndpointState is what the list says of an endpoint. It tells nothing of health.
+// EndpointState is the state of an endpoint in the endpoint list. It says nothing about health.
 type EndpointState int
 
 // The states of a listed endpoint.
@@ -99,132 +99,133 @@
 	Kind        string
 	Zone        string
 	State       EndpointState
-	Rate        float64 // see Settings.RatesListed
+	Rate        float64 // calls per second from all relays; see Settings.RatesListed
 }
 
-// Event is something that a relay learns: one of the types below.
+// Event is an input of Relay.Step: one of the types below.
 type Event interface{ event() }
 
-// Submitted hands a message to the relay, which now owes it one final answer.
+// Submitted hands a message to the relay, which then owes it exactly one final answer.
 type Submitted struct {
 	ID          uint32
 	Class       string
 	Tenant      string
-	Key         string // ordered classes: what the message is about
+	Key         string // ordering key; used by ordered classes
 	Destination int
-	TimeLeft    time.Duration // how long it may still be delivered
+	TimeLeft    time.Duration // until the deadline
 
-	// Of a message that an earlier life of this relay left behind:
+	// Of a message that was recovered from an earlier process:
 	Attempts     int           // attempts made
-	MayHaveRun   bool          // one of them may have run
-	UncertainAge time.Duration // time since the first such attempt was sent
-	Recovered    bool          // that life took it on
-	Terms        Class         // Effect, Window and ZoneOnly that it was taken on under; Safe: none of its own
+	MayHaveRun   bool          // an attempt may have run
+	UncertainAge time.Duration // time since the first attempt that may have run was sent
+	Recovered    bool          // the earlier process had accepted it
+	Terms        Class         // Effect, RepeatWindow and ZoneOnly at acceptance; zero: none
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
 	Delivered         Outcome = iota
 	Errored                   // the destination answered with an error; it may have run
-	Rejected                  // turned away unseen; it never ran
+	Rejected                  // the destination rejected it; it did not run
 	TimedOut                  // no answer in time; it may have run
-	ConnectFailed             // no connection; it never ran
-	ConnectionLost            // the connection broke; it may have run
-	Cancelled                 // called off; it may have run
+	ConnectFailed             // no connection; it did not run
+	ConnectionLost            // the connection was lost; it may have run
+	Cancelled                 // cancelled by the relay; it may have run
 	Unsent                    // never sent
-	RequestIncomplete         // a new connection ended before all of the call was written; it never ran
+	RequestIncomplete         // a new connection was lost while the request was written; it did not run
 )
 
-// AttemptEnded reports the end of an attempt. Each Send gets exactly one.
+// AttemptEnded reports the result of an attempt. Each Send gets exactly one.
 type AttemptEnded struct {
 	ID         uint32
 	Attempt    int // counted from 0
 	Endpoint   string
 	Outcome    Outcome
 	Duration   time.Duration
-	Final      bool          // the message has had its final answer
-	RetryAfter time.Duration // Rejected: wait told by the destination
-	Report     *LimitReport  // what the destination told of its limit, nil if nothing
+	Final      bool          // the message has its final answer
+	RetryAfter time.Duration // Rejected: Retry-After of the destination
+	Report     *LimitReport  // what the answer says of the rate limit; nil: nothing
 }
 
-// LimitReport is what an answer tells of a destination's limit, some time old and not exact.
+// LimitReport is what an answer says of a destination's rate limit. It is slightly stale and
+// inexact.
 type LimitReport struct {
 	Remaining float64 // share of the limit that is left
-	Limit     float64 // calls a second from all senders; 0 if there is no limit
+	Limit     float64 // calls per second from all relays; 0: no limit
 }
 
-// FleetUpdate tells what the relays of the fleet see. It may be late, or never come.
+// FleetUpdate reports what the relays of the fleet see. It may be late or missing.
 type FleetUpdate struct {
 	Routes []RouteStats
-	Relays int // relays that may be calling, in place of Settings.Senders; 0: not told
+	Relays int // relays that may be calling, in place of Settings.Relays; 0: not known
 }
 
-// RouteStats is what a relay of the fleet sees of a destination in the mean, each second.
+// RouteStats is a route's average traffic per second, as the relays of the fleet see it.
 type RouteStats struct {
 	Destination int
-	Endpoint    string  // a separate route that the rest is about; empty: the destination
-	Demand      float64 // messages that come in
-	Accepted    float64 // calls that the destination takes
-	Rejected    float64 // calls that it turns away
-	Failed      float64 // calls that do not come through, or whose answer is lost
-	Calls       int     // calls that the figures come from
-	Allowance   float64 // calls that this relay may make; 0: any
-
-	OthersProbe bool          // it is out, and it is for others to try it
+	Endpoint    string  // set for a separate route; empty: the whole destination
+	Demand      float64 // messages submitted
+	Accepted    float64 // calls accepted
+	Rejected    float64 // calls rejected
+	Failed      float64 // calls that failed or whose answer was lost
+	Calls       int     // number of calls that the averages are based on
+	Allowance   float64 // calls that this relay may make; 0: unlimited
+
+	OthersProbe bool          // the route is down and other relays probe it
 	Reporters   int           // relays that saw calls fail; 0: not counted
-	RetryAfter  time.Duration // that others were told to keep, and still have to
+	RetryAfter  time.Duration // remaining Retry-After that other relays received
 }
 
-// Subset tells which endpoints of a destination this relay keeps connections to. Others are for when
-// these are sick or full.
+// Subset names the endpoints of a destination that this relay keeps connections to. It uses others
+// when these are unhealthy or at their limits.
 type Subset struct {
 	Destination int
-	Endpoints   []string // none: all
+	Endpoints   []string // empty: all
 }
 
-// SitesUpdate says what holds for sites from now on, by the operator's plan; nil: there is none.
+// SitesUpdate replaces the plan for sites.
 type SitesUpdate struct {
-	Plan         SitePlan
-	ReturnedZone string // the zone answers again: what failed at its endpoints is forgotten; empty: none
-	ColdZone     string // the zone was lost, and this relay saw nothing of it; empty: none
+	Plan         SitePlan // nil: none
+	ReturnedZone string   // zone that answers again: failures of its endpoints are forgotten; empty: none
+	ColdZone     string   // zone whose loss this relay did not see: its routes start cold; empty: none
 }
 
-// SitePlan is asked which sites calls may go to, and what is refused first, while a site is lost or returns. It
-// answers at once, and belongs to the goroutine that the module does.
+// SitePlan answers what the operator's plan for sites allows while a site is lost or returning. Its
+// methods don't block; they are called on the goroutine that calls Relay.Step.
 type SitePlan interface {
 	Allows(dest int, zone string, unsafe bool) bool // a call for dest may go to the zone's endpoints now
-	CallSent(dest int, zone string)                 // one went there
-	EndpointCost(zone string) float64               // of an endpoint there beside others, in parts of the slots
-	ShedPriority(class string) float64              // the class is refused before those of a smaller figure
-	MaxAttempts(dest, most int) int                 // that a message for dest may have, of so many
-	SiteLost() bool                                 // a site is lost: those refused come again apart
+	CallSent(dest int, zone string)                 // records a call
+	EndpointCost(zone string) float64               // added to an endpoint's cost, as a share of all calls
+	ShedPriority(class string) float64              // classes with a higher priority are shed first
+	MaxAttempts(dest, most int) int                 // limit for a message to dest, at most most
+	SiteLost() bool                                 // a site is lost: retries of clients are spread
 }
 
-// Withdrawn says that nothing more is owed for a message.
+// Withdrawn says that a message needs no answer any more.
 type Withdrawn struct{ ID uint32 }
 
-// Stopping says that the process ends soon: no attempt begins any more that may not be repeated, since one
-// that is cut off may have run.
+// Stopping says that the process ends soon: unsafe messages get no further attempts, since one that
+// is cut off may have run.
 type Stopping struct{}
 
-// TimerFired answers a WakeAfter.
+// TimerFired answers a SetTimer.
 type TimerFired struct{}
 
-// ListUpdateKind is the kind of a piece of news about the endpoint list.
+// ListUpdateKind is the kind of an endpoint list update.
 type ListUpdateKind int
 
-// The kinds of list news.
+// The kinds of endpoint list updates.
 const (
 	ListChanges     ListUpdateKind = iota // changed entries only
-	ListSnapshot                          // everything; what is missing is gone
-	ListRestored                          // the list as this relay last held it, perhaps stale
-	ListUnavailable                       // a subscription failed or broke; keep the old list
+	ListSnapshot                          // the complete list
+	ListRestored                          // the complete list as this relay last stored it; may be stale
+	ListUnavailable                       // a subscription failed; the previous list stays in use
 )
 
-// EndpointListUpdate is news of the endpoint list.
+// EndpointListUpdate reports a change of the endpoint list.
 type EndpointListUpdate struct {
 	Kind    ListUpdateKind
 	Entries []Endpoint
@@ -240,35 +241,37 @@
 func (Subset) event()             {}
 func (SitesUpdate) event()        {}
 
-// Action is something that a relay wants done: one of the types below.
+// Action is an output of Relay.Step: one of the types below.
 type Action interface{ action() }
 
-// Send starts an attempt. Sends of one step to one endpoint share a call, up to the kind's batch.
+// Send starts an attempt. Sends of one step to one endpoint share a call, up to the kind's
+// MaxBatch.
 type Send struct {
 	ID       uint32
 	Endpoint string
 	Timeout  time.Duration
 }
 
-// Refuse ends a message undelivered; its client may safely come again.
+// Refuse completes a message undelivered. It did not run or is safe to repeat, so its client may
+// retry.
 type Refuse struct {
 	ID         uint32
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: none
 }
 
-// Fail ends a message; whether it took effect is not told.
+// Fail completes a message whose effect is unknown or that may not be retried.
 type Fail struct{ ID uint32 }
 
-// SetTimer asks for a Woke after the given time. Only the latest one needs to be kept.
+// SetTimer asks for a TimerFired after the delay. It replaces the previous timer.
 type SetTimer struct{ Delay time.Duration }
 
-// Subscribe asks for the changes of the endpoint list from now on.
+// Subscribe asks for updates of the endpoint list.
 type Subscribe struct{}
 
 // CloseIdle closes the connections to an endpoint that carry no call.
 type CloseIdle struct{ Endpoint string }
 
-// LogLine is a line for the relay's log.
+// LogLine is a message for the relay's log.
 type LogLine struct{ Text string }
 
 func (Send) action()      {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"oatfold/policy"
 )
 
-// A relay loads the module, tells it what happens and carries out what it answers.
+// A relay creates the policy engine, passes events to it and carries out the returned actions.
 func Example() {
 	relay, err := policy.New(policy.Settings{
 		Relays: 1, MaxConcurrentCalls: 4, MaxPending: 100, MaxAttempts: 6, Tick: 5 * time.Millisecond,
@@ -28,13 +28,13 @@
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
-		case policy.Send: // start the call; report its end with Ended
+		case policy.Send: // start the call; report its result with AttemptEnded
 			fmt.Println("send", a.ID, "to", a.Endpoint, "within", a.Timeout)
-		case policy.Refuse: // tell the client to come again
-		case policy.Fail: // tell the client that it failed
-		case policy.SetTimer: // set the one timer; report it with Woke
-		case policy.Subscribe: // ask for the endpoint list
-		case policy.LogLine: // log it
+		case policy.Refuse: // tell the client to retry
+		case policy.Fail: // tell the client that the message failed
+		case policy.SetTimer: // set the only timer; report it with TimerFired
+		case policy.Subscribe: // subscribe to the endpoint list
+		case policy.LogLine: // write it to the log
 		}
 	}
 	// Output: send 1 to 192.0.2.7:443 within 20s
--- a/policy/input_test.go
+++ b/policy/input_test.go
@@ -10,61 +10,63 @@
 	"testing"
 )
 
-// A list that names an endpoint twice keeps one; an endpoint that moves serves its new destination only.
-func TestListNamesTwiceAndMoves(t *testing.T) {
-	b := start(t, nil)
-	e := entries()[5]
-	b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e, e}})
-	if n := len(b.r.dests[4].lines[0].eps); n != 1 {
+// An endpoint that is listed twice is kept once; one that moves serves only its new destination.
+func TestDuplicateAndMovedEndpoints(t *testing.T) {
+	h := newHarness(t, nil)
+	e := testEndpoints()[5]
+	h.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e, e}})
+	if n := len(h.relay.destinations[4].routes[0].endpoints); n != 1 {
 		t.Fatalf("%d endpoints, want 1", n)
 	}
 	e.Destination = 7
-	b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e}})
-	b.sent(b.step(b.msg("safe", 4, ""), b.msg("safe", 7, "")), 2)
+	h.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{e}})
+	h.expectSent(h.step(h.submission("safe", 4, ""), h.submission("safe", 7, "")), 2)
 }
 
-// A message whose time is nought or already over is answered at once and never sent.
+// A message whose time is up is answered at once and never sent.
 func TestNoTimeLeft(t *testing.T) {
-	b := start(t, nil)
+	h := newHarness(t, nil)
 	for _, left := range []Time{0, -sec} {
-		m := b.msg("safe", 1, "")
+		m := h.submission("safe", 1, "")
 		m.TimeLeft = left
-		acts := b.step(m)
-		b.sent(acts)
-		if len(pick[Refuse](acts)) != 1 {
-			t.Errorf("left %v: %v, want one Refuse", left, acts)
+		acts := h.step(m)
+		h.expectSent(acts)
+		if len(actionsOf[Refuse](acts)) != 1 {
+			t.Errorf("time left %v: %v, want one Refuse", left, acts)
 		}
 	}
 }
 
-// A clock that stands still or runs back is read as the last time; nothing is sent or answered twice.
-func TestClockStandsStill(t *testing.T) {
-	b := start(t, nil)
-	b.sent(b.step(b.msg("unsafe", 1, "k")), 1)
-	b.now -= sec / 2
+// A clock that stands still or runs back counts as the previous time; nothing is sent or answered
+// twice.
+func TestClockStandsStillOrRunsBack(t *testing.T) {
+	h := newHarness(t, nil)
+	h.expectSent(h.step(h.submission("unsafe", 1, "k")), 1)
+	h.now -= sec / 2
 	for range 100 {
-		if acts := b.step(TimerFired{}); len(acts) != 0 {
-			t.Fatalf("acted again: %v", acts)
+		if acts := h.step(TimerFired{}); len(acts) != 0 {
+			t.Fatalf("unexpected actions: %v", acts)
 		}
 	}
 }
 
-// A very large batch is taken whole: every message of it is sent, held within the limit, or answered.
+// In a very large batch of events, each message is sent, pending within the limit, or answered.
 func TestLargeBatch(t *testing.T) {
-	b := start(t, nil)
+	h := newHarness(t, nil)
 	var in []Event
 	for range 20000 {
-		in = append(in, b.msg("safe", 1, ""))
+		in = append(in, h.submission("safe", 1, ""))
 	}
-	acts := b.step(in...)
-	answered := len(pick[Refuse](acts)) + len(pick[Fail](acts))
-	if answered+len(b.r.held) != len(in) || len(b.r.held) > b.r.set.MaxPending {
-		t.Fatalf("%d answered, %d held of %d", answered, len(b.r.held), len(in))
+	acts := h.step(in...)
+	answered := len(actionsOf[Refuse](acts)) + len(actionsOf[Fail](acts))
+	if answered+len(h.relay.pending) != len(in) || len(h.relay.pending) > h.relay.cfg.MaxPending {
+		t.Fatalf("%d answered, %d pending of %d", answered, len(h.relay.pending), len(in))
 	}
 }
 
-// Decisions live in policy.go: the interface has no code, the adapter no figures but for its read buffer.
-func TestNoDecisionsElsewhere(t *testing.T) {
+// Decisions are made in policy.go: api.go contains no code, and the adapter no numbers but its read
+// buffer size.
+func TestDecisionsAreInPolicyFile(t *testing.T) {
 	set := token.NewFileSet()
 	api, err := parser.ParseFile(set, "api.go", nil, 0)
 	if err != nil {
@@ -81,7 +83,7 @@
 	files, _ := filepath.Glob("../internal/wire/sim/*.go")
 	more, _ := filepath.Glob("../cmd/adapter/*.go")
 	if len(files) == 0 || len(more) == 0 {
-		t.Fatal("adapter not found")
+		t.Fatal("adapter sources not found")
 	}
 	for _, name := range append(files, more...) {
 		if strings.HasSuffix(name, "_test.go") {
@@ -94,7 +96,7 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			if l, ok := n.(*ast.BasicLit); ok && (l.Kind == token.INT || l.Kind == token.FLOAT) {
 				if v, err := strconv.Atoi(l.Value); err != nil || v > 1 && v != 16 {
-					t.Errorf("%s holds the figure %s", set.Position(l.Pos()), l.Value)
+					t.Errorf("%s: number %s", set.Position(l.Pos()), l.Value)
 				}
 			}
 			return true
@@ -102,32 +104,32 @@
 	}
 }
 
-// Extreme fleets, a listed rate of nought and a clock that jumps a day ahead: each message is still sent or
-// answered once, and a jump ends what was held at once.
+// With extreme numbers of relays, a listed rate of 0 and a clock that jumps a day ahead, each
+// message is sent or answered once. The jump completes the pending messages at once.
 func TestExtremeFleetsAndClock(t *testing.T) {
-	for _, senders := range []int{1, 10000} {
-		b := start(t, func(s *Settings) { s.Relays = senders })
-		b.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{
+	for _, relays := range []int{1, 10000} {
+		h := newHarness(t, func(s *Settings) { s.Relays = relays })
+		h.step(EndpointListUpdate{Kind: ListChanges, Entries: []Endpoint{
 			{Address: "n1", Destination: 9, Kind: "plain", Zone: "z1", Rate: 0},
 			{Address: "gone", Destination: 77, State: Removed}}})
-		s := b.sent(b.step(b.msg("safe", 9, "")), 1)
+		s := h.expectSent(h.step(h.submission("safe", 9, "")), 1)
 		if s[0].Endpoint != "n1" {
-			t.Fatalf("%d senders: sent to %s", senders, s[0].Endpoint)
+			t.Fatalf("%d relays: sent to %s", relays, s[0].Endpoint)
 		}
-		b.after(10*ms, end(1, 0, Rejected), b.msg("safe", 99, ""))
-		acts := b.after(24*3600*sec, TimerFired{})
-		if n := len(pick[Refuse](acts)) + len(pick[Fail](acts)); n != 2 || len(pick[Send](acts)) != 0 {
-			t.Fatalf("%d senders: %d answers after the jump: %v", senders, n, acts)
+		h.after(10*ms, attemptEnd(1, 0, Rejected), h.submission("safe", 99, ""))
+		acts := h.after(24*3600*sec, TimerFired{})
+		if n := len(actionsOf[Refuse](acts)) + len(actionsOf[Fail](acts)); n != 2 || len(actionsOf[Send](acts)) != 0 {
+			t.Fatalf("%d relays: %d answers after the jump: %v", relays, n, acts)
 		}
-		if len(b.r.msgs) != 0 || len(b.r.held) != 0 {
-			t.Fatalf("%d senders: %d messages left", senders, len(b.r.msgs))
+		if len(h.relay.messages) != 0 || len(h.relay.pending) != 0 {
+			t.Fatalf("%d relays: %d messages left", relays, len(h.relay.messages))
 		}
 	}
 }
 
-// What an earlier life left behind goes on where it stood: attempts count on, an unsafe message that may have
-// run is failed, a keyed one goes again only within its window.
-func TestArrivedFromEarlierLife(t *testing.T) {
+// Recovered messages continue where they were: attempts count on, an unsafe message that may have
+// run is failed, and a keyed one is repeated only within its repeat window.
+func TestRecoveredMessages(t *testing.T) {
 	for name, c := range map[string]struct {
 		class                string
 		tries                int
@@ -141,16 +143,16 @@
 		"keyed past it":        {"keyed", 1, true, 4 * sec, 0, 1, 0},
 		"no attempts left":     {"safe", 6, true, sec, 0, 0, 1},
 	} {
-		b := start(t, nil)
-		m := b.msg(c.class, 1, "k")
+		h := newHarness(t, nil)
+		m := h.submission(c.class, 1, "k")
 		m.Attempts, m.MayHaveRun, m.UncertainAge = c.tries, c.mayHave, c.age
-		acts := b.step(m)
-		if s, f, h := len(pick[Send](acts)), len(pick[Fail](acts)), len(pick[Refuse](acts)); s != c.sent || f != c.failed || h != c.handed {
-			t.Errorf("%s: %d sent, %d failed, %d handed back", name, s, f, h)
+		acts := h.step(m)
+		if s, f, h := len(actionsOf[Send](acts)), len(actionsOf[Fail](acts)), len(actionsOf[Refuse](acts)); s != c.sent || f != c.failed || h != c.handed {
+			t.Errorf("%s: %d sent, %d failed, %d refused", name, s, f, h)
 		}
-		if c.sent == 1 { // an outcome is matched by the attempt's number, counted over both lives
-			if b.after(100*ms, end(m.ID, c.tries, Delivered)); len(b.r.msgs) != 0 {
-				t.Errorf("%s: still held after its delivery", name)
+		if c.sent == 1 { // outcomes match by the attempt number, which counts on
+			if h.after(100*ms, attemptEnd(m.ID, c.tries, Delivered)); len(h.relay.messages) != 0 {
+				t.Errorf("%s: still pending after its delivery", name)
 			}
 		}
 	}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// LearnedState is what a relay knows beside its messages, for the process that takes its place. Times are ages, since the two have clocks of
-// their own.
+// LearnedState is what a relay has learned about its routes, for the next process of this relay.
+// Moments are given as ages, since the two processes have different clocks; QuickRecovery and
+// RetryAccepted are shares from 0 to 1.
 type LearnedState struct {
 	Routes         []RouteState       `json:"lines,omitempty"`
-	CompletionRate float64            `json:"pace"`
-	Shortage       time.Duration      `json:"short"`
-	QuickRecovery  map[string]float64 `json:"soon,omitempty"` // by kind, as Again
-	RetryAccepted  map[string]float64 `json:"again,omitempty"`
+	CompletionRate float64            `json:"pace"`            // attempts completed per second
+	Shortage       time.Duration      `json:"short"`           // how long all calls have been in use recently
+	QuickRecovery  map[string]float64 `json:"soon,omitempty"`  // by kind: failed connections soon followed by success
+	RetryAccepted  map[string]float64 `json:"again,omitempty"` // by kind: accepted calls soon after a rejection
 }
 
-// InheritedCall is a call that the process before still has out: it holds a slot, and a place at its destination.
+// InheritedCall is a call that the previous process still has in flight. It counts against the
+// concurrency limits.
 type InheritedCall struct {
 	Endpoint string        `json:"endpoint"`
 	Age      time.Duration `json:"age"`
 }
 
-// RouteState is what it knows of one line.
+// RouteState is what a relay has learned about one route. A negative Since field means never.
 type RouteState struct {
-	Endpoint           string        `json:"endpoint"` // the line's first one
-	Interval           time.Duration `json:"gap"`
-	HealthyInterval    time.Duration `json:"calm"`
-	SinceCall          time.Duration `json:"claimed"` // ago; below 0: never
+	Endpoint           string        `json:"endpoint"` // the route's first endpoint
+	Interval           time.Duration `json:"gap"`      // pacing interval
+	HealthyInterval    time.Duration `json:"calm"`     // pacing interval at the last success outside an outage
+	SinceCall          time.Duration `json:"claimed"`
 	SinceRejection     time.Duration `json:"refused"`
-	RetryAfter         time.Duration `json:"wait"` // left
-	Health             int           `json:"state"`
+	RetryAfter         time.Duration `json:"wait"`  // time left
+	Health             int           `json:"state"` // 0: healthy, 1: down, 2: ramping
 	SinceRampStart     time.Duration `json:"ramp"`
-	UnsuccessfulRun    int           `json:"run"`
-	FailureRun         int           `json:"hard"`
+	UnsuccessfulRun    int           `json:"run"`  // calls in a row without success
+	FailureRun         int           `json:"hard"` // failures among them
 	SinceRunStart      time.Duration `json:"runAt"`
 	SinceSuccess       time.Duration `json:"ok"`
-	FailureShare       float64       `json:"bad"`
+	FailureShare       float64       `json:"bad"` // of recent calls
 	UsualLatency       time.Duration `json:"latency"`
 	RecentLatency      time.Duration `json:"recent"`
-	Rate               float64       `json:"rate"`
-	RateReported       bool          `json:"told"`
-	ServedRate         float64       `json:"own"`
-	Demand             float64       `json:"demand"`
+	Rate               float64       `json:"rate"`   // calls per second from all relays; 0: unknown
+	RateReported       bool          `json:"told"`   // Rate comes from a LimitReport
+	ServedRate         float64       `json:"own"`    // calls per second served to this relay
+	Demand             float64       `json:"demand"` // messages per second for the destination
 	SinceArrival       time.Duration `json:"in"`
-	RejectionsCountFor time.Duration `json:"counts,omitempty"` // left of the time for which refused calls are taken to use up the limit
+	RejectionsCountFor time.Duration `json:"counts,omitempty"` // time left; see Relay.rejectionsCount
 }
 
-// ExportState returns what this relay knows. Lines without a call yet are left out.
+// ExportState returns what this relay has learned. Routes without calls are left out.
 func (r *Relay) ExportState(now Time) LearnedState {
-	all := LearnedState{CompletionRate: r.pace, Shortage: r.short, QuickRecovery: map[string]float64{}, RetryAccepted: map[string]float64{}}
+	all := LearnedState{CompletionRate: r.completionRate, Shortage: r.shortage,
+		QuickRecovery: map[string]float64{}, RetryAccepted: map[string]float64{}}
 	for name, k := range r.kinds {
-		all.QuickRecovery[name], all.RetryAccepted[name] = r.soon[k], r.again[k]
+		all.QuickRecovery[name], all.RetryAccepted[name] = r.quickRecovery[k], r.retryAccepted[k]
 	}
 	age := func(at Time) time.Duration {
 		if at == 0 {
@@ -55,84 +58,113 @@
 		}
 		return max(0, now-at)
 	}
-	for _, d := range r.dests {
-		for _, l := range d.lines {
-			if len(l.eps) == 0 || l.claimed == 0 && l.waitTil <= now {
+	for _, d := range r.destinations {
+		for _, rt := range d.routes {
+			if len(rt.endpoints) == 0 || rt.lastCall == 0 && rt.blockedUntil <= now {
 				continue
 			}
-			all.Routes = append(all.Routes, RouteState{Endpoint: l.eps[0].Address, Interval: l.gap, HealthyInterval: l.calmGap, SinceCall: age(l.claimed), SinceRejection: age(l.refusedAt),
-				RetryAfter: max(0, l.waitTil-now), Health: int(l.state), SinceRampStart: age(l.rampAt), UnsuccessfulRun: l.run, FailureRun: l.hardRun, SinceRunStart: age(l.runAt),
-				SinceSuccess: age(l.lastOK), FailureShare: l.bad, UsualLatency: l.latency, RecentLatency: l.recent, Rate: l.rate, RateReported: l.told, ServedRate: l.ownRate,
-				Demand: d.demand, SinceArrival: age(d.lastIn), RejectionsCountFor: max(0, l.countsTil-now)})
+			all.Routes = append(all.Routes, RouteState{
+				Endpoint:           rt.endpoints[0].Address,
+				Interval:           rt.interval,
+				HealthyInterval:    rt.healthyInterval,
+				SinceCall:          age(rt.lastCall),
+				SinceRejection:     age(rt.rejectedAt),
+				RetryAfter:         max(0, rt.blockedUntil-now),
+				Health:             int(rt.health),
+				SinceRampStart:     age(rt.rampStart),
+				UnsuccessfulRun:    rt.unsuccessful,
+				FailureRun:         rt.failed,
+				SinceRunStart:      age(rt.runStart),
+				SinceSuccess:       age(rt.lastSuccess),
+				FailureShare:       rt.failureShare,
+				UsualLatency:       rt.latency,
+				RecentLatency:      rt.recentLatency,
+				Rate:               rt.rate,
+				RateReported:       rt.rateReported,
+				ServedRate:         rt.servedRate,
+				Demand:             d.demand,
+				SinceArrival:       age(d.lastArrival),
+				RejectionsCountFor: max(0, rt.rejectionsCountUntil-now),
+			})
 		}
 	}
 	return all
 }
 
-// ImportState takes over what the process before knew. It comes before the first step, with the list as Step has had it or as given here.
+// ImportState takes over what the previous process had learned. Call it before the first Step, with
+// the endpoint list unless Step has received it.
 func (r *Relay) ImportState(now Time, list []Endpoint, known LearnedState) {
 	r.now = max(now, r.now)
 	if len(list) > 0 {
-		r.listNews(EndpointListUpdate{Kind: ListRestored, Entries: list})
+		r.updateList(EndpointListUpdate{Kind: ListRestored, Entries: list})
 	}
-	// Risk: a moment before this process's clock began reads as never, or as one to come.
+	// A moment before this process's clock began must be neither 0, which means never, nor in the
+	// future.
 	at := func(age time.Duration) Time {
 		if age < 0 {
 			return 0
 		}
 		return max(1, r.now-age)
 	}
-	// Risk: a pace that begins at nought is taken for a queue that lasts for ever, and most of what was taken over is handed back.
-	r.pace, r.short = known.CompletionRate, known.Shortage
+	// With a completion rate of 0, the queue would seem endless and most recovered messages would
+	// be refused.
+	r.completionRate, r.shortage = known.CompletionRate, known.Shortage
 	for name, k := range r.kinds {
-		if v, told := known.QuickRecovery[name]; told {
-			r.soon[k] = v
+		if v, ok := known.QuickRecovery[name]; ok {
+			r.quickRecovery[k] = v
 		}
-		if v, told := known.RetryAccepted[name]; told {
-			r.again[k] = v
+		if v, ok := known.RetryAccepted[name]; ok {
+			r.retryAccepted[k] = v
 		}
 	}
 	for _, k := range known.Routes {
-		ep := r.eps[k.Endpoint]
+		ep := r.endpoints[k.Endpoint]
 		if ep == nil || k.Health < int(healthy) || k.Health > int(ramping) {
 			continue
 		}
-		l := ep.line
-		l.gap, l.calmGap, l.claimed, l.refusedAt, l.waitTil = k.Interval, k.HealthyInterval, at(k.SinceCall), at(k.SinceRejection), max(l.waitTil, r.now+k.RetryAfter)
-		l.rampAt, l.run, l.hardRun, l.runAt, l.lastOK, l.bad = at(k.SinceRampStart), k.UnsuccessfulRun, k.FailureRun, at(k.SinceRunStart), at(k.SinceSuccess), k.FailureShare
-		l.latency, l.recent, l.rate, l.told, l.ownRate, l.spanAt = k.UsualLatency, k.RecentLatency, k.Rate, k.RateReported, k.ServedRate, r.now
-		l.dest.demand, l.dest.lastIn, l.countsTil = k.Demand, at(k.SinceArrival), r.now+k.RejectionsCountFor
-		r.become(l, lineState(k.Health))
+		rt := ep.route
+		rt.interval, rt.healthyInterval, rt.lastCall, rt.rejectedAt, rt.blockedUntil =
+			k.Interval, k.HealthyInterval, at(k.SinceCall), at(k.SinceRejection),
+			max(rt.blockedUntil, r.now+k.RetryAfter)
+		rt.rampStart, rt.unsuccessful, rt.failed, rt.runStart, rt.lastSuccess, rt.failureShare =
+			at(k.SinceRampStart), k.UnsuccessfulRun, k.FailureRun, at(k.SinceRunStart), at(k.SinceSuccess),
+			k.FailureShare
+		rt.latency, rt.recentLatency, rt.rate, rt.rateReported, rt.servedRate, rt.spanStart =
+			k.UsualLatency, k.RecentLatency, k.Rate, k.RateReported, k.ServedRate, r.now
+		rt.dest.demand, rt.dest.lastArrival, rt.rejectionsCountUntil =
+			k.Demand, at(k.SinceArrival), r.now+k.RejectionsCountFor
+		r.setHealth(rt, routeHealth(k.Health))
 	}
 }
 
-// ApplyRetryAfter holds all messages from the endpoint's line for as long: the process before was told so.
+// ApplyRetryAfter blocks the endpoint's route for a Retry-After that the previous process received.
 func (r *Relay) ApplyRetryAfter(now Time, endpoint string, left time.Duration) {
-	if ep := r.eps[endpoint]; ep != nil {
-		ep.line.waitTil = max(ep.line.waitTil, now+left)
+	if ep := r.endpoints[endpoint]; ep != nil {
+		ep.route.blockedUntil = max(ep.route.blockedUntil, now+left)
 	}
 }
 
-// SetInheritedCalls books the calls that the process before still has out, in place of those booked last: slots, and the share of a destination, hold
-// over both.
+// SetInheritedCalls replaces the calls that the previous process still has in flight. Concurrency
+// limits cover the calls of both processes.
 func (r *Relay) SetInheritedCalls(now Time, calls []InheritedCall) {
 	r.now = max(now, r.now)
-	for _, c := range r.lent {
+	for _, c := range r.inherited {
 		r.calls--
-		c.ep.calls--
-		c.ep.dest.calls--
-		c.ep.line.calls, r.out = without(c.ep.line.calls, c), without(r.out, c)
+		c.endpoint.calls--
+		c.endpoint.dest.calls--
+		c.endpoint.route.calls, r.inFlight = without(c.endpoint.route.calls, c), without(r.inFlight, c)
 	}
-	r.lent = r.lent[:0]
-	for _, lent := range calls {
-		ep := r.eps[lent.Endpoint]
+	r.inherited = r.inherited[:0]
+	for _, inherited := range calls {
+		ep := r.endpoints[inherited.Endpoint]
 		if ep == nil {
 			continue
 		}
-		c := &call{ep: ep, sentAt: r.now - lent.Age, left: 1, judged: true}
+		c := &call{endpoint: ep, sentAt: r.now - inherited.Age, unfinished: 1, assessed: true}
 		r.calls++
 		ep.calls++
 		ep.dest.calls++
-		ep.line.calls, r.out, r.lent = append(ep.line.calls, c), append(r.out, c), append(r.lent, c)
+		ep.route.calls, r.inFlight, r.inherited =
+			append(ep.route.calls, c), append(r.inFlight, c), append(r.inherited, c)
 	}
 }
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -8,8 +8,9 @@
 	"oatfold/internal/pacing"
 )
 
-// limited starts a relay, the given one of six, with a destination whose routes are separate and take several messages in a call.
-func limited(t *testing.T, number int) *Relay {
+// pacedRelay returns the relay with the given number of six. Its destination has separate routes
+// that accept batches.
+func pacedRelay(t *testing.T, number int) *Relay {
 	t.Helper()
 	s := Settings{Relays: 6, TimeSlots: pacing.New(number, 6), ClockOffset: 1000 * time.Hour, MaxConcurrentCalls: 8, MaxPending: 80, MaxAttempts: 200,
 		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2,
@@ -25,98 +26,98 @@
 	return r
 }
 
-func logged(id uint32, left time.Duration) Event {
+func logSubmission(id uint32, left time.Duration) Event {
 	return Submitted{ID: id, Class: "log", Destination: 1, TimeLeft: left}
 }
 
-// refuse has the line's calls refused, one after the other.
-func refuse(r *Relay, l *line, times int) {
+// rejectCalls rejects calls on the route one after another.
+func rejectCalls(r *Relay, rt *route, times int) {
 	for range times {
 		r.now += 30 * time.Second
-		r.judge(&call{ep: l.eps[0], sentAt: r.now}, AttemptEnded{Outcome: Rejected})
+		r.assess(&call{endpoint: rt.endpoints[0], sentAt: r.now}, AttemptEnded{Outcome: Rejected})
 		r.now += time.Second
 	}
 }
 
-// Risk: an interval bounded by what is offered keeps all senders together above the limit, so that nothing gets through. Where
-// refusals in a row tell that refused calls use up a limit, it grows beyond, up to the longest deadline, and one success takes
-// a twentieth of it back, no more.
-func TestRefusalsInARowHaveNoBoundByDemand(t *testing.T) {
-	r := limited(t, 0)
-	l := r.dests[1].lines[0]
-	l.dest.demand, l.state = 50, healthy
-	refuse(r, l, spentRun-1)
-	if l.gap > r.patience/4 || r.counts(l) {
-		t.Fatalf("slot %v after %d refusals", l.gap, spentRun-1)
-	}
-	refuse(r, l, 12)
-	if l.gap != r.patience {
-		t.Fatalf("slot %v, though nothing gets through", l.gap)
-	}
-	r.success(l, l.eps[0], 50*time.Millisecond)
-	if want := part(r.patience, cutPerSuccess); l.gap != want {
-		t.Errorf("slot %v after one success, want %v", l.gap, want)
-	}
-	r.now += rateMemory + time.Second
-	if r.success(l, l.eps[0], 50*time.Millisecond); l.gap > r.patience/4 {
-		t.Errorf("slot %v once refusals are long past", l.gap)
+// After a run of rejections, the interval grows beyond the bound by demand up to the longest
+// deadline, since all relays together would stay above the limit otherwise. One success shortens it
+// by no more than the decay.
+func TestRejectionRunIsNotBoundedByDemand(t *testing.T) {
+	r := pacedRelay(t, 0)
+	rt := r.destinations[1].routes[0]
+	rt.dest.demand, rt.health = 50, healthy
+	rejectCalls(r, rt, limitRejectionRun-1)
+	if rt.interval > r.maxDeadline/4 || r.rejectionsCount(rt) {
+		t.Fatalf("interval %v after %d rejections", rt.interval, limitRejectionRun-1)
+	}
+	rejectCalls(r, rt, 12)
+	if rt.interval != r.maxDeadline {
+		t.Fatalf("interval %v while every call is rejected", rt.interval)
+	}
+	r.recordSuccess(rt, rt.endpoints[0], 50*time.Millisecond)
+	if want := scale(r.maxDeadline, intervalDecay); rt.interval != want {
+		t.Errorf("interval %v after one success, want %v", rt.interval, want)
+	}
+	r.now += rateWindow + time.Second
+	if r.recordSuccess(rt, rt.endpoints[0], 50*time.Millisecond); rt.interval > r.maxDeadline/4 {
+		t.Errorf("interval %v long after the last rejection", rt.interval)
 	}
 }
 
-// Risk: a line whose calls fail, or that is refused now and then, is taken for one whose refused calls count.
-func TestFailuresTellNothingOfALimit(t *testing.T) {
-	r := limited(t, 0)
-	failing, mixed := r.dests[1].lines[0], r.dests[1].lines[1]
-	r.failed(failing, &call{ep: failing.eps[0], sentAt: r.now}, ConnectionLost)
-	if refuse(r, failing, 2*spentRun); r.counts(failing) {
-		t.Error("a line that fails is taken for one whose refused calls count")
+// Failures and occasional rejections don't make rejected calls count against the limit.
+func TestFailuresAreNoLimit(t *testing.T) {
+	r := pacedRelay(t, 0)
+	failing, mixed := r.destinations[1].routes[0], r.destinations[1].routes[1]
+	r.recordFailure(failing, &call{endpoint: failing.endpoints[0], sentAt: r.now}, ConnectionLost)
+	if rejectCalls(r, failing, 2*limitRejectionRun); r.rejectionsCount(failing) {
+		t.Error("rejected calls count on a failing route")
 	}
 	for range 3 {
-		refuse(r, mixed, spentRun-1)
-		r.success(mixed, mixed.eps[0], 50*time.Millisecond)
+		rejectCalls(r, mixed, limitRejectionRun-1)
+		r.recordSuccess(mixed, mixed.endpoints[0], 50*time.Millisecond)
 	}
-	if r.counts(mixed) {
-		t.Error("a line that takes one call of five is, too")
+	if r.rejectionsCount(mixed) {
+		t.Error("rejected calls count on a route that accepts one call in five")
 	}
 }
 
-// Risk: calls of several senders that come together at a limit refuse one another. In turns none comes within a turn's
-// width of another's, and none sooner than the interval; a sender with little to send does not wait for its turn.
-func TestSendersTakeTurns(t *testing.T) {
+// Relays use different time slots, no earlier than the interval allows, so that their calls don't
+// get one another rejected. A relay with little demand doesn't wait for its slot.
+func TestRelaysUseTheirTimeSlots(t *testing.T) {
 	const slot = 1200 * time.Millisecond
 	free := map[Time]int{}
 	var step time.Duration
 	for number := range 6 {
-		r := limited(t, number)
+		r := pacedRelay(t, number)
 		r.now = time.Minute
-		l := r.dests[1].lines[0]
-		l.gap, l.countsTil, l.dest.demand = slot, r.now+time.Minute, 10
-		l.claimed = r.now - slot/2 - time.Duration(number)*time.Millisecond
-		step = r.set.TimeSlots.Step(slot)
-		at := r.freeAt(l)
-		if at < l.claimed+part(slot, 0.9) || at > l.claimed+3*slot {
-			t.Fatalf("sender %d called at %v and may again at %v", number, l.claimed, at)
+		rt := r.destinations[1].routes[0]
+		rt.interval, rt.rejectionsCountUntil, rt.dest.demand = slot, r.now+time.Minute, 10
+		rt.lastCall = r.now - slot/2 - time.Duration(number)*time.Millisecond
+		step = r.cfg.TimeSlots.Step(slot)
+		at := r.freeAt(rt)
+		if at < rt.lastCall+scale(slot, 0.9) || at > rt.lastCall+3*slot {
+			t.Fatalf("relay %d called at %v and may call again at %v", number, rt.lastCall, at)
 		}
 		for other, whose := range free {
 			if apart := max(at, other) - min(at, other); apart%step != 0 || apart == 0 {
-				t.Errorf("senders %d and %d may call %v apart", number, whose, apart)
+				t.Errorf("relays %d and %d may call %v apart", number, whose, apart)
 			}
 		}
 		free[at] = number
-		l.dest.demand = 0.1
-		if got, want := r.freeAt(l), l.claimed+part(slot, l.jitter); got != want {
-			t.Errorf("with little to send sender %d may call at %v, want %v", number, got, want)
+		rt.dest.demand = 0.1
+		if got, want := r.freeAt(rt), rt.lastCall+scale(slot, rt.jitter); got != want {
+			t.Errorf("with little demand relay %d may call at %v, want %v", number, got, want)
 		}
 	}
 }
 
-// Risk: after a restart, messages with less time left than an unknown destination may need go one by one, and each takes a
-// call of the few that the destination allows.
-func TestOldMessagesShareACallAfterARestart(t *testing.T) {
-	r := limited(t, 0)
+// After a restart, messages with less time left than an unknown destination may need share a call,
+// as it may accept few.
+func TestRecoveredMessagesShareACall(t *testing.T) {
+	r := pacedRelay(t, 0)
 	var events []Event
 	for id := range uint32(12) {
-		events = append(events, logged(id+1, 2*time.Second+time.Duration(id)*100*time.Millisecond))
+		events = append(events, logSubmission(id+1, 2*time.Second+time.Duration(id)*100*time.Millisecond))
 	}
 	endpoints := map[string]bool{}
 	for _, a := range r.Step(time.Second, events) {
@@ -125,83 +126,85 @@
 		}
 	}
 	if len(endpoints) != 1 {
-		t.Errorf("twelve messages go out in %d calls", len(endpoints))
+		t.Errorf("twelve messages sent in %d calls, want 1", len(endpoints))
 	}
 }
 
-// Risk: what comes in is counted in messages; where one call takes many, that is far more than the calls it asks for.
+// Demand is counted in messages, the share in calls of up to MaxBatch messages.
 func TestShareIsInCalls(t *testing.T) {
-	r := limited(t, 0)
-	l := r.dests[1].lines[0]
-	l.dest.demand = 400 // for two routes, twenty in a call
-	if got := r.share(l); got != 10 {
-		t.Errorf("share %v calls a second", got)
+	r := pacedRelay(t, 0)
+	rt := r.destinations[1].routes[0]
+	rt.dest.demand = 400 // for two routes with batches of twenty
+	if got := r.callShare(rt); got != 10 {
+		t.Errorf("share is %v calls per second, want 10", got)
 	}
 }
 
-// News of a separate route are about it alone, and news of a destination are not about its separate routes.
-func TestNewsOfOneRoute(t *testing.T) {
+// A fleet update about a separate route applies to it alone; one about a destination doesn't apply
+// to separate routes.
+func TestFleetUpdateOfOneRoute(t *testing.T) {
 	for name, c := range map[string]struct {
 		news RouteStats
 		want []time.Duration
 	}{
-		"of a route":             {RouteStats{Destination: 1 << 24, Endpoint: "b", Allowance: 0.1}, []time.Duration{0, 10 * time.Second}},
-		"of the destination":     {RouteStats{Destination: 1, Allowance: 0.1}, []time.Duration{0, 0}},
-		"of a route that left":   {RouteStats{Destination: 1 << 24, Endpoint: "gone", Allowance: 0.1}, []time.Duration{0, 0}},
-		"of another destination": {RouteStats{Destination: 7, Allowance: 0.1}, []time.Duration{0, 0}},
+		"route":               {RouteStats{Destination: 1 << 24, Endpoint: "b", Allowance: 0.1}, []time.Duration{0, 10 * time.Second}},
+		"destination":         {RouteStats{Destination: 1, Allowance: 0.1}, []time.Duration{0, 0}},
+		"removed route":       {RouteStats{Destination: 1 << 24, Endpoint: "gone", Allowance: 0.1}, []time.Duration{0, 0}},
+		"another destination": {RouteStats{Destination: 7, Allowance: 0.1}, []time.Duration{0, 0}},
 	} {
-		r := limited(t, 0)
+		r := pacedRelay(t, 0)
 		r.Step(time.Second, []Event{FleetUpdate{Routes: []RouteStats{c.news}}})
 		for i, want := range c.want {
-			if got := r.slot(r.dests[1].lines[i]); got != want {
-				t.Errorf("%s: slot of route %d is %v, want %v", name, i, got, want)
+			if got := r.pacingInterval(r.destinations[1].routes[i]); got != want {
+				t.Errorf("%s: interval of route %d is %v, want %v", name, i, got, want)
 			}
 		}
 	}
 }
 
-// What is known of a limit goes to the process that takes this one's place.
-func TestLimitIsPassedOn(t *testing.T) {
-	old, young := limited(t, 0), limited(t, 0)
-	l := old.dests[1].lines[0]
-	l.claimed = time.Second
-	refuse(old, l, 2*spentRun)
-	young.ImportState(time.Second, nil, old.ExportState(old.now))
-	if m := young.dests[1].lines[0]; !young.counts(m) || m.gap != l.gap {
-		t.Errorf("counts %v, slot %v of %v", young.counts(m), m.gap, l.gap)
+// What is known of a rate limit is transferred to the next process.
+func TestLimitIsTransferred(t *testing.T) {
+	old, next := pacedRelay(t, 0), pacedRelay(t, 0)
+	rt := old.destinations[1].routes[0]
+	rt.lastCall = time.Second
+	rejectCalls(old, rt, 2*limitRejectionRun)
+	next.ImportState(time.Second, nil, old.ExportState(old.now))
+	if m := next.destinations[1].routes[0]; !next.rejectionsCount(m) || m.interval != rt.interval {
+		t.Errorf("rejections count: %v; interval %v, want %v", next.rejectionsCount(m), m.interval, rt.interval)
 	}
 }
 
-// Risk: the next message of a key, sent in the step that ends the one before, waits for the platform's answer in a call of its own.
-func TestNextOfAKeyRestsBehindANotice(t *testing.T) {
-	b := start(t, nil)
-	first := b.msg("unsafe", 1, "k")
-	second := b.msg("unsafe", 1, "k")
-	if n := len(pick[Send](b.step(first, second))); n != 1 {
-		t.Fatalf("%d sent at first", n)
-	}
-	acts := b.after(900*ms, end(first.ID, 0, Errored))
-	if len(pick[Fail](acts)) != 1 {
-		t.Fatalf("the first does not end: %+v", acts)
-	}
-	if n := len(pick[Send](acts)); n != 0 {
-		t.Errorf("%d messages of the key go out in the step that ends one", n)
+// The next message of an ordering key is not sent in the step that completes the previous one: it
+// would wait for the outcome notification while in flight.
+func TestNextOfAKeyWaitsForNotification(t *testing.T) {
+	h := newHarness(t, nil)
+	first := h.submission("unsafe", 1, "k")
+	second := h.submission("unsafe", 1, "k")
+	if n := len(actionsOf[Send](h.step(first, second))); n != 1 {
+		t.Fatalf("%d messages sent first, want 1", n)
+	}
+	acts := h.after(900*ms, attemptEnd(first.ID, 0, Errored))
+	if len(actionsOf[Fail](acts)) != 1 {
+		t.Fatalf("the first message is not failed: %+v", acts)
+	}
+	if n := len(actionsOf[Send](acts)); n != 0 {
+		t.Errorf("%d messages of the key sent in the step that completes one", n)
 	}
 	for range 40 {
-		if acts = b.after(50 * ms); len(pick[Send](acts)) > 0 {
+		if acts = h.after(50 * ms); len(actionsOf[Send](acts)) > 0 {
 			return
 		}
 	}
-	t.Error("the second never goes out")
+	t.Error("the second message is never sent")
 }
 
-// Risk: of calls that a destination limits, each carries the one message that came first and is nearly out of time, while others
-// that could share a call wait, until they are nearly out of time as well.
-func TestNearlyOutOfTimeKeepsNobodyOut(t *testing.T) {
+// A message that is about to expire doesn't prevent a batch: it is sent alone only if fewer than
+// two others wait.
+func TestExpiringMessageDoesNotPreventBatch(t *testing.T) {
 	const soon, later = 100 * time.Millisecond, 10 * time.Second
 	for name, c := range map[string]struct {
 		left []time.Duration
-		want []uint32 // in the first call
+		want []uint32 // IDs in the first call
 	}{
 		"alone":                    {[]time.Duration{soon}, []uint32{1}},
 		"before one other":         {[]time.Duration{soon, later}, []uint32{1}},
@@ -213,15 +216,15 @@
 		"time for one more answer": {[]time.Duration{3 * soon, later, later}, []uint32{1, 2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := limited(t, 0)
-			for _, l := range r.dests[1].lines {
-				l.latency, l.recent = 50*time.Millisecond, 50*time.Millisecond
-				l.gap = time.Minute
+			r := pacedRelay(t, 0)
+			for _, rt := range r.destinations[1].routes {
+				rt.latency, rt.recentLatency = 50*time.Millisecond, 50*time.Millisecond
+				rt.interval = time.Minute
 			}
-			r.dests[1].lines[1].waitTil = time.Hour // the other route
+			r.destinations[1].routes[1].blockedUntil = time.Hour // the other route
 			var events []Event
 			for i, left := range c.left {
-				events = append(events, logged(uint32(i+1), left))
+				events = append(events, logSubmission(uint32(i+1), left))
 			}
 			var sent []uint32
 			for _, a := range r.Step(time.Second, events) {
@@ -230,7 +233,7 @@
 				}
 			}
 			if !slices.Equal(sent, c.want) {
-				t.Errorf("the call holds %v, want %v", sent, c.want)
+				t.Errorf("the call contains %v, want %v", sent, c.want)
 			}
 		})
 	}
--- a/policy/promises_test.go
+++ b/policy/promises_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// What is wanted soon is served beside patient messages, however long these have queued: each that finds the queue too long sets a price
-// for waiting there. Guards against a class that gets nothing (brussels-midi, calm day: 0.35 of its worth where others get 0.62).
-func TestPatientOnesDoNotFillTheQueue(t *testing.T) {
-	for alone, least := range map[bool]int{true: 100, false: 70} { // where others tell of the destination, the price is lower
-		t.Run(fmt.Sprintf("alone %t", alone), func(t *testing.T) { patientBesideSoon(t, alone, least) })
+// Messages with a short deadline are delivered beside many with a long one: each message that is
+// shed for lateness raises the minimum value for waiting.
+func TestLongDeadlinesDoNotFillTheQueue(t *testing.T) {
+	for alone, least := range map[bool]int{true: 100, false: 70} { // with gossip, the minimum value is lower
+		t.Run(fmt.Sprintf("alone %t", alone), func(t *testing.T) { testPatientBesideSoon(t, alone, least) })
 	}
 }
 
-func patientBesideSoon(t *testing.T, alone bool, least int) {
-	b := start(t, func(s *Settings) {
+func testPatientBesideSoon(t *testing.T, alone bool, least int) {
+	h := newHarness(t, func(s *Settings) {
 		s.Tenants, s.MaxPending, s.ExponentialDecay, s.NoGossip = nil, 1000, true, alone
 		s.Classes = []Class{
 			{Name: "patient", Effect: Safe, TargetLatency: 4 * sec, Deadline: 12 * sec, Value: 1, LateValue: 0.4},
@@ -23,145 +23,145 @@
 	})
 	served := map[string]int{}
 	class := map[uint32]string{}
-	var out []Send
-	for turn := range 600 { // a minute; the destination takes one in 200 ms and is asked for three times as much
+	var inFlight []Send
+	for step := range 600 { // a minute at three times the rate of 5 per second
 		var events []Event
-		for _, s := range out {
-			events = append(events, end(s.ID, 0, Delivered))
+		for _, s := range inFlight {
+			events = append(events, attemptEnd(s.ID, 0, Delivered))
 			served[class[s.ID]]++
 		}
 		name := "patient"
-		if turn%4 == 0 {
+		if step%4 == 0 {
 			name = "soon"
 		}
-		for range 1 + turn%2 {
-			m := b.msg(name, 4, "")
+		for range 1 + step%2 {
+			m := h.submission(name, 4, "")
 			m.Tenant, m.TimeLeft = "", map[string]Time{"patient": 12 * sec, "soon": 6 * sec}[name]
 			class[m.ID] = name
 			events = append(events, m)
 		}
-		b.r.dests[4].lines[0].gap = 200 * ms // as refusals have made it, whatever successes take off
-		out = pick[Send](b.after(100*ms, events...))
+		h.relay.destinations[4].routes[0].interval = 200 * ms // as after rejections, whatever successes decay it to
+		inFlight = actionsOf[Send](h.after(100*ms, events...))
 	}
 	if all := served["soon"] + served["patient"]; all < 250 || served["soon"] < least {
-		t.Errorf("of 600 slots of half a turn: soon %d, patient %d", served["soon"], served["patient"])
+		t.Errorf("delivered in 600 steps: soon %d, patient %d", served["soon"], served["patient"])
 	}
 }
 
-// A destination that is asked for three times what it takes is sent what is still worth most of it: messages that keep half of their worth up to
-// the deadline make room before it. Guards against a queue in which each one is delivered as late as can be.
+// An overloaded destination gets messages that still have most of their value. If these lose only
+// half of it by the deadline, the queue must not grow until all are delivered at the deadline.
 func TestOverloadDeliversBeforeTheDeadline(t *testing.T) {
 	const deadline = 12 * sec
-	b := start(t, func(s *Settings) {
+	h := newHarness(t, func(s *Settings) {
 		s.Tenants, s.MaxPending = nil, 1000
 		s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: deadline, Value: 1, LateValue: 0.5}}
 	})
-	var out []Send
+	var inFlight []Send
 	came := map[uint32]Time{}
 	var age Time
 	served := 0
-	for turn := range 600 { // a minute; the destination takes one in 200 ms
+	for step := range 600 { // a minute; the destination accepts 5 per second
 		var events []Event
-		for _, s := range out {
-			events = append(events, end(s.ID, 0, Delivered))
-			if turn > 200 { // the queue has grown as long as it gets
-				age, served = age+b.now-came[s.ID], served+1
+		for _, s := range inFlight {
+			events = append(events, attemptEnd(s.ID, 0, Delivered))
+			if step > 200 { // the queue has reached its length
+				age, served = age+h.now-came[s.ID], served+1
 			}
 		}
-		for range 1 + turn%2 {
-			m := b.msg("notice", 4, "")
+		for range 1 + step%2 {
+			m := h.submission("notice", 4, "")
 			m.Tenant, m.TimeLeft = "", deadline
-			came[m.ID] = b.now
+			came[m.ID] = h.now
 			events = append(events, m)
 		}
-		b.r.dests[4].lines[0].gap = 200 * ms // as refusals have made it, whatever successes take off
-		out = pick[Send](b.after(100*ms, events...))
+		h.relay.destinations[4].routes[0].interval = 200 * ms // as after rejections, whatever successes decay it to
+		inFlight = actionsOf[Send](h.after(100*ms, events...))
 	}
 	if served < 150 {
-		t.Fatalf("%d delivered in 40 s, five a second are due", served)
+		t.Fatalf("%d delivered in 40 s, expected about five per second", served)
 	}
 	if mean := age / Time(served); mean > deadline*3/4 {
-		t.Errorf("delivered after %v in the mean, of %v that there are", mean, deadline)
+		t.Errorf("delivered after %v on average, deadline %v", mean, deadline)
 	}
 }
 
-// The price for waiting turns away what lateness never would. A class that loses more of its worth by its deadline is left to the bound on lateness,
-// unless relays are alone.
-func TestPriceIsForWhatLatenessNeverTurnsAway(t *testing.T) {
+// The minimum value sheds what lateness never would. Without gossip it applies to all classes.
+func TestMinimumValueAppliesWhereLatenessDoesNot(t *testing.T) {
 	for _, c := range []struct {
-		late  float64 // worth that is left at the deadline
+		late  float64 // share of the value left at the deadline
 		alone bool
-		want  int // of ten that wait, those that are turned away
-	}{{0.5, false, 10}, {0.31, false, 10}, {worthWhile, false, 0}, {0, false, 0}, {0, true, 10}} {
-		b := start(t, func(s *Settings) {
+		want  int // messages refused of ten
+	}{{0.5, false, 10}, {0.31, false, 10}, {minValueShare, false, 0}, {0, false, 0}, {0, true, 10}} {
+		h := newHarness(t, func(s *Settings) {
 			s.Tenants, s.NoGossip = nil, c.alone
 			s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: c.late}}
 		})
-		d := b.r.dest(4)
-		d.price = 2 // more than anything here is worth
-		d.lines[0].gap, d.lines[0].claimed = 100*ms, b.now
+		d := h.relay.destination(4)
+		d.minValue = 2 // more than any message here
+		d.routes[0].interval, d.routes[0].lastCall = 100*ms, h.now
 		var events []Event
 		for range 10 {
-			m := b.msg("notice", 4, "")
+			m := h.submission("notice", 4, "")
 			m.Tenant, m.TimeLeft = "", 12*sec
 			events = append(events, m)
 		}
-		if got := len(pick[Refuse](b.after(b.r.set.Tick, events...))); got != c.want {
-			t.Errorf("%g left at the deadline, alone %t: %d turned away, want %d", c.late, c.alone, got, c.want)
+		if got := len(actionsOf[Refuse](h.after(h.relay.cfg.Tick, events...))); got != c.want {
+			t.Errorf("late value %g, no gossip %t: %d refused, want %d", c.late, c.alone, got, c.want)
 		}
 	}
 }
 
-// What an earlier life took on and never tried is not handed back for its lateness: it goes out in its turn. What has come in since is.
-func TestTakenOnMeansTried(t *testing.T) {
+// Recovered messages without an attempt are not shed for lateness; new messages are.
+func TestRecoveredMessagesAreAttempted(t *testing.T) {
 	for _, kept := range []bool{false, true} {
-		b := start(t, func(s *Settings) { s.Tenants = nil })
-		b.r.dests[4].lines[0].gap, b.r.dests[4].lines[0].claimed = sec, b.now
+		h := newHarness(t, func(s *Settings) { s.Tenants = nil })
+		h.relay.destinations[4].routes[0].interval, h.relay.destinations[4].routes[0].lastCall = sec, h.now
 		var events []Event
 		for range 10 {
-			m := b.msg("safe", 4, "")
+			m := h.submission("safe", 4, "")
 			m.Tenant, m.TimeLeft, m.Recovered = "", 6*sec, kept
 			events = append(events, m)
 		}
-		gone := pick[Refuse](b.after(b.r.set.Tick, events...))
-		if kept && len(gone) > 0 {
-			t.Errorf("%d of ten that a restart found are given up", len(gone))
-		} else if !kept && len(gone) == 0 {
-			t.Errorf("of ten that come in at once for a slot of a second none gives way: the test shows nothing")
+		refused := actionsOf[Refuse](h.after(h.relay.cfg.Tick, events...))
+		if kept && len(refused) > 0 {
+			t.Errorf("%d of ten recovered messages are refused", len(refused))
+		} else if !kept && len(refused) == 0 {
+			t.Errorf("none of ten new messages is refused at one per second: the test shows nothing")
 		}
 	}
 }
 
-// A full hold takes its room from what has come in since, not from what a restart found untried.
-func TestHoldSparesWhatARestartFound(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Tenants, s.MaxPending, s.MaxConcurrentCalls = nil, 10, 1 })
-	b.r.dests[4].lines[0].waitTil = b.now + 3*sec
+// At the pending limit, new messages are shed, not recovered ones without an attempt.
+func TestPendingLimitSparesRecoveredMessages(t *testing.T) {
+	h := newHarness(t, func(s *Settings) { s.Tenants, s.MaxPending, s.MaxConcurrentCalls = nil, 10, 1 })
+	h.relay.destinations[4].routes[0].blockedUntil = h.now + 3*sec
 	var events []Event
 	for i := range 10 {
-		m := b.msg("safe", 4, "")
+		m := h.submission("safe", 4, "")
 		if m.Tenant, m.Recovered = "", i < 5; m.Recovered {
-			m.TimeLeft = 9 * sec // so that it is worth least
+			m.TimeLeft = 9 * sec // so that its value is lowest
 		}
 		events = append(events, m)
 	}
-	gone := pick[Refuse](b.after(b.r.set.Tick, events...))
-	if len(gone) == 0 {
-		t.Error("a full hold makes no room")
+	refused := actionsOf[Refuse](h.after(h.relay.cfg.Tick, events...))
+	if len(refused) == 0 {
+		t.Error("nothing is shed at the pending limit")
 	}
-	for _, r := range gone {
+	for _, r := range refused {
 		if r.ID <= 5 {
-			t.Errorf("%d, which a restart found, gives way", r.ID)
+			t.Errorf("recovered message %d is shed", r.ID)
 		}
 	}
 }
 
-// A message keeps the terms that it was taken on under, wherever new ones would loosen a rule; and new ones that are stricter bind it.
-func TestTermsOutlastAReload(t *testing.T) {
+// A message keeps the terms that it was accepted under where new ones would loosen a rule; stricter
+// ones apply.
+func TestTermsOutliveAReload(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		was, now       Class
 		age            Time
-		repeat, refuse bool // after a lost answer: it may go again; it may be handed back
+		repeat, refuse bool // after a lost answer: it may be repeated; it may be refused
 	}{
 		{"charge to alert", Class{Effect: Unsafe}, Class{Effect: Safe}, 0, false, false},
 		{"charge to order", Class{Effect: Unsafe}, Class{Effect: Keyed, RepeatWindow: 20 * sec}, 0, false, false},
@@ -181,144 +181,146 @@
 			s.Tenants, s.Classes = nil, []Class{class(k)}
 			return s
 		}
-		check := func(how string, b *bench, id uint32) {
-			m := b.r.msgs[id]
+		check := func(how string, h *harness, id uint32) {
+			m := h.relay.messages[id]
 			if m == nil {
-				t.Fatalf("%s, %s: not held", c.name, how)
+				t.Fatalf("%s, %s: not pending", c.name, how)
 			}
-			if got := b.r.mayRepeat(m); got != c.repeat {
-				t.Errorf("%s, %s: may go again: %v", c.name, how, got)
+			if got := h.relay.mayAttempt(m); got != c.repeat {
+				t.Errorf("%s, %s: may be repeated: %v", c.name, how, got)
 			}
 			if got := m.mayRefuse(); got != c.refuse {
-				t.Errorf("%s, %s: may be handed back: %v", c.name, how, got)
+				t.Errorf("%s, %s: may be refused: %v", c.name, how, got)
 			}
 		}
-		// The reload comes while it is held, and its answer was lost some time ago.
-		b := start(t, func(s *Settings) { *s = set(c.was) })
-		m := b.msg("x", 4, "")
+		// The settings are reloaded while the message is pending after a lost answer.
+		h := newHarness(t, func(s *Settings) { *s = set(c.was) })
+		m := h.submission("x", 4, "")
 		m.Tenant = ""
-		b.after(b.r.set.Tick, m)
-		held := b.r.msgs[m.ID]
-		held.mayHave, held.firstRisk, held.call = true, b.r.now-c.age, nil
-		if err := b.r.Reconfigure(set(c.now)); err != nil {
+		h.after(h.relay.cfg.Tick, m)
+		pending := h.relay.messages[m.ID]
+		pending.mayHaveRun, pending.uncertainSince, pending.call = true, h.relay.now-c.age, nil
+		if err := h.relay.Reconfigure(set(c.now)); err != nil {
 			t.Fatal(err)
 		}
-		check("reloaded", b, m.ID)
-		// The same over a restart.
-		b = start(t, func(s *Settings) { *s = set(c.now) })
-		b.r.dests[4].lines[0].waitTil = b.now + sec
-		m = b.msg("x", 4, "")
+		check("reloaded", h, m.ID)
+		// The same after a restart.
+		h = newHarness(t, func(s *Settings) { *s = set(c.now) })
+		h.relay.destinations[4].routes[0].blockedUntil = h.now + sec
+		m = h.submission("x", 4, "")
 		m.Tenant, m.Terms = "", c.was
-		b.r.now += b.r.set.Tick
-		b.r.arrive(m)
-		again := b.r.msgs[m.ID]
-		again.mayHave, again.firstRisk = true, b.r.now-c.age
-		check("restarted", b, m.ID)
+		h.relay.now += h.relay.cfg.Tick
+		h.relay.submit(m)
+		recovered := h.relay.messages[m.ID]
+		recovered.mayHaveRun, recovered.uncertainSince = true, h.relay.now-c.age
+		check("restarted", h, m.ID)
 	}
 }
 
-// What a destination told outlives its endpoints: they may all leave the list and come back, or others in their place.
-func TestWaitOutlivesTheEndpoints(t *testing.T) {
-	b := start(t, nil)
-	m := b.msg("safe", 4, "")
-	b.sent(b.after(5*ms, m), m.ID)
-	b.after(100*ms, AttemptEnded{ID: m.ID, Outcome: Rejected, Duration: 100 * ms, RetryAfter: 2 * sec})
-	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
-	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
+// A Retry-After outlives the endpoints of its destination: they may leave and return, or be
+// replaced.
+func TestRetryAfterOutlivesEndpoints(t *testing.T) {
+	h := newHarness(t, nil)
+	m := h.submission("safe", 4, "")
+	h.expectSent(h.after(5*ms, m), m.ID)
+	h.after(100*ms, AttemptEnded{ID: m.ID, Outcome: Rejected, Duration: 100 * ms, RetryAfter: 2 * sec})
+	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
+	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
 	for range 19 {
-		b.sent(b.after(100 * ms))
+		h.expectSent(h.after(100 * ms))
 	}
 	for range 60 {
-		if acts := b.after(100 * ms); len(pick[Send](acts)) > 0 {
-			b.sent(acts, m.ID)
+		if acts := h.after(100 * ms); len(actionsOf[Send](acts)) > 0 {
+			h.expectSent(acts, m.ID)
 			return
 		}
 	}
-	t.Error("it never goes")
+	t.Error("the message is never sent")
 }
 
-// A tenant that the settings don't name has nobody's share, and one that a reload took out has none any more.
-func TestUnknownTenantsTakeNoShare(t *testing.T) {
-	b := start(t, nil)
+// A tenant that the settings don't list, or no longer list, has no quota.
+func TestUnknownTenantsHaveNoQuota(t *testing.T) {
+	h := newHarness(t, nil)
 	for _, name := range []string{"a", "c", ""} {
-		if got := b.r.overShare(b.r.tenants[name]); got != (name != "a") {
-			t.Errorf("tenant %q is past its share: %v", name, got)
+		if got := h.relay.takeQuota(h.relay.tenants[name]); got != (name != "a") {
+			t.Errorf("tenant %q over its quota: %v", name, got)
 		}
 	}
 	s := testSettings()
 	s.Tenants = s.Tenants[1:]
-	if err := b.r.Reconfigure(s); err != nil {
+	if err := h.relay.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
-	if !b.r.overShare(b.r.tenants["a"]) {
-		t.Error("a tenant that was taken out has a share")
+	if !h.relay.takeQuota(h.relay.tenants["a"]) {
+		t.Error("a removed tenant has a quota")
 	}
 	s.Tenants = nil
-	b.r.Reconfigure(s)
-	if b.r.overShare(b.r.tenants["a"]) {
-		t.Error("where no tenant is named all are alike")
+	h.relay.Reconfigure(s)
+	if h.relay.takeQuota(h.relay.tenants["a"]) {
+		t.Error("over quota though no tenants are listed")
 	}
 }
 
-// Where routes are apart, what one told binds it alone, also if it leaves the list and comes back.
-func TestWaitOutlivesARoute(t *testing.T) {
-	b := start(t, nil)
-	m := b.msg("safe", 3, "")
-	first := b.sent(b.after(5*ms, m), m.ID)[0].Endpoint
-	other := b.sent(b.after(5*ms, AttemptEnded{ID: m.ID, Endpoint: first, Outcome: Rejected, Duration: 5 * ms, RetryAfter: 5 * sec}), m.ID)[0].Endpoint
-	told := b.now
-	b.after(5*ms, end(m.ID, 1, Delivered))
+// A Retry-After of a separate route applies to it alone, also after it leaves the list and returns.
+func TestRetryAfterOutlivesARoute(t *testing.T) {
+	h := newHarness(t, nil)
+	m := h.submission("safe", 3, "")
+	first := h.expectSent(h.after(5*ms, m), m.ID)[0].Endpoint
+	other := h.expectSent(h.after(5*ms, AttemptEnded{ID: m.ID, Endpoint: first, Outcome: Rejected, Duration: 5 * ms, RetryAfter: 5 * sec}), m.ID)[0].Endpoint
+	receivedAt := h.now
+	h.after(5*ms, attemptEnd(m.ID, 1, Delivered))
 	for _, address := range []string{first, other} {
-		b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
+		h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
 	}
-	b.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
-	m = b.msg("safe", 3, "")
-	b.sent(b.after(5*ms, m))
-	for b.now < told+12*sec {
-		if acts := b.after(100 * ms); len(pick[Send](acts)) > 0 {
-			if b.now < told+5*sec {
-				t.Errorf("%s is called %v behind its wait of 5 s", first, b.now-told)
+	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
+	m = h.submission("safe", 3, "")
+	h.expectSent(h.after(5*ms, m))
+	for h.now < receivedAt+12*sec {
+		if acts := h.after(100 * ms); len(actionsOf[Send](acts)) > 0 {
+			if h.now < receivedAt+5*sec {
+				t.Errorf("%s is called %v after a Retry-After of 5 s", first, h.now-receivedAt)
 			}
 			return
 		}
 	}
-	t.Error("it never goes")
+	t.Error("the message is never sent")
 }
 
-// A key that rests after an attempt that may still run goes on resting while a flood of other keys comes and goes, and is forgotten behind its rest.
-func TestKeyRestsThroughAFlood(t *testing.T) {
-	b := start(t, func(s *Settings) { s.KeyQuietTime, s.Tenants, s.MaxPending = 6*sec, nil, 1000 })
-	first, second := b.msg("unsafe", 4, "rests"), b.msg("unsafe", 4, "rests")
+// A key that is quiet after an attempt that may still run stays quiet while many other keys come
+// and go, and is forgotten afterwards.
+func TestKeyStaysQuietUnderLoad(t *testing.T) {
+	h := newHarness(t, func(s *Settings) { s.KeyQuietTime, s.Tenants, s.MaxPending = 6*sec, nil, 1000 })
+	first, second := h.submission("unsafe", 4, "rests"), h.submission("unsafe", 4, "rests")
 	first.Tenant, second.Tenant = "", ""
-	b.sent(b.after(5*ms, first), first.ID)
-	lost := b.now
-	b.after(5*ms, AttemptEnded{ID: first.ID, Outcome: ConnectionLost, Duration: 5 * ms})
-	come := false
-	for b.now < lost+10*sec {
+	h.expectSent(h.after(5*ms, first), first.ID)
+	lost := h.now
+	h.after(5*ms, AttemptEnded{ID: first.ID, Outcome: ConnectionLost, Duration: 5 * ms})
+	submitted := false
+	for h.now < lost+10*sec {
 		var events []Event
-		if !come && b.now > lost+5*sec { // nothing of the key is held until then
-			come, events = true, append(events, second)
+		if !submitted && h.now > lost+5*sec { // no message of the key is pending until then
+			submitted, events = true, append(events, second)
 		}
 		for range 5 {
-			m := b.msg("unsafe", 1, fmt.Sprint("k", b.id))
+			m := h.submission("unsafe", 1, fmt.Sprint("k", h.id))
 			m.Tenant, m.TimeLeft = "", 300*ms
 			events = append(events, m)
 		}
-		for _, s := range pick[Send](b.after(100*ms, events...)) {
+		for _, s := range actionsOf[Send](h.after(100*ms, events...)) {
 			if s.ID == second.ID {
-				if b.now < lost+6*sec {
-					t.Errorf("its key rests for 6 s, and it goes after %v", b.now-lost)
+				if h.now < lost+6*sec {
+					t.Errorf("sent after %v, in the key's quiet time of 6 s", h.now-lost)
 				}
-				b.after(5*ms, end(second.ID, 0, Delivered))
-				b.after(3 * sec)
-				b.after(3 * sec)
-				if n := len(b.r.keys); b.r.keys["rests"] != nil || n > 5 { // those of the last turn are out
-					t.Errorf("%d keys are kept", n)
+				h.after(5*ms, attemptEnd(second.ID, 0, Delivered))
+				h.after(3 * sec)
+				h.after(3 * sec)
+				if n := len(h.relay.keys); h.relay.keys["rests"] != nil || n > 5 { // those of the last step are in flight
+					t.Errorf("%d keys are still known", n)
 				}
 				return
 			}
-			b.step(end(s.ID, 0, Delivered))
+			h.step(attemptEnd(s.ID, 0, Delivered))
 		}
 	}
-	t.Error("it never goes")
+	t.Error("the second message is never sent")
 }
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -5,66 +5,65 @@
 	"time"
 )
 
-// What many senders with one call each send to a line that ramps is what their rates add up to, wherever in its slot each of them was as
-// the ramp began: a slot that shortens while they wait for it lets no more of them go.
-func TestManySendersRampByTheSumOfTheirRates(t *testing.T) {
-	const senders = 400
-	b := start(t, func(s *Settings) { s.Relays = senders })
-	r := b.r
-	base := r.dests[4].lines[0]
-	base.state, base.rampAt = ramping, r.now
-	rampAt, first := r.now, r.coldGap(base)
-	var lines []*line
-	for i := range senders {
-		l := *base
-		l.claimed, l.jitter = rampAt-first*time.Duration(i)/senders, 1
-		lines = append(lines, &l)
+// Calls of many relays to a ramping route add up to the ramp's rate, wherever in its interval each
+// relay was at the start of the ramp.
+func TestRampOfManyRelaysAddsUp(t *testing.T) {
+	const relays = 400
+	h := newHarness(t, func(s *Settings) { s.Relays = relays })
+	r := h.relay
+	base := r.destinations[4].routes[0]
+	base.health, base.rampStart = ramping, r.now
+	rampAt, first := r.now, r.coldInterval(base)
+	var lines []*route
+	for i := range relays {
+		rt := *base
+		rt.lastCall, rt.jitter = rampAt-first*time.Duration(i)/relays, 1
+		lines = append(lines, &rt)
 	}
 	sent, due := 0, 0.0
 	const step = 10 * time.Millisecond
-	for ; r.now < rampAt+r.set.WarmUpTime; r.now += step {
-		warm := r.set.ColdStartShare + (1-r.set.ColdStartShare)*float64(r.now-rampAt)/float64(r.set.WarmUpTime)
-		due += senders * step.Seconds() / first.Seconds() * warm / r.set.ColdStartShare
-		for _, l := range lines {
-			if r.now >= l.claimed+r.coldGap(l) {
+	for ; r.now < rampAt+r.cfg.WarmUpTime; r.now += step {
+		warm := r.cfg.ColdStartShare + (1-r.cfg.ColdStartShare)*float64(r.now-rampAt)/float64(r.cfg.WarmUpTime)
+		due += relays * step.Seconds() / first.Seconds() * warm / r.cfg.ColdStartShare
+		for _, rt := range lines {
+			if r.now >= rt.lastCall+r.coldInterval(rt) {
 				sent++
-				l.claimed = r.now
+				rt.lastCall = r.now
 			}
 		}
 		if over := float64(sent) - 1.1*due; over > 10 {
-			t.Fatalf("%v into the ramp %d calls were sent, the rates add up to %.0f", r.now-rampAt, sent, due)
+			t.Fatalf("%v after the start of the ramp, %d calls were sent, want %.0f", r.now-rampAt, sent, due)
 		}
 	}
 	if float64(sent) < 0.9*due {
-		t.Errorf("%d calls were sent in the ramp, the rates add up to %.0f", sent, due)
+		t.Errorf("%d calls were sent in the ramp, want %.0f", sent, due)
 	}
 }
 
-// A call that was given up before its line's usual latency tells nothing of the line: its message was nearly out of time. One that had
-// that long tells of it.
-func TestEarlyTimeOutTellsNothingOfTheLine(t *testing.T) {
+// A timeout before the route's usual latency is no failure of the route; a later one is.
+func TestEarlyTimeoutIsNoFailure(t *testing.T) {
 	for _, c := range []struct {
 		took time.Duration
 		runs int
 	}{{60 * time.Millisecond, 0}, {99 * time.Millisecond, 0}, {100 * time.Millisecond, 5}, {time.Second, 5}} {
-		b := start(t, nil)
-		l := b.r.dests[4].lines[0]
-		l.latency, l.recent, l.lastOK = 100*time.Millisecond, 100*time.Millisecond, b.r.now
+		h := newHarness(t, nil)
+		rt := h.relay.destinations[4].routes[0]
+		rt.latency, rt.recentLatency, rt.lastSuccess = 100*time.Millisecond, 100*time.Millisecond, h.relay.now
 		for range 5 {
-			b.r.now += time.Second
-			out := &call{ep: l.eps[0], sentAt: b.r.now}
-			b.r.now += c.took
-			b.r.failed(l, out, TimedOut)
+			h.relay.now += time.Second
+			lost := &call{endpoint: rt.endpoints[0], sentAt: h.relay.now}
+			h.relay.now += c.took
+			h.relay.recordFailure(rt, lost, TimedOut)
 		}
-		if l.hardRun != c.runs || (l.gap > 0) != (c.runs > 0) {
-			t.Errorf("time-outs after %v: %d in a row, slot %v", c.took, l.hardRun, l.gap)
+		if rt.failed != c.runs || (rt.interval > 0) != (c.runs > 0) {
+			t.Errorf("timeouts after %v: %d failures in a row, interval %v", c.took, rt.failed, rt.interval)
 		}
 	}
 }
 
-// A time-out of a message that had less time left than its line's usual latency tells nothing of the line. One that a keyed window could cut as short
-// might hide a slow destination that hangs: it tells of it, since such a call is given its message's whole time (Relay.timeout).
-func TestTimeOutForWantOfTimeTellsNothingOfTheLine(t *testing.T) {
+// A timeout of a message that was about to expire is no failure of the route. One with a short
+// repeat window is, since its attempt gets the whole time left.
+func TestTimeoutOfExpiringMessageIsNoFailure(t *testing.T) {
 	const usual = 900 * time.Millisecond
 	for _, c := range []struct {
 		name  string
@@ -72,42 +71,42 @@
 		left  time.Duration
 		runs  int
 	}{{"nearly out of time", "safe", 800 * time.Millisecond, 0}, {"with time", "safe", 0, 1}, {"cut by its window", "keyed", 0, 1}} {
-		b := start(t, func(s *Settings) {
+		h := newHarness(t, func(s *Settings) {
 			for i := range s.Classes {
 				if s.Classes[i].Effect == Keyed {
 					s.Classes[i].RepeatWindow = time.Second
 				}
 			}
 		})
-		l := b.r.dests[4].lines[0]
-		l.latency, l.recent = usual, usual
-		m := b.msg(c.class, 4, "")
+		rt := h.relay.destinations[4].routes[0]
+		rt.latency, rt.recentLatency = usual, usual
+		m := h.submission(c.class, 4, "")
 		if c.left > 0 {
 			m.TimeLeft = c.left
 		}
-		acts := b.step(m)
-		b.sent(acts, 1)
-		b.after(min(acts[0].(Send).Timeout, 20*time.Second), end(1, 0, TimedOut))
-		if l.hardRun != c.runs {
-			t.Errorf("%s: %d failures in a row, want %d", c.name, l.hardRun, c.runs)
+		acts := h.step(m)
+		h.expectSent(acts, 1)
+		h.after(min(acts[0].(Send).Timeout, 20*time.Second), attemptEnd(1, 0, TimedOut))
+		if rt.failed != c.runs {
+			t.Errorf("%s: %d failures in a row, want %d", c.name, rt.failed, c.runs)
 		}
 	}
 }
 
-// Where calls are scarce, none goes to a message that has less time left than an answer usually takes: the next one goes. Where they are not,
-// it is tried.
-func TestScarceCallsGoToMessagesWithTime(t *testing.T) {
-	for _, limited := range []bool{false, true} {
-		b := start(t, nil)
-		l := b.r.dests[4].lines[0]
-		l.latency, l.recent = 200*time.Millisecond, 200*time.Millisecond
-		short := b.msg("safe", 4, "")
+// A paced call goes to a message that has time for the usual answer. Without pacing, every message
+// gets an attempt.
+func TestPacedCallsGoToMessagesWithTime(t *testing.T) {
+	for _, paced := range []bool{false, true} {
+		h := newHarness(t, nil)
+		rt := h.relay.destinations[4].routes[0]
+		rt.latency, rt.recentLatency = 200*time.Millisecond, 200*time.Millisecond
+		short := h.submission("safe", 4, "")
 		short.TimeLeft = 150 * time.Millisecond
-		if limited {
-			l.gap, l.claimed, l.jitter = 300*time.Millisecond, b.r.now-time.Second, 1
-			b.sent(b.step(short, b.msg("safe", 4, "")), 2)
+		if paced {
+			rt.interval, rt.lastCall, rt.jitter = 300*time.Millisecond, h.relay.now-time.Second, 1
+			h.expectSent(h.step(short, h.submission("safe", 4, "")), 2)
 		} else {
-			b.sent(b.step(short), 1)
+			h.expectSent(h.step(short), 1)
 		}
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,6 @@
 package policy
 
-// What a relay keeps in memory: types and plain helpers, no decision.
+// This file holds the relay's state: types and helpers, but no decisions.
 
 import (
 	"fmt"
@@ -15,46 +15,46 @@
 	"oatfold/internal/keepalive"
 )
 
-// message is a message that this relay owes an answer for, or has an attempt out for.
+// message is a message that this relay owes an answer or has an attempt in flight for.
 type message struct {
-	id                       uint32
-	class                    *Class
-	tenant                   *tenant
-	key                      *key
-	dest                     *destination
-	arrived, aimAt, deadline Time
-	tries                    int
-	call                     *call // the attempt that is out
-	sentAt                   Time
-	answered                 bool
-	extra                    bool // past its tenant's share
-	kept                     bool // a process before this one took it on
-	mayHave                  bool // some attempt may have run
-	firstRisk                Time // when the first such attempt was sent
-	riskZone                 string
+	id                          uint32
+	class                       *Class
+	tenant                      *tenant
+	key                         *orderingKey
+	dest                        *destination
+	arrived, targetAt, deadline Time
+	attempts                    int
+	call                        *call // the attempt in flight
+	sentAt                      Time
+	answered                    bool
+	overQuota                   bool // its tenant was over its quota
+	recovered                   bool // accepted by an earlier process
+	mayHaveRun                  bool // some attempt may have run
+	uncertainSince              Time // when the first such attempt was sent
+	uncertainZone               string
 }
 
-// call is one call that is out; a batch shares one.
+// call is a call in flight; the messages of a batch share one.
 type call struct {
-	ep     *endpoint
-	sentAt Time
-	left   int
-	judged bool
-	again  bool          // sent soon after a refusal
-	idle   time.Duration // how long its connection had been unused; 0: it is new, or carries other calls
+	endpoint       *endpoint
+	sentAt         Time
+	unfinished     int // messages whose attempt has not ended
+	assessed       bool
+	afterRejection bool          // sent soon after a rejection
+	idleFor        time.Duration // how long its connection had been unused; 0: new, or shared with other calls
 }
 
-// key is the queue of an ordered key, in order of arrival.
-type key struct {
-	queue   []*message
-	quiet   Time
-	quietBy *message
+// orderingKey is the queue of an ordering key, in order of arrival.
+type orderingKey struct {
+	queue      []*message
+	quietUntil Time
+	quietFor   *message // message whose attempt may still run
 }
 
-// rest keeps the key's messages until that time. No key has nothing to keep.
-func (k *key) rest(til Time) {
+// quietAtLeastUntil delays the key's messages until that time. A nil key has none.
+func (k *orderingKey) quietAtLeastUntil(until Time) {
 	if k != nil {
-		k.quiet = max(k.quiet, til)
+		k.quietUntil = max(k.quietUntil, until)
 	}
 }
 
@@ -65,118 +65,119 @@
 }
 
 type endpoint struct {
-	noConnAt Time // when a connection to it last failed
+	connFailedAt Time // when a connection to it last failed
 	Endpoint
-	dest               *destination
-	line               *line
-	skipped            bool    // it gets no usual work
-	calls, fails       int     // calls out, and failed in a row
-	lastFail, lastUsed Time    // lastUsed: when a call last began or ended
-	whim               float64 // this relay's own order among endpoints that are alike
-	connCap            float64 // calls at once that it seems to take connections for; 0: not known
-	far                bool    // not one of those that this relay keeps connections to
+	dest                  *destination
+	route                 *route
+	skipped               bool    // gets no regular traffic
+	calls, failures       int     // calls in flight, and failures in a row
+	lastFailure, lastUsed Time    // lastUsed: when a call last began or ended
+	tieBreak              float64 // this relay's own order among equal endpoints
+	connLimit             float64 // calls at once that it seems to accept connections for; 0: unknown
+	outsideSubset         bool    // this relay keeps no connections to it
 }
 
-// lineState is what a line is taken for.
-type lineState int
+// routeHealth is the assumed health of a route.
+type routeHealth int
 
 const (
-	healthy lineState = iota
-	out               // an outage: trickle
-	ramping           // back, and cold
+	healthy routeHealth = iota
+	down                // only probe traffic
+	ramping             // recovered, but cold
 )
 
-// line is what has one slot: a destination, or a route of one where routes are apart.
-type line struct {
-	dest             *destination
-	hash             uint64 // of what it is named by, alike at all relays
-	eps              []*endpoint
-	calls            []*call
-	gap              time.Duration // the slot's length
-	calmGap          time.Duration // and as of the last success outside an outage
-	claimed, grownAt Time
-	countsTil        Time // until then, refused calls are taken to use up its limit
-	refusedAt        Time
-	jitter           float64
-	waitTil          Time // end of a told wait
-	nextAt           Time // no call goes before, whatever the slot
-	state            lineState
-	rampAt           Time
-	run, hardRun     int  // calls in a row without a success, and failures among them
-	swallows         bool // one of those failures may have run
-	runAt, lastOK    Time // when that run began, and the last success
-	bad              float64
-	latency, recent  time.Duration // usual, and of late
-	served           int
-	rate             float64 // calls a second that it takes from all senders, as told or listed; 0 if neither
-	told, pressed    bool    // told: by an answer
-	spanAt           Time
-	ownRate          float64    // calls a second that it has served this relay
-	usual            RouteStats // what the fleet sees of it
-	heardAt          Time       // when that was heard; 0: never
+// route is what calls are paced for: a destination, or one endpoint of it where routes are
+// separate.
+type route struct {
+	dest                     *destination
+	hash                     uint64 // equal at all relays
+	endpoints                []*endpoint
+	calls                    []*call
+	interval                 time.Duration // pacing interval
+	healthyInterval          time.Duration // pacing interval at the last success outside an outage
+	lastCall, lengthenedAt   Time
+	rejectionsCountUntil     Time // until then, rejected calls are assumed to count against the rate limit
+	rejectedAt               Time
+	jitter                   float64
+	blockedUntil             Time // end of a Retry-After
+	notBefore                Time // no call before it, whatever the interval
+	health                   routeHealth
+	rampStart                Time
+	unsuccessful, failed     int  // calls in a row without success, and failures among them
+	mayHaveRun               bool // one of those failures may have run
+	runStart, lastSuccess    Time // runStart: when that run began
+	failureShare             float64
+	latency, recentLatency   time.Duration
+	served                   int
+	rate                     float64 // calls per second from all relays, as reported or listed; 0: unknown
+	rateReported, wasAtLimit bool    // rateReported: by an answer
+	spanStart                Time
+	servedRate               float64    // calls per second served to this relay
+	fleet                    RouteStats // latest fleet update
+	fleetAt                  Time       // 0: never
 }
 
 type destination struct {
-	demand  float64 // messages a second that come in for it here, averaged over rateMemory
-	lastIn  Time
-	id      int
-	kind    *Kind
-	lines   []*line
-	waitTil Time            // told to endpoints that have all left
-	routes  map[string]Time // the same of routes apart, by address
-	calls   int
-	queue   int // messages waiting, as of step counted
-	counted int
-	pace    float64 // messages a second that it can be expected to take; 0: any
-	freeAt  Time    // when its first slot ends
-	price   float64 // worth that a message has to fetch to wait there, from what was turned away of late
+	demand        float64 // messages per second that arrive for it here, averaged over rateWindow
+	lastArrival   Time
+	id            int
+	kind          *Kind
+	routes        []*route
+	blockedUntil  Time            // end of a Retry-After of endpoints that have all left
+	blockedRoutes map[string]Time // the same for separate routes, by address
+	calls         int
+	queued        int // messages waiting, as of countedStep
+	countedStep   int
+	expectedRate  float64 // messages per second that it is expected to accept; 0: unlimited
+	freeAt        Time    // earliest time of the next call
+	minValue      float64 // value that a message needs to wait here, from those recently rejected
 }
 
-// Relay makes the decisions of one relay. It is not safe for concurrent use.
+// Relay is the policy engine of one relay. It is not safe for concurrent use.
 type Relay struct {
-	set             Settings
-	rng             *rand.Rand
-	now, wakeAt     Time
-	booted          bool
-	stopping        bool
-	classes         map[string]*Class
-	tenants         map[string]*tenant
-	kinds           map[string]*Kind
-	fees            map[string]float64
-	msgs            map[uint32]*message
-	held            []*message // in order of arrival
-	keys            map[string]*key
-	dests           map[int]*destination
-	eps             map[string]*endpoint
-	calls           int
-	quota, arriving float64 // messages a second: of all tenants, and coming in here
-	lastIn, askAt   Time
-	askTries, done  int
-	shedAt, paceAt  Time
-	pace            float64           // messages a second that attempts have ended for
-	again           map[*Kind]float64 // share of calls soon after a refusal that were taken
-	soon            map[*Kind]float64 // share of failed connections after which the endpoint answered within the aim
-	noConn          map[*Kind]Time    // when one of its endpoints last took no connection
-	spare           []*endpoint       // whose calls have ended in this step
-	idle            keepalive.Trust   // in connections that were unused for a while
-	short           time.Duration     // for how long call slots have been short, of late
-	aim             time.Duration     // the shortest aim
-	patience        time.Duration     // the longest deadline
-	turn            time.Duration     // the first slot: a few attempts fit into the shortest aim
-	atOnce          time.Duration     // a connection that fails within it was refused, not left unanswered
-	out             []*call           // the calls that are out
-	lent            []*call           // of these, the ones of the process before
-	skipped         int               // endpoints that get no usual work
-	steps           int
-	acts            []Action
-	reach           SitePlan
+	cfg                              Settings
+	rng                              *rand.Rand
+	now, timerAt                     Time
+	started                          bool
+	stopping                         bool
+	classes                          map[string]*Class
+	tenants                          map[string]*tenant
+	kinds                            map[string]*Kind
+	fees                             map[string]float64
+	messages                         map[uint32]*message
+	pending                          []*message // in order of arrival
+	keys                             map[string]*orderingKey
+	destinations                     map[int]*destination
+	endpoints                        map[string]*endpoint
+	calls                            int
+	quota, arrivalRate               float64 // messages per second: of all tenants, and arriving here
+	lastArrival, subscribeAt         Time
+	subscribeFailures, attemptsEnded int
+	lastShed, spanStart              Time
+	completionRate                   float64           // attempts that end per second
+	retryAccepted                    map[*Kind]float64 // share of calls soon after a rejection that were accepted
+	quickRecovery                    map[*Kind]float64 // share of failed connections soon followed by a success
+	connRefused                      map[*Kind]Time    // when an endpoint of the kind last refused a connection
+	freed                            []*endpoint       // endpoints whose calls ended in this step
+	reuse                            keepalive.Trust   // in connections that were unused for a while
+	shortage                         time.Duration     // how long all calls have been in use recently
+	minTarget                        time.Duration     // of all classes
+	maxDeadline                      time.Duration     // of all classes
+	firstInterval                    time.Duration     // allows a few attempts within the shortest target latency
+	quickFailure                     time.Duration     // a connection that fails within it was refused, not unanswered
+	inFlight                         []*call
+	inherited                        []*call // calls in flight of the previous process
+	skipped                          int     // endpoints that get no regular traffic
+	steps                            int
+	actions                          []Action
+	sitePlan                         SitePlan
 }
 
-// hash is a number for a line that all relays make alike.
-func hash(d *destination, en Endpoint) uint64 {
+// slotHash returns a number for a route that is the same at all relays.
+func slotHash(d *destination, entry Endpoint) uint64 {
 	h := fnv.New64a()
 	if d.kind.SeparateRoutes {
-		io.WriteString(h, en.Address)
+		io.WriteString(h, entry.Address)
 	} else {
 		fmt.Fprint(h, d.id)
 	}
@@ -187,20 +188,21 @@
 	return slices.DeleteFunc(list, func(y T) bool { return x == y })
 }
 
-func part(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
+func scale(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (r *Relay) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Relay) emit(a Action) { r.actions = append(r.actions, a) }
 
-func (r *Relay) note(format string, args ...any) { r.do(LogLine{fmt.Sprintf(format, args...)}) }
+func (r *Relay) logf(format string, args ...any) { r.emit(LogLine{fmt.Sprintf(format, args...)}) }
 
-// SkippedEndpoints counts the listed endpoints that get no usual work: they drain, or their line is out.
+// SkippedEndpoints returns the number of listed endpoints without regular traffic: they drain, or
+// their route is down.
 func (r *Relay) SkippedEndpoints() int { return r.skipped }
 
-// reckon books whether ep is one of them.
-func (r *Relay) reckon(ep *endpoint) {
-	if skipped := ep.State == Draining || ep.State == Listed && ep.line.state == out; skipped != ep.skipped {
+// updateSkipped records whether ep gets regular traffic.
+func (r *Relay) updateSkipped(ep *endpoint) {
+	if skipped := ep.State == Draining || ep.State == Listed && ep.route.health == down; skipped != ep.skipped {
 		if ep.skipped = skipped; skipped {
 			r.skipped++
 		} else {
@@ -209,62 +211,63 @@
 	}
 }
 
-// countFailure books one more failed call in a row.
-func (l *line) countFailure(o Outcome) {
-	l.hardRun++
-	l.swallows = l.swallows || o != ConnectFailed && o != RequestIncomplete
+// countFailure records one more failed call in a row.
+func (rt *route) countFailure(o Outcome) {
+	rt.failed++
+	rt.mayHaveRun = rt.mayHaveRun || o != ConnectFailed && o != RequestIncomplete
 }
 
-// meanRamp is for how long the line had ramped, in the mean of all moments since its last call; before its ramp that counts as nought.
-func (l *line) meanRamp(now Time) float64 {
-	ramped, before := float64(now-l.rampAt), float64(max(0, l.claimed-l.rampAt))
-	if now <= l.claimed {
+// meanRampTime returns how long the route had ramped, averaged over the time since its last call;
+// time before the ramp counts as 0.
+func (rt *route) meanRampTime(now Time) float64 {
+	ramped, before := float64(now-rt.rampStart), float64(max(0, rt.lastCall-rt.rampStart))
+	if now <= rt.lastCall {
 		return ramped
 	}
-	return (ramped*ramped - before*before) / 2 / float64(now-l.claimed)
+	return (ramped*ramped - before*before) / 2 / float64(now-rt.lastCall)
 }
 
-func (l *line) slow() bool { return l.recent > slowLatencies*l.latency }
+func (rt *route) slow() bool { return rt.recentLatency > slowLatencies*rt.latency }
 
-// warm tells whether ep seems to have an open connection.
-func (r *Relay) warm(ep *endpoint) bool {
-	return ep.lastUsed > 0 && (r.set.IdleConnTimeout == 0 || r.now-ep.lastUsed < r.set.IdleConnTimeout)
+// hasWarmConn reports whether ep seems to have an open connection.
+func (r *Relay) hasWarmConn(ep *endpoint) bool {
+	return ep.lastUsed > 0 && (r.cfg.IdleConnTimeout == 0 || r.now-ep.lastUsed < r.cfg.IdleConnTimeout)
 }
 
-// become moves the line to another state.
-func (r *Relay) become(l *line, s lineState) {
-	l.state = s
-	for _, ep := range l.eps {
-		r.reckon(ep)
+func (r *Relay) setHealth(rt *route, s routeHealth) {
+	rt.health = s
+	for _, ep := range rt.endpoints {
+		r.updateSkipped(ep)
 	}
 }
 
-// average books one arrival in a rate over rateMemory.
-func (r *Relay) average(rate float64, last Time) float64 {
-	w := rateMemory.Seconds()
+// addArrival returns the rate over rateWindow after one more arrival.
+func (r *Relay) addArrival(rate float64, last Time) float64 {
+	w := rateWindow.Seconds()
 	return rate*max(0, 1-(r.now-last).Seconds()/w) + 1/w
 }
 
-// worthAt is the share of its worth that m has left at the given time.
-func (r *Relay) worthAt(m *message, at Time) float64 {
+// valueShareAt returns the share of its value that m has at the given time.
+func (r *Relay) valueShareAt(m *message, at Time) float64 {
 	c := m.class
-	late := float64(at - m.aimAt)
+	late := float64(at - m.targetAt)
 	switch {
 	case late <= 0:
 		return 1
 	case at >= m.deadline:
 		return 0
-	case r.set.ExponentialDecay:
+	case r.cfg.ExponentialDecay:
 		return max(c.LateValue, math.Exp2(-late/float64(c.TargetLatency)))
 	}
 	return 1 - (1-c.LateValue)*late/float64(c.Deadline-c.TargetLatency)
 }
 
-// owedTry tells whether m was taken on by an earlier process and has not been tried yet.
-func (m *message) owedTry() bool { return m.kept && m.tries == 0 }
+// owedAttempt reports whether m was accepted by an earlier process and has had no attempt yet.
+func (m *message) owedAttempt() bool { return m.recovered && m.attempts == 0 }
 
-// under is c for a message that was taken on under other terms: wherever c would loosen a rule for it, those stay.
-func (c *Class) under(was Class) *Class {
+// underTerms returns c for a message that was accepted under other terms. Where c would loosen a
+// rule for it, the earlier terms stay.
+func (c *Class) underTerms(was Class) *Class {
 	now := *c
 	if now.Effect = max(c.Effect, was.Effect); now.Effect == Keyed && was.Effect == Keyed {
 		now.ZoneOnly = was.ZoneOnly || c.ZoneOnly
@@ -278,8 +281,8 @@
 	return &now
 }
 
-// unlisted forgets the tenants that settings don't name any more.
-func unlisted(known map[string]*tenant, listed []Tenant) {
+// dropUnlisted deletes the tenants that the settings no longer list.
+func dropUnlisted(known map[string]*tenant, listed []Tenant) {
 	for name := range known {
 		if !slices.ContainsFunc(listed, func(t Tenant) bool { return t.Name == name }) {
 			delete(known, name)
@@ -287,58 +290,59 @@
 	}
 }
 
-// lineOf is the line that news tell of; nil: none that this relay knows.
-func (r *Relay) lineOf(u RouteStats) *line {
-	if ep := r.eps[u.Endpoint]; ep != nil && ep.dest.kind.SeparateRoutes {
-		return ep.line
+// routeOf returns the route that the statistics are about; nil: unknown.
+func (r *Relay) routeOf(u RouteStats) *route {
+	if ep := r.endpoints[u.Endpoint]; ep != nil && ep.dest.kind.SeparateRoutes {
+		return ep.route
 	}
-	if d := r.dests[u.Destination]; u.Endpoint == "" && d != nil && len(d.lines) == 1 && !d.kind.SeparateRoutes {
-		return d.lines[0]
+	if d := r.destinations[u.Destination]; u.Endpoint == "" && d != nil &&
+		len(d.routes) == 1 && !d.kind.SeparateRoutes {
+		return d.routes[0]
 	}
 	return nil
 }
 
-func (r *Relay) dest(id int) *destination {
-	d := r.dests[id]
+// destination returns the destination with that id and creates it if needed.
+func (r *Relay) destination(id int) *destination {
+	d := r.destinations[id]
 	if d == nil {
 		d = &destination{id: id, kind: &Kind{MaxBatch: 1}}
-		r.dests[id] = d
+		r.destinations[id] = d
 	}
 	return d
 }
 
-// leave takes ep out of its line, which goes with its last endpoint. What a destination told binds those that come in
-// its place; where routes are apart, what one told binds it alone, if it comes back.
-func (ep *endpoint) leave(now Time) {
-	if ep.line.eps = without(ep.line.eps, ep); len(ep.line.eps) > 0 {
+// removeFromRoute removes ep from its route, and the route with its last endpoint. A Retry-After
+// outlives the endpoints: it holds for their replacements, or for a separate route that returns.
+func (ep *endpoint) removeFromRoute(now Time) {
+	if ep.route.endpoints = without(ep.route.endpoints, ep); len(ep.route.endpoints) > 0 {
 		return
 	}
 	d := ep.dest
-	if d.lines = without(d.lines, ep.line); !d.kind.SeparateRoutes {
-		d.waitTil = ep.line.waitTil
+	if d.routes = without(d.routes, ep.route); !d.kind.SeparateRoutes {
+		d.blockedUntil = ep.route.blockedUntil
 		return
 	}
-	maps.DeleteFunc(d.routes, func(_ string, til Time) bool { return til <= now })
-	if ep.line.waitTil > now {
-		if d.routes == nil {
-			d.routes = map[string]Time{}
+	maps.DeleteFunc(d.blockedRoutes, func(_ string, until Time) bool { return until <= now })
+	if ep.route.blockedUntil > now {
+		if d.blockedRoutes == nil {
+			d.blockedRoutes = map[string]Time{}
 		}
-		d.routes[ep.Address] = ep.line.waitTil
+		d.blockedRoutes[ep.Address] = ep.route.blockedUntil
 	}
 }
 
-// release forgets m.
-func (r *Relay) release(m *message) {
-	delete(r.msgs, m.id)
+func (r *Relay) forget(m *message) {
+	delete(r.messages, m.id)
 	if m.key != nil {
 		m.key.queue = without(m.key.queue, m)
 	}
 }
 
-// keepTo books which endpoints of a destination this relay keeps connections to. Idle connections to others are closed, and those that carry
-// calls as soon as they carry none.
-func (r *Relay) keepTo(e Subset) {
-	d := r.dests[e.Destination]
+// setSubset records which endpoints of a destination this relay keeps connections to. Connections
+// to others are closed when idle.
+func (r *Relay) setSubset(e Subset) {
+	d := r.destinations[e.Destination]
 	if d == nil {
 		return
 	}
@@ -346,66 +350,67 @@
 	for _, address := range e.Endpoints {
 		named[address] = true
 	}
-	for _, l := range d.lines {
-		for _, ep := range l.eps {
-			ep.far = len(named) > 0 && !named[ep.Address]
-			if ep.far && ep.calls == 0 && ep.lastUsed > 0 {
-				r.do(CloseIdle{ep.Address})
+	for _, rt := range d.routes {
+		for _, ep := range rt.endpoints {
+			ep.outsideSubset = len(named) > 0 && !named[ep.Address]
+			if ep.outsideSubset && ep.calls == 0 && ep.lastUsed > 0 {
+				r.emit(CloseIdle{ep.Address})
 				ep.lastUsed = 0
 			}
 		}
 	}
 }
 
-// sites takes what holds for sites; without a plan all is open.
-func (r *Relay) sites(e SitesUpdate) {
-	if r.reach = e.Plan; r.reach == nil {
-		r.reach = anywhere{}
+// updateSites replaces the plan for sites; without one, every endpoint is allowed.
+func (r *Relay) updateSites(e SitesUpdate) {
+	if r.sitePlan = e.Plan; r.sitePlan == nil {
+		r.sitePlan = noSitePlan{}
 	}
-	for _, ep := range r.eps {
+	for _, ep := range r.endpoints {
 		if e.ReturnedZone != "" && ep.Zone == e.ReturnedZone {
-			ep.fails = 0
+			ep.failures = 0
 		}
 		elsewhere := func(o *endpoint) bool { return o.Zone != e.ColdZone }
-		if l := ep.line; e.ColdZone != "" && l.state == healthy && !slices.ContainsFunc(l.eps, elsewhere) {
-			l.rampAt = r.now
-			r.become(l, ramping)
+		if rt := ep.route; e.ColdZone != "" && rt.health == healthy && !slices.ContainsFunc(rt.endpoints, elsewhere) {
+			rt.rampStart = r.now
+			r.setHealth(rt, ramping)
 		}
 	}
 }
 
-// anywhere is the reach of a relay without a plan for sites.
-type anywhere struct{}
+// noSitePlan allows everything.
+type noSitePlan struct{}
 
-func (anywhere) Allows(int, string, bool) bool { return true }
-func (anywhere) CallSent(int, string)          {}
-func (anywhere) EndpointCost(string) float64   { return 0 }
-func (anywhere) ShedPriority(string) float64   { return 0 }
-func (anywhere) MaxAttempts(_, most int) int   { return most }
-func (anywhere) SiteLost() bool                { return false }
+func (noSitePlan) Allows(int, string, bool) bool { return true }
+func (noSitePlan) CallSent(int, string)          {}
+func (noSitePlan) EndpointCost(string) float64   { return 0 }
+func (noSitePlan) ShedPriority(string) float64   { return 0 }
+func (noSitePlan) MaxAttempts(_, most int) int   { return most }
+func (noSitePlan) SiteLost() bool                { return false }
 
-// allowed tells whether m may go to ep as far as its group is concerned.
-func allowed(m *message, ep *endpoint) bool {
-	return !m.mayHave || !m.class.ZoneOnly || ep.Zone == m.riskZone
+// zoneAllowed reports whether repeats of m are dropped in the zone of ep, or m needs no such zone.
+func zoneAllowed(m *message, ep *endpoint) bool {
+	return !m.mayHaveRun || !m.class.ZoneOnly || ep.Zone == m.uncertainZone
 }
 
-// open tells whether m may go to ep now, by its group and by the plan for sites.
-func (r *Relay) open(m *message, ep *endpoint) bool {
-	return allowed(m, ep) && r.reach.Allows(m.dest.id, ep.Zone, m.class.Effect == Unsafe)
+// maySendTo reports whether m may go to ep now, by its zone and by the plan for sites.
+func (r *Relay) maySendTo(m *message, ep *endpoint) bool {
+	return zoneAllowed(m, ep) && r.sitePlan.Allows(m.dest.id, ep.Zone, m.class.Effect == Unsafe)
 }
 
-// apart draws advice when to come again over a third of it, or of the longest that is observed, while a site is lost.
-func (r *Relay) apart(advice time.Duration) time.Duration {
-	if !r.reach.SiteLost() {
-		return advice
+// spreadRetryAfter adds up to a third to a Retry-After for clients while a site is lost. The result
+// stays within MaxRetryAfter.
+func (r *Relay) spreadRetryAfter(after time.Duration) time.Duration {
+	if !r.sitePlan.SiteLost() {
+		return after
 	}
-	return part(min(advice, part(r.set.MaxRetryAfter, 0.75)), 1+r.rng.Float64()/3)
+	return scale(min(after, scale(r.cfg.MaxRetryAfter, 0.75)), 1+r.rng.Float64()/3)
 }
 
-// turnedAway books that the destination could not be sent a message in time: what waits for it has to be worth more. A message past its
-// tenant's share counts where any says so.
-func (d *destination) turnedAway(m *message, any bool) {
-	if any || !m.extra {
-		d.price += max(0, m.class.Value-d.price) * lossWeight
+// raiseMinValue records that m could not be sent in time: others need a higher value to wait for
+// the destination. A message over its tenant's quota counts only if any is set.
+func (d *destination) raiseMinValue(m *message, any bool) {
+	if any || !m.overQuota {
+		d.minValue += max(0, m.class.Value-d.minValue) * sampleWeight
 	}
 }
