--- a/policy/choices_test.go
+++ b/policy/choices_test.go
@@ -54,7 +54,8 @@
 			}
 		}
 	}
-	if sent, _ := endpointsOf(r.Step(10*time.Millisecond, []Event{alertSubmission(1)})); len(sent) != 1 || sent[0] == "c" || sent[0] == "d" {
+	if sent, _ := endpointsOf(r.Step(10*time.Millisecond,
+		[]Event{alertSubmission(1)})); len(sent) != 1 || sent[0] == "c" || sent[0] == "d" {
 		t.Errorf("the whole subset is unhealthy, and the call goes to %v", sent)
 	}
 	r.Step(11*time.Millisecond, []Event{Subset{Destination: 1}, Subset{Destination: 99, Endpoints: []string{"a"}}})
@@ -71,8 +72,9 @@
 	r := fourEndpointRelay(t)
 	sent, _ := endpointsOf(r.Step(10*time.Millisecond, []Event{alertSubmission(1)}))
 	at := sent[0]
-	rest := slices.DeleteFunc([]string{"a", "b", "c", "d"}, func(a string) bool { return a == at })
-	if _, closed := endpointsOf(r.Step(20*time.Millisecond, []Event{Subset{Destination: 1, Endpoints: rest[:2]}})); len(closed) > 0 {
+	others := slices.DeleteFunc([]string{"a", "b", "c", "d"}, func(a string) bool { return a == at })
+	if _, closed := endpointsOf(r.Step(20*time.Millisecond,
+		[]Event{Subset{Destination: 1, Endpoints: others[:2]}})); len(closed) > 0 {
 		t.Fatalf("connections to %v closed during a call", closed)
 	}
 	ended := AttemptEnded{ID: 1, Endpoint: at, Outcome: Delivered, Duration: 50 * time.Millisecond, Final: true}
@@ -84,7 +86,8 @@
 	if _, closed := endpointsOf(r.Step(260*time.Millisecond, []Event{ended})); len(closed) > 0 {
 		t.Fatalf("connections to %v closed, which are in the subset", closed)
 	}
-	if _, closed := endpointsOf(r.Step(270*time.Millisecond, []Event{Subset{Destination: 1, Endpoints: []string{at, rest[2]}}})); !slices.Equal(closed, sent) {
+	if _, closed := endpointsOf(r.Step(270*time.Millisecond,
+		[]Event{Subset{Destination: 1, Endpoints: []string{at, others[2]}}})); !slices.Equal(closed, sent) {
 		t.Errorf("idle and outside the subset: connections to %v closed, want %v", closed, sent)
 	}
 }
@@ -94,7 +97,8 @@
 func TestOtherRelaysProbe(t *testing.T) {
 	update := FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 2, Calls: 9, OthersProbe: true}}}
 	for _, succeeded := range []bool{false, true} {
-		for after, want := range map[time.Duration]int{100 * time.Millisecond: 0, fleetLifetime + 50*time.Millisecond: 1} {
+		for after, want := range map[time.Duration]int{
+			100 * time.Millisecond: 0, fleetLifetime + 50*time.Millisecond: 1} {
 			r := fleetRelay(t)
 			rt := r.destinations[1].routes[0]
 			r.Step(time.Second, []Event{update})
@@ -122,7 +126,8 @@
 		wait := func(at, w time.Duration) {
 			r.Step(at, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Calls: 1, RetryAfter: w}}}})
 		}
-		r.Step(500*time.Millisecond, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Accepted: 1, Calls: 1, RetryAfter: time.Minute}}}})
+		r.Step(500*time.Millisecond, []Event{FleetUpdate{
+			Routes: []RouteStats{{Destination: 1, Demand: 1, Accepted: 1, Calls: 1, RetryAfter: time.Minute}}}})
 		if rt.blockedUntil > 0 {
 			t.Error("Retry-After applied while other relays get through")
 		}
@@ -136,7 +141,8 @@
 		if rt.blockedUntil != until {
 			t.Errorf("after a second report it ends at %v, want %v", rt.blockedUntil, until)
 		}
-		if countSends(r.Step(2900*time.Millisecond, []Event{alertSubmission(1)})) != 0 || countSends(r.Step(until+time.Millisecond, []Event{alertSubmission(2)})) != 1 {
+		if countSends(r.Step(2900*time.Millisecond, []Event{alertSubmission(1)})) != 0 ||
+			countSends(r.Step(until+time.Millisecond, []Event{alertSubmission(2)})) != 1 {
 			t.Error("a call before the end of the Retry-After, or none after it")
 		}
 	}
@@ -147,11 +153,12 @@
 
 // One reporter alone makes no outage, unless reporters are not counted.
 func TestOneReporterIsNoOutage(t *testing.T) {
-	for voices, want := range map[int]routeHealth{0: down, 1: healthy, 2: down} {
+	for reporters, want := range map[int]routeHealth{0: down, 1: healthy, 2: down} {
 		r := fleetRelay(t)
-		r.Step(3*time.Second, []Event{FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 9, Calls: 40, Reporters: voices}}}})
+		r.Step(3*time.Second, []Event{
+			FleetUpdate{Routes: []RouteStats{{Destination: 1, Demand: 1, Failed: 9, Calls: 40, Reporters: reporters}}}})
 		if s := r.destinations[1].routes[0].health; s != want {
-			t.Errorf("%d reporters: health %v", voices, s)
+			t.Errorf("%d reporters: health %v", reporters, s)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,7 +11,8 @@
 func Example() {
 	relay, err := policy.New(policy.Settings{
 		Relays: 1, MaxConcurrentCalls: 4, MaxPending: 100, MaxAttempts: 6, Tick: 5 * time.Millisecond,
-		RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 2 * time.Second,
+		RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 10 * time.Second, OverloadFactor: 2,
+		OverloadTime: 2 * time.Second,
 		Classes: []policy.Class{{Name: "invoice", Effect: policy.Unsafe, TargetLatency: 2 * time.Second,
 			Deadline: 20 * time.Second, Value: 1, LateValue: 0.3}},
 		Kinds: []policy.Kind{{Name: "bank", MaxBatch: 1}},
--- a/policy/input_test.go
+++ b/policy/input_test.go
@@ -26,13 +26,13 @@
 // A message whose time is up is answered at once and never sent.
 func TestNoTimeLeft(t *testing.T) {
 	h := newHarness(t, nil)
-	for _, left := range []Time{0, -sec} {
+	for _, timeLeft := range []Time{0, -sec} {
 		m := h.submission("safe", 1, "")
-		m.TimeLeft = left
+		m.TimeLeft = timeLeft
 		acts := h.step(m)
 		h.expectSent(acts)
 		if len(actionsOf[Refuse](acts)) != 1 {
-			t.Errorf("time left %v: %v, want one Refuse", left, acts)
+			t.Errorf("time left %v: %v, want one Refuse", timeLeft, acts)
 		}
 	}
 }
@@ -131,11 +131,11 @@
 // run is failed, and a keyed one is repeated only within its repeat window.
 func TestRecoveredMessages(t *testing.T) {
 	for name, c := range map[string]struct {
-		class                string
-		tries                int
-		mayHave              bool
-		age                  Time
-		sent, failed, handed int
+		class                 string
+		attempts              int
+		mayHaveRun            bool
+		age                   Time
+		sent, failed, refused int
 	}{
 		"unsafe, never ran":    {"unsafe", 2, false, 0, 1, 0, 0},
 		"unsafe, may have run": {"unsafe", 1, true, sec, 0, 1, 0},
@@ -145,13 +145,14 @@
 	} {
 		h := newHarness(t, nil)
 		m := h.submission(c.class, 1, "k")
-		m.Attempts, m.MayHaveRun, m.UncertainAge = c.tries, c.mayHave, c.age
+		m.Attempts, m.MayHaveRun, m.UncertainAge = c.attempts, c.mayHaveRun, c.age
 		acts := h.step(m)
-		if s, f, h := len(actionsOf[Send](acts)), len(actionsOf[Fail](acts)), len(actionsOf[Refuse](acts)); s != c.sent || f != c.failed || h != c.handed {
+		if s, f, h := len(actionsOf[Send](acts)), len(actionsOf[Fail](acts)),
+			len(actionsOf[Refuse](acts)); s != c.sent || f != c.failed || h != c.refused {
 			t.Errorf("%s: %d sent, %d failed, %d refused", name, s, f, h)
 		}
 		if c.sent == 1 { // outcomes match by the attempt number, which counts on
-			if h.after(100*ms, attemptEnd(m.ID, c.tries, Delivered)); len(h.relay.messages) != 0 {
+			if h.after(100*ms, attemptEnd(m.ID, c.attempts, Delivered)); len(h.relay.messages) != 0 {
 				t.Errorf("%s: still pending after its delivery", name)
 			}
 		}
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -12,11 +12,13 @@
 // that accept batches.
 func pacedRelay(t *testing.T, number int) *Relay {
 	t.Helper()
-	s := Settings{Relays: 6, TimeSlots: pacing.New(number, 6), ClockOffset: 1000 * time.Hour, MaxConcurrentCalls: 8, MaxPending: 80, MaxAttempts: 200,
-		Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2,
-		OverloadTime: 3 * time.Second, MaxRetryAfter: 3 * time.Second,
-		Classes: []Class{{Name: "log", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, LateValue: 0.5}},
-		Kinds:   []Kind{{Name: "host", MaxBatch: 20, SeparateRoutes: true}}}
+	s := Settings{Relays: 6, TimeSlots: pacing.New(number, 6), ClockOffset: 1000 * time.Hour, MaxConcurrentCalls: 8,
+		MaxPending: 80, MaxAttempts: 200, Tick: time.Millisecond, IdleConnTimeout: 15 * time.Second,
+		ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second,
+		MaxRetryAfter: 3 * time.Second,
+		Classes: []Class{
+			{Name: "log", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 1, LateValue: 0.5}},
+		Kinds: []Kind{{Name: "host", MaxBatch: 20, SeparateRoutes: true}}}
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -84,28 +86,28 @@
 // Relays use different time slots, no earlier than the interval allows, so that their calls don't
 // get one another rejected. A relay with little demand doesn't wait for its slot.
 func TestRelaysUseTheirTimeSlots(t *testing.T) {
-	const slot = 1200 * time.Millisecond
+	const interval = 1200 * time.Millisecond
 	free := map[Time]int{}
 	var step time.Duration
 	for number := range 6 {
 		r := pacedRelay(t, number)
 		r.now = time.Minute
 		rt := r.destinations[1].routes[0]
-		rt.interval, rt.rejectionsCountUntil, rt.dest.demand = slot, r.now+time.Minute, 10
-		rt.lastCall = r.now - slot/2 - time.Duration(number)*time.Millisecond
-		step = r.cfg.TimeSlots.Step(slot)
+		rt.interval, rt.rejectionsCountUntil, rt.dest.demand = interval, r.now+time.Minute, 10
+		rt.lastCall = r.now - interval/2 - time.Duration(number)*time.Millisecond
+		step = r.cfg.TimeSlots.Step(interval)
 		at := r.freeAt(rt)
-		if at < rt.lastCall+scale(slot, 0.9) || at > rt.lastCall+3*slot {
+		if at < rt.lastCall+scale(interval, 0.9) || at > rt.lastCall+3*interval {
 			t.Fatalf("relay %d called at %v and may call again at %v", number, rt.lastCall, at)
 		}
 		for other, whose := range free {
-			if apart := max(at, other) - min(at, other); apart%step != 0 || apart == 0 {
-				t.Errorf("relays %d and %d may call %v apart", number, whose, apart)
+			if distance := max(at, other) - min(at, other); distance%step != 0 || distance == 0 {
+				t.Errorf("relays %d and %d may call %v apart", number, whose, distance)
 			}
 		}
 		free[at] = number
 		rt.dest.demand = 0.1
-		if got, want := r.freeAt(rt), rt.lastCall+scale(slot, rt.jitter); got != want {
+		if got, want := r.freeAt(rt), rt.lastCall+scale(interval, rt.jitter); got != want {
 			t.Errorf("with little demand relay %d may call at %v, want %v", number, got, want)
 		}
 	}
@@ -144,16 +146,18 @@
 // to separate routes.
 func TestFleetUpdateOfOneRoute(t *testing.T) {
 	for name, c := range map[string]struct {
-		news RouteStats
-		want []time.Duration
+		stats RouteStats
+		want  []time.Duration
 	}{
-		"route":               {RouteStats{Destination: 1 << 24, Endpoint: "b", Allowance: 0.1}, []time.Duration{0, 10 * time.Second}},
-		"destination":         {RouteStats{Destination: 1, Allowance: 0.1}, []time.Duration{0, 0}},
-		"removed route":       {RouteStats{Destination: 1 << 24, Endpoint: "gone", Allowance: 0.1}, []time.Duration{0, 0}},
+		"route": {RouteStats{Destination: 1 << 24, Endpoint: "b", Allowance: 0.1},
+			[]time.Duration{0, 10 * time.Second}},
+		"destination": {RouteStats{Destination: 1, Allowance: 0.1}, []time.Duration{0, 0}},
+		"removed route": {RouteStats{Destination: 1 << 24, Endpoint: "gone", Allowance: 0.1},
+			[]time.Duration{0, 0}},
 		"another destination": {RouteStats{Destination: 7, Allowance: 0.1}, []time.Duration{0, 0}},
 	} {
 		r := pacedRelay(t, 0)
-		r.Step(time.Second, []Event{FleetUpdate{Routes: []RouteStats{c.news}}})
+		r.Step(time.Second, []Event{FleetUpdate{Routes: []RouteStats{c.stats}}})
 		for i, want := range c.want {
 			if got := r.pacingInterval(r.destinations[1].routes[i]); got != want {
 				t.Errorf("%s: interval of route %d is %v, want %v", name, i, got, want)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,8 +22,9 @@
 // routes.
 func testSettings() Settings {
 	return Settings{Relays: 2, MaxConcurrentCalls: 8, MaxPending: 100, MaxAttempts: 6,
-		MaxSubscribeInterval: 8 * sec, SendRetryAfter: true, MaxRetryAfter: 2 * sec, Tick: 5 * ms, IdleConnTimeout: 15 * sec,
-		RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 8 * sec, OverloadFactor: 2, OverloadTime: 2 * sec,
+		MaxSubscribeInterval: 8 * sec, SendRetryAfter: true, MaxRetryAfter: 2 * sec, Tick: 5 * ms,
+		IdleConnTimeout: 15 * sec, RatesListed: true, ColdStartShare: 0.25, WarmUpTime: 8 * sec,
+		OverloadFactor: 2, OverloadTime: 2 * sec,
 		KeyQuietTime: 100 * ms, OverQuotaValue: 0.1,
 		Classes: []Class{
 			{Name: "safe", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: 0.4},
@@ -33,8 +34,9 @@
 			{Name: "unsafe", Effect: Unsafe, Ordered: true, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 4},
 		},
 		Tenants: []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}},
-		Kinds:   []Kind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3}, {Name: "routes", MaxBatch: 1, SeparateRoutes: true}},
-		Zones:   []Zone{{Name: "z1"}, {Name: "z2", Fee: 0.05}},
+		Kinds: []Kind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3},
+			{Name: "routes", MaxBatch: 1, SeparateRoutes: true}},
+		Zones: []Zone{{Name: "z1"}, {Name: "z2", Fee: 0.05}},
 	}
 }
 
@@ -150,12 +152,13 @@
 
 // An unsafe message that may have run is not repeated, and is failed, not refused.
 func TestUnsafeMessageIsNotRepeated(t *testing.T) {
-	for o, again := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Rejected: true, ConnectFailed: true} {
+	for o, repeated := range map[Outcome]bool{
+		Errored: false, TimedOut: false, ConnectionLost: false, Rejected: true, ConnectFailed: true} {
 		h := newHarness(t, nil)
 		h.expectSent(h.step(h.submission("unsafe", 1, "k")), 1)
 		acts := h.after(100*ms, attemptEnd(1, 0, o))
 		acts = append(acts, h.after(sec, TimerFired{})...)
-		if again {
+		if repeated {
 			h.expectSent(acts, 1)
 			continue
 		}
@@ -195,11 +198,11 @@
 // A keyed message that may have run is not shed: another relay wouldn't know its repeat window. One
 // that didn't run is.
 func TestKeyedThatMayHaveRunIsNotRefused(t *testing.T) {
-	for _, mayHave := range []bool{true, false} {
+	for _, mayHaveRun := range []bool{true, false} {
 		h := newHarness(t, nil)
 		h.relay.shortage, h.relay.completionRate = rateWindow, 0.01 // all calls are in use, and few attempts end
 		m := h.submission("keyed", 1, "k")
-		if m.MayHaveRun, m.Attempts, m.UncertainAge = mayHave, 1, sec; !mayHave {
+		if m.MayHaveRun, m.Attempts, m.UncertainAge = mayHaveRun, 1, sec; !mayHaveRun {
 			m.UncertainAge = 0
 		}
 		for _, d := range h.relay.destinations {
@@ -208,8 +211,8 @@
 			}
 		}
 		acts := append(h.step(m), h.after(sec, TimerFired{})...)
-		if refused := len(actionsOf[Refuse](acts)); (refused == 1) == mayHave || len(actionsOf[Fail](acts)) > 0 {
-			t.Errorf("may have run %v: %d refused, %d failed", mayHave, refused, len(actionsOf[Fail](acts)))
+		if refused := len(actionsOf[Refuse](acts)); (refused == 1) == mayHaveRun || len(actionsOf[Fail](acts)) > 0 {
+			t.Errorf("may have run %v: %d refused, %d failed", mayHaveRun, refused, len(actionsOf[Fail](acts)))
 		}
 	}
 }
@@ -232,29 +235,30 @@
 	if s[0].Endpoint != "r2" {
 		t.Fatalf("sent to %s, want r2", s[0].Endpoint)
 	}
-	h.expectSent(h.step(EndpointListUpdate{Kind: ListSnapshot, Entries: testEndpoints()[:3]}, h.submission("safe", 3, "")))
+	h.expectSent(
+		h.step(EndpointListUpdate{Kind: ListSnapshot, Entries: testEndpoints()[:3]}, h.submission("safe", 3, "")))
 }
 
 // The relay subscribes at the start, and again with backoff after failures.
 func TestSubscribes(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MustSubscribe = true })
-	asked := []Time{}
+	subscribedAt := []Time{}
 	acts := h.step(EndpointListUpdate{Kind: ListUnavailable})
 	for range 4000 {
 		for _, a := range acts {
 			if _, ok := a.(Subscribe); ok {
-				asked = append(asked, h.now)
+				subscribedAt = append(subscribedAt, h.now)
 				h.step(EndpointListUpdate{Kind: ListUnavailable})
 			}
 		}
 		acts = h.after(5*ms, TimerFired{})
 	}
-	if len(asked) < 4 {
-		t.Fatalf("%d attempts to subscribe in 20 s, want at least 4", len(asked))
+	if len(subscribedAt) < 4 {
+		t.Fatalf("%d attempts to subscribe in 20 s, want at least 4", len(subscribedAt))
 	}
-	for i := 1; i < len(asked); i++ {
-		if gap := asked[i] - asked[i-1]; gap > h.relay.cfg.MaxSubscribeInterval {
-			t.Errorf("no attempt to subscribe for %v", gap)
+	for i := 1; i < len(subscribedAt); i++ {
+		if pause := subscribedAt[i] - subscribedAt[i-1]; pause > h.relay.cfg.MaxSubscribeInterval {
+			t.Errorf("no attempt to subscribe for %v", pause)
 		}
 	}
 }
@@ -262,15 +266,15 @@
 // Calls during an outage and after the recovery stay within the overload budget.
 func TestRecoveringDestinationIsNotOverloaded(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Relays = 1 })
-	const rate, cold = 10.0, 8 * sec
-	back := h.now + 10*sec
+	const rate, warmUp = 10.0, 8 * sec
+	recovery := h.now + 10*sec
 	type ev struct {
 		at Time
 		e  AttemptEnded
 	}
 	var due []ev
 	var calls []Time
-	for h.now < back+6*sec {
+	for h.now < recovery+6*sec {
 		var events []Event
 		for len(due) > 0 && due[0].at <= h.now {
 			events = append(events, due[0].e)
@@ -281,7 +285,7 @@
 		}
 		for _, s := range actionsOf[Send](h.after(5*ms, events...)) {
 			o := ConnectFailed
-			if h.now >= back {
+			if h.now >= recovery {
 				o, calls = Delivered, append(calls, h.now)
 			}
 			due = append(due, ev{h.now + 50*ms, attemptEnd(s.ID, h.relay.messages[s.ID].attempts-1, o)})
@@ -297,9 +301,9 @@
 				n++
 			}
 		}
-		capacity := rate * (0.25 + 0.75*float64(from+2*sec-back)/float64(cold))
+		capacity := rate * (0.25 + 0.75*float64(from+2*sec-recovery)/float64(warmUp))
 		if budget := 2 * capacity * 2; float64(n) > budget+1 {
-			t.Fatalf("%d calls within 2 s from %v after the recovery, budget %.1f", n, from-back, budget)
+			t.Fatalf("%d calls within 2 s from %v after the recovery, budget %.1f", n, from-recovery, budget)
 		}
 	}
 }
@@ -329,7 +333,8 @@
 // overtake a blocked key.
 func TestKeyOrder(t *testing.T) {
 	h := newHarness(t, nil)
-	h.expectSent(h.step(h.submission("unsafe", 1, "k"), h.submission("unsafe", 1, "k"), h.submission("unsafe", 1, "j")), 1, 3)
+	h.expectSent(h.step(h.submission("unsafe", 1, "k"), h.submission("unsafe", 1, "k"),
+		h.submission("unsafe", 1, "j")), 1, 3)
 	h.expectSent(h.after(100*ms, attemptEnd(1, 0, ConnectionLost)))
 	h.expectSent(h.after(90*ms, TimerFired{}))
 	h.expectSent(h.after(10*ms, TimerFired{}), 2)
@@ -353,11 +358,11 @@
 		h := newHarness(t, func(s *Settings) { s.MaxConcurrentCalls = 1 })
 		h.expectSent(h.step(h.submission("unsafe", 2, "")), 1)
 		one, two := h.submission("safe", 2, ""), h.submission("safe", 2, "")
-		short := &two
+		expiring := &two
 		if first {
-			short = &one
+			expiring = &one
 		}
-		short.TimeLeft = minOverdueTicks * h.relay.cfg.Tick // an answer of this route is never overdue sooner
+		expiring.TimeLeft = minOverdueTicks * h.relay.cfg.Tick // an answer of this route is never overdue sooner
 		h.expectSent(h.after(100*ms, attemptEnd(1, 0, Delivered), one, two), 2)
 	}
 }
@@ -404,7 +409,9 @@
 	if got := h.relay.callLimit(rt); got != 4 {
 		t.Fatalf("slow: limit %d, want 4", got)
 	}
-	if h = newHarness(t, func(s *Settings) { s.MaxConcurrentCalls = 1 }); h.relay.callLimit(h.relay.destinations[1].routes[0]) != 1 {
+	if h = newHarness(t, func(s *Settings) {
+		s.MaxConcurrentCalls = 1
+	}); h.relay.callLimit(h.relay.destinations[1].routes[0]) != 1 {
 		t.Fatal("limit below one")
 	}
 }
@@ -438,8 +445,8 @@
 // calls may have run.
 func TestUnsafeMessagesProbeWhereNoneRan(t *testing.T) {
 	for _, c := range []struct {
-		last    Outcome
-		trickle bool
+		last   Outcome
+		probes bool
 	}{{ConnectFailed, true}, {RequestIncomplete, true}, {TimedOut, false}, {ConnectionLost, false}, {Errored, false}} {
 		h := newHarness(t, nil)
 		rt := h.relay.destinations[4].routes[0]
@@ -448,15 +455,15 @@
 		}
 		h.relay.markDown(rt)
 		rt.lastCall, rt.jitter = h.relay.now, 1
-		gap := h.relay.pacingInterval(rt)
-		if gap <= 0 || gap > rateWindow/2 {
-			t.Fatalf("%v: the probe interval is %v", c.last, gap)
+		interval := h.relay.pacingInterval(rt)
+		if interval <= 0 || interval > rateWindow/2 {
+			t.Fatalf("%v: the probe interval is %v", c.last, interval)
 		}
-		wait := max(gap, h.relay.cfg.OverloadTime) + 20*ms
+		wait := max(interval, h.relay.cfg.OverloadTime) + 20*ms
 		h.expectSent(h.step(h.submission("unsafe", 4, "")))
 		h.expectSent(h.after(wait-40*ms, TimerFired{})) // not before others had time to
 		acts := h.after(40*ms, TimerFired{})
-		if c.trickle {
+		if c.probes {
 			h.expectSent(acts, 1)
 			continue
 		}
@@ -606,11 +613,11 @@
 	rt.latency, rt.recentLatency = 200*ms, 200*ms
 	now := h.now
 	for name, c := range map[string]struct {
-		class string
-		risk  bool
-		calls int
-		short time.Duration
-		want  time.Duration
+		class      string
+		mayHaveRun bool
+		calls      int
+		shortage   time.Duration
+		want       time.Duration
 	}{
 		"calls available":                  {"keyed", false, 0, 0, 1200 * ms},
 		"half of all calls in use":         {"keyed", false, 4, 0, 800 * ms},
@@ -619,8 +626,9 @@
 		"unsafe":                           {"unsafe", false, 0, 0, 12 * sec},
 		"unsafe, half of all calls in use": {"unsafe", false, 4, 0, 2 * sec},
 	} {
-		h.relay.calls, h.relay.shortage = c.calls, c.short
-		m := &message{class: h.relay.classes[c.class], mayHaveRun: c.risk, uncertainSince: now - sec, deadline: now + 12*sec}
+		h.relay.calls, h.relay.shortage = c.calls, c.shortage
+		m := &message{class: h.relay.classes[c.class], mayHaveRun: c.mayHaveRun, uncertainSince: now - sec,
+			deadline: now + 12*sec}
 		if got := h.relay.attemptTimeout(m, rt); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
@@ -682,21 +690,22 @@
 
 func simulate(t *testing.T, seed int64) []string {
 	w := &simulation{harness: newHarness(t, func(s *Settings) { s.MaxPending = 60; s.MustSubscribe = seed%2 == 0 }),
-		rng: rand.New(rand.NewSource(seed)), messages: map[uint32]*simMessage{}, blockedUntil: map[string]Time{}, drained: map[string]bool{}}
+		rng: rand.New(rand.NewSource(seed)), messages: map[uint32]*simMessage{}, blockedUntil: map[string]Time{},
+		drained: map[string]bool{}}
 	classes := testSettings().Classes
 	for step := range 8000 {
 		var events []Event
 		keep := w.due[:0]
-		var told []simOutcome
+		var ended []simOutcome
 		for _, d := range w.due {
 			if d.at <= w.now {
-				told = append(told, d)
+				ended = append(ended, d)
 			} else {
 				keep = append(keep, d)
 			}
 		}
 		w.due = keep
-		for _, d := range told {
+		for _, d := range ended {
 			events = append(events, w.outcome(d)...)
 		}
 		if w.rng.Intn(12) == 0 && step < 5000 {
@@ -836,7 +845,8 @@
 func (w *simulation) sendsReports() bool { return w.relay.cfg.MustSubscribe }
 
 func (w *simulation) planOutcome(s Send, m *simMessage) {
-	outcomes := []Outcome{Delivered, Delivered, Delivered, Errored, Rejected, ConnectFailed, ConnectionLost, TimedOut, Unsent}
+	outcomes := []Outcome{Delivered, Delivered, Delivered,
+		Errored, Rejected, ConnectFailed, ConnectionLost, TimedOut, Unsent}
 	o := outcomes[w.rng.Intn(len(outcomes))]
 	if int(w.now/(10*sec))%3 == 1 {
 		o = outcomes[3+w.rng.Intn(6)]
@@ -888,7 +898,8 @@
 	for seed := range int64(40) {
 		r, _ := New(testSettings(), seed)
 		r.Step(sec, []Event{EndpointListUpdate{Kind: ListSnapshot, Entries: testEndpoints()}})
-		s := actionsOf[Send](r.Step(2*sec, []Event{Submitted{ID: 1, Class: "safe", Destination: 1, TimeLeft: 12 * sec}}))
+		s := actionsOf[Send](
+			r.Step(2*sec, []Event{Submitted{ID: 1, Class: "safe", Destination: 1, TimeLeft: 12 * sec}}))
 		first[s[0].Endpoint]++
 		var again []Send
 		for now := 2 * sec; len(again) == 0; now += 50 * ms {
@@ -917,7 +928,7 @@
 		h := newHarness(t, nil)
 		h.now += 1000 * time.Hour
 		closed := 0
-		one := func(pause time.Duration, o Outcome) {
+		sendOne := func(pause time.Duration, o Outcome) {
 			var acts []Action
 			for acts = h.after(pause, h.submission("safe", 4, "")); len(actionsOf[Send](acts)) == 0; {
 				acts = h.after(50*ms, TimerFired{})
@@ -926,14 +937,15 @@
 				closed, o = closed+n, c.freshOutcome
 			}
 			for _, s := range actionsOf[Send](acts) {
-				h.after(100*ms, AttemptEnded{ID: s.ID, Attempt: h.relay.messages[s.ID].attempts - 1, Outcome: o, Final: true})
+				h.after(100*ms,
+					AttemptEnded{ID: s.ID, Attempt: h.relay.messages[s.ID].attempts - 1, Outcome: o, Final: true})
 			}
 		}
 		for range 6 {
-			one(16*sec, c.freshOutcome) // longer than any connection stays open
-			one(16*sec, c.freshOutcome)
+			sendOne(16*sec, c.freshOutcome) // longer than any connection stays open
+			sendOne(16*sec, c.freshOutcome)
 			for range 4 {
-				one(5*sec, c.idleOutcome)
+				sendOne(5*sec, c.idleOutcome)
 			}
 		}
 		if closed > 0 != c.closes {
@@ -958,15 +970,15 @@
 // at all: otherwise many relays would retry at once and overload the destination as it recovers.
 func TestFailedConnectionMayBeAnOutage(t *testing.T) {
 	for name, c := range map[string]struct {
-		soon  float64
-		took  time.Duration
-		quick bool
+		quickRecovery float64
+		took          time.Duration
+		shortInterval bool
 	}{"retries fail": {0.1, 0, false}, "retries succeed": {0.6, 0, true}, "no answer": {0.6, sec, false}} {
 		h := newHarness(t, func(s *Settings) { s.Relays = 500 })
 		rt := h.relay.destinations[4].routes[0]
-		h.relay.quickRecovery[rt.dest.kind] = c.soon
+		h.relay.quickRecovery[rt.dest.kind] = c.quickRecovery
 		h.relay.lengthenInterval(rt, &call{endpoint: rt.endpoints[0], sentAt: h.now - c.took}, ConnectFailed)
-		if quick := rt.interval < h.relay.cfg.WarmUpTime; quick != c.quick {
+		if short := rt.interval < h.relay.cfg.WarmUpTime; short != c.shortInterval {
 			t.Errorf("%s: interval %v", name, rt.interval)
 		}
 	}
@@ -978,7 +990,8 @@
 	for _, d := range []int{1, 2, 4} {
 		h.relay.destinations[d].routes[0].failed = 1
 	}
-	h.expectSent(h.step(h.submission("safe", 1, ""), h.submission("safe", 2, ""), h.submission("safe", 4, ""), h.submission("safe", 3, "")), 1, 2, 4)
+	h.expectSent(h.step(h.submission("safe", 1, ""), h.submission("safe", 2, ""), h.submission("safe", 4, ""),
+		h.submission("safe", 3, "")), 1, 2, 4)
 	h.expectSent(h.after(300*ms, attemptEnd(1, 0, Delivered)), 3)
 }
 
@@ -1021,7 +1034,7 @@
 func TestRejectionsOfAClosedDestinationAreSpread(t *testing.T) {
 	for name, c := range map[string]struct {
 		report LimitReport
-		apart  bool
+		spread bool
 		state  routeHealth
 	}{
 		"down, limit unspent": {LimitReport{Remaining: 1, Limit: 10}, true, healthy}, // a report may be stale
@@ -1044,7 +1057,7 @@
 			}
 			ends[rt.blockedUntil/sec] = true
 		}
-		if len(ends) > 3 != c.apart {
+		if len(ends) > 3 != c.spread {
 			t.Errorf("%s: ten relays return within %d different seconds", name, len(ends))
 		}
 	}
@@ -1071,14 +1084,14 @@
 // a while, as those of many relays can use up its connection limit. Other kinds keep theirs.
 func TestFreedConnectionsAreClosed(t *testing.T) {
 	for name, c := range map[string]struct {
-		noConn bool
-		dest   int
-		pause  time.Duration
-		closes int
+		refused bool
+		dest    int
+		pause   time.Duration
+		closes  int
 	}{"no connection refused": {false, 4, sec, 0}, "a connection refused": {true, 4, sec, 1},
 		"long ago": {true, 4, 30 * sec, 0}, "another kind's": {true, 3, sec, 0}} {
 		h := newHarness(t, nil)
-		if c.noConn {
+		if c.refused {
 			h.expectSent(h.step(h.submission("safe", 1, "")), 1)
 			h.after(10*ms, attemptEnd(1, 0, ConnectFailed))
 			h.after(500*ms, attemptEnd(1, 1, Delivered))
@@ -1120,12 +1133,12 @@
 // may just mean a full queue.
 func TestBusyDestinationKeepsItsInterval(t *testing.T) {
 	for name, c := range map[string]struct {
-		demand     float64
-		told, kept bool
+		demand         float64
+		reported, kept bool
 	}{"busy": {1, true, true}, "one recent message": {0.05, true, false}, "no limit reported": {1, false, false}} {
 		h := newHarness(t, func(s *Settings) { s.Relays = 100 })
 		rt := h.relay.destinations[4].routes[0]
-		rt.dest.demand, rt.interval, rt.rateReported = c.demand, 4*sec, c.told
+		rt.dest.demand, rt.interval, rt.rateReported = c.demand, 4*sec, c.reported
 		h.relay.recordSuccess(rt, rt.endpoints[0], 100*ms)
 		if kept := rt.interval > 3*sec; kept != c.kept {
 			t.Errorf("%s: interval %v after a success", name, rt.interval)
@@ -1274,7 +1287,7 @@
 func TestCallEndsBeforeItsMessagesExpire(t *testing.T) {
 	rng := rand.New(rand.NewSource(5))
 	classes := []string{"safe", "keyed", "unsafe"}
-	batches, alone := 0, 0
+	batches, single := 0, 0
 	for range 500 {
 		h := newHarness(t, func(s *Settings) { s.MaxConcurrentCalls = 4 + rng.Intn(6) })
 		h.relay.destinations[2].routes[0].interval = 0
@@ -1294,7 +1307,7 @@
 			if len(call) > 1 {
 				batches++
 			} else {
-				alone++
+				single++
 			}
 			if most > least {
 				t.Fatalf("a call of %d messages lasts %v, but one has only %v left", len(call), most, least)
@@ -1305,7 +1318,7 @@
 			t.Fatalf("%d of %d sent, and none in the next step", len(sends), len(in))
 		}
 	}
-	if batches < 50 || alone < 50 {
-		t.Errorf("%d batches and %d calls with one message, too few to tell", batches, alone)
+	if batches < 50 || single < 50 {
+		t.Errorf("%d batches and %d calls with one message, too few to tell", batches, single)
 	}
 }
--- a/policy/promises_test.go
+++ b/policy/promises_test.go
@@ -8,14 +8,14 @@
 // Messages with a short deadline are delivered beside many with a long one: each message that is
 // shed for lateness raises the minimum value for waiting.
 func TestLongDeadlinesDoNotFillTheQueue(t *testing.T) {
-	for alone, least := range map[bool]int{true: 100, false: 70} { // with gossip, the minimum value is lower
-		t.Run(fmt.Sprintf("alone %t", alone), func(t *testing.T) { testPatientBesideSoon(t, alone, least) })
+	for noGossip, least := range map[bool]int{true: 100, false: 70} { // with gossip, the minimum value is lower
+		t.Run(fmt.Sprintf("alone %t", noGossip), func(t *testing.T) { testPatientBesideSoon(t, noGossip, least) })
 	}
 }
 
-func testPatientBesideSoon(t *testing.T, alone bool, least int) {
+func testPatientBesideSoon(t *testing.T, noGossip bool, least int) {
 	h := newHarness(t, func(s *Settings) {
-		s.Tenants, s.MaxPending, s.ExponentialDecay, s.NoGossip = nil, 1000, true, alone
+		s.Tenants, s.MaxPending, s.ExponentialDecay, s.NoGossip = nil, 1000, true, noGossip
 		s.Classes = []Class{
 			{Name: "patient", Effect: Safe, TargetLatency: 4 * sec, Deadline: 12 * sec, Value: 1, LateValue: 0.4},
 			{Name: "soon", Effect: Safe, TargetLatency: 800 * ms, Deadline: 6 * sec, Value: 2, LateValue: 0.1},
@@ -54,7 +54,8 @@
 	const deadline = 12 * sec
 	h := newHarness(t, func(s *Settings) {
 		s.Tenants, s.MaxPending = nil, 1000
-		s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: deadline, Value: 1, LateValue: 0.5}}
+		s.Classes = []Class{
+			{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: deadline, Value: 1, LateValue: 0.5}}
 	})
 	var inFlight []Send
 	came := map[uint32]Time{}
@@ -88,13 +89,14 @@
 // The minimum value sheds what lateness never would. Without gossip it applies to all classes.
 func TestMinimumValueAppliesWhereLatenessDoesNot(t *testing.T) {
 	for _, c := range []struct {
-		late  float64 // share of the value left at the deadline
-		alone bool
-		want  int // messages refused of ten
+		late     float64 // share of the value left at the deadline
+		noGossip bool
+		want     int // messages refused of ten
 	}{{0.5, false, 10}, {0.31, false, 10}, {minValueShare, false, 0}, {0, false, 0}, {0, true, 10}} {
 		h := newHarness(t, func(s *Settings) {
-			s.Tenants, s.NoGossip = nil, c.alone
-			s.Classes = []Class{{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: c.late}}
+			s.Tenants, s.NoGossip = nil, c.noGossip
+			s.Classes = []Class{
+				{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: 12 * sec, Value: 1, LateValue: c.late}}
 		})
 		d := h.relay.destination(4)
 		d.minValue = 2 // more than any message here
@@ -106,26 +108,26 @@
 			events = append(events, m)
 		}
 		if got := len(actionsOf[Refuse](h.after(h.relay.cfg.Tick, events...))); got != c.want {
-			t.Errorf("late value %g, no gossip %t: %d refused, want %d", c.late, c.alone, got, c.want)
+			t.Errorf("late value %g, no gossip %t: %d refused, want %d", c.late, c.noGossip, got, c.want)
 		}
 	}
 }
 
 // Recovered messages without an attempt are not shed for lateness; new messages are.
 func TestRecoveredMessagesAreAttempted(t *testing.T) {
-	for _, kept := range []bool{false, true} {
+	for _, recovered := range []bool{false, true} {
 		h := newHarness(t, func(s *Settings) { s.Tenants = nil })
 		h.relay.destinations[4].routes[0].interval, h.relay.destinations[4].routes[0].lastCall = sec, h.now
 		var events []Event
 		for range 10 {
 			m := h.submission("safe", 4, "")
-			m.Tenant, m.TimeLeft, m.Recovered = "", 6*sec, kept
+			m.Tenant, m.TimeLeft, m.Recovered = "", 6*sec, recovered
 			events = append(events, m)
 		}
 		refused := actionsOf[Refuse](h.after(h.relay.cfg.Tick, events...))
-		if kept && len(refused) > 0 {
+		if recovered && len(refused) > 0 {
 			t.Errorf("%d of ten recovered messages are refused", len(refused))
-		} else if !kept && len(refused) == 0 {
+		} else if !recovered && len(refused) == 0 {
 			t.Errorf("none of ten new messages is refused at one per second: the test shows nothing")
 		}
 	}
@@ -166,11 +168,16 @@
 		{"charge to alert", Class{Effect: Unsafe}, Class{Effect: Safe}, 0, false, false},
 		{"charge to order", Class{Effect: Unsafe}, Class{Effect: Keyed, RepeatWindow: 20 * sec}, 0, false, false},
 		{"alert to charge", Class{Effect: Safe}, Class{Effect: Unsafe}, 0, false, false},
-		{"order to alert, in its window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe}, 0, true, false},
-		{"order to alert, later", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe}, 5 * sec, false, false},
-		{"longer window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec}, 5 * sec, false, false},
-		{"shorter window", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 4 * sec}, 5 * sec, false, false},
-		{"as it was", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec}, 5 * sec, true, false},
+		{"order to alert, in its window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe},
+			0, true, false},
+		{"order to alert, later", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Safe},
+			5 * sec, false, false},
+		{"longer window", Class{Effect: Keyed, RepeatWindow: 4 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec},
+			5 * sec, false, false},
+		{"shorter window", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 4 * sec},
+			5 * sec, false, false},
+		{"as it was", Class{Effect: Keyed, RepeatWindow: 9 * sec}, Class{Effect: Keyed, RepeatWindow: 9 * sec},
+			5 * sec, true, false},
 	} {
 		class := func(k Class) Class {
 			k.Name, k.TargetLatency, k.Deadline, k.Value = "x", 2*sec, 12*sec, 1
@@ -224,8 +231,10 @@
 	m := h.submission("safe", 4, "")
 	h.expectSent(h.after(5*ms, m), m.ID)
 	h.after(100*ms, AttemptEnded{ID: m.ID, Outcome: Rejected, Duration: 100 * ms, RetryAfter: 2 * sec})
-	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
-	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
+	h.after(5*ms, EndpointListUpdate{
+		Entries: []Endpoint{{Address: "q1", Destination: 4, Kind: "plain", Zone: "z1", State: Removed}}})
+	h.after(5*ms,
+		EndpointListUpdate{Entries: []Endpoint{{Address: "q2", Destination: 4, Kind: "plain", Zone: "z1", Rate: 10}}})
 	for range 19 {
 		h.expectSent(h.after(100 * ms))
 	}
@@ -266,13 +275,16 @@
 	h := newHarness(t, nil)
 	m := h.submission("safe", 3, "")
 	first := h.expectSent(h.after(5*ms, m), m.ID)[0].Endpoint
-	other := h.expectSent(h.after(5*ms, AttemptEnded{ID: m.ID, Endpoint: first, Outcome: Rejected, Duration: 5 * ms, RetryAfter: 5 * sec}), m.ID)[0].Endpoint
+	other := h.expectSent(h.after(5*ms, AttemptEnded{ID: m.ID, Endpoint: first, Outcome: Rejected, Duration: 5 * ms,
+		RetryAfter: 5 * sec}), m.ID)[0].Endpoint
 	receivedAt := h.now
 	h.after(5*ms, attemptEnd(m.ID, 1, Delivered))
 	for _, address := range []string{first, other} {
-		h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
+		h.after(5*ms,
+			EndpointListUpdate{Entries: []Endpoint{{Address: address, Destination: 3, Kind: "routes", State: Removed}}})
 	}
-	h.after(5*ms, EndpointListUpdate{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
+	h.after(5*ms,
+		EndpointListUpdate{Entries: []Endpoint{{Address: first, Destination: 3, Kind: "routes", Zone: "z1", Rate: 10}}})
 	m = h.submission("safe", 3, "")
 	h.expectSent(h.after(5*ms, m))
 	for h.now < receivedAt+12*sec {
@@ -314,7 +326,8 @@
 				h.after(5*ms, attemptEnd(second.ID, 0, Delivered))
 				h.after(3 * sec)
 				h.after(3 * sec)
-				if n := len(h.relay.keys); h.relay.keys["rests"] != nil || n > 5 { // those of the last step are in flight
+				// The messages of the last step are in flight.
+				if n := len(h.relay.keys); h.relay.keys["rests"] != nil || n > 5 {
 					t.Errorf("%d keys are still known", n)
 				}
 				return
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -70,7 +70,8 @@
 		class string
 		left  time.Duration
 		runs  int
-	}{{"nearly out of time", "safe", 800 * time.Millisecond, 0}, {"with time", "safe", 0, 1}, {"cut by its window", "keyed", 0, 1}} {
+	}{{"nearly out of time", "safe", 800 * time.Millisecond, 0}, {"with time", "safe", 0, 1},
+		{"cut by its window", "keyed", 0, 1}} {
 		h := newHarness(t, func(s *Settings) {
 			for i := range s.Classes {
 				if s.Classes[i].Effect == Keyed {
@@ -100,13 +101,13 @@
 		h := newHarness(t, nil)
 		rt := h.relay.destinations[4].routes[0]
 		rt.latency, rt.recentLatency = 200*time.Millisecond, 200*time.Millisecond
-		short := h.submission("safe", 4, "")
-		short.TimeLeft = 150 * time.Millisecond
+		expiring := h.submission("safe", 4, "")
+		expiring.TimeLeft = 150 * time.Millisecond
 		if paced {
 			rt.interval, rt.lastCall, rt.jitter = 300*time.Millisecond, h.relay.now-time.Second, 1
-			h.expectSent(h.step(short, h.submission("safe", 4, "")), 2)
+			h.expectSent(h.step(expiring, h.submission("safe", 4, "")), 2)
 		} else {
-			h.expectSent(h.step(short), 1)
+			h.expectSent(h.step(expiring), 1)
 		}
 	}
 }
