--- a/policy/policy.go
+++ b/policy/policy.go
@@ -19,12 +19,12 @@
 	intervalDecay       = 0.95                  // factor on the pacing interval per success
 	outageRun           = 3                     // unsuccessful calls in a row that make an outage
 	outageShare         = 0.5                   // failing share of recent calls that makes an outage
-	unspentLimitShare   = 0.75                  // remaining share of a limit that caused no rejection
+	unspentLimitShare   = 0.75                  // remaining share above which a limit rejects nothing
 	failureWeight       = 0.08                  // weight of the latest call in the failing share
 	sampleWeight        = 0.3                   // weight of the latest call in the other shares
-	limitRejectionRun   = 5                     // rejections in a row that count against a limit
+	limitRejectionRun   = 5                     // rejections in a row after which they count against a limit
 	minSlotUse          = 0.5                   // messages per time slot that make a relay use them
-	spentLimitShare     = 0.02                  // remaining share of a limit that is used up
+	spentLimitShare     = 0.02                  // remaining share below which a limit is used up
 	notificationTime    = 50 * time.Millisecond // usual duration of an outcome notification
 	lowShare            = 0.2                   // low share of quick recoveries or accepted retries
 	latencyWeight       = 0.15                  // weight of the latest answer in the usual latency
@@ -429,7 +429,8 @@
 
 // fairInterval returns the interval at which all relays together keep the rate limit, if it is
 // reported and either allows a call within the target latency or is exceeded by demand, or if
-// rejected calls count against it. Otherwise a queue may be full: attemptInterval applies.
+// rejected calls count against it. Otherwise rejections may just mean a full queue, and
+// attemptInterval applies.
 func (r *Relay) fairInterval(rt *route) time.Duration {
 	fair, busy := seconds(1/r.fairShare(rt)),
 		rt.dest.demand > max(r.fairShare(rt), outageRun/rateWindow.Seconds())
@@ -698,7 +699,7 @@
 
 // usesTimeSlots reports whether this relay calls the route in its own time slots: where rejected
 // calls count against a limit, calls that come close together get one another rejected. A relay
-// with little demand would wait for slots that it leaves unused.
+// with little demand would leave most of its slots unused, and keep messages waiting.
 func (r *Relay) usesTimeSlots(rt *route, interval time.Duration) bool {
 	use := interval.Seconds() * rt.dest.demand / float64(len(rt.dest.routes))
 	return r.rejectionsCount(rt) && rt.health != ramping && interval >= r.firstInterval/4 && use >= minSlotUse
--- a/policy/state.go
+++ b/policy/state.go
@@ -107,7 +107,7 @@
 	mayHaveRun               bool // one of those failures may have run
 	runStart, lastSuccess    Time // runStart: when that run began
 	failureShare             float64
-	latency, recentLatency   time.Duration
+	latency, recentLatency   time.Duration // latency: the usual one
 	served                   int
 	rate                     float64 // calls per second from all relays, as reported or listed; 0: unknown
 	rateReported, wasAtLimit bool    // rateReported: by an answer
@@ -159,7 +159,7 @@
 	quickRecovery                    map[*Kind]float64 // share of failed connections soon followed by a success
 	connRefused                      map[*Kind]Time    // when an endpoint of the kind last refused a connection
 	freed                            []*endpoint       // endpoints whose calls ended in this step
-	reuse                            keepalive.Trust   // in connections that were unused for a while
+	reuse                            keepalive.Trust   // in idle connections
 	shortage                         time.Duration     // how long all calls have been in use recently
 	minTarget                        time.Duration     // of all classes
 	maxDeadline                      time.Duration     // of all classes
