--- a/policy/learned.go
+++ b/policy/learned.go
@@ -45,7 +45,8 @@
 	RejectionsCountFor time.Duration `json:"counts,omitempty"` // time left; see Relay.rejectionsCount
 }
 
-// ExportState returns what this relay has learned. Routes without a call or Retry-After are left out.
+// ExportState returns what this relay has learned. Routes without a call or Retry-After are left
+// out.
 func (r *Relay) ExportState(now Time) LearnedState {
 	all := LearnedState{CompletionRate: r.completionRate, Shortage: r.shortage,
 		QuickRecovery: map[string]float64{}, RetryAccepted: map[string]float64{}}
