--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"oatfold/internal/figures"
 	"oatfold/internal/memory"
+	"oatfold/internal/metrics"
 	"oatfold/internal/plugin/limits"
 	"oatfold/policy"
 )
@@ -215,7 +215,7 @@
 			}
 		}
 		if r.outcome == policy.Delivered && m.Notification == nil {
-			h.metrics.Ended(m.Class, figures.Delivered)
+			h.metrics.CountCompleted(m.Class, metrics.Delivered)
 			h.complete(m)
 		} else if r.final {
 			// The endpoint says that the message is completed. Its client may have left before it
@@ -223,7 +223,7 @@
 			// superfluous notification does no harm.
 			h.completeByNotification(m.Number, memory.Notification{})
 		} else if r.pluginFailure != nil {
-			h.completeByNotification(m.Number, h.failureNotification(r.pluginFailure.Then, m))
+			h.completeByNotification(m.Number, h.failureNotification(r.pluginFailure.FailureAction, m))
 		}
 	}
 	if it.resubmit && m != nil && m.Notification == nil && h.table.Get(it.num) != nil {
@@ -248,7 +248,7 @@
 // failureNotification returns the notification for a message that failed before it was sent. The
 // message is returned to the client only if no earlier attempt may have run, or if it is safe to
 // repeat.
-func (h *Host) failureNotification(then limits.Then, m *memory.Message) memory.Notification {
+func (h *Host) failureNotification(then limits.FailureAction, m *memory.Message) memory.Notification {
 	notification := memory.Notification{
 		Returned: then == limits.Refuse && (m.MayHaveRunSince.IsZero() || h.strictestEffect(m) == policy.Safe),
 	}
--- a/internal/wire/endpoint_conn.go
+++ b/internal/wire/endpoint_conn.go
@@ -16,8 +16,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"oatfold/internal/figures"
 	"oatfold/internal/index"
+	"oatfold/internal/metrics"
 	"oatfold/internal/plugin"
 	"oatfold/internal/plugin/limits"
 	"oatfold/internal/transient"
@@ -45,7 +45,7 @@
 }
 
 // pluginFailure says how to complete a message that failed before it was sent.
-type pluginFailure struct{ limits.Then }
+type pluginFailure struct{ limits.FailureAction }
 
 // call is one attempt: a request with one message, or a batch of messages to one endpoint.
 type call struct {
@@ -103,7 +103,7 @@
 	dial func(addr string, limit time.Duration) (net.Conn, error)
 
 	plugins *plugin.Holder
-	metrics *figures.Set // nil: none are recorded
+	metrics *metrics.Set // nil: none are recorded
 	buf     []byte
 }
 
@@ -159,9 +159,9 @@
 		res.err = err
 		return res
 	}
-	plugins := c.plugins.Use()
+	plugins := c.plugins.Acquire()
 	if plugins != nil {
-		defer plugins.Done()
+		defer plugins.Release()
 		if cl.shapeRequests(plugins) == 0 || !time.Now().Before(cl.deadline) {
 			// Time spent in plug-ins must not count against the endpoint.
 			res.results, res.reusable = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.Unsent})),
@@ -234,7 +234,7 @@
 		}
 	}
 	stage = Written
-	c.metrics.Tried(cl.includedCount())
+	c.metrics.CountAttempts(cl.includedCount())
 	a, err := readResponseHeadWith(c.reader, func() {
 		// Once an answer has begun, the rest has to follow quickly: an endless head or body must
 		// not use up the concurrency limit.
@@ -268,7 +268,7 @@
 		res.results, res.err = cl.markExcluded(uniformResults(cl, itemResult{outcome: policy.ConnectFailed})),
 			errConnectionLimit
 	}
-	if plugins != nil && bodyErr == nil && plugins.Asks(abi.ReadAnswer) {
+	if plugins != nil && bodyErr == nil && plugins.HasHook(abi.ReadAnswer) {
 		if delay := cl.readAnswer(plugins, a, res.results, res.retryAfter); delay > res.retryAfter {
 			res.retryAfter = delay
 			cl.endpoint.backoff.extend(delay)
@@ -346,14 +346,14 @@
 // pluginMessage describes an item to plug-ins.
 func (cl *call) pluginMessage(it *callItem) *plugin.Message {
 	return &plugin.Message{Class: it.class, Kind: cl.kind, ID: it.id, Key: it.key, Dest: cl.endpoint.dest,
-		Attempt: it.attempt,
-		Left:    time.Until(cl.deadline), Notes: it.pluginNotes, Body: it.body}
+		Attempt:  it.attempt,
+		TimeLeft: time.Until(cl.deadline), Notes: it.pluginNotes, Body: it.body}
 }
 
 // shapeRequests asks plug-ins for the body and the headers of each item, before the call is
 // written. It returns the number of items that are still included.
 func (cl *call) shapeRequests(set *plugin.Set) int {
-	if !set.Asks(abi.ShapeRequest) {
+	if !set.HasHook(abi.ShapeRequest) {
 		return len(cl.items)
 	}
 	size := len("[]")
@@ -362,13 +362,13 @@
 		if it.excluded() {
 			continue
 		}
-		body, headers, failed := set.Shape(cl.pluginMessage(it))
+		body, headers, failed := set.ShapeRequest(cl.pluginMessage(it))
 		if failed == nil && len(cl.items) > 1 && size+maxItemSize(it.id, it.key, len(body)) > maxBody {
 			// The shaped bodies do not fit in one batch.
-			failed = &plugin.Failed{Then: limits.Refuse}
+			failed = &plugin.CallError{Action: limits.Refuse}
 		}
 		if failed != nil {
-			it.pluginFailure = &pluginFailure{failed.Then}
+			it.pluginFailure = &pluginFailure{failed.Action}
 			continue
 		}
 		it.body, it.headers, size = body, headers, size+maxItemSize(it.id, it.key, len(body))
@@ -435,7 +435,7 @@
 			in.Outcome = abi.MayHave
 		}
 		before := in.Outcome
-		if in.Outcome, in.Wait = set.Read(cl.pluginMessage(&cl.items[i]), in); in.Outcome != before {
+		if in.Outcome, in.Wait = set.ReadAnswer(cl.pluginMessage(&cl.items[i]), in); in.Outcome != before {
 			results[i] = itemResult{outcome: policy.Errored}
 		}
 	}
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	h.metrics.Endpoints(len(h.endpoints), h.relay.SkippedEndpoints())
+	h.metrics.SetEndpoints(len(h.endpoints), h.relay.SkippedEndpoints())
 	if list.Skipped > 0 {
 		h.log.Warn("endpoint list has malformed entries", "count", list.Skipped, "generation", list.Generation)
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -10,12 +10,12 @@
 
 	"oatfold/internal/choice"
 	"oatfold/internal/clock"
-	"oatfold/internal/figures"
 	"oatfold/internal/handover"
 	"oatfold/internal/handover/sequence"
 	"oatfold/internal/index"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
+	"oatfold/internal/metrics"
 	"oatfold/internal/peers"
 	"oatfold/internal/peers/members"
 	"oatfold/internal/plugin"
@@ -118,7 +118,7 @@
 	maxIdleConns              int                       // limit of idle connections to endpoints
 	idleConns                 index.List[*endpointConn] // least recently used first
 	expiries                  index.Heap[itemExpiry]    // messages whose deadline precedes their call's
-	metrics                   *figures.Set
+	metrics                   *metrics.Set
 	rejectedCount             int // requests rejected since the last log line
 }
 
@@ -139,7 +139,7 @@
 	ZoneNames      []string     // indexed by zone number
 	HomeZone       string       // empty: unknown
 	Sites          *sites.Plan  // nil: no site plan
-	Metrics        *figures.Set // nil: not recorded
+	Metrics        *metrics.Set // nil: not recorded
 	Standby        bool         // no policy steps until Activate
 	DateScale      clock.Scale  // for times written for other processes
 	Log            *slog.Logger
@@ -212,7 +212,7 @@
 	for _, k := range s.Kinds {
 		h.kindSettings[k.Name] = k
 	}
-	h.metrics.Classes(slices.Collect(maps.Keys(h.classes)))
+	h.metrics.AddClasses(slices.Collect(maps.Keys(h.classes)))
 }
 
 // Events returns the channel on which connections report.
@@ -365,7 +365,7 @@
 			h.maintain(now)
 		}
 		h.commit()
-		h.metrics.InProgress(h.table.PendingCount())
+		h.metrics.SetInProgress(h.table.PendingCount())
 		h.flushNotifications()
 		timer.Reset(max(0, h.nextWakeup()-h.now()))
 	}
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"oatfold/internal/figures"
 	"oatfold/internal/memory"
+	"oatfold/internal/metrics"
 	"oatfold/internal/plugin"
 	"oatfold/plugin/abi"
 	"oatfold/policy"
@@ -74,14 +74,14 @@
 		return x.reply(400, 0, err)
 	}
 	if advice := s.consultPlugins(m, left); advice.Verdict == abi.Reject {
-		s.metrics.Ended(m.Class, figures.Failed)
+		s.metrics.CountCompleted(m.Class, metrics.Failed)
 		return x.reply(422, 0, errors.New(advice.Reason))
 	} else if advice.Verdict == abi.Refuse {
 		retryAfter := time.Duration(s.retryAdvice.Load())
 		if advice.Wait > 0 {
 			retryAfter = min(advice.Wait, retryAfter)
 		}
-		s.metrics.Ended(m.Class, figures.TurnedAway)
+		s.metrics.CountCompleted(m.Class, metrics.Rejected)
 		// 503 means that the relay is full and stops a client from submitting any other message, so
 		// this is 429.
 		return x.reply(429, retryAfter, nil)
@@ -90,14 +90,14 @@
 }
 
 // consultPlugins asks plug-ins about a submitted message, on its connection's goroutine.
-func (s *Server) consultPlugins(m *memory.Message, left time.Duration) plugin.Advice {
-	set := s.plugins.Use()
+func (s *Server) consultPlugins(m *memory.Message, left time.Duration) plugin.HandInDecision {
+	set := s.plugins.Acquire()
 	if set == nil {
-		return plugin.Advice{Verdict: abi.Take}
+		return plugin.HandInDecision{Verdict: abi.Take}
 	}
-	defer set.Done()
-	advice := set.HandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.IdempotencyKey, Dest: m.Dest, Attempt: -1,
-		Left: left, Body: m.Body})
+	defer set.Release()
+	advice := set.OnHandIn(&plugin.Message{Class: m.Class, ID: m.ID, Key: m.IdempotencyKey, Dest: m.Dest, Attempt: -1,
+		TimeLeft: left, Body: m.Body})
 	m.PluginNotes = advice.Notes
 	return advice
 }
@@ -110,7 +110,7 @@
 	s.events <- submitRequest{m, reply}
 	result := <-reply
 	if result.unknownDest {
-		s.metrics.Ended(m.Class, figures.Failed)
+		s.metrics.CountCompleted(m.Class, metrics.Failed)
 		return x.reply(400, 0, fieldError("dest in Envelope: no such destination"))
 	}
 	if !result.accepted {
@@ -118,7 +118,7 @@
 		if result.duplicate {
 			status = 202
 		} else {
-			s.metrics.Ended(m.Class, figures.TurnedAway)
+			s.metrics.CountCompleted(m.Class, metrics.Rejected)
 		}
 		return x.reply(status, result.retryAfter, nil)
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -11,7 +11,7 @@
 
 	"oatfold/internal/admission"
 	"oatfold/internal/drain"
-	"oatfold/internal/figures"
+	"oatfold/internal/metrics"
 	"oatfold/internal/plugin"
 	"oatfold/policy"
 )
@@ -43,7 +43,7 @@
 	retryAdvice     atomic.Int64 // Retry-After of rejected requests in nanoseconds; 0: not sent
 	plugins         *plugin.Holder
 	drainView       atomic.Pointer[drain.View]
-	metrics         *figures.Set
+	metrics         *metrics.Set
 	drainingQueue   atomic.Bool   // the accept queue is drained before the listener closes
 	readsStopped    atomic.Bool   // no further reads: the process is about to exit
 	queueDrainUntil atomic.Int64  // latest end of the accept queue's drain, in nanoseconds since startedAt
@@ -82,7 +82,7 @@
 
 // SetMetrics has rejections and failures at the server counted in metrics. It is called before
 // Serve.
-func (s *Server) SetMetrics(metrics *figures.Set) { s.metrics = metrics }
+func (s *Server) SetMetrics(metrics *metrics.Set) { s.metrics = metrics }
 
 // Configure applies the classes and tenants of settings and a limit of open connections, also while
 // serving.
