--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -44,7 +44,7 @@
 func (e *AttemptError) Outcome() policy.Outcome {
 	switch {
 	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut),
-		e.Stage == Started && transient.Resource(e.Err):
+		e.Stage == Started && transient.IsResourceExhaustion(e.Err):
 		return policy.Unsent // says nothing about the endpoint
 	case errors.Is(e.Err, errNewConnectionCut):
 		return policy.RequestIncomplete
--- a/internal/wire/backoff.go
+++ b/internal/wire/backoff.go
@@ -16,7 +16,7 @@
 
 // extend makes the backoff last for at least d from now.
 func (b *backoff) extend(d time.Duration) {
-	for until := int64(clock.Since() + d); ; {
+	for until := int64(clock.SinceStart() + d); ; {
 		current := b.until.Load()
 		if current >= until || b.until.CompareAndSwap(current, until) {
 			return
@@ -25,7 +25,9 @@
 }
 
 // remaining returns how long the backoff still lasts; negative once it has ended.
-func (b *backoff) remaining() time.Duration { return time.Duration(b.until.Load()) - clock.Since() }
+func (b *backoff) remaining() time.Duration {
+	return time.Duration(b.until.Load()) - clock.SinceStart()
+}
 
 // active reports whether the backoff still lasts.
 func (b *backoff) active() bool { return b.remaining() > 0 }
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -61,7 +61,7 @@
 func (s *Server) beginRequest(c *clientConn, readBy time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepAlive.Came(c.state == connNew, time.Since(s.startedAt))
+	s.keepAlive.RecordRequest(c.state == connNew, time.Since(s.startedAt))
 	s.setState(c, connBusy)
 	s.setReadDeadline(c, readBy)
 }
@@ -70,7 +70,7 @@
 func (s *Server) beginIdle(c *clientConn) {
 	s.mu.Lock()
 	s.setState(c, connIdle)
-	s.setReadDeadline(c, c.stateSince.Add(s.keepAlive.For(s.idleConns, s.maxConns)))
+	s.setReadDeadline(c, c.stateSince.Add(s.keepAlive.IdleTimeout(s.idleConns, s.maxConns)))
 	s.mu.Unlock()
 	s.signalCapacity()
 }
@@ -152,7 +152,7 @@
 			return
 		}
 		s.beginIdle(c)
-		if s.drainView.Load().Idle {
+		if s.drainView.Load().CloseIdle {
 			// The drain skipped this connection while it was busy. Its last response did not
 			// announce a close, so the next request may be on its way.
 			c.sock.SetReadDeadline(time.Now().Add(drainGracePeriod))
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -50,7 +50,7 @@
 	h.pendingEvents = append(h.pendingEvents, update)
 	h.gossiper.UpdateEndpoints(update)
 	if h.siteWatch != nil {
-		h.siteWatch.List(update)
+		h.siteWatch.ApplyEndpointList(update)
 	}
 	h.log.Debug("endpoint list updated",
 		"generation", list.Generation, "entries", len(list.Entries), "whole", kind != policy.ListChanges)
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -91,7 +91,7 @@
 	switch {
 	case x.closeAfter:
 		reason = closedByRequest
-	case view.Close && x.reader.Buffered() == 0:
+	case view.CloseAfterResponse && x.reader.Buffered() == 0:
 		// Requests that are in the buffer already are answered before the connection closes.
 		reason = closedByServer
 	}
--- a/internal/wire/list_watch.go
+++ b/internal/wire/list_watch.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
+	"oatfold/internal/jitter"
 	"oatfold/internal/memory"
-	"oatfold/internal/spread"
 )
 
 // A relay counts as informed 6 s after discovery has an update. A watch that hangs has to be given
@@ -41,8 +41,8 @@
 	fleetSize      int   // relays that share discovery
 	polled         bool  // discovery does not push lists, and limits the requests per second
 	seed           int64 // for jitter
-	failureBackoff *spread.Backoff
-	silenceBackoff *spread.Backoff
+	failureBackoff *jitter.Backoff
+	silenceBackoff *jitter.Backoff
 	onPause        func(time.Duration) // set by tests only: called with each pause
 	dial           dialFunc            // set by tests only
 }
@@ -60,10 +60,10 @@
 		if maxPause = maxPollBackoff; minPause > maxPollBackoff {
 			maxPause = 2 * maxFirstPollDelay // faster retries would keep discovery overloaded
 		}
-		delay = spread.Within(minPause, w.seed)
+		delay = jitter.Within(minPause, w.seed)
 	}
-	w.failureBackoff, w.silenceBackoff = spread.NewBackoff(minPause, maxPause, w.seed),
-		spread.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
+	w.failureBackoff, w.silenceBackoff = jitter.NewBackoff(minPause, maxPause, w.seed),
+		jitter.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
 	return delay
 }
 
@@ -115,17 +115,17 @@
 			failing = true
 			if silent && !w.polled {
 				// Ask again quickly: once the agent is back, its updates count as known at once.
-				w.pause(ctx, w.silenceBackoff.Failed())
+				w.pause(ctx, w.silenceBackoff.NextDelay())
 				continue
 			}
-			w.pause(ctx, w.failureBackoff.Failed())
+			w.pause(ctx, w.failureBackoff.NextDelay())
 			continue
 		}
 		if failing {
 			log.Info("discovery request succeeded again", "generation", list.Generation)
 		}
 		failing = false
-		w.failureBackoff.Worked()
+		w.failureBackoff.Reset()
 		if known < 0 {
 			list.Complete = true
 		}
--- a/internal/wire/list_watch_test.go
+++ b/internal/wire/list_watch_test.go
@@ -44,7 +44,7 @@
 			served, all = served+1, all[1:]
 		} else {
 			rejected++
-			r.next += r.w.failureBackoff.Failed()
+			r.next += r.w.failureBackoff.NextDelay()
 		}
 	}
 	return served, rejected
@@ -77,7 +77,7 @@
 		t.Error("the request for a pushed list is delayed")
 	}
 	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay ||
-		w.failureBackoff.Failed() > 3*maxFirstPollDelay {
+		w.failureBackoff.NextDelay() > 3*maxFirstPollDelay {
 		t.Error("a huge fleet waits longer than any relay may")
 	}
 }
@@ -98,7 +98,7 @@
 			w.firstDelay()
 			var longest time.Duration
 			for range 1000 {
-				longest = max(longest, w.failureBackoff.Failed(), w.silenceBackoff.Failed())
+				longest = max(longest, w.failureBackoff.NextDelay(), w.silenceBackoff.NextDelay())
 			}
 			hang := max(watchHold+watchAnswerMargin, agentDialTimeout)
 			if hang+longest+nextRequest > updateDeadline {
--- a/internal/wire/policy_steps.go
+++ b/internal/wire/policy_steps.go
@@ -31,7 +31,7 @@
 		h.reportedRelays, h.pendingEvents = update.Relays, append(h.pendingEvents, update)
 	}
 	if h.siteWatch != nil {
-		h.siteWatch.Heard(now, update.Routes)
+		h.siteWatch.ApplyFleetStats(now, update.Routes)
 	}
 	h.updateSubsets(now)
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -56,7 +56,7 @@
 	shutdown       bool // Shutdown was called
 	maxConns       int  // limit of open connections
 	idleConns      int  // open connections between requests
-	keepAlive      admission.Keep
+	keepAlive      admission.KeepAlive
 	conns          map[*clientConn]struct{}
 	crowdedUntil   time.Time
 	lastConnNumber uint32
@@ -143,8 +143,8 @@
 		if c.stateSince.Before(s.crowdedUntil) {
 			limit = crowdedFirstByteTimeout // it may have waited in the accept queue
 		}
-		if s.drainView.Load().Idle {
-			limit = min(limit, drain.SilentFor)
+		if s.drainView.Load().CloseIdle {
+			limit = min(limit, drain.FirstRequestTimeout)
 		}
 		s.setReadDeadline(c, c.stateSince.Add(limit))
 		s.mu.Unlock()
@@ -156,7 +156,7 @@
 // connections that sent nothing within their time, or else the one that has been idle longest.
 func (s *Server) waitForCapacity() {
 	waitingSince := time.Time{}
-	for !s.drainView.Load().Shut && !s.drainingQueue.Load() {
+	for !s.drainView.Load().StopAccepting && !s.drainingQueue.Load() {
 		s.mu.Lock()
 		now, atLimit := time.Now(), len(s.conns) >= s.maxConns
 		if atLimit {
@@ -213,7 +213,7 @@
 func (s *Server) HandleDrainEvent(e drain.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainMachine.Do(e, time.Since(s.startedAt))
+	s.drainMachine.Handle(e, time.Since(s.startedAt))
 	s.applyDrainView()
 }
 
@@ -222,15 +222,15 @@
 	now := time.Since(s.startedAt)
 	previous, view := s.drainView.Load(), s.drainMachine.View(now)
 	if s.shutdown {
-		view = drain.View{Stopping: view.Stopping, Close: true, Idle: true, Shut: true}
+		view = drain.View{Stopping: view.Stopping, CloseAfterResponse: true, CloseIdle: true, StopAccepting: true}
 	}
 	s.drainView.Store(&view)
-	if view.Shut && !previous.Shut {
+	if view.StopAccepting && !previous.StopAccepting {
 		// Closing the listener would reset connections in the accept queue, perhaps with a request
 		// on them.
 		s.drainAcceptQueue()
 	}
-	if view.Idle && !previous.Idle {
+	if view.CloseIdle && !previous.CloseIdle {
 		for c := range s.conns {
 			if c.state == connNew || c.state == connIdle { // a closing one keeps its time to deliver the last response
 				c.sock.SetReadDeadline(time.Unix(1, 0))
@@ -240,7 +240,7 @@
 	if s.drainTimer != nil {
 		s.drainTimer.Stop()
 	}
-	if next := s.drainMachine.Next(now); next > 0 && !s.shutdown {
+	if next := s.drainMachine.NextChange(now); next > 0 && !s.shutdown {
 		s.drainTimer = time.AfterFunc(next, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -253,7 +253,7 @@
 func (s *Server) Drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drainMachine.Failed()
+	return s.drainMachine.Draining()
 }
 
 // Serving reports whether the server is serving, drained or not, and is not about to stop.
--- a/internal/wire/server_close_test.go
+++ b/internal/wire/server_close_test.go
@@ -231,7 +231,7 @@
 	for _, partial := range []bool{false, true} {
 		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
-		e.HandleDrainEvent(drain.Fail) // each response from here on closes its connection
+		e.HandleDrainEvent(drain.HealthFail) // each response from here on closes its connection
 		sent := readyRequest + readyRequest
 		if partial {
 			sent += readyRequest[:10]
@@ -475,7 +475,7 @@
 	e := startClosingServer(t, &blockingListener{})
 	defer e.ln.Close()
 	sock, r := e.dial(t)
-	e.HandleDrainEvent(drain.Fail) // responses close their connections; idle ones have a second left
+	e.HandleDrainEvent(drain.HealthFail) // responses close their connections; idle ones have a second left
 	fmt.Fprint(sock, readyRequest)
 	expectStatus(t, r, 503)
 	e.waitStage(t, closeDecided)
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -415,7 +415,7 @@
 	if a, err := readResponseHead(keptReader); err != nil || a.status != 202 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.Long)
+	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.LongIdleTimeout)
 	if _, err := keptReader.ReadByte(); err != io.EOF {
 		t.Fatalf("still open: %v", err)
 	}
@@ -515,7 +515,7 @@
 	busy, busyReader := dialListener(t, ln)
 	_, idleReader := dialListener(t, ln)
 	waitFor(t, "both connections", func() bool { return server.OpenConnections() == 2 })
-	server.HandleDrainEvent(drain.Fail)
+	server.HandleDrainEvent(drain.HealthFail)
 	io.WriteString(busy, validRequest("m1", "body"))
 	if res, err := http.ReadResponse(busyReader, nil); err != nil || res.StatusCode != 202 || !res.Close {
 		t.Fatalf("connection in use: %v, %v", res, err)
@@ -540,7 +540,7 @@
 	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
 		t.Errorf("new client: %d, close %v", status, closes)
 	}
-	server.HandleDrainEvent(drain.OK)
+	server.HandleDrainEvent(drain.HealthOK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
 		t.Errorf("after the drain: %d, close %v", status, closes)
 	}
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -24,13 +24,13 @@
 type Sites struct {
 	At   policy.Time
 	Home string
-	All  []sites.Standing
+	All  []sites.Status
 }
 
 // applySitePlan puts a plan in force; nil: none. Sites that operators have taken out stay out.
 func (h *Host) applySitePlan(plan *sites.Plan, home string) {
 	previous := h.siteWatch
-	if previous != nil && previous.Keeps(plan, home) {
+	if previous != nil && previous.HasPlan(plan, home) {
 		return // keeps its observations, also during the loss of a site
 	}
 	if h.siteWatch = nil; plan == nil {
@@ -50,11 +50,11 @@
 			State:       policy.EndpointState(ep.state.Load()),
 		})
 	}
-	h.siteWatch.List(list)
+	h.siteWatch.ApplyEndpointList(list)
 	if previous != nil {
-		for _, site := range previous.Standings() {
-			if site.Out {
-				h.siteWatch.ByHand(h.now(), site.Zone, true)
+		for _, site := range previous.Statuses() {
+			if site.ManuallyOut {
+				h.siteWatch.SetManuallyOut(h.now(), site.Zone, true)
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	for more := true; more; {
 		select {
 		case command := <-h.siteCommands:
-			h.siteWatch.ByHand(now, command.Zone, command.Out)
+			h.siteWatch.SetManuallyOut(now, command.Zone, command.Out)
 		default:
 			more = false
 		}
@@ -94,19 +94,19 @@
 			}
 		}
 		for zone, count := range relays {
-			h.siteWatch.Members(zone, count, alive[zone])
+			h.siteWatch.SetRelayCounts(zone, count, alive[zone])
 		}
 	}
 	h.exchangeSiteReports(now)
-	h.siteWatch.Turn(now)
+	h.siteWatch.Tick(now)
 	if changes := h.siteWatch.Changes(); len(changes) > 0 {
 		for _, change := range changes {
 			h.log.Warn("site", "zone", change.Zone,
 				"state", change.To.String(), "was", change.From.String(), "why", change.Why)
-			h.pendingEvents = append(h.pendingEvents, change.News(h.siteWatch))
+			h.pendingEvents = append(h.pendingEvents, change.PolicyUpdate(h.siteWatch))
 		}
 	}
-	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Standings()})
+	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Statuses()})
 }
 
 // exchangeSiteReports takes in what other relays report about sites, and reports what this one
@@ -122,8 +122,8 @@
 	})
 	var reports []peers.SiteReport
 	for zone, name := range h.zoneNames {
-		h.siteWatch.Said(name, lost[zone], levels[zone])
-		if level, ok := h.siteWatch.Word(name); ok {
+		h.siteWatch.SetPeerReports(name, lost[zone], levels[zone])
+		if level, ok := h.siteWatch.OwnReport(name); ok {
 			reports = append(reports, peers.SiteReport{Zone: zone, LoadFraction: level})
 		}
 	}
@@ -138,19 +138,19 @@
 	result := sites.Failed
 	switch completed.results[0].outcome {
 	case policy.Delivered, policy.Errored:
-		result = sites.Taken
+		result = sites.Accepted
 	case policy.Rejected:
-		result = sites.Refused
+		result = sites.Rejected
 	case policy.TimedOut:
-		result = sites.Silent
+		result = sites.NoResponse
 	case policy.ConnectFailed:
 		if now-completed.call.startedAt >= min(h.dialTimeout, completed.call.timeout) { // no refusal was received
-			result = sites.Silent
+			result = sites.NoResponse
 		}
 	case policy.Unsent:
 		return
 	}
-	h.siteWatch.Ended(now, completed.call.startedAt, completed.call.endpoint.id, result)
+	h.siteWatch.RecordCall(now, completed.call.startedAt, completed.call.endpoint.id, result)
 }
 
 // Sites returns the latest view; nil if no plan is in force. It may be called on any goroutine and
