--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -6,7 +6,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // A commit of several messages fails half way, the part that was written can't be truncated, and
@@ -18,7 +18,7 @@
 	for _, messages := range []int{1, 2, 5} {
 		for failures := 0; failures <= 6; failures++ {
 			t.Run(fmt.Sprintf("%d messages, %d failures", messages, failures), func(t *testing.T) {
-				d := disk.New()
+				d := faultfs.New()
 				driver, err := startDriver(d, 1<<20)
 				if err != nil {
 					t.Fatal(err)
@@ -31,16 +31,16 @@
 				for n := range messages {
 					rejected = append(rejected, appendCharge(driver, fmt.Sprint("refused", n), 100))
 				}
-				operation := d.Ops() + 1
-				d.Fail(operation, disk.Short)
+				operation := d.OperationCount() + 1
+				d.InjectFault(operation, faultfs.Short)
 				for n := range failures {
-					d.Fail(operation+1+n, disk.Error)
+					d.InjectFault(operation+1+n, faultfs.Error)
 				}
 				acceptErr, _ := driver.journal.Commit()
 				if failures > 1 && messages > 1 && acceptErr == nil { // after one failure the second truncation succeeds
 					t.Fatal("the commit succeeded")
 				}
-				next, table, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 1 << 20, Log: quiet, CompactInline: true})
+				next, table, err := journal.Open(journal.Config{FS: d.Restart(), Budget: 1 << 20, Log: quiet, CompactInline: true})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -5,18 +5,18 @@
 	"testing"
 
 	"oatfold/internal/memory"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // A system limit on the file size rejects no message: the journal continues in a new segment, and
 // all messages are recovered.
 func TestFileSizeLimit(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.FileRoom(30_000)
+	d.SetMaxFileSize(30_000)
 	const messages, body = 100, 2000
 	for n := range messages {
 		m := &memory.Message{
@@ -33,7 +33,7 @@
 	if s := driver.journal.Stats(); s.Segments < messages*body/30_000 {
 		t.Errorf("%d segments: the file size limit was never reached", s.Segments)
 	}
-	next, err := startDriver(d.Revive(), 4<<20)
+	next, err := startDriver(d.Restart(), 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -15,7 +15,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // A fixed seed makes the result repeatable; -rapid.seed=N tries others.
@@ -132,7 +132,7 @@
 		driver.uncommitted[m.ID] = expected
 	}
 	acceptErr, attemptErr := driver.journal.Commit()
-	if errors.Is(acceptErr, disk.ErrKilled) || errors.Is(attemptErr, disk.ErrKilled) {
+	if errors.Is(acceptErr, faultfs.ErrKilled) || errors.Is(attemptErr, faultfs.ErrKilled) {
 		return false
 	}
 	for _, m := range accepted {
@@ -221,7 +221,7 @@
 // operation of the recovery: what was committed is always recovered.
 func TestCrashAtEveryOperation(t *testing.T) {
 	const iterations, seed = 400, 3
-	run := func(d *disk.Disk) *journalDriver {
+	run := func(d *faultfs.FS) *journalDriver {
 		driver, err := startDriver(d, smallBudget)
 		if err != nil {
 			return nil
@@ -230,37 +230,37 @@
 		}
 		return driver
 	}
-	recording := disk.New()
+	recording := faultfs.New()
 	driver := run(recording)
 	if s := driver.journal.Stats(); s.Compactions < 10 || driver.rejected > iterations {
 		t.Fatalf("too few compactions: %+v, %d rejected", s, driver.rejected)
 	}
 	injected := 0
-	for n := 1; n <= recording.Ops(); n++ {
-		for _, fault := range []disk.Fault{disk.Kill, disk.Torn} {
-			d := disk.New()
-			d.Fail(n, fault)
+	for n := 1; n <= recording.OperationCount(); n++ {
+		for _, fault := range []faultfs.Fault{faultfs.Kill, faultfs.Torn} {
+			d := faultfs.New()
+			d.InjectFault(n, fault)
 			driver := run(d)
 			if driver == nil {
 				driver = &journalDriver{}
 			}
-			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", fault, n, recording.Ops(), d.Log()[n-1])
+			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", fault, n, recording.OperationCount(), d.OperationLog()[n-1])
 			injected++
-			next := d.Revive()
+			next := d.Restart()
 			j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 			driver.checkRecovered(t, what, found)
 			j.Close()
-			for operation := 1; operation <= next.Ops(); operation++ { // crash during recovery
-				for _, recoveryFault := range []disk.Fault{disk.Kill, disk.Torn} {
-					recovering := d.Revive()
-					recovering.Fail(operation, recoveryFault)
+			for operation := 1; operation <= next.OperationCount(); operation++ { // crash during recovery
+				for _, recoveryFault := range []faultfs.Fault{faultfs.Kill, faultfs.Torn} {
+					recovering := d.Restart()
+					recovering.InjectFault(operation, recoveryFault)
 					journal.Open(journal.Config{FS: recovering, Budget: smallBudget, Log: quiet, CompactInline: true})
 					injected++
 					_, found, err := journal.Open(journal.Config{
-						FS: recovering.Revive(), Budget: smallBudget, Log: quiet, CompactInline: true,
+						FS: recovering.Restart(), Budget: smallBudget, Log: quiet, CompactInline: true,
 					})
 					if err != nil {
 						t.Fatalf("%s, then crash at operation %d of recovery: %v", what, operation, err)
@@ -273,14 +273,14 @@
 	if injected < 10_000 {
 		t.Errorf("only %d faults injected", injected)
 	}
-	t.Logf("%d faults at %d operations", injected, recording.Ops())
+	t.Logf("%d faults at %d operations", injected, recording.OperationCount())
 }
 
 // Random restarts with random faults, some of which the process survives: what was committed is
 // recovered each time.
 func TestRandomLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := disk.New()
+		d := faultfs.New()
 		var driver *journalDriver
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for n := range rapid.IntRange(1, 4).Draw(t, "lives") {
@@ -300,8 +300,8 @@
 			}
 			driver = next
 			for range rapid.IntRange(0, 6).Draw(t, "faults") {
-				d.Fail(d.Ops()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]disk.Fault{
-					disk.Error, disk.Short, disk.Error, disk.Short, disk.Kill, disk.Torn,
+				d.InjectFault(d.OperationCount()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]faultfs.Fault{
+					faultfs.Error, faultfs.Short, faultfs.Error, faultfs.Short, faultfs.Kill, faultfs.Torn,
 				}).Draw(t, "fault"))
 			}
 			for iterations := rapid.IntRange(1, 80).Draw(t, "turns"); iterations > 0 &&
@@ -310,7 +310,7 @@
 					driver.journal.Maintain()
 				}
 			}
-			d = d.Revive()
+			d = d.Restart()
 		}
 	})
 }
@@ -318,7 +318,7 @@
 // On a full disk new messages are rejected, while attempts and completions of pending ones are
 // still recorded. Once there is space, messages are accepted again.
 func TestFullDisk(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -347,7 +347,7 @@
 		}
 		pending = append(pending, m)
 	}
-	d.Room(d.Used())
+	d.SetCapacity(d.UsedBytes())
 	rejected := 0
 	for range 3 {
 		if _, err := accept(); err != nil {
@@ -372,11 +372,11 @@
 			t.Fatalf("completion %d of a pending message: %v, %v", i, acceptErr, attemptErr)
 		}
 	}
-	_, found, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 4 << 20, Log: quiet, CompactInline: true})
+	_, found, err := journal.Open(journal.Config{FS: d.Restart(), Budget: 4 << 20, Log: quiet, CompactInline: true})
 	if err == nil && len(found.All()) > 1 {
 		t.Errorf("%d completed messages recovered", len(found.All()))
 	}
-	d.Room(0)
+	d.SetCapacity(0)
 	driver.journal.Maintain()
 	if _, err := accept(); err != nil {
 		t.Errorf("with space again: %v", err)
@@ -386,12 +386,12 @@
 // With a corrupt record or length in the middle of a segment, the records behind it are read and
 // the fault is reported. Records inside a message body are never read as such.
 func TestCorruptSegment(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	driver, err := startDriver(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := disk.New()
+	other := faultfs.New()
 	source, _ := startDriver(other, 4<<20)
 	embedded := &memory.Message{Number: 1, ID: "smuggled", Class: "c", Deadline: wall}
 	source.journal.AppendAccepted(source.table, embedded, true)
@@ -414,8 +414,8 @@
 		"a length": func(b []byte) []byte { copy(b[24:], []byte{0xff, 0xff, 0xff, 0xff}); return b },
 		"a hole":   func(b []byte) []byte { return append(b[:40:40], b[60:]...) },
 	} {
-		next := d.Revive()
-		next.Change("000000000001.seg", change)
+		next := d.Restart()
+		next.ModifyFile("000000000001.seg", change)
 		inspection, err := journal.Inspect(next, nil)
 		if err != nil || len(inspection.Faults) != 1 || inspection.Faults[0].File != "000000000001.seg" ||
 			inspection.Faults[0].Offset < 24 {
@@ -438,7 +438,7 @@
 
 // Bodies of 64 KiB stay within a budget of 3 MB, and their space is reused.
 func TestLargeBodies(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	driver, err := startDriver(d, 3e6)
 	if err != nil {
 		t.Fatal(err)
@@ -457,8 +457,8 @@
 			if acceptErr, _ := driver.journal.Commit(); acceptErr != nil {
 				t.Fatal(acceptErr)
 			}
-			if pending = append(pending, m); d.Used() > 3e6 {
-				t.Fatalf("%d bytes on disk", d.Used())
+			if pending = append(pending, m); d.UsedBytes() > 3e6 {
+				t.Fatalf("%d bytes on disk", d.UsedBytes())
 			}
 		}
 		maxFitting = max(maxFitting, len(pending))
@@ -476,7 +476,7 @@
 
 // A last segment truncated at any offset can be read: only the records written last are lost.
 func TestTornTail(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	driver, _ := startDriver(d, smallBudget)
 	for r, n := rand.New(rand.NewPCG(1, 0)), 0; n < 40; n++ {
 		driver.runIteration(r, 100)
@@ -489,8 +489,8 @@
 	raw, _ := d.Read(lastSegment)
 	recovered := -1
 	for size := 0; size <= len(raw); size++ {
-		next := d.Revive()
-		next.Change(lastSegment, func(b []byte) []byte { return b[:size] })
+		next := d.Restart()
+		next.ModifyFile(lastSegment, func(b []byte) []byte { return b[:size] })
 		j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatalf("cut at %d: %v", size, err)
@@ -510,8 +510,8 @@
 // restart; a corrupt one is reported. Without space on the disk a body is in memory only.
 func TestBodyStorage(t *testing.T) {
 	const limit = 16 << 10
-	d := disk.New()
-	open := func(d *disk.Disk) (*journal.Journal, *memory.Table) {
+	d := faultfs.New()
+	open := func(d *faultfs.FS) (*journal.Journal, *memory.Table) {
 		j, table, err := journal.Open(journal.Config{
 			FS: d, Budget: smallBudget, MaxBodyBytes: limit, Log: quiet, CompactInline: true,
 		})
@@ -571,7 +571,7 @@
 		t.Fatalf("nothing was compacted: %+v", s)
 	}
 	check("first process", pending)
-	j, table = open(d.Revive())
+	j, table = open(d.Restart())
 	pending = pending[:0]
 	for _, m := range table.All() {
 		pending = append(pending, m)
@@ -583,11 +583,11 @@
 
 	spilled := pending[slices.IndexFunc(pending, func(m *memory.Message) bool { return m.SpilledBytes > 0 })]
 	names, _ := d.List()
-	next := d.Revive()
+	next := d.Restart()
 	j, table = open(next)
 	read := j.BodyLoader(table.ByID(spilled.ID))
 	for _, name := range names {
-		next.Change(name, func(b []byte) []byte {
+		next.ModifyFile(name, func(b []byte) []byte {
 			if at := strings.Index(string(b), spilled.ID+string([]byte{1, 'c'})); at >= 0 {
 				b[at+40] ^= 1
 			}
@@ -598,7 +598,7 @@
 		t.Errorf("a corrupt body: %v", err)
 	}
 
-	j, table = open(disk.New())
+	j, table = open(faultfs.New())
 	memoryOnly := 0
 	for n := range 200 {
 		m := accept(n, 8000, n%2 == 0)
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.Build(dir)
+	return standin.BuildRelay(dir)
 })
 
 // Kills the relay process at seeded moments while its disk is full, by the budget or by a file size
@@ -43,8 +43,8 @@
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
 		t.Run(name, func(t *testing.T) {
 			const messages, clients = 600, 8
-			w, err := standin.NewWorld(standin.Config{
-				Seed: 9, DiskMB: c.diskMB, Hold: 400, Partners: []standin.PartnerConfig{{Dest: 7}},
+			w, err := standin.NewEnvironment(standin.Config{
+				Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []standin.PartnerConfig{{Dest: 7}},
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -61,9 +61,9 @@
 				for n := range events {
 					switch {
 					case n%100 == 20:
-						w.Partners[7].Set(standin.Refusing, 1)
+						w.Partners[7].SetMode(standin.RefusingConnections, 1)
 					case n%100 == 60:
-						w.Partners[7].Set(standin.Well, 1)
+						w.Partners[7].SetMode(standin.Healthy, 1)
 					default:
 						r.Kill()
 						if err := r.Start(); err != nil {
@@ -98,9 +98,9 @@
 			close(events)
 			faults.Wait()
 			outcomes, effects := map[client.Outcome]int{}, map[string]int{}
-			if err := w.Until("all accepted messages to complete", func() bool {
-				effects = w.Ledger.Count()
-				notifications := w.Platform.Notices()
+			if err := w.WaitUntil("all accepted messages to complete", func() bool {
+				effects = w.EffectLog.CountByName()
+				notifications := w.Platform.Notifications()
 				for n, result := range results {
 					if _, ended := notifications[result.ID]; result.Outcome == client.Taken &&
 						effects[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
@@ -109,7 +109,7 @@
 				}
 				return true
 			}); err != nil {
-				t.Fatalf("%v\n%s", err, r.Log())
+				t.Fatalf("%v\n%s", err, r.LogTail())
 			}
 			for n, result := range results {
 				outcomes[result.Outcome]++
@@ -123,7 +123,7 @@
 			}
 			t.Logf("%v", outcomes)
 			r.Kill()
-			if in, err := journal.Inspect(journal.Dir(r.State), nil); err != nil || len(in.Faults) > 1 {
+			if in, err := journal.Inspect(journal.Dir(r.StateDir), nil); err != nil || len(in.Faults) > 1 {
 				t.Errorf("%+v, %v", in, err) // an incomplete record at the end is allowed
 			}
 		})
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewWorld(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w, err := standin.NewEnvironment(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Partners[7].Set(standin.Refusing, 1)
+	w.Partners[7].SetMode(standin.RefusingConnections, 1)
 	const size = 20_000
 	outcomes := map[string]map[client.Outcome]int{}
 	results := map[string]client.Result{}
@@ -175,7 +175,7 @@
 		results[name] = result
 	}
 	r.Kill()
-	in, err := journal.Inspect(journal.Dir(r.State), nil)
+	in, err := journal.Inspect(journal.Dir(r.StateDir), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,14 +183,14 @@
 	for _, m := range in.Messages {
 		memoryOnly[m.ID] = m.MemoryOnly
 	}
-	w.Partners[7].Set(standin.Well, 1)
+	w.Partners[7].SetMode(standin.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
 	effects, lostBodies := map[string]int{}, 0
-	if err := w.Until("all accepted messages to complete", func() bool {
-		effects = w.Ledger.Count()
-		notifications := w.Platform.Notices()
+	if err := w.WaitUntil("all accepted messages to complete", func() bool {
+		effects = w.EffectLog.CountByName()
+		notifications := w.Platform.Notifications()
 		for name, result := range results {
 			if _, ended := notifications[result.ID]; result.Outcome == client.Taken && effects[name] == 0 && !ended {
 				return false
@@ -198,20 +198,20 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, r.Log())
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
 	for name, result := range results {
 		if memoryOnly[result.ID] {
-			if lostBodies++; effects[name] != 0 || w.Platform.Notices()[result.ID].Outcome == "" {
+			if lostBodies++; effects[name] != 0 || w.Platform.Notifications()[result.ID].Outcome == "" {
 				t.Errorf("%s, whose body was lost: ran %d times, notification %+v",
-					name, effects[name], w.Platform.Notices()[result.ID])
+					name, effects[name], w.Platform.Notifications()[result.ID])
 			}
 		}
 		if result.Outcome != client.Taken && effects[name] > 0 || name[0] == 'f' && effects[name] > 1 {
 			t.Errorf("%s ran %d times: %+v", name, effects[name], result)
 		}
 	}
-	for _, e := range w.Ledger.Effects() {
+	for _, e := range w.EffectLog.Entries() {
 		if e.Size != size {
 			t.Errorf("%s came with %d bytes", e.Name, e.Size)
 		}
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -10,19 +10,19 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // A notification waits until its record is in the journal, or until its message's deadline.
 // Otherwise a process killed in between would be followed by one that sends a message which its
 // client already submits elsewhere.
 func TestNotificationWaitsForRecord(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	h := newTestHostOn(t, d)
 	early, late := h.addMessage("early", 7, 1), h.addMessage("late", 7, 1)
 	late.Deadline = time.Now()
 	for n := 1; n < 20; n++ {
-		d.Fail(d.Ops()+n, disk.Error)
+		d.InjectFault(d.OperationCount()+n, faultfs.Error)
 	}
 	h.completeByNotification(early.Number, memory.Notification{Returned: true})
 	h.completeByNotification(late.Number, memory.Notification{})
@@ -44,7 +44,7 @@
 // recorded as answered and logged.
 func TestUnorderedRequestsBesideUnannounced(t *testing.T) {
 	var text bytes.Buffer
-	h := newTestHostOn(t, disk.New())
+	h := newTestHostOn(t, faultfs.New())
 	h.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	h.sendToSuccessor = func([]byte) error { return errors.New("spool is full") }
 	answers := map[string]chan submitResult{}
