--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -6,7 +6,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // A commit of several messages fails half way, the part that was written can't be truncated, and
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"oatfold/internal/memory"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // A system limit on the file size rejects no message: the journal continues in a new segment, and
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -15,7 +15,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // A fixed seed makes the result repeatable; -rapid.seed=N tries others.
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -12,7 +12,7 @@
 
 	"oatfold/client"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // buildRelay builds the relay binary on first use.
@@ -21,7 +21,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.BuildRelay(dir)
+	return testdouble.BuildRelay(dir)
 })
 
 // Kills the relay process at seeded moments while its disk is full, by the budget or by a file size
@@ -43,8 +43,8 @@
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
 		t.Run(name, func(t *testing.T) {
 			const messages, clients = 600, 8
-			w, err := standin.NewEnvironment(standin.Config{
-				Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []standin.PartnerConfig{{Dest: 7}},
+			w, err := testdouble.NewEnvironment(testdouble.Config{
+				Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []testdouble.PartnerConfig{{Dest: 7}},
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -61,9 +61,9 @@
 				for n := range events {
 					switch {
 					case n%100 == 20:
-						w.Partners[7].SetMode(standin.RefusingConnections, 1)
+						w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 					case n%100 == 60:
-						w.Partners[7].SetMode(standin.Healthy, 1)
+						w.Partners[7].SetMode(testdouble.Healthy, 1)
 					default:
 						r.Kill()
 						if err := r.Start(); err != nil {
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewEnvironment(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w, err := testdouble.NewEnvironment(testdouble.Config{DiskMB: 0.5, Partners: []testdouble.PartnerConfig{{Dest: 7}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Partners[7].SetMode(standin.RefusingConnections, 1)
+	w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 	const size = 20_000
 	outcomes := map[string]map[client.Outcome]int{}
 	results := map[string]client.Result{}
@@ -183,7 +183,7 @@
 	for _, m := range in.Messages {
 		memoryOnly[m.ID] = m.MemoryOnly
 	}
-	w.Partners[7].SetMode(standin.Healthy, 1)
+	w.Partners[7].SetMode(testdouble.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -10,7 +10,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // A notification waits until its record is in the journal, or until its message's deadline.
