--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,9 +12,9 @@
 // serve runs the relay until it is told to stop. A failure is one line of the log.
 func serve(o *options) error {
 	log := o.log()
-	from := daemon.Sources{Platform: func() (*config.Config, error) { return config.Load(os.Getenv) }}
+	from := daemon.ConfigSources{LoadPlatform: func() (*config.Config, error) { return config.Load(os.Getenv) }}
 	if o.operator != "" {
-		from.Operator = func(c *config.Config) (*operator.Config, error) { return operator.Load(o.operator, c.MemoryBytes) }
+		from.LoadOperator = func(c *config.Config) (*operator.Config, error) { return operator.Load(o.operator, c.MemoryBytes) }
 	}
 	if o.profile != "" {
 		f, err := os.Create(o.profile)
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -23,22 +23,22 @@
 
 // Config is all that a relay is told when it starts.
 type Config struct {
-	Name, Listen, Discovery, State string
-	Admin                          string // the operators' address; empty: none
-	Seed                           int64
-	MemoryBytes, DiskBytes         int64
-	Sockets                        int
-	Reports                        bool // answers may hold load reports
-	ConnectTimeout                 time.Duration
-	Known                          memory.EndpointList
-	Settings                       policy.Settings
-	PeerListen                     string   // where notes of other relays come in
-	Peers                          []string // their addresses by number, this one's included; none: no notes
-	Me                             int      // this one's number
-	Members                        bool     // relays ask one another who lives
-	Choices                        choice.Options
-	Zone                           int      // this one's, among settings.zones; members.NoZone: not named
-	Zones                          []string // their names
+	Name, ListenAddr, DiscoveryAddr, StateDir string
+	AdminAddr                                 string // the operators' address; empty: none
+	Seed                                      int64
+	MemoryBytes, DiskBytes                    int64
+	MaxDescriptors                            int
+	LoadReports                               bool // answers may hold load reports
+	ConnectTimeout                            time.Duration
+	KnownEndpoints                            memory.EndpointList
+	Settings                                  policy.Settings
+	PeerListenAddr                            string   // where notes of other relays come in
+	PeerAddrs                                 []string // their addresses by number, this one's included; none: no notes
+	RelayNumber                               int      // this one's number
+	MembershipEnabled                         bool     // relays ask one another who lives
+	Choices                                   choice.Options
+	Zone                                      int      // this one's, among settings.zones; members.NoZone: not named
+	ZoneNames                                 []string // their names
 }
 
 // Defaults of what the configuration may leave out.
@@ -79,19 +79,19 @@
 		}
 		return getenv(env)
 	}
-	c := &Config{Name: text("ROUTER_NAME", "name"), Listen: text("ROUTER_LISTEN", "listen"),
-		Discovery: text("ROUTER_DISCOVERY", "discovery"), Admin: text("ROUTER_ADMIN", "admin"), State: getenv("ROUTER_STATE")}
-	if c.State == "" {
+	c := &Config{Name: text("ROUTER_NAME", "name"), ListenAddr: text("ROUTER_LISTEN", "listen"),
+		DiscoveryAddr: text("ROUTER_DISCOVERY", "discovery"), AdminAddr: text("ROUTER_ADMIN", "admin"), StateDir: getenv("ROUTER_STATE")}
+	if c.StateDir == "" {
 		return nil, fmt.Errorf("ROUTER_STATE is not set: name the folder that lasts")
 	}
-	st, err := os.Stat(c.State)
+	st, err := os.Stat(c.StateDir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("ROUTER_STATE: %w", err)
 	}
 	if err != nil || !st.IsDir() {
-		return nil, fmt.Errorf("ROUTER_STATE: %q is not a folder", c.State)
+		return nil, fmt.Errorf("ROUTER_STATE: %q is not a folder", c.StateDir)
 	}
-	for key, addr := range map[string]string{"listen (ROUTER_LISTEN)": c.Listen, "discovery (ROUTER_DISCOVERY)": c.Discovery} {
+	for key, addr := range map[string]string{"listen (ROUTER_LISTEN)": c.ListenAddr, "discovery (ROUTER_DISCOVERY)": c.DiscoveryAddr} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: %q is not host:port", key, addr)
 		}
@@ -99,12 +99,12 @@
 	if v := doc.Get("admin"); v.Exists() && v.Type != gjson.String && v.Type != gjson.Null {
 		return nil, fmt.Errorf("admin: %s is not host:port", v.Raw)
 	}
-	if c.Admin != "" {
-		if _, port, err := net.SplitHostPort(c.Admin); err != nil || port == "" {
-			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is not host:port", c.Admin)
+	if c.AdminAddr != "" {
+		if _, port, err := net.SplitHostPort(c.AdminAddr); err != nil || port == "" {
+			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is not host:port", c.AdminAddr)
 		}
-		if c.Admin == c.Listen {
-			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is the clients' address, listen", c.Admin)
+		if c.AdminAddr == c.ListenAddr {
+			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is the clients' address, listen", c.AdminAddr)
 		}
 	}
 	if s := doc.Get("seed").String(); s != "" {
@@ -136,7 +136,7 @@
 		}
 		numbers[i] = n
 	}
-	c.MemoryBytes, c.Sockets = int64(numbers[0]*megabyte), int(numbers[1])
+	c.MemoryBytes, c.MaxDescriptors = int64(numbers[0]*megabyte), int(numbers[1])
 	c.DiskBytes, c.ConnectTimeout = int64(numbers[2]*megabyte), time.Duration(numbers[3])*time.Microsecond
 	if !doc.Get("settings").Exists() {
 		return nil, fmt.Errorf("settings: missing")
@@ -145,13 +145,13 @@
 	if c.Settings, columns, err = ParseSettings(doc.Get("settings").Raw); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Reports = len(columns) > 0
+	c.LoadReports = len(columns) > 0
 	if err := c.peers(doc, text("ROUTER_MEMBERS", "members")); err != nil {
 		return nil, err
 	}
 	switch want := text("ROUTER_CHOICES", "choices"); want {
 	case "", "auto":
-		if c.Members && len(c.Peers) >= peers.MinFleetSize {
+		if c.MembershipEnabled && len(c.PeerAddrs) >= peers.MinFleetSize {
 			c.Choices = choice.Options{DemandShares: true, Signals: true}
 		}
 	default:
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if known := doc.Get("known"); known.Type != gjson.Null {
-		if c.Known, err = memory.ParseEndpointList(known.Raw); err != nil {
+		if c.KnownEndpoints, err = memory.ParseEndpointList(known.Raw); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -191,24 +191,24 @@
 		all = append(all, v.Str)
 	}
 	for _, v := range doc.Get("settings.zones").Array() {
-		c.Zones = append(c.Zones, v.Str)
+		c.ZoneNames = append(c.ZoneNames, v.Str)
 	}
-	if c.Zone = slices.Index(c.Zones, doc.Get("settings.myZone").Str); c.Zone < 0 || c.Zone >= members.NoZone {
+	if c.Zone = slices.Index(c.ZoneNames, doc.Get("settings.myZone").Str); c.Zone < 0 || c.Zone >= members.NoZone {
 		c.Zone = members.NoZone
 	}
 	least := peers.MinFleetSize
 	switch want {
 	case "on":
-		c.Members, least = len(all) > 1, 2 // by counts alone a small fleet has no need of notes
+		c.MembershipEnabled, least = len(all) > 1, 2 // by counts alone a small fleet has no need of notes
 	case "", "auto":
-		c.Members = len(all) >= peers.MinFleetSize
+		c.MembershipEnabled = len(all) >= peers.MinFleetSize
 	}
-	c.PeerListen = doc.Get("peer_listen").Str
-	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
+	c.PeerListenAddr = doc.Get("peer_listen").Str
+	if _, err := netip.ParseAddrPort(c.PeerListenAddr); err != nil {
 		return nil // it can't hear
 	}
 	if n := me.Int(); me.Type == gjson.Number && n >= 0 && n < int64(len(all)) && len(all) >= least {
-		c.Peers, c.Me = all, int(n)
+		c.PeerAddrs, c.RelayNumber = all, int(n)
 	}
 	return nil
 }
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:1" || c.MemoryBytes != 192e6 || c.DiskBytes != 3e6 ||
+	if c.ListenAddr != "127.0.0.1:9" || c.DiscoveryAddr != "127.0.0.1:1" || c.MemoryBytes != 192e6 || c.DiskBytes != 3e6 ||
 		c.ConnectTimeout != 1500*time.Millisecond || c.Settings.MaxConcurrentCalls != 4 || len(c.Settings.Classes) != 3 ||
 		c.Settings.Classes[1].RepeatWindow != 5*time.Second || c.Settings.Kinds[0].MaxBatch != 5 || c.Seed == 0 {
 		t.Errorf("%+v", c)
@@ -46,7 +46,7 @@
 	c, err = load(t, func(s string) string {
 		return `{"known":null,"limits":{"sockets":null},"listen":"127.0.0.1:9","discovery":"127.0.0.1:1","settings":` + gjson.Get(s, "settings").Raw + `}`
 	}, nil)
-	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.Sockets != defaultSockets || c.DiskBytes != defaultDiskMB*megabyte {
+	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.MaxDescriptors != defaultSockets || c.DiskBytes != defaultDiskMB*megabyte {
 		t.Errorf("defaults: %+v, %v", c, err)
 	}
 }
--- a/internal/daemon/config/operator/operator.go
+++ b/internal/daemon/config/operator/operator.go
@@ -22,9 +22,9 @@
 
 // Config is what the operator's file says, with its defaults.
 type Config struct {
-	Plugins []plugin.Spec
-	Bodies  int64       // bytes that bodies may take in memory; 0: the file says nothing
-	Sites   *sites.Plan // nil: the file says nothing
+	Plugins         []plugin.Spec
+	BodyMemoryBytes int64       // bytes that bodies may take in memory; 0: the file says nothing
+	Sites           *sites.Plan // nil: the file says nothing
 }
 
 // Defaults and bounds.
@@ -84,8 +84,8 @@
 		c.Plugins = append(c.Plugins, s)
 	}
 	k.at = "bodies"
-	if c.Bodies = int64(file.GetBodies().GetMemoryKb()) << 10; memory > 0 && c.Bodies > memory/2 {
-		return nil, k.wrong("memory_kb", "%d KiB are over half of the memory limit of %d MB", c.Bodies>>10, memory/1_000_000)
+	if c.BodyMemoryBytes = int64(file.GetBodies().GetMemoryKb()) << 10; memory > 0 && c.BodyMemoryBytes > memory/2 {
+		return nil, k.wrong("memory_kb", "%d KiB are over half of the memory limit of %d MB", c.BodyMemoryBytes>>10, memory/1_000_000)
 	}
 	var err error
 	if c.Sites, err = k.sites(file.GetSites()); err != nil {
--- a/internal/daemon/config/peers_test.go
+++ b/internal/daemon/config/peers_test.go
@@ -54,8 +54,8 @@
 		}
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
-		} else if len(got.Peers) != c.peers || c.peers > 0 && (got.Me != 3 || got.PeerListen != c.listen) {
-			t.Errorf("%s: %d peers, number %d, %q", c.name, len(got.Peers), got.Me, got.PeerListen)
+		} else if len(got.PeerAddrs) != c.peers || c.peers > 0 && (got.RelayNumber != 3 || got.PeerListenAddr != c.listen) {
+			t.Errorf("%s: %d peers, number %d, %q", c.name, len(got.PeerAddrs), got.RelayNumber, got.PeerListenAddr)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 			if err == nil || !strings.Contains(err.Error(), "members") {
 				t.Errorf("%+v: %v", c, err)
 			}
-		case err != nil || got.Members != c.members || len(got.Peers) != c.peers || c.members && (got.Zone != 0 || got.Zones[0] != "porto-dc1"):
+		case err != nil || got.MembershipEnabled != c.members || len(got.PeerAddrs) != c.peers || c.members && (got.Zone != 0 || got.ZoneNames[0] != "porto-dc1"):
 			t.Errorf("%+v: %v, %+v", c, err, got)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,7 +20,7 @@
 	"oatfold/internal/drain"
 	"oatfold/internal/figures"
 	"oatfold/internal/handover"
-	"oatfold/internal/handover/rooms"
+	"oatfold/internal/handover/processdir"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
 	"oatfold/internal/plugin"
@@ -51,23 +51,23 @@
 // nothing. Guards against calls that fail for want of a descriptor, where slots are many.
 func sockets(c *config.Config) (clients, idle int) {
 	own := ownFiles + wire.MaxLateListeners
-	if c.Admin != "" {
+	if c.AdminAddr != "" {
 		own += admin.Most + 1 + besides
 	}
-	rest := max(2, c.Sockets-own-c.Settings.MaxConcurrentCalls)
-	idle = min(c.Sockets/4, rest/3)
-	return max(1, min(c.Sockets/2, rest-idle)), idle
+	rest := max(2, c.MaxDescriptors-own-c.Settings.MaxConcurrentCalls)
+	idle = min(c.MaxDescriptors/4, rest/3)
+	return max(1, min(c.MaxDescriptors/2, rest-idle)), idle
 }
 
 // relay is one process of a relay as it runs.
 type relay struct {
-	from Sources
+	from ConfigSources
 	c    *config.Config
 	log  *slog.Logger
 	// A signal of its own for each: reloads that wait never push a stop out. One that waits stands for all that come meanwhile.
 	terminate, hangup chan os.Signal
-	folder            *rooms.Folder
-	room              *rooms.Room
+	folder            *processdir.StateDir
+	room              *processdir.Dir
 	host              *wire.Host
 	serving           atomic.Pointer[wire.Host]   // nil: there is none yet
 	zones             []string                    // names, as configured at the start
@@ -90,7 +90,7 @@
 
 // Run serves until SIGTERM or SIGINT. SIGHUP makes it read its sources again and go on with what they say. Where another process of
 // the same relay serves, it stands by until that one leaves.
-func Run(from Sources, log *slog.Logger) error {
+func Run(from ConfigSources, log *slog.Logger) error {
 	r := &relay{from: from, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1), holder: &plugin.Holder{}, count: &figures.Set{}, stop: func() {}}
 	signal.Notify(r.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(r.hangup, syscall.SIGHUP)
@@ -98,19 +98,19 @@
 	signal.Notify(traces, syscall.SIGUSR1) // from the start on: unheard it would end the process
 	var c *config.Config
 	err := r.starting("configuration can't be read", func() (err error) {
-		c, err = from.Platform()
+		c, err = from.LoadPlatform()
 		return err
 	})
 	if err != nil {
 		return r.startFailed(err)
 	}
-	r.c, r.zones = c, c.Zones
+	r.c, r.zones = c, c.ZoneNames
 	debug.SetMemoryLimit(memoryAim(c))
 	// The operators' calls are answered while a journal is read, too.
-	if c.Admin != "" {
+	if c.AdminAddr != "" {
 		var ln net.Listener
 		err := r.starting("admin address can't be had", func() (err error) {
-			ln, err = net.Listen("tcp", c.Admin)
+			ln, err = net.Listen("tcp", c.AdminAddr)
 			return err
 		})
 		if err != nil {
@@ -120,17 +120,17 @@
 	}
 	bodies := c.MemoryBytes / bodyShare
 	var plan *sites.Plan
-	if from.Operator != nil {
+	if from.LoadOperator != nil {
 		var oc *operator.Config
 		err := r.starting("operator's file can't be read", func() (err error) {
-			oc, err = from.Operator(c)
+			oc, err = from.LoadOperator(c)
 			return err
 		})
 		if err != nil {
 			return r.startFailed(fmt.Errorf("operator's file: %w", err))
 		}
-		if oc.Bodies > 0 {
-			bodies = oc.Bodies
+		if oc.BodyMemoryBytes > 0 {
+			bodies = oc.BodyMemoryBytes
 		}
 		plan = oc.Sites
 	}
@@ -138,14 +138,14 @@
 	if err != nil {
 		return r.startFailed(err)
 	}
-	budget := r.disk() - r.folder.Used(r.room)
+	budget := r.disk() - r.folder.UsedBytes(r.room)
 	if !active {
-		budget = handover.Budget(r.disk(), 0, r.folder.Used(r.room))
+		budget = handover.JournalBudget(r.disk(), 0, r.folder.UsedBytes(r.room))
 	}
 	var kept *journal.Journal
 	var table *memory.Table
 	err = r.starting("journal can't be opened", func() (err error) {
-		kept, table, err = journal.Open(journal.Config{FS: journal.Dir(r.room.Path), Budget: budget, MaxBodyBytes: bodies, TimeScale: r.folder.Dates(), Log: log})
+		kept, table, err = journal.Open(journal.Config{FS: journal.Dir(r.room.Path), Budget: budget, MaxBodyBytes: bodies, TimeScale: r.folder.TimeScale(), Log: log})
 		return err
 	})
 	if err != nil {
@@ -171,10 +171,10 @@
 		}
 	}
 	set := hostConfig(c)
-	set.ZoneNames, set.HomeZone, set.Sites = c.Zones, r.home(), plan
+	set.ZoneNames, set.HomeZone, set.Sites = c.ZoneNames, r.home(), plan
 	set.Plugins, set.Metrics = r.holder, r.count
 	set.Table, set.Journal, set.Log = table, kept, log
-	set.DateScale = r.folder.Dates()
+	set.DateScale = r.folder.TimeScale()
 	set.Standby = !active || r.shared()
 	if active {
 		if r.listenNotes(); r.notes != nil {
@@ -185,7 +185,7 @@
 		return err
 	}
 	r.serving.Store(r.host)
-	r.host.StartPlatformClient(c.Discovery)
+	r.host.StartPlatformClient(c.DiscoveryAddr)
 	ended := make(chan struct{})
 	done := make(chan struct{})
 	go func() { r.host.Run(ended); close(done) }()
@@ -194,7 +194,7 @@
 		if on, err := r.standBy(ctx); !on {
 			end()
 			kept.Close()
-			r.folder.Leave(r.room, true)
+			r.folder.Release(r.room, true)
 			return err
 		}
 	}
@@ -215,7 +215,7 @@
 		}
 	}()
 	var look <-chan time.Time // at who stands by; without operators nobody does
-	if c.Admin != "" {
+	if c.AdminAddr != "" {
 		turn := time.NewTicker(besidesTurn)
 		defer turn.Stop()
 		look = turn.C
@@ -230,7 +230,7 @@
 			r.apply(ctx, c)
 		case <-look:
 			// Guards against a disk limit that the journal here and the room of one that stands by go over together.
-			if used := r.folder.Used(r.room); !r.inheriting.Load() && used != r.others {
+			if used := r.folder.UsedBytes(r.room); !r.inheriting.Load() && used != r.others {
 				r.others = used
 				r.host.SetJournalShare(r.disk(), used, true)
 			}
@@ -254,18 +254,18 @@
 // enter takes the baton and the room that goes with it, or a room to stand by in.
 func (r *relay) enter() (active bool, err error) {
 	// Guards against a process of an earlier version, which knows no baton: its journal must not be opened beside it.
-	if err := r.starting("address can't be looked at", func() error { return wire.CheckAddress(r.c.Listen) }); err != nil {
+	if err := r.starting("address can't be looked at", func() error { return wire.CheckAddress(r.c.ListenAddr) }); err != nil {
 		return false, fmt.Errorf("listen: %w", err)
 	}
 	for _, step := range []func() error{
-		func() (err error) { r.folder, err = rooms.Open(r.c.State, r.log); return err },
-		func() (err error) { active, err = r.folder.TryBaton(); return err },
-		func() (err error) { r.room, err = r.folder.Home(active); return err },
+		func() (err error) { r.folder, err = processdir.Open(r.c.StateDir, r.log); return err },
+		func() (err error) { active, err = r.folder.TryLeaderLock(); return err },
+		func() (err error) { r.room, err = r.folder.OpenOwn(active); return err },
 		func() error {
 			if !active {
 				return nil
 			}
-			return r.folder.Name(r.room)
+			return r.folder.SetCurrent(r.room)
 		},
 	} {
 		if err := r.starting("state folder can't be entered", step); err != nil {
@@ -286,12 +286,12 @@
 
 // shared tells whether there is anything of other processes to take over.
 func (r *relay) shared() bool {
-	if len(r.folder.Given()) > 0 {
+	if len(r.folder.Transfers()) > 0 {
 		return true
 	}
 	held, fallen, err := r.folder.Others(r.room)
 	for _, f := range fallen {
-		r.folder.Leave(f, false)
+		r.folder.Release(f, false)
 	}
 	return err != nil || len(held)+len(fallen) > 0
 }
@@ -301,18 +301,18 @@
 
 // standBy waits until the relay is this process's, and tells whether it is.
 func (r *relay) standBy(ctx context.Context) (bool, error) {
-	if err := r.room.Say(rooms.Ready); err != nil {
+	if err := r.room.SetStatus(processdir.StatusReady); err != nil {
 		return false, fmt.Errorf("ROUTER_STATE: %w", err)
 	}
 	r.standby.Store(true)
 	r.log.Info("standing by: another process of this relay serves", "room", r.room.Name)
 	baton := make(chan error, 1)
-	go func() { baton <- r.starting("the baton can't be waited for", r.folder.WaitBaton) }()
+	go func() { baton <- r.starting("the baton can't be waited for", r.folder.WaitLeaderLock) }()
 	for {
 		select {
 		case err := <-baton:
 			if err == nil {
-				err = r.folder.Name(r.room)
+				err = r.folder.SetCurrent(r.room)
 			}
 			if err != nil {
 				return false, fmt.Errorf("ROUTER_STATE: %w", err)
@@ -343,7 +343,7 @@
 	}
 	var ln net.Listener
 	err = r.starting("address can't be had", func() (err error) {
-		ln, err = wire.Listen(r.c.Listen)
+		ln, err = wire.Listen(r.c.ListenAddr)
 		return err
 	})
 	if err != nil {
@@ -365,10 +365,10 @@
 	}
 	front.HandleDrainEvent(drain.Started)
 	r.front.Store(front)
-	if err := r.room.Say(rooms.Serving); err != nil {
+	if err := r.room.SetStatus(processdir.StatusServing); err != nil {
 		r.log.Warn("the state folder takes no word: an upgrade won't be seen", "err", err)
 	}
-	r.log.Info("ready", "name", r.c.Name, "listen", r.c.Listen, "discovery", r.c.Discovery, "slots", r.c.Settings.MaxConcurrentCalls, "held_most", r.c.Settings.MaxPending)
+	r.log.Info("ready", "name", r.c.Name, "listen", r.c.ListenAddr, "discovery", r.c.DiscoveryAddr, "slots", r.c.Settings.MaxConcurrentCalls, "held_most", r.c.Settings.MaxPending)
 	if leaving {
 		r.inheriting.Store(true)
 		work.Go(successor.follow)
@@ -377,21 +377,21 @@
 }
 
 func among(c *config.Config) wire.FleetIdentity {
-	return wire.FleetIdentity{Number: c.Me, MembershipEnabled: c.Members, Zone: c.Zone, Choices: c.Choices}
+	return wire.FleetIdentity{Number: c.RelayNumber, MembershipEnabled: c.MembershipEnabled, Zone: c.Zone, Choices: c.Choices}
 }
 
 // listenNotes opens the socket between relays. Notes are a help: where it can't be had, the relay serves without.
 func (r *relay) listenNotes() {
-	if len(r.c.Peers) == 0 {
+	if len(r.c.PeerAddrs) == 0 {
 		return
 	}
 	var notes *wire.GossipSocket
 	err := patiently("no notes between relays", time.Second, func() bool { return len(r.terminate) > 0 }, r.log, func() (err error) {
-		notes, err = wire.ListenGossip(r.c.PeerListen, r.c.Peers, r.log)
+		notes, err = wire.ListenGossip(r.c.PeerListenAddr, r.c.PeerAddrs, r.log)
 		return err
 	})
 	if err != nil {
-		r.log.Warn("no notes between relays", "peer_listen", r.c.PeerListen, "err", err)
+		r.log.Warn("no notes between relays", "peer_listen", r.c.PeerListenAddr, "err", err)
 		return
 	}
 	r.notes = notes
--- a/internal/daemon/inherit.go
+++ b/internal/daemon/inherit.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"oatfold/internal/handover"
-	"oatfold/internal/handover/rooms"
+	"oatfold/internal/handover/processdir"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
 	"oatfold/internal/wire"
@@ -18,7 +18,7 @@
 
 // inheritance is the room of a process that is gone, and what its journal holds.
 type inheritance struct {
-	room    *rooms.Room
+	room    *processdir.Dir
 	journal *journal.Journal
 	table   *memory.Table
 }
@@ -33,13 +33,13 @@
 	}
 }
 
-func (h *successor) notTaken(r *rooms.Room, err error) {
+func (h *successor) notTaken(r *processdir.Dir, err error) {
 	h.log.Error("a room is not taken over", "room", r.Path, "err", err)
 }
 
 // read reads rooms, each of which comes before its successor's, and leaves the latest account of each message. A room whose successor's room can't be
 // read is left out as well: its messages may have run.
-func (h *successor) read(fallen []*rooms.Room) (all []*inheritance) {
+func (h *successor) read(fallen []*processdir.Dir) (all []*inheritance) {
 	unread := map[string]bool{}
 	for _, r := range slices.Backward(fallen) {
 		var err error
@@ -48,7 +48,7 @@
 			err = errSuccessorUnread
 		} else {
 			err = h.patiently("a room can't be read", func() (err error) {
-				i.journal, i.table, err = journal.Open(journal.Config{FS: journal.Dir(r.Path), Budget: h.disk() - h.folder.Used(r), TimeScale: h.folder.Dates(), Log: h.log, CompactInline: true})
+				i.journal, i.table, err = journal.Open(journal.Config{FS: journal.Dir(r.Path), Budget: h.disk() - h.folder.UsedBytes(r), TimeScale: h.folder.TimeScale(), Log: h.log, CompactInline: true})
 				return err
 			})
 		}
@@ -104,7 +104,7 @@
 		if err := h.ctx.Err(); err != nil {
 			return err
 		}
-		n, part := copyPart(left, handover.Part(h.free()))
+		n, part := copyPart(left, handover.MaxTransferBytes(h.free()))
 		if !h.wait(h.host.Adopt(wire.Transfer{Messages: part})) {
 			return h.ctx.Err()
 		}
@@ -119,7 +119,7 @@
 	if !h.wait(h.host.Adopt(wire.Transfer{CompletedIDs: i.table.CompletedIDs()})) {
 		return h.ctx.Err()
 	}
-	return h.folder.Clear(i.room)
+	return h.folder.Remove(i.room)
 }
 
 // ordered lists the messages in the order of their numbers.
--- a/internal/daemon/inherit_test.go
+++ b/internal/daemon/inherit_test.go
@@ -10,7 +10,7 @@
 
 	"oatfold/internal/clock"
 	"oatfold/internal/handover"
-	"oatfold/internal/handover/rooms"
+	"oatfold/internal/handover/processdir"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
 	"oatfold/internal/wire"
@@ -34,11 +34,11 @@
 func (a account) leave(t *testing.T, dir, name string) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	folder, err := rooms.Open(dir, log)
+	folder, err := processdir.Open(dir, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := folder.Home(name == "")
+	room, err := folder.OpenOwn(name == "")
 	if err != nil || room.Name != name {
 		t.Fatalf("room %q, want %q: %v", room.Name, name, err)
 	}
@@ -61,12 +61,12 @@
 		t.Fatal(err)
 	}
 	if a.successor != "-" {
-		if err := room.Claim(&rooms.Room{Name: a.successor}); err != nil {
+		if err := room.Claim(&processdir.Dir{Name: a.successor}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	kept.Close()
-	folder.Leave(room, false)
+	folder.Release(room, false)
 }
 
 // found tells what a room's journal still holds of "m".
@@ -150,8 +150,8 @@
 	dir := t.TempDir()
 	account{successor: "life-1"}.leave(t, dir, "")
 	h := startSuccessor(t, dir)
-	h.folder.Leave(h.room, false) // the room "life-1" falls
-	fallen := []*rooms.Room{{Name: "", Path: dir}, {Name: "life-1", Path: h.room.Path + "/gone"}}
+	h.folder.Release(h.room, false) // the room "life-1" falls
+	fallen := []*processdir.Dir{{Name: "", Path: dir}, {Name: "life-1", Path: h.room.Path + "/gone"}}
 	if err := fallen[0].Claim(fallen[1]); err == nil {
 		t.Fatal("a room that is not locked takes a word")
 	}
@@ -220,8 +220,8 @@
 			dir := t.TempDir()
 			c.leave(t, dir, "")
 			h := startSuccessor(t, dir)
-			news := handover.News{}
-			if err := h.folder.Give(journal.EncodeTransfer([]*memory.Message{charge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
+			news := handover.Update{}
+			if err := h.folder.WriteTransfer(journal.EncodeTransfer([]*memory.Message{charge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
 				t.Fatal(err)
 			}
 			h.take()
@@ -231,7 +231,7 @@
 			if m := found(t, h.room.Path); m != nil && m.Notification == nil {
 				t.Errorf("it is still to be run: %+v", m)
 			}
-			if given := h.folder.Given(); len(given) > 0 {
+			if given := h.folder.Transfers(); len(given) > 0 {
 				t.Errorf("%v stay in the spool", given)
 			}
 		})
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -17,10 +17,10 @@
 // memoryShare of the limit is what the garbage collector aims to stay under.
 const memoryShare = 0.6
 
-// Sources is where a relay's configuration comes from, at the start and at each SIGHUP.
-type Sources struct {
-	Platform func() (*config.Config, error)
-	Operator func(*config.Config) (*operator.Config, error) // nil: no operator's file
+// ConfigSources is where a relay's configuration comes from, at the start and at each SIGHUP.
+type ConfigSources struct {
+	LoadPlatform func() (*config.Config, error)
+	LoadOperator func(*config.Config) (*operator.Config, error) // nil: no operator's file
 }
 
 // plug is what a load of plug-ins came to.
@@ -31,14 +31,14 @@
 }
 
 // plugins loads what the operator's file says, off the serving path.
-func (s Sources) plugins(ctx context.Context, c *config.Config, log *slog.Logger) <-chan plug {
+func (s ConfigSources) plugins(ctx context.Context, c *config.Config, log *slog.Logger) <-chan plug {
 	done := make(chan plug, 1)
-	if s.Operator == nil {
+	if s.LoadOperator == nil {
 		done <- plug{}
 		return done
 	}
 	go func() {
-		oc, err := s.Operator(c)
+		oc, err := s.LoadOperator(c)
 		if err != nil {
 			done <- plug{err: err}
 			return
@@ -67,7 +67,7 @@
 	go func() {
 		var got read
 		got.err = patiently("configuration can't be read", reloadPatience, func() bool { return r.stopping.Load() }, r.log, func() (err error) {
-			got.c, err = r.from.Platform()
+			got.c, err = r.from.LoadPlatform()
 			return err
 		})
 		done <- got
@@ -115,8 +115,8 @@
 
 func hostConfig(c *config.Config) wire.HostConfig {
 	_, idle := sockets(c)
-	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout, LoadReports: c.Reports,
-		MaxIdleConns: idle, KnownEndpoints: c.Known, JournalBytes: c.DiskBytes}
+	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout, LoadReports: c.LoadReports,
+		MaxIdleConns: idle, KnownEndpoints: c.KnownEndpoints, JournalBytes: c.DiskBytes}
 }
 
 // reload puts the configuration as it is now in force and returns it. Guards against a file that is wrong or half
@@ -124,25 +124,25 @@
 func reload(old *config.Config, got read, host *wire.Host, front *wire.Server, log *slog.Logger) *config.Config {
 	c, err := got.c, got.err
 	if err == nil {
-		err = host.Reload(hostConfig(c), c.Discovery)
+		err = host.Reload(hostConfig(c), c.DiscoveryAddr)
 	}
 	if err != nil {
 		log.Error("configuration not reloaded, the old one stays", "err", err)
 		return old
 	}
-	if c.Admin != old.Admin {
-		log.Warn("admin changes with the next start only", "admin", old.Admin, "configured", c.Admin)
-		c.Admin = old.Admin
+	if c.AdminAddr != old.AdminAddr {
+		log.Warn("admin changes with the next start only", "admin", old.AdminAddr, "configured", c.AdminAddr)
+		c.AdminAddr = old.AdminAddr
 	}
-	if c.Listen != old.Listen {
-		log.Warn("listen changes with the next start only", "listen", old.Listen, "configured", c.Listen)
-		c.Listen = old.Listen
+	if c.ListenAddr != old.ListenAddr {
+		log.Warn("listen changes with the next start only", "listen", old.ListenAddr, "configured", c.ListenAddr)
+		c.ListenAddr = old.ListenAddr
 	}
 	warnGone(log, &old.Settings, &c.Settings)
 	debug.SetMemoryLimit(memoryAim(c))
 	if clients, _ := sockets(c); front != nil {
 		front.Configure(&c.Settings, clients)
 	}
-	log.Info("reloaded", "discovery", c.Discovery, "slots", c.Settings.MaxConcurrentCalls, "held_most", c.Settings.MaxPending)
+	log.Info("reloaded", "discovery", c.DiscoveryAddr, "slots", c.Settings.MaxConcurrentCalls, "held_most", c.Settings.MaxPending)
 	return c
 }
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -62,8 +62,8 @@
 
 // home is the name of this relay's own zone; empty: not known.
 func (r *relay) home() string {
-	if r.c.Zone >= 0 && r.c.Zone < len(r.c.Zones) {
-		return r.c.Zones[r.c.Zone]
+	if r.c.Zone >= 0 && r.c.Zone < len(r.c.ZoneNames) {
+		return r.c.ZoneNames[r.c.Zone]
 	}
 	return ""
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -38,7 +38,7 @@
 	r.marking.Lock()
 	defer r.marking.Unlock()
 	f := r.front.Load()
-	if err := r.folder.Mark(f.Drained() && !r.stopping.Load()); err != nil {
+	if err := r.folder.SetDrained(f.Drained() && !r.stopping.Load()); err != nil {
 		r.log.Warn("a drain, or its end, is not kept: a crash would undo it", "err", err)
 	}
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -7,7 +7,7 @@
 
 	"oatfold/internal/drain"
 	"oatfold/internal/handover"
-	"oatfold/internal/handover/rooms"
+	"oatfold/internal/handover/processdir"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
 	"oatfold/internal/wire"
@@ -39,10 +39,10 @@
 func (h *successor) take() (leaving bool) {
 	h.host.BeginTransferScan()
 	var held []string
-	var fallen []*rooms.Room
+	var fallen []*processdir.Dir
 	err := h.patiently("rooms of other processes can't be looked at", func() (err error) {
 		for _, f := range fallen {
-			h.folder.Leave(f, false) // of a look that failed half way
+			h.folder.Release(f, false) // of a look that failed half way
 		}
 		held, fallen, err = h.folder.Others(h.room)
 		return err
@@ -51,7 +51,7 @@
 		h.log.Error("rooms of other processes not looked at", "err", err)
 	}
 	for _, name := range held {
-		leaving = leaving || h.folder.Said(name) == rooms.Serving
+		leaving = leaving || h.folder.Status(name) == processdir.StatusServing
 	}
 	// Guards against a message that is in a room and was given as well: the gift is taken first. All that the process of a fallen room gave is there.
 	h.spool(leaving)
@@ -64,12 +64,12 @@
 			h.done(name)
 		}
 		clear(h.latest)
-		h.folder.Sweep()
+		h.folder.RemovePartialTransfers()
 		h.wait(h.host.Adopt(wire.Transfer{LastProcess: true}))
 	} else if h.ctx.Err() == nil {
 		h.host.EndTransferScan()
 	}
-	h.host.SetJournalShare(h.disk(), h.folder.Used(h.room), !leaving)
+	h.host.SetJournalShare(h.disk(), h.folder.UsedBytes(h.room), !leaving)
 	return leaving
 }
 
@@ -120,21 +120,21 @@
 
 // spool takes over what was given.
 func (h *successor) spool(leaving bool) {
-	for _, name := range h.folder.Given() {
-		from := rooms.Giver(name)
+	for _, name := range h.folder.Transfers() {
+		from := processdir.TransferSender(name)
 		if h.bad[name] || h.latest[from] == name || h.ctx.Err() != nil {
 			continue
 		}
 		var msgs []*memory.Message
-		var news *handover.News
+		var news *handover.Update
 		var raw []byte
 		err := h.patiently("a given file can't be read", func() (err error) {
-			raw, err = h.folder.Read(name)
+			raw, err = h.folder.ReadTransfer(name)
 			return err
 		})
 		if err == nil {
 			var text []byte
-			if msgs, text, err = journal.DecodeTransfer(raw, h.folder.Dates()); err == nil {
+			if msgs, text, err = journal.DecodeTransfer(raw, h.folder.TimeScale()); err == nil {
 				news, err = handover.Decode(text)
 			}
 		}
@@ -144,7 +144,7 @@
 			continue
 		}
 		if !leaving {
-			news = &handover.News{Numbers: news.Numbers} // who gave it is gone, perhaps for long
+			news = &handover.Update{Numbering: news.Numbering} // who gave it is gone, perhaps for long
 		}
 		if h.wait(h.host.Adopt(wire.Transfer{Sender: from, Messages: msgs, Update: news})) {
 			h.adopted(name, from, news, len(msgs) > 0)
@@ -154,7 +154,7 @@
 
 // adopted lets a file of the spool go that is taken over. The latest one of each process stays, without its messages: should this process be killed, the one
 // that comes after it has to know what the other still owes.
-func (h *successor) adopted(name, from string, news *handover.News, messages bool) {
+func (h *successor) adopted(name, from string, news *handover.Update, messages bool) {
 	if before, some := h.latest[from]; some {
 		h.done(before)
 	}
@@ -162,7 +162,7 @@
 	if !messages {
 		return
 	}
-	if err := h.folder.Replace(name, journal.EncodeTransfer(nil, news.Encode(), h.folder.Dates())); err != nil {
+	if err := h.folder.ReplaceTransfer(name, journal.EncodeTransfer(nil, news.Encode(), h.folder.TimeScale())); err != nil {
 		h.log.Warn("news of the process before are not kept for another start", "file", name, "err", err)
 		h.done(name)
 		delete(h.latest, from)
@@ -171,28 +171,28 @@
 
 // done removes a file of the spool.
 func (h *successor) done(name string) {
-	if err := h.folder.Done(name); err != nil {
+	if err := h.folder.RemoveTransfer(name); err != nil {
 		h.bad[name] = true
 		h.log.Error("given file is taken over but stays", "file", name, "err", err)
 	}
 }
 
 // free is what is free of the disk, over all processes.
-func (r *relay) free() int64 { return r.c.DiskBytes - r.folder.Used(nil) }
+func (r *relay) free() int64 { return r.c.DiskBytes - r.folder.UsedBytes(nil) }
 
 // handOver leaves the relay to a process that stands by, and tells whether there was one that it could be left to.
 func (r *relay) handOver() bool {
 	held, fallen, err := r.folder.Others(r.room)
 	for _, f := range fallen {
-		r.folder.Leave(f, false)
+		r.folder.Release(f, false)
 	}
-	held = slices.DeleteFunc(held, func(name string) bool { return r.folder.Said(name) != rooms.Ready })
+	held = slices.DeleteFunc(held, func(name string) bool { return r.folder.Status(name) != processdir.StatusReady })
 	if err != nil || len(held) == 0 {
 		return false
 	}
 	began, front := time.Now(), r.front.Load()
-	r.host.SetJournalShare(r.disk(), r.folder.Used(r.room), false)
-	if r.host.HandOver(r.folder.Give, front.Drained(), handover.Part(r.free())) != nil {
+	r.host.SetJournalShare(r.disk(), r.folder.UsedBytes(r.room), false)
+	if r.host.HandOver(r.folder.WriteTransfer, front.Drained(), handover.MaxTransferBytes(r.free())) != nil {
 		return false
 	}
 	r.log.Info("handing over", "standing_by", held)
@@ -200,29 +200,29 @@
 		r.notes.Close()
 		r.notes = nil
 	}
-	if err := r.folder.Pass(); err != nil {
+	if err := r.folder.ReleaseLeaderLock(); err != nil {
 		r.log.Error("the baton is not given up before this process ends", "err", err)
 	}
 	front.HandleDrainEvent(drain.HandOver)
-	facts, letGo, read := handover.Facts{}, false, false
+	facts, letGo, read := handover.Progress{}, false, false
 	for {
-		if len(r.folder.Given()) < givenMost {
-			r.host.TransferRemaining(handover.Part(r.free()))
+		if len(r.folder.Transfers()) < givenMost {
+			r.host.TransferRemaining(handover.MaxTransferBytes(r.free()))
 		}
 		// In this order: once nothing is accepted, no connection is added.
-		facts.Accepting = front.Accepting()
-		facts.Since, facts.Clients = time.Since(began), front.OpenConnections()
-		if !read && facts.Since >= readOn {
+		facts.Listening = front.Accepting()
+		facts.Elapsed, facts.ClientConns = time.Since(began), front.OpenConnections()
+		if !read && facts.Elapsed >= readOn {
 			front.StopReads()
 			read = true
 		}
-		facts.Held, facts.Out, facts.StaysBehind = r.host.Remaining()
-		facts.Taken = facts.Taken || slices.ContainsFunc(held, func(name string) bool { return r.folder.Said(name) == rooms.Serving })
-		switch handover.Next(facts) {
+		facts.Pending, facts.CallsInFlight, facts.NotTransferable = r.host.Remaining()
+		facts.SuccessorServing = facts.SuccessorServing || slices.ContainsFunc(held, func(name string) bool { return r.folder.Status(name) == processdir.StatusServing })
+		switch handover.NextAction(facts) {
 		case handover.Exit:
-			r.log.Info("handed over", "left_in_room", facts.Held, "calls_out", facts.Out)
+			r.log.Info("handed over", "left_in_room", facts.Pending, "calls_out", facts.CallsInFlight)
 			return true
-		case handover.LetGo:
+		case handover.StopListening:
 			if !letGo {
 				front.StopListening()
 			}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -12,7 +12,7 @@
 	"oatfold/internal/clock"
 	"oatfold/internal/daemon/config"
 	"oatfold/internal/handover"
-	"oatfold/internal/handover/rooms"
+	"oatfold/internal/handover/processdir"
 	"oatfold/internal/handover/sequence"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
@@ -24,11 +24,11 @@
 func startSuccessor(t *testing.T, dir string) *successor {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	folder, err := rooms.Open(dir, log)
+	folder, err := processdir.Open(dir, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := folder.Home(false)
+	room, err := folder.OpenOwn(false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	}
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() { host.Run(stop); close(done) }()
-	t.Cleanup(func() { close(stop); <-done; kept.Close(); folder.Leave(room, false) })
+	t.Cleanup(func() { close(stop); <-done; kept.Close(); folder.Release(room, false) })
 	r := &relay{folder: folder, room: room, host: host, log: log, c: &config.Config{DiskBytes: 1 << 20}}
 	return &successor{r, context.Background(), map[string]bool{}, map[string]string{}}
 }
@@ -53,25 +53,25 @@
 // what the other one still owes.
 func TestLatestNewsStay(t *testing.T) {
 	dir := t.TempDir()
-	old, err := rooms.Open(dir, slog.New(slog.DiscardHandler))
+	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := old.Take("")
+	room, err := old.TryLock("")
 	if err != nil || room == nil {
 		t.Fatal(room, err)
 	}
 	gives := func(owes string, msgs ...*memory.Message) {
 		t.Helper()
-		news := handover.News{Owes: []sequence.Message{{ID: owes, Subject: "s", Num: 1}}}
-		if err := old.Give(journal.EncodeTransfer(msgs, news.Encode(), clock.Scale{})); err != nil {
+		news := handover.Update{PendingOrdered: []sequence.Message{{ID: owes, OrderingKey: "s", Number: 1}}}
+		if err := old.WriteTransfer(journal.EncodeTransfer(msgs, news.Encode(), clock.Scale{})); err != nil {
 			t.Fatal(err)
 		}
 	}
 	kept := func() (owes []string, msgs int) {
 		t.Helper()
-		for _, name := range old.Given() {
-			raw, err := old.Read(name)
+		for _, name := range old.Transfers() {
+			raw, err := old.ReadTransfer(name)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range news.Owes {
+			for _, m := range news.PendingOrdered {
 				owes = append(owes, m.ID)
 			}
 			msgs += len(given)
@@ -106,7 +106,7 @@
 	if held, _ := h.host.Load(); held != 1 {
 		t.Errorf("%d held", held)
 	}
-	old.Leave(room, false)
+	old.Release(room, false)
 	if h.take() {
 		t.Error("somebody is said to leave")
 	}
@@ -119,12 +119,12 @@
 func TestTakingOverOutlastsAMomentOfTrouble(t *testing.T) {
 	dir := t.TempDir()
 	account{successor: "-"}.leave(t, dir, "")
-	old, err := rooms.Open(dir, slog.New(slog.DiscardHandler))
+	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := &memory.Message{Number: 3, ID: "given", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour)}
-	if err := old.Give(journal.EncodeTransfer([]*memory.Message{other}, (&handover.News{}).Encode(), clock.Scale{})); err != nil {
+	if err := old.WriteTransfer(journal.EncodeTransfer([]*memory.Message{other}, (&handover.Update{}).Encode(), clock.Scale{})); err != nil {
 		t.Fatal(err)
 	}
 	segments, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
--- a/internal/handover/rooms/claim_test.go
+++ b/internal/handover/processdir/claim_test.go
@@ -1,4 +1,4 @@
-package rooms
+package processdir
 
 import "testing"
 
@@ -10,7 +10,7 @@
 	b, roomB, _ := process(t, dir)
 	die(a, roomA)
 	put(t, roomB, "000000000001.seg")
-	roomB.Say(Serving)
+	roomB.SetStatus(StatusServing)
 	_, fallen, err := b.Others(roomB)
 	if err != nil || len(fallen) != 1 {
 		t.Fatal(fallen, err)
@@ -41,7 +41,7 @@
 	a, roomA, _ := process(t, dir)
 	put(t, roomA, "000000000001.seg")
 	b, roomB, _ := process(t, dir)
-	roomB.Say(Ready)
+	roomB.SetStatus(StatusReady)
 	roomA.Claim(roomB)
 	die(a, roomA)
 	c, roomC, _ := process(t, dir)
@@ -57,7 +57,7 @@
 	dir := t.TempDir()
 	a, roomA, _ := process(t, dir)
 	put(t, roomA, "000000000001.seg")
-	roomA.Claim(&Room{Name: "life-9"})
+	roomA.Claim(&Dir{Name: "life-9"})
 	die(a, roomA)
 	b, roomB, active := process(t, dir)
 	if !active || roomB.Name == "" {
@@ -67,7 +67,7 @@
 	if err != nil || len(fallen) != 1 {
 		t.Fatal(fallen, err)
 	}
-	if err := b.Clear(fallen[0]); err != nil {
+	if err := b.Remove(fallen[0]); err != nil {
 		t.Fatal(err)
 	}
 	if _, roomC, _ := process(t, dir); roomC.Name != "" {
@@ -77,8 +77,8 @@
 
 // Each room comes before its successor's, whatever their names are.
 func TestRoomsComeBeforeTheirSuccessors(t *testing.T) {
-	all := []*Room{{Name: "", successor: "life-9", claimed: true}, {Name: "life-1"}, {Name: "life-2", successor: "", claimed: true}, {Name: "life-3", successor: "life-3", claimed: true}}
-	got := (&Folder{dir: t.TempDir()}).readable(all, nil)
+	all := []*Dir{{Name: "", successor: "life-9", claimed: true}, {Name: "life-1"}, {Name: "life-2", successor: "", claimed: true}, {Name: "life-3", successor: "life-3", claimed: true}}
+	got := (&StateDir{dir: t.TempDir()}).readable(all, nil)
 	at := map[string]int{}
 	for i, r := range got {
 		at[r.Name] = i
--- a/internal/handover/rooms/rooms.go
+++ b/internal/handover/processdir/rooms.go
@@ -1,7 +1,7 @@
 // Package rooms is the state folder that processes of one relay share: the baton, a room for each life with its journal, and the spool
 // between them. It does the I/O that package handover knows nothing of, and decides nothing. Locks are flock's: they
 // die with their process, whatever ends it.
-package rooms
+package processdir
 
 import (
 	"errors"
@@ -33,12 +33,12 @@
 
 // The words that a process says in its room.
 const (
-	Ready   = "ready"   // it stands by, and can serve
-	Serving = "serving" // it accepts clients
+	StatusReady   = "ready"   // it stands by, and can serve
+	StatusServing = "serving" // it accepts clients
 )
 
-// Folder is a state folder.
-type Folder struct {
+// StateDir is a state folder.
+type StateDir struct {
 	dir   string
 	baton *os.File
 	log   *slog.Logger
@@ -46,8 +46,8 @@
 	dates clock.Scale
 }
 
-// Room is where one process writes its journal. The zero name is the state folder itself.
-type Room struct {
+// Dir is where one process writes its journal. The zero name is the state folder itself.
+type Dir struct {
 	Path, Name string
 	lock       *os.File
 	successor  string // the room of the process that was taking this one over
@@ -55,12 +55,12 @@
 }
 
 // Open opens a state folder, which is there.
-func Open(dir string, log *slog.Logger) (*Folder, error) {
+func Open(dir string, log *slog.Logger) (*StateDir, error) {
 	f, err := os.OpenFile(filepath.Join(dir, batonName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	folder := &Folder{dir: dir, baton: f, log: log}
+	folder := &StateDir{dir: dir, baton: f, log: log}
 	folder.dates = folder.scale()
 	return folder, nil
 }
@@ -68,11 +68,11 @@
 // steppedBy is from which difference on the wall clock is said to have been stepped.
 const steppedBy = time.Second
 
-// Dates is the scale on which all processes of the relay date what they leave to others.
-func (f *Folder) Dates() clock.Scale { return f.dates }
+// TimeScale is the scale on which all processes of the relay date what they leave to others.
+func (f *StateDir) TimeScale() clock.Scale { return f.dates }
 
 // scale goes on with the scale of the processes before, or begins one.
-func (f *Folder) scale() clock.Scale {
+func (f *StateDir) scale() clock.Scale {
 	now, at := clock.Now()
 	raw, err := os.ReadFile(f.path(clockName))
 	kept, bad := clock.Decode(raw)
@@ -93,7 +93,7 @@
 }
 
 // write puts a file of the folder in place, whole or not at all.
-func (f *Folder) write(name string, b []byte) error {
+func (f *StateDir) write(name string, b []byte) error {
 	tmp := f.path(name) + tmpExt
 	if err := os.WriteFile(tmp, b, 0o600); err != nil {
 		os.Remove(tmp)
@@ -117,20 +117,20 @@
 	}
 }
 
-// TryBaton takes the baton if nobody has it.
-func (f *Folder) TryBaton() (bool, error) { return lock(f.baton, unix.LOCK_EX|unix.LOCK_NB) }
+// TryLeaderLock takes the baton if nobody has it.
+func (f *StateDir) TryLeaderLock() (bool, error) { return lock(f.baton, unix.LOCK_EX|unix.LOCK_NB) }
 
-// WaitBaton waits until the baton is this process's. It holds a thread meanwhile.
-func (f *Folder) WaitBaton() error {
+// WaitLeaderLock waits until the baton is this process's. It holds a thread meanwhile.
+func (f *StateDir) WaitLeaderLock() error {
 	_, err := lock(f.baton, unix.LOCK_EX)
 	return err
 }
 
-// Pass gives the baton up.
-func (f *Folder) Pass() error { return unix.Flock(int(f.baton.Fd()), unix.LOCK_UN) }
+// ReleaseLeaderLock gives the baton up.
+func (f *StateDir) ReleaseLeaderLock() error { return unix.Flock(int(f.baton.Fd()), unix.LOCK_UN) }
 
-// Name writes whose journal is in force from now on. The holder of the baton does so before it takes anything over.
-func (f *Folder) Name(r *Room) error {
+// SetCurrent writes whose journal is in force from now on. The holder of the baton does so before it takes anything over.
+func (f *StateDir) SetCurrent(r *Dir) error {
 	name := r.Name + "\n"
 	if have, err := os.ReadFile(f.baton.Name()); err == nil && string(have) == name {
 		return nil // a disk that takes nothing now refuses no start for it
@@ -142,16 +142,16 @@
 }
 
 // named is the room that the last holder of the baton wrote to, "" also if there was none.
-func (f *Folder) named() string {
+func (f *StateDir) named() string {
 	b := make([]byte, 64)
 	n, _ := f.baton.ReadAt(b, 0)
 	return strings.TrimSpace(string(b[:n]))
 }
 
-func (f *Folder) path(name string) string { return filepath.Join(f.dir, name) }
+func (f *StateDir) path(name string) string { return filepath.Join(f.dir, name) }
 
 // names lists the rooms that there are, the state folder itself first.
-func (f *Folder) names() []string {
+func (f *StateDir) names() []string {
 	all := []string{""}
 	entries, _ := os.ReadDir(f.dir)
 	for _, e := range entries {
@@ -162,8 +162,8 @@
 	return all
 }
 
-// Take takes a room if no process has it; nil if one does, or if it is gone.
-func (f *Folder) Take(name string) (*Room, error) {
+// TryLock takes a room if no process has it; nil if one does, or if it is gone.
+func (f *StateDir) TryLock(name string) (*Dir, error) {
 	path := filepath.Join(f.path(name), lockName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrNotExist) {
@@ -183,16 +183,16 @@
 		file.Close()
 		return nil, err
 	}
-	r := &Room{Path: f.path(name), Name: name, lock: file}
+	r := &Dir{Path: f.path(name), Name: name, lock: file}
 	if r.successor, r.claimed = f.claim(name); !r.claimed {
 		file.Truncate(0) // the last word of a process that is gone
 	}
 	return r, nil
 }
 
-// Home takes the room that this process writes to. Who holds the baton goes on in the one that was in force; who stands by gets an empty one: the state
+// OpenOwn takes the room that this process writes to. Who holds the baton goes on in the one that was in force; who stands by gets an empty one: the state
 // folder itself if it can, so that every second upgrade leaves a folder that a version without rooms can read.
-func (f *Folder) Home(active bool) (*Room, error) {
+func (f *StateDir) OpenOwn(active bool) (*Dir, error) {
 	var first []string
 	if active {
 		first = []string{f.named(), ""}
@@ -200,7 +200,7 @@
 		first = []string{""}
 	}
 	for _, name := range first {
-		r, err := f.Take(name)
+		r, err := f.TryLock(name)
 		if r != nil && r.claimed {
 			r.lock.Close() // it is taken over like any other: a part of its messages has gone on in its successor's room
 			continue
@@ -218,14 +218,14 @@
 		if err := os.Mkdir(f.path(name), 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 			return nil, err
 		}
-		if r, err := f.Take(name); r != nil || err != nil {
+		if r, err := f.TryLock(name); r != nil || err != nil {
 			return r, err
 		}
 	}
 }
 
-// Say leaves a word in the room, for other processes.
-func (r *Room) Say(word string) error {
+// SetStatus leaves a word in the room, for other processes.
+func (r *Dir) SetStatus(word string) error {
 	_, err := r.lock.WriteAt([]byte(word+"\n"), 0)
 	if err == nil {
 		err = r.lock.Truncate(int64(len(word) + 1))
@@ -233,20 +233,20 @@
 	return err
 }
 
-// Said is the last word in a room.
-func (f *Folder) Said(name string) string {
+// Status is the last word in a room.
+func (f *StateDir) Status(name string) string {
 	b, _ := os.ReadFile(filepath.Join(f.path(name), lockName))
 	return strings.TrimSpace(string(b))
 }
 
 // Others lists the rooms beside mine: those that a process has, and those whose lock has fallen, which are taken, each before the room of its successor.
 // The state folder itself counts only if there is a journal in it.
-func (f *Folder) Others(mine *Room) (held []string, fallen []*Room, err error) {
+func (f *StateDir) Others(mine *Dir) (held []string, fallen []*Dir, err error) {
 	for _, name := range f.names() {
 		if name == mine.Name || name == "" && len(f.files("")) == 0 {
 			continue
 		}
-		r, err := f.Take(name)
+		r, err := f.TryLock(name)
 		switch {
 		case err != nil:
 			return held, fallen, err
@@ -262,7 +262,7 @@
 }
 
 // files lists the files of a room's journal.
-func (f *Folder) files(name string) (all []string) {
+func (f *StateDir) files(name string) (all []string) {
 	entries, _ := os.ReadDir(f.path(name))
 	for _, e := range entries {
 		switch filepath.Ext(e.Name()) {
@@ -277,8 +277,8 @@
 	return all
 }
 
-// Clear removes a room that is taken: its journal has been taken over.
-func (f *Folder) Clear(r *Room) error {
+// Remove removes a room that is taken: its journal has been taken over.
+func (f *StateDir) Remove(r *Dir) error {
 	for _, path := range f.files(r.Name) {
 		if err := os.Remove(path); err != nil {
 			return err
@@ -295,17 +295,17 @@
 	return r.lock.Close()
 }
 
-// Leave gives the room's lock up. The room of a process that has never held the baton is empty, and goes.
-func (f *Folder) Leave(r *Room, empty bool) {
+// Release gives the room's lock up. The room of a process that has never held the baton is empty, and goes.
+func (f *StateDir) Release(r *Dir, empty bool) {
 	if empty && r.Name != "" {
-		f.Clear(r)
+		f.Remove(r)
 		return
 	}
 	r.lock.Close()
 }
 
-// Used is what all files take that are not in mine; all of them where that is nil.
-func (f *Folder) Used(mine *Room) (bytes int64) {
+// UsedBytes is what all files take that are not in mine; all of them where that is nil.
+func (f *StateDir) UsedBytes(mine *Dir) (bytes int64) {
 	for _, name := range append(f.names(), spoolName) {
 		if mine != nil && name == mine.Name {
 			continue
@@ -326,13 +326,13 @@
 const drainedName = "drained"
 
 // Drained tells whether the operators had emptied the relay when a process last marked it.
-func (f *Folder) Drained() bool {
+func (f *StateDir) Drained() bool {
 	_, err := os.Stat(f.path(drainedName))
 	return err == nil
 }
 
-// Mark notes that the operators have emptied the relay, or that it is back at work, for a process that comes after a crash.
-func (f *Folder) Mark(drained bool) error {
+// SetDrained notes that the operators have emptied the relay, or that it is back at work, for a process that comes after a crash.
+func (f *StateDir) SetDrained(drained bool) error {
 	if !drained {
 		if err := os.Remove(f.path(drainedName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
@@ -342,8 +342,8 @@
 	return os.WriteFile(f.path(drainedName), nil, 0o600)
 }
 
-// Give adds a file to the spool. It is there whole, or not at all.
-func (f *Folder) Give(b []byte) error {
+// WriteTransfer adds a file to the spool. It is there whole, or not at all.
+func (f *StateDir) WriteTransfer(b []byte) error {
 	dir := f.path(spoolName)
 	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
@@ -357,15 +357,15 @@
 	return os.Rename(name+tmpExt, name+giveExt)
 }
 
-// Giver tells files of the spool apart by the process that gave them.
-func Giver(name string) string {
+// TransferSender tells files of the spool apart by the process that gave them.
+func TransferSender(name string) string {
 	_, rest, _ := strings.Cut(name, "-")
 	process, _, _ := strings.Cut(rest, "-")
 	return process
 }
 
-// Replace puts another content in place of a file of the spool. At each moment the old one is there whole, or the new one.
-func (f *Folder) Replace(name string, b []byte) error {
+// ReplaceTransfer puts another content in place of a file of the spool. At each moment the old one is there whole, or the new one.
+func (f *StateDir) ReplaceTransfer(name string, b []byte) error {
 	path := filepath.Join(f.path(spoolName), name)
 	tmp := strings.TrimSuffix(path, giveExt) + tmpExt
 	if err := os.WriteFile(tmp, b, 0o600); err != nil {
@@ -375,8 +375,8 @@
 	return os.Rename(tmp, path)
 }
 
-// Given lists the spool's files, the oldest first.
-func (f *Folder) Given() (names []string) {
+// Transfers lists the spool's files, the oldest first.
+func (f *StateDir) Transfers() (names []string) {
 	entries, _ := os.ReadDir(f.path(spoolName)) // sorted by name
 	for _, e := range entries {
 		if filepath.Ext(e.Name()) == giveExt {
@@ -386,16 +386,18 @@
 	return names
 }
 
-// Read returns a file of the spool.
-func (f *Folder) Read(name string) ([]byte, error) {
+// ReadTransfer returns a file of the spool.
+func (f *StateDir) ReadTransfer(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(f.path(spoolName), name))
 }
 
-// Done removes a file of the spool, whose content is taken over.
-func (f *Folder) Done(name string) error { return os.Remove(filepath.Join(f.path(spoolName), name)) }
+// RemoveTransfer removes a file of the spool, whose content is taken over.
+func (f *StateDir) RemoveTransfer(name string) error {
+	return os.Remove(filepath.Join(f.path(spoolName), name))
+}
 
-// Sweep removes what half a write left in the spool. Nobody else may be giving.
-func (f *Folder) Sweep() {
+// RemovePartialTransfers removes what half a write left in the spool. Nobody else may be giving.
+func (f *StateDir) RemovePartialTransfers() {
 	entries, _ := os.ReadDir(f.path(spoolName))
 	for _, e := range entries {
 		if filepath.Ext(e.Name()) == tmpExt {
--- a/internal/handover/rooms/rooms_test.go
+++ b/internal/handover/processdir/rooms_test.go
@@ -1,4 +1,4 @@
-package rooms
+package processdir
 
 import (
 	"log/slog"
@@ -14,31 +14,31 @@
 var quiet = slog.New(slog.DiscardHandler)
 
 // process is what one process of a relay has open; locks are of the open files, so that two of them in one test are as apart as two processes.
-func process(t *testing.T, dir string) (*Folder, *Room, bool) {
+func process(t *testing.T, dir string) (*StateDir, *Dir, bool) {
 	t.Helper()
 	f, err := Open(dir, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	active, err := f.TryBaton()
+	active, err := f.TryLeaderLock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := f.Home(active)
+	r, err := f.OpenOwn(active)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if active {
-		if err := f.Name(r); err != nil {
+		if err := f.SetCurrent(r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return f, r, active
 }
 
-func die(f *Folder, r *Room) { f.baton.Close(); r.lock.Close() }
+func die(f *StateDir, r *Dir) { f.baton.Close(); r.lock.Close() }
 
-func put(t *testing.T, r *Room, name string) {
+func put(t *testing.T, r *Dir, name string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(r.Path, name), make([]byte, 600), 0o600); err != nil {
 		t.Fatal(err)
@@ -57,26 +57,26 @@
 	if active || third || roomB.Path == dir || roomC.Path == roomB.Path {
 		t.Fatalf("beside it: %v %v, %+v, %+v", active, third, roomB, roomC)
 	}
-	roomB.Say(Ready)
+	roomB.SetStatus(StatusReady)
 	held, fallen, err := a.Others(roomA)
-	if err != nil || len(held) != 2 || len(fallen) > 0 || a.Said(roomB.Name) != Ready || a.Said(roomC.Name) != "" {
+	if err != nil || len(held) != 2 || len(fallen) > 0 || a.Status(roomB.Name) != StatusReady || a.Status(roomC.Name) != "" {
 		t.Fatalf("%v, %v, %v", held, fallen, err)
 	}
-	if used := b.Used(roomB); used < 1024 {
+	if used := b.UsedBytes(roomB); used < 1024 {
 		t.Errorf("%d bytes of others", used)
 	}
 	die(a, roomA)
 	die(c, roomC)
-	if err := b.WaitBaton(); err != nil {
+	if err := b.WaitLeaderLock(); err != nil {
 		t.Fatal(err)
 	}
-	b.Name(roomB)
+	b.SetCurrent(roomB)
 	held, fallen, err = b.Others(roomB)
 	if err != nil || len(held) > 0 || len(fallen) != 2 || fallen[0].Path != dir {
 		t.Fatalf("after the others died: %v, %v, %v", held, fallen, err)
 	}
 	for _, r := range fallen {
-		if err := b.Clear(r); err != nil {
+		if err := b.Remove(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -108,25 +108,25 @@
 func TestSpool(t *testing.T) {
 	f, _, _ := process(t, t.TempDir())
 	for _, s := range []string{"one", "two", "three"} {
-		if err := f.Give([]byte(s)); err != nil {
+		if err := f.WriteTransfer([]byte(s)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	os.WriteFile(filepath.Join(f.path(spoolName), "half"+tmpExt), []byte("x"), 0o600)
 	var got []string
-	for _, name := range f.Given() {
-		b, err := f.Read(name)
+	for _, name := range f.Transfers() {
+		b, err := f.ReadTransfer(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got = append(got, string(b)); len(got) < 3 {
-			f.Done(name)
+			f.RemoveTransfer(name)
 		}
 	}
-	f.Sweep()
+	f.RemovePartialTransfers()
 	entries, _ := os.ReadDir(f.path(spoolName))
-	if !slices.Equal(got, []string{"one", "two", "three"}) || len(f.Given()) != 1 || len(entries) != 1 {
-		t.Errorf("%v, left %v, %v", got, f.Given(), entries)
+	if !slices.Equal(got, []string{"one", "two", "three"}) || len(f.Transfers()) != 1 || len(entries) != 1 {
+		t.Errorf("%v, left %v, %v", got, f.Transfers(), entries)
 	}
 }
 
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if off := f.Dates().Time(date).Sub(at.Add(time.Minute)); off.Abs() > time.Second {
+		if off := f.TimeScale().Time(date).Sub(at.Add(time.Minute)); off.Abs() > time.Second {
 			t.Errorf("stepped by %v: the date is off by %v", step, off)
 		}
 	}
@@ -157,7 +157,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now := time.Now(); f.Dates().Time(now.UnixMicro()).Sub(now).Abs() > time.Minute {
+	if now := time.Now(); f.TimeScale().Time(now.UnixMicro()).Sub(now).Abs() > time.Minute {
 		t.Error("without a mark dates do not go by the wall clock")
 	}
 }
--- a/internal/handover/sequence/sequence.go
+++ b/internal/handover/sequence/sequence.go
@@ -14,9 +14,9 @@
 
 // Message is what the order needs to know of a message.
 type Message struct {
-	ID      string `json:"id"`
-	Subject string `json:"subject"`
-	Num     uint32 `json:"num"` // over all processes of the relay, numbers grow in the order of hand-in
+	ID          string `json:"id"`
+	OrderingKey string `json:"subject"`
+	Number      uint32 `json:"num"` // over all processes of the relay, numbers grow in the order of hand-in
 }
 
 // Sequencer holds messages of the successor back until those before them are over, or are here as well. The zero value holds nothing:
@@ -46,26 +46,26 @@
 	expiry *index.Entry[*held]
 }
 
-// LookBegins books that all that predecessors have given by now is about to be read. From the first look on messages are held back.
-func (s *Sequencer) LookBegins() {
+// BeginScan books that all that predecessors have given by now is about to be read. From the first look on messages are held back.
+func (s *Sequencer) BeginScan() {
 	if !s.active {
 		*s = Sequencer{active: true, owed: map[string]map[string]Message{}, first: map[string]map[place]struct{}{}, waiting: map[string][]*held{}, changed: map[string]struct{}{}}
 	}
 	s.began++
 }
 
-// LookEnded books that what was there as the last look began has been taken in. A message that was held before then needs no further look: whatever a
+// EndScan books that what was there as the last look began has been taken in. A message that was held before then needs no further look: whatever a
 // predecessor had taken on before it is known.
-func (s *Sequencer) LookEnded() {
+func (s *Sequencer) EndScan() {
 	for len(s.unlooked) > 0 && s.unlooked[0].look < s.began {
 		s.unlooked[0].looked = true
-		s.changed[s.unlooked[0].Subject] = struct{}{}
+		s.changed[s.unlooked[0].OrderingKey] = struct{}{}
 		s.unlooked = s.unlooked[1:]
 	}
 }
 
-// Owes replaces what one predecessor is known to owe. What it named before and does not name now is over, or has been given.
-func (s *Sequencer) Owes(predecessor string, list []Message) {
+// SetPending replaces what one predecessor is known to owe. What it named before and does not name now is over, or has been given.
+func (s *Sequencer) SetPending(predecessor string, list []Message) {
 	if !s.active {
 		return
 	}
@@ -86,22 +86,22 @@
 }
 
 func (s *Sequencer) block(predecessor string, m Message) {
-	if s.first[m.Subject] == nil {
-		s.first[m.Subject] = map[place]struct{}{}
+	if s.first[m.OrderingKey] == nil {
+		s.first[m.OrderingKey] = map[place]struct{}{}
 	}
-	s.first[m.Subject][place{predecessor, m.Num}] = struct{}{}
+	s.first[m.OrderingKey][place{predecessor, m.Number}] = struct{}{}
 }
 
 func (s *Sequencer) unblock(predecessor string, m Message) {
-	places := s.first[m.Subject]
-	if delete(places, place{predecessor, m.Num}); len(places) == 0 {
-		delete(s.first, m.Subject)
+	places := s.first[m.OrderingKey]
+	if delete(places, place{predecessor, m.Number}); len(places) == 0 {
+		delete(s.first, m.OrderingKey)
 	}
-	s.changed[m.Subject] = struct{}{}
+	s.changed[m.OrderingKey] = struct{}{}
 }
 
-// OwedElsewhere tells whether a predecessor owes the message of that id.
-func (s *Sequencer) OwedElsewhere(id string) bool {
+// PendingElsewhere tells whether a predecessor owes the message of that id.
+func (s *Sequencer) PendingElsewhere(id string) bool {
 	for _, list := range s.owed {
 		if _, there := list[id]; there {
 			return true
@@ -110,8 +110,8 @@
 	return false
 }
 
-// Arrived books that a message that a predecessor owed is here now.
-func (s *Sequencer) Arrived(id string) {
+// MarkArrived books that a message that a predecessor owed is here now.
+func (s *Sequencer) MarkArrived(id string) {
 	for predecessor, list := range s.owed {
 		if m, there := list[id]; there {
 			delete(list, id)
@@ -123,16 +123,16 @@
 // Hold holds m back, until the time at the latest, and tells whether it does. A message that a predecessor gave is looked for already: what
 // that one had taken on before is known.
 func (s *Sequencer) Hold(m Message, until time.Duration, looked bool) bool {
-	if !s.active || m.Subject == "" {
+	if !s.active || m.OrderingKey == "" {
 		return false
 	}
 	w := &held{Message: m, look: s.began, looked: looked}
 	w.expiry = s.expiries.Push(until, w)
-	queue := s.waiting[m.Subject]
-	at, _ := slices.BinarySearchFunc(queue, m.Num, func(h *held, num uint32) int { return cmp.Compare(h.Num, num) })
-	s.waiting[m.Subject] = slices.Insert(queue, at, w)
+	queue := s.waiting[m.OrderingKey]
+	at, _ := slices.BinarySearchFunc(queue, m.Number, func(h *held, num uint32) int { return cmp.Compare(h.Number, num) })
+	s.waiting[m.OrderingKey] = slices.Insert(queue, at, w)
 	if looked {
-		s.changed[m.Subject] = struct{}{}
+		s.changed[m.OrderingKey] = struct{}{}
 	} else {
 		s.unlooked = append(s.unlooked, w)
 	}
@@ -143,9 +143,9 @@
 func (s *Sequencer) Ready() (nums []uint32) {
 	for _, subject := range slices.Sorted(maps.Keys(s.changed)) {
 		queue, first := s.waiting[subject], s.firstOwed(subject)
-		for len(queue) > 0 && queue[0].looked && uint64(queue[0].Num) < first {
+		for len(queue) > 0 && queue[0].looked && uint64(queue[0].Number) < first {
 			s.expiries.Remove(queue[0].expiry)
-			nums, queue = append(nums, queue[0].Num), queue[1:]
+			nums, queue = append(nums, queue[0].Number), queue[1:]
 		}
 		s.keep(subject, queue)
 	}
@@ -158,32 +158,32 @@
 	for e := s.expiries.First(); e != nil && now >= e.At(); e = s.expiries.First() {
 		s.expiries.Remove(e)
 		w := e.Value
-		s.keep(w.Subject, slices.DeleteFunc(s.waiting[w.Subject], func(h *held) bool { return h == w }))
-		s.changed[w.Subject] = struct{}{}
-		nums = append(nums, w.Num)
+		s.keep(w.OrderingKey, slices.DeleteFunc(s.waiting[w.OrderingKey], func(h *held) bool { return h == w }))
+		s.changed[w.OrderingKey] = struct{}{}
+		nums = append(nums, w.Number)
 	}
 	return nums
 }
 
-// Next is when the next message's time is up; false if none is held.
-func (s *Sequencer) Next() (at time.Duration, some bool) {
+// NextDeadline is when the next message's time is up; false if none is held.
+func (s *Sequencer) NextDeadline() (at time.Duration, some bool) {
 	if e := s.expiries.First(); e != nil {
 		return e.At(), true
 	}
 	return 0, false
 }
 
-// Drop holds nothing back any more; what predecessors owe stays known.
-func (s *Sequencer) Drop() {
+// DropHeld holds nothing back any more; what predecessors owe stays known.
+func (s *Sequencer) DropHeld() {
 	clear(s.waiting)
 	s.unlooked, s.expiries = nil, index.Heap[*held]{}
 }
 
-// End books that no predecessor is left, and returns the numbers of all that is still held, in the order of hand-in.
-func (s *Sequencer) End() (nums []uint32) {
+// Finish books that no predecessor is left, and returns the numbers of all that is still held, in the order of hand-in.
+func (s *Sequencer) Finish() (nums []uint32) {
 	for _, queue := range s.waiting {
 		for _, w := range queue {
-			nums = append(nums, w.Num)
+			nums = append(nums, w.Number)
 		}
 	}
 	slices.Sort(nums)
--- a/internal/handover/sequence/sequence_test.go
+++ b/internal/handover/sequence/sequence_test.go
@@ -16,7 +16,7 @@
 	if s.Hold(Message{"a", "s", 1}, later, false) {
 		t.Error("held where no process is beside this one")
 	}
-	if s.LookBegins(); s.Hold(Message{"a", "", 1}, later, false) {
+	if s.BeginScan(); s.Hold(Message{"a", "", 1}, later, false) {
 		t.Error("held though it is of no subject")
 	}
 }
@@ -24,23 +24,23 @@
 // Only a look that began since tells what others had taken on before.
 func TestLooks(t *testing.T) {
 	var s Sequencer
-	s.LookBegins()
+	s.BeginScan()
 	s.Hold(Message{"a", "s", 1}, later, false)
-	if s.LookEnded(); len(s.Ready()) > 0 {
+	if s.EndScan(); len(s.Ready()) > 0 {
 		t.Error("goes on after a look that began before")
 	}
-	s.LookBegins()
+	s.BeginScan()
 	s.Hold(Message{"b", "s", 2}, later, false)
 	s.Hold(Message{"c", "s", 0}, later, true) // given: it goes first, and needs no look
-	if s.LookEnded(); !slices.Equal(s.Ready(), []uint32{0, 1}) {
+	if s.EndScan(); !slices.Equal(s.Ready(), []uint32{0, 1}) {
 		t.Error("the wrong ones go on")
 	}
 }
 
 func TestOwedElsewhere(t *testing.T) {
 	var s Sequencer
-	s.LookBegins()
-	s.Owes("old", []Message{{"a", "s", 1}, {"d", "s", 4}, {"x", "other", 9}})
+	s.BeginScan()
+	s.SetPending("old", []Message{{"a", "s", 1}, {"d", "s", 4}, {"x", "other", 9}})
 	for _, m := range []Message{{"c", "s", 3}, {"b", "s", 2}, {"e", "s", 5}} {
 		s.Hold(m, later, true)
 	}
@@ -52,23 +52,23 @@
 		}
 	}
 	step("owed", func() {})
-	step("named again", func() { s.Owes("old", []Message{{"a", "s", 1}, {"d", "s", 4}}) })
-	step("by another as well", func() { s.Owes("older", []Message{{"a", "s", 1}}) })
-	step("over at one", func() { s.Owes("old", []Message{{"d", "s", 4}}) })
-	if !s.OwedElsewhere("a") || s.OwedElsewhere("x") {
+	step("named again", func() { s.SetPending("old", []Message{{"a", "s", 1}, {"d", "s", 4}}) })
+	step("by another as well", func() { s.SetPending("older", []Message{{"a", "s", 1}}) })
+	step("over at one", func() { s.SetPending("old", []Message{{"d", "s", 4}}) })
+	if !s.PendingElsewhere("a") || s.PendingElsewhere("x") {
 		t.Error("what is owed is not known")
 	}
-	step("here", func() { s.Arrived("a"); s.Hold(Message{"a", "s", 1}, later, true) }, 1, 2, 3)
-	step("over", func() { s.Owes("old", nil) }, 5)
+	step("here", func() { s.MarkArrived("a"); s.Hold(Message{"a", "s", 1}, later, true) }, 1, 2, 3)
+	step("over", func() { s.SetPending("old", nil) }, 5)
 }
 
 func TestTimeIsUp(t *testing.T) {
 	var s Sequencer
-	s.LookBegins()
-	s.Owes("old", []Message{{"a", "s", 1}})
+	s.BeginScan()
+	s.SetPending("old", []Message{{"a", "s", 1}})
 	s.Hold(Message{"b", "s", 2}, time.Second, true)
 	s.Hold(Message{"c", "s", 3}, time.Minute, true)
-	if at, some := s.Next(); !some || at != time.Second {
+	if at, some := s.NextDeadline(); !some || at != time.Second {
 		t.Errorf("next at %v, %v", at, some)
 	}
 	if got := s.Expired(time.Second - 1); len(got) > 0 {
@@ -77,10 +77,10 @@
 	if got := s.Expired(time.Second); !slices.Equal(got, []uint32{2}) {
 		t.Errorf("%v at their time", got)
 	}
-	if got := s.End(); !slices.Equal(got, []uint32{3}) {
+	if got := s.Finish(); !slices.Equal(got, []uint32{3}) {
 		t.Errorf("%v at the end", got)
 	}
-	if _, some := s.Next(); some || s.Hold(Message{"d", "s", 4}, later, false) {
+	if _, some := s.NextDeadline(); some || s.Hold(Message{"d", "s", 4}, later, false) {
 		t.Error("held after the end")
 	}
 }
@@ -90,7 +90,7 @@
 func TestOrderAtAnyCourse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Sequencer
-		s.LookBegins()
+		s.BeginScan()
 		owed, held, out := map[uint32]Message{}, map[uint32]Message{}, map[uint32]bool{}
 		leave := func(how string, nums []uint32) {
 			for _, num := range nums {
@@ -110,12 +110,12 @@
 					held[num] = m
 				}
 			case 3:
-				s.LookEnded()
-				s.LookBegins()
+				s.EndScan()
+				s.BeginScan()
 			case 4:
 				for n, o := range owed {
 					if delete(owed, n); rapid.Bool().Draw(t, "given") {
-						s.Arrived(o.ID)
+						s.MarkArrived(o.ID)
 						s.Hold(o, later, true)
 						held[n] = o
 					}
@@ -128,23 +128,23 @@
 			for _, o := range owed {
 				list = append(list, o)
 			}
-			s.Owes("old", list)
+			s.SetPending("old", list)
 			ready := s.Ready()
 			for _, n := range ready {
 				for _, o := range owed {
-					if o.Subject == held[n].Subject && o.Num < n {
-						t.Fatalf("%d goes on while %d is owed", n, o.Num)
+					if o.OrderingKey == held[n].OrderingKey && o.Number < n {
+						t.Fatalf("%d goes on while %d is owed", n, o.Number)
 					}
 				}
 				for h, m := range held {
-					if m.Subject == held[n].Subject && h < n && !out[h] && !slices.Contains(ready, h) {
+					if m.OrderingKey == held[n].OrderingKey && h < n && !out[h] && !slices.Contains(ready, h) {
 						t.Fatalf("%d goes on before %d", n, h)
 					}
 				}
 			}
 			leave("ready", ready)
 		}
-		leave("end", s.End())
+		leave("end", s.Finish())
 		if len(out) != len(held) {
 			t.Fatalf("%d of %d have gone on", len(out), len(held))
 		}
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -148,6 +148,6 @@
 			cl.items[i].reported, cl.items[i].resubmit = true, true
 		}
 	}
-	h.sequencer.Drop()
+	h.sequencer.DropHeld()
 	h.restore(true)
 }
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -16,17 +16,17 @@
 type Transfer struct {
 	Sender       string // the process that gave it; empty: a room
 	Messages     []*memory.Message
-	CompletedIDs []string       // ids of messages that are over
-	Update       *handover.News // nil: none
-	LastProcess  bool           // no other process is left
+	CompletedIDs []string         // ids of messages that are over
+	Update       *handover.Update // nil: none
+	LastProcess  bool             // no other process is left
 }
 
 // Adopt takes over what was passed. What it returns is closed once all of it is in the journal.
 func (h *Host) Adopt(p Transfer) <-chan struct{} {
 	done := make(chan struct{})
 	h.Do(func(h *Host) {
-		if p.Update != nil && p.Update.Numbers != nil {
-			numbers := *p.Update.Numbers
+		if p.Update != nil && p.Update.Numbering != nil {
+			numbers := *p.Update.Numbering
 			numbers.Odd = true
 			h.table.UseSharedNumbering(numbers)
 		}
@@ -38,12 +38,12 @@
 			h.table.MarkCompleted(id)
 		}
 		if p.Update != nil {
-			h.sequencer.Owes(p.Sender, p.Update.Owes)
+			h.sequencer.SetPending(p.Sender, p.Update.PendingOrdered)
 			h.applyHandoverUpdate(p.Update)
 		}
 		if p.LastProcess {
 			h.ownedElsewhere = nil
-			h.releaseHeld(h.sequencer.End())
+			h.releaseHeld(h.sequencer.Finish())
 			h.table.StopSharedNumbering()
 			h.setInheritedCalls(nil)
 		}
@@ -56,7 +56,7 @@
 // message then comes twice, and is known by its id.
 func (h *Host) adopt(m *memory.Message) {
 	delete(h.ownedElsewhere, m.ID)
-	h.sequencer.Arrived(m.ID)
+	h.sequencer.MarkArrived(m.ID)
 	num := m.Number // where the message keeps it, it keeps its place in the order of hand-in, here and after a restart
 	if have := h.table.ByID(m.ID); have != nil {
 		if have.InFlight != nil || !m.Supersedes(have) {
@@ -95,19 +95,19 @@
 }
 
 // applyHandoverUpdate takes over what the process before knows beside messages.
-func (h *Host) applyHandoverUpdate(n *handover.News) {
-	if l := n.List; l != nil && l.Generation > h.listGeneration {
+func (h *Host) applyHandoverUpdate(n *handover.Update) {
+	if l := n.EndpointList; l != nil && l.Generation > h.listGeneration {
 		pc := memory.EndpointList{Generation: l.Generation, Complete: true}
-		for _, m := range l.Members {
+		for _, m := range l.Endpoints {
 			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listReceived = true
 		h.applyEndpointList(pc, policy.ListSnapshot)
 	}
-	if n.Learned != nil {
-		h.inheritedState = *n.Learned
+	if n.LearnedState != nil {
+		h.inheritedState = *n.LearnedState
 	}
-	for _, id := range n.Known {
+	for _, id := range n.OwnedIDs {
 		if h.table.ByID(id) == nil && !h.table.RecentlyCompleted(id) {
 			if h.ownedElsewhere == nil {
 				h.ownedElsewhere = map[string]struct{}{}
@@ -116,11 +116,11 @@
 		}
 	}
 	h.inheritedDrain = h.inheritedDrain || n.Drained
-	h.applyBackoffs(n.Waits)
+	h.applyBackoffs(n.RetryAfters)
 	if h.standby {
-		h.untransferredWaits = append(h.untransferredWaits, n.Waits...) // the module has yet to hear of them
+		h.untransferredWaits = append(h.untransferredWaits, n.RetryAfters...) // the module has yet to hear of them
 	}
-	h.setInheritedCalls(n.Out)
+	h.setInheritedCalls(n.InFlightCalls)
 }
 
 // dateAfter is the date in so much time from now, for the process that takes this one's place.
@@ -129,7 +129,7 @@
 }
 
 // applyBackoffs heeds waits that the process before was told.
-func (h *Host) applyBackoffs(waits []handover.Wait) {
+func (h *Host) applyBackoffs(waits []handover.RetryAfter) {
 	for _, w := range waits {
 		left := min(time.Until(h.dateScale.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
 		if left <= 0 {
@@ -186,12 +186,12 @@
 			h.endUnsentCall(cl) // its messages are given
 		}
 		learned, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
-		news := &handover.News{Drained: drained, Learned: &learned, List: &handover.List{Generation: h.listGeneration}, Numbers: &numbers}
+		news := &handover.Update{Drained: drained, LearnedState: &learned, EndpointList: &handover.EndpointList{Generation: h.listGeneration}, Numbering: &numbers}
 		for _, ep := range h.endpoints {
-			news.List.Members = append(news.List.Members, handover.Member{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
+			news.EndpointList.Endpoints = append(news.EndpointList.Endpoints, handover.ListedEndpoint{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
 				Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
-				h.untransferredWaits = append(h.untransferredWaits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
+				h.untransferredWaits = append(h.untransferredWaits, handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
 			}
 		}
 		h.untransferred = nil
@@ -200,7 +200,7 @@
 				h.untransferred = append(h.untransferred, m)
 			} else if m.Notification == nil {
 				// Guards against giving it twice in one file, which nobody could read: it comes by itself once it may be given.
-				news.Known = append(news.Known, m.ID)
+				news.OwnedIDs = append(news.OwnedIDs, m.ID)
 			}
 		}
 		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
@@ -228,7 +228,7 @@
 func (h *Host) TransferRemaining(room int64) {
 	h.Do(func(h *Host) {
 		if h.sendToSuccessor != nil {
-			h.transferPending(h.sendToSuccessor, &handover.News{}, room)
+			h.transferPending(h.sendToSuccessor, &handover.Update{}, room)
 		}
 	})
 }
@@ -243,7 +243,7 @@
 
 // transferPending gives what is left, as far as it fits, if there is anything to tell. Guards against a folder that holds all of it twice, in the room and in the spool, and goes
 // over its limit.
-func (h *Host) transferPending(to func([]byte) error, news *handover.News, room int64) error {
+func (h *Host) transferPending(to func([]byte) error, news *handover.Update, room int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.untransferred {
 		if h.table.Get(m.Number) != m || !transferable(m) {
@@ -259,9 +259,9 @@
 	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight && slices.Equal(owes, h.reportedOwed) {
 		return nil
 	}
-	news.Waits, news.Owes = h.untransferredWaits, owes
+	news.RetryAfters, news.PendingOrdered = h.untransferredWaits, owes
 	for cl := range h.calls {
-		news.Out = append(news.Out, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		news.InFlightCalls = append(news.InFlightCalls, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
 	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dateScale)); err != nil {
 		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
@@ -297,7 +297,7 @@
 		if alone {
 			h.journal.SetBudget(all - others)
 		} else {
-			h.journal.SetBudget(handover.Budget(all, h.journal.UsedBytes(), others))
+			h.journal.SetBudget(handover.JournalBudget(all, h.journal.UsedBytes(), others))
 		}
 	})
 }
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -36,7 +36,7 @@
 	lent := []policy.InheritedCall{{Endpoint: "s-1"}, {Endpoint: "s-1"}, {Endpoint: "s-1"}}
 	<-w.host.Adopt(Transfer{CompletedIDs: []string{"over"}})
 	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("alert", "a", 0, time.Time{}), msg("fee", "f", 0, time.Time{}), msg("alert", "over", 0, time.Time{})},
-		Update: &handover.News{Out: lent, Known: []string{"there"}, Drained: true, Waits: []handover.Wait{{Endpoint: "s-1", Dest: 7, Until: until}}}})
+		Update: &handover.Update{InFlightCalls: lent, OwnedIDs: []string{"there"}, Drained: true, RetryAfters: []handover.RetryAfter{{Endpoint: "s-1", Dest: 7, Until: until}}}})
 	<-w.host.Adopt(Transfer{Messages: []*memory.Message{msg("fee", "f", 1, time.Now()), msg("alert", "a", 0, time.Time{})}})
 	if got := w.post(requestText("alert", "there", "", "b", 4000)); got != 202 {
 		t.Errorf("what the other process keeps was answered %d", got)
@@ -52,7 +52,7 @@
 		state      policy.EndpointState
 		want       policy.EndpointState
 	}{{0, policy.Draining, policy.Listed}, {9, policy.Draining, policy.Draining}, {10, policy.Listed, policy.Listed}} {
-		<-w.host.Adopt(Transfer{Update: &handover.News{Out: lent[:1], List: &handover.List{Generation: c.generation, Members: []handover.Member{
+		<-w.host.Adopt(Transfer{Update: &handover.Update{InFlightCalls: lent[:1], EndpointList: &handover.EndpointList{Generation: c.generation, Endpoints: []handover.ListedEndpoint{
 			{Endpoint: policy.Endpoint{Address: "s-1", Destination: 7, Kind: "broker", Zone: "z", State: c.state}, HostPort: w.endpoint.Listener.Addr().String()}}}}})
 		w.host.Do(func(h *Host) {
 			if got := policy.EndpointState(h.endpoints["s-1"].state.Load()); got != c.want {
@@ -111,7 +111,7 @@
 	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	var mu sync.Mutex
 	var given []*memory.Message
-	var news []*handover.News
+	var news []*handover.Update
 	give := func(b []byte) error {
 		msgs, text, err := journal.DecodeTransfer(b, clock.Scale{})
 		if err != nil {
@@ -138,8 +138,8 @@
 		t.Fatal(err)
 	}
 	mu.Lock()
-	if n := news[0]; len(given) != 1 || given[0].ID != "held" || len(n.Out) != 1 || !slices.Equal(n.Known, []string{"out"}) || !n.Drained ||
-		len(n.Waits) != 1 || len(n.List.Members) != 1 || n.List.Generation != 1 {
+	if n := news[0]; len(given) != 1 || given[0].ID != "held" || len(n.InFlightCalls) != 1 || !slices.Equal(n.OwnedIDs, []string{"out"}) || !n.Drained ||
+		len(n.RetryAfters) != 1 || len(n.EndpointList.Endpoints) != 1 || n.EndpointList.Generation != 1 {
 		t.Errorf("first: %v, %+v", given, n)
 	}
 	mu.Unlock()
@@ -157,7 +157,7 @@
 		w.host.TransferRemaining(1 << 20)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(given) == 3 && len(news[len(news)-1].Out) == 0
+		return len(given) == 3 && len(news[len(news)-1].InFlightCalls) == 0
 	})
 	w.waitEmpty()
 	mu.Lock()
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -99,7 +99,7 @@
 	standby                   bool                      // another process of this relay makes the steps
 	sendToSuccessor           func([]byte) error        // another process takes this one's place: what is not out goes there
 	untransferred             []*memory.Message         // that are still to be given
-	untransferredWaits        []handover.Wait           // that the other process has yet to hear of, or this one's module
+	untransferredWaits        []handover.RetryAfter     // that the other process has yet to hear of, or this one's module
 	reportedInFlight          int                       // calls out as it was told last
 	inheritedCalls            []policy.InheritedCall    // calls that the process before still has out
 	inheritedState            policy.LearnedState       // of the process before, until the steps begin
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -17,7 +17,7 @@
 // classes wait for the looks, until Adopt is told that no other process is left.
 func (h *Host) BeginTransferScan() {
 	h.Do(func(h *Host) {
-		h.sequencer.LookBegins()
+		h.sequencer.BeginScan()
 		arrivals := h.arrivals
 		h.arrivals = nil
 		for _, m := range arrivals {
@@ -27,7 +27,7 @@
 }
 
 // EndTransferScan says that it is adopted.
-func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.LookEnded() }) }
+func (h *Host) EndTransferScan() { h.Do(func(h *Host) { h.sequencer.EndScan() }) }
 
 // passToPolicy passes m on to the module, or holds it back while another process may owe one of its subject that was handed in earlier.
 // looked: another process gave it.
@@ -39,7 +39,7 @@
 }
 
 func sequenceEntry(m *memory.Message) sequence.Message {
-	return sequence.Message{ID: m.ID, Subject: m.OrderingKey, Num: m.Number}
+	return sequence.Message{ID: m.ID, OrderingKey: m.OrderingKey, Number: m.Number}
 }
 
 // releaseHeld passes on what was held back and need not be any more.
@@ -71,7 +71,7 @@
 			list = append(list, sequenceEntry(m))
 		}
 	}
-	slices.SortFunc(list, func(a, b sequence.Message) int { return int(int64(a.Num) - int64(b.Num)) })
+	slices.SortFunc(list, func(a, b sequence.Message) int { return int(int64(a.Number) - int64(b.Number)) })
 	return list
 }
 
@@ -81,7 +81,7 @@
 	if h.sendToSuccessor == nil || !slices.ContainsFunc(h.uncommittedReplies, acceptedOrdered) {
 		return nil
 	}
-	err := h.transferPending(h.sendToSuccessor, &handover.News{}, 0)
+	err := h.transferPending(h.sendToSuccessor, &handover.Update{}, 0)
 	if err == nil {
 		return nil
 	}
@@ -100,7 +100,7 @@
 
 // earliestHeldDeadline is when the first message's time is up that is held back; at where that is later.
 func (h *Host) earliestHeldDeadline(at policy.Time) policy.Time {
-	if due, some := h.sequencer.Next(); some {
+	if due, some := h.sequencer.NextDeadline(); some {
 		return min(at, due)
 	}
 	return at
--- a/internal/wire/requests.go
+++ b/internal/wire/requests.go
@@ -67,7 +67,7 @@
 // submit takes a message on. Its client hears of it when the turn is in the journal.
 func (h *Host) submit(e submitRequest) (*memory.Message, submitResult) {
 	_, elsewhere := h.ownedElsewhere[e.message.ID]
-	if m := h.table.ByID(e.message.ID); m != nil || elsewhere || h.sequencer.OwedElsewhere(e.message.ID) || h.table.RecentlyCompleted(e.message.ID) {
+	if m := h.table.ByID(e.message.ID); m != nil || elsewhere || h.sequencer.PendingElsewhere(e.message.ID) || h.table.RecentlyCompleted(e.message.ID) {
 		if m != nil {
 			m.Resubmitted = true
 		}
--- a/internal/wire/waits.go
+++ b/internal/wire/waits.go
@@ -109,7 +109,7 @@
 	}
 	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), wait)
 	if h.sendToSuccessor != nil {
-		h.untransferredWaits = append(h.untransferredWaits, handover.Wait{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(wait)})
+		h.untransferredWaits = append(h.untransferredWaits, handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(wait)})
 	}
 	listed := h.endpoints[ep.id]
 	switch {
