--- a/internal/daemon/config/operator/operator.go
+++ b/internal/daemon/config/operator/operator.go
@@ -33,7 +33,7 @@
 	wallMost    = 1000
 	handInMost  = 300 // ms that all plug-ins at on_handin may take together: a client waits 400
 	mostPlugins = 64
-	outputMost  = limits.MaxBody + 8<<10
+	outputMost  = limits.MaxBodyBytes + 8<<10
 	loadMost    = 60_000
 )
 
@@ -73,10 +73,10 @@
 			return nil, k.wrong("name", "%q is there already", s.Name)
 		}
 		names[s.Name] = true
-		total += int64(s.Budget.Pages) * plugin.PageBytes * int64(s.Budget.Instances)
+		total += int64(s.Budget.MemoryPages) * plugin.PageSize * int64(s.Budget.Instances)
 		for _, h := range s.Hooks {
 			if h == abi.OnHandIn {
-				if handIn += uint32((s.Budget.Wall + s.Budget.Wait).Milliseconds()); handIn > handInMost {
+				if handIn += uint32((s.Budget.Wall + s.Budget.InstanceTimeout).Milliseconds()); handIn > handInMost {
 					return nil, k.wrong("budget", "wall_ms and wait_ms of all plug-ins at ON_HANDIN come to %d ms, over %d", handIn, handInMost)
 				}
 			}
@@ -175,11 +175,11 @@
 
 var hooks = map[Hook]abi.Hook{Hook_ON_HANDIN: abi.OnHandIn, Hook_SHAPE_REQUEST: abi.ShapeRequest, Hook_READ_ANSWER: abi.ReadAnswer}
 
-var thens = map[Then]limits.Then{Then_REFUSE: limits.Refuse, Then_FAIL: limits.Fail, Then_PASS: limits.Pass}
+var thens = map[Then]limits.FailureAction{Then_REFUSE: limits.Refuse, Then_FAIL: limits.Fail, Then_PASS: limits.Pass}
 
 func (k *checker) spec(p *Plugin, dir string) (s plugin.Spec, err error) {
 	s = plugin.Spec{Name: p.GetName(), Path: p.GetModule(), Setting: p.GetSetting(), Classes: p.GetMatch().GetClass(), Kinds: p.GetMatch().GetKind(),
-		OnFailure: map[string]limits.Then{"": limits.Refuse}}
+		OnFailure: map[string]limits.FailureAction{"": limits.Refuse}}
 	if s.Name == "" || strings.Trim(s.Name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") != "" || len(s.Name) > 64 {
 		return s, k.wrong("name", "%q is no name of letters, digits, dots, dashes and underscores", s.Name)
 	}
@@ -247,7 +247,7 @@
 		}
 	}
 	ms := func(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
-	s.Budget = plugin.Budget{Wall: ms(wall), CPU: ms(min(cpu, wall)), Pages: pages, Output: int(output), Instances: int(instances), Wait: ms(wait), Load: ms(load)}
-	s.Probation = limits.Probation{Failures: int(failures), Pause: ms(pause), PauseMax: ms(max(pause, pauseMax)), Trials: int(trials)}
+	s.Budget = plugin.Budget{Wall: ms(wall), CPU: ms(min(cpu, wall)), MemoryPages: pages, MaxOutputBytes: int(output), Instances: int(instances), InstanceTimeout: ms(wait), LoadTimeout: ms(load)}
+	s.Breaker = limits.BreakerConfig{FailureThreshold: int(failures), OpenTime: ms(pause), MaxOpenTime: ms(max(pause, pauseMax)), RequiredTrials: int(trials)}
 	return s, nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,11 +18,11 @@
 	"oatfold/internal/daemon/config"
 	"oatfold/internal/daemon/config/operator"
 	"oatfold/internal/drain"
-	"oatfold/internal/figures"
 	"oatfold/internal/handover"
 	"oatfold/internal/handover/processdir"
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
+	"oatfold/internal/metrics"
 	"oatfold/internal/plugin"
 	"oatfold/internal/sites"
 	"oatfold/internal/transient"
@@ -52,7 +52,7 @@
 func sockets(c *config.Config) (clients, idle int) {
 	own := ownFiles + wire.MaxLateListeners
 	if c.AdminAddr != "" {
-		own += admin.Most + 1 + besides
+		own += admin.MaxConns + 1 + besides
 	}
 	rest := max(2, c.MaxDescriptors-own-c.Settings.MaxConcurrentCalls)
 	idle = min(c.MaxDescriptors/4, rest/3)
@@ -75,7 +75,7 @@
 	standby           atomic.Bool                 // it could, and waits for the baton
 	notes             *wire.GossipSocket
 	holder            *plugin.Holder
-	count             *figures.Set
+	count             *metrics.Set
 	loading           <-chan plug // plug-ins of a reload
 	reading           <-chan read // the configuration of a reload; nil: none is read
 	again             bool        // one was asked for while it was read
@@ -91,7 +91,7 @@
 // Run serves until SIGTERM or SIGINT. SIGHUP makes it read its sources again and go on with what they say. Where another process of
 // the same relay serves, it stands by until that one leaves.
 func Run(from ConfigSources, log *slog.Logger) error {
-	r := &relay{from: from, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1), holder: &plugin.Holder{}, count: &figures.Set{}, stop: func() {}}
+	r := &relay{from: from, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1), holder: &plugin.Holder{}, count: &metrics.Set{}, stop: func() {}}
 	signal.Notify(r.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(r.hangup, syscall.SIGHUP)
 	traces := make(chan os.Signal, 1)
@@ -165,7 +165,7 @@
 				// The relay serves all the same: messages that need a plug-in which is not there go by its rule.
 				log.Error("plug-ins not loaded", "err", p.err)
 			}
-			r.holder.Put(p.set)
+			r.holder.Replace(p.set)
 		case <-r.terminate: // a reload waits until there is something to reload
 			return nil
 		}
@@ -398,13 +398,13 @@
 }
 
 // calls is what the operators can ask for. A drain that is told before the relay serves is answered with no.
-func (r *relay) calls() admin.Calls {
-	return admin.Calls{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices, Sites: r.sites, Site: r.site,
+func (r *relay) calls() admin.Handlers {
+	return admin.Handlers{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices, Sites: r.sites, SetSite: r.site,
 		Serving: func() bool {
 			f := r.front.Load()
 			return f != nil && f.Serving() || f == nil && r.standby.Load()
 		},
-		Drain: func(on bool) bool {
+		SetDraining: func(on bool) bool {
 			f := r.front.Load()
 			if f == nil {
 				return false
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"oatfold/internal/figures"
+	"oatfold/internal/metrics"
 	"oatfold/internal/peers/members"
 )
 
@@ -73,18 +73,18 @@
 		states[m.State]++
 	}
 	for s, n := range states {
-		b = figures.Line(b, "members", "state", members.State(s).String(), int64(n))
+		b = metrics.AppendLine(b, "members", "state", members.State(s).String(), int64(n))
 	}
 	for _, f := range []struct {
 		name string
 		n    int
 	}{{"members_sharing", v.PossibleCallers}, {"members_asked", v.Counts.Probes}, {"members_unanswered", v.Counts.ProbeTimeouts},
 		{"members_accused", v.Counts.Suspicions}, {"members_contradicted", v.Counts.Refutations}, {"members_notes_refused", v.Counts.Rejected}} {
-		b = figures.Line(b, f.name, "", "", int64(f.n))
+		b = metrics.AppendLine(b, f.name, "", "", int64(f.n))
 	}
 	deaf := int64(0)
 	if v.Isolated {
 		deaf = 1
 	}
-	return figures.Line(b, "members_deaf", "", "", deaf)
+	return metrics.AppendLine(b, "members_deaf", "", "", deaf)
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -93,7 +93,7 @@
 // drop lets go of plug-ins that nobody waits for any more.
 func drop(loading <-chan plug) {
 	if loading != nil {
-		(<-loading).set.Done()
+		(<-loading).set.Release()
 	}
 }
 
@@ -101,11 +101,11 @@
 func (r *relay) swap(p plug) {
 	if p.err != nil {
 		r.log.Error("plug-ins not reloaded, the old ones stay", "err", p.err)
-		p.set.Done()
+		p.set.Release()
 		return
 	}
 	if p.set != nil {
-		r.holder.Put(p.set)
+		r.holder.Replace(p.set)
 		r.host.SetSitePlan(p.sites, r.home())
 		r.log.Info("plug-ins reloaded", "count", len(p.set.Plugins()))
 	}
