--- a/internal/daemon/config/operator/sites.go
+++ b/internal/daemon/config/operator/sites.go
@@ -25,7 +25,7 @@
 	case all.RampS > mostRamp:
 		return nil, k.wrong("ramp_s", "%d is over %d", all.RampS, mostRamp)
 	case all.RampS == 0:
-		p.Ramp = sites.UsualRamp
+		p.Ramp = sites.DefaultRamp
 	}
 	if len(all.Site) < 2 {
 		return nil, k.wrong("site", "a plan needs two sites at least")
@@ -52,12 +52,12 @@
 		}
 		for j, t := range s.Tier {
 			k.at = fmt.Sprintf("sites.site[%d].tier[%d]", i, j)
-			tier := sites.Tier{Spill: t.Spill}
+			tier := sites.Tier{SpillFraction: t.Spill}
 			switch {
 			case !(t.Spill >= 0 && t.Spill <= 1):
 				return nil, k.wrong("spill", "%v does not lie over 0 and up to 1", t.Spill)
 			case t.Spill == 0:
-				tier.Spill = sites.UsualSpill
+				tier.SpillFraction = sites.DefaultSpillFraction
 			}
 			if len(t.Zone) == 0 {
 				return nil, k.wrong("zone", "a tier names one zone at least")
@@ -94,32 +94,32 @@
 			return nil, k.wrong("number", "%d is there already", d.Number)
 		}
 		numbers[d.Number] = true
-		one := sites.Destination{Number: int(d.Number), Takes: map[string]float64{}, Wanted: map[string]map[string]float64{}}
+		one := sites.Destination{Number: int(d.Number), Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
 		for j, t := range d.Takes {
 			k.at = fmt.Sprintf("sites.destination[%d].takes[%d]", i, j)
-			if _, twice := one.Takes[t.Zone]; twice || !zones[t.Zone] {
+			if _, twice := one.Capacity[t.Zone]; twice || !zones[t.Zone] {
 				return nil, k.wrong("zone", "%q is no site, or named twice", t.Zone)
 			}
 			if !(t.Rate > 0 && t.Rate <= mostRate) {
 				return nil, k.wrong("rate", "%v does not lie over 0 and up to %.0f", t.Rate, mostRate)
 			}
-			one.Takes[t.Zone] = t.Rate
+			one.Capacity[t.Zone] = t.Rate
 		}
 		for j, w := range d.Wanted {
 			k.at = fmt.Sprintf("sites.destination[%d].wanted[%d]", i, j)
 			if !zones[w.Zone] {
 				return nil, k.wrong("zone", "%q is no site", w.Zone)
 			}
-			if _, twice := one.Wanted[w.Zone][w.Class]; twice || w.Class == "" {
+			if _, twice := one.Demand[w.Zone][w.Class]; twice || w.Class == "" {
 				return nil, k.wrong("class", "%q is named twice for %s, or empty", w.Class, w.Zone)
 			}
 			if !(w.Rate >= 0 && w.Rate <= mostRate) {
 				return nil, k.wrong("rate", "%v does not lie within 0 and %.0f", w.Rate, mostRate)
 			}
-			if one.Wanted[w.Zone] == nil {
-				one.Wanted[w.Zone] = map[string]float64{}
+			if one.Demand[w.Zone] == nil {
+				one.Demand[w.Zone] = map[string]float64{}
 			}
-			one.Wanted[w.Zone][w.Class] = w.Rate
+			one.Demand[w.Zone][w.Class] = w.Rate
 		}
 		p.Destinations = append(p.Destinations, one)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -357,7 +357,7 @@
 	front.SetPlugins(r.holder)
 	front.SetMetrics(r.count)
 	if r.host.Activate() || r.folder.Drained() {
-		front.HandleDrainEvent(drain.Fail)
+		front.HandleDrainEvent(drain.HealthFail)
 	}
 	go front.Serve()
 	if !leaving {
@@ -409,9 +409,9 @@
 			if f == nil {
 				return false
 			}
-			e := drain.OK
+			e := drain.HealthOK
 			if on {
-				e = drain.Fail
+				e = drain.HealthFail
 			}
 			f.HandleDrainEvent(e)
 			go r.markDrain()
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -9,7 +9,7 @@
 
 // siteJSON is a site as GET /sites shows it.
 type siteJSON struct {
-	sites.Standing
+	sites.Status
 	SinceMs int64 `json:"since_ms"` // ago
 }
 
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -50,7 +50,7 @@
 	log.Info("stopping")
 	front.HandleDrainEvent(drain.Stop)
 	host.SetLeaving(true)
-	time.Sleep(drain.ServeOn)
+	time.Sleep(drain.StopAcceptGrace)
 	leaving, quiet, read := false, false, false
 	for time.Since(began) < leaveBy {
 		held, out := host.Load()
--- a/internal/handover/processdir/rooms.go
+++ b/internal/handover/processdir/rooms.go
@@ -81,7 +81,7 @@
 	}
 	dates, goesOn := clock.Continue(kept, now, at)
 	if goesOn {
-		if by := time.Duration(now.Date-dates.Date(at)) * time.Microsecond; by.Abs() >= steppedBy {
+		if by := time.Duration(now.DateUs-dates.Date(at)) * time.Microsecond; by.Abs() >= steppedBy {
 			f.log.Warn("the wall clock was stepped, dates go on as before", "by", by)
 		}
 		return dates
--- a/internal/handover/processdir/rooms_test.go
+++ b/internal/handover/processdir/rooms_test.go
@@ -136,11 +136,11 @@
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		dir := t.TempDir()
 		mark, at := clock.Now()
-		mark.Date += step.Microseconds()
+		mark.DateUs += step.Microseconds()
 		if err := os.WriteFile(filepath.Join(dir, "clock"), mark.Encode(), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		date := clock.At(at, mark.Date).Date(at.Add(time.Minute)) // that the first one wrote
+		date := clock.NewScale(at, mark.DateUs).Date(at.Add(time.Minute)) // that the first one wrote
 		f, err := Open(dir, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -95,7 +95,7 @@
 		rt := r.destinations[1].routes[0]
 		rt.interval, rt.rejectionsCountUntil, rt.dest.demand = interval, r.now+time.Minute, 10
 		rt.lastCall = r.now - interval/2 - time.Duration(number)*time.Millisecond
-		step = r.cfg.TimeSlots.Step(interval)
+		step = r.cfg.TimeSlots.SlotWidth(interval)
 		at := r.freeAt(rt)
 		if at < rt.lastCall+scale(interval, 0.9) || at > rt.lastCall+3*interval {
 			t.Fatalf("relay %d called at %v and may call again at %v", number, rt.lastCall, at)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -72,7 +72,7 @@
 
 func (r *Relay) configure(s Settings) {
 	r.cfg, r.minTarget, r.quota = s, s.Classes[0].TargetLatency, 0
-	r.reuse.Most = s.IdleConnTimeout
+	r.reuse.Max = s.IdleConnTimeout
 	for _, c := range s.Classes {
 		r.classes[c.Name] = &c
 		r.minTarget, r.maxDeadline = min(r.minTarget, c.TargetLatency), max(r.maxDeadline, c.Deadline)
@@ -691,10 +691,10 @@
 	if !r.usesTimeSlots(rt, interval) {
 		return max(from, rt.lastCall+scale(interval, rt.jitter))
 	}
-	step := r.cfg.TimeSlots.Step(interval)
+	step := r.cfg.TimeSlots.SlotWidth(interval)
 	// A time slot that has just begun may still be used.
 	from = max(from, rt.lastCall+scale(interval, 0.9), r.now-max(step, 2*r.cfg.Tick))
-	return r.cfg.TimeSlots.Next(from+r.cfg.ClockOffset, step, rt.hash) - r.cfg.ClockOffset
+	return r.cfg.TimeSlots.NextSlot(from+r.cfg.ClockOffset, step, rt.hash) - r.cfg.ClockOffset
 }
 
 // usesTimeSlots reports whether this relay calls the route in its own time slots: where rejected
@@ -851,7 +851,7 @@
 }
 
 // staleConn reports whether a call was lost because its connection had been idle for too long.
-func (r *Relay) staleConn(c *call, lost bool) bool { return r.reuse.Ended(r.now, c.idleFor, lost) }
+func (r *Relay) staleConn(c *call, lost bool) bool { return r.reuse.RecordCall(r.now, c.idleFor, lost) }
 
 // closeFreed closes unused connections outside the subset, or where endpoints run out of them.
 func (r *Relay) closeFreed() {
--- a/policy/state.go
+++ b/policy/state.go
@@ -154,17 +154,17 @@
 	lastArrival, subscribeAt         Time
 	subscribeFailures, attemptsEnded int
 	lastShed, spanStart              Time
-	completionRate                   float64           // attempts that end per second
-	retryAccepted                    map[*Kind]float64 // share of calls soon after a rejection that were accepted
-	quickRecovery                    map[*Kind]float64 // share of failed connections soon followed by a success
-	connRefused                      map[*Kind]Time    // when an endpoint of the kind last refused a connection
-	freed                            []*endpoint       // endpoints whose calls ended in this step
-	reuse                            keepalive.Trust   // in idle connections
-	shortage                         time.Duration     // how long all calls have been in use recently
-	minTarget                        time.Duration     // of all classes
-	maxDeadline                      time.Duration     // of all classes
-	firstInterval                    time.Duration     // allows a few attempts within the shortest target latency
-	quickFailure                     time.Duration     // a connection that fails within it was refused, not unanswered
+	completionRate                   float64               // attempts that end per second
+	retryAccepted                    map[*Kind]float64     // share of calls soon after a rejection that were accepted
+	quickRecovery                    map[*Kind]float64     // share of failed connections soon followed by a success
+	connRefused                      map[*Kind]Time        // when an endpoint of the kind last refused a connection
+	freed                            []*endpoint           // endpoints whose calls ended in this step
+	reuse                            keepalive.IdleLimiter // in idle connections
+	shortage                         time.Duration         // how long all calls have been in use recently
+	minTarget                        time.Duration         // of all classes
+	maxDeadline                      time.Duration         // of all classes
+	firstInterval                    time.Duration         // allows a few attempts within the shortest target latency
+	quickFailure                     time.Duration         // a connection that fails within it was refused, not unanswered
 	inFlight                         []*call
 	inherited                        []*call // calls in flight of the previous process
 	skipped                          int     // endpoints that get no regular traffic
