--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -88,20 +88,20 @@
 func TestRelaysUseTheirTimeSlots(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	free := map[Time]int{}
-	var step time.Duration
+	var slotWidth time.Duration
 	for number := range 6 {
 		r := pacedRelay(t, number)
 		r.now = time.Minute
 		rt := r.destinations[1].routes[0]
 		rt.interval, rt.rejectionsCountUntil, rt.dest.demand = interval, r.now+time.Minute, 10
 		rt.lastCall = r.now - interval/2 - time.Duration(number)*time.Millisecond
-		step = r.cfg.TimeSlots.SlotWidth(interval)
+		slotWidth = r.cfg.TimeSlots.SlotWidth(interval)
 		at := r.freeAt(rt)
 		if at < rt.lastCall+scale(interval, 0.9) || at > rt.lastCall+3*interval {
 			t.Fatalf("relay %d called at %v and may call again at %v", number, rt.lastCall, at)
 		}
 		for other, whose := range free {
-			if distance := max(at, other) - min(at, other); distance%step != 0 || distance == 0 {
+			if distance := max(at, other) - min(at, other); distance%slotWidth != 0 || distance == 0 {
 				t.Errorf("relays %d and %d may call %v apart", number, whose, distance)
 			}
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -691,10 +691,10 @@
 	if !r.usesTimeSlots(rt, interval) {
 		return max(from, rt.lastCall+scale(interval, rt.jitter))
 	}
-	step := r.cfg.TimeSlots.SlotWidth(interval)
+	slotWidth := r.cfg.TimeSlots.SlotWidth(interval)
 	// A time slot that has just begun may still be used.
-	from = max(from, rt.lastCall+scale(interval, 0.9), r.now-max(step, 2*r.cfg.Tick))
-	return r.cfg.TimeSlots.NextSlot(from+r.cfg.ClockOffset, step, rt.hash) - r.cfg.ClockOffset
+	from = max(from, rt.lastCall+scale(interval, 0.9), r.now-max(slotWidth, 2*r.cfg.Tick))
+	return r.cfg.TimeSlots.NextSlot(from+r.cfg.ClockOffset, slotWidth, rt.hash) - r.cfg.ClockOffset
 }
 
 // usesTimeSlots reports whether this relay calls the route in its own time slots: where rejected
--- a/policy/state.go
+++ b/policy/state.go
@@ -159,12 +159,12 @@
 	quickRecovery                    map[*Kind]float64     // share of failed connections soon followed by a success
 	connRefused                      map[*Kind]Time        // when an endpoint of the kind last refused a connection
 	freed                            []*endpoint           // endpoints whose calls ended in this step
-	reuse                            keepalive.IdleLimiter // in idle connections
+	reuse                            keepalive.IdleLimiter // of idle connections
 	shortage                         time.Duration         // how long all calls have been in use recently
 	minTarget                        time.Duration         // of all classes
 	maxDeadline                      time.Duration         // of all classes
 	firstInterval                    time.Duration         // allows a few attempts within the shortest target latency
-	quickFailure                     time.Duration         // a connection that fails within it was refused, not unanswered
+	quickFailure                     time.Duration         // a connection that fails sooner was refused, not unanswered
 	inFlight                         []*call
 	inherited                        []*call // calls in flight of the previous process
 	skipped                          int     // endpoints that get no regular traffic
