--- a/internal/admission/keep_test.go
+++ b/internal/admission/keep_alive_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestKeep(t *testing.T) {
+func TestKeepAlive(t *testing.T) {
 	const ms = time.Millisecond
 	var k KeepAlive
 	now := time.Duration(0)
@@ -21,22 +21,22 @@
 			t.Errorf("%s, %d idle: %v, want %v", what, idle, got, want)
 		}
 	}
-	check("nothing yet", 100, LongIdleTimeout)
+	check("no requests yet", 100, LongIdleTimeout)
 	come(10, true)
-	check("usual clients begin", 10, LongIdleTimeout)
+	check("clients connect", 10, LongIdleTimeout)
 	come(200, false)
-	check("usual clients go on", 100, LongIdleTimeout)
+	check("clients reuse connections", 100, LongIdleTimeout)
 	come(200, true)
-	check("each message on a connection of its own", 24, LongIdleTimeout)
-	check("each message on a connection of its own", 25, ShortIdleTimeout)
+	check("one connection per message", 24, LongIdleTimeout)
+	check("one connection per message", 25, ShortIdleTimeout)
 	come(60, false)
 	come(60, true)
 	come(70, false)
-	check("they come back to those that they have", 100, LongIdleTimeout)
+	check("clients reuse connections again", 100, LongIdleTimeout)
 	come(1, true)
 	now += time.Hour
 	come(1, true)
-	check("long after", 100, ShortIdleTimeout)
+	check("an hour later, new connections", 100, ShortIdleTimeout)
 	come(2, false)
-	check("long after, come back to", 100, LongIdleTimeout)
+	check("an hour later, reused connections", 100, LongIdleTimeout)
 }
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-var testKey = Key("a region's key")
+var regionKey = Key("a region's key")
 
-// places lays out relays over racks of two, and the racks over zones.
-func places(relays, zones int) []Member {
+// rackLayout lays out relays over racks of two, and the racks over zones.
+func rackLayout(relays, zones int) []Member {
 	members := make([]Member, relays)
 	for i := range members {
 		rack := i / 2
@@ -29,7 +29,7 @@
 	return m
 }
 
-var small = MapConfig{Region: 1, Partitions: 64, Replicas: 4}
+var smallConfig = MapConfig{Region: 1, Partitions: 64, Replicas: 4}
 
 // checkPlan looks whether replicas are in different racks, half of them in each of two zones, and loads are even.
 func checkPlan(t *testing.T, m *Map, members []Member) {
@@ -56,38 +56,38 @@
 	}
 }
 
-func TestPlanKeepsApartAndEven(t *testing.T) {
-	members := places(40, 2)
-	m := mustPlan(t, small, nil, members)
+func TestPlanSpreadsReplicasAndBalancesLoad(t *testing.T) {
+	members := rackLayout(40, 2)
+	m := mustPlan(t, smallConfig, nil, members)
 	checkPlan(t, m, members)
 	if m.Version != (Version{0, 1}) {
 		t.Errorf("version %v", m.Version)
 	}
-	same := mustPlan(t, small, m, members)
+	same := mustPlan(t, smallConfig, m, members)
 	if same.CountMoved(m) != 0 {
 		t.Errorf("%d replicas moved for nothing", same.CountMoved(m))
 	}
 	members[7].State = Unreachable
-	if m := mustPlan(t, small, m, members); m.CountMoved(same) != 0 {
+	if m := mustPlan(t, smallConfig, m, members); m.CountMoved(same) != 0 {
 		t.Errorf("%d replicas moved for one that is away", m.CountMoved(same))
 	}
 	members[7].State = Removed
-	gone := mustPlan(t, small, m, members)
+	gone := mustPlan(t, smallConfig, m, members)
 	checkPlan(t, gone, members)
 	members[7].State = Live
-	checkPlan(t, mustPlan(t, small, gone, members), members)
+	checkPlan(t, mustPlan(t, smallConfig, gone, members), members)
 }
 
 // Where no two zones and racks are left, partitions are served all the same.
-func TestPlanWithoutRoom(t *testing.T) {
-	members := places(8, 2)
-	m := mustPlan(t, small, nil, members)
+func TestPlanWithTooFewZones(t *testing.T) {
+	members := rackLayout(8, 2)
+	m := mustPlan(t, smallConfig, nil, members)
 	for i := range members {
 		if members[i].Zone == 1 {
 			members[i].State = Removed
 		}
 	}
-	one := mustPlan(t, small, m, members)
+	one := mustPlan(t, smallConfig, m, members)
 	for p := range one.Partitions() {
 		for _, r := range one.Replicas(Partition(p)) {
 			if members[r].Zone == 1 {
@@ -96,54 +96,54 @@
 		}
 	}
 	members[0].State = Removed
-	if _, err := Plan(small, one, members, nil); !errors.Is(err, ErrTooFewRelays) {
+	if _, err := Plan(smallConfig, one, members, nil); !errors.Is(err, ErrTooFewRelays) {
 		t.Errorf("three relays, four replicas: %v", err)
 	}
 }
 
 func TestPlanOutOfBounds(t *testing.T) {
 	for _, shape := range []MapConfig{{}, {Partitions: 1}, {Partitions: MaxPartitions + 1, Replicas: 1}, {Partitions: 1, Replicas: MaxReplicas + 1}} {
-		if _, err := Plan(shape, nil, places(40, 2), nil); !errors.Is(err, ErrOutOfRange) {
+		if _, err := Plan(shape, nil, rackLayout(40, 2), nil); !errors.Is(err, ErrOutOfRange) {
 			t.Errorf("%+v: %v", shape, err)
 		}
 	}
-	if _, err := Plan(small, nil, places(MaxRelays+1, 2), nil); !errors.Is(err, ErrOutOfRange) {
+	if _, err := Plan(smallConfig, nil, rackLayout(MaxRelays+1, 2), nil); !errors.Is(err, ErrOutOfRange) {
 		t.Errorf("relays: %v", err)
 	}
-	m := mustPlan(t, small, nil, places(40, 2))
+	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	for _, shape := range []MapConfig{{1, 32, 4}, {1, 64, 3}, {2, 64, 4}} {
-		if _, err := Plan(shape, m, places(40, 2), nil); !errors.Is(err, ErrConfigChanged) {
+		if _, err := Plan(shape, m, rackLayout(40, 2), nil); !errors.Is(err, ErrConfigChanged) {
 			t.Errorf("%+v: %v", shape, err)
 		}
 	}
 }
 
 // What is torn at any byte, changed in any bit, or of another key, kind or format is refused by name.
-func TestTornAndForged(t *testing.T) {
-	m := mustPlan(t, small, nil, places(40, 2))
+func TestDecodeRejectsTruncatedAndForged(t *testing.T) {
+	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	for name, c := range map[string]struct {
 		whole  []byte
 		decode func([]byte, Key) error
 	}{
-		"map":   {m.Encode(testKey), func(b []byte, k Key) error { _, err := DecodeMap(b, k); return err }},
-		"slice": {m.Slice(3).Encode(testKey), func(b []byte, k Key) error { _, err := DecodeSlice(b, k); return err }},
+		"map":   {m.Encode(regionKey), func(b []byte, k Key) error { _, err := DecodeMap(b, k); return err }},
+		"slice": {m.Slice(3).Encode(regionKey), func(b []byte, k Key) error { _, err := DecodeSlice(b, k); return err }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := c.decode(c.whole, testKey); err != nil {
+			if err := c.decode(c.whole, regionKey); err != nil {
 				t.Fatal(err)
 			}
 			for n := range c.whole {
-				if err := c.decode(c.whole[:n], testKey); !errors.Is(err, ErrTruncated) {
+				if err := c.decode(c.whole[:n], regionKey); !errors.Is(err, ErrTruncated) {
 					t.Fatalf("%d of %d bytes: %v", n, len(c.whole), err)
 				}
 			}
-			if err := c.decode(append(slices.Clone(c.whole), 0), testKey); !errors.Is(err, ErrTruncated) {
+			if err := c.decode(append(slices.Clone(c.whole), 0), regionKey); !errors.Is(err, ErrTruncated) {
 				t.Errorf("a byte too many: %v", err)
 			}
 			for bit := range 8 * len(c.whole) {
 				b := slices.Clone(c.whole)
 				b[bit/8] ^= 1 << (bit % 8)
-				if err := c.decode(b, testKey); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrBadSignature) && !errors.Is(err, ErrFormat) {
+				if err := c.decode(b, regionKey); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrBadSignature) && !errors.Is(err, ErrFormat) {
 					t.Fatalf("bit %d changed: %v", bit, err)
 				}
 			}
@@ -152,17 +152,17 @@
 			}
 		})
 	}
-	if _, err := DecodeMap(m.Slice(3).Encode(testKey), testKey); !errors.Is(err, ErrFormat) {
+	if _, err := DecodeMap(m.Slice(3).Encode(regionKey), regionKey); !errors.Is(err, ErrFormat) {
 		t.Errorf("a slice for a map: %v", err)
 	}
 }
 
 // What is signed and still makes no sense is refused by name.
-func TestSignedNonsense(t *testing.T) {
+func TestDecodeRejectsInvalidSignedSlice(t *testing.T) {
 	good := func() *Slice {
 		return &Slice{Region: 1, Version: Version{1, 1}, Relay: 3, Partitions: 64, Replication: 2, Assignments: []PartitionAssignment{{5, []Relay{1, 3}, []Relay{1, 3}}, {9, []Relay{3, 4}, []Relay{2, 4}}}}
 	}
-	if _, err := DecodeSlice(good().Encode(testKey), testKey); err != nil {
+	if _, err := DecodeSlice(good().Encode(regionKey), regionKey); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Slice){
@@ -178,14 +178,14 @@
 	} {
 		s := good()
 		spoil(s)
-		if _, err := DecodeSlice(s.Encode(testKey), testKey); !errors.Is(err, ErrFormat) {
+		if _, err := DecodeSlice(s.Encode(regionKey), regionKey); !errors.Is(err, ErrFormat) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestSliceServes(t *testing.T) {
-	m := mustPlan(t, small, nil, places(40, 2))
+	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	for r := range Relay(40) {
 		s := m.Slice(r)
 		for destination := range uint64(500) {
@@ -196,8 +196,8 @@
 	}
 }
 
-// at returns the map as a later version.
-func (m *Map) at(term, number uint64) *Map {
+// withVersion returns the map as a later version.
+func (m *Map) withVersion(term, number uint64) *Map {
 	next := *m
 	next.Version = Version{term, number}
 	return &next
@@ -205,15 +205,15 @@
 
 // A slice that is older, of the same version and different, of another relay or region changes nothing and is named; so is
 // the confirmation of an older one. What was kept on disk holds over a restart.
-func TestFollowerRefuses(t *testing.T) {
-	members := places(40, 2)
-	m := mustPlan(t, small, nil, members).at(64, 7)
+func TestFollowerRejectsStaleAndForeignAnswers(t *testing.T) {
+	members := rackLayout(40, 2)
+	m := mustPlan(t, smallConfig, nil, members).withVersion(64, 7)
 	members[3].State = Removed
-	other := mustPlan(t, small, m, members)
+	other := mustPlan(t, smallConfig, m, members)
 	relay := Relay(0) // some slices of relay 0 differ in the two maps
 	for ; m.Slice(relay).same(other.Slice(relay)); relay++ {
 	}
-	f := NewFollower(1, relay, testKey)
+	f := NewFollower(1, relay, regionKey)
 	take := func(b []byte, want error) {
 		t.Helper()
 		before := f.LatestVersion()
@@ -225,25 +225,25 @@
 			t.Errorf("refused, and yet %v became %v", before, f.LatestVersion())
 		}
 	}
-	confirm := func(v Version) []byte { return confirmation(1, v, relay, 64, testKey) }
+	confirm := func(v Version) []byte { return confirmation(1, v, relay, 64, regionKey) }
 	take(confirm(Version{64, 7}), ErrConflict) // nothing is there to be confirmed
-	take(m.Slice(relay).Encode(testKey), nil)
-	take(m.Slice(relay).Encode(testKey), nil) // twice
-	take(other.at(64, 6).Slice(relay).Encode(testKey), ErrOlder)
-	take(other.at(63, 900).Slice(relay).Encode(testKey), ErrOlder)
-	take(other.at(64, 7).Slice(relay).Encode(testKey), ErrConflict)
-	take(m.at(64, 8).Slice(relay+1).Encode(testKey), ErrOtherRelay)
+	take(m.Slice(relay).Encode(regionKey), nil)
+	take(m.Slice(relay).Encode(regionKey), nil) // twice
+	take(other.withVersion(64, 6).Slice(relay).Encode(regionKey), ErrOlder)
+	take(other.withVersion(63, 900).Slice(relay).Encode(regionKey), ErrOlder)
+	take(other.withVersion(64, 7).Slice(relay).Encode(regionKey), ErrConflict)
+	take(m.withVersion(64, 8).Slice(relay+1).Encode(regionKey), ErrOtherRelay)
 	take(confirm(Version{64, 9}), nil)
 	take(confirm(Version{64, 8}), ErrOlder)
-	take(other.at(64, 8).Slice(relay).Encode(testKey), ErrOlder)
-	take(m.at(64, 9).Slice(relay).Encode(testKey), nil) // the same once more
-	elsewhere := m.at(65, 10)
+	take(other.withVersion(64, 8).Slice(relay).Encode(regionKey), ErrOlder)
+	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), nil) // the same once more
+	elsewhere := m.withVersion(65, 10)
 	elsewhere.Region = 2
-	take(elsewhere.Slice(relay).Encode(testKey), ErrOtherRegion)
-	take(other.at(65, 10).Slice(relay).Encode(testKey), nil)
+	take(elsewhere.Slice(relay).Encode(regionKey), ErrOtherRegion)
+	take(other.withVersion(65, 10).Slice(relay).Encode(regionKey), nil)
 	kept := bytes.Clone(f.Encoded())
 
-	again := NewFollower(1, relay, testKey)
+	again := NewFollower(1, relay, regionKey)
 	if err := again.Restore(kept[:len(kept)-1]); !errors.Is(err, ErrTruncated) || again.Current() != nil {
 		t.Errorf("torn on disk: %v", err)
 	}
@@ -251,17 +251,17 @@
 		t.Errorf("restored %v: %v", again.LatestVersion(), err)
 	}
 	f = again
-	take(m.at(64, 9).Slice(relay).Encode(testKey), ErrOlder) // on disk is later
+	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), ErrOlder) // on disk is later
 }
 
 // A control machine confirms a slice only where it has seen all maps since the one that the relay has.
 func TestDirectoryAnswers(t *testing.T) {
-	members := places(40, 2)
-	first := mustPlan(t, small, nil, members).at(64, 1)
+	members := rackLayout(40, 2)
+	first := mustPlan(t, smallConfig, nil, members).withVersion(64, 1)
 	members[3].State = Removed
-	second := mustPlan(t, small, first, members)
-	third := first.at(64, 3) // all as it was
-	d := NewDirectory(testKey)
+	second := mustPlan(t, smallConfig, first, members)
+	third := first.withVersion(64, 3) // all as it was
+	d := NewDirectory(regionKey)
 	if _, err := d.Answer(SliceRequest{}); !errors.Is(err, ErrNoMap) {
 		t.Errorf("no map: %v", err)
 	}
@@ -292,7 +292,7 @@
 	if !whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) {
 		t.Error("a slice that changed and changed back was confirmed, though the relay may have the one between")
 	}
-	gap := NewDirectory(testKey)
+	gap := NewDirectory(regionKey)
 	gap.Update(first)
 	gap.Update(third)
 	if !whole(gap, SliceRequest{Relay: moved, HaveVersion: second.Version}) {
@@ -307,8 +307,8 @@
 }
 
 // Who is away keeps its place for a minute, and longer where its zone is away as a whole and just comes back.
-func TestHealth(t *testing.T) {
-	at := places(40, 2)
+func TestRelayHealth(t *testing.T) {
+	at := rackLayout(40, 2)
 	h := NewRelayHealth(at, nil, 0)
 	if m := h.Members(0); m[0].State != Removed {
 		t.Errorf("one that nobody has heard of and that serves nothing: %v", m[0].State)
@@ -355,9 +355,9 @@
 }
 
 // Without an answer a relay soon asks another machine, a few times; then, and with an answer, it asks each PullEvery.
-func TestFollowerAsksAgain(t *testing.T) {
-	m := mustPlan(t, small, nil, places(40, 2))
-	f := NewFollower(1, 3, testKey)
+func TestFollowerRetries(t *testing.T) {
+	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
+	f := NewFollower(1, 3, regionKey)
 	var asked []time.Duration
 	for now := time.Duration(0); now < 2*time.Second; now += time.Millisecond {
 		if _, due := f.Poll(now); due {
@@ -367,7 +367,7 @@
 	if want := []time.Duration{0, 120, 240, 360, 480, 600, 720, 840, 960, 1080, 1200, 1700}; !slices.Equal(asked, want) {
 		t.Errorf("asked at %v ms, want %v", asked, want)
 	}
-	if _, err := f.HandleAnswer(1990*time.Millisecond, m.Slice(3).Encode(testKey)); err != nil || f.NextPoll() != 2200*time.Millisecond {
+	if _, err := f.HandleAnswer(1990*time.Millisecond, m.Slice(3).Encode(regionKey)); err != nil || f.NextPoll() != 2200*time.Millisecond {
 		t.Errorf("next at %v: %v", f.NextPoll(), err)
 	}
 	if _, due := f.Poll(f.NextPoll()); !due || f.NextPoll() != 2320*time.Millisecond {
--- a/internal/assignment/codec.go
+++ b/internal/assignment/codec.go
@@ -10,22 +10,21 @@
 	"slices"
 )
 
-// Errors of an encoded map or slice that is refused.
+// Errors of an encoded map or slice that is rejected.
 var (
 	ErrTruncated    = errors.New("assignment: cut short, or too long")
 	ErrBadSignature = errors.New("assignment: not signed with this region's key")
 	ErrFormat       = errors.New("assignment: not a map or slice of this format")
 )
 
-// Key signs what control machines publish. All control machines and relays of a
-// region have the same.
+// Key signs what control nodes publish. All control nodes and relays of a region share it.
 type Key []byte
 
-// Sizes of what is encoded, in bytes.
+// Sizes in the encoding, in bytes.
 const (
 	signatureSize = sha256.Size
 	headerSize    = 32
-	servingSize   = 2 // of a partition's number, before its replicas
+	partitionSize = 2 // of a partition's number, before its replicas
 	relaySize     = 2
 )
 
@@ -36,8 +35,8 @@
 	kindSlice   = 'S'
 	kindConfirm = 'C'
 	noRelay     = 0xffff // in the header of a map
-	maxEncoded  = headerSize + MaxPartitions*(servingSize+2*MaxReplicas*relaySize) + signatureSize
-	entriesAt   = 28 // in the header
+	maxEncoded  = headerSize + MaxPartitions*(partitionSize+2*MaxReplicas*relaySize) + signatureSize
+	entriesAt   = 28 // offset in the header, as for those below
 	replicaAt   = 7
 	regionAt    = 6
 	formatAt    = 4
@@ -48,7 +47,7 @@
 	partitionAt = 26
 )
 
-// header is what maps and slices begin with.
+// header starts each encoded map, slice and confirmation.
 type header struct {
 	kind       byte
 	region     uint8
@@ -59,15 +58,15 @@
 	entries    int // partitions that follow
 }
 
-// Encode returns the map, signed. It takes 64 + 4 x partitions x replicas bytes.
+// Encode returns the signed map. It takes 64 + 4 x partitions x replicas bytes.
 func (m *Map) Encode(key Key) []byte {
 	b := header{kindMap, m.Region, m.Replication, m.Version, noRelay, m.Partitions(), m.Partitions()}.append(nil)
 	b = appendRelays(b, m.replicas)
 	return sign(appendRelays(b, m.previous), key)
 }
 
-// Encode returns the slice, signed. It takes 64 bytes, and 2 + 4 x replicas for
-// each partition that concerns the relay.
+// Encode returns the signed slice. It takes 64 bytes, and 2 + 4 x replicas for each partition that
+// concerns the relay.
 func (s *Slice) Encode(key Key) []byte {
 	b := header{kindSlice, s.Region, s.Replication, s.Version, s.Relay, s.Partitions, len(s.Assignments)}.append(nil)
 	for _, serving := range s.Assignments {
@@ -93,15 +92,15 @@
 	return relays
 }
 
-// confirmation says that a relay's slice is the same in the map of a version.
+// confirmation encodes that a relay's slice is unchanged in the map of a version.
 func confirmation(region uint8, version Version, relay Relay, partitions int, key Key) []byte {
 	return sign(header{kindConfirm, region, 0, version, relay, partitions, 0}.append(nil), key)
 }
 
-// DecodeMap returns a map that Encode made with the same key. Its errors wrap
-// ErrTorn, ErrForged or ErrFormat.
+// DecodeMap returns a map encoded by Encode with the same key. Its errors wrap ErrTruncated,
+// ErrBadSignature or ErrFormat.
 func DecodeMap(b []byte, key Key) (*Map, error) {
-	h, body, err := open(b, key, kindMap)
+	h, body, err := verify(b, key, kindMap)
 	if err != nil {
 		return nil, err
 	}
@@ -111,17 +110,17 @@
 	}
 	m := &Map{Region: h.region, Version: h.version, Replication: h.replicas, replicas: readRelays(body[:half]), previous: readRelays(body[half:])}
 	for p := range m.Partitions() {
-		if err := errors.Join(ascending(m.Replicas(Partition(p))), ascending(m.Previous(Partition(p)))); err != nil {
+		if err := errors.Join(checkAscending(m.Replicas(Partition(p))), checkAscending(m.Previous(Partition(p)))); err != nil {
 			return nil, err
 		}
 	}
 	return m, nil
 }
 
-// DecodeSlice returns a slice that Encode made with the same key. Its errors wrap
-// ErrTorn, ErrForged or ErrFormat.
+// DecodeSlice returns a slice encoded by Encode with the same key. Its errors wrap ErrTruncated,
+// ErrBadSignature or ErrFormat.
 func DecodeSlice(b []byte, key Key) (*Slice, error) {
-	h, body, err := open(b, key, kindSlice)
+	h, body, err := verify(b, key, kindSlice)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +129,7 @@
 
 func decodeSlice(h header, body []byte) (*Slice, error) {
 	half := h.replicas * relaySize
-	size := servingSize + 2*half
+	size := partitionSize + 2*half
 	if len(body) != h.entries*size {
 		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTruncated, len(body), h.entries)
 	}
@@ -138,10 +137,10 @@
 	for ; len(body) > 0; body = body[size:] {
 		serving := PartitionAssignment{
 			Partition: Partition(binary.BigEndian.Uint16(body)),
-			Replicas:  readRelays(body[servingSize : servingSize+half]),
-			Previous:  readRelays(body[servingSize+half : size]),
+			Replicas:  readRelays(body[partitionSize : partitionSize+half]),
+			Previous:  readRelays(body[partitionSize+half : size]),
 		}
-		if err := s.checkServing(serving); err != nil {
+		if err := s.checkNext(serving); err != nil {
 			return nil, err
 		}
 		s.Assignments = append(s.Assignments, serving)
@@ -149,22 +148,22 @@
 	return s, nil
 }
 
-// checkServing tells whether a partition may follow those that the slice has.
-func (s *Slice) checkServing(next PartitionAssignment) error {
+// checkNext checks that a partition is valid after those that the slice already has.
+func (s *Slice) checkNext(next PartitionAssignment) error {
 	if int(next.Partition) >= s.Partitions {
 		return fmt.Errorf("%w: partition %d of %d", ErrFormat, next.Partition, s.Partitions)
 	}
 	if n := len(s.Assignments); n > 0 && s.Assignments[n-1].Partition >= next.Partition {
-		return fmt.Errorf("%w: partition %d behind %d", ErrFormat, next.Partition, s.Assignments[n-1].Partition)
+		return fmt.Errorf("%w: partition %d after %d", ErrFormat, next.Partition, s.Assignments[n-1].Partition)
 	}
 	if !slices.Contains(next.Replicas, s.Relay) && !slices.Contains(next.Previous, s.Relay) {
-		return fmt.Errorf("%w: partition %d is not relay %d's", ErrFormat, next.Partition, s.Relay)
+		return fmt.Errorf("%w: partition %d does not concern relay %d", ErrFormat, next.Partition, s.Relay)
 	}
-	return errors.Join(ascending(next.Replicas), ascending(next.Previous))
+	return errors.Join(checkAscending(next.Replicas), checkAscending(next.Previous))
 }
 
-// ascending tells whether no relay is named twice, and all may exist.
-func ascending(replicas []Relay) error {
+// checkAscending checks that all relay numbers are valid and ascending, without duplicates.
+func checkAscending(replicas []Relay) error {
 	for i, r := range replicas {
 		if r >= MaxRelays || i > 0 && replicas[i-1] >= r {
 			return fmt.Errorf("%w: replicas %v", ErrFormat, replicas)
@@ -183,9 +182,9 @@
 	return binary.BigEndian.AppendUint32(b, uint32(h.entries))
 }
 
-// open checks signature and header of what has one of the kinds, and returns what
-// is between the two.
-func open(b []byte, key Key, kinds ...byte) (h header, body []byte, err error) {
+// verify checks the signature and header of an encoding of one of the given kinds, and returns its
+// header and body.
+func verify(b []byte, key Key, kinds ...byte) (h header, body []byte, err error) {
 	if len(b) < headerSize+signatureSize || len(b) > maxEncoded {
 		return h, nil, fmt.Errorf("%w: %d bytes", ErrTruncated, len(b))
 	}
@@ -200,7 +199,7 @@
 		entries:    int(binary.BigEndian.Uint32(b[entriesAt:])),
 	}
 	if want := h.size(); len(b) != want {
-		return h, nil, fmt.Errorf("%w: %d bytes, %d wanted", ErrTruncated, len(b), want)
+		return h, nil, fmt.Errorf("%w: %d bytes, want %d", ErrTruncated, len(b), want)
 	}
 	body = b[headerSize : len(b)-signatureSize]
 	if !hmac.Equal(signature(b[:len(b)-signatureSize], key), b[len(b)-signatureSize:]) {
@@ -212,11 +211,11 @@
 	return h, body, nil
 }
 
-// size is how long what the header begins has to be.
+// size returns the length of the whole encoding, signature included.
 func (h header) size() int {
 	entry := 2 * h.replicas * relaySize
 	if h.kind == kindSlice {
-		entry += servingSize
+		entry += partitionSize
 	}
 	return headerSize + h.entries*entry + signatureSize
 }
--- a/internal/assignment/control.go
+++ b/internal/assignment/control.go
@@ -6,63 +6,64 @@
 )
 
 const (
-	// planEvery is how often the publisher looks whether the map has to change.
-	planEvery = 500 * time.Millisecond
-	// reportEvery is how often a control machine tells the publisher which relays
-	// have asked it: every relay is in some report at least once in awayAfter.
-	reportEvery = time.Second
-	// settleAfter is how long a partition does not change again: all that its former
-	// replicas held has been delivered by then, or is out of time.
-	settleAfter = goneAfter
+	// planInterval is how often the publisher checks whether the map has to change.
+	planInterval = 500 * time.Millisecond
+	// reportInterval is how often a control node reports to the publisher which relays have
+	// contacted it. It is short enough that each relay is in a report at least once per
+	// unreachableAfter.
+	reportInterval = time.Second
+	// settleAfter is how long a partition does not change again: by then all pending messages of
+	// its previous replicas are delivered or expired.
+	settleAfter = removedAfter
 )
 
-// ContactReport tells the publisher which relays have asked another control machine since
-// its last report: a bit for each relay, and which of them said that they leave.
+// ContactReport tells the publisher which relays have contacted another control node since its last
+// report, and which of those are leaving: one bit per relay.
 type ContactReport struct{ Relays, Leaving []uint64 }
 
 func (ContactReport) message() {}
 
-// ControlNode is a control machine of a region: it takes part in publishing maps, and
-// answers relays. It is not safe for concurrent use.
+// ControlNode is a control node of a region: it takes part in publishing maps, and answers relays.
+// It is not safe for concurrent use.
 type ControlNode struct {
-	register  *Register
-	directory *Directory
-	shape     MapConfig
-	places    []Member
-	health    *RelayHealth // while it publishes
-	states    []Member
-	heard     ContactReport   // since the last report
-	changedAt []time.Duration // by partition, while it publishes
-	planAt    time.Duration
-	reportAt  time.Duration
+	register   *Register
+	directory  *Directory
+	config     MapConfig
+	locations  []Member
+	health     *RelayHealth // nil unless this node publishes
+	members    []Member
+	contacts   ContactReport   // since the last report
+	changedAt  []time.Duration // by partition; set while this node publishes
+	nextPlan   time.Duration
+	nextReport time.Duration
 }
 
-// NewControlNode makes a control machine from its part of the register. The member at
-// index i of places is the zone and rack of relay i.
-func NewControlNode(register *Register, shape MapConfig, places []Member, key Key) *ControlNode {
-	c := &ControlNode{register: register, directory: NewDirectory(key), shape: shape, places: places, heard: newHeard(len(places))}
+// NewControlNode returns a control node with its part of the register. The member at index i of
+// locations is the zone and rack of relay i.
+func NewControlNode(register *Register, config MapConfig, locations []Member, key Key) *ControlNode {
+	c := &ControlNode{register: register, directory: NewDirectory(key), config: config, locations: locations, contacts: newContactReport(len(locations))}
 	c.directory.Update(register.Published())
 	return c
 }
 
-// Register returns its part of the register, whose Durable has to be on disk
-// before what Tick and Receive return is sent.
+// Register returns the node's part of the register. Its PersistentState has to be on disk before
+// the messages that Tick and Receive return are sent.
 func (c *ControlNode) Register() *Register { return c.register }
 
-// Answer answers a relay, as Directory.Answer does.
-func (c *ControlNode) Answer(now time.Duration, a SliceRequest) ([]byte, error) {
-	if int(a.Relay) < len(c.places) {
-		c.heard.book(a)
-		c.tellHealth(now, a.Relay, a.Leaving)
+// Answer answers a relay's request, as Directory.Answer does, and records the contact.
+func (c *ControlNode) Answer(now time.Duration, request SliceRequest) ([]byte, error) {
+	if int(request.Relay) < len(c.locations) {
+		c.contacts.record(request)
+		c.recordContact(now, request.Relay, request.Leaving)
 	}
-	return c.directory.Answer(a)
+	return c.directory.Answer(request)
 }
 
-// tellHealth books that a relay was heard of, where this machine publishes.
-func (c *ControlNode) tellHealth(now time.Duration, r Relay, leaves bool) {
+// recordContact records a relay's contact, if this node publishes.
+func (c *ControlNode) recordContact(now time.Duration, r Relay, leaving bool) {
 	switch {
 	case c.health == nil:
-	case leaves:
+	case leaving:
 		c.health.RecordLeaving(r, now)
 	default:
 		c.health.RecordContact(r, now)
@@ -71,24 +72,24 @@
 
 const wordBits = 64
 
-func newHeard(relays int) ContactReport {
+func newContactReport(relays int) ContactReport {
 	words := (relays + wordBits - 1) / wordBits
 	return ContactReport{make([]uint64, words), make([]uint64, words)}
 }
 
-// book takes in a question of a relay that has a bit.
-func (h ContactReport) book(a SliceRequest) {
-	word, bit := a.Relay/wordBits, uint64(1)<<(a.Relay%wordBits)
-	h.Relays[word] |= bit
-	if h.Leaving[word] &^= bit; a.Leaving {
-		h.Leaving[word] |= bit
+// record sets the bits of the relay that sent a request.
+func (report ContactReport) record(request SliceRequest) {
+	word, bit := request.Relay/wordBits, uint64(1)<<(request.Relay%wordBits)
+	report.Relays[word] |= bit
+	if report.Leaving[word] &^= bit; request.Leaving {
+		report.Leaving[word] |= bit
 	}
 }
 
-// Receive takes in a message of another control machine and returns what to send.
+// Receive handles a message of another control node and returns the messages to send.
 func (c *ControlNode) Receive(now time.Duration, from int, m Message) []Envelope {
 	if report, ok := m.(ContactReport); ok {
-		c.reported(now, report)
+		c.handleReport(now, report)
 		return nil
 	}
 	out := c.register.Receive(now, from, m)
@@ -96,25 +97,25 @@
 	return out
 }
 
-// reported takes in which relays another machine has heard of. A report of a
-// machine that knows nothing of leaves has no bits for them.
-func (c *ControlNode) reported(now time.Duration, report ContactReport) {
+// handleReport records which relays have contacted another node. A report without bits for leaving
+// relays counts as none leaving.
+func (c *ControlNode) handleReport(now time.Duration, report ContactReport) {
 	for i, word := range report.Relays {
 		for bit := range wordBits {
 			r := i*wordBits + bit
-			if word>>bit&1 != 0 && r < len(c.places) {
-				c.tellHealth(now, Relay(r), i < len(report.Leaving) && report.Leaving[i]>>bit&1 != 0)
+			if word>>bit&1 != 0 && r < len(c.locations) {
+				c.recordContact(now, Relay(r), i < len(report.Leaving) && report.Leaving[i]>>bit&1 != 0)
 			}
 		}
 	}
 }
 
-// Tick takes the time and returns what to send.
+// Tick advances the time and returns the messages to send.
 func (c *ControlNode) Tick(now time.Duration) []Envelope {
 	out := c.register.Tick(now)
 	if c.register.Publishing() {
 		out = append(out, c.plan(now)...)
-	} else if c.register.Publisher() != c.register.me {
+	} else if c.register.Publisher() != c.register.self {
 		c.health = nil
 		out = append(out, c.report(now)...)
 	}
@@ -122,42 +123,42 @@
 	return out
 }
 
-// report tells the publisher who has asked.
+// report tells the publisher which relays have contacted this node.
 func (c *ControlNode) report(now time.Duration) []Envelope {
 	to := c.register.Publisher()
-	if to < 0 || now < c.reportAt {
+	if to < 0 || now < c.nextReport {
 		return nil
 	}
-	c.reportAt = now + reportEvery
-	report := c.heard
-	c.heard = newHeard(len(c.places))
+	c.nextReport = now + reportInterval
+	report := c.contacts
+	c.contacts = newContactReport(len(c.locations))
 	return []Envelope{{to, report}}
 }
 
-// plan proposes another map where that has to change.
+// plan proposes a new map if one is needed.
 func (c *ControlNode) plan(now time.Duration) []Envelope {
-	if now < c.planAt {
+	if now < c.nextPlan {
 		return nil
 	}
-	c.planAt = now + planEvery
+	c.nextPlan = now + planInterval
 	latest := c.register.LatestAccepted()
 	if c.health == nil {
-		c.begin(now, latest)
-		if latest == nil { // Risk: the first map without those that have not asked yet
-			c.planAt = now + awayAfter
+		c.startPlanning(now, latest)
+		if latest == nil { // the first map waits until all running relays have made contact
+			c.nextPlan = now + unreachableAfter
 			return nil
 		}
 	}
 	members := c.health.Members(now)
-	settling := latest != nil && c.settling(now, latest)
-	if !settling && c.states != nil && slices.Equal(members, c.states) {
+	settling := latest != nil && c.hasNewlySettled(now, latest)
+	if !settling && c.members != nil && slices.Equal(members, c.members) {
 		return nil
 	}
-	next, err := Plan(c.shape, latest, members, func(p Partition) bool { return now >= c.changedAt[p]+settleAfter })
+	next, err := Plan(c.config, latest, members, func(p Partition) bool { return now >= c.changedAt[p]+settleAfter })
 	if err != nil {
-		return nil // too few serve: the last map stays in force
+		return nil // too few relays serve: the last map stays in use
 	}
-	c.states = members
+	c.members = members
 	if latest != nil && next.same(latest) {
 		return nil
 	}
@@ -170,11 +171,11 @@
 	return out
 }
 
-// begin takes up planning: this machine has just become the publisher. When what
-// is not settled has changed it does not know, so it counts from now.
-func (c *ControlNode) begin(now time.Duration, latest *Map) {
-	c.health, c.states = NewRelayHealth(c.places, latest, now), nil
-	c.changedAt = make([]time.Duration, c.shape.Partitions)
+// startPlanning initializes planning on a new publisher. It doesn't know when unsettled partitions
+// changed, so it counts from now.
+func (c *ControlNode) startPlanning(now time.Duration, latest *Map) {
+	c.health, c.members = NewRelayHealth(c.locations, latest, now), nil
+	c.changedAt = make([]time.Duration, c.config.Partitions)
 	for p := range c.changedAt {
 		c.changedAt[p] = -settleAfter
 		if latest != nil && !latest.Settled(Partition(p)) {
@@ -183,8 +184,8 @@
 	}
 }
 
-// settling tells whether a change that the map shows has got settled.
-func (c *ControlNode) settling(now time.Duration, latest *Map) bool {
+// hasNewlySettled reports whether a change that the map still shows has settled.
+func (c *ControlNode) hasNewlySettled(now time.Duration, latest *Map) bool {
 	for p, at := range c.changedAt {
 		if now >= at+settleAfter && !latest.Settled(Partition(p)) {
 			return true
--- a/internal/assignment/follower.go
+++ b/internal/assignment/follower.go
@@ -8,109 +8,111 @@
 	"time"
 )
 
-// Errors of a slice that is whole and signed, and yet not taken.
+// Errors of a valid, signed answer that is rejected.
 var (
-	ErrOlder       = errors.New("assignment: older than the one in force")
-	ErrConflict    = errors.New("assignment: another one of the version in force")
+	ErrOlder       = errors.New("assignment: older than the slice in use")
+	ErrConflict    = errors.New("assignment: conflicts with the slice in use of the same version")
 	ErrOtherRegion = errors.New("assignment: of another region")
 	ErrOtherRelay  = errors.New("assignment: of another relay")
 )
 
 const (
-	// PollInterval is how often a relay asks a control machine for changes.
+	// PollInterval is how often a relay asks a control node for changes.
 	PollInterval = 500 * time.Millisecond
-	// retryEvery is when it asks another one, where none answers; quickRetries is
-	// how often it does before it is back to PullEvery.
-	retryEvery   = 120 * time.Millisecond
-	quickRetries = 10
-	// silentAfter is how long no control machine has to answer before a relay says
-	// that it goes on by the last assignment.
-	silentAfter = 10 * PollInterval
+	// retryInterval is the delay before asking another node if one does not answer, for the first
+	// maxQuickRetries requests; then it is PollInterval.
+	retryInterval   = 120 * time.Millisecond
+	maxQuickRetries = 10
+	// controlTimeout is how long no control node may answer before a relay reports that it uses an
+	// assignment that may be outdated.
+	controlTimeout = 10 * PollInterval
 )
 
-// Follower keeps the slice that is in force at one relay. It is not safe for
-// concurrent use. The slice that Current returns may be read by all.
+// Follower holds the slice in use at one relay. It is not safe for concurrent use. The slice that
+// Current returns may be read concurrently.
 type Follower struct {
-	region  uint8
-	relay   Relay
-	key     Key
-	current *Slice
-	encoded []byte  // the slice in force, as it came
-	latest  Version // that a control machine has confirmed, at least current's
-	heardAt time.Duration
-	askedAt time.Duration
-	nextAt  time.Duration
-	tries   int // questions since the last answer
-	leaving bool
+	region        uint8
+	relay         Relay
+	key           Key
+	current       *Slice
+	encoded       []byte  // the slice in use, as received
+	latestVersion Version // confirmed by a control node, at least that of current
+	lastAnswerAt  time.Duration
+	lastPollAt    time.Duration
+	nextPollAt    time.Duration
+	unanswered    int // requests since the last answer
+	leaving       bool
 }
 
-// NewFollower makes the follower of a relay that has no slice yet.
+// NewFollower returns the follower of a relay that has no slice yet.
 func NewFollower(region uint8, relay Relay, key Key) *Follower {
-	return &Follower{region: region, relay: relay, key: key, heardAt: -silentAfter}
+	return &Follower{region: region, relay: relay, key: key, lastAnswerAt: -controlTimeout}
 }
 
-// SliceRequest is a relay's question for its slice.
+// SliceRequest is a relay's request for its slice.
 type SliceRequest struct {
 	Relay       Relay
-	HaveVersion Version // of the slice in force, or the latest that it was confirmed for
-	Leaving     bool    // it wants to go, and asks for its replicas to be given to others
+	HaveVersion Version // of the slice in use, or the latest for which it was confirmed
+	Leaving     bool    // the relay wants to leave and to have its replicas reassigned
 }
 
-// Current returns the slice in force, nil before the first.
+// Current returns the slice in use, nil before the first.
 func (f *Follower) Current() *Slice { return f.current }
 
-// LatestVersion returns the version for which the slice in force is known to hold.
-func (f *Follower) LatestVersion() Version { return f.latest }
+// LatestVersion returns the version up to which the slice in use is known to be valid.
+func (f *Follower) LatestVersion() Version { return f.latestVersion }
 
-// Encoded returns the slice in force as it has to be kept on disk, nil before the
-// first. Restore takes it at the next start.
+// Encoded returns the slice in use as it has to be stored on disk, nil before the first. Restore
+// loads it after a restart.
 func (f *Follower) Encoded() []byte { return f.encoded }
 
-// SetLeaving has the relay say from its next question on that it wants to go, or that
-// it stays after all. A start begins with staying.
-func (f *Follower) SetLeaving(leave bool) { f.leaving = leave }
+// SetLeaving sets whether the relay's requests, from the next one on, say that it wants to leave.
+// It is not set after a restart.
+func (f *Follower) SetLeaving(leaving bool) { f.leaving = leaving }
 
-// Released tells whether a relay that leaves has no replicas any more. It may go
-// once its handovers are done as well.
+// Released reports whether a leaving relay has no replicas any more. It may stop once its handovers
+// are done too.
 func (f *Follower) Released() bool {
 	return f.leaving && f.current != nil && !slices.ContainsFunc(f.current.Assignments, func(s PartitionAssignment) bool {
 		return slices.Contains(s.Replicas, f.relay)
 	})
 }
 
-// ControlUnreachable tells whether no control machine has answered for long, so that the
-// slice in force may be out of date.
-func (f *Follower) ControlUnreachable(now time.Duration) bool { return now-f.heardAt >= silentAfter }
+// ControlUnreachable reports whether no control node has answered for controlTimeout, so that the
+// slice in use may be outdated.
+func (f *Follower) ControlUnreachable(now time.Duration) bool {
+	return now-f.lastAnswerAt >= controlTimeout
+}
 
-// Poll returns the question that is due at now, if any.
+// Poll returns the request that is due at now, if any.
 func (f *Follower) Poll(now time.Duration) (SliceRequest, bool) {
-	if now < f.nextAt {
+	if now < f.nextPollAt {
 		return SliceRequest{}, false
 	}
-	f.askedAt, f.nextAt = now, now+PollInterval
-	if f.tries++; f.tries <= quickRetries {
-		f.nextAt = now + retryEvery
+	f.lastPollAt, f.nextPollAt = now, now+PollInterval
+	if f.unanswered++; f.unanswered <= maxQuickRetries {
+		f.nextPollAt = now + retryInterval
 	}
-	return SliceRequest{f.relay, f.latest, f.leaving}, true
+	return SliceRequest{f.relay, f.latestVersion, f.leaving}, true
 }
 
-// NextPoll returns when Poll has the next question.
-func (f *Follower) NextPoll() time.Duration { return f.nextAt }
+// NextPoll returns when the next request is due.
+func (f *Follower) NextPoll() time.Duration { return f.nextPollAt }
 
-// Restore takes the slice that was kept on disk before a restart. Its errors are
-// those of Take; the relay then starts without a slice, and asks for one.
+// Restore loads the slice that was stored on disk before a restart. Its errors are those of
+// HandleAnswer; the relay then starts without a slice and requests one.
 func (f *Follower) Restore(encoded []byte) error {
-	heard, next := f.heardAt, f.nextAt
-	_, err := f.HandleAnswer(heard, encoded)
-	f.heardAt, f.nextAt = heard, next // a disk is no control machine
+	lastAnswerAt, nextPollAt := f.lastAnswerAt, f.nextPollAt
+	_, err := f.HandleAnswer(lastAnswerAt, encoded)
+	f.lastAnswerAt, f.nextPollAt = lastAnswerAt, nextPollAt // loading from disk is no contact with a control node
 	return err
 }
 
-// HandleAnswer takes in a control machine's answer and tells whether the slice in force
-// has changed. An answer that is refused changes nothing; the error wraps ErrTorn,
-// ErrForged, ErrFormat, ErrOlder, ErrConflict, ErrOtherRegion or ErrOtherRelay.
+// HandleAnswer handles a control node's answer and reports whether the slice in use has changed. A
+// rejected answer changes nothing; the error wraps ErrTruncated, ErrBadSignature, ErrFormat,
+// ErrOlder, ErrConflict, ErrOtherRegion or ErrOtherRelay.
 func (f *Follower) HandleAnswer(now time.Duration, answer []byte) (changed bool, err error) {
-	h, body, err := open(answer, f.key, kindSlice, kindConfirm)
+	h, body, err := verify(answer, f.key, kindSlice, kindConfirm)
 	switch {
 	case err != nil:
 		return false, err
@@ -118,28 +120,28 @@
 		return false, fmt.Errorf("%w: %d, not %d", ErrOtherRegion, h.region, f.region)
 	case h.relay != f.relay:
 		return false, fmt.Errorf("%w: %d, not %d", ErrOtherRelay, h.relay, f.relay)
-	case h.version.Compare(f.latest) < 0:
-		return false, fmt.Errorf("%w: %v, in force %v", ErrOlder, h.version, f.latest)
+	case h.version.Compare(f.latestVersion) < 0:
+		return false, fmt.Errorf("%w: %v, in use %v", ErrOlder, h.version, f.latestVersion)
 	case h.kind == kindConfirm:
 		if f.current == nil {
-			return false, fmt.Errorf("%w: %v is confirmed, and there is none", ErrConflict, h.version)
+			return false, fmt.Errorf("%w: confirmation of %v without a slice", ErrConflict, h.version)
 		}
 	default:
-		if changed, err = f.offer(h, body, answer); err != nil {
+		if changed, err = f.install(h, body, answer); err != nil {
 			return false, err
 		}
 	}
-	f.latest, f.heardAt, f.tries, f.nextAt = h.version, now, 0, f.askedAt+PollInterval
+	f.latestVersion, f.lastAnswerAt, f.unanswered, f.nextPollAt = h.version, now, 0, f.lastPollAt+PollInterval
 	return changed, nil
 }
 
-// offer puts a slice in force that is not older than the one that is.
-func (f *Follower) offer(h header, body, encoded []byte) (changed bool, err error) {
+// install puts a slice in use that is not older than the current one.
+func (f *Follower) install(h header, body, encoded []byte) (changed bool, err error) {
 	s, err := decodeSlice(h, body)
 	if err != nil {
 		return false, err
 	}
-	if f.current != nil && s.Version == f.latest {
+	if f.current != nil && s.Version == f.latestVersion {
 		if !s.same(f.current) {
 			return false, fmt.Errorf("%w: %v", ErrConflict, s.Version)
 		}
--- a/internal/assignment/handover/handover.go
+++ b/internal/assignment/handover/handover.go
@@ -1,16 +1,15 @@
-// Package handover passes a partition from its former replicas to its present ones
-// while messages for it are held, ordered and under way.
+// Package handover moves a partition from its previous replicas to its current ones while messages
+// for it are pending, ordered and in flight.
 //
-// The messages of a key are sent by one replica, its owner. After a change of
-// replicas a key may have another owner, which sends none of the key's messages
-// until the former one has released the partition: it takes on no more of them and
-// has none left. A replica that is new sends nothing at all before all former ones
-// have adopted the change, so that the shares of a destination's rate that the
-// replicas use never add up to more than the whole. What a former replica was told
-// to wait for comes with its messages.
+// The messages of a key are sent by one replica, its owner. After a change of replicas a key may
+// have another owner, which sends none of the key's messages until the previous one has released
+// the partition: it accepts no more of them and has none pending. A new replica sends nothing at
+// all before all previous ones have adopted the change, so that the shares of a destination's rate
+// that the replicas use never add up to more than one. The Retry-After times that a previous
+// replica knows are sent with its messages.
 //
-// The package does no I/O and reads no clock: times are arguments. A Handover is
-// owned by one goroutine.
+// The package does no I/O and reads no clock: times are arguments. A Handover is owned by one
+// goroutine.
 package handover
 
 import (
@@ -20,10 +19,10 @@
 	"oatfold/internal/assignment"
 )
 
-// resendEvery is how often what is not acknowledged is told again.
-const resendEvery = 200 * time.Millisecond
+// resendInterval is how often unacknowledged progress is sent again.
+const resendInterval = 200 * time.Millisecond
 
-// RetryAfter is a destination that may not be sent to until a time has passed.
+// RetryAfter is a destination that must not be called before a time.
 type RetryAfter struct {
 	Destination uint64
 	Remaining   time.Duration // when the message was sent
@@ -31,67 +30,67 @@
 
 // Message tells another replica how far this one is with a handover.
 type Message struct {
-	ChangeID     uint64   // which one; those of others are ignored
-	Adopted      bool     // the sender goes by the present replicas
-	Released     bool     // and holds nothing of keys that it owns no more
-	Acknowledged Progress // of the receiver, to the sender
-	Reply        bool     // it answers a message, and asks for no answer
+	ChangeID     uint64   // messages of other changes are ignored
+	Adopted      bool     // the sender uses the current replicas
+	Released     bool     // and has no pending messages of keys that it no longer owns
+	Acknowledged Progress // the receiver's progress as the sender knows it
+	Reply        bool     // this is an answer, and must not be answered
 	RetryAfters  []RetryAfter
 }
 
-// Progress is what a replica knows of how far another one is.
+// Progress is how far a replica is with a handover.
 type Progress struct{ Adopted, Released bool }
 
-// Envelope is a message to another replica.
+// Envelope is a message addressed to another replica.
 type Envelope struct {
 	To      assignment.Relay
 	Message Message
 }
 
-// Handover is one replica's part in a partition's latest change. A replica makes
-// one as it adopts the change, once that is on its disk: else a restart would have
-// it go by the former replicas again.
+// Handover is one replica's part in a partition's latest change. A replica creates one when it
+// adopts the change, after writing that to disk: else it would use the previous replicas again
+// after a restart.
 type Handover struct {
-	self     assignment.Relay
-	former   []assignment.Relay
-	present  []assignment.Relay
-	change   uint64
-	held     map[uint64]int // messages of keys that have another owner now, by key
-	unkeyed  int            // messages without a key, at one that leaves
-	peers    map[assignment.Relay]*peer
-	nextTell time.Duration
-	tellAnew bool
-}
-
-// peer is how far another replica is.
+	self           assignment.Relay
+	previous       []assignment.Relay
+	current        []assignment.Relay
+	changeID       uint64
+	pendingKeyed   map[uint64]int // messages by key, of keys that now have another owner
+	pendingUnkeyed int            // messages without a key, on a relay that is no longer a replica
+	peers          map[assignment.Relay]*peer
+	nextSend       time.Duration
+	sendNow        bool
+}
+
+// peer is the state of another replica.
 type peer struct {
 	Progress
-	knows Progress // what it has acknowledged of this one
-	gone  bool
+	acknowledged Progress // this replica's progress as the peer knows it
+	removed      bool
 }
 
-// New makes the part of relay self in the change of a partition that concerns it.
-// Held are the keys of the messages that it holds for the partition, one entry for
-// each message; unkeyed is how many it holds that keep no order.
-func New(self assignment.Relay, s assignment.PartitionAssignment, held []uint64, unkeyed int) *Handover {
-	h := &Handover{self: self, former: s.Previous, present: s.Replicas, change: changeOf(s), held: map[uint64]int{}, peers: map[assignment.Relay]*peer{}}
-	for _, r := range slices.Concat(s.Previous, s.Replicas) {
+// New returns relay self's part in the change of a partition that concerns it. pendingKeys are the
+// keys of its pending messages for the partition, one entry per message; pendingUnkeyed counts
+// those without an ordering key.
+func New(self assignment.Relay, change assignment.PartitionAssignment, pendingKeys []uint64, pendingUnkeyed int) *Handover {
+	h := &Handover{self: self, previous: change.Previous, current: change.Replicas, changeID: changeIDOf(change), pendingKeyed: map[uint64]int{}, peers: map[assignment.Relay]*peer{}}
+	for _, r := range slices.Concat(change.Previous, change.Replicas) {
 		if r != self && h.peers[r] == nil {
 			h.peers[r] = &peer{}
 		}
 	}
-	for _, key := range held {
-		if Owner(s.Replicas, key) != self {
-			h.held[key]++
+	for _, key := range pendingKeys {
+		if Owner(change.Replicas, key) != self {
+			h.pendingKeyed[key]++
 		}
 	}
-	if !slices.Contains(h.present, self) {
-		h.unkeyed = unkeyed
+	if !slices.Contains(h.current, self) {
+		h.pendingUnkeyed = pendingUnkeyed
 	}
 	return h
 }
 
-// Owner returns which of the replicas, at least one, sends the messages of a key.
+// Owner returns the one of at least one replicas that sends the messages of a key.
 func Owner(replicas []assignment.Relay, key uint64) (owner assignment.Relay) {
 	var best uint64
 	for i, r := range replicas {
@@ -102,85 +101,85 @@
 	return owner
 }
 
-// changeOf names a change, alike for all.
-func changeOf(s assignment.PartitionAssignment) uint64 {
-	name := uint64(s.Partition)
-	for _, r := range s.Previous {
-		name = assignment.Mix(name ^ uint64(r))
+// changeIDOf returns an identifier of a change, the same on all replicas.
+func changeIDOf(change assignment.PartitionAssignment) uint64 {
+	id := uint64(change.Partition)
+	for _, r := range change.Previous {
+		id = assignment.Mix(id ^ uint64(r))
 	}
-	name = assignment.Mix(name + 1)
-	for _, r := range s.Replicas {
-		name = assignment.Mix(name ^ uint64(r))
+	id = assignment.Mix(id + 1)
+	for _, r := range change.Replicas {
+		id = assignment.Mix(id ^ uint64(r))
 	}
-	return name
+	return id
 }
 
-// MayAccept tells whether this replica takes on a message of a key. If not, it says
-// so, and owner is the one that does.
+// MayAccept reports whether this replica accepts a message of a key, and returns the key's owner.
 func (h *Handover) MayAccept(key uint64) (ok bool, owner assignment.Relay) {
-	owner = Owner(h.present, key)
+	owner = Owner(h.current, key)
 	return owner == h.self, owner
 }
 
-// MaySend tells whether a message of a key that this replica holds may be sent now.
-// A message that was taken on before the change may always be.
+// MaySend reports whether a pending message of a key may be sent now. A message that was accepted
+// before the change always may.
 func (h *Handover) MaySend(key uint64) bool {
-	before := Owner(h.former, key)
-	if before == h.self {
+	previousOwner := Owner(h.previous, key)
+	if previousOwner == h.self {
 		return true
 	}
-	return h.joined() && h.peerReleased(before)
+	return h.allAdopted() && h.peerReleased(previousOwner)
 }
 
-// MaySendUnkeyed tells the same of messages that keep no order.
-func (h *Handover) MaySendUnkeyed() bool { return slices.Contains(h.former, h.self) || h.joined() }
+// MaySendUnkeyed is MaySend for messages without an ordering key.
+func (h *Handover) MaySendUnkeyed() bool {
+	return slices.Contains(h.previous, h.self) || h.allAdopted()
+}
 
-// RateShare is the share of a destination's rate that this replica may use now, 0 to 1.
+// RateShare returns the share of a destination's rate that this replica may use now, 0 to 1.
 func (h *Handover) RateShare() float64 {
 	switch {
-	case h.released() && !slices.Contains(h.present, h.self):
-		return 0 // it has nothing left, and others may know
+	case h.released() && !slices.Contains(h.current, h.self):
+		return 0 // nothing is pending, and others may know
 	case h.Done():
-		return 1 / float64(len(h.present))
+		return 1 / float64(len(h.current))
 	case h.MaySendUnkeyed():
 		return 1 / float64(len(h.peers)+1)
 	}
 	return 0
 }
 
-// CompletedKeyed tells that a message of a key, which this replica held as it adopted the
-// change, is over.
+// CompletedKeyed records that a message of a key, pending when this replica adopted the change, has
+// completed.
 func (h *Handover) CompletedKeyed(key uint64) {
-	if h.held[key] > 1 {
-		h.held[key]--
+	if h.pendingKeyed[key] > 1 {
+		h.pendingKeyed[key]--
 		return
 	}
-	if _, found := h.held[key]; found {
-		delete(h.held, key)
-		h.tellAnew = h.released()
+	if _, found := h.pendingKeyed[key]; found {
+		delete(h.pendingKeyed, key)
+		h.sendNow = h.released()
 	}
 }
 
-// CompletedUnkeyed tells the same of a message that keeps no order.
+// CompletedUnkeyed is CompletedKeyed for messages without an ordering key.
 func (h *Handover) CompletedUnkeyed() {
-	if h.unkeyed > 0 {
-		h.unkeyed--
-		h.tellAnew = h.released()
+	if h.pendingUnkeyed > 0 {
+		h.pendingUnkeyed--
+		h.sendNow = h.released()
 	}
 }
 
-// MarkRemoved tells that a replica will not come back, and that all that it held is over
-// or out of time. Only the control machines may say so.
+// MarkRemoved records that a replica will not return, and that all of its pending messages have
+// completed or expired. Only the control nodes may decide that.
 func (h *Handover) MarkRemoved(r assignment.Relay) {
 	if p := h.peers[r]; p != nil {
-		p.gone = true
+		p.removed = true
 	}
 }
 
-// Done tells whether all former replicas have released the partition, this one
-// among them.
+// Done reports whether all previous replicas, this one included, have released the partition.
 func (h *Handover) Done() bool {
-	for _, r := range h.former {
+	for _, r := range h.previous {
 		if !h.peerReleased(r) {
 			return false
 		}
@@ -188,43 +187,43 @@
 	return true
 }
 
-// released tells whether this replica holds nothing that others own now.
-func (h *Handover) released() bool { return len(h.held) == 0 && h.unkeyed == 0 }
+// released reports whether this replica has no pending messages that others own now.
+func (h *Handover) released() bool { return len(h.pendingKeyed) == 0 && h.pendingUnkeyed == 0 }
 
 func (h *Handover) peerReleased(r assignment.Relay) bool {
 	if r == h.self {
 		return h.released()
 	}
 	p := h.peers[r]
-	return p.Released || p.gone
+	return p.Released || p.removed
 }
 
-// joined tells whether all former replicas go by the present ones.
-func (h *Handover) joined() bool {
-	for _, r := range h.former {
-		if p := h.peers[r]; p != nil && !p.Adopted && !p.gone {
+// allAdopted reports whether all previous replicas use the current ones.
+func (h *Handover) allAdopted() bool {
+	for _, r := range h.previous {
+		if p := h.peers[r]; p != nil && !p.Adopted && !p.removed {
 			return false
 		}
 	}
 	return true
 }
 
-// Tick returns what to tell at now, with the waits that this replica has been told.
-func (h *Handover) Tick(now time.Duration, waits []RetryAfter) (out []Envelope) {
-	if now < h.nextTell && !h.tellAnew {
+// Tick returns the messages to send at now. retryAfters are those that this replica knows.
+func (h *Handover) Tick(now time.Duration, retryAfters []RetryAfter) (out []Envelope) {
+	if now < h.nextSend && !h.sendNow {
 		return nil
 	}
-	h.nextTell, h.tellAnew = now+resendEvery, false
-	for _, r := range h.order() {
-		if p := h.peers[r]; !p.gone && (!p.knows.Adopted || h.released() && !p.knows.Released) {
-			out = append(out, h.tell(r, false, waits))
+	h.nextSend, h.sendNow = now+resendInterval, false
+	for _, r := range h.sortedPeers() {
+		if p := h.peers[r]; !p.removed && (!p.acknowledged.Adopted || h.released() && !p.acknowledged.Released) {
+			out = append(out, h.envelopeTo(r, false, retryAfters))
 		}
 	}
 	return out
 }
 
-// order lists the other replicas, alike each time.
-func (h *Handover) order() (others []assignment.Relay) {
+// sortedPeers returns the other replicas in a fixed order.
+func (h *Handover) sortedPeers() (others []assignment.Relay) {
 	for r := range h.peers {
 		others = append(others, r)
 	}
@@ -232,24 +231,23 @@
 	return others
 }
 
-// tell says to another replica how far this one is.
-func (h *Handover) tell(r assignment.Relay, reply bool, waits []RetryAfter) Envelope {
-	m := Message{ChangeID: h.change, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress, Reply: reply, RetryAfters: waits}
+// envelopeTo returns a message that tells another replica how far this one is.
+func (h *Handover) envelopeTo(r assignment.Relay, reply bool, retryAfters []RetryAfter) Envelope {
+	m := Message{ChangeID: h.changeID, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress, Reply: reply, RetryAfters: retryAfters}
 	return Envelope{r, m}
 }
 
-// Receive takes in a message of another replica. It returns the answer, if one is
-// due, and whether the message is of this change; if it is, its waits bind this
-// replica too.
-func (h *Handover) Receive(from assignment.Relay, m Message, waits []RetryAfter) (answer []Envelope, mine bool) {
+// Receive handles a message of another replica. It returns the answer, if one is due, and whether
+// the message is of this change; if so, its RetryAfters apply to this replica too.
+func (h *Handover) Receive(from assignment.Relay, m Message, retryAfters []RetryAfter) (answer []Envelope, sameChange bool) {
 	p := h.peers[from]
-	if p == nil || m.ChangeID != h.change {
+	if p == nil || m.ChangeID != h.changeID {
 		return nil, false
 	}
 	p.Adopted, p.Released = p.Adopted || m.Adopted, p.Released || m.Released
-	p.knows = Progress{p.knows.Adopted || m.Acknowledged.Adopted, p.knows.Released || m.Acknowledged.Released}
+	p.acknowledged = Progress{p.acknowledged.Adopted || m.Acknowledged.Adopted, p.acknowledged.Released || m.Acknowledged.Released}
 	if m.Reply {
 		return nil, true
 	}
-	return []Envelope{h.tell(from, true, waits)}, true
+	return []Envelope{h.envelopeTo(from, true, retryAfters)}, true
 }
--- a/internal/assignment/handover/handover_test.go
+++ b/internal/assignment/handover/handover_test.go
@@ -18,56 +18,56 @@
 
 // fleet is relays that send the messages of a partition as it is handed over. The test delivers what they tell one another.
 type fleet struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	relays []*relay
-	mail   []letter
-	next   map[uint64]int // number of the key's next message
-	clever map[uint64]bool
-	over   map[uint64]int // messages of a key that are over
-	busy   map[uint64]bool
-	told   time.Duration // until when the destination has told a former replica to wait
+	t            *testing.T
+	rng          *rand.Rand
+	now          time.Duration
+	relays       []*relay
+	inFlight     []sentMessage
+	next         map[uint64]int // number of the key's next message
+	knowsCurrent map[uint64]bool
+	completed    map[uint64]int // messages of a key that are over
+	calling      map[uint64]bool
+	blockedUntil time.Duration // until when the destination has told a former replica to wait
 }
 
-type letter struct {
+type sentMessage struct {
 	from assignment.Relay
 	Envelope
 }
 
 type relay struct {
-	number   assignment.Relay
-	handover *Handover        // nil: it has not adopted the change
-	queue    map[uint64][]int // messages of each key
-	sending  map[uint64]bool
-	wait     time.Duration // it knows of
+	number       assignment.Relay
+	handover     *Handover        // nil: it has not adopted the change
+	queue        map[uint64][]int // messages of each key
+	sending      map[uint64]bool
+	blockedUntil time.Duration // it knows of
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 3)), next: map[uint64]int{}, clever: map[uint64]bool{}, over: map[uint64]int{}, busy: map[uint64]bool{}}
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 3)), next: map[uint64]int{}, knowsCurrent: map[uint64]bool{}, completed: map[uint64]int{}, calling: map[uint64]bool{}}
 	for i := range assignment.Relay(5) {
 		f.relays = append(f.relays, &relay{number: i, queue: map[uint64][]int{}, sending: map[uint64]bool{}})
 	}
 	return f
 }
 
-// hand has the client of a key hand in its next message, by the replicas that it knows. One that is told of the owner goes by
+// submit has the client of a key hand in its next message, by the replicas that it knows. One that is told of the owner goes by
 // the present ones from then on.
-func (f *fleet) hand(key uint64) {
+func (f *fleet) submit(key uint64) {
 	replicas := serving.Previous
-	if f.clever[key] {
+	if f.knowsCurrent[key] {
 		replicas = serving.Replicas
 	}
 	r := f.relays[Owner(replicas, key)]
-	if r.takes(key) {
+	if r.accepts(key) {
 		r.queue[key] = append(r.queue[key], f.next[key])
 		f.next[key]++
 	} else if r.handover != nil {
-		f.clever[key] = true
+		f.knowsCurrent[key] = true
 	}
 }
 
-func (r *relay) takes(key uint64) bool {
+func (r *relay) accepts(key uint64) bool {
 	if r.handover == nil {
 		return Owner(serving.Previous, key) == r.number
 	}
@@ -87,7 +87,7 @@
 	return 0
 }
 
-func (r *relay) held() (held []uint64) {
+func (r *relay) pending() (held []uint64) {
 	for key, queue := range r.queue {
 		for range queue {
 			held = append(held, key)
@@ -98,67 +98,67 @@
 
 // send begins a call with the key's first message, if that may be.
 func (f *fleet) send(r *relay, key uint64) {
-	if len(r.queue[key]) == 0 || r.sending[key] || !r.maySend(key) || f.now < r.wait {
+	if len(r.queue[key]) == 0 || r.sending[key] || !r.maySend(key) || f.now < r.blockedUntil {
 		return
 	}
-	if f.busy[key] {
+	if f.calling[key] {
 		f.t.Fatalf("key %d has two senders, one of them relay %d", key, r.number)
 	}
-	if number := r.queue[key][0]; number != f.over[key] {
-		f.t.Fatalf("relay %d sends message %d of key %d, and %d are over", r.number, number, key, f.over[key])
+	if number := r.queue[key][0]; number != f.completed[key] {
+		f.t.Fatalf("relay %d sends message %d of key %d, and %d are over", r.number, number, key, f.completed[key])
 	}
-	if r.number == 4 && f.now < f.told {
-		f.t.Fatalf("the new replica sends at %v, a former one was told to wait until %v", f.now, f.told)
+	if r.number == 4 && f.now < f.blockedUntil {
+		f.t.Fatalf("the new replica sends at %v, a former one was told to wait until %v", f.now, f.blockedUntil)
 	}
-	f.busy[key], r.sending[key] = true, true
+	f.calling[key], r.sending[key] = true, true
 }
 
-// end ends the key's call.
-func (f *fleet) end(r *relay, key uint64) {
+// complete ends the key's call.
+func (f *fleet) complete(r *relay, key uint64) {
 	if !r.sending[key] {
 		return
 	}
-	f.busy[key], r.sending[key] = false, false
-	f.over[key]++
+	f.calling[key], r.sending[key] = false, false
+	f.completed[key]++
 	r.queue[key] = r.queue[key][1:]
 	if r.handover != nil {
 		r.handover.CompletedKeyed(key)
 	}
 }
 
-func (f *fleet) post(r *relay, out []Envelope) {
+func (f *fleet) enqueue(r *relay, out []Envelope) {
 	for _, e := range out {
-		f.mail = append(f.mail, letter{r.number, e})
+		f.inFlight = append(f.inFlight, sentMessage{r.number, e})
 	}
 }
 
-func (r *relay) waits(now time.Duration) []RetryAfter {
-	if r.wait <= now {
+func (r *relay) retryAfters(now time.Duration) []RetryAfter {
+	if r.blockedUntil <= now {
 		return nil
 	}
-	return []RetryAfter{{Destination: 1, Remaining: r.wait - now}}
+	return []RetryAfter{{Destination: 1, Remaining: r.blockedUntil - now}}
 }
 
 func (f *fleet) deliver(n int) {
-	l := f.mail[n]
+	l := f.inFlight[n]
 	to := f.relays[l.To]
 	if to.handover == nil {
 		return
 	}
-	out, mine := to.handover.Receive(l.from, l.Message, to.waits(f.now))
+	out, mine := to.handover.Receive(l.from, l.Message, to.retryAfters(f.now))
 	if mine {
 		for _, w := range l.Message.RetryAfters {
-			to.wait = max(to.wait, f.now+w.Remaining)
+			to.blockedUntil = max(to.blockedUntil, f.now+w.Remaining)
 		}
 	}
-	f.post(to, out)
+	f.enqueue(to, out)
 }
 
 // adopt has a relay go by the change; one that has, starts anew with what it holds. Its calls go on: what has been written of
 // a message is known to its next process.
-func (f *fleet) adopt(r *relay) { r.handover = New(r.number, serving, r.held(), 0) }
+func (f *fleet) adopt(r *relay) { r.handover = New(r.number, serving, r.pending(), 0) }
 
-func (f *fleet) check() {
+func (f *fleet) checkRateShares() {
 	f.t.Helper()
 	sum := 0.0
 	for _, r := range f.relays {
@@ -176,8 +176,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			f := newFleet(t, seed)
 			for range 3000 {
-				f.trouble()
-				f.check()
+				f.injectFault()
+				f.checkRateShares()
 			}
 			for _, r := range f.relays {
 				if r.handover == nil {
@@ -185,80 +185,80 @@
 				}
 			}
 			for range 400 {
-				f.calm()
-				f.check()
+				f.runWithoutFaults()
+				f.checkRateShares()
 			}
 			for _, r := range f.relays {
-				if n := len(r.held()); n > 0 || !r.handover.Done() {
+				if n := len(r.pending()); n > 0 || !r.handover.Done() {
 					t.Errorf("relay %d still holds %d; done: %v", r.number, n, r.handover.Done())
 				}
 			}
 			for key := range uint64(keys) {
-				if f.over[key] != f.next[key] || f.next[key] == 0 {
-					t.Errorf("key %d: %d messages, %d over", key, f.next[key], f.over[key])
+				if f.completed[key] != f.next[key] || f.next[key] == 0 {
+					t.Errorf("key %d: %d messages, %d over", key, f.next[key], f.completed[key])
 				}
 			}
 		})
 	}
 }
 
-// trouble lets something happen, drawn at random.
-func (f *fleet) trouble() {
+// injectFault lets something happen, drawn at random.
+func (f *fleet) injectFault() {
 	r := f.relays[f.rng.IntN(len(f.relays))]
 	key := f.rng.Uint64N(keys)
 	switch draw := f.rng.IntN(100); {
 	case draw < 15:
-		f.hand(key)
+		f.submit(key)
 	case draw < 40:
 		f.send(r, key)
 	case draw < 60:
-		f.end(r, key)
-	case draw < 75 && len(f.mail) > 0:
-		n := f.rng.IntN(len(f.mail))
+		f.complete(r, key)
+	case draw < 75 && len(f.inFlight) > 0:
+		n := f.rng.IntN(len(f.inFlight))
 		f.deliver(n)
 		if f.rng.IntN(4) > 0 { // else it comes again
-			f.mail = slices.Delete(f.mail, n, n+1)
+			f.inFlight = slices.Delete(f.inFlight, n, n+1)
 		}
-	case draw < 80 && len(f.mail) > 0:
-		f.mail = f.mail[1:] // lost
+	case draw < 80 && len(f.inFlight) > 0:
+		f.inFlight = f.inFlight[1:] // lost
 	case draw < 95:
 		f.now += time.Duration(f.rng.IntN(60)) * time.Millisecond
 		if r.handover != nil {
-			f.post(r, r.handover.Tick(f.now, r.waits(f.now)))
+			f.enqueue(r, r.handover.Tick(f.now, r.retryAfters(f.now)))
 		}
 	case draw < 97 && f.rng.IntN(10) == 0:
 		f.adopt(r)
 	case draw == 98 && r.handover == nil && r.number < 4:
-		r.wait = max(r.wait, f.now+time.Duration(f.rng.IntN(2000))*time.Millisecond)
-		f.told = max(f.told, r.wait)
+		r.blockedUntil = max(r.blockedUntil, f.now+time.Duration(f.rng.IntN(2000))*time.Millisecond)
+		f.blockedUntil = max(f.blockedUntil, r.blockedUntil)
 	}
 }
 
-// calm delivers all and has everyone send what they may.
-func (f *fleet) calm() {
+// runWithoutFaults delivers all and has everyone send what they may.
+func (f *fleet) runWithoutFaults() {
 	f.now += 50 * time.Millisecond
 	for _, r := range f.relays {
-		f.post(r, r.handover.Tick(f.now, r.waits(f.now)))
+		f.enqueue(r, r.handover.Tick(f.now, r.retryAfters(f.now)))
 	}
-	for len(f.mail) > 0 {
+	for len(f.inFlight) > 0 {
 		f.deliver(0)
-		f.mail = f.mail[1:]
+		f.inFlight = f.inFlight[1:]
 	}
 	for key := range uint64(keys) {
 		if f.next[key] < 10 {
-			f.hand(key)
+			f.submit(key)
 		}
 		for _, r := range f.relays {
 			f.send(r, key)
-			f.end(r, key)
+			f.complete(r, key)
 		}
 	}
 }
 
 // A former replica that is gone for good is waited for until control says so, and no longer.
-func TestGoneReplica(t *testing.T) {
+func TestRemovedReplica(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	other := Message{ChangeID: h.change, Adopted: true, Released: true}
+	other := Message{ChangeID: h.changeID, Adopted: true, Released: true}
 	for _, r := range []assignment.Relay{1, 2, 3} {
 		if _, mine := h.Receive(r, other, nil); !mine {
 			t.Fatalf("relay %d's message is not of this change", r)
@@ -275,12 +275,12 @@
 }
 
 // What is not of this change, or of no replica, changes nothing; what is not the relay's own is named with its owner.
-func TestNotMine(t *testing.T) {
+func TestIgnoresOtherChangesAndRelays(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	if _, mine := h.Receive(1, Message{ChangeID: h.change + 1, Adopted: true}, nil); mine {
+	if _, mine := h.Receive(1, Message{ChangeID: h.changeID + 1, Adopted: true}, nil); mine {
 		t.Error("another change is taken for this one")
 	}
-	if _, mine := h.Receive(9, Message{ChangeID: h.change, Adopted: true}, nil); mine {
+	if _, mine := h.Receive(9, Message{ChangeID: h.changeID, Adopted: true}, nil); mine {
 		t.Error("a relay that is no replica is heard")
 	}
 	for key := range uint64(keys) {
--- a/internal/assignment/leave.go
+++ b/internal/assignment/leave.go
@@ -2,52 +2,50 @@
 
 import "time"
 
-// A planned leave: a relay says with its questions that it wants to go. Its
-// replicas are given to others while it still serves, and it goes once it has
-// none (Follower.Released) and its handovers are done.
+// A planned leave: a relay's requests say that it wants to leave. Its replicas are reassigned while
+// it still serves, and it stops once it has none (Follower.Released) and its handovers are done.
 
-// leaving is a relay's wish to leave.
-type leaving struct {
-	saidAt    time.Duration // last
-	granted   bool
-	grantedAt time.Duration
+// leaveState is a relay's request to leave.
+type leaveState struct {
+	requestedAt time.Duration // the latest request
+	granted     bool
+	grantedAt   time.Duration
 }
 
-// notLeaving was said long before all times.
-var notLeaving = leaving{saidAt: -time.Hour}
+// noLeave is outdated at all times.
+var noLeave = leaveState{requestedAt: -time.Hour}
 
-// at tells whether the relay leaves at a time. Risk: questions go to any control
-// machine, so a report of one that was asked before the relay made up its mind
-// comes later; a relay that has changed its mind is believed after awayAfter.
-func (l leaving) at(now time.Duration) bool { return now-l.saidAt < awayAfter }
+// active reports whether the relay wants to leave at now. Requests go to any control node, so a
+// report of an earlier contact may arrive after the one that asks to leave; a relay that cancels
+// its leave is believed after unreachableAfter.
+func (l leaveState) active(now time.Duration) bool { return now-l.requestedAt < unreachableAfter }
 
-// RecordLeaving books that a relay was heard of at a time and said that it leaves.
-// Numbers of no relay are ignored.
+// RecordLeaving records that a relay was in contact at a time and wants to leave. Unknown relays
+// are ignored.
 func (h *RelayHealth) RecordLeaving(r Relay, at time.Duration) {
-	if int(r) < len(h.leaving) {
-		h.leaving[r].saidAt = max(h.leaving[r].saidAt, at)
+	if int(r) < len(h.leaves) {
+		h.leaves[r].requestedAt = max(h.leaves[r].requestedAt, at)
 		h.RecordContact(r, at)
 	}
 }
 
-// leave takes relays that want to leave, and are live, for leaving. Of a zone, one
-// relay in lostShare at most begins to in each goneAfter, one at least; the others
-// go on as before. Risk: a zone that is emptied at once moves half of all
-// replicas, and the other zones have to carry them.
-func (h *RelayHealth) leave(now time.Duration, members []Member, size perZone) {
-	var begun perZone
+// grantLeaves marks live relays that want to leave as leaving. Per zone, at most one in
+// outageDivisor relays, and at least one, starts to leave in each removedAfter; the others continue
+// to serve. Emptying a zone at once would move half of all replicas and overload the other zones.
+func (h *RelayHealth) grantLeaves(now time.Duration, members []Member, size zoneCounts) {
+	var granted zoneCounts
 	for i, m := range members {
-		if l := h.leaving[i]; l.granted && now-l.grantedAt < goneAfter {
-			begun[m.Zone]++
+		if l := h.leaves[i]; l.granted && now-l.grantedAt < removedAfter {
+			granted[m.Zone]++
 		}
 	}
 	for i := range members {
-		m, l := &members[i], &h.leaving[i]
-		if m.State != Live || !l.at(now) {
+		m, l := &members[i], &h.leaves[i]
+		if m.State != Live || !l.active(now) {
 			continue
 		}
-		if !l.granted && begun[m.Zone] < max(1, size[m.Zone]/lostShare) {
-			begun[m.Zone]++
+		if !l.granted && granted[m.Zone] < max(1, size[m.Zone]/outageDivisor) {
+			granted[m.Zone]++
 			l.granted, l.grantedAt = true, now
 		}
 		if l.granted {
--- a/internal/assignment/map.go
+++ b/internal/assignment/map.go
@@ -11,80 +11,77 @@
 // Zone is the number of a zone in its region.
 type Zone uint8
 
-// Partition is a group of destinations that have the same replicas.
+// Partition is the number of a group of destinations that have the same replicas.
 type Partition uint16
 
 const (
-	MaxRelays     = 1 << 14 // relays of a region
-	MaxPartitions = 1 << 14 // partitions of a region
+	MaxRelays     = 1 << 14 // relays in a region
+	MaxPartitions = 1 << 14 // partitions in a region
 	MaxReplicas   = 8       // replicas of a partition
 
-	// DefaultPartitions suits a region of 4,000 relays: eight partitions a relay,
-	// each with some 64 of its 525,000 destinations.
+	// DefaultPartitions suits a region of 4,000 relays: eight partitions per relay, each with about
+	// 64 of its 525,000 destinations.
 	DefaultPartitions = 1 << 13
-	// DefaultReplicas leaves one replica in each of two zones behind the loss of
-	// any rack.
+	// DefaultReplicas leaves one replica in each of two zones after the loss of any rack.
 	DefaultReplicas = 4
 )
 
-// Version orders the maps of a region. It grows with each map, whoever publishes.
+// Version orders the maps of a region. It grows with each map, whoever publishes it.
 type Version struct {
 	Term   uint64 // of the publisher; a later publisher has a higher one
-	Number uint64 // of the map, counted over all terms
+	Number uint64 // of the map, counted across all terms
 }
 
-// Compare tells with -1, 0 or 1 whether v is before, the same as or after other.
-// A later term is always after an earlier one.
+// Compare returns -1, 0 or 1 if v is before, the same as or after other. A later term is always
+// after an earlier one.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Term, other.Term), cmp.Compare(v.Number, other.Number))
 }
 
-// Map assigns the partitions of a region to relays. It does not change any more
-// once it is published.
+// Map assigns the partitions of a region to relays. It is immutable once published.
 type Map struct {
 	Region      uint8
 	Version     Version
 	Replication int // replicas of each partition, 1 to MaxReplicas
 
-	replicas []Relay // Replication for each partition, ascending
-	previous []Relay // the same before its latest change, until that is settled
+	replicas []Relay // Replication entries per partition, ascending
+	previous []Relay // the same before the latest change, until that is settled
 }
 
-// Partitions is how many partitions the map has.
+// Partitions returns the number of partitions.
 func (m *Map) Partitions() int { return len(m.replicas) / max(1, m.Replication) }
 
-// Replicas returns the relays that serve a partition below Partitions, in
-// ascending order. The caller must not change them.
+// Replicas returns the relays that serve a partition below Partitions, in ascending order. The
+// caller must not modify them.
 func (m *Map) Replicas(p Partition) []Relay {
 	at := int(p) * m.Replication
 	return m.replicas[at : at+m.Replication : at+m.Replication]
 }
 
-// Previous returns the replicas that a partition had before its latest change,
-// while what they hold may not be delivered yet; then it is the same as Replicas.
-// The caller must not change them.
+// Previous returns the replicas that a partition had before its latest change, while their pending
+// messages may not all be delivered; after that it equals Replicas. The caller must not modify
+// them.
 func (m *Map) Previous(p Partition) []Relay {
 	at := int(p) * m.Replication
 	return m.previous[at : at+m.Replication : at+m.Replication]
 }
 
-// Settled tells whether all replicas of p had it before its latest change, or that
-// is over.
+// Settled reports whether the latest change of p is complete: Replicas and Previous are equal.
 func (m *Map) Settled(p Partition) bool { return slices.Equal(m.Replicas(p), m.Previous(p)) }
 
-// Serves tells whether relay r is a replica of p.
+// Serves reports whether relay r is a replica of p.
 func (m *Map) Serves(r Relay, p Partition) bool { return slices.Contains(m.Replicas(p), r) }
 
-// PartitionOf returns the partition of a destination: the same in each map with
-// as many partitions.
+// PartitionOf returns the partition of a destination. It is the same in all maps with the same
+// number of partitions.
 func (m *Map) PartitionOf(destination uint64) Partition {
 	return Partition(Mix(destination) % uint64(m.Partitions()))
 }
 
-// Slice returns what concerns relay r.
+// Slice returns the part of the map that concerns relay r.
 func (m *Map) Slice(r Relay) *Slice { return m.slice(r, m.ByRelay()[r]) }
 
-// slice returns what concerns relay r, which are the given partitions.
+// slice returns the part of the map that concerns relay r, given its partitions.
 func (m *Map) slice(r Relay, partitions []Partition) *Slice {
 	s := &Slice{Region: m.Region, Version: m.Version, Relay: r, Partitions: m.Partitions(), Replication: m.Replication}
 	for _, p := range partitions {
@@ -93,8 +90,8 @@
 	return s
 }
 
-// ByRelay lists for each relay, up to MaxRelays, the partitions that concern it, in
-// ascending order: those of which it is a replica, or was before the latest change.
+// ByRelay lists for each relay, up to MaxRelays, the partitions that concern it, in ascending
+// order: those of which it is a replica, or was one before the latest change.
 func (m *Map) ByRelay() [][]Partition {
 	concerned := make([][]Partition, MaxRelays)
 	for p := range m.Partitions() {
@@ -110,8 +107,8 @@
 	return concerned
 }
 
-// CountMoved counts the replicas of m that were not replicas of the same partition in
-// previous; all of them where the two have not the same shape.
+// CountMoved counts the replicas of m that were not replicas of the same partition in previous. It
+// counts all of them if the maps differ in partitions or replication.
 func (m *Map) CountMoved(previous *Map) (moved int) {
 	if previous == nil || previous.Partitions() != m.Partitions() || previous.Replication != m.Replication {
 		return len(m.replicas)
@@ -127,7 +124,7 @@
 	return moved
 }
 
-// same tells whether two maps of one shape have the same replicas.
+// same reports whether two maps of the same size have the same replicas.
 func (m *Map) same(other *Map) bool {
 	return slices.Equal(m.replicas, other.replicas) && slices.Equal(m.previous, other.previous)
 }
@@ -142,29 +139,29 @@
 	Assignments []PartitionAssignment // ascending by partition
 }
 
-// PartitionAssignment is a partition that concerns a relay: one that it serves, or has served
-// until the latest change and may hold messages for.
+// PartitionAssignment is a partition that concerns a relay: one that it serves, or that it served
+// until the latest change and may have pending messages for.
 type PartitionAssignment struct {
 	Partition Partition
 	Replicas  []Relay // ascending
-	Previous  []Relay // before the latest change, ascending; the same once that is settled
+	Previous  []Relay // before the latest change, ascending; equal to Replicas once that is settled
 }
 
-// Serves tells whether the relay serves a destination.
+// Serves reports whether the relay serves a destination.
 func (s *Slice) Serves(destination uint64) bool {
 	p := Partition(Mix(destination) % uint64(s.Partitions))
 	at, found := slices.BinarySearchFunc(s.Assignments, p, func(a PartitionAssignment, p Partition) int { return cmp.Compare(a.Partition, p) })
 	return found && slices.Contains(s.Assignments[at].Replicas, s.Relay)
 }
 
-// same tells whether two slices have the same partitions with the same replicas.
+// same reports whether two slices have the same partitions with the same replicas.
 func (s *Slice) same(other *Slice) bool {
 	return s.Partitions == other.Partitions && slices.EqualFunc(s.Assignments, other.Assignments, func(a, b PartitionAssignment) bool {
 		return a.Partition == b.Partition && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
 	})
 }
 
-// Mix spreads the bits of x evenly (the finalizer of SplitMix64).
+// Mix hashes x, spreading its bits evenly (the finalizer of SplitMix64).
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// State is what a relay is taken for by the planner.
+// State is a relay's state as the planner sees it.
 type State uint8
 
 const (
-	Removed     State = iota // serves nothing; its replicas are given to others
+	Removed     State = iota // serves nothing; its replicas are reassigned
 	Live                     // serves
-	Unreachable              // not heard of of late: keeps its replicas, and gets no more
-	Leaving                  // serves until its replicas have been given to others
+	Unreachable              // no recent contact: keeps its replicas and gets no more
+	Leaving                  // serves until its replicas have been reassigned
 )
 
 // Member is a relay of a region, with its failure domains.
 type Member struct {
 	State State
 	Zone  Zone
-	Rack  uint16 // numbered over the whole region
+	Rack  uint16 // numbered across the whole region
 }
 
 // MapConfig is what an operator sets of a region's map.
@@ -31,41 +31,41 @@
 	Replicas   int // 1 to MaxReplicas
 }
 
-// Errors of a plan that can't be made.
+// Errors of Plan.
 var (
-	ErrOutOfRange    = errors.New("assignment: partitions, replicas or relays out of bounds")
+	ErrOutOfRange    = errors.New("assignment: partitions, replicas or relays out of range")
 	ErrTooFewRelays  = errors.New("assignment: fewer relays serve than a partition has replicas")
-	ErrConfigChanged = errors.New("assignment: the map before has another shape")
+	ErrConfigChanged = errors.New("assignment: the previous map has another shape (region, partitions or replicas)")
 )
 
-// Plan makes the next map of a region from the one before, nil for the first.
-// The member at index i is relay i. Each partition's replicas are in different
-// racks, and at most half of them in one zone, as far as relays serve there.
+// Plan computes the next map of a region from the previous one, nil for the first. The member at
+// index i is relay i. Each partition's replicas are in different racks, and at most half of them in
+// one zone, as far as there are relays to choose from.
 //
-// Replicas stay where they are, except those of relays that are gone or leave and
-// those that relays without their part take over, so that the share of replicas that
-// move is about the share of relays that went or came. A partition whose latest
-// change is not settled does not change again: settled tells of each whether it is,
-// nil that all are. Of a partition, relays that serve give one replica away with a map.
-func Plan(shape MapConfig, previous *Map, members []Member, settled func(Partition) bool) (*Map, error) {
-	if err := shape.check(len(members)); err != nil {
+// Replicas stay where they are, except those of relays that are removed or leaving and those that
+// underloaded relays take over, so that the share of replicas that move is about the share of
+// relays that left or joined. A partition whose latest change is not settled does not change again:
+// settled reports that per partition; nil means that all are settled. Relays that still serve a
+// partition hand over at most one of its replicas per map.
+func Plan(config MapConfig, previous *Map, members []Member, settled func(Partition) bool) (*Map, error) {
+	if err := config.check(len(members)); err != nil {
 		return nil, err
 	}
-	p := newPlanner(shape, members)
-	if p.serving < shape.Replicas {
-		return nil, fmt.Errorf("%w: %d relays, %d replicas", ErrTooFewRelays, p.serving, shape.Replicas)
+	p := newPlanner(config, members)
+	if p.serving < config.Replicas {
+		return nil, fmt.Errorf("%w: %d relays, %d replicas", ErrTooFewRelays, p.serving, config.Replicas)
 	}
 	if previous != nil {
-		if previous.Partitions() != shape.Partitions || previous.Replication != shape.Replicas || previous.Region != shape.Region {
+		if previous.Partitions() != config.Partitions || previous.Replication != config.Replicas || previous.Region != config.Region {
 			return nil, ErrConfigChanged
 		}
-		p.keep(previous, settled)
+		p.retain(previous, settled)
 	}
 	for partition := range p.replicas {
 		p.fill(Partition(partition))
 	}
 	p.balance()
-	return p.done(previous), nil
+	return p.buildMap(previous), nil
 }
 
 func (s MapConfig) check(members int) error {
@@ -75,22 +75,22 @@
 	return nil
 }
 
-// planner is a map in the making.
+// planner holds a map under construction.
 type planner struct {
-	shape    MapConfig
-	members  []Member
-	replicas [][]Relay // of each partition
-	frozen   []bool    // partitions that don't change
-	gives    []bool    // partitions of which a relay that serves gives a replica away
-	load     []int     // partitions of each relay
-	live     [][]Relay // that are Live, by zone
-	serving  int       // relays that are not Gone
-	zones    int       // with a relay that is
+	config    MapConfig
+	members   []Member
+	replicas  [][]Relay // of each partition
+	frozen    []bool    // partitions that don't change
+	reassigns []bool    // partitions of which a serving relay hands over a replica
+	load      []int     // partitions of each relay
+	live      [][]Relay // relays that are Live, by zone
+	serving   int       // relays that are not Removed
+	zones     int       // zones with such a relay
 }
 
-func newPlanner(shape MapConfig, members []Member) *planner {
-	p := &planner{shape: shape, members: members, replicas: make([][]Relay, shape.Partitions),
-		frozen: make([]bool, shape.Partitions), gives: make([]bool, shape.Partitions), load: make([]int, len(members))}
+func newPlanner(config MapConfig, members []Member) *planner {
+	p := &planner{config: config, members: members, replicas: make([][]Relay, config.Partitions),
+		frozen: make([]bool, config.Partitions), reassigns: make([]bool, config.Partitions), load: make([]int, len(members))}
 	seen := map[Zone]bool{}
 	for i, m := range members {
 		if m.State == Removed {
@@ -109,40 +109,40 @@
 	return p
 }
 
-// keep takes over the replicas of relays that are not gone, and all of partitions
-// that don't change.
-func (p *planner) keep(previous *Map, settled func(Partition) bool) {
+// retain keeps the replicas of relays that are not removed, and all replicas of partitions that
+// don't change.
+func (p *planner) retain(previous *Map, settled func(Partition) bool) {
 	for partition := range p.replicas {
 		if settled != nil && !settled(Partition(partition)) {
 			p.frozen[partition] = true
 			p.replicas[partition] = slices.Clone(previous.Replicas(Partition(partition)))
-			p.count(p.replicas[partition])
+			p.addLoad(p.replicas[partition])
 			continue
 		}
 		for _, r := range previous.Replicas(Partition(partition)) {
-			if p.stays(Partition(partition), r) {
+			if p.retains(Partition(partition), r) {
 				p.add(Partition(partition), r)
 			}
 		}
 	}
 }
 
-// stays tells whether a replica of the map before goes on. Risk: two that are given
-// away at once are those of one zone, where nobody serves until the new ones have
-// the map.
-func (p *planner) stays(partition Partition, r Relay) bool {
+// retains reports whether a replica of the previous map stays. Only one leaving relay per partition
+// hands over at a time: if both replicas of a zone did, nobody would serve there until the new ones
+// have the map.
+func (p *planner) retains(partition Partition, r Relay) bool {
 	switch {
 	case int(r) >= len(p.members) || p.members[r].State == Removed:
 		return false
-	case p.members[r].State == Leaving && !p.gives[partition]:
-		p.gives[partition] = true
+	case p.members[r].State == Leaving && !p.reassigns[partition]:
+		p.reassigns[partition] = true
 		return false
 	}
 	return true
 }
 
-// count books the load of replicas that stay whatever their relays are taken for.
-func (p *planner) count(replicas []Relay) {
+// addLoad counts the load of replicas that stay whatever the state of their relays.
+func (p *planner) addLoad(replicas []Relay) {
 	for _, r := range replicas {
 		if int(r) < len(p.load) {
 			p.load[r]++
@@ -157,55 +157,54 @@
 
 // fill adds replicas to a partition until it has all of them.
 func (p *planner) fill(partition Partition) {
-	for len(p.replicas[partition]) < p.shape.Replicas {
-		r, ok := p.pick(partition)
+	for len(p.replicas[partition]) < p.config.Replicas {
+		r, ok := p.pickRanked(partition)
 		if !ok {
-			r = p.anyone(partition)
+			r = p.pickAny(partition)
 		}
 		p.add(partition, r)
 	}
 }
 
-// pick chooses the least loaded of the few relays that rank highest for the
-// partition, of those in a zone and rack with room for another replica of it.
-func (p *planner) pick(partition Partition) (best Relay, found bool) {
-	const ranked = 8 // candidates; more of them even out the loads, and cost time
-	var top [ranked]struct {
+// pickRanked returns the least loaded of the relays that rank highest for the partition, among
+// those whose zone and rack may have another replica of it.
+func (p *planner) pickRanked(partition Partition) (best Relay, found bool) {
+	const maxCandidates = 8 // more candidates balance the load better and cost more time
+	var candidates [maxCandidates]struct {
 		score uint64
 		relay Relay
 	}
 	n := 0
 	for zone, relays := range p.live {
-		if !p.zoneHasRoom(partition, Zone(zone)) {
+		if !p.zoneHasCapacity(partition, Zone(zone)) {
 			continue
 		}
 		for _, r := range relays {
 			score := rank(partition, r)
-			if n == ranked && score <= top[n-1].score || !p.mayServe(partition, r) {
+			if n == maxCandidates && score <= candidates[n-1].score || !p.inNewRack(partition, r) {
 				continue
 			}
-			if n < ranked {
+			if n < maxCandidates {
 				n++
 			}
 			at := n - 1
-			for ; at > 0 && top[at-1].score < score; at-- {
-				top[at] = top[at-1]
+			for ; at > 0 && candidates[at-1].score < score; at-- {
+				candidates[at] = candidates[at-1]
 			}
-			top[at].score, top[at].relay = score, r
+			candidates[at].score, candidates[at].relay = score, r
 		}
 	}
-	for _, c := range top[:n] {
-		if !found || p.load[c.relay] < p.load[best] {
-			best, found = c.relay, true
+	for _, candidate := range candidates[:n] {
+		if !found || p.load[candidate.relay] < p.load[best] {
+			best, found = candidate.relay, true
 		}
 	}
 	return best, found
 }
 
-// anyone chooses the least loaded relay that does not serve the partition yet,
-// wherever it is, where no zone and rack has room; one that is away or leaves if
-// need be.
-func (p *planner) anyone(partition Partition) Relay {
+// pickAny returns the least loaded relay that does not serve the partition yet, in any zone and
+// rack, for when pickRanked finds none. Unreachable and leaving relays come last.
+func (p *planner) pickAny(partition Partition) Relay {
 	best := -1
 	for i, m := range p.members {
 		if m.State == Removed || slices.Contains(p.replicas[partition], Relay(i)) {
@@ -215,11 +214,11 @@
 			best = i
 		}
 	}
-	return Relay(best) // there is one: as many serve as a partition has replicas
+	return Relay(best) // there is one: at least Replicas relays serve
 }
 
-// zoneHasRoom tells whether another replica of the partition may be in the zone.
-func (p *planner) zoneHasRoom(partition Partition, zone Zone) bool {
+// zoneHasCapacity reports whether another replica of the partition may be in the zone.
+func (p *planner) zoneHasCapacity(partition Partition, zone Zone) bool {
 	if p.zones < 2 {
 		return true
 	}
@@ -229,11 +228,11 @@
 			n++
 		}
 	}
-	return n < (p.shape.Replicas+1)/2
+	return n < (p.config.Replicas+1)/2
 }
 
-// mayServe tells whether r and its rack do not serve the partition yet.
-func (p *planner) mayServe(partition Partition, r Relay) bool {
+// inNewRack reports whether neither r nor another relay of its rack serves the partition.
+func (p *planner) inNewRack(partition Partition, r Relay) bool {
 	for _, other := range p.replicas[partition] {
 		if other == r || p.members[other].Rack == p.members[r].Rack {
 			return false
@@ -242,8 +241,8 @@
 	return true
 }
 
-// balance has relays with less than their part take partitions over from those
-// of their zone that have most, as long as that evens the loads.
+// balance moves partitions from the most loaded relays of a zone to its underloaded ones, as long
+// as that evens out the load.
 func (p *planner) balance() {
 	for _, relays := range p.live {
 		total := 0
@@ -254,20 +253,20 @@
 			continue
 		}
 		mean := total / len(relays)
-		var poor []Relay
+		var underloaded []Relay
 		for _, r := range relays {
 			if p.load[r] < mean-mean/8 {
-				poor = append(poor, r)
+				underloaded = append(underloaded, r)
 			}
 		}
-		for _, r := range poor {
+		for _, r := range underloaded {
 			p.enrich(r, mean)
 		}
 	}
 }
 
-// enrich gives r up to mean partitions of relays in its zone that have more. Of
-// those it takes the ones first for which it ranks highest.
+// enrich moves partitions to r, up to mean, from relays of its zone that have more. Partitions for
+// which r ranks highest come first.
 func (p *planner) enrich(r Relay, mean int) {
 	order := make([]Partition, len(p.replicas))
 	for i := range order {
@@ -283,20 +282,20 @@
 			continue
 		}
 		at := slices.Index(p.replicas[partition], from)
-		p.replicas[partition][at], p.gives[partition] = r, true
+		p.replicas[partition][at], p.reassigns[partition] = r, true
 		p.load[from]--
 		p.load[r]++
 	}
 }
 
-// richest finds the replica of a partition that may best give it to r: one of its
-// zone with at least mean partitions, the others in other racks than r.
+// richest returns the replica of a partition to hand over to r: the most loaded one in r's zone, if
+// it has at least mean partitions and no other replica is in r's rack.
 func (p *planner) richest(partition Partition, r Relay, mean int) (from Relay, found bool) {
-	if p.frozen[partition] || p.gives[partition] || slices.Contains(p.replicas[partition], r) {
+	if p.frozen[partition] || p.reassigns[partition] || slices.Contains(p.replicas[partition], r) {
 		return 0, false
 	}
 	for _, other := range p.replicas[partition] {
-		if p.members[other].Zone != p.members[r].Zone || p.load[other] < max(mean, p.load[r]+2) || !p.apart(partition, other, r) {
+		if p.members[other].Zone != p.members[r].Zone || p.load[other] < max(mean, p.load[r]+2) || !p.inOtherRack(partition, other, r) {
 			continue
 		}
 		if !found || p.load[other] > p.load[from] {
@@ -306,9 +305,9 @@
 	return from, found
 }
 
-// apart tells whether r is in another rack than all replicas of the partition but
-// the one that it takes over from.
-func (p *planner) apart(partition Partition, from, r Relay) bool {
+// inOtherRack reports whether r's rack differs from those of all replicas of the partition except
+// from, which it replaces.
+func (p *planner) inOtherRack(partition Partition, from, r Relay) bool {
 	for _, other := range p.replicas[partition] {
 		if other != from && p.members[other].Rack == p.members[r].Rack {
 			return false
@@ -317,31 +316,31 @@
 	return true
 }
 
-// done makes the map; its version is the one before's with the next number.
-func (p *planner) done(before *Map) *Map {
-	m := &Map{Region: p.shape.Region, Replication: p.shape.Replicas}
-	if before != nil {
-		m.Version = before.Version
+// buildMap returns the planned map, numbered one after the previous one.
+func (p *planner) buildMap(previous *Map) *Map {
+	m := &Map{Region: p.config.Region, Replication: p.config.Replicas}
+	if previous != nil {
+		m.Version = previous.Version
 	}
 	m.Version.Number++
 	for partition, replicas := range p.replicas {
 		slices.Sort(replicas)
 		m.replicas = append(m.replicas, replicas...)
-		m.previous = append(m.previous, p.previous(before, Partition(partition))...)
+		m.previous = append(m.previous, p.previous(previous, Partition(partition))...)
 	}
 	return m
 }
 
 // previous returns the replicas of a partition before its latest change.
-func (p *planner) previous(before *Map, partition Partition) []Relay {
+func (p *planner) previous(old *Map, partition Partition) []Relay {
 	switch {
-	case before == nil:
+	case old == nil:
 		return p.replicas[partition]
 	case p.frozen[partition]:
-		return before.Previous(partition)
+		return old.Previous(partition)
 	}
-	return before.Replicas(partition)
+	return old.Replicas(partition)
 }
 
-// rank is the order of relays for a partition (rendezvous hashing).
+// rank orders relays for a partition (rendezvous hashing).
 func rank(p Partition, r Relay) uint64 { return Mix(uint64(p)<<32 | uint64(r) + 1) }
--- a/internal/assignment/register.go
+++ b/internal/assignment/register.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Timing of the control machines' register.
+// Timing of heartbeats and elections.
 const (
-	heartbeatEvery = 200 * time.Millisecond
-	electionAfter  = 5 * heartbeatEvery // without a heartbeat, before a draw of as much again
+	heartbeatInterval = 200 * time.Millisecond
+	electionTimeout   = 5 * heartbeatInterval // without a heartbeat, plus a random delay of up to the same
 )
 
-// MaxControlNodes is how many control machines a region may have.
+// MaxControlNodes is the largest number of control nodes in a region.
 const MaxControlNodes = 64
 
-// Message is what control machines tell one another.
+// Message is sent between control nodes.
 type Message interface{ message() }
 
-// Prepare asks for the promise to accept nothing of earlier terms.
+// Prepare asks for a promise to accept nothing of earlier terms.
 type Prepare struct{ Term uint64 }
 
 // Promise answers Prepare with the map that was accepted last, nil if none.
@@ -39,16 +39,16 @@
 	Number uint64 // of the map
 }
 
-// Rejected answers Prepare, Accept or Heartbeat of a term that is over.
+// Rejected answers a Prepare, Accept or Heartbeat of an outdated term.
 type Rejected struct{ PromisedTerm uint64 }
 
-// Heartbeat tells that the publisher of a term works, and what is published.
+// Heartbeat announces that the publisher of a term is running, and what is published.
 type Heartbeat struct {
 	Term      uint64
 	Published Version
 }
 
-// FetchPublished answers Heartbeat where the published map is not known.
+// FetchPublished answers a Heartbeat that announces an unknown published map.
 type FetchPublished struct{ Term uint64 }
 
 // Published carries the published map.
@@ -66,160 +66,157 @@
 func (FetchPublished) message() {}
 func (Published) message()      {}
 
-// Envelope is a message to a control machine.
+// Envelope is a message addressed to a control node.
 type Envelope struct {
 	To      int
 	Message Message
 }
 
-// PersistentState is what a control machine must have on disk before it sends the
-// envelopes of the call that changed it.
+// PersistentState is what a control node must write to disk before it sends the envelopes of the
+// call that changed it.
 type PersistentState struct {
-	PromisedTerm uint64 // term
+	PromisedTerm uint64 // the highest term seen; earlier ones are rejected
 	AcceptedMap  []byte // accepted last, published or not
-	PublishedMap []byte // the latest that is known to be
+	PublishedMap []byte // the latest that is known to be published
 }
 
-// Register is one control machine's part in a value that all of a region share:
-// the latest map. It is Paxos with a distinguished proposer: the publisher has the
-// promises of a majority for its term, and publishes a map once a majority has
-// accepted it. A machine without them publishes nothing, so two publishers at once
-// never publish maps that contradict each other. It is not safe for concurrent use.
+// Register is one control node's part in a replicated register that holds the region's latest map.
+// It is Paxos with a distinguished proposer: the publisher has the promises of a majority for its
+// term, and publishes a map once a majority has accepted it. A node without them publishes nothing,
+// so two concurrent publishers never publish conflicting maps. It is not safe for concurrent use.
 type Register struct {
-	me, controls int
-	key          Key
-	rng          *rand.Rand
-	disk         PersistentState
-	accepted     *Map
-	published    *Map
-
-	role      role
-	publisher int    // the machine that was heard as such last, -1: none
-	term      uint64 // of the election or publication under way here
-	electAt   time.Duration
-	beatAt    time.Duration
-	promises  map[int]Promise
-	proposal  *Map // under way
-	encoded   []byte
-	proposed  time.Duration
-	approvals map[int]bool
+	self, nodes int
+	key         Key
+	rng         *rand.Rand
+	state       PersistentState
+	accepted    *Map
+	published   *Map
+
+	role          role
+	publisher     int    // the last known publisher, -1: none
+	term          uint64 // of the latest election or publication by this node
+	electionAt    time.Duration
+	heartbeatAt   time.Duration
+	promises      map[int]Promise
+	proposal      *Map // in progress
+	proposalBytes []byte
+	proposedAt    time.Duration
+	acceptances   map[int]bool
 }
 
 type role uint8
 
 const (
-	waiting role = iota // hears a publisher, or waits for one
+	following role = iota // follows a publisher, or waits for one
 	electing
 	publishing
 )
 
-// NewRegister makes the part of control machine me of so many, 1 to 64, from what
-// it had on disk.
-func NewRegister(me, controls int, key Key, seed int64, disk PersistentState) (*Register, error) {
-	if controls < 1 || controls > MaxControlNodes || me < 0 || me >= controls {
-		return nil, fmt.Errorf("%w: control machine %d of %d", ErrOutOfRange, me, controls)
+// NewRegister returns the register of control node self out of nodes, 1 to MaxControlNodes, with
+// the state that it had on disk.
+func NewRegister(self, nodes int, key Key, seed int64, state PersistentState) (*Register, error) {
+	if nodes < 1 || nodes > MaxControlNodes || self < 0 || self >= nodes {
+		return nil, fmt.Errorf("%w: control node %d of %d", ErrOutOfRange, self, nodes)
 	}
-	r := &Register{me: me, controls: controls, key: key, disk: disk, publisher: -1, rng: rand.New(rand.NewPCG(uint64(seed), uint64(me)))}
+	r := &Register{self: self, nodes: nodes, key: key, state: state, publisher: -1, rng: rand.New(rand.NewPCG(uint64(seed), uint64(self)))}
 	var err error
-	if disk.AcceptedMap != nil {
-		if r.accepted, err = DecodeMap(disk.AcceptedMap, key); err != nil {
+	if state.AcceptedMap != nil {
+		if r.accepted, err = DecodeMap(state.AcceptedMap, key); err != nil {
 			return nil, fmt.Errorf("accepted map: %w", err)
 		}
 	}
-	if disk.PublishedMap != nil {
-		if r.published, err = DecodeMap(disk.PublishedMap, key); err != nil {
+	if state.PublishedMap != nil {
+		if r.published, err = DecodeMap(state.PublishedMap, key); err != nil {
 			return nil, fmt.Errorf("published map: %w", err)
 		}
 	}
 	return r, nil
 }
 
-// PersistentState returns what has to be on disk now.
-func (r *Register) PersistentState() PersistentState { return r.disk }
+// PersistentState returns the state to write to disk.
+func (r *Register) PersistentState() PersistentState { return r.state }
 
-// Published returns the latest map that is known to be published, nil before the
-// first.
+// Published returns the latest map that is known to be published, nil before the first.
 func (r *Register) Published() *Map { return r.published }
 
-// Publishing tells whether this machine may propose the next map.
+// Publishing reports whether this node may propose the next map.
 func (r *Register) Publishing() bool { return r.role == publishing && r.proposal == nil }
 
-// Publisher returns the machine that publishes as far as this one knows; -1 before
-// it has heard of one.
+// Publisher returns the last known publisher, -1 if there is none yet.
 func (r *Register) Publisher() int { return r.publisher }
 
-// LatestAccepted returns the map that the next one has to be planned from, nil before the
-// first. It is only of use to the machine that is publishing.
+// LatestAccepted returns the map from which the next one has to be planned, nil before the first.
+// It is only meaningful on the publisher.
 func (r *Register) LatestAccepted() *Map { return r.accepted }
 
-// Tick takes the time and returns what to send.
+// Tick advances the time and returns the messages to send.
 func (r *Register) Tick(now time.Duration) []Envelope {
-	if r.electAt == 0 {
-		r.await(now)
+	if r.electionAt == 0 {
+		r.resetElectionTimer(now)
 	}
 	switch {
-	case r.role == publishing && now >= r.beatAt:
-		return r.beat(now)
-	case r.role != publishing && now >= r.electAt:
-		return r.elect(now)
+	case r.role == publishing && now >= r.heartbeatAt:
+		return r.sendHeartbeat(now)
+	case r.role != publishing && now >= r.electionAt:
+		return r.startElection(now)
 	}
 	return nil
 }
 
-// await puts off the election: a publisher has been heard.
-func (r *Register) await(now time.Duration) {
-	r.electAt = now + electionAfter + time.Duration(r.rng.Int64N(int64(electionAfter)))
+// resetElectionTimer postpones the next election, since a publisher is running.
+func (r *Register) resetElectionTimer(now time.Duration) {
+	r.electionAt = now + electionTimeout + time.Duration(r.rng.Int64N(int64(electionTimeout)))
 }
 
-// elect begins a term of this machine's own.
-func (r *Register) elect(now time.Duration) []Envelope {
-	r.await(now)
+// startElection starts a new term with this node as its candidate.
+func (r *Register) startElection(now time.Duration) []Envelope {
+	r.resetElectionTimer(now)
 	r.role, r.proposal, r.promises = electing, nil, map[int]Promise{}
 	r.term = r.nextTerm()
-	r.disk.PromisedTerm = r.term
-	out := r.all(Prepare{r.term})
-	return append(out, r.promised(now, r.me, Promise{r.term, r.disk.AcceptedMap})...)
+	r.state.PromisedTerm = r.term
+	out := r.broadcast(Prepare{r.term})
+	return append(out, r.handlePromise(now, r.self, Promise{r.term, r.state.AcceptedMap})...)
 }
 
-// nextTerm is above all that were heard of, and differs from those of others.
+// nextTerm returns a term above all known ones that no other node uses.
 func (r *Register) nextTerm() uint64 {
-	return (r.disk.PromisedTerm/MaxControlNodes+1)*MaxControlNodes + uint64(r.me)
+	return (r.state.PromisedTerm/MaxControlNodes+1)*MaxControlNodes + uint64(r.self)
 }
 
-// all addresses a message to all others.
-func (r *Register) all(m Message) (out []Envelope) {
-	for to := range r.controls {
-		if to != r.me {
+// broadcast addresses a message to all other nodes.
+func (r *Register) broadcast(m Message) (out []Envelope) {
+	for to := range r.nodes {
+		if to != r.self {
 			out = append(out, Envelope{to, m})
 		}
 	}
 	return out
 }
 
-func (r *Register) majority(n int) bool { return 2*n > r.controls }
+func (r *Register) isMajority(n int) bool { return 2*n > r.nodes }
 
-// beat tells that this machine publishes, and asks again for what is not answered.
-func (r *Register) beat(now time.Duration) []Envelope {
-	r.beatAt = now + heartbeatEvery
-	beat := Heartbeat{Term: r.term}
+// sendHeartbeat announces that this node publishes, and repeats an unanswered proposal.
+func (r *Register) sendHeartbeat(now time.Duration) []Envelope {
+	r.heartbeatAt = now + heartbeatInterval
+	heartbeat := Heartbeat{Term: r.term}
 	if r.published != nil {
-		beat.Published = r.published.Version
+		heartbeat.Published = r.published.Version
 	}
-	out := r.all(beat)
-	if r.proposal == nil || now < r.proposed+heartbeatEvery {
+	out := r.broadcast(heartbeat)
+	if r.proposal == nil || now < r.proposedAt+heartbeatInterval {
 		return out
 	}
-	r.proposed = now
-	for to := range r.controls {
-		if to != r.me && !r.approvals[to] {
-			out = append(out, Envelope{to, Accept{r.term, r.encoded}})
+	r.proposedAt = now
+	for to := range r.nodes {
+		if to != r.self && !r.acceptances[to] {
+			out = append(out, Envelope{to, Accept{r.term, r.proposalBytes}})
 		}
 	}
 	return out
 }
 
-// Propose begins to publish a map, whose version it sets. It is a no-op where
-// Publishing is false, and returns false then.
+// Propose starts to publish a map, whose version it sets. It does nothing and returns false if
+// Publishing is false.
 func (r *Register) Propose(now time.Duration, m *Map) (out []Envelope, ok bool) {
 	if !r.Publishing() {
 		return nil, false
@@ -229,137 +226,138 @@
 	if r.accepted != nil {
 		next.Version.Number = r.accepted.Version.Number + 1
 	}
-	r.proposal, r.encoded, r.proposed, r.approvals = &next, next.Encode(r.key), now, map[int]bool{}
-	r.accept(r.term, &next, r.encoded)
-	out = r.all(Accept{r.term, r.encoded})
-	return append(out, r.approved(now, r.me, Accepted{r.term, next.Version.Number})...), true
+	r.proposal, r.proposalBytes, r.proposedAt, r.acceptances = &next, next.Encode(r.key), now, map[int]bool{}
+	r.storeAccepted(r.term, &next, r.proposalBytes)
+	out = r.broadcast(Accept{r.term, r.proposalBytes})
+	return append(out, r.handleAccepted(now, r.self, Accepted{r.term, next.Version.Number})...), true
 }
 
-func (r *Register) accept(term uint64, m *Map, encoded []byte) {
-	r.accepted, r.disk.AcceptedMap, r.disk.PromisedTerm = m, encoded, term
+func (r *Register) storeAccepted(term uint64, m *Map, encoded []byte) {
+	r.accepted, r.state.AcceptedMap, r.state.PromisedTerm = m, encoded, term
 }
 
-// Receive takes in a message of another control machine and returns what to send.
+// Receive handles a message of another control node and returns the messages to send.
 func (r *Register) Receive(now time.Duration, from int, m Message) []Envelope {
 	switch m := m.(type) {
 	case Prepare:
-		return r.prepare(now, from, m)
+		return r.handlePrepare(now, from, m)
 	case Promise:
-		return r.promised(now, from, m)
+		return r.handlePromise(now, from, m)
 	case Accept:
-		return r.acceptable(now, from, m)
+		return r.handleAccept(now, from, m)
 	case Accepted:
-		return r.approved(now, from, m)
+		return r.handleAccepted(now, from, m)
 	case Heartbeat:
-		return r.heartbeat(now, from, m)
+		return r.handleHeartbeat(now, from, m)
 	case FetchPublished:
 		if r.role == publishing && m.Term == r.term && r.published != nil {
-			return []Envelope{{from, Published{r.term, r.disk.PublishedMap}}}
+			return []Envelope{{from, Published{r.term, r.state.PublishedMap}}}
 		}
 	case Published:
-		r.publish(m.Map)
+		r.learnPublished(m.Map)
 	case Rejected:
-		r.refused(now, m)
+		r.handleRejected(now, m)
 	}
 	return nil
 }
 
-// over tells whether a term is over here; if it is not, it is the one from now on.
-func (r *Register) over(now time.Duration, term uint64) bool {
-	if term < r.disk.PromisedTerm {
+// isStaleTerm reports whether a term is outdated. If not, this node adopts it and postpones its
+// election.
+func (r *Register) isStaleTerm(now time.Duration, term uint64) bool {
+	if term < r.state.PromisedTerm {
 		return true
 	}
-	if term > r.disk.PromisedTerm {
-		r.disk.PromisedTerm, r.role, r.proposal = term, waiting, nil
+	if term > r.state.PromisedTerm {
+		r.state.PromisedTerm, r.role, r.proposal = term, following, nil
 	}
-	r.await(now)
+	r.resetElectionTimer(now)
 	return false
 }
 
-func (r *Register) prepare(now time.Duration, from int, m Prepare) []Envelope {
-	if r.over(now, m.Term) {
-		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
+func (r *Register) handlePrepare(now time.Duration, from int, m Prepare) []Envelope {
+	if r.isStaleTerm(now, m.Term) {
+		return []Envelope{{from, Rejected{r.state.PromisedTerm}}}
 	}
-	return []Envelope{{from, Promise{m.Term, r.disk.AcceptedMap}}}
+	return []Envelope{{from, Promise{m.Term, r.state.AcceptedMap}}}
 }
 
-// promised counts promises; with a majority's this machine is the publisher, and
-// goes on from the latest map that any of them had accepted.
-func (r *Register) promised(now time.Duration, from int, m Promise) []Envelope {
+// handlePromise counts promises. With a majority this node becomes the publisher and continues from
+// the latest map that any of them has accepted.
+func (r *Register) handlePromise(now time.Duration, from int, m Promise) []Envelope {
 	if r.role != electing || m.Term != r.term {
 		return nil
 	}
 	r.promises[from] = m
-	if !r.majority(len(r.promises)) {
+	if !r.isMajority(len(r.promises)) {
 		return nil
 	}
-	r.role, r.publisher = publishing, r.me
+	r.role, r.publisher = publishing, r.self
 	for _, p := range r.promises {
-		r.recover(p)
+		r.adoptAccepted(p)
 	}
-	out := r.beat(now)
+	out := r.sendHeartbeat(now)
 	if r.accepted == nil || r.published != nil && r.accepted.Version == r.published.Version {
 		return out
 	}
-	// It may have been published, by a machine of which nobody heard since. It is
-	// proposed anew, so that it is known to be.
-	again, _ := r.Propose(now, r.accepted)
-	return append(out, again...)
+	// That map may have been published by a node that is down now. Proposing it again makes sure
+	// that it is known to be.
+	proposals, _ := r.Propose(now, r.accepted)
+	return append(out, proposals...)
 }
 
-// recover takes over a map that another machine has accepted, if it is later than
-// the one that is known here. A map's version names the term in which it was
-// proposed, so that the latest is the one that may have been published.
-func (r *Register) recover(p Promise) {
+// adoptAccepted adopts a map that another node has accepted, if it is later than the known one. A
+// map's version contains the term in which it was proposed, so the latest is the one that may have
+// been published.
+func (r *Register) adoptAccepted(p Promise) {
 	if p.Map == nil {
 		return
 	}
 	m, err := DecodeMap(p.Map, r.key)
 	if err != nil {
-		return // as if that machine had none: a majority of the others has what is published
+		return // treated as if the node had none: a majority of the others has what is published
 	}
 	if r.accepted == nil || m.Version.Compare(r.accepted.Version) > 0 {
-		r.accepted, r.disk.AcceptedMap = m, p.Map
+		r.accepted, r.state.AcceptedMap = m, p.Map
 	}
 }
 
-func (r *Register) acceptable(now time.Duration, from int, m Accept) []Envelope {
-	if r.over(now, m.Term) {
-		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
+func (r *Register) handleAccept(now time.Duration, from int, m Accept) []Envelope {
+	if r.isStaleTerm(now, m.Term) {
+		return []Envelope{{from, Rejected{r.state.PromisedTerm}}}
 	}
 	next, err := DecodeMap(m.Map, r.key)
 	if err != nil || next.Version.Term != m.Term || r.accepted != nil && next.Version.Compare(r.accepted.Version) < 0 {
-		return nil // torn, forged, or late: the publisher asks again or has gone on
+		return nil // truncated, forged or late: the publisher repeats its request or has moved on
 	}
-	r.accept(m.Term, next, m.Map)
+	r.storeAccepted(m.Term, next, m.Map)
 	return []Envelope{{from, Accepted{m.Term, next.Version.Number}}}
 }
 
-// approved counts who accepted the proposal; with a majority it is published.
-func (r *Register) approved(now time.Duration, from int, m Accepted) []Envelope {
+// handleAccepted counts the nodes that accepted the proposal. With a majority it is published.
+func (r *Register) handleAccepted(now time.Duration, from int, m Accepted) []Envelope {
 	if r.role != publishing || r.proposal == nil || m.Term != r.term || m.Number != r.proposal.Version.Number {
 		return nil
 	}
-	r.approvals[from] = true
-	if !r.majority(len(r.approvals)) {
+	r.acceptances[from] = true
+	if !r.isMajority(len(r.acceptances)) {
 		return nil
 	}
-	r.published, r.disk.PublishedMap, r.proposal = r.proposal, r.encoded, nil
-	r.beatAt = now + heartbeatEvery
-	return r.all(Published{r.term, r.encoded})
+	r.published, r.state.PublishedMap, r.proposal = r.proposal, r.proposalBytes, nil
+	r.heartbeatAt = now + heartbeatInterval
+	return r.broadcast(Published{r.term, r.proposalBytes})
 }
 
-// publish takes over a map that is published, if it is later than the one known.
-func (r *Register) publish(encoded []byte) {
+// learnPublished adopts a published map, if it is later than the known one.
+func (r *Register) learnPublished(encoded []byte) {
 	m, err := DecodeMap(encoded, r.key)
 	if err == nil && (r.published == nil || m.Version.Compare(r.published.Version) > 0) {
-		r.published, r.disk.PublishedMap = m, encoded
+		r.published, r.state.PublishedMap = m, encoded
 	}
 }
 
-func (r *Register) heartbeat(now time.Duration, from int, m Heartbeat) []Envelope {
-	if r.over(now, m.Term) {
-		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
+func (r *Register) handleHeartbeat(now time.Duration, from int, m Heartbeat) []Envelope {
+	if r.isStaleTerm(now, m.Term) {
+		return []Envelope{{from, Rejected{r.state.PromisedTerm}}}
 	}
 	r.publisher = from
 	known := Version{}
@@ -372,10 +370,10 @@
 	return nil
 }
 
-// refused ends this machine's term: another one's is later.
-func (r *Register) refused(now time.Duration, m Rejected) {
-	if m.PromisedTerm > r.disk.PromisedTerm {
-		r.disk.PromisedTerm, r.role, r.proposal = m.PromisedTerm, waiting, nil
-		r.await(now)
+// handleRejected ends this node's term, since another node has a later one.
+func (r *Register) handleRejected(now time.Duration, m Rejected) {
+	if m.PromisedTerm > r.state.PromisedTerm {
+		r.state.PromisedTerm, r.role, r.proposal = m.PromisedTerm, following, nil
+		r.resetElectionTimer(now)
 	}
 }
--- a/internal/clock/mark_linux.go
+++ b/internal/clock/anchor_linux.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-const bootFile = "/proc/sys/kernel/random/boot_id"
+const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Now reads both clocks of the machine: a mark, and the moment that it is of.
+// Now reads both clocks. It returns the anchor and the time for which it is valid.
 func Now() (Anchor, time.Time) {
-	boot, err := os.ReadFile(bootFile)
+	boot, err := os.ReadFile(bootIDFile)
 	var mono unix.Timespec
 	if err == nil {
 		err = unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock tells spans of real time apart from dates. Spans go by the monotonic clock, which nobody steps. Dates are for
-// what outlives a process; they are counted on a Scale that goes by the monotonic clock too, so that a span between two of them is
-// real time however the machine's wall clock was stepped meanwhile. It holds no state but the process's start.
+// Package clock separates durations from dates. Durations use the monotonic clock, which is never
+// stepped. Dates are for values that outlive a process. They are on a Scale that follows the
+// monotonic clock too, so that the difference of two dates is real time even if the wall clock was
+// stepped in between. The package's only state is the start time of the process.
 package clock
 
 import (
@@ -9,75 +10,78 @@
 	"time"
 )
 
-var start = time.Now()
+var processStart = time.Now()
 
-// SinceStart is real time since the process started, for moments that are kept as a number. It never goes back.
-func SinceStart() time.Duration { return time.Since(start) }
+// SinceStart returns the time since the process started. It never decreases.
+func SinceStart() time.Duration { return time.Since(processStart) }
 
-// Anchor says which date belongs to a moment of a machine's monotonic clock.
+// Anchor relates a time of a machine's monotonic clock to a date.
 type Anchor struct {
-	BootID      string `json:"boot"`    // of the machine; empty: not known
+	BootID      string `json:"boot"`    // boot of the machine; empty: unknown
 	MonotonicUs int64  `json:"mono_us"` // monotonic clock, in microseconds
-	DateUs      int64  `json:"date_us"` // date at that moment, in microseconds since 1970
+	DateUs      int64  `json:"date_us"` // date at that time, in microseconds since 1970
 }
 
-// Encode writes a mark, to be read by Decode.
+// Encode returns the anchor as JSON, for Decode.
 func (m Anchor) Encode() []byte {
-	b, _ := json.Marshal(m) // it holds nothing that can't be written
+	b, _ := json.Marshal(m) // its fields can always be encoded
 	return append(b, '\n')
 }
 
-var errNoMark = errors.New("clock: no mark")
+var errInvalidAnchor = errors.New("clock: invalid anchor")
 
-// Decode reads a mark. An error says that b is none.
+// Decode parses an anchor that Encode returned.
 func Decode(b []byte) (Anchor, error) {
 	var m Anchor
 	if err := json.Unmarshal(b, &m); err != nil {
 		return Anchor{}, err
 	}
 	if m.BootID == "" || m.MonotonicUs < 0 {
-		return Anchor{}, errNoMark
+		return Anchor{}, errInvalidAnchor
 	}
 	return m, nil
 }
 
-// Scale turns moments of this process into dates, and back. The zero Scale is the wall clock.
+// Scale converts times of this process to dates and back. The zero Scale is the wall clock.
 type Scale struct {
-	at   time.Time // a moment of this process
-	date int64     // its date, in microseconds
+	origin   time.Time // a time of this process
+	originUs int64     // its date, in microseconds since 1970
 }
 
-// NewScale returns the scale on which t has that date, in microseconds. t was read from this process's clock.
-func NewScale(t time.Time, date int64) Scale { return Scale{t, date} }
+// NewScale returns the scale on which t, read from this process's clock, has a date in microseconds
+// since 1970.
+func NewScale(t time.Time, dateUs int64) Scale { return Scale{t, dateUs} }
 
-// Continue returns the scale of a mark that an earlier process has left, if it is of this run of the machine; else one that begins
-// with the wall clock at now. Now is what the clocks say at the moment at. It tells whether the earlier scale goes on.
-func Continue(kept, now Anchor, at time.Time) (s Scale, goesOn bool) {
-	// Guards against a monotonic clock that began anew, under the same name or none.
-	if kept.BootID == "" || kept.BootID != now.BootID || kept.MonotonicUs > now.MonotonicUs {
+// Continue returns the scale of an anchor that a previous process has stored, if it is of the same
+// boot; else a new one that starts with the wall clock. now is the anchor read at the time at.
+// continued reports which.
+func Continue(previous, now Anchor, at time.Time) (s Scale, continued bool) {
+	// The boot is unknown or another one, or the monotonic clock went back.
+	if previous.BootID == "" || previous.BootID != now.BootID || previous.MonotonicUs > now.MonotonicUs {
 		return Scale{at, now.DateUs}, false
 	}
-	return Scale{at, kept.DateUs + now.MonotonicUs - kept.MonotonicUs}, true
+	return Scale{at, previous.DateUs + now.MonotonicUs - previous.MonotonicUs}, true
 }
 
-// Date is the date of t, in microseconds; 0 for the zero time.
+// Date returns the date of t in microseconds since 1970; 0 for the zero time.
 func (s Scale) Date(t time.Time) int64 {
 	switch {
 	case t.IsZero():
 		return 0
-	case s.at.IsZero():
+	case s.origin.IsZero():
 		return t.UnixMicro()
 	}
-	return s.date + t.Sub(s.at).Microseconds()
+	return s.originUs + t.Sub(s.origin).Microseconds()
 }
 
-// Time is the moment of a date; spans from and to it are real time. 0 is the zero time.
-func (s Scale) Time(date int64) time.Time {
+// Time returns the time of a date in microseconds since 1970. Differences to it are real time. It
+// is the zero time for 0.
+func (s Scale) Time(dateUs int64) time.Time {
 	switch {
-	case date == 0:
+	case dateUs == 0:
 		return time.Time{}
-	case s.at.IsZero():
-		return time.UnixMicro(date)
+	case s.origin.IsZero():
+		return time.UnixMicro(dateUs)
 	}
-	return s.at.Add(time.Duration(date-s.date) * time.Microsecond)
+	return s.origin.Add(time.Duration(dateUs-s.originUs) * time.Microsecond)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A date that one process wrote is the same moment to the next one, whatever the wall clock says by then: it was stepped by an hour,
-// either way, while the first ran or between the two.
-func TestDatesOutliveStepsOfTheWallClock(t *testing.T) {
+// A date written by one process is the same moment to the next one, even if the wall clock was
+// stepped by an hour in between.
+func TestDatesSurviveWallClockSteps(t *testing.T) {
 	const hour = int64(time.Hour / time.Microsecond)
 	for _, step := range []int64{-hour, 0, hour} {
 		first := Anchor{BootID: "b", MonotonicUs: 5_000_000, DateUs: 1_700_000_000_000_000}
@@ -17,23 +17,24 @@
 		later := Anchor{BootID: "b", MonotonicUs: first.MonotonicUs + 2_000_000, DateUs: first.DateUs + 2_000_000 + step}
 		reads, goesOn := Continue(first, later, at)
 		if left := reads.Time(date).Sub(at); !goesOn || left != 10*time.Second {
-			t.Errorf("stepped by %d us: %v left, goes on %v; want 10s of 12s, 2s later", step, left, goesOn)
+			t.Errorf("stepped by %d us: %v left, continued %v; want 10s of 12s, 2s later", step, left, goesOn)
 		}
 	}
 }
 
-// A mark of another run of the machine, of a clock that is behind, or none at all: dates go by the wall clock as it is.
-func TestMarkOfAnotherRun(t *testing.T) {
+// An anchor of another boot, with a later monotonic time, or empty starts a new scale from the wall
+// clock.
+func TestAnchorOfAnotherBoot(t *testing.T) {
 	now, at := Anchor{BootID: "b", MonotonicUs: 7, DateUs: 1_700_000_000_000_000}, time.Now()
 	for _, kept := range []Anchor{{}, {BootID: "a", MonotonicUs: 1, DateUs: 1}, {BootID: "b", MonotonicUs: 8, DateUs: 1}} {
 		s, goesOn := Continue(kept, now, at)
 		if goesOn || s.Date(at) != now.DateUs || !s.Time(now.DateUs).Equal(at) {
-			t.Errorf("%+v goes on", kept)
+			t.Errorf("%+v continues", kept)
 		}
 	}
 	for _, b := range []string{"", "{}", `{"boot":"b","mono_us":-1}`, "\x00"} {
 		if m, err := Decode([]byte(b)); err == nil {
-			t.Errorf("%q is read as %+v", b, m)
+			t.Errorf("%q is decoded as %+v", b, m)
 		}
 	}
 	if m, err := Decode(now.Encode()); err != nil || m != now {
@@ -41,7 +42,7 @@
 	}
 }
 
-// The zero scale is the wall clock, and no date is the zero time.
+// The zero scale is the wall clock, and date 0 is the zero time.
 func TestZeroScale(t *testing.T) {
 	at := time.UnixMicro(1_700_000_000_000_000)
 	var s Scale
@@ -49,11 +50,11 @@
 		t.Error("the zero scale is not the wall clock")
 	}
 	if s = NewScale(time.Now(), 5); s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
-		t.Error("no date became one")
+		t.Error("date 0 is not the zero time")
 	}
 }
 
-// The machine's clocks are read, and run on.
+// Now reads clocks that advance.
 func TestNow(t *testing.T) {
 	a, _ := Now()
 	b, at := Now()
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,91 +1,93 @@
-// Package drain decides how a relay empties its front socket: for the operators, for a planned stop, and for the process that takes its
-// place. It does no I/O and reads no clock; whoever holds a Machine keeps it from concurrent use.
+// Package drain decides how a relay drains its HTTP server: on an operator's request, for a planned
+// stop, and for a handover to the next process. It does no I/O and reads no clock, and a Machine is
+// not safe for concurrent use.
 package drain
 
 import "time"
 
-// Times of a drain, from its beginning on.
+// Phases of a drain, counted from its start.
 const (
-	StopAcceptGrace     = 450 * time.Millisecond // planned stop: new connections keep coming for so long
-	IdleGrace           = time.Second            // drain and upgrade: clients may use the connections that they have for so long
-	FirstRequestTimeout = 300 * time.Millisecond // a new connection may say nothing, once idle ones are closed
+	StopAcceptGrace     = 450 * time.Millisecond // planned stop: new connections are still accepted
+	IdleGrace           = time.Second            // drain and handover: idle connections stay open
+	FirstRequestTimeout = 300 * time.Millisecond // for the first request on a new connection, once idle ones are closed
 )
 
-// Event is what happens to a relay.
+// Event is an input of the state machine.
 type Event int
 
-// The events. Fail and OK are the operators'; a stop of either kind can't be taken back.
+// The events. HealthFail and HealthOK are the operators' and can be reversed; Stop and HandOver
+// can't.
 const (
-	Started    Event = iota // it can serve
-	HealthFail              // empty the relay
-	HealthOK                // back to work
-	Stop                    // the process ends, and nobody takes its place
-	HandOver                // the process ends, and another serves at its address
+	Started    Event = iota // the relay is ready to serve
+	HealthFail              // drain the relay
+	HealthOK                // end the drain
+	Stop                    // the process exits without a successor
+	HandOver                // the process exits, and another one serves at its address
 )
 
-// View is what holds at a moment.
+// View is the required behaviour of the server at a moment.
 type View struct {
-	Ready              bool // GET /ready says yes
-	Serving            bool // the process serves, and is not about to end
-	Stopping           bool // clients are told that the process ends soon
-	CloseAfterResponse bool // each answer closes its connection
-	CloseIdle          bool // connections without a request are closed, new ones after SilentFor
-	StopAccepting      bool // nothing is accepted any more
+	Ready              bool // GET /ready succeeds
+	Serving            bool // the process serves and is not about to exit
+	Stopping           bool // clients are told that the process exits soon
+	CloseAfterResponse bool // each response closes its connection
+	CloseIdle          bool // idle connections are closed, new ones after FirstRequestTimeout
+	StopAccepting      bool // no connections are accepted any more
 }
 
-// Machine is the state of one relay's front socket.
+// Machine is the drain state machine of one relay. The zero value has not started.
 type Machine struct {
-	started, failed bool
-	ending          Event // Stop or HandOver; 0: neither
-	failedAt, endAt time.Duration
+	started, draining    bool
+	ending               Event // Stop or HandOver; 0: neither
+	drainingAt, endingAt time.Duration
 }
 
-// Handle takes an event in at now, on any clock that does not go back.
+// Handle applies an event at now, on any monotonic clock.
 func (m *Machine) Handle(e Event, now time.Duration) {
 	switch e {
 	case Started:
 		m.started = true
 	case HealthFail:
-		if !m.failed { // Guards against calls that are repeated and put the end off
-			m.failed, m.failedAt = true, now
+		if !m.draining { // a repeated request must not extend the drain
+			m.draining, m.drainingAt = true, now
 		}
 	case HealthOK:
-		m.failed = false
+		m.draining = false
 	case Stop, HandOver:
 		if m.ending == 0 {
-			m.ending, m.endAt = e, now
+			m.ending, m.endingAt = e, now
 		}
 	}
 }
 
-// Draining tells whether the operators have emptied the relay.
-func (m *Machine) Draining() bool { return m.failed }
+// Draining reports whether operators have drained the relay.
+func (m *Machine) Draining() bool { return m.draining }
 
-// View tells what holds at now.
+// View returns the required behaviour at now.
 func (m *Machine) View(now time.Duration) View {
-	// While another process serves at the address, it is the one that a yes is for.
-	v := View{Ready: m.started && !m.failed && m.ending != Stop, Serving: m.started && m.ending == 0, Stopping: m.ending == Stop}
-	if m.failed {
-		v.CloseAfterResponse, v.CloseIdle = true, now-m.failedAt >= IdleGrace
+	// During a handover the next process serves at the same address, and is ready.
+	v := View{Ready: m.started && !m.draining && m.ending != Stop, Serving: m.started && m.ending == 0, Stopping: m.ending == Stop}
+	if m.draining {
+		v.CloseAfterResponse, v.CloseIdle = true, now-m.drainingAt >= IdleGrace
 	}
 	switch m.ending {
 	case Stop:
-		if now-m.endAt >= StopAcceptGrace {
+		if now-m.endingAt >= StopAcceptGrace {
 			v.CloseAfterResponse, v.CloseIdle, v.StopAccepting = true, true, true
 		}
 	case HandOver:
-		v.CloseAfterResponse, v.CloseIdle = true, v.CloseIdle || now-m.endAt >= IdleGrace
+		v.CloseAfterResponse, v.CloseIdle = true, v.CloseIdle || now-m.endingAt >= IdleGrace
 	}
 	return v
 }
 
-// NextChange tells in how much time the view changes by itself; 0: not at all.
+// NextChange returns the time until the view changes without an event; 0: it does not.
 func (m *Machine) NextChange(now time.Duration) (next time.Duration) {
-	for _, at := range []struct {
+	for _, change := range []struct {
 		on bool
 		at time.Duration
-	}{{m.failed, m.failedAt + IdleGrace}, {m.ending == Stop, m.endAt + StopAcceptGrace}, {m.ending == HandOver, m.endAt + IdleGrace}} {
-		if d := at.at - now; at.on && d > 0 && (next == 0 || d < next) {
+	}{{m.draining, m.drainingAt + IdleGrace}, {m.ending == Stop, m.endingAt + StopAcceptGrace}, {m.ending == HandOver, m.endingAt + IdleGrace}} {
+		if d := change.at - now; change.on && d > 0 && (next == 0 || d < next) {
 			next = d
 		}
 	}
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,80 +1,80 @@
-// Package index holds the structures by which a step costs by what happens in it, not by what there is: a heap whose entries can
-// be taken out again, and a list in order of use. It decides nothing. Nothing in it is safe for concurrent use.
+// Package index provides a heap with removable entries and a linked list in insertion order. They
+// find what is due or oldest without a scan of all values. They are not safe for concurrent use.
 package index
 
 import "time"
 
-// Heap finds what is due first. The zero value is empty.
+// Heap is a priority queue by due time. The zero value is empty.
 type Heap[T any] struct {
-	all []*Entry[T]
-	seq uint64
+	entries []*Entry[T]
+	seq     uint64
 }
 
-// Entry is a value's place in a heap. Those of one time come in the order in which they were put in.
+// Entry is a value in a heap. Entries with the same time are ordered by insertion.
 type Entry[T any] struct {
-	Value T
-	at    time.Duration
-	seq   uint64
-	place int // in the heap, from 1; 0: it is out
+	Value    T
+	at       time.Duration
+	seq      uint64
+	position int // index in the heap plus 1; 0: removed
 }
 
-// At is when the value is due.
+// At returns when the value is due.
 func (e *Entry[T]) At() time.Duration { return e.at }
 
 func (e *Entry[T]) before(o *Entry[T]) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// Len is how many values are in it.
-func (h *Heap[T]) Len() int { return len(h.all) }
+// Len returns the number of entries.
+func (h *Heap[T]) Len() int { return len(h.entries) }
 
-// Push puts a value in, due at that time.
+// Push inserts a value that is due at a time.
 func (h *Heap[T]) Push(at time.Duration, v T) *Entry[T] {
 	h.seq++
-	e := &Entry[T]{Value: v, at: at, seq: h.seq, place: len(h.all) + 1}
-	h.all = append(h.all, e)
-	h.up(len(h.all) - 1)
+	e := &Entry[T]{Value: v, at: at, seq: h.seq, position: len(h.entries) + 1}
+	h.entries = append(h.entries, e)
+	h.siftUp(len(h.entries) - 1)
 	return e
 }
 
-// First is what is due first, nil if nothing is in it.
+// First returns the entry that is due first, nil if the heap is empty.
 func (h *Heap[T]) First() *Entry[T] {
-	if len(h.all) == 0 {
+	if len(h.entries) == 0 {
 		return nil
 	}
-	return h.all[0]
+	return h.entries[0]
 }
 
-// Remove takes an entry out; one that is out, or nil, stays so.
+// Remove removes an entry. It does nothing if the entry is nil or already removed.
 func (h *Heap[T]) Remove(e *Entry[T]) {
-	if e == nil || e.place == 0 {
+	if e == nil || e.position == 0 {
 		return
 	}
-	i, last := e.place-1, len(h.all)-1
+	i, last := e.position-1, len(h.entries)-1
 	h.swap(i, last)
-	h.all[last], e.place = nil, 0
-	h.all = h.all[:last]
+	h.entries[last], e.position = nil, 0
+	h.entries = h.entries[:last]
 	if i < last {
-		h.down(i)
-		h.up(i)
+		h.siftDown(i)
+		h.siftUp(i)
 	}
 }
 
 func (h *Heap[T]) swap(i, j int) {
-	h.all[i], h.all[j] = h.all[j], h.all[i]
-	h.all[i].place, h.all[j].place = i+1, j+1
+	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
+	h.entries[i].position, h.entries[j].position = i+1, j+1
 }
 
-func (h *Heap[T]) up(i int) {
-	for i > 0 && h.all[i].before(h.all[(i-1)/2]) {
+func (h *Heap[T]) siftUp(i int) {
+	for i > 0 && h.entries[i].before(h.entries[(i-1)/2]) {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 }
 
-func (h *Heap[T]) down(i int) {
+func (h *Heap[T]) siftDown(i int) {
 	for {
 		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < len(h.all); c++ {
-			if h.all[c].before(h.all[least]) {
+		for c := 2*i + 1; c <= 2*i+2 && c < len(h.entries); c++ {
+			if h.entries[c].before(h.entries[least]) {
 				least = c
 			}
 		}
@@ -86,41 +86,41 @@
 	}
 }
 
-// List holds values in the order in which they were put in. The zero value is empty.
+// List is a linked list in insertion order. The zero value is empty.
 type List[T any] struct {
 	first, last *Node[T]
-	n           int
+	length      int
 }
 
-// Node is a value's place in a list.
+// Node is a value in a list.
 type Node[T any] struct {
 	Value      T
 	prev, next *Node[T]
-	in         bool
+	linked     bool
 }
 
-// Len is how many values are in it.
-func (l *List[T]) Len() int { return l.n }
+// Len returns the number of nodes.
+func (l *List[T]) Len() int { return l.length }
 
-// First is what was put in first of those that are in it, nil if nothing is.
+// First returns the oldest node, nil if the list is empty.
 func (l *List[T]) First() *Node[T] { return l.first }
 
-// Push puts a value in as the last.
+// Push appends a value.
 func (l *List[T]) Push(v T) *Node[T] {
-	e := &Node[T]{Value: v, prev: l.last, in: true}
+	e := &Node[T]{Value: v, prev: l.last, linked: true}
 	if l.last != nil {
 		l.last.next = e
 	} else {
 		l.first = e
 	}
 	l.last = e
-	l.n++
+	l.length++
 	return e
 }
 
-// Remove takes a node out; one that is out, or nil, stays so.
+// Remove removes a node. It does nothing if the node is nil or already removed.
 func (l *List[T]) Remove(e *Node[T]) {
-	if e == nil || !e.in {
+	if e == nil || !e.linked {
 		return
 	}
 	if e.prev != nil {
@@ -133,6 +133,6 @@
 	} else {
 		l.last = e.prev
 	}
-	e.prev, e.next, e.in = nil, nil, false
-	l.n--
+	e.prev, e.next, e.linked = nil, nil, false
+	l.length--
 }
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -11,7 +11,8 @@
 
 func init() { flag.Set("rapid.seed", "1") }
 
-// The heap and the list against slices: any order of putting in and taking out, also of what is out already.
+// Compares the heap and the list with slices, over random insertions and removals, including
+// repeated removals.
 func TestAgainstSlices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var heap Heap[int]
@@ -39,20 +40,20 @@
 				list.Remove(gone[0].l)
 			}
 			if heap.Len() != len(model) || list.Len() != len(model) {
-				t.Fatalf("%d and %d in, want %d", heap.Len(), list.Len(), len(model))
+				t.Fatalf("lengths %d and %d, want %d", heap.Len(), list.Len(), len(model))
 			}
 			if len(model) == 0 {
 				if heap.First() != nil || list.First() != nil {
-					t.Fatal("something is first of nothing")
+					t.Fatal("an empty heap or list has a first entry")
 				}
 				continue
 			}
-			first := slices.MinFunc(model, func(a, b in) int { return int(a.at - b.at) }) // the earliest put in, of several
+			first := slices.MinFunc(model, func(a, b in) int { return int(a.at - b.at) }) // the first inserted, of equal times
 			if got := heap.First(); got.Value != first.n || got.At() != first.at {
-				t.Fatalf("first is %d at %d, want %d at %d", got.Value, got.At(), first.n, first.at)
+				t.Fatalf("heap: first is %d at %d, want %d at %d", got.Value, got.At(), first.n, first.at)
 			}
 			if got := list.First().Value; got != model[0].n {
-				t.Fatalf("first of the list is %d, want %d", got, model[0].n)
+				t.Fatalf("list: first is %d, want %d", got, model[0].n)
 			}
 		}
 		heap.Remove(nil)
--- a/internal/jitter/spread_test.go
+++ b/internal/jitter/jitter_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Tries that failed together come apart, grow to the bound and start over; the same seed draws the same.
+// Simultaneous failures are spread, delays grow to the limit and reset, and a seed always draws the
+// same delays.
 func TestBackoff(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range int64(80) {
@@ -14,20 +15,20 @@
 			usual := min(time.Second<<i, 8*time.Second)
 			d := b.NextDelay()
 			if d < usual/2 || d > usual*3/2 {
-				t.Fatalf("seed %d, pause %d: %v", seed, i, d)
+				t.Fatalf("seed %d, delay %d: %v", seed, i, d)
 			}
 			if d != twin.NextDelay() {
-				t.Fatal("one seed, two draws")
+				t.Fatal("one seed drew different delays")
 			}
 			seen[d.Truncate(10*time.Millisecond)] = true
 		}
 		b.Reset()
 		if d := b.NextDelay(); d > 3*time.Second/2 {
-			t.Fatalf("after it worked: %v", d)
+			t.Fatalf("after a reset: %v", d)
 		}
 	}
 	if len(seen) < 250 {
-		t.Errorf("480 pauses fall on %d moments", len(seen))
+		t.Errorf("480 delays have only %d different values", len(seen))
 	}
 }
 
@@ -43,9 +44,9 @@
 		}
 	}
 	if early < 420 || early > 580 {
-		t.Errorf("%d of 1000 in the first half", early)
+		t.Errorf("%d of 1000 are in the first half", early)
 	}
 	if Within(0, 1) != 0 || Within(-1, 1) != 0 {
-		t.Error("an empty span has moments")
+		t.Error("an empty span has a delay")
 	}
 }
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,7 +1,7 @@
-// Package keepalive judges for how long an unused connection may be trusted to carry another call. Something on the way, such as a
-// firewall, may drop idle connections without either side seeing it: what is sent on one then is lost, and may have been
-// processed. The package learns from the calls that were lost; it does no I/O and reads no clock, and a Trust is owned by one
-// goroutine.
+// Package keepalive estimates for how long an idle connection may still carry another call. A
+// middlebox such as a firewall may drop idle connections without either side noticing: a call sent
+// on one is lost, and may have been processed. The package learns from lost calls. It does no I/O
+// and reads no clock, and its types are not safe for concurrent use.
 package keepalive
 
 import (
@@ -10,46 +10,48 @@
 )
 
 const (
-	lossWeight = 0.3              // weight of the latest call in the share of calls lost
-	lossShare  = 0.5              // share of calls lost on idle connections that tells of them
-	doubling   = 20 * time.Second // in which the limit doubles again after a cut
+	lossWeight        = 0.3              // of the latest call in the loss rates
+	lossThreshold     = 0.5              // loss rate on idle connections above which the limit is cut
+	limitDoublingTime = 20 * time.Second // of the limit after a cut
 )
 
-// IdleLimiter is for how long unused connections are taken to live. Most has to be set before its first use.
+// IdleLimiter limits how long connections may be idle and still be used. Max has to be set before
+// its first use.
 type IdleLimiter struct {
-	Max time.Duration // after which they are closed in any case
+	Max time.Duration // upper bound of the limit
 
-	limit     time.Duration // as of cutAt; 0: never cut
-	cutAt     time.Duration
-	lostIdle  float64 // share of calls lost, of late, on connections that had been unused
-	lostFresh float64 // and on others
+	limit         time.Duration // as of cutAt; 0: never cut
+	cutAt         time.Duration
+	idleLossRate  float64 // moving average of calls lost on connections that had been idle
+	freshLossRate float64 // and on others
 }
 
-// Limit is how long a connection may be unused at time now and still carry a call, from 0 to Most.
+// Limit returns how long a connection may have been idle at now and still carry a call, from 0 to
+// Max.
 func (t *IdleLimiter) Limit(now time.Duration) time.Duration {
 	if t.limit == 0 {
 		return t.Max
 	}
-	grown := float64(t.limit) * math.Exp2((now-t.cutAt).Seconds()/doubling.Seconds())
+	grown := float64(t.limit) * math.Exp2((now-t.cutAt).Seconds()/limitDoublingTime.Seconds())
 	return time.Duration(min(grown, float64(t.Max)))
 }
 
-// RecordCall takes in the end of a call on a connection that had been unused for idle; 0 if it was new or busy. It tells whether a loss
-// is explained by its connection. Where most calls on idle connections are lost, and others are not, the limit is cut to
-// half of idle.
+// RecordCall records a call on a connection that had been idle for some time; 0 if it was new or
+// busy. It reports whether a loss is explained by the idle time. If most calls on idle connections
+// are lost, and others are not, the limit is cut to half of idle.
 func (t *IdleLimiter) RecordCall(now, idle time.Duration, lost bool) (explained bool) {
-	share := 0.0
+	loss := 0.0
 	if lost {
-		share = 1
+		loss = 1
 	}
 	if idle == 0 {
-		t.lostFresh += (share - t.lostFresh) * lossWeight
+		t.freshLossRate += (loss - t.freshLossRate) * lossWeight
 		return false
 	}
-	t.lostIdle += (share - t.lostIdle) * lossWeight
+	t.idleLossRate += (loss - t.idleLossRate) * lossWeight
 	known := t.Limit(now) < t.Max/2
-	if lost && t.lostIdle > lossShare && t.lostIdle > 2*t.lostFresh {
-		t.limit, t.cutAt, t.lostIdle = max(1, min(t.Limit(now), idle/2)), now, 0
+	if lost && t.idleLossRate > lossThreshold && t.idleLossRate > 2*t.freshLossRate {
+		t.limit, t.cutAt, t.idleLossRate = max(1, min(t.Limit(now), idle/2)), now, 0
 		known = true
 	}
 	return known && lost
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-const most = 15 * time.Second
+const maxIdle = 15 * time.Second
 
-// Calls lost on idle connections cut the limit, which grows again; the same share of losses on fresh ones does not.
-func TestLimitIsCutAndGrowsAgain(t *testing.T) {
-	trust := &IdleLimiter{Max: most}
+// Losses on idle connections cut the limit, which then recovers; the same loss rate on fresh
+// connections does not cut it.
+func TestLimitIsCutAndRecovers(t *testing.T) {
+	trust := &IdleLimiter{Max: maxIdle}
 	now := time.Minute
-	if trust.Limit(now) != most {
-		t.Fatalf("at first %v", trust.Limit(now))
+	if trust.Limit(now) != maxIdle {
+		t.Fatalf("initially %v", trust.Limit(now))
 	}
 	if trust.RecordCall(now, 4*time.Second, true) {
-		t.Fatal("a single loss is put down to its connection")
+		t.Fatal("a single loss is attributed to the idle time")
 	}
 	if !trust.RecordCall(now, 4*time.Second, true) {
 		t.Fatal("a second loss in a row is not")
@@ -23,17 +24,17 @@
 	if got := trust.Limit(now); got != 2*time.Second {
 		t.Fatalf("cut to %v", got)
 	}
-	if got := trust.Limit(now + doubling); got != 4*time.Second {
-		t.Fatalf("after a while %v", got)
+	if got := trust.Limit(now + limitDoublingTime); got != 4*time.Second {
+		t.Fatalf("after doubling %v", got)
 	}
-	if got := trust.Limit(now + time.Hour); got != most {
-		t.Fatalf("at last %v", got)
+	if got := trust.Limit(now + time.Hour); got != maxIdle {
+		t.Fatalf("after an hour %v", got)
 	}
-	both := &IdleLimiter{Max: most}
+	both := &IdleLimiter{Max: maxIdle}
 	for range 10 {
 		both.RecordCall(now, 0, true)
-		if both.RecordCall(now, 4*time.Second, true) || both.Limit(now) != most {
-			t.Fatal("blamed idle connections while fresh ones lose as many")
+		if both.RecordCall(now, 4*time.Second, true) || both.Limit(now) != maxIdle {
+			t.Fatal("idle connections are blamed though fresh ones lose as many calls")
 		}
 	}
 }
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -1,7 +1,10 @@
-// Package sites works out, before anything fails, what becomes of a fleet's load when a whole site is lost: where each destination's load goes, how
-// full the others become, and which classes are refused. A site is a zone with its relays, its partners' endpoints, or both.
+// Package sites plans for and handles the loss of a whole site: a zone with its relays, its
+// partners' endpoints, or both. A Plan forecasts where each destination's load goes, how full the
+// other sites become, and which classes are refused. A Watch decides, at one relay, which sites are
+// lost and how load returns to them.
 //
-// It is free of I/O: what the operators wrote goes in, a forecast comes out. Nothing here moves a message.
+// The package does no I/O and reads no clock: the operators' plan and observations go in, forecasts
+// and decisions come out.
 package sites
 
 import (
@@ -13,41 +16,41 @@
 	"time"
 )
 
-// Plan is what operators have written.
+// Plan is the operators' plan for the loss of a site.
 type Plan struct {
 	Sites        []Site
 	RefuseFirst  []string      // classes, in the order in which they are refused
-	Ramp         time.Duration // in which a site that is back takes its full share again
+	Ramp         time.Duration // until a site that has returned takes its full share of load
 	Destinations []Destination
 }
 
-// Site is one site.
+// Site is a zone that can be lost as a whole.
 type Site struct {
 	Zone  string
-	Tiers []Tier // where its load goes, the first before the second
+	Tiers []Tier // where its load goes, by preference
 }
 
 // Tier is a set of sites that take load in proportion to their headroom.
 type Tier struct {
 	Zones         []string
-	SpillFraction float64 // part of their headroom that the load of others may take
+	SpillFraction float64 // part of their headroom that the load of other sites may take
 }
 
-// Destination is what a partner takes and is asked for.
+// Destination is a partner's capacity and the demand for it.
 type Destination struct {
 	Number   int
-	Capacity map[string]float64            // messages a second, by zone of its endpoints
-	Demand   map[string]map[string]float64 // messages a second that clients hand in, by zone and class
+	Capacity map[string]float64            // messages per second, by zone of its endpoints
+	Demand   map[string]map[string]float64 // messages per second that clients submit, by zone and class
 }
 
-// UsualSpill and UsualRamp are used where the file says nothing.
+// Defaults for a plan that does not set them.
 const (
 	DefaultSpillFraction = 0.8
 	DefaultRamp          = 30 * time.Second
-	slack                = 1e-9
+	epsilon              = 1e-9
 )
 
-// ClassShare is what becomes of one class.
+// ClassShare is what is served and refused of a class, in messages per second.
 type ClassShare struct {
 	Class   string  `json:"class"`
 	Demand  float64 `json:"wanted"`
@@ -55,7 +58,7 @@
 	Refused float64 `json:"refused"`
 }
 
-// ServedFraction is the served part.
+// ServedFraction returns the served part of the demand, 1 if there is none.
 func (s ClassShare) ServedFraction() float64 {
 	if s.Demand <= 0 {
 		return 1
@@ -63,7 +66,8 @@
 	return s.Served / s.Demand
 }
 
-// Flow is load that goes from one zone's clients to another zone's endpoints of a destination.
+// Flow is load from one zone's clients to another zone's endpoints of a destination, in messages
+// per second.
 type Flow struct {
 	Destination int     `json:"destination"`
 	From        string  `json:"from"`
@@ -73,34 +77,34 @@
 	Rate        float64 `json:"rate"`
 }
 
-// ZoneLoad is how full a zone's endpoints become.
+// ZoneLoad is the load of a zone's endpoints, in messages per second.
 type ZoneLoad struct {
 	Zone        string  `json:"zone"`
 	Capacity    float64 `json:"takes"`
-	Before      float64 `json:"before"` // messages a second that they serve with all sites there
+	Before      float64 `json:"before"` // while no site is lost
 	After       float64 `json:"after"`
-	Utilization float64 `json:"full"` // After as a part of Takes
+	Utilization float64 `json:"full"` // After as a fraction of Capacity
 }
 
-// Forecast is what a loss comes to.
+// Forecast is the effect of a loss.
 type Forecast struct {
 	Lost             string       `json:"lost"`
 	Zones            []ZoneLoad   `json:"zones"`
-	Flows            []Flow       `json:"flows"` // that are not in their own zone
+	Flows            []Flow       `json:"flows"` // to other zones
 	Before           []ClassShare `json:"before"`
 	After            []ClassShare `json:"after"`
-	Refused          []Flow       `json:"refused"`  // From: where its clients are; no To
-	Unserved         []int        `json:"nowhere"`  // destinations that nothing is left of
-	MinReturnSeconds float64      `json:"return_s"` // from the first call that is served there to its full share, at least
+	Refused          []Flow       `json:"refused"`  // From: the zone of its clients; To is empty
+	Unserved         []int        `json:"nowhere"`  // destinations without remaining endpoints
+	MinReturnSeconds float64      `json:"return_s"` // minimum time from the first call that is served there to its full share
 	Notes            []string     `json:"notes"`
 }
 
-// HasZone tells whether the plan has a site of that name.
+// HasZone reports whether the plan has a site of that zone.
 func (p *Plan) HasZone(zone string) bool {
 	return slices.ContainsFunc(p.Sites, func(s Site) bool { return s.Zone == zone })
 }
 
-// Zones names the sites.
+// Zones returns the zones of all sites.
 func (p *Plan) Zones() (all []string) {
 	for _, s := range p.Sites {
 		all = append(all, s.Zone)
@@ -108,44 +112,45 @@
 	return all
 }
 
-// ForecastLoss works out what becomes of the load when a zone is lost with its relays and its endpoints: its clients come to the relays of others.
+// ForecastLoss computes the effect of losing a zone with its relays and endpoints, while its
+// clients use the relays of other zones. It fails if the plan has no such site.
 func (p *Plan) ForecastLoss(zone string) (*Forecast, error) {
 	if !p.HasZone(zone) {
 		return nil, fmt.Errorf("%q is no site of the file; there are %s", zone, strings.Join(p.Zones(), ", "))
 	}
 	f := &Forecast{Lost: zone, MinReturnSeconds: p.Ramp.Seconds()}
-	before, after := p.route(""), p.route(zone)
-	f.Before, f.After = p.shares(before), p.shares(after)
+	before, after := p.routeLoad(""), p.routeLoad(zone)
+	f.Before, f.After = p.classShares(before), p.classShares(after)
 	for _, s := range p.Sites {
-		fill := ZoneLoad{Zone: s.Zone, Before: before.load[s.Zone], After: after.load[s.Zone]}
+		load := ZoneLoad{Zone: s.Zone, Before: before.load[s.Zone], After: after.load[s.Zone]}
 		for _, d := range p.Destinations {
 			if s.Zone != zone {
-				fill.Capacity += d.Capacity[s.Zone]
+				load.Capacity += d.Capacity[s.Zone]
 			}
 		}
-		if fill.Capacity > 0 {
-			fill.Utilization = fill.After / fill.Capacity
+		if load.Capacity > 0 {
+			load.Utilization = load.After / load.Capacity
 		}
-		f.Zones = append(f.Zones, fill)
-		if s.Zone != zone && fill.Capacity > 0 && fill.Before > 0.9*fill.Capacity {
-			f.Notes = append(f.Notes, fmt.Sprintf("%s is %.0f of 100 full before anything is lost", s.Zone, 100*fill.Before/fill.Capacity))
+		f.Zones = append(f.Zones, load)
+		if s.Zone != zone && load.Capacity > 0 && load.Before > 0.9*load.Capacity {
+			f.Notes = append(f.Notes, fmt.Sprintf("%s is %.0f of 100 full before anything is lost", s.Zone, 100*load.Before/load.Capacity))
 		}
 	}
-	for _, fl := range after.flows {
-		if fl.To == "" {
-			f.Refused = append(f.Refused, fl)
-		} else if fl.From != fl.To {
-			f.Flows = append(f.Flows, fl)
+	for _, flow := range after.flows {
+		if flow.To == "" {
+			f.Refused = append(f.Refused, flow)
+		} else if flow.From != flow.To {
+			f.Flows = append(f.Flows, flow)
 		}
 	}
 	for _, d := range p.Destinations {
-		left := 0.0
+		remaining := 0.0
 		for z, n := range d.Capacity {
 			if z != zone {
-				left += n
+				remaining += n
 			}
 		}
-		if left <= 0 && len(d.Demand) > 0 {
+		if remaining <= 0 && len(d.Demand) > 0 {
 			f.Unserved = append(f.Unserved, d.Number)
 			f.Notes = append(f.Notes, fmt.Sprintf("destination %d has endpoints in %s only", d.Number, zone))
 		}
@@ -156,14 +161,15 @@
 	return f, nil
 }
 
-// routed is where all load goes.
-type routed struct {
+// routing is where all load goes.
+type routing struct {
 	flows []Flow
 	load  map[string]float64
 }
 
-// classes are those of the plan, the one that is refused last first. What the order does not name is refused before all others.
-func (p *Plan) classes() (all []string) {
+// classesByPriority returns the plan's classes, the one that is refused last first. Classes that
+// RefuseFirst does not list are refused before all others.
+func (p *Plan) classesByPriority() (all []string) {
 	for _, d := range p.Destinations {
 		for _, by := range d.Demand {
 			for c := range by {
@@ -179,64 +185,66 @@
 	return all
 }
 
-// route sends what each zone's clients hand in to endpoints, while one zone is lost. A class that is refused last is placed first, so that nothing of it is
-// refused while one that is refused before it has room. Its own zone's endpoints come first, then the tiers; what spills takes its part of the headroom
-// that zones have beyond all that their own clients want, and is dealt out in proportion to it.
-func (p *Plan) route(lost string) routed {
-	r := routed{load: map[string]float64{}}
-	order := p.classes()
+// routeLoad assigns the demand of each zone's clients to endpoints while one zone is lost, none if
+// empty. Classes that are refused last are placed first, so that nothing of them is refused while
+// one that is refused before them is served. A zone's own endpoints come first, then the tiers.
+// Spilled load takes its fraction of the headroom that zones have beyond the demand of their own
+// clients, in proportion to that headroom.
+func (p *Plan) routeLoad(lost string) routing {
+	r := routing{load: map[string]float64{}}
+	order := p.classesByPriority()
 	for _, d := range p.Destinations {
-		room := map[string]float64{}  // of endpoints, for anybody
-		spare := map[string]float64{} // for the load of others: headroom beyond the zone's own
+		capacity := map[string]float64{} // of endpoints, for any load
+		headroom := map[string]float64{} // for the load of other zones: capacity beyond the zone's own demand
 		for _, s := range p.Sites {
 			if s.Zone == lost {
 				continue
 			}
-			room[s.Zone] = d.Capacity[s.Zone]
-			own := 0.0
+			capacity[s.Zone] = d.Capacity[s.Zone]
+			ownDemand := 0.0
 			for _, n := range d.Demand[s.Zone] {
-				own += n
+				ownDemand += n
 			}
-			spare[s.Zone] = max(0, d.Capacity[s.Zone]-own)
+			headroom[s.Zone] = max(0, d.Capacity[s.Zone]-ownDemand)
 		}
 		send := func(from, to string, tier int, class string, n float64) {
 			r.load[to] += n
-			room[to] -= n
-			same := func(f Flow) bool {
+			capacity[to] -= n
+			sameFlow := func(f Flow) bool {
 				return f.Destination == d.Number && f.From == from && f.To == to && f.Tier == tier && f.Class == class
 			}
-			if i := slices.IndexFunc(r.flows, same); i >= 0 {
+			if i := slices.IndexFunc(r.flows, sameFlow); i >= 0 {
 				r.flows[i].Rate += n
 				return
 			}
 			r.flows = append(r.flows, Flow{d.Number, from, to, tier, class, n})
 		}
-		// Own zones first, for all classes: no zone's clients give way to another's.
-		left := map[string]map[string]float64{}
+		// Own zones first, for all classes: no zone's clients are refused in favour of another's.
+		unserved := map[string]map[string]float64{}
 		for _, s := range p.Sites {
-			left[s.Zone] = map[string]float64{}
+			unserved[s.Zone] = map[string]float64{}
 			for _, c := range order {
 				n := d.Demand[s.Zone][c]
-				if here := min(n, room[s.Zone]); here > slack {
-					send(s.Zone, s.Zone, 0, c, here)
-					n -= here
+				if local := min(n, capacity[s.Zone]); local > epsilon {
+					send(s.Zone, s.Zone, 0, c, local)
+					n -= local
 				}
-				left[s.Zone][c] = n
+				unserved[s.Zone][c] = n
 			}
 		}
-		used := map[string]float64{} // by spill
+		spilled := map[string]float64{} // by other zones' load
 		for _, c := range order {
-			for tier := 0; tier < mostTiers; tier++ {
-				for range spillRounds { // what one zone of a tier has no room for goes to the others
+			for tier := 0; tier < maxTiers; tier++ {
+				for range spillRounds { // load that exceeds the headroom of one zone of a tier goes to the others
 					moved := 0.0
-					p.spill(c, tier, lost, left, spare, used, func(from, to string, n float64) { moved += n; send(from, to, tier+1, c, n) })
-					if moved <= slack {
+					p.spillClass(c, tier, lost, unserved, headroom, spilled, func(from, to string, n float64) { moved += n; send(from, to, tier+1, c, n) })
+					if moved <= epsilon {
 						break
 					}
 				}
 			}
 			for _, s := range p.Sites {
-				if n := left[s.Zone][c]; n > slack {
+				if n := unserved[s.Zone][c]; n > epsilon {
 					r.flows = append(r.flows, Flow{Destination: d.Number, From: s.Zone, Class: c, Rate: n})
 				}
 			}
@@ -246,55 +254,56 @@
 }
 
 const (
-	mostTiers   = 8
+	maxTiers    = 8
 	spillRounds = 200
 )
 
-// spill sends what is left of a class from each zone to the zones of one of its tiers. Where several zones spill to the same, each has its part by what it has
-// left, so that the order of the file does not matter.
-func (p *Plan) spill(class string, tier int, lost string, left map[string]map[string]float64, spare, used map[string]float64, send func(from, to string, n float64)) {
-	type ask struct {
+// spillClass sends the unserved load of a class from each zone to the zones of one of its tiers.
+// Zones that spill to the same zone share its headroom in proportion to their requests, so that the
+// order of sites in the plan does not matter.
+func (p *Plan) spillClass(class string, tier int, lost string, unserved map[string]map[string]float64, headroom, spilled map[string]float64, send func(from, to string, n float64)) {
+	type spillRequest struct {
 		from, to string
 		n        float64
 	}
-	var asks []ask
-	sum := map[string]float64{}
-	bound := map[string]float64{}
+	var requests []spillRequest
+	requested := map[string]float64{}
+	available := map[string]float64{}
 	for _, s := range p.Sites {
-		n := left[s.Zone][class]
-		if tier >= len(s.Tiers) || n <= slack {
+		n := unserved[s.Zone][class]
+		if tier >= len(s.Tiers) || n <= epsilon {
 			continue
 		}
-		t, all := s.Tiers[tier], 0.0
+		tierPlan, tierHeadroom := s.Tiers[tier], 0.0
 		free := func(z string) float64 {
 			if z == lost {
 				return 0
 			}
-			return max(0, t.SpillFraction*spare[z]-used[z])
+			return max(0, tierPlan.SpillFraction*headroom[z]-spilled[z])
 		}
-		for _, z := range t.Zones {
-			all += free(z)
+		for _, z := range tierPlan.Zones {
+			tierHeadroom += free(z)
 		}
-		if all <= slack {
+		if tierHeadroom <= epsilon {
 			continue
 		}
-		for _, z := range t.Zones {
-			if f := free(z); f > slack {
-				a := ask{s.Zone, z, min(n*f/all, f)}
-				asks, sum[z], bound[z] = append(asks, a), sum[z]+a.n, max(bound[z], f)
+		for _, z := range tierPlan.Zones {
+			if f := free(z); f > epsilon {
+				a := spillRequest{s.Zone, z, min(n*f/tierHeadroom, f)}
+				requests, requested[z], available[z] = append(requests, a), requested[z]+a.n, max(available[z], f)
 			}
 		}
 	}
-	for _, a := range asks {
-		n := a.n * min(1, bound[a.to]/sum[a.to])
+	for _, a := range requests {
+		n := a.n * min(1, available[a.to]/requested[a.to])
 		send(a.from, a.to, n)
-		left[a.from][class] -= n
-		used[a.to] += n
+		unserved[a.from][class] -= n
+		spilled[a.to] += n
 	}
 }
 
-func (p *Plan) shares(r routed) (all []ClassShare) {
-	for _, c := range p.classes() {
+func (p *Plan) classShares(r routing) (all []ClassShare) {
+	for _, c := range p.classesByPriority() {
 		s := ClassShare{Class: c}
 		for _, f := range r.flows {
 			if f.Class == c && f.To != "" {
@@ -304,11 +313,11 @@
 			}
 		}
 		s.Demand = s.Served + s.Refused
-		if math.Abs(s.Refused) < slack {
+		if math.Abs(s.Refused) < epsilon {
 			s.Refused = 0
 		}
 		all = append(all, s)
 	}
-	slices.Reverse(all) // the one that is refused first stands first
+	slices.Reverse(all) // the class that is refused first comes first
 	return all
 }
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(a)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(a)) }
 
-var order = []string{"alert", "order", "charge"}
+var refuseOrder = []string{"alert", "order", "charge"}
 
 // drawPlan draws a plan of up to four sites.
 func drawPlan(t *rapid.T) *Plan {
-	p := &Plan{RefuseFirst: order}
+	p := &Plan{RefuseFirst: refuseOrder}
 	n := rapid.IntRange(2, 4).Draw(t, "sites")
 	zone := func(i int) string { return fmt.Sprint("z", i) }
 	for i := range n {
@@ -37,7 +37,7 @@
 				one.Capacity[zone(i)] = rapid.Float64Range(1, 100).Draw(t, "takes")
 			}
 			one.Demand[zone(i)] = map[string]float64{}
-			for _, c := range order {
+			for _, c := range refuseOrder {
 				one.Demand[zone(i)][c] = rapid.Float64Range(0, 60).Draw(t, "wanted")
 			}
 		}
@@ -49,7 +49,7 @@
 // Whatever is planned and lost: all that is wanted is served or refused; no zone serves more than it takes, and of others' load no more than its part of the
 // headroom; nothing goes to the lost one; load goes to tiers that the site names; and no class is refused for clients of a zone at a destination while one that
 // is refused before it spilled from there.
-func TestAnyPlan(t *testing.T) {
+func TestForecastInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		lost := p.Sites[rapid.IntRange(0, len(p.Sites)-1).Draw(t, "lost")].Zone
@@ -68,11 +68,11 @@
 		for _, shares := range [][]ClassShare{f.Before, f.After} {
 			sum := 0.0
 			for i, s := range shares {
-				if sum += s.Served + s.Refused; s.Class != order[i] || s.Refused < 0 {
+				if sum += s.Served + s.Refused; s.Class != refuseOrder[i] || s.Refused < 0 {
 					t.Fatalf("%+v", shares)
 				}
 			}
-			if !near(sum, wanted) {
+			if !approxEqual(sum, wanted) {
 				t.Fatalf("%.3f wanted, %.3f served or refused", wanted, sum)
 			}
 		}
@@ -108,7 +108,7 @@
 			}
 			for _, r := range f.Refused {
 				for _, fl := range f.Flows {
-					if r.Destination == d.Number && fl.Destination == d.Number && r.From == fl.From && slices.Index(order, fl.Class) < slices.Index(order, r.Class) {
+					if r.Destination == d.Number && fl.Destination == d.Number && r.From == fl.From && slices.Index(refuseOrder, fl.Class) < slices.Index(refuseOrder, r.Class) {
 						t.Fatalf("%+v refused while %+v spilled", r, fl)
 					}
 				}
@@ -118,7 +118,7 @@
 		slices.Reverse(p.Sites)
 		again, _ := p.ForecastLoss(lost)
 		for i, s := range f.After {
-			if !near(s.Served, again.After[i].Served) {
+			if !approxEqual(s.Served, again.After[i].Served) {
 				t.Fatalf("%+v, and %+v with the sites in another order", f.After, again.After)
 			}
 		}
@@ -131,8 +131,8 @@
 }
 
 // The example by hand: first tier, second tier, what is refused, and what has nowhere to go.
-func TestLose(t *testing.T) {
-	p := &Plan{RefuseFirst: order, Ramp: DefaultRamp, Sites: []Site{{"a", []Tier{{[]string{"b"}, 0.5}, {[]string{"c"}, 1}}}, {"b", nil}, {"c", nil}},
+func TestForecastLossExample(t *testing.T) {
+	p := &Plan{RefuseFirst: refuseOrder, Ramp: DefaultRamp, Sites: []Site{{"a", []Tier{{[]string{"b"}, 0.5}, {[]string{"c"}, 1}}}, {"b", nil}, {"c", nil}},
 		Destinations: []Destination{{1, map[string]float64{"a": 50, "b": 40, "c": 10}, map[string]map[string]float64{"a": {"charge": 5, "order": 10, "alert": 20}, "b": {"alert": 20}}},
 			{2, map[string]float64{"a": 5}, map[string]map[string]float64{"c": {"order": 3}, "a": {"order": 1}}}}}
 	f, err := p.ForecastLoss("a")
--- a/internal/sites/ramp.go
+++ b/internal/sites/ramp.go
@@ -6,127 +6,133 @@
 	"time"
 )
 
-// How load returns to a site, and what others take on meanwhile.
+// Return of load to a site, and limits of the load that other sites take meanwhile.
 
-// headroom is what all partners' endpoints in a zone take beyond what its own clients want, as the file has it; 0: it names none.
+// headroom returns the capacity of all endpoints in a zone beyond the demand of its own clients, as
+// the plan has it; 0 if it has no figures.
 func (p *Plan) headroom(zone string) (sum float64) {
 	for _, d := range p.Destinations {
-		own := 0.0
+		demand := 0.0
 		for _, n := range d.Demand[zone] {
-			own += n
+			demand += n
 		}
-		sum += max(0, d.Capacity[zone]-own)
+		sum += max(0, d.Capacity[zone]-demand)
 	}
 	return sum
 }
 
-// most is the largest part of a zone's headroom that any other site's load may take.
-func (p *Plan) most(zone string) (spill float64) {
+// maxSpillFraction returns the largest part of a zone's headroom that any other site's load may
+// take.
+func (p *Plan) maxSpillFraction(zone string) (fraction float64) {
 	for _, s := range p.Sites {
 		for _, t := range s.Tiers {
 			if slices.Contains(t.Zones, zone) {
-				spill = max(spill, t.SpillFraction)
+				fraction = max(fraction, t.SpillFraction)
 			}
 		}
 	}
-	return spill
+	return fraction
 }
 
-// own is what a zone's clients want of its own endpoints, as far as these take it.
-func (p *Plan) own(zone string) (sum float64) {
+// ownDemand returns the demand of a zone's clients on its own endpoints, up to their capacity.
+func (p *Plan) ownDemand(zone string) (sum float64) {
 	for _, d := range p.Destinations {
-		own := 0.0
+		demand := 0.0
 		for _, n := range d.Demand[zone] {
-			own += n
+			demand += n
 		}
-		sum += min(own, d.Capacity[zone])
+		sum += min(demand, d.Capacity[zone])
 	}
 	return sum
 }
 
-// ramp moves a returning site on. What it is given grows while its endpoints answer; a fresh failure stops that, keeps what is proved and goes on lower, and slower each time.
-func (w *Watch) ramp(now Time, span time.Duration, s *site, sum counts, dark bool, why string) {
-	fresh := s.recent[0]
-	fresh.add(s.recent[1])
+// advanceRamp grows the load fraction of a returning site while its endpoints answer. A new failure
+// halves it, down to the proven fraction at most, and slows its further growth; if no calls
+// succeed, the site is lost again.
+func (w *Watch) advanceRamp(now Time, elapsed time.Duration, s *site, recent counts, dark bool, why string) {
+	latest := s.recent[0]
+	latest.add(s.recent[1])
 	switch {
 	case dark:
-		s.flaps++
-		s.proved = max(leastLevel, s.proved/2)
-		s.holdTil = now + min(holdMost, holdFirst<<min(s.flaps-1, 8))
-		w.become(now, s, Lost, "it failed in its return: "+why)
-	case fresh.failed >= 2 && fresh.failed >= fresh.taken && s.level > leastLevel:
-		s.flaps++
-		s.level = max(leastLevel, min(s.proved, s.level/2))
-		s.proved = s.level
-		s.why = fmt.Sprintf("%d of %d calls failed in its return: it goes on from %.2f of its load", fresh.failed, fresh.failed+fresh.taken, s.level)
+		s.failedReturns++
+		s.provenFraction = max(minFraction, s.provenFraction/2)
+		s.holdDownUntil = now + min(maxHoldDown, initialHoldDown<<min(s.failedReturns-1, 8))
+		w.setState(now, s, Lost, "it failed in its return: "+why)
+	case latest.failed >= 2 && latest.failed >= latest.accepted && s.loadFraction > minFraction:
+		s.failedReturns++
+		s.loadFraction = max(minFraction, min(s.provenFraction, s.loadFraction/2))
+		s.provenFraction = s.loadFraction
+		s.why = fmt.Sprintf("%d of %d calls failed in its return: it goes on from %.2f of its load", latest.failed, latest.failed+latest.accepted, s.loadFraction)
 		w.changes = append(w.changes, Change{s.name, Returning, Returning, s.why, false})
-		s.recent[0], s.recent[1] = counts{}, counts{} // seen, and answered
-	case (s.tookAt >= s.since || s.said() > s.level) && s.run == 0 && fresh.failed*5 <= fresh.taken && fresh.refused <= fresh.taken+1:
-		s.proved = max(s.proved, s.level)
-		slow := min(slowest, 1+s.flaps)
-		if s.level += span.Seconds() / (w.plan.Ramp.Seconds() * float64(slow)); s.level >= 1 {
-			w.become(now, s, Healthy, "it takes its full load")
+		s.recent[0], s.recent[1] = counts{}, counts{} // handled: must not count again
+	case (s.acceptedAt >= s.since || s.reportedFraction() > s.loadFraction) && s.failureRun == 0 && latest.failed*5 <= latest.accepted && latest.rejected <= latest.accepted+1:
+		s.provenFraction = max(s.provenFraction, s.loadFraction)
+		slowdown := min(maxRampSlowdown, 1+s.failedReturns)
+		if s.loadFraction += elapsed.Seconds() / (w.plan.Ramp.Seconds() * float64(slowdown)); s.loadFraction >= 1 {
+			w.setState(now, s, Healthy, "it takes its full load")
 		}
 	}
 }
 
-// spill moves how much may go to a site that lives while another is lost: what its own clients want, and a part of the plan's headroom, at most; less as soon as it refuses some, and slowly
-// up again. Without figures in the file nothing bounds it until it refuses.
-func (w *Watch) spill(span time.Duration, s *site, sum counts) {
-	calls, over := sum.taken+sum.refused, (buckets * bucket).Seconds()
-	if w.lost == 0 {
-		s.usual += (float64(calls)/over - s.usual) * min(1, span.Seconds()/usualOver.Seconds())
+// updateSpillRate updates how much may go from here to a site that serves while another is lost: at
+// most its own clients' demand and a share of the plan's headroom. Rejections cut the rate, after
+// which it grows slowly. Without figures in the plan there is no limit until calls are rejected.
+func (w *Watch) updateSpillRate(elapsed time.Duration, s *site, recent counts) {
+	calls, window := recent.accepted+recent.rejected, (bucketCount * bucketWidth).Seconds()
+	if w.lostSites == 0 {
+		s.baselineRate += (float64(calls)/window - s.baselineRate) * min(1, elapsed.Seconds()/baselineTime.Seconds())
 	}
-	if s.tier < 0 || w.lost == 0 || s.state == Lost || s.state == Returning {
-		s.rate, s.tokens = 0, 0
+	if s.tier < 0 || w.lostSites == 0 || s.state == Lost || s.state == Returning {
+		s.maxRate, s.tokens = 0, 0
 		return
 	}
-	most, begins := w.part(s), s.rate == 0
-	if begins {
-		s.rate, s.tokens = most, 1
+	limit, starting := w.allowedRate(s), s.maxRate == 0
+	if starting {
+		s.maxRate, s.tokens = limit, 1
 	}
-	switch refused := float64(sum.refused) / float64(max(1, calls)); {
-	case calls >= spillCalls && refused > spillCut:
-		if bound := max(0.5, spillKeep*float64(sum.taken)/over); s.rate == 0 || bound < s.rate {
-			s.rate = bound
+	switch refused := float64(recent.rejected) / float64(max(1, calls)); {
+	case calls >= spillMinCalls && refused > spillCutRejected:
+		if bound := max(0.5, spillCutFactor*float64(recent.accepted)/window); s.maxRate == 0 || bound < s.maxRate {
+			s.maxRate = bound
 		}
-	case refused < spillLoose:
-		s.rate *= 1 + (spillRaise-1)*span.Seconds()
+	case refused < spillGrowRejected:
+		s.maxRate *= 1 + (spillGrowth-1)*elapsed.Seconds()
 	}
-	if most > 0 {
-		s.rate = min(s.rate, most)
+	if limit > 0 {
+		s.maxRate = min(s.maxRate, limit)
 	}
-	s.tokens = min(1+s.rate*burst.Seconds(), s.tokens+s.rate*span.Seconds())
+	s.tokens = min(1+s.maxRate*burstTime.Seconds(), s.tokens+s.maxRate*elapsed.Seconds())
 }
 
-// part is this relay's part of what may go to a site; 0: the file names nothing. Relays of a lost site that live have as much of the others' headroom as they are of its relays: its other
-// clients have come to the relays of other sites, and the rest of the headroom is theirs.
-func (w *Watch) part(s *site) float64 {
-	if s.own+s.spare == 0 {
+// allowedRate returns this relay's share of what may go to a site; 0 if the plan has no figures.
+// Relays of a lost site that are still alive get the part of the others' headroom that is their
+// part of the site's relays: its other clients use relays of other sites, which get the rest.
+func (w *Watch) allowedRate(s *site) float64 {
+	if s.ownDemand+s.spareCapacity == 0 {
 		return 0
 	}
-	there, alive := 0, 0 // relays of lost sites
-	for _, o := range w.sites {
-		if o.state == Lost || o.state == Returning {
-			if there += o.relays; o.state == Returning || w.turned-o.since >= believed {
-				alive += o.alive // until then those that died may still be held for alive
+	relays, alive := 0, 0 // relays of lost sites
+	for _, other := range w.sites {
+		if other.state == Lost || other.state == Returning {
+			if relays += other.relays; other.state == Returning || w.lastTick-other.since >= deathDetectionTime {
+				alive += other.relaysAlive // until then, dead relays may still count as alive
 			}
-			if o.tier == 0 {
-				there, alive = there+1, alive+1
+			if other.tier == 0 {
+				relays, alive = relays+1, alive+1
 			}
 		}
 	}
-	if home := w.by[w.home]; home != nil && (home.state == Lost || home.state == Returning) {
-		return roomy(s.spare / float64(there))
+	if home := w.byZone[w.homeZone]; home != nil && (home.state == Lost || home.state == Returning) {
+		return withMargin(s.spareCapacity / float64(relays))
 	}
-	extra := s.spare / float64(max(1, w.live-alive))
-	if there > 0 {
-		extra *= 1 - float64(alive)/float64(there)
+	spillShare := s.spareCapacity / float64(max(1, w.liveRelays-alive))
+	if relays > 0 {
+		spillShare *= 1 - float64(alive)/float64(relays)
 	}
 	if s.tier == 0 {
-		return roomy(max(s.own/float64(s.alive+1), s.usual) + extra)
+		return withMargin(max(s.ownDemand/float64(s.relaysAlive+1), s.baselineRate) + spillShare)
 	}
-	return roomy(max(extra, leastSpill))
+	return withMargin(max(spillShare, minSpillRate))
 }
 
-func roomy(rate float64) float64 { return uneven * rate }
+func withMargin(rate float64) float64 { return imbalanceFactor * rate }
