--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -11,191 +11,191 @@
 // Time is a moment on the caller's monotonic clock.
 type Time = policy.Time
 
-// State is what a site is taken for.
+// State is the state of a site as one relay sees it.
 type State int
 
 // The states of a site.
 const (
 	Healthy   State = iota
-	Degraded        // a part of it serves, or it is cut off from here alone
-	Lost            // nothing gets through
-	Returning       // it answers again, and is given its load by steps
+	Degraded        // parts of it fail, or it is unreachable from this relay only
+	Lost            // no calls succeed
+	Returning       // it answers again, and its load grows step by step
 )
 
 func (s State) String() string { return [...]string{"whole", "thin", "lost", "returning"}[s] }
 
-// How evidence becomes a state, and how a site returns.
+// Detection of losses, return of load and limits of spilled load.
 const (
-	bucket    = 500 * time.Millisecond
-	buckets   = 4 // that calls are counted over
-	darkCalls = 3 // calls failed in a row, none taken, that make a site dark; one where others see the same
-	darkFor   = 500 * time.Millisecond
-	darkAlone = 2 * time.Second // the same where its relays live: they are evidence against
-	newsFor   = 2 * time.Second // what others see counts for so long
-	thinCalls = 4
-	thinFor   = time.Second
-	clearFor  = 3 * time.Second // without evidence, until a thin site is whole again
-
-	firstLevel = 0.1 // part of its load that a site is given first
-	leastLevel = 0.02
-	chargeFrom = 0.5                    // part from which on messages go there that must not run twice
-	probeTurn  = 500 * time.Millisecond // between two calls of the whole fleet that try a lost site
-	holdFirst  = time.Second            // before a site that failed in its ramp is tried again; doubled with each
-	holdMost   = 8 * time.Second
-	slowest    = 2 // times the plan's ramp, at most, for a site that flaps
-	calmFor    = 2 // ramps for which it has to be whole until its flaps are forgotten
-
-	spillCut   = 0.1  // refused part of what spills to a site that lowers it
-	spillKeep  = 0.9  // of what was taken, from then on
-	spillRaise = 1.05 // a second, while hardly anything is refused
-	spillLoose = 0.03
-	spillCalls = 5
-	uneven     = 1.15             // times an even part of the headroom, since no relay's clients want just that; who sees refusals lowers its own
-	voices     = 2                // relays whose word counts; one alone may be wrong, or lie
-	youngFor   = 10 * time.Second // a relay that has just started takes others' word for a site
-	wholeSaid  = 15 * time.Second // for how long it is said that a site is whole again
-	leastSpill = 0.2              // calls a second, so that what a site takes goes on being seen
-	usualOver  = 20 * time.Second
-	believed   = 8 * time.Second        // after a loss its relays that died are known as such
-	burst      = 500 * time.Millisecond // of calls that may go at once within a rate; more than a turn
-
-	dueCost  = -10  // of an endpoint at a lost site that is to be tried now: it failed, and nothing else would go there
-	backCost = -0.1 // of one at a returning site that has not had its part
-	tierCost = 0.02 // of an endpoint one tier farther away, in parts of the slots
+	bucketWidth          = 500 * time.Millisecond
+	bucketCount          = 4 // number of buckets in which calls are counted
+	lossFailures         = 3 // failed calls in a row after which a site may be lost; one if other relays see the same
+	lossDelay            = 500 * time.Millisecond
+	lossDelayRelaysAlive = 2 * time.Second // the same while its relays are alive, which speaks against a loss
+	fleetStatsLifetime   = 2 * time.Second // how long fleet statistics stay valid
+	degradedFailures     = 4
+	degradedDelay        = time.Second
+	clearDelay           = 3 * time.Second // without evidence, until a degraded site is healthy again
+
+	initialFraction    = 0.1 // of a returning site's load
+	minFraction        = 0.02
+	unsafeCallFraction = 0.5                    // load fraction from which a site receives calls that must not be repeated
+	fleetProbeInterval = 500 * time.Millisecond // mean time between probes of a lost site by the whole fleet
+	initialHoldDown    = time.Second            // before a site that failed while returning is probed again; doubles each time
+	maxHoldDown        = 8 * time.Second
+	maxRampSlowdown    = 2 // factor on the plan's ramp for a site that failed while returning
+	stableRamps        = 2 // multiple of the plan's ramp for which a site must be healthy until its failed returns are forgotten
+
+	spillCutRejected     = 0.1  // rejected fraction of a site's calls above which the rate is cut
+	spillCutFactor       = 0.9  // of the accepted rate, after a cut
+	spillGrowth          = 1.05 // factor per second, while few calls are rejected
+	spillGrowRejected    = 0.03
+	spillMinCalls        = 5
+	imbalanceFactor      = 1.15             // factor on an equal share of headroom, since relays' demands differ; rejections lower the rate
+	minReporters         = 2                // reports needed to believe them; a single one may be wrong or malicious
+	startupPeriod        = 10 * time.Second // in which a relay that has just started believes others' reports of a loss
+	recoveryReportPeriod = 15 * time.Second // for how long a relay reports that a site has recovered
+	minSpillRate         = 0.2              // calls per second, enough to keep observing a site
+	baselineTime         = 20 * time.Second
+	deathDetectionTime   = 8 * time.Second        // after a loss, until dead relays are known to be dead
+	burstTime            = 500 * time.Millisecond // of calls at the maximum rate that may be sent at once; longer than a tick
+
+	probeDueCost  = -10  // of an endpoint at a lost site that is due for a probe: nothing else would choose it
+	returningCost = -0.1 // of an endpoint at a returning site that has not had its share of calls
+	tierCost      = 0.02 // per tier of distance, in units of the endpoint's concurrency limit
 )
 
-// CallOutcome is how a call to a site's endpoint ended.
+// CallOutcome is the outcome of a call to a site's endpoint.
 type CallOutcome int
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	Accepted   CallOutcome = iota // whatever became of it then
-	Rejected                      // turned away
-	Failed                        // refused or reset: somebody's machine is there
-	NoResponse                    // no connection, or no answer, in its time
+	Accepted   CallOutcome = iota // the endpoint processed it, successfully or not
+	Rejected                      // the endpoint refused it as overloaded
+	Failed                        // connection refused or reset: the host is up
+	NoResponse                    // no connection or no response in time
 )
 
-// Change is a site that is taken for something else from now on.
+// Change is a change of a site's state.
 type Change struct {
-	Zone     string
-	From, To State
-	Why      string
-	said     bool // others say so: this relay saw nothing of the loss
+	Zone         string
+	From, To     State
+	Why          string
+	reportedOnly bool // from other relays' reports: this relay saw nothing of the loss
 }
 
-// PolicyUpdate is what the module is told of a change.
+// PolicyUpdate returns the change as the policy engine receives it.
 func (c Change) PolicyUpdate(w *Watch) policy.SitesUpdate {
-	news := policy.SitesUpdate{Plan: w}
+	update := policy.SitesUpdate{Plan: w}
 	switch {
 	case c.To == Returning && c.From == Lost:
-		news.ReturnedZone = c.Zone
-	case c.said:
-		news.ColdZone = c.Zone
+		update.ReturnedZone = c.Zone
+	case c.reportedOnly:
+		update.ColdZone = c.Zone
 	}
-	return news
+	return update
 }
 
-// Status is what is made of a site, for staff.
+// Status is the state of a site as operators see it.
 type Status struct {
 	Zone             string  `json:"zone"`
 	State            string  `json:"state"`
 	Since            Time    `json:"-"`
 	Why              string  `json:"why"`
-	LoadFraction     float64 `json:"level"` // part of its load that it is given
+	LoadFraction     float64 `json:"level"` // part of its load that it receives
 	ManuallyOut      bool    `json:"out_by_hand,omitempty"`
-	MaybePartitioned bool    `json:"cut_perhaps,omitempty"` // nothing but silence speaks for a loss
+	MaybePartitioned bool    `json:"cut_perhaps,omitempty"` // the only evidence of a loss is missing responses
 	Relays           int     `json:"relays"`
 	RelaysAlive      int     `json:"relays_alive"`
-	CallsAccepted    int     `json:"calls_taken"` // here, in the last two seconds
+	CallsAccepted    int     `json:"calls_taken"` // from this relay, in the last two seconds
 	CallsRejected    int     `json:"calls_refused"`
 	CallsFailed      int     `json:"calls_failed"`
 	FailedReturns    int     `json:"failed_returns,omitempty"`
-	MaxSpillRate     float64 `json:"spill_most,omitempty"` // calls a second that may spill there from this relay; 0: any number
-	Tier             int     `json:"tier"`                 // from this relay's own site: 0 its own; -1: none of the plan
+	MaxSpillRate     float64 `json:"spill_most,omitempty"` // calls per second that this relay may send there; 0: no limit
+	Tier             int     `json:"tier"`                 // distance from this relay's site: 0 is its own; -1: not in its tiers
 	Endpoints        int     `json:"endpoints"`
 }
 
-type counts struct{ taken, refused, failed, silent int }
+type counts struct{ accepted, rejected, failed, noResponse int }
 
 func (c *counts) add(o counts) {
-	c.taken, c.refused, c.failed, c.silent = c.taken+o.taken, c.refused+o.refused, c.failed+o.failed, c.silent+o.silent
+	c.accepted, c.rejected, c.failed, c.noResponse = c.accepted+o.accepted, c.rejected+o.rejected, c.failed+o.failed, c.noResponse+o.noResponse
 }
 
-// site is what one relay knows of a zone.
+// site is the state of a zone as one relay sees it.
 type site struct {
 	name string
 	tier int
 
-	state State
-	since Time
-	why   string
-	out   bool
-	cut   bool
-
-	recent   [buckets]counts
-	run      int // failures in a row
-	silent   int // silent ones among them
-	runAt    Time
-	tookAt   Time      // the last call taken here; below 0: none yet
-	othersOK Time      // others were last heard to get through; below 0: never
-	othersNo Time      // and not to
-	lostSaid int       // relays that say now that it is lost
-	levels   []float64 // and what those give it to which it answers
-	thinAt   Time      // since when there is evidence that it is thin; below 0: none
-	clearAt  Time
-	relays   int
-	alive    int
-	eps      int
-
-	level, proved float64
-	flaps         int
-	returned      bool
-	told          bool // that it was lost, by others
-	holdTil       Time
-	credit        float64
-	probes        float64
-	probeAt       Time
-	own, spare    float64 // what its clients want and what others' may have, as the file has it; both 0: it names nothing
-	usual         float64 // calls a second from here that it took while no site was lost
-	rate          float64 // calls a second that may go there from here while one is; 0: any
-	tokens        float64
+	state            State
+	since            Time
+	why              string
+	manuallyOut      bool
+	maybePartitioned bool
+
+	recent            [bucketCount]counts
+	failureRun        int // failures in a row
+	silentRun         int // of those, calls without response
+	failureRunAt      Time
+	acceptedAt        Time      // the latest accepted call; negative: none yet
+	othersAcceptedAt  Time      // other relays' latest accepted call; negative: none
+	othersFailedAt    Time      // and their latest failures
+	lossReporters     int       // relays that currently report it as lost
+	reportedFractions []float64 // load fractions that relays report to which it answers
+	degradedSince     Time      // start of the evidence that it is degraded; negative: none
+	clearSince        Time
+	relays            int
+	relaysAlive       int
+	endpoints         int
+
+	loadFraction, provenFraction float64
+	failedReturns                int
+	returned                     bool
+	lossAnnounced                bool // to the policy engine, from other relays' reports
+	holdDownUntil                Time
+	callCredit                   float64
+	probeTokens                  float64
+	nextProbeAt                  Time
+	ownDemand, spareCapacity     float64 // calls per second from the plan; both 0: the plan has no figures
+	baselineRate                 float64 // calls per second from here that it accepted while no site was lost
+	maxRate                      float64 // calls per second that may go there from here while a site is lost; 0: no limit
+	tokens                       float64
 }
 
-// Watch is one relay's view of all sites. It belongs to whoever calls it.
+// Watch is one relay's view of all sites. It is not safe for concurrent use.
 type Watch struct {
-	plan    *Plan
-	home    string
-	rng     *rand.Rand
-	sites   []*site
-	by      map[string]*site
-	at      map[string]place       // endpoints, by address
-	dests   map[int]map[string]int // number of endpoints of each zone
-	turned  Time
-	bucket  Time
-	live    int // relays
-	lost    int // sites that are lost or return
-	began   Time
-	started bool
-	changes []Change
+	plan            *Plan
+	homeZone        string
+	rng             *rand.Rand
+	sites           []*site
+	byZone          map[string]*site
+	endpoints       map[string]endpointPlace // by address
+	endpointsByZone map[int]map[string]int   // by destination: number of endpoints per zone
+	lastTick        Time
+	bucketStart     Time
+	liveRelays      int // relays that are alive, this one included
+	lostSites       int // sites that are lost or returning
+	startedAt       Time
+	started         bool
+	changes         []Change
 }
 
-type place struct {
+type endpointPlace struct {
 	dest int
 	zone string
 }
 
-// NewWatch returns a relay's watch. home is its own zone.
+// NewWatch returns a relay's view of the plan's sites. home is the relay's own zone.
 func NewWatch(plan *Plan, home string, seed int64) *Watch {
-	w := &Watch{plan: plan, home: home, rng: rand.New(rand.NewPCG(uint64(seed), 0x517e)), by: map[string]*site{}, at: map[string]place{}, dests: map[int]map[string]int{}, live: 1}
+	w := &Watch{plan: plan, homeZone: home, rng: rand.New(rand.NewPCG(uint64(seed), 0x517e)), byZone: map[string]*site{}, endpoints: map[string]endpointPlace{}, endpointsByZone: map[int]map[string]int{}, liveRelays: 1}
 	for _, s := range plan.Sites {
-		one := &site{name: s.Zone, tier: -1, level: 1, proved: firstLevel, tookAt: -1, othersOK: -1, othersNo: -1, thinAt: -1, why: "nothing speaks against it"}
-		w.sites, w.by[s.Zone] = append(w.sites, one), one
+		one := &site{name: s.Zone, tier: -1, loadFraction: 1, provenFraction: initialFraction, acceptedAt: -1, othersAcceptedAt: -1, othersFailedAt: -1, degradedSince: -1, why: "nothing speaks against it"}
+		w.sites, w.byZone[s.Zone] = append(w.sites, one), one
 	}
 	for _, s := range w.sites {
-		s.own = plan.own(s.name)
+		s.ownDemand = plan.ownDemand(s.name)
 	}
-	if s, ok := w.by[home]; ok {
-		s.tier, s.spare = 0, plan.most(home)*plan.headroom(home)
+	if s, ok := w.byZone[home]; ok {
+		s.tier, s.spareCapacity = 0, plan.maxSpillFraction(home)*plan.headroom(home)
 	}
 	for _, s := range plan.Sites {
 		if s.Zone != home {
@@ -203,8 +203,8 @@
 		}
 		for i, t := range s.Tiers {
 			for _, z := range t.Zones {
-				if o := w.by[z]; o != nil && o.tier < 0 {
-					o.tier, o.spare = i+1, t.SpillFraction*plan.headroom(z)
+				if other := w.byZone[z]; other != nil && other.tier < 0 {
+					other.tier, other.spareCapacity = i+1, t.SpillFraction*plan.headroom(z)
 				}
 			}
 		}
@@ -212,158 +212,162 @@
 	return w
 }
 
-// HasPlan tells whether this is the plan that the watch goes by.
+// HasPlan reports whether the watch uses this plan and home zone.
 func (w *Watch) HasPlan(plan *Plan, home string) bool {
-	return plan != nil && home == w.home && reflect.DeepEqual(plan, w.plan)
+	return plan != nil && home == w.homeZone && reflect.DeepEqual(plan, w.plan)
 }
 
-// ApplyEndpointList takes news of the pool config.
-func (w *Watch) ApplyEndpointList(news policy.EndpointListUpdate) {
-	if news.Kind == policy.ListUnavailable {
+// ApplyEndpointList applies an update of the endpoint list.
+func (w *Watch) ApplyEndpointList(update policy.EndpointListUpdate) {
+	if update.Kind == policy.ListUnavailable {
 		return
 	}
-	if news.Kind != policy.ListChanges {
-		clear(w.at)
-		clear(w.dests)
+	if update.Kind != policy.ListChanges {
+		clear(w.endpoints)
+		clear(w.endpointsByZone)
 		for _, s := range w.sites {
-			s.eps = 0
+			s.endpoints = 0
 		}
 	}
 	drop := func(address string) {
-		if p, ok := w.at[address]; ok {
-			delete(w.at, address)
-			if w.dests[p.dest][p.zone]--; w.dests[p.dest][p.zone] == 0 {
-				delete(w.dests[p.dest], p.zone)
+		if place, ok := w.endpoints[address]; ok {
+			delete(w.endpoints, address)
+			if w.endpointsByZone[place.dest][place.zone]--; w.endpointsByZone[place.dest][place.zone] == 0 {
+				delete(w.endpointsByZone[place.dest], place.zone)
 			}
-			if s := w.by[p.zone]; s != nil {
-				s.eps--
+			if s := w.byZone[place.zone]; s != nil {
+				s.endpoints--
 			}
 		}
 	}
-	for _, e := range news.Entries {
+	for _, e := range update.Entries {
 		drop(e.Address)
 		if e.State != policy.Listed {
 			continue
 		}
-		w.at[e.Address] = place{e.Destination, e.Zone}
-		if w.dests[e.Destination] == nil {
-			w.dests[e.Destination] = map[string]int{}
+		w.endpoints[e.Address] = endpointPlace{e.Destination, e.Zone}
+		if w.endpointsByZone[e.Destination] == nil {
+			w.endpointsByZone[e.Destination] = map[string]int{}
 		}
-		w.dests[e.Destination][e.Zone]++
-		if s := w.by[e.Zone]; s != nil {
-			s.eps++
+		w.endpointsByZone[e.Destination][e.Zone]++
+		if s := w.byZone[e.Zone]; s != nil {
+			s.endpoints++
 		}
 	}
 }
 
-// SetRelayCounts takes how many relays of a zone there are and how many are held for alive, this one not counted.
+// SetRelayCounts sets how many relays a zone has and how many of them are considered alive, this
+// one excluded.
 func (w *Watch) SetRelayCounts(zone string, relays, alive int) {
-	if s := w.by[zone]; s != nil {
-		if s.state == Lost && s.alive == 0 && alive > 0 { // its relays are back: its endpoints may be
-			s.probeAt = min(s.probeAt, w.turned+time.Duration(w.rng.Int64N(int64(4*probeTurn))))
+	if s := w.byZone[zone]; s != nil {
+		if s.state == Lost && s.relaysAlive == 0 && alive > 0 { // its relays are back, so its endpoints may be too
+			s.nextProbeAt = min(s.nextProbeAt, w.lastTick+time.Duration(w.rng.Int64N(int64(4*fleetProbeInterval))))
 		}
-		s.relays, s.alive = relays, alive
+		s.relays, s.relaysAlive = relays, alive
 	}
-	w.live = 1
+	w.liveRelays = 1
 	for _, s := range w.sites {
-		w.live += s.alive
+		w.liveRelays += s.relaysAlive
 	}
 }
 
-// ApplyFleetStats takes what the relays of the fleet see in the mean. What a destination with endpoints in one zone only tells is evidence of that zone.
-func (w *Watch) ApplyFleetStats(now Time, usual []policy.RouteStats) {
-	for _, u := range usual {
-		if len(w.dests[u.Destination]) != 1 {
+// ApplyFleetStats takes the fleet's mean call statistics. Those of a destination with endpoints in
+// a single zone are evidence for that zone.
+func (w *Watch) ApplyFleetStats(now Time, stats []policy.RouteStats) {
+	for _, route := range stats {
+		if len(w.endpointsByZone[route.Destination]) != 1 {
 			continue
 		}
-		for zone := range w.dests[u.Destination] {
-			if s := w.by[zone]; s == nil {
+		for zone := range w.endpointsByZone[route.Destination] {
+			if s := w.byZone[zone]; s == nil {
 				continue
-			} else if u.Accepted > 0 {
-				s.othersOK = now
-			} else if u.Failed > 0 && u.Reporters != 1 {
-				s.othersNo = now
+			} else if route.Accepted > 0 {
+				s.othersAcceptedAt = now
+			} else if route.Failed > 0 && route.Reporters != 1 {
+				s.othersFailedAt = now
 			}
 		}
 	}
 }
 
-// SetPeerReports takes what other relays say of a zone by calls of their own: how many that it is lost, and what part of its load the others give it.
-func (w *Watch) SetPeerReports(zone string, lost int, levels []float64) {
-	if s := w.by[zone]; s != nil {
-		s.lostSaid, s.levels = lost, levels
+// SetPeerReports sets what other relays report of a zone from their own calls: how many consider it
+// lost, and which load fractions the others give it.
+func (w *Watch) SetPeerReports(zone string, lossReporters int, fractions []float64) {
+	if s := w.byZone[zone]; s != nil {
+		s.lossReporters, s.reportedFractions = lossReporters, fractions
 	}
 }
 
-// OwnReport is what this relay says of a zone, by its own calls: a level, 0 where nothing gets through. ok is false where it has nothing to say.
-func (w *Watch) OwnReport(zone string) (level float64, ok bool) {
-	s := w.by[zone]
+// OwnReport returns this relay's report of a zone from its own calls: a load fraction, 0 if the
+// zone is lost. ok is false if there is nothing to report.
+func (w *Watch) OwnReport(zone string) (fraction float64, ok bool) {
+	s := w.byZone[zone]
 	switch {
-	case s == nil || s.out:
+	case s == nil || s.manuallyOut:
 		return 0, false
 	case s.state == Lost:
-		return 0, s.run > 0
+		return 0, s.failureRun > 0
 	case s.state == Returning:
-		return s.level, s.tookAt >= s.since && s.run == 0
-	case s.state == Healthy && s.returned && w.turned-s.since < wholeSaid:
+		return s.loadFraction, s.acceptedAt >= s.since && s.failureRun == 0
+	case s.state == Healthy && s.returned && w.lastTick-s.since < recoveryReportPeriod:
 		return 1, true
 	}
 	return 0, false
 }
 
-// RecordCall takes the end of a call to an endpoint, which began at began.
-func (w *Watch) RecordCall(now, began Time, address string, how CallOutcome) {
-	p, ok := w.at[address]
-	s := w.by[p.zone]
-	if !ok || s == nil || how != Accepted && s.state == Returning && began < s.since {
-		return // what failed before it answered again tells nothing of its return
+// RecordCall records the outcome of a call to an endpoint, started at startedAt.
+func (w *Watch) RecordCall(now, startedAt Time, address string, outcome CallOutcome) {
+	p, ok := w.endpoints[address]
+	s := w.byZone[p.zone]
+	if !ok || s == nil || outcome != Accepted && s.state == Returning && startedAt < s.since {
+		return // calls from before the return say nothing about it
 	}
-	w.ended(now, s, how)
+	w.recordOutcome(now, s, outcome)
 }
 
-func (w *Watch) ended(now Time, s *site, how CallOutcome) {
+func (w *Watch) recordOutcome(now Time, s *site, outcome CallOutcome) {
 	c := &s.recent[0]
-	switch how {
-	case Rejected: // somebody is there, and full: it proves neither
-		c.refused++
+	switch outcome {
+	case Rejected: // the endpoint is up but overloaded: evidence for neither state
+		c.rejected++
 		return
 	case Accepted:
-		c.taken++
-		s.run, s.silent, s.tookAt = 0, 0, now
-		if s.state == Lost && !s.out && now >= s.holdTil {
-			s.level = max(leastLevel, min(firstLevel, s.proved))
-			w.become(now, s, Returning, "a call was taken there")
+		c.accepted++
+		s.failureRun, s.silentRun, s.acceptedAt = 0, 0, now
+		if s.state == Lost && !s.manuallyOut && now >= s.holdDownUntil {
+			s.loadFraction = max(minFraction, min(initialFraction, s.provenFraction))
+			w.setState(now, s, Returning, "a call was taken there")
 		}
 		return
 	case NoResponse:
-		c.silent++
-		s.silent++
+		c.noResponse++
+		s.silentRun++
 	}
 	c.failed++
-	if s.run++; s.run == 1 {
-		s.runAt = now
+	if s.failureRun++; s.failureRun == 1 {
+		s.failureRunAt = now
 	}
 }
 
-// Changes are the changes since it was last asked.
+// Changes returns the changes since the previous call.
 func (w *Watch) Changes() (all []Change) {
 	all, w.changes = w.changes, nil
 	return all
 }
 
-// Tick looks at all sites. It comes a few times a second.
+// Tick reevaluates all sites. It has to be called a few times per second.
 func (w *Watch) Tick(now Time) {
 	if !w.started {
-		w.started, w.began, w.turned = true, now, now
+		w.started, w.startedAt, w.lastTick = true, now, now
 	}
-	span := now - w.turned
-	w.turned = now
-	shift := now-w.bucket >= bucket
+	elapsed := now - w.lastTick
+	w.lastTick = now
+	shift := now-w.bucketStart >= bucketWidth
 	if shift {
-		w.bucket = now
+		w.bucketStart = now
 	}
 	for _, s := range w.sites {
-		w.look(now, span, s)
+		w.evaluate(now, elapsed, s)
 		if shift {
 			copy(s.recent[1:], s.recent[:])
 			s.recent[0] = counts{}
@@ -371,51 +375,50 @@
 	}
 }
 
-// SetManuallyOut takes a site out, or lets it come back by the ramp. It is false where the plan has no such site.
+// SetManuallyOut takes a site out of service, or lets its load return by the ramp. It returns false
+// if the plan has no such site.
 func (w *Watch) SetManuallyOut(now Time, zone string, out bool) bool {
-	s := w.by[zone]
+	s := w.byZone[zone]
 	switch {
 	case s == nil:
 		return false
-	case out && !s.out:
-		s.out = true
-		w.become(now, s, Lost, "taken out by hand")
-	case !out && s.out:
-		s.out, s.holdTil, s.run, s.silent = false, 0, 0, 0
-		s.level = firstLevel
-		if s.eps == 0 {
-			w.become(now, s, Healthy, "brought back by hand")
+	case out && !s.manuallyOut:
+		s.manuallyOut = true
+		w.setState(now, s, Lost, "taken out by hand")
+	case !out && s.manuallyOut:
+		s.manuallyOut, s.holdDownUntil, s.failureRun, s.silentRun = false, 0, 0, 0
+		s.loadFraction = initialFraction
+		if s.endpoints == 0 {
+			w.setState(now, s, Healthy, "brought back by hand")
 		} else {
-			w.become(now, s, Returning, "brought back by hand")
+			w.setState(now, s, Returning, "brought back by hand")
 		}
 	}
 	return true
 }
 
-// Statuses are what is made of all sites, in the plan's order.
+// Statuses returns the status of all sites, in the plan's order.
 func (w *Watch) Statuses() (all []Status) {
 	for _, s := range w.sites {
-		c := s.sum()
-		all = append(all, Status{Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, LoadFraction: s.level, ManuallyOut: s.out, MaybePartitioned: s.cut, Relays: s.relays, RelaysAlive: s.alive,
-			CallsAccepted: c.taken, CallsRejected: c.refused, CallsFailed: c.failed, FailedReturns: s.flaps, MaxSpillRate: s.rate, Tier: s.tier, Endpoints: s.eps})
+		c := s.recentCounts()
+		all = append(all, Status{Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, LoadFraction: s.loadFraction, ManuallyOut: s.manuallyOut, MaybePartitioned: s.maybePartitioned, Relays: s.relays, RelaysAlive: s.relaysAlive,
+			CallsAccepted: c.accepted, CallsRejected: c.rejected, CallsFailed: c.failed, FailedReturns: s.failedReturns, MaxSpillRate: s.maxRate, Tier: s.tier, Endpoints: s.endpoints})
 	}
 	return all
 }
 
-// State is what a zone is taken for; a zone without a site is whole.
+// State returns the state of a zone; a zone without a site is healthy.
 func (w *Watch) State(zone string) State {
-	if s := w.by[zone]; s != nil {
+	if s := w.byZone[zone]; s != nil {
 		return s.state
 	}
 	return Healthy
 }
 
-// LoadFraction is the part of its load that a site is given.
+// LoadFraction returns the part of its load that a zone receives.
 func (w *Watch) LoadFraction(zone string) float64 {
-	if s := w.by[zone]; s != nil {
-		return s.level
+	if s := w.byZone[zone]; s != nil {
+		return s.loadFraction
 	}
 	return 1
 }
-
-// --- what the module asks: policy.Reach ---
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,4 @@
-// Package transient tells errors of system calls that pass by themselves from those that stay. It holds no state.
+// Package transient classifies errors of system calls that may succeed when repeated.
 package transient
 
 import (
@@ -7,20 +7,21 @@
 	"syscall"
 )
 
-// resources are errors of this machine, which has no room at the moment: they tell nothing of the other side of a connection.
-var resources = []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
+// resourceErrnos are temporary shortages on this machine. They say nothing about the other side of
+// a connection.
+var resourceErrnos = []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENOLCK, syscall.EADDRNOTAVAIL}
 
-// others are a disk or a network that may be well again.
-var others = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
+// otherErrnos are errors of a disk or network that may recover.
+var otherErrnos = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
 
-// IsResourceExhaustion tells whether err says that this machine has no room for something at the moment.
-func IsResourceExhaustion(err error) bool { return among(resources, err) }
+// IsResourceExhaustion reports whether err is a temporary shortage on this machine.
+func IsResourceExhaustion(err error) bool { return isOneOf(resourceErrnos, err) }
 
-// Is tells whether err may pass by itself, so that the same call may succeed a moment later.
-func Is(err error) bool { return among(resources, err) || among(others, err) }
+// Is reports whether err may be temporary, so that the same call may succeed later.
+func Is(err error) bool { return isOneOf(resourceErrnos, err) || isOneOf(otherErrnos, err) }
 
-func among(list []syscall.Errno, err error) bool {
+func isOneOf(list []syscall.Errno, err error) bool {
 	var number syscall.Errno
 	return errors.As(err, &number) && slices.Contains(list, number)
 }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestKinds(t *testing.T) {
+func TestClassification(t *testing.T) {
 	for _, c := range []struct {
 		err          error
 		is, resource bool
