--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -10,7 +10,7 @@
 
 var regionKey = Key("a region's key")
 
-// rackLayout lays out relays over racks of two, and the racks over zones.
+// rackLayout places relays in racks of two, and the racks in zones.
 func rackLayout(relays, zones int) []Member {
 	members := make([]Member, relays)
 	for i := range members {
@@ -31,7 +31,8 @@
 
 var smallConfig = MapConfig{Region: 1, Partitions: 64, Replicas: 4}
 
-// checkPlan looks whether replicas are in different racks, half of them in each of two zones, and loads are even.
+// checkPlan checks that replicas are in different racks, half of them in each of two zones, and
+// loads are even.
 func checkPlan(t *testing.T, m *Map, members []Member) {
 	t.Helper()
 	load := make([]int, len(members))
@@ -48,11 +49,11 @@
 	}
 	for r, n := range load {
 		if members[r].State == Removed && n > 0 {
-			t.Errorf("relay %d is gone and serves %d partitions", r, n)
+			t.Errorf("relay %d is removed and serves %d partitions", r, n)
 		}
 	}
 	if most, mean := slices.Max(load), len(m.replicas)/len(members); most > mean+mean/2+1 {
-		t.Errorf("a relay serves %d partitions, %d in the mean", most, mean)
+		t.Errorf("a relay serves %d partitions, the mean is %d", most, mean)
 	}
 }
 
@@ -65,11 +66,11 @@
 	}
 	same := mustPlan(t, smallConfig, m, members)
 	if same.CountMoved(m) != 0 {
-		t.Errorf("%d replicas moved for nothing", same.CountMoved(m))
+		t.Errorf("%d replicas moved without a change of members", same.CountMoved(m))
 	}
 	members[7].State = Unreachable
 	if m := mustPlan(t, smallConfig, m, members); m.CountMoved(same) != 0 {
-		t.Errorf("%d replicas moved for one that is away", m.CountMoved(same))
+		t.Errorf("%d replicas moved for an unreachable relay", m.CountMoved(same))
 	}
 	members[7].State = Removed
 	gone := mustPlan(t, smallConfig, m, members)
@@ -78,7 +79,7 @@
 	checkPlan(t, mustPlan(t, smallConfig, gone, members), members)
 }
 
-// Where no two zones and racks are left, partitions are served all the same.
+// Partitions are served even if there are too few zones and racks.
 func TestPlanWithTooFewZones(t *testing.T) {
 	members := rackLayout(8, 2)
 	m := mustPlan(t, smallConfig, nil, members)
@@ -118,7 +119,8 @@
 	}
 }
 
-// What is torn at any byte, changed in any bit, or of another key, kind or format is refused by name.
+// An encoding that is truncated or changed in any bit, or of another key or kind, is rejected with
+// the right error.
 func TestDecodeRejectsTruncatedAndForged(t *testing.T) {
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	for name, c := range map[string]struct {
@@ -153,11 +155,11 @@
 		})
 	}
 	if _, err := DecodeMap(m.Slice(3).Encode(regionKey), regionKey); !errors.Is(err, ErrFormat) {
-		t.Errorf("a slice for a map: %v", err)
+		t.Errorf("a slice decoded as a map: %v", err)
 	}
 }
 
-// What is signed and still makes no sense is refused by name.
+// A signed but invalid slice is rejected with ErrFormat.
 func TestDecodeRejectsInvalidSignedSlice(t *testing.T) {
 	good := func() *Slice {
 		return &Slice{Region: 1, Version: Version{1, 1}, Relay: 3, Partitions: 64, Replication: 2, Assignments: []PartitionAssignment{{5, []Relay{1, 3}, []Relay{1, 3}}, {9, []Relay{3, 4}, []Relay{2, 4}}}}
@@ -169,8 +171,8 @@
 		"a partition beyond the last": func(s *Slice) { s.Assignments[1].Partition = 64 },
 		"a partition twice":           func(s *Slice) { s.Assignments[1].Partition = 5 },
 		"partitions out of order":     func(s *Slice) { s.Assignments[1].Partition = 4 },
-		"somebody else's partition":   func(s *Slice) { s.Assignments[1].Replicas = []Relay{1, 4} },
-		"a former replica twice":      func(s *Slice) { s.Assignments[1].Previous = []Relay{2, 2} },
+		"another relay's partition":   func(s *Slice) { s.Assignments[1].Replicas = []Relay{1, 4} },
+		"a previous replica twice":    func(s *Slice) { s.Assignments[1].Previous = []Relay{2, 2} },
 		"a replica twice":             func(s *Slice) { s.Assignments[1].Replicas = []Relay{3, 3} },
 		"a relay beyond the last":     func(s *Slice) { s.Assignments[1].Replicas = []Relay{3, MaxRelays} },
 		"no partitions":               func(s *Slice) { s.Partitions = 0 },
@@ -196,21 +198,21 @@
 	}
 }
 
-// withVersion returns the map as a later version.
+// withVersion returns a copy of the map with another version.
 func (m *Map) withVersion(term, number uint64) *Map {
 	next := *m
 	next.Version = Version{term, number}
 	return &next
 }
 
-// A slice that is older, of the same version and different, of another relay or region changes nothing and is named; so is
-// the confirmation of an older one. What was kept on disk holds over a restart.
+// An answer that is older, conflicting, or of another relay or region is rejected with the right
+// error and changes nothing. A slice on disk stays valid across a restart.
 func TestFollowerRejectsStaleAndForeignAnswers(t *testing.T) {
 	members := rackLayout(40, 2)
 	m := mustPlan(t, smallConfig, nil, members).withVersion(64, 7)
 	members[3].State = Removed
 	other := mustPlan(t, smallConfig, m, members)
-	relay := Relay(0) // some slices of relay 0 differ in the two maps
+	relay := Relay(0) // the first relay whose slices differ in the two maps
 	for ; m.Slice(relay).same(other.Slice(relay)); relay++ {
 	}
 	f := NewFollower(1, relay, regionKey)
@@ -222,13 +224,13 @@
 			t.Errorf("%v, want %v", err, want)
 		}
 		if err != nil && f.LatestVersion() != before {
-			t.Errorf("refused, and yet %v became %v", before, f.LatestVersion())
+			t.Errorf("rejected, but %v became %v", before, f.LatestVersion())
 		}
 	}
 	confirm := func(v Version) []byte { return confirmation(1, v, relay, 64, regionKey) }
-	take(confirm(Version{64, 7}), ErrConflict) // nothing is there to be confirmed
+	take(confirm(Version{64, 7}), ErrConflict) // there is no slice to confirm
 	take(m.Slice(relay).Encode(regionKey), nil)
-	take(m.Slice(relay).Encode(regionKey), nil) // twice
+	take(m.Slice(relay).Encode(regionKey), nil) // repeated
 	take(other.withVersion(64, 6).Slice(relay).Encode(regionKey), ErrOlder)
 	take(other.withVersion(63, 900).Slice(relay).Encode(regionKey), ErrOlder)
 	take(other.withVersion(64, 7).Slice(relay).Encode(regionKey), ErrConflict)
@@ -236,7 +238,7 @@
 	take(confirm(Version{64, 9}), nil)
 	take(confirm(Version{64, 8}), ErrOlder)
 	take(other.withVersion(64, 8).Slice(relay).Encode(regionKey), ErrOlder)
-	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), nil) // the same once more
+	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), nil) // unchanged slice of a later version
 	elsewhere := m.withVersion(65, 10)
 	elsewhere.Region = 2
 	take(elsewhere.Slice(relay).Encode(regionKey), ErrOtherRegion)
@@ -245,22 +247,22 @@
 
 	again := NewFollower(1, relay, regionKey)
 	if err := again.Restore(kept[:len(kept)-1]); !errors.Is(err, ErrTruncated) || again.Current() != nil {
-		t.Errorf("torn on disk: %v", err)
+		t.Errorf("truncated on disk: %v", err)
 	}
 	if err := again.Restore(kept); err != nil || again.LatestVersion() != (Version{65, 10}) || !again.ControlUnreachable(0) {
 		t.Errorf("restored %v: %v", again.LatestVersion(), err)
 	}
 	f = again
-	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), ErrOlder) // on disk is later
+	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), ErrOlder) // the slice on disk is later
 }
 
-// A control machine confirms a slice only where it has seen all maps since the one that the relay has.
+// A control node confirms a slice only if it has seen all maps since the one that the relay has.
 func TestDirectoryAnswers(t *testing.T) {
 	members := rackLayout(40, 2)
 	first := mustPlan(t, smallConfig, nil, members).withVersion(64, 1)
 	members[3].State = Removed
 	second := mustPlan(t, smallConfig, first, members)
-	third := first.withVersion(64, 3) // all as it was
+	third := first.withVersion(64, 3) // same replicas as in first
 	d := NewDirectory(regionKey)
 	if _, err := d.Answer(SliceRequest{}); !errors.Is(err, ErrNoMap) {
 		t.Errorf("no map: %v", err)
@@ -281,16 +283,16 @@
 	for ; !first.Slice(kept).same(second.Slice(kept)); kept++ {
 	}
 	if !whole(d, SliceRequest{Relay: moved}) || whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) {
-		t.Error("a slice for none, and a confirmation for the same: not so")
+		t.Error("wrong: no slice for a relay without one, or no confirmation for an up-to-date one")
 	}
 	d.Update(second)
-	d.Update(first) // late
+	d.Update(first) // an outdated update
 	if !whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) || whole(d, SliceRequest{Relay: kept, HaveVersion: first.Version}) {
-		t.Error("one whose slice changed needs it, one whose did not does not: not so")
+		t.Error("wrong: no slice for a relay whose slice changed, or a slice for one whose slice did not")
 	}
 	d.Update(third)
 	if !whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) {
-		t.Error("a slice that changed and changed back was confirmed, though the relay may have the one between")
+		t.Error("a slice that changed and changed back was confirmed, though the relay may have the one in between")
 	}
 	gap := NewDirectory(regionKey)
 	gap.Update(first)
@@ -299,19 +301,20 @@
 		t.Error("confirmed across a map that it has not seen")
 	}
 	if _, err := d.Answer(SliceRequest{Relay: kept, HaveVersion: Version{64, 4}}); !errors.Is(err, ErrStale) {
-		t.Errorf("a relay that is ahead: %v", err)
+		t.Errorf("a relay with a later version: %v", err)
 	}
 	if _, err := d.Answer(SliceRequest{Relay: MaxRelays}); !errors.Is(err, ErrOutOfRange) {
-		t.Errorf("no such relay: %v", err)
+		t.Errorf("invalid relay: %v", err)
 	}
 }
 
-// Who is away keeps its place for a minute, and longer where its zone is away as a whole and just comes back.
+// An unreachable relay keeps its replicas for a minute, and longer during and after an outage of
+// its zone.
 func TestRelayHealth(t *testing.T) {
 	at := rackLayout(40, 2)
 	h := NewRelayHealth(at, nil, 0)
 	if m := h.Members(0); m[0].State != Removed {
-		t.Errorf("one that nobody has heard of and that serves nothing: %v", m[0].State)
+		t.Errorf("a relay without contact or partitions: %v", m[0].State)
 	}
 	hear := func(now time.Duration, but func(i int) bool) {
 		for i := range at {
@@ -326,35 +329,36 @@
 	hear(0, nobody)
 	hear(30*time.Second, one)
 	if m := h.Members(30 * time.Second); m[6].State != Unreachable {
-		t.Errorf("away for 30 s: %v", m[6].State)
+		t.Errorf("unreachable for 30 s: %v", m[6].State)
 	}
 	hear(time.Minute, one)
 	if m := h.Members(time.Minute); m[6].State != Removed {
-		t.Errorf("away for a minute: %v", m[6].State)
+		t.Errorf("unreachable for a minute: %v", m[6].State)
 	}
 	h.RecordContact(6, time.Minute)
 	if m := h.Members(time.Minute); m[6].State != Live {
-		t.Errorf("back: %v", m[6].State)
+		t.Errorf("in contact again: %v", m[6].State)
 	}
 	now := 10 * time.Minute
 	hear(now, zone)
 	for i, m := range h.Members(now) {
 		if want := map[bool]State{true: Unreachable, false: Live}[zone(i)]; m.State != want {
-			t.Fatalf("relay %d is %v behind the loss of a zone", i, m.State)
+			t.Fatalf("relay %d is %v after the loss of a zone", i, m.State)
 		}
 	}
-	hear(now, one) // all but one of the zone are back
+	hear(now, one) // all other relays of the zone have returned
 	if m := h.Members(now); m[6].State != Unreachable {
-		t.Errorf("the last one of a zone that returns: %v", m[6].State)
+		t.Errorf("the last relay of a returning zone: %v", m[6].State)
 	}
 	hear(now+time.Minute, one)
 	if m := h.Members(now + time.Minute); m[6].State != Removed {
-		t.Errorf("a minute behind that: %v", m[6].State)
+		t.Errorf("a minute later: %v", m[6].State)
 	}
-	h.RecordContact(Relay(len(at)), now) // no relay's number
+	h.RecordContact(Relay(len(at)), now) // not a relay
 }
 
-// Without an answer a relay soon asks another machine, a few times; then, and with an answer, it asks each PullEvery.
+// Without an answer a relay soon asks another node, a limited number of times; otherwise it asks
+// every PollInterval.
 func TestFollowerRetries(t *testing.T) {
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	f := NewFollower(1, 3, regionKey)
@@ -371,6 +375,6 @@
 		t.Errorf("next at %v: %v", f.NextPoll(), err)
 	}
 	if _, due := f.Poll(f.NextPoll()); !due || f.NextPoll() != 2320*time.Millisecond {
-		t.Errorf("behind an answer it asks again at %v", f.NextPoll())
+		t.Errorf("after an answer the retry is at %v", f.NextPoll())
 	}
 }
--- a/internal/assignment/handover/handover_test.go
+++ b/internal/assignment/handover/handover_test.go
@@ -13,10 +13,11 @@
 
 const keys = 24
 
-// serving is a partition whose replica 0 has given way to replica 4.
+// serving is a partition in which relay 4 has replaced relay 0.
 var serving = assignment.PartitionAssignment{Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4}}
 
-// fleet is relays that send the messages of a partition as it is handed over. The test delivers what they tell one another.
+// fleet is a set of relays that send the messages of a partition during its handover. The test
+// delivers the messages between them.
 type fleet struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -25,9 +26,9 @@
 	inFlight     []sentMessage
 	next         map[uint64]int // number of the key's next message
 	knowsCurrent map[uint64]bool
-	completed    map[uint64]int // messages of a key that are over
+	completed    map[uint64]int // completed messages of each key
 	calling      map[uint64]bool
-	blockedUntil time.Duration // until when the destination has told a former replica to wait
+	blockedUntil time.Duration // until when the destination has told a previous replica to wait
 }
 
 type sentMessage struct {
@@ -38,9 +39,9 @@
 type relay struct {
 	number       assignment.Relay
 	handover     *Handover        // nil: it has not adopted the change
-	queue        map[uint64][]int // messages of each key
+	queue        map[uint64][]int // pending messages of each key
 	sending      map[uint64]bool
-	blockedUntil time.Duration // it knows of
+	blockedUntil time.Duration // as far as the relay knows
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
@@ -51,8 +52,8 @@
 	return f
 }
 
-// submit has the client of a key hand in its next message, by the replicas that it knows. One that is told of the owner goes by
-// the present ones from then on.
+// submit submits the next message of a key to the owner that the client knows. A client that is
+// rejected uses the current replicas from then on.
 func (f *fleet) submit(key uint64) {
 	replicas := serving.Previous
 	if f.knowsCurrent[key] {
@@ -96,24 +97,24 @@
 	return held
 }
 
-// send begins a call with the key's first message, if that may be.
+// send starts a call with the key's first message, if that is allowed.
 func (f *fleet) send(r *relay, key uint64) {
 	if len(r.queue[key]) == 0 || r.sending[key] || !r.maySend(key) || f.now < r.blockedUntil {
 		return
 	}
 	if f.calling[key] {
-		f.t.Fatalf("key %d has two senders, one of them relay %d", key, r.number)
+		f.t.Fatalf("key %d has two senders, one of which is relay %d", key, r.number)
 	}
 	if number := r.queue[key][0]; number != f.completed[key] {
-		f.t.Fatalf("relay %d sends message %d of key %d, and %d are over", r.number, number, key, f.completed[key])
+		f.t.Fatalf("relay %d sends message %d of key %d, of which %d are completed", r.number, number, key, f.completed[key])
 	}
 	if r.number == 4 && f.now < f.blockedUntil {
-		f.t.Fatalf("the new replica sends at %v, a former one was told to wait until %v", f.now, f.blockedUntil)
+		f.t.Fatalf("the new replica sends at %v, but a previous one was told to wait until %v", f.now, f.blockedUntil)
 	}
 	f.calling[key], r.sending[key] = true, true
 }
 
-// complete ends the key's call.
+// complete completes the key's call.
 func (f *fleet) complete(r *relay, key uint64) {
 	if !r.sending[key] {
 		return
@@ -154,8 +155,8 @@
 	f.enqueue(to, out)
 }
 
-// adopt has a relay go by the change; one that has, starts anew with what it holds. Its calls go on: what has been written of
-// a message is known to its next process.
+// adopt makes a relay adopt the change. A relay that has already is restarted with its pending
+// messages; its calls continue, since its next process knows them.
 func (f *fleet) adopt(r *relay) { r.handover = New(r.number, serving, r.pending(), 0) }
 
 func (f *fleet) checkRateShares() {
@@ -169,8 +170,9 @@
 	}
 }
 
-// Whatever is lost, late, twice and out of order, and whoever adopts when: no key has two senders, none of its messages passes
-// another, the rate is never exceeded, waits bind the new replica, and in the end all are delivered by the present replicas.
+// With lost, delayed, duplicated and reordered messages, and changes adopted at any time: no key
+// has two senders, its messages stay in order, the rate is not exceeded, the new replica respects
+// Retry-After, and in the end the current replicas deliver all messages.
 func TestHandover(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -190,19 +192,19 @@
 			}
 			for _, r := range f.relays {
 				if n := len(r.pending()); n > 0 || !r.handover.Done() {
-					t.Errorf("relay %d still holds %d; done: %v", r.number, n, r.handover.Done())
+					t.Errorf("relay %d still has %d pending; done: %v", r.number, n, r.handover.Done())
 				}
 			}
 			for key := range uint64(keys) {
 				if f.completed[key] != f.next[key] || f.next[key] == 0 {
-					t.Errorf("key %d: %d messages, %d over", key, f.next[key], f.completed[key])
+					t.Errorf("key %d: %d messages, %d completed", key, f.next[key], f.completed[key])
 				}
 			}
 		})
 	}
 }
 
-// injectFault lets something happen, drawn at random.
+// injectFault makes one random event happen.
 func (f *fleet) injectFault() {
 	r := f.relays[f.rng.IntN(len(f.relays))]
 	key := f.rng.Uint64N(keys)
@@ -216,7 +218,7 @@
 	case draw < 75 && len(f.inFlight) > 0:
 		n := f.rng.IntN(len(f.inFlight))
 		f.deliver(n)
-		if f.rng.IntN(4) > 0 { // else it comes again
+		if f.rng.IntN(4) > 0 { // else it is delivered again
 			f.inFlight = slices.Delete(f.inFlight, n, n+1)
 		}
 	case draw < 80 && len(f.inFlight) > 0:
@@ -234,7 +236,7 @@
 	}
 }
 
-// runWithoutFaults delivers all and has everyone send what they may.
+// runWithoutFaults delivers all messages between relays and sends all that is allowed.
 func (f *fleet) runWithoutFaults() {
 	f.now += 50 * time.Millisecond
 	for _, r := range f.relays {
@@ -255,33 +257,34 @@
 	}
 }
 
-// A former replica that is gone for good is waited for until control says so, and no longer.
+// A handover waits for a failed previous replica until it is marked as removed.
 func TestRemovedReplica(t *testing.T) {
 	h := New(4, serving, nil, 3)
 	other := Message{ChangeID: h.changeID, Adopted: true, Released: true}
 	for _, r := range []assignment.Relay{1, 2, 3} {
 		if _, mine := h.Receive(r, other, nil); !mine {
-			t.Fatalf("relay %d's message is not of this change", r)
+			t.Fatalf("relay %d's message is of another change", r)
 		}
 	}
 	if h.MaySendUnkeyed() || h.RateShare() != 0 || h.Done() {
-		t.Error("sends before relay 0 is heard of")
+		t.Error("sends before relay 0 has adopted the change")
 	}
 	h.MarkRemoved(0)
 	if !h.MaySendUnkeyed() || h.RateShare() != 0.25 || !h.Done() {
-		t.Errorf("relay 0 is gone: %v %v %v", h.MaySendUnkeyed(), h.RateShare(), h.Done())
+		t.Errorf("after relay 0 is removed: %v %v %v", h.MaySendUnkeyed(), h.RateShare(), h.Done())
 	}
-	h.MarkRemoved(9) // no replica
+	h.MarkRemoved(9) // not a replica
 }
 
-// What is not of this change, or of no replica, changes nothing; what is not the relay's own is named with its owner.
+// Messages of another change or of a relay that is no replica are ignored; MayAccept returns the
+// owner of a key.
 func TestIgnoresOtherChangesAndRelays(t *testing.T) {
 	h := New(4, serving, nil, 3)
 	if _, mine := h.Receive(1, Message{ChangeID: h.changeID + 1, Adopted: true}, nil); mine {
-		t.Error("another change is taken for this one")
+		t.Error("a message of another change is not ignored")
 	}
 	if _, mine := h.Receive(9, Message{ChangeID: h.changeID, Adopted: true}, nil); mine {
-		t.Error("a relay that is no replica is heard")
+		t.Error("a message of a relay that is no replica is not ignored")
 	}
 	for key := range uint64(keys) {
 		if ok, owner := h.MayAccept(key); owner != Owner(serving.Replicas, key) || ok != (owner == 4) {
@@ -290,16 +293,16 @@
 	}
 	leaves := New(0, serving, []uint64{1, 1}, 1)
 	if ok, _ := leaves.MayAccept(1); ok || leaves.released() {
-		t.Error("one that leaves takes on more, or has released what it holds")
+		t.Error("a replica that was replaced accepts messages, or has released pending ones")
 	}
 	leaves.CompletedKeyed(1)
-	leaves.CompletedKeyed(2) // never held
+	leaves.CompletedKeyed(2) // never pending
 	leaves.CompletedUnkeyed()
 	if leaves.released() || math.Abs(leaves.RateShare()-0.2) > 1e-9 {
 		t.Errorf("with one message left: released %v, share %v", leaves.released(), leaves.RateShare())
 	}
 	leaves.CompletedKeyed(1)
-	leaves.CompletedUnkeyed() // one too many
+	leaves.CompletedUnkeyed() // more often than there are messages
 	if !leaves.released() || leaves.RateShare() != 0 {
 		t.Errorf("released: %v, share %v", leaves.released(), leaves.RateShare())
 	}
--- a/internal/assignment/leave_test.go
+++ b/internal/assignment/leave_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// leavingRelays lists the relays whose replicas are given to others while they serve.
+// leavingRelays returns the relays whose state is Leaving.
 func leavingRelays(members []Member) (relays []Relay) {
 	for i, m := range members {
 		if m.State == Leaving {
@@ -16,7 +16,7 @@
 	return relays
 }
 
-// contactAll books that all relays have asked, those listed saying that they leave.
+// contactAll records contact of all relays, of those listed with a request to leave.
 func contactAll(h *RelayHealth, now time.Duration, wish ...Relay) {
 	for i := range h.locations {
 		if r := Relay(i); slices.Contains(wish, r) {
@@ -27,20 +27,20 @@
 	}
 }
 
-// A relay that leaves is given up at once, and one that changes its mind gets replicas again.
+// A relay that leaves is marked at once, and one that cancels gets replicas again.
 func TestLeaveAndCancel(t *testing.T) {
 	h := NewRelayHealth(rackLayout(40, 2), nil, 0)
 	contactAll(h, 0)
 	contactAll(h, time.Second, 6)
 	if got := leavingRelays(h.Members(time.Second)); !slices.Equal(got, []Relay{6}) {
-		t.Fatalf("given up: %v", got)
+		t.Fatalf("leaving: %v", got)
 	}
-	// A machine that was asked before tells later.
+	// another node reports an earlier contact later
 	h.RecordContact(6, 2*time.Second)
 	if got := leavingRelays(h.Members(2 * time.Second)); !slices.Equal(got, []Relay{6}) {
-		t.Errorf("behind an older report: %v", got)
+		t.Errorf("after an older report: %v", got)
 	}
-	h.RecordLeaving(6, 1500*time.Millisecond) // and another one tells of the leave
+	h.RecordLeaving(6, 1500*time.Millisecond) // another node reports the leave
 	for now := 2 * time.Second; now < 1500*time.Millisecond+unreachableAfter; now += time.Second {
 		contactAll(h, now)
 		if got := leavingRelays(h.Members(now)); !slices.Equal(got, []Relay{6}) {
@@ -49,12 +49,12 @@
 	}
 	contactAll(h, 1500*time.Millisecond+unreachableAfter)
 	if got := leavingRelays(h.Members(1500*time.Millisecond + unreachableAfter)); len(got) > 0 {
-		t.Errorf("stays after all: %v", got)
+		t.Errorf("after canceling: %v", got)
 	}
-	h.RecordLeaving(40, time.Minute) // no relay's number
+	h.RecordLeaving(40, time.Minute) // not a relay
 }
 
-// Of a zone an eighth leaves at a time, and the next ones a minute later; a zone of few relays empties one by one.
+// An eighth of a zone leaves per minute; in a zone of few relays, one by one.
 func TestLeaveLimitPerZone(t *testing.T) {
 	for _, c := range []struct{ relays, first, second int }{{64, 4, 8}, {8, 1, 2}} {
 		at := rackLayout(c.relays, 2)
@@ -84,7 +84,7 @@
 	}
 }
 
-// One that was away already when it was to leave is taken for lost, not for leaving.
+// A relay that is unreachable when it wants to leave is not marked as leaving.
 func TestUnreachableIsNotLeaving(t *testing.T) {
 	h := NewRelayHealth(rackLayout(40, 2), nil, 0)
 	contactAll(h, 0)
@@ -99,7 +99,8 @@
 	}
 }
 
-// What one control machine is asked reaches the publisher with its next report, a leave and its end.
+// A contact with one control node reaches the publisher with the next report, including a leave and
+// its end.
 func TestLeaveIsReported(t *testing.T) {
 	const publisher, other = 0, 1
 	at := rackLayout(40, 2)
@@ -117,7 +118,7 @@
 		now := time.Duration(step+1) * 10 * time.Second
 		for r := range Relay(len(at)) {
 			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7})
-			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7 && wish}) // the last question counts
+			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7 && wish}) // the last request counts
 		}
 		reports := controls[other].report(now)
 		if len(reports) != 1 || reports[0].To != publisher {
@@ -129,42 +130,42 @@
 			want = []Relay{7}
 		}
 		if got := leavingRelays(controls[publisher].health.Members(now)); !slices.Equal(got, want) {
-			t.Errorf("step %d: given up %v, want %v", step, got, want)
+			t.Errorf("step %d: leaving %v, want %v", step, got, want)
 		}
 	}
-	// A report of a machine that knows of no leaves tells who was heard.
+	// A report without leaving bits still records contacts.
 	controls[publisher].Receive(time.Minute, other, ContactReport{Relays: []uint64{1 << 7}})
 	if got := controls[publisher].health.lastContact[7]; got != time.Minute {
-		t.Errorf("heard at %v", got)
+		t.Errorf("contact at %v", got)
 	}
 }
 
-// A relay that leaves may go once it has no replicas, and not before it has said so.
+// A relay that leaves is released once it has no replicas, and only if it asked to leave.
 func TestReleased(t *testing.T) {
 	at := rackLayout(40, 2)
 	first := mustPlan(t, smallConfig, nil, at)
 	f := NewFollower(1, 3, regionKey)
 	if f.SetLeaving(true); f.Released() {
-		t.Error("it goes before it knows what it serves")
+		t.Error("released before it has a slice")
 	}
 	if _, err := f.HandleAnswer(0, first.Slice(3).Encode(regionKey)); err != nil || f.Released() {
-		t.Errorf("it goes with replicas: %v", err)
+		t.Errorf("released with replicas: %v", err)
 	}
 	if ask, due := f.Poll(time.Second); !due || !ask.Leaving {
-		t.Errorf("it asks %+v", ask)
+		t.Errorf("it requests %+v", ask)
 	}
 	at[3].State = Leaving
 	next := mustPlan(t, smallConfig, first, at)
 	next.Version = Version{first.Version.Term, first.Version.Number + 1}
 	if _, err := f.HandleAnswer(time.Second, next.Slice(3).Encode(regionKey)); err != nil || !f.Released() {
-		t.Errorf("it stays without replicas: %v", err)
+		t.Errorf("not released without replicas: %v", err)
 	}
 	if f.SetLeaving(false); f.Released() {
-		t.Error("it goes though it was not to")
+		t.Error("released after canceling")
 	}
 }
 
-// checkOneReplicaMoved checks that each partition has all replicas of the map before but one at most.
+// checkOneReplicaMoved checks that each partition keeps all but at most one of its replicas.
 func checkOneReplicaMoved(t *testing.T, before, next *Map) {
 	t.Helper()
 	for p := range Partition(smallConfig.Partitions) {
@@ -180,7 +181,8 @@
 	}
 }
 
-// Of the replicas of a partition that leave, one is given to another relay with each map; where nobody else is there, they stay.
+// Of a partition's leaving replicas, one is reassigned per map; they stay if there are no other
+// relays.
 func TestOneReplicaLeavesPerMap(t *testing.T) {
 	at := rackLayout(40, 2)
 	m := mustPlan(t, smallConfig, nil, at)
@@ -203,11 +205,12 @@
 		few[i].State = Leaving
 	}
 	if _, err := Plan(smallConfig, nil, few, nil); err != nil {
-		t.Errorf("all that are there leave: %v", err)
+		t.Errorf("all relays are leaving: %v", err)
 	}
 }
 
-// A publisher that has just begun gives nothing more to relays that it has not heard of yet, and takes nothing from them.
+// A new publisher assigns nothing more to relays that have not made contact yet, and takes nothing
+// from them.
 func TestNewPublisherWaitsForContact(t *testing.T) {
 	at := rackLayout(40, 2)
 	latest := mustPlan(t, smallConfig, nil, at)
@@ -222,7 +225,7 @@
 	}
 }
 
-// Relays that come back take one replica of a partition at a time from others.
+// Returning relays take over one replica per partition at a time.
 func TestBalanceMovesOneReplicaPerPartition(t *testing.T) {
 	at := rackLayout(40, 2)
 	for i := range 16 {
@@ -234,7 +237,7 @@
 	}
 	next := mustPlan(t, smallConfig, m, at)
 	if next.CountMoved(m) == 0 {
-		t.Fatal("nothing moves to those that came back")
+		t.Fatal("no replicas move to relays that returned")
 	}
 	checkOneReplicaMoved(t, m, next)
 }
--- a/internal/assignment/register_test.go
+++ b/internal/assignment/register_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// cluster is control machines whose messages the test delivers.
+// cluster is a set of control nodes whose messages the test delivers.
 type cluster struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -43,7 +43,8 @@
 	o.nodes[i], o.up[i] = r, true
 }
 
-// send saves what machine i must have on disk, checks what it published, and takes its messages for delivery.
+// send saves the state that node i must have on disk, checks what it published, and queues its
+// messages.
 func (o *cluster) send(i int, out []Envelope) {
 	r := o.nodes[i]
 	o.states[i] = r.PersistentState()
@@ -58,7 +59,7 @@
 	}
 }
 
-// deliver hands over the message at index n.
+// deliver delivers the message at index n.
 func (o *cluster) deliver(n int) {
 	p := o.inFlight[n]
 	o.inFlight = slices.Delete(o.inFlight, n, n+1)
@@ -67,7 +68,7 @@
 	}
 }
 
-// elect makes machine i the publisher, whatever the others' clocks say, and delivers all.
+// elect makes node i the publisher, independent of the others' timers, and delivers all messages.
 func (o *cluster) elect(i int) {
 	o.now += time.Minute
 	r := o.nodes[i]
@@ -86,12 +87,12 @@
 	o.t.Helper()
 	out, ok := o.nodes[i].Propose(o.now, m)
 	if !ok {
-		o.t.Fatalf("machine %d is not the publisher", i)
+		o.t.Fatalf("node %d is not the publisher", i)
 	}
 	o.send(i, out)
 }
 
-// publish elects machine i and has it publish a map, which all hear of.
+// publish elects node i, publishes a map on it and delivers all messages.
 func (o *cluster) publish(i int, m *Map) {
 	o.t.Helper()
 	o.elect(i)
@@ -99,23 +100,23 @@
 	o.deliverAll()
 }
 
-// Two publishers at once: the earlier one, which has not heard of the later, proposes and publishes nothing.
+// Of two concurrent publishers, the one with the earlier term publishes nothing.
 func TestSupersededPublisherPublishesNothing(t *testing.T) {
 	o := newCluster(t, 5, 1)
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	o.publish(0, m)
-	o.up[0] = false // cut off: hears nothing of the election
+	o.up[0] = false // partitioned: receives nothing of the election
 	o.publish(1, m)
 	o.up[0] = true
 	late := o.nodes[0]
 	if !late.Publishing() {
-		t.Fatal("the earlier publisher has heard of the later")
+		t.Fatal("the superseded publisher has stepped down already")
 	}
 	before := late.Published().Version
 	o.propose(0, m)
 	o.deliverAll()
 	if late.Publishing() || late.Published().Version == before {
-		// It has stepped down, and knows the later one's map from its heartbeat.
+		// It has stepped down, and learns the later publisher's map from its heartbeat.
 		o.now += heartbeatInterval
 		o.send(1, o.nodes[1].Tick(o.now))
 		o.deliverAll()
@@ -123,13 +124,13 @@
 	want := o.nodes[1].Published().Version
 	for i, r := range o.nodes {
 		if r.Published().Version != want {
-			t.Errorf("machine %d has %v, the publisher %v", i, r.Published().Version, want)
+			t.Errorf("node %d has %v, the publisher %v", i, r.Published().Version, want)
 		}
 	}
 }
 
-// A map that a majority accepted before its publisher died is published by the next one, though nobody was told of it; it is
-// the ground of all later ones.
+// A map that a majority accepted before its publisher failed is published by the next one, and
+// later maps are planned from it.
 func TestAcceptedMapSurvivesPublisher(t *testing.T) {
 	o := newCluster(t, 5, 1)
 	members := rackLayout(40, 2)
@@ -140,7 +141,7 @@
 	o.propose(0, second)
 	for len(o.inFlight) > 0 {
 		if _, ok := o.inFlight[0].Message.(Accept); !ok {
-			o.inFlight = o.inFlight[1:] // no answer comes back
+			o.inFlight = o.inFlight[1:] // answers are lost
 			continue
 		}
 		o.deliver(0)
@@ -152,7 +153,7 @@
 	}
 }
 
-// A machine that starts anew keeps the promises that it gave before.
+// A restarted node keeps its promises.
 func TestPromisesSurviveRestart(t *testing.T) {
 	o := newCluster(t, 3, 1)
 	o.elect(0)
@@ -165,7 +166,8 @@
 	}
 }
 
-// Bad messages change nothing: torn and forged maps, one of another term, one older than what was accepted.
+// Invalid messages change nothing: truncated and forged maps, one of another term, one older than
+// the accepted one.
 func TestRegisterRejectsInvalidMessages(t *testing.T) {
 	o := newCluster(t, 3, 1)
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
@@ -184,27 +186,27 @@
 		}
 	}
 	if out := r.Receive(o.now, 0, Accept{term, good}); len(out) != 1 || out[0].Message != (Accepted{term, 2}) {
-		t.Errorf("the good one: %+v", out)
+		t.Errorf("a valid map: %+v", out)
 	}
 	r.Receive(o.now, 0, Published{term, good[:10]})
 	if r.Published().Version.Number != 1 {
-		t.Error("a torn map is published")
+		t.Error("a truncated map is published")
 	}
 	for _, n := range []int{0, -1, MaxControlNodes + 1} {
 		if _, err := NewRegister(0, n, regionKey, 1, PersistentState{}); err == nil {
-			t.Errorf("%d control machines", n)
+			t.Errorf("%d control nodes", n)
 		}
 	}
 	if _, err := NewRegister(0, 3, regionKey, 1, PersistentState{AcceptedMap: good[:20]}); err == nil {
-		t.Error("a torn map on disk is taken")
+		t.Error("a truncated accepted map on disk is loaded")
 	}
 	if _, err := NewRegister(0, 3, regionKey, 1, PersistentState{PublishedMap: good[:20]}); err == nil {
-		t.Error("a torn published map on disk is taken")
+		t.Error("a truncated published map on disk is loaded")
 	}
 }
 
-// Whatever is lost, late, out of order, cut or restarted, no two different maps are published under one number; and with the
-// trouble over, maps are published again.
+// With lost, delayed and reordered messages, stopped and restarted nodes, no two different maps are
+// published with the same number; after the faults, maps are published again.
 func TestMapsAreTotallyOrdered(t *testing.T) {
 	members := rackLayout(40, 2)
 	for seed := range uint64(60) {
@@ -227,18 +229,18 @@
 				o.runWithoutFaults(maps)
 			}
 			if len(o.published) <= before || before == 0 {
-				t.Errorf("%d maps published in trouble, %d after it", before, len(o.published)-before)
+				t.Errorf("%d maps published with faults, %d after them", before, len(o.published)-before)
 			}
 		})
 	}
 }
 
-// injectFault lets something happen, drawn at random.
+// injectFault makes one random event happen.
 func (o *cluster) injectFault(maps []*Map) {
 	i := o.rng.IntN(len(o.nodes))
 	switch draw := o.rng.IntN(100); {
 	case draw < 60 && len(o.inFlight) > 0:
-		o.deliver(o.rng.IntN(len(o.inFlight))) // in any order
+		o.deliver(o.rng.IntN(len(o.inFlight))) // reordered
 	case draw < 70 && len(o.inFlight) > 0:
 		o.inFlight = slices.Delete(o.inFlight, 0, 1) // lost
 	case draw < 90 && o.up[i]:
@@ -254,7 +256,7 @@
 	}
 }
 
-// runWithoutFaults gives all the time, and delivers all that is sent.
+// runWithoutFaults ticks all nodes and delivers all messages.
 func (o *cluster) runWithoutFaults(maps []*Map) {
 	o.now += 50 * time.Millisecond
 	for i, r := range o.nodes {
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -46,9 +46,10 @@
 	return p
 }
 
-// Whatever is planned and lost: all that is wanted is served or refused; no zone serves more than it takes, and of others' load no more than its part of the
-// headroom; nothing goes to the lost one; load goes to tiers that the site names; and no class is refused for clients of a zone at a destination while one that
-// is refused before it spilled from there.
+// For any plan and loss: all demand is served or refused; no zone exceeds its capacity, or its
+// spill fraction with other zones' load; nothing goes to the lost zone; load goes to the site's
+// tiers only; and no class is refused for a zone's clients at a destination while one that is
+// refused before it is spilled from there.
 func TestForecastInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
@@ -73,7 +74,7 @@
 				}
 			}
 			if !approxEqual(sum, wanted) {
-				t.Fatalf("%.3f wanted, %.3f served or refused", wanted, sum)
+				t.Fatalf("%.3f demanded, %.3f served or refused", wanted, sum)
 			}
 		}
 		for _, d := range p.Destinations {
@@ -103,7 +104,7 @@
 					}
 				}
 				if n > most*max(0, d.Capacity[z]-own[z])+1e-6 {
-					t.Fatalf("%.3f spilt to %s, which has %.3f of %.3f left and gives %.2f of it", n, z, d.Capacity[z]-own[z], d.Capacity[z], most)
+					t.Fatalf("%.3f spilled to %s, which has %.3f of %.3f left, of which %.2f may be used", n, z, d.Capacity[z]-own[z], d.Capacity[z], most)
 				}
 			}
 			for _, r := range f.Refused {
@@ -114,7 +115,7 @@
 				}
 			}
 		}
-		// The order of the file does not matter.
+		// The order of sites in the plan does not matter.
 		slices.Reverse(p.Sites)
 		again, _ := p.ForecastLoss(lost)
 		for i, s := range f.After {
@@ -124,13 +125,14 @@
 		}
 		for _, z := range f.Zones {
 			if z.Zone != lost && z.After > z.Capacity+1e-6 {
-				t.Fatalf("%+v serves more than it takes", z)
+				t.Fatalf("%+v exceeds its capacity", z)
 			}
 		}
 	})
 }
 
-// The example by hand: first tier, second tier, what is refused, and what has nowhere to go.
+// An example with load in the first and second tier, refused load, and a destination without
+// remaining endpoints.
 func TestForecastLossExample(t *testing.T) {
 	p := &Plan{RefuseFirst: refuseOrder, Ramp: DefaultRamp, Sites: []Site{{"a", []Tier{{[]string{"b"}, 0.5}, {[]string{"c"}, 1}}}, {"b", nil}, {"c", nil}},
 		Destinations: []Destination{{1, map[string]float64{"a": 50, "b": 40, "c": 10}, map[string]map[string]float64{"a": {"charge": 5, "order": 10, "alert": 20}, "b": {"alert": 20}}},
@@ -139,21 +141,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// b gives 10 of its 20 left, c all of its 10: 20 for 35 of a's clients.
+	// b may use 10 of its headroom of 20, c all of its 10: 20 for a's demand of 35.
 	want := []Flow{{1, "a", "b", 1, "charge", 5}, {1, "a", "b", 1, "order", 5}, {1, "a", "c", 2, "order", 5}, {1, "a", "c", 2, "alert", 5}}
 	if !reflect.DeepEqual(f.Flows, want) || !slices.Equal(f.Unserved, []int{2}) || f.MinReturnSeconds != 30 {
-		t.Errorf("%+v, nowhere %v", f.Flows, f.Unserved)
+		t.Errorf("%+v, unserved %v", f.Flows, f.Unserved)
 	}
 	if a := f.After; a[0].Served != 25 || a[0].Refused != 15 || a[1].Refused != 4 || a[2].ServedFraction() != 1 || f.Before[1].Refused != 3 {
 		t.Errorf("before %+v, after %+v", f.Before, a)
 	}
 	if _, err := p.ForecastLoss("d"); err == nil {
-		t.Error("a zone that there is not is lost")
+		t.Error("an unknown zone is lost")
 	}
 	if f, err := (&Plan{Sites: p.Sites}).ForecastLoss("b"); err != nil || len(f.Notes) != 1 {
-		t.Errorf("no figures: %v %+v", err, f)
+		t.Errorf("without destinations: %v %+v", err, f)
 	}
-	// Survivors that are full already take nothing, and it is said.
+	// Sites that are full already take nothing, and a note says so.
 	p.Destinations[0].Demand["b"]["alert"] = 39
 	if f, _ := p.ForecastLoss("a"); f.Zones[1].After != 39.5 || len(f.Notes) != 2 {
 		t.Errorf("%+v %v", f.Zones, f.Notes)
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -13,7 +13,8 @@
 
 const second = time.Second
 
-// newTestWatch is a relay of b that knows two endpoints of destination 1 in each of a, b and c, and one of destination 2 in a alone.
+// newTestWatch returns the watch of a relay in b that knows two endpoints of destination 1 in each
+// of a, b and c, and one of destination 2 in a only.
 func newTestWatch() *Watch {
 	plan := &Plan{Ramp: 10 * second, RefuseFirst: []string{"alert", "order", "charge"}, Sites: []Site{
 		{Zone: "a", Tiers: []Tier{{[]string{"b"}, 0.8}, {[]string{"c"}, 0.5}}}, {Zone: "b", Tiers: []Tier{{[]string{"a", "c"}, 0.8}}}, {Zone: "c", Tiers: []Tier{{[]string{"a"}, 0.8}}}}}
@@ -30,7 +31,7 @@
 	return w
 }
 
-// advance moves on by so long, with a call each half second to the given endpoint.
+// advance advances the time by span, with a call to the given endpoint every 500 ms.
 func advance(w *Watch, now *Time, span time.Duration, address string, how CallOutcome) {
 	for end := *now + span; *now < end; {
 		*now += 250 * time.Millisecond
@@ -41,7 +42,7 @@
 	}
 }
 
-// What evidence makes of a site.
+// Evidence determines a site's state.
 func TestStates(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -51,24 +52,24 @@
 		cut  bool
 	}{
 		{"nothing", func(w *Watch, now *Time) { advance(w, now, 10*second, "", Accepted) }, Healthy, "nothing", false},
-		{"all is taken", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Accepted) }, Healthy, "nothing", false},
+		{"all accepted", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Accepted) }, Healthy, "nothing", false},
 		{"two fail", func(w *Watch, now *Time) {
 			advance(w, now, 1*second, "a0", Failed)
 			advance(w, now, 5*second, "", Failed)
 		}, Healthy, "", false},
-		{"its endpoints fail, its relays live", func(w *Watch, now *Time) { advance(w, now, 4*second, "a0", Failed) }, Lost, "4 of 4 relays live", false},
-		{"not at once, since they live", func(w *Watch, now *Time) { advance(w, now, 1500*time.Millisecond, "a0", Failed) }, Healthy, "", false},
-		{"with its relays, sooner", func(w *Watch, now *Time) {
+		{"its endpoints fail, its relays are alive", func(w *Watch, now *Time) { advance(w, now, 4*second, "a0", Failed) }, Lost, "4 of 4 relays live", false},
+		{"not at once, since its relays are alive", func(w *Watch, now *Time) { advance(w, now, 1500*time.Millisecond, "a0", Failed) }, Healthy, "", false},
+		{"endpoints and relays fail: sooner", func(w *Watch, now *Time) {
 			w.SetRelayCounts("a", 4, 0)
 			advance(w, now, 1750*time.Millisecond, "a0", Failed)
 		}, Lost, "4 of 4 relays are away", false},
-		{"only silence", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 0); advance(w, now, 4*second, "a0", NoResponse) }, Lost, "", true},
-		{"full is not lost", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Rejected) }, Healthy, "", false},
-		{"others say so", func(w *Watch, now *Time) {
+		{"no responses", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 0); advance(w, now, 4*second, "a0", NoResponse) }, Lost, "", true},
+		{"overloaded is not lost", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Rejected) }, Healthy, "", false},
+		{"other relays report it", func(w *Watch, now *Time) {
 			w.SetPeerReports("a", minReporters, nil)
 			advance(w, now, 3*second, "a0", Failed)
 		}, Lost, "as others see", false},
-		{"one voice is not enough", func(w *Watch, now *Time) {
+		{"one reporter is not enough", func(w *Watch, now *Time) {
 			w.SetPeerReports("a", 1, nil)
 			advance(w, now, 1*second, "a0", Failed)
 			advance(w, now, 8*second, "", Failed)
@@ -81,11 +82,11 @@
 				w.RecordCall(*now, *now, "a0", Failed)
 			}
 		}, Degraded, "calls failed", false},
-		{"its relays are away, its endpoints answer", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 1); advance(w, now, 5*second, "a0", Accepted) }, Degraded, "3 of 4 relays are away", false},
-		{"others get through all the time", func(w *Watch, now *Time) {
+		{"its relays are dead, its endpoints answer", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 1); advance(w, now, 5*second, "a0", Accepted) }, Degraded, "3 of 4 relays are away", false},
+		{"calls of other relays are accepted", func(w *Watch, now *Time) {
 			for range 12 {
 				advance(w, now, 500*time.Millisecond, "a0", Failed)
-				w.ApplyFleetStats(*now+3*second, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // news of what comes after this relay's first failure
+				w.ApplyFleetStats(*now+3*second, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // later than this relay's first failure
 			}
 		}, Degraded, "cut off from here alone", false},
 	} {
@@ -98,7 +99,7 @@
 	}
 }
 
-// A zone that has relays only goes by these.
+// A zone that only has relays is lost if they are dead.
 func TestZoneWithoutEndpoints(t *testing.T) {
 	w := newTestWatch()
 	for i := range 6 {
@@ -109,11 +110,11 @@
 	}
 	w.SetRelayCounts("c", 4, 0)
 	if w.Tick(second); w.State("c") != Lost {
-		t.Error("all of its relays are away")
+		t.Error("not lost though all of its relays are dead")
 	}
 	w.SetRelayCounts("c", 4, 1)
 	if w.Tick(2 * second); w.State("c") != Healthy {
-		t.Error("a relay is back")
+		t.Error("still lost though a relay is back")
 	}
 }
 
@@ -122,7 +123,8 @@
 	advance(w, now, 3*second, "a0", Failed)
 }
 
-// The return: by steps while calls are taken, not below what is proved, lower and slower after a fresh failure, and never longer than bounded for one that serves.
+// A returning site's load grows while calls are accepted, falls to the proven fraction after a new
+// failure and then grows more slowly, and reaches its full load in bounded time.
 func TestReturn(t *testing.T) {
 	w, now := newTestWatch(), Time(0)
 	loseSiteA(w, &now)
@@ -139,12 +141,12 @@
 	advance(w, &now, 5*second, "a0", Accepted)
 	half := w.LoadFraction("a")
 	if half < 0.5 || half > 0.7 {
-		t.Errorf("level %v after half of the ramp", half)
+		t.Errorf("load fraction %v after half of the ramp", half)
 	}
-	w.RecordCall(now, w.Statuses()[0].Since-second, "a0", Failed) // it began before the return
+	w.RecordCall(now, w.Statuses()[0].Since-second, "a0", Failed) // started before the return
 	w.RecordCall(now, w.Statuses()[0].Since-second, "a0", Failed)
 	if advance(w, &now, 250*time.Millisecond, "", Accepted); w.LoadFraction("a") < half {
-		t.Error("what began before the return counts against it")
+		t.Error("calls from before the return count against it")
 	}
 	for range 3 {
 		w.RecordCall(now, now, "a0", Failed)
@@ -152,20 +154,21 @@
 	w.RecordCall(now, now, "a3", Accepted)
 	advance(w, &now, 250*time.Millisecond, "", Accepted)
 	if l := w.LoadFraction("a"); w.State("a") != Returning || l > half*0.6 || l < half*0.4 {
-		t.Errorf("after a fresh failure %v at %v, %v before", w.State("a"), l, half)
+		t.Errorf("after a new failure %v at %v, %v before", w.State("a"), l, half)
 	}
 	advance(w, &now, 5*second, "a0", Accepted)
 	if l := w.LoadFraction("a"); l > half*0.6+5.0/20+0.05 {
-		t.Errorf("no slower the second time: %v", l)
+		t.Errorf("not slower the second time: %v", l)
 	}
 	loseSiteA(w, &now)
 	if w.State("a") != Lost {
-		t.Fatal("dark in its ramp, and not lost")
+		t.Fatal("no calls succeed while it returns, but it is not lost")
 	}
 	if w.RecordCall(now, now, "a0", Accepted); w.State("a") == Returning && now < w.byZone["a"].holdDownUntil {
-		t.Error("tried again at once")
+		t.Error("probed again at once")
 	}
-	// However often it flapped: one that answers all is whole within the hold and the slowest ramp.
+	// However often its return failed, a site that accepts all calls is healthy after the hold-down
+	// and the slowest ramp.
 	for range 9 {
 		advance(w, &now, 9*second, "a0", Accepted)
 		loseSiteA(w, &now)
@@ -177,12 +180,13 @@
 	}
 }
 
-// A returning site has its part of the calls, by how many endpoints of a destination are there; charges wait until half of it is proved. What is there alone is bound by its own ramp.
+// A returning site gets its share of calls by its endpoints of a destination; calls that must not
+// be repeated wait until half of its load is proven.
 func TestReturningSiteShare(t *testing.T) {
 	w, now := newTestWatch(), Time(0)
 	loseSiteA(w, &now)
 	if w.Allows(1, "a", true) || !w.Allows(2, "a", true) || !w.Allows(1, "b", true) || w.EndpointCost("b") != 0 || w.EndpointCost("c") <= 0 {
-		t.Error("lost: who may go where")
+		t.Error("a is lost: wrong zones are allowed or preferred")
 	}
 	w.RecordCall(now, now, "a0", Accepted)
 	w.byZone["a"].loadFraction = 0.3
@@ -194,20 +198,21 @@
 			there++
 		}
 		if w.Allows(1, "a", true) {
-			t.Fatal("a charge goes to what is not proved")
+			t.Fatal("a call that must not be repeated goes to a site with an unproven load fraction")
 		}
 		w.CallSent(1, zone)
 	}
-	if there < 95 || there > 105 { // a third of the endpoints, at 0.3
+	if there < 95 || there > 105 { // a third of the endpoints, at a fraction of 0.3
 		t.Errorf("%d of 1000 calls", there)
 	}
 	w.byZone["a"].loadFraction, w.byZone["a"].callCredit = 0.6, 1
 	if !w.Allows(1, "a", true) {
-		t.Error("no charge goes to what is proved")
+		t.Error("a call that must not be repeated is not allowed above the proven fraction")
 	}
 }
 
-// The whole fleet tries a lost site at one rate, whatever its size, and never with charges.
+// The whole fleet probes a lost site at one rate, independent of its size, and never with calls
+// that must not be repeated.
 func TestFleetProbeRate(t *testing.T) {
 	for _, each := range []int{1, 27, 100} {
 		tries := 0
@@ -219,13 +224,13 @@
 			w.SetRelayCounts("b", each-1, each-1)
 			w.SetRelayCounts("c", each, each)
 			w.SetManuallyOut(0, "a", true)
-			w.byZone["a"].manuallyOut = false // lost, and not by hand
+			w.byZone["a"].manuallyOut = false // lost, but not taken out manually
 			now := Time(0)
 			for now < 300*second {
 				now += 250 * time.Millisecond
 				if w.Tick(now); w.Allows(1, "a", false) {
 					if w.Allows(1, "a", true) || w.EndpointCost("a") != probeDueCost {
-						t.Fatal("a charge, or not the first choice")
+						t.Fatal("the probe must not be repeated, or the endpoint is not preferred")
 					}
 					w.CallSent(1, "a")
 					w.RecordCall(now, now, "a0", Failed)
@@ -233,13 +238,14 @@
 				}
 			}
 		}
-		if tries < 400 || tries > 800 { // two a second
-			t.Errorf("%d relays: %d tries in 300 s", 2*each, tries)
+		if tries < 400 || tries > 800 { // two per second
+			t.Errorf("%d relays: %d probes in 300 s", 2*each, tries)
 		}
 	}
 }
 
-// Spill and own calls together stay within what the plan leaves to a site, over all relays, and fall where it refuses.
+// Spilled and own calls of all relays together stay within the plan's capacity, and fall when the
+// site rejects calls.
 func TestSpillIsBounded(t *testing.T) {
 	p := newTestWatch().plan
 	p.Destinations = []Destination{{1, map[string]float64{"a": 100, "b": 100, "c": 100}, map[string]map[string]float64{"a": {"alert": 60}, "b": {"alert": 60}, "c": {"alert": 80}}}}
@@ -269,7 +275,7 @@
 		}
 	}
 	if b, c := sum["b"], sum["c"]; sum["a"] != 0 || b < 60 || b > imbalanceFactor*100 || c < 80 || c > imbalanceFactor*100 {
-		t.Errorf("%v may go there from all", sum)
+		t.Errorf("%v calls per second are allowed in total", sum)
 	}
 	was := first.Statuses()[2].MaxSpillRate
 	now := 10 * second
@@ -279,10 +285,10 @@
 		first.Tick(now)
 	}
 	if is := first.Statuses()[2].MaxSpillRate; is >= was || is <= 0 {
-		t.Errorf("%v before refusals, %v after", was, is)
+		t.Errorf("%v before rejections, %v after", was, is)
 	}
 	sent := 0
-	for range 200 { // a burst meets the bound
+	for range 200 { // a burst is limited too
 		if first.Allows(1, "c", false) {
 			first.CallSent(1, "c")
 			sent++
@@ -293,32 +299,32 @@
 	}
 }
 
-// addRecent books calls without their endpoint.
+// addRecent records calls without their endpoint.
 func (w *Watch) addRecent(zone string, c counts) { w.byZone[zone].recent[0].add(c) }
 
-// A plan that is read again as it was is no other plan.
+// Reloading an unchanged plan keeps the watch.
 func TestHasPlan(t *testing.T) {
 	w, same := newTestWatch(), newTestWatch().plan
 	if !w.HasPlan(same, "b") || w.HasPlan(same, "a") || w.HasPlan(nil, "b") {
-		t.Error("the same plan is another, or another the same")
+		t.Error("HasPlan is wrong for the same plan, another home zone or no plan")
 	}
 	if same.Ramp++; w.HasPlan(same, "b") {
-		t.Error("another ramp is the same plan")
+		t.Error("a plan with another ramp is taken for the same")
 	}
 }
 
-// Out by hand: nothing goes there, nothing is tried, and it comes back by the ramp.
+// A site that is taken out manually gets no calls or probes, and returns by the ramp.
 func TestManuallyOut(t *testing.T) {
 	w, now := newTestWatch(), Time(0)
 	if w.SetManuallyOut(now, "z", true) || !w.SetManuallyOut(now, "a", true) || !w.Statuses()[0].ManuallyOut {
 		t.Fatal("not taken out")
 	}
-	advance(w, &now, 30*second, "a0", Accepted) // calls that are out end well
+	advance(w, &now, 30*second, "a0", Accepted) // calls in flight succeed
 	if w.State("a") != Lost || w.Allows(1, "a", false) || w.Allows(2, "a", false) {
-		t.Error("it is in again")
+		t.Error("the site is back in service")
 	}
 	if _, says := w.OwnReport("a"); says {
-		t.Error("others are told of what one operator did at one relay")
+		t.Error("one operator's action on one relay is reported to the others")
 	}
 	w.SetManuallyOut(now, "a", false)
 	if w.State("a") != Returning || w.LoadFraction("a") != initialFraction {
@@ -326,35 +332,36 @@
 	}
 }
 
-// Order of refusal, attempts and words.
+// Order of shedding, number of attempts and reports.
 func TestPriorityAttemptsAndReports(t *testing.T) {
 	w, now := newTestWatch(), Time(0)
 	if w.ShedPriority("alert") != 0 || w.MaxAttempts(1, 6) != 6 || w.SiteLost() {
-		t.Error("nothing is lost")
+		t.Error("values differ from normal though no site is lost")
 	}
 	loseSiteA(w, &now)
 	if !(w.ShedPriority("unnamed") > w.ShedPriority("alert") && w.ShedPriority("alert") > w.ShedPriority("order") && w.ShedPriority("order") > w.ShedPriority("charge") && w.ShedPriority("charge") == 0) || w.MaxAttempts(1, 6) != 3 || w.MaxAttempts(1, 1) != 1 || w.MaxAttempts(2, 6) != 6 {
-		t.Error("order or attempts")
+		t.Error("wrong shed priority or number of attempts")
 	}
 	if l, ok := w.OwnReport("a"); !ok || l != 0 {
-		t.Errorf("says %v, %v", l, ok)
+		t.Errorf("reports %v, %v", l, ok)
 	}
 	if _, ok := w.OwnReport("b"); ok {
-		t.Error("says something of what is whole")
+		t.Error("reports on a healthy site")
 	}
-	// Others get through: it is given what they give it, and they may be followed without a call of its own.
+	// Calls of other relays succeed: this one uses their load fraction, without a call of its own.
 	w.SetPeerReports("a", 0, []float64{0.2})
 	if advance(w, &now, second, "", Accepted); w.State("a") != Lost {
-		t.Error("one voice is enough")
+		t.Error("one reporter is enough")
 	}
 	w.SetPeerReports("a", 0, []float64{0.2, 0.4, 0.9})
 	if advance(w, &now, second, "", Accepted); w.State("a") != Returning || w.LoadFraction("a") < 0.4 || w.LoadFraction("a") > 0.6 {
 		t.Errorf("%+v", w.Statuses()[0])
 	}
 	if _, ok := w.OwnReport("a"); ok {
-		t.Error("passes on what it has not seen itself")
+		t.Error("reports what it has not observed itself")
 	}
-	// A relay that has just started hears that it was lost: what is there alone is cold to it.
+	// A relay that has just started learns of a loss from others, and treats endpoints there as
+	// cold.
 	young := newTestWatch()
 	young.SetPeerReports("a", minReporters, nil)
 	young.Tick(second)
@@ -363,13 +370,14 @@
 	}
 }
 
-// Whatever happens: levels are parts, only known steps are made, an endpoint of a site that is not lost is never shut out for good, and what serves is whole again in bounded time.
+// For any course of events: load fractions are valid, only known state changes happen, endpoints
+// are open if no site is lost, and a site that accepts all calls is healthy in bounded time.
 func TestWatchInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := newTestWatch(), Time(0)
 		was := map[string]State{}
 		may := map[[2]State]bool{{Healthy, Degraded}: true, {Healthy, Lost}: true, {Degraded, Healthy}: true, {Degraded, Lost}: true, {Lost, Returning}: true, {Returning, Lost}: true, {Returning, Healthy}: true, {Returning, Returning}: true,
-			{Healthy, Healthy}: true, {Lost, Lost}: true} // others' word, and an operator's
+			{Healthy, Healthy}: true, {Lost, Lost}: true} // from other relays' reports, and by operators
 		look := func() {
 			for _, c := range w.Changes() {
 				if c.From != was[c.Zone] || !may[[2]State{c.From, c.To}] {
@@ -384,14 +392,14 @@
 				}
 				lossy = lossy || st.State == "lost" || st.State == "returning"
 				if st.ManuallyOut && w.Allows(1, st.Zone, false) {
-					t.Fatal("out, and open")
+					t.Fatal("taken out, but allowed")
 				}
 			}
 			if lossy != w.SiteLost() {
-				t.Fatalf("lossy %v: %+v", w.SiteLost(), w.Statuses())
+				t.Fatalf("site lost %v: %+v", w.SiteLost(), w.Statuses())
 			}
 			if !lossy && !(w.Allows(1, "a", true) && w.Allows(1, "b", true) && w.MaxAttempts(1, 6) == 6) {
-				t.Fatal("nothing is lost, and something is shut")
+				t.Fatal("no site is lost, but something is restricted")
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -424,7 +432,7 @@
 		look()
 		for _, st := range w.Statuses() {
 			if st.State != "whole" {
-				t.Fatalf("serves all, and is %+v", st)
+				t.Fatalf("accepts all calls, but is %+v", st)
 			}
 		}
 	})
