--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -73,10 +73,10 @@
 		t.Errorf("%d replicas moved for an unreachable relay", m.CountMoved(same))
 	}
 	members[7].State = Removed
-	gone := mustPlan(t, smallConfig, m, members)
-	checkPlan(t, gone, members)
+	withoutRelay7 := mustPlan(t, smallConfig, m, members)
+	checkPlan(t, withoutRelay7, members)
 	members[7].State = Live
-	checkPlan(t, mustPlan(t, smallConfig, gone, members), members)
+	checkPlan(t, mustPlan(t, smallConfig, withoutRelay7, members), members)
 }
 
 // Partitions are served even if there are too few zones and racks.
@@ -88,33 +88,35 @@
 			members[i].State = Removed
 		}
 	}
-	one := mustPlan(t, smallConfig, m, members)
-	for p := range one.Partitions() {
-		for _, r := range one.Replicas(Partition(p)) {
+	oneZone := mustPlan(t, smallConfig, m, members)
+	for p := range oneZone.Partitions() {
+		for _, r := range oneZone.Replicas(Partition(p)) {
 			if members[r].Zone == 1 {
-				t.Fatalf("partition %d: %v", p, one.Replicas(Partition(p)))
+				t.Fatalf("partition %d: %v", p, oneZone.Replicas(Partition(p)))
 			}
 		}
 	}
 	members[0].State = Removed
-	if _, err := Plan(smallConfig, one, members, nil); !errors.Is(err, ErrTooFewRelays) {
+	if _, err := Plan(smallConfig, oneZone, members, nil); !errors.Is(err, ErrTooFewRelays) {
 		t.Errorf("three relays, four replicas: %v", err)
 	}
 }
 
 func TestPlanOutOfBounds(t *testing.T) {
-	for _, shape := range []MapConfig{{}, {Partitions: 1}, {Partitions: MaxPartitions + 1, Replicas: 1}, {Partitions: 1, Replicas: MaxReplicas + 1}} {
-		if _, err := Plan(shape, nil, rackLayout(40, 2), nil); !errors.Is(err, ErrOutOfRange) {
-			t.Errorf("%+v: %v", shape, err)
+	for _, config := range []MapConfig{
+		{}, {Partitions: 1}, {Partitions: MaxPartitions + 1, Replicas: 1}, {Partitions: 1, Replicas: MaxReplicas + 1},
+	} {
+		if _, err := Plan(config, nil, rackLayout(40, 2), nil); !errors.Is(err, ErrOutOfRange) {
+			t.Errorf("%+v: %v", config, err)
 		}
 	}
 	if _, err := Plan(smallConfig, nil, rackLayout(MaxRelays+1, 2), nil); !errors.Is(err, ErrOutOfRange) {
 		t.Errorf("relays: %v", err)
 	}
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
-	for _, shape := range []MapConfig{{1, 32, 4}, {1, 64, 3}, {2, 64, 4}} {
-		if _, err := Plan(shape, m, rackLayout(40, 2), nil); !errors.Is(err, ErrConfigChanged) {
-			t.Errorf("%+v: %v", shape, err)
+	for _, config := range []MapConfig{{1, 32, 4}, {1, 64, 3}, {2, 64, 4}} {
+		if _, err := Plan(config, m, rackLayout(40, 2), nil); !errors.Is(err, ErrConfigChanged) {
+			t.Errorf("%+v: %v", config, err)
 		}
 	}
 }
@@ -124,32 +126,39 @@
 func TestDecodeRejectsTruncatedAndForged(t *testing.T) {
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	for name, c := range map[string]struct {
-		whole  []byte
-		decode func([]byte, Key) error
+		encoded []byte
+		decode  func([]byte, Key) error
 	}{
-		"map":   {m.Encode(regionKey), func(b []byte, k Key) error { _, err := DecodeMap(b, k); return err }},
-		"slice": {m.Slice(3).Encode(regionKey), func(b []byte, k Key) error { _, err := DecodeSlice(b, k); return err }},
+		"map": {m.Encode(regionKey), func(b []byte, k Key) error {
+			_, err := DecodeMap(b, k)
+			return err
+		}},
+		"slice": {m.Slice(3).Encode(regionKey), func(b []byte, k Key) error {
+			_, err := DecodeSlice(b, k)
+			return err
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := c.decode(c.whole, regionKey); err != nil {
+			if err := c.decode(c.encoded, regionKey); err != nil {
 				t.Fatal(err)
 			}
-			for n := range c.whole {
-				if err := c.decode(c.whole[:n], regionKey); !errors.Is(err, ErrTruncated) {
-					t.Fatalf("%d of %d bytes: %v", n, len(c.whole), err)
+			for n := range c.encoded {
+				if err := c.decode(c.encoded[:n], regionKey); !errors.Is(err, ErrTruncated) {
+					t.Fatalf("%d of %d bytes: %v", n, len(c.encoded), err)
 				}
 			}
-			if err := c.decode(append(slices.Clone(c.whole), 0), regionKey); !errors.Is(err, ErrTruncated) {
+			if err := c.decode(append(slices.Clone(c.encoded), 0), regionKey); !errors.Is(err, ErrTruncated) {
 				t.Errorf("a byte too many: %v", err)
 			}
-			for bit := range 8 * len(c.whole) {
-				b := slices.Clone(c.whole)
+			for bit := range 8 * len(c.encoded) {
+				b := slices.Clone(c.encoded)
 				b[bit/8] ^= 1 << (bit % 8)
-				if err := c.decode(b, regionKey); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrBadSignature) && !errors.Is(err, ErrFormat) {
+				if err := c.decode(b, regionKey); !errors.Is(err, ErrTruncated) &&
+					!errors.Is(err, ErrBadSignature) && !errors.Is(err, ErrFormat) {
 					t.Fatalf("bit %d changed: %v", bit, err)
 				}
 			}
-			if err := c.decode(c.whole, Key("another")); !errors.Is(err, ErrBadSignature) {
+			if err := c.decode(c.encoded, Key("another")); !errors.Is(err, ErrBadSignature) {
 				t.Errorf("another key: %v", err)
 			}
 		})
@@ -161,13 +170,19 @@
 
 // A signed but invalid slice is rejected with ErrFormat.
 func TestDecodeRejectsInvalidSignedSlice(t *testing.T) {
-	good := func() *Slice {
-		return &Slice{Region: 1, Version: Version{1, 1}, Relay: 3, Partitions: 64, Replication: 2, Assignments: []PartitionAssignment{{5, []Relay{1, 3}, []Relay{1, 3}}, {9, []Relay{3, 4}, []Relay{2, 4}}}}
+	validSlice := func() *Slice {
+		return &Slice{
+			Region: 1, Version: Version{1, 1}, Relay: 3, Partitions: 64, Replication: 2,
+			Assignments: []PartitionAssignment{
+				{5, []Relay{1, 3}, []Relay{1, 3}},
+				{9, []Relay{3, 4}, []Relay{2, 4}},
+			},
+		}
 	}
-	if _, err := DecodeSlice(good().Encode(regionKey), regionKey); err != nil {
+	if _, err := DecodeSlice(validSlice().Encode(regionKey), regionKey); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Slice){
+	for name, corrupt := range map[string]func(*Slice){
 		"a partition beyond the last": func(s *Slice) { s.Assignments[1].Partition = 64 },
 		"a partition twice":           func(s *Slice) { s.Assignments[1].Partition = 5 },
 		"partitions out of order":     func(s *Slice) { s.Assignments[1].Partition = 4 },
@@ -178,8 +193,8 @@
 		"no partitions":               func(s *Slice) { s.Partitions = 0 },
 		"too many partitions":         func(s *Slice) { s.Partitions = MaxPartitions + 1 },
 	} {
-		s := good()
-		spoil(s)
+		s := validSlice()
+		corrupt(s)
 		if _, err := DecodeSlice(s.Encode(regionKey), regionKey); !errors.Is(err, ErrFormat) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -216,7 +231,7 @@
 	for ; m.Slice(relay).same(other.Slice(relay)); relay++ {
 	}
 	f := NewFollower(1, relay, regionKey)
-	take := func(b []byte, want error) {
+	handle := func(b []byte, want error) {
 		t.Helper()
 		before := f.LatestVersion()
 		_, err := f.HandleAnswer(time.Second, b)
@@ -228,32 +243,33 @@
 		}
 	}
 	confirm := func(v Version) []byte { return confirmation(1, v, relay, 64, regionKey) }
-	take(confirm(Version{64, 7}), ErrConflict) // there is no slice to confirm
-	take(m.Slice(relay).Encode(regionKey), nil)
-	take(m.Slice(relay).Encode(regionKey), nil) // repeated
-	take(other.withVersion(64, 6).Slice(relay).Encode(regionKey), ErrOlder)
-	take(other.withVersion(63, 900).Slice(relay).Encode(regionKey), ErrOlder)
-	take(other.withVersion(64, 7).Slice(relay).Encode(regionKey), ErrConflict)
-	take(m.withVersion(64, 8).Slice(relay+1).Encode(regionKey), ErrOtherRelay)
-	take(confirm(Version{64, 9}), nil)
-	take(confirm(Version{64, 8}), ErrOlder)
-	take(other.withVersion(64, 8).Slice(relay).Encode(regionKey), ErrOlder)
-	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), nil) // unchanged slice of a later version
+	handle(confirm(Version{64, 7}), ErrConflict) // there is no slice to confirm
+	handle(m.Slice(relay).Encode(regionKey), nil)
+	handle(m.Slice(relay).Encode(regionKey), nil) // repeated
+	handle(other.withVersion(64, 6).Slice(relay).Encode(regionKey), ErrOlder)
+	handle(other.withVersion(63, 900).Slice(relay).Encode(regionKey), ErrOlder)
+	handle(other.withVersion(64, 7).Slice(relay).Encode(regionKey), ErrConflict)
+	handle(m.withVersion(64, 8).Slice(relay+1).Encode(regionKey), ErrOtherRelay)
+	handle(confirm(Version{64, 9}), nil)
+	handle(confirm(Version{64, 8}), ErrOlder)
+	handle(other.withVersion(64, 8).Slice(relay).Encode(regionKey), ErrOlder)
+	handle(m.withVersion(64, 9).Slice(relay).Encode(regionKey), nil) // unchanged slice of a later version
 	elsewhere := m.withVersion(65, 10)
 	elsewhere.Region = 2
-	take(elsewhere.Slice(relay).Encode(regionKey), ErrOtherRegion)
-	take(other.withVersion(65, 10).Slice(relay).Encode(regionKey), nil)
-	kept := bytes.Clone(f.Encoded())
+	handle(elsewhere.Slice(relay).Encode(regionKey), ErrOtherRegion)
+	handle(other.withVersion(65, 10).Slice(relay).Encode(regionKey), nil)
+	stored := bytes.Clone(f.Encoded())
 
-	again := NewFollower(1, relay, regionKey)
-	if err := again.Restore(kept[:len(kept)-1]); !errors.Is(err, ErrTruncated) || again.Current() != nil {
+	restarted := NewFollower(1, relay, regionKey)
+	if err := restarted.Restore(stored[:len(stored)-1]); !errors.Is(err, ErrTruncated) || restarted.Current() != nil {
 		t.Errorf("truncated on disk: %v", err)
 	}
-	if err := again.Restore(kept); err != nil || again.LatestVersion() != (Version{65, 10}) || !again.ControlUnreachable(0) {
-		t.Errorf("restored %v: %v", again.LatestVersion(), err)
+	if err := restarted.Restore(stored); err != nil || restarted.LatestVersion() != (Version{65, 10}) ||
+		!restarted.ControlUnreachable(0) {
+		t.Errorf("restored %v: %v", restarted.LatestVersion(), err)
 	}
-	f = again
-	take(m.withVersion(64, 9).Slice(relay).Encode(regionKey), ErrOlder) // the slice on disk is later
+	f = restarted
+	handle(m.withVersion(64, 9).Slice(relay).Encode(regionKey), ErrOlder) // the slice on disk is later
 }
 
 // A control node confirms a slice only if it has seen all maps since the one that the relay has.
@@ -267,7 +283,7 @@
 	if _, err := d.Answer(SliceRequest{}); !errors.Is(err, ErrNoMap) {
 		t.Errorf("no map: %v", err)
 	}
-	whole := func(d *Directory, a SliceRequest) bool {
+	answersSlice := func(d *Directory, a SliceRequest) bool {
 		t.Helper()
 		b, err := d.Answer(a)
 		if err != nil {
@@ -276,31 +292,33 @@
 		return b[kindAt] == kindSlice
 	}
 	d.Update(first)
-	moved := Relay(0)
-	for ; first.Slice(moved).same(second.Slice(moved)); moved++ {
+	changed := Relay(0)
+	for ; first.Slice(changed).same(second.Slice(changed)); changed++ {
 	}
-	kept := Relay(0)
-	for ; !first.Slice(kept).same(second.Slice(kept)); kept++ {
+	unchanged := Relay(0)
+	for ; !first.Slice(unchanged).same(second.Slice(unchanged)); unchanged++ {
 	}
-	if !whole(d, SliceRequest{Relay: moved}) || whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) {
+	if !answersSlice(d, SliceRequest{Relay: changed}) ||
+		answersSlice(d, SliceRequest{Relay: changed, HaveVersion: first.Version}) {
 		t.Error("wrong: no slice for a relay without one, or no confirmation for an up-to-date one")
 	}
 	d.Update(second)
 	d.Update(first) // an outdated update
-	if !whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) || whole(d, SliceRequest{Relay: kept, HaveVersion: first.Version}) {
+	if !answersSlice(d, SliceRequest{Relay: changed, HaveVersion: first.Version}) ||
+		answersSlice(d, SliceRequest{Relay: unchanged, HaveVersion: first.Version}) {
 		t.Error("wrong: no slice for a relay whose slice changed, or a slice for one whose slice did not")
 	}
 	d.Update(third)
-	if !whole(d, SliceRequest{Relay: moved, HaveVersion: first.Version}) {
+	if !answersSlice(d, SliceRequest{Relay: changed, HaveVersion: first.Version}) {
 		t.Error("a slice that changed and changed back was confirmed, though the relay may have the one in between")
 	}
 	gap := NewDirectory(regionKey)
 	gap.Update(first)
 	gap.Update(third)
-	if !whole(gap, SliceRequest{Relay: moved, HaveVersion: second.Version}) {
+	if !answersSlice(gap, SliceRequest{Relay: changed, HaveVersion: second.Version}) {
 		t.Error("confirmed across a map that it has not seen")
 	}
-	if _, err := d.Answer(SliceRequest{Relay: kept, HaveVersion: Version{64, 4}}); !errors.Is(err, ErrStale) {
+	if _, err := d.Answer(SliceRequest{Relay: unchanged, HaveVersion: Version{64, 4}}); !errors.Is(err, ErrStale) {
 		t.Errorf("a relay with a later version: %v", err)
 	}
 	if _, err := d.Answer(SliceRequest{Relay: MaxRelays}); !errors.Is(err, ErrOutOfRange) {
@@ -311,27 +329,27 @@
 // An unreachable relay keeps its replicas for a minute, and longer during and after an outage of
 // its zone.
 func TestRelayHealth(t *testing.T) {
-	at := rackLayout(40, 2)
-	h := NewRelayHealth(at, nil, 0)
+	members := rackLayout(40, 2)
+	h := NewRelayHealth(members, nil, 0)
 	if m := h.Members(0); m[0].State != Removed {
 		t.Errorf("a relay without contact or partitions: %v", m[0].State)
 	}
-	hear := func(now time.Duration, but func(i int) bool) {
-		for i := range at {
-			if !but(i) {
+	contact := func(now time.Duration, except func(i int) bool) {
+		for i := range members {
+			if !except(i) {
 				h.RecordContact(Relay(i), now)
 			}
 		}
 	}
-	nobody := func(int) bool { return false }
-	one := func(i int) bool { return i == 6 } // of zone 1
-	zone := func(i int) bool { return at[i].Zone == 1 }
-	hear(0, nobody)
-	hear(30*time.Second, one)
+	none := func(int) bool { return false }
+	isRelay6 := func(i int) bool { return i == 6 } // of zone 1
+	inZone1 := func(i int) bool { return members[i].Zone == 1 }
+	contact(0, none)
+	contact(30*time.Second, isRelay6)
 	if m := h.Members(30 * time.Second); m[6].State != Unreachable {
 		t.Errorf("unreachable for 30 s: %v", m[6].State)
 	}
-	hear(time.Minute, one)
+	contact(time.Minute, isRelay6)
 	if m := h.Members(time.Minute); m[6].State != Removed {
 		t.Errorf("unreachable for a minute: %v", m[6].State)
 	}
@@ -340,21 +358,21 @@
 		t.Errorf("in contact again: %v", m[6].State)
 	}
 	now := 10 * time.Minute
-	hear(now, zone)
+	contact(now, inZone1)
 	for i, m := range h.Members(now) {
-		if want := map[bool]State{true: Unreachable, false: Live}[zone(i)]; m.State != want {
+		if want := map[bool]State{true: Unreachable, false: Live}[inZone1(i)]; m.State != want {
 			t.Fatalf("relay %d is %v after the loss of a zone", i, m.State)
 		}
 	}
-	hear(now, one) // all other relays of the zone have returned
+	contact(now, isRelay6) // all other relays of the zone have returned
 	if m := h.Members(now); m[6].State != Unreachable {
 		t.Errorf("the last relay of a returning zone: %v", m[6].State)
 	}
-	hear(now+time.Minute, one)
+	contact(now+time.Minute, isRelay6)
 	if m := h.Members(now + time.Minute); m[6].State != Removed {
 		t.Errorf("a minute later: %v", m[6].State)
 	}
-	h.RecordContact(Relay(len(at)), now) // not a relay
+	h.RecordContact(Relay(len(members)), now) // not a relay
 }
 
 // Without an answer a relay soon asks another node, a limited number of times; otherwise it asks
@@ -362,16 +380,19 @@
 func TestFollowerRetries(t *testing.T) {
 	m := mustPlan(t, smallConfig, nil, rackLayout(40, 2))
 	f := NewFollower(1, 3, regionKey)
-	var asked []time.Duration
+	var polls []time.Duration
 	for now := time.Duration(0); now < 2*time.Second; now += time.Millisecond {
 		if _, due := f.Poll(now); due {
-			asked = append(asked, now/time.Millisecond)
+			polls = append(polls, now/time.Millisecond)
 		}
 	}
-	if want := []time.Duration{0, 120, 240, 360, 480, 600, 720, 840, 960, 1080, 1200, 1700}; !slices.Equal(asked, want) {
-		t.Errorf("asked at %v ms, want %v", asked, want)
+	if want := []time.Duration{
+		0, 120, 240, 360, 480, 600, 720, 840, 960, 1080, 1200, 1700,
+	}; !slices.Equal(polls, want) {
+		t.Errorf("asked at %v ms, want %v", polls, want)
 	}
-	if _, err := f.HandleAnswer(1990*time.Millisecond, m.Slice(3).Encode(regionKey)); err != nil || f.NextPoll() != 2200*time.Millisecond {
+	if _, err := f.HandleAnswer(1990*time.Millisecond, m.Slice(3).Encode(regionKey)); err != nil ||
+		f.NextPoll() != 2200*time.Millisecond {
 		t.Errorf("next at %v: %v", f.NextPoll(), err)
 	}
 	if _, due := f.Poll(f.NextPoll()); !due || f.NextPoll() != 2320*time.Millisecond {
--- a/internal/assignment/codec.go
+++ b/internal/assignment/codec.go
@@ -108,9 +108,15 @@
 	if h.entries != h.partitions || len(body) != 2*half {
 		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTruncated, len(body), h.entries)
 	}
-	m := &Map{Region: h.region, Version: h.version, Replication: h.replicas, replicas: readRelays(body[:half]), previous: readRelays(body[half:])}
+	m := &Map{
+		Region: h.region, Version: h.version, Replication: h.replicas,
+		replicas: readRelays(body[:half]), previous: readRelays(body[half:]),
+	}
 	for p := range m.Partitions() {
-		if err := errors.Join(checkAscending(m.Replicas(Partition(p))), checkAscending(m.Previous(Partition(p)))); err != nil {
+		if err := errors.Join(
+			checkAscending(m.Replicas(Partition(p))),
+			checkAscending(m.Previous(Partition(p))),
+		); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/assignment/control.go
+++ b/internal/assignment/control.go
@@ -41,7 +41,10 @@
 // NewControlNode returns a control node with its part of the register. The member at index i of
 // locations is the zone and rack of relay i.
 func NewControlNode(register *Register, config MapConfig, locations []Member, key Key) *ControlNode {
-	c := &ControlNode{register: register, directory: NewDirectory(key), config: config, locations: locations, contacts: newContactReport(len(locations))}
+	c := &ControlNode{
+		register: register, directory: NewDirectory(key), config: config, locations: locations,
+		contacts: newContactReport(len(locations)),
+	}
 	c.directory.Update(register.Published())
 	return c
 }
@@ -150,8 +153,8 @@
 		}
 	}
 	members := c.health.Members(now)
-	settling := latest != nil && c.hasNewlySettled(now, latest)
-	if !settling && c.members != nil && slices.Equal(members, c.members) {
+	newlySettled := latest != nil && c.hasNewlySettled(now, latest)
+	if !newlySettled && c.members != nil && slices.Equal(members, c.members) {
 		return nil
 	}
 	next, err := Plan(c.config, latest, members, func(p Partition) bool { return now >= c.changedAt[p]+settleAfter })
--- a/internal/assignment/directory.go
+++ b/internal/assignment/directory.go
@@ -30,7 +30,8 @@
 	}
 	previous, oldByRelay, oldChangedIn := d.current, d.byRelay, d.changedIn
 	d.current, d.byRelay, d.changedIn = m, m.ByRelay(), make([]Version, MaxRelays)
-	consecutive := previous != nil && m.Version.Number == previous.Version.Number+1 && m.Partitions() == previous.Partitions()
+	consecutive := previous != nil && m.Version.Number == previous.Version.Number+1 &&
+		m.Partitions() == previous.Partitions()
 	for r := range d.changedIn {
 		// If versions were missed, a slice may have changed and changed back, so all count as
 		// changed.
--- a/internal/assignment/follower.go
+++ b/internal/assignment/follower.go
@@ -73,9 +73,10 @@
 // Released reports whether a leaving relay has no replicas any more. It may stop once its handovers
 // are done too.
 func (f *Follower) Released() bool {
-	return f.leaving && f.current != nil && !slices.ContainsFunc(f.current.Assignments, func(s PartitionAssignment) bool {
-		return slices.Contains(s.Replicas, f.relay)
-	})
+	return f.leaving && f.current != nil &&
+		!slices.ContainsFunc(f.current.Assignments, func(s PartitionAssignment) bool {
+			return slices.Contains(s.Replicas, f.relay)
+		})
 }
 
 // ControlUnreachable reports whether no control node has answered for controlTimeout, so that the
--- a/internal/assignment/handover/handover.go
+++ b/internal/assignment/handover/handover.go
@@ -72,8 +72,13 @@
 // New returns relay self's part in the change of a partition that concerns it. pendingKeys are the
 // keys of its pending messages for the partition, one entry per message; pendingUnkeyed counts
 // those without an ordering key.
-func New(self assignment.Relay, change assignment.PartitionAssignment, pendingKeys []uint64, pendingUnkeyed int) *Handover {
-	h := &Handover{self: self, previous: change.Previous, current: change.Replicas, changeID: changeIDOf(change), pendingKeyed: map[uint64]int{}, peers: map[assignment.Relay]*peer{}}
+func New(
+	self assignment.Relay, change assignment.PartitionAssignment, pendingKeys []uint64, pendingUnkeyed int,
+) *Handover {
+	h := &Handover{
+		self: self, previous: change.Previous, current: change.Replicas, changeID: changeIDOf(change),
+		pendingKeyed: map[uint64]int{}, peers: map[assignment.Relay]*peer{},
+	}
 	for _, r := range slices.Concat(change.Previous, change.Replicas) {
 		if r != self && h.peers[r] == nil {
 			h.peers[r] = &peer{}
@@ -233,19 +238,27 @@
 
 // envelopeTo returns a message that tells another replica how far this one is.
 func (h *Handover) envelopeTo(r assignment.Relay, reply bool, retryAfters []RetryAfter) Envelope {
-	m := Message{ChangeID: h.changeID, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress, Reply: reply, RetryAfters: retryAfters}
+	m := Message{
+		ChangeID: h.changeID, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress,
+		Reply: reply, RetryAfters: retryAfters,
+	}
 	return Envelope{r, m}
 }
 
 // Receive handles a message of another replica. It returns the answer, if one is due, and whether
 // the message is of this change; if so, its RetryAfters apply to this replica too.
-func (h *Handover) Receive(from assignment.Relay, m Message, retryAfters []RetryAfter) (answer []Envelope, sameChange bool) {
+func (h *Handover) Receive(
+	from assignment.Relay, m Message, retryAfters []RetryAfter,
+) (answer []Envelope, sameChange bool) {
 	p := h.peers[from]
 	if p == nil || m.ChangeID != h.changeID {
 		return nil, false
 	}
 	p.Adopted, p.Released = p.Adopted || m.Adopted, p.Released || m.Released
-	p.acknowledged = Progress{p.acknowledged.Adopted || m.Acknowledged.Adopted, p.acknowledged.Released || m.Acknowledged.Released}
+	p.acknowledged = Progress{
+		p.acknowledged.Adopted || m.Acknowledged.Adopted,
+		p.acknowledged.Released || m.Acknowledged.Released,
+	}
 	if m.Reply {
 		return nil, true
 	}
--- a/internal/assignment/handover/handover_test.go
+++ b/internal/assignment/handover/handover_test.go
@@ -14,7 +14,9 @@
 const keys = 24
 
 // serving is a partition in which relay 4 has replaced relay 0.
-var serving = assignment.PartitionAssignment{Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4}}
+var serving = assignment.PartitionAssignment{
+	Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4},
+}
 
 // fleet is a set of relays that send the messages of a partition during its handover. The test
 // delivers the messages between them.
@@ -45,7 +47,10 @@
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 3)), next: map[uint64]int{}, knowsCurrent: map[uint64]bool{}, completed: map[uint64]int{}, calling: map[uint64]bool{}}
+	f := &fleet{
+		t: t, rng: rand.New(rand.NewPCG(seed, 3)), next: map[uint64]int{}, knowsCurrent: map[uint64]bool{},
+		completed: map[uint64]int{}, calling: map[uint64]bool{},
+	}
 	for i := range assignment.Relay(5) {
 		f.relays = append(f.relays, &relay{number: i, queue: map[uint64][]int{}, sending: map[uint64]bool{}})
 	}
@@ -88,13 +93,13 @@
 	return 0
 }
 
-func (r *relay) pending() (held []uint64) {
+func (r *relay) pending() (keys []uint64) {
 	for key, queue := range r.queue {
 		for range queue {
-			held = append(held, key)
+			keys = append(keys, key)
 		}
 	}
-	return held
+	return keys
 }
 
 // send starts a call with the key's first message, if that is allowed.
@@ -106,7 +111,8 @@
 		f.t.Fatalf("key %d has two senders, one of which is relay %d", key, r.number)
 	}
 	if number := r.queue[key][0]; number != f.completed[key] {
-		f.t.Fatalf("relay %d sends message %d of key %d, of which %d are completed", r.number, number, key, f.completed[key])
+		f.t.Fatalf("relay %d sends message %d of key %d, of which %d are completed",
+			r.number, number, key, f.completed[key])
 	}
 	if r.number == 4 && f.now < f.blockedUntil {
 		f.t.Fatalf("the new replica sends at %v, but a previous one was told to wait until %v", f.now, f.blockedUntil)
@@ -141,14 +147,14 @@
 }
 
 func (f *fleet) deliver(n int) {
-	l := f.inFlight[n]
-	to := f.relays[l.To]
+	m := f.inFlight[n]
+	to := f.relays[m.To]
 	if to.handover == nil {
 		return
 	}
-	out, mine := to.handover.Receive(l.from, l.Message, to.retryAfters(f.now))
-	if mine {
-		for _, w := range l.Message.RetryAfters {
+	out, sameChange := to.handover.Receive(m.from, m.Message, to.retryAfters(f.now))
+	if sameChange {
+		for _, w := range m.Message.RetryAfters {
 			to.blockedUntil = max(to.blockedUntil, f.now+w.Remaining)
 		}
 	}
@@ -260,9 +266,9 @@
 // A handover waits for a failed previous replica until it is marked as removed.
 func TestRemovedReplica(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	other := Message{ChangeID: h.changeID, Adopted: true, Released: true}
+	released := Message{ChangeID: h.changeID, Adopted: true, Released: true}
 	for _, r := range []assignment.Relay{1, 2, 3} {
-		if _, mine := h.Receive(r, other, nil); !mine {
+		if _, sameChange := h.Receive(r, released, nil); !sameChange {
 			t.Fatalf("relay %d's message is of another change", r)
 		}
 	}
@@ -280,10 +286,10 @@
 // owner of a key.
 func TestIgnoresOtherChangesAndRelays(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	if _, mine := h.Receive(1, Message{ChangeID: h.changeID + 1, Adopted: true}, nil); mine {
+	if _, sameChange := h.Receive(1, Message{ChangeID: h.changeID + 1, Adopted: true}, nil); sameChange {
 		t.Error("a message of another change is not ignored")
 	}
-	if _, mine := h.Receive(9, Message{ChangeID: h.changeID, Adopted: true}, nil); mine {
+	if _, sameChange := h.Receive(9, Message{ChangeID: h.changeID, Adopted: true}, nil); sameChange {
 		t.Error("a message of a relay that is no replica is not ignored")
 	}
 	for key := range uint64(keys) {
@@ -291,19 +297,19 @@
 			t.Errorf("key %d: %v, %d", key, ok, owner)
 		}
 	}
-	leaves := New(0, serving, []uint64{1, 1}, 1)
-	if ok, _ := leaves.MayAccept(1); ok || leaves.released() {
+	replaced := New(0, serving, []uint64{1, 1}, 1)
+	if ok, _ := replaced.MayAccept(1); ok || replaced.released() {
 		t.Error("a replica that was replaced accepts messages, or has released pending ones")
 	}
-	leaves.CompletedKeyed(1)
-	leaves.CompletedKeyed(2) // never pending
-	leaves.CompletedUnkeyed()
-	if leaves.released() || math.Abs(leaves.RateShare()-0.2) > 1e-9 {
-		t.Errorf("with one message left: released %v, share %v", leaves.released(), leaves.RateShare())
+	replaced.CompletedKeyed(1)
+	replaced.CompletedKeyed(2) // never pending
+	replaced.CompletedUnkeyed()
+	if replaced.released() || math.Abs(replaced.RateShare()-0.2) > 1e-9 {
+		t.Errorf("with one message left: released %v, share %v", replaced.released(), replaced.RateShare())
 	}
-	leaves.CompletedKeyed(1)
-	leaves.CompletedUnkeyed() // more often than there are messages
-	if !leaves.released() || leaves.RateShare() != 0 {
-		t.Errorf("released: %v, share %v", leaves.released(), leaves.RateShare())
+	replaced.CompletedKeyed(1)
+	replaced.CompletedUnkeyed() // more often than there are messages
+	if !replaced.released() || replaced.RateShare() != 0 {
+		t.Errorf("released: %v, share %v", replaced.released(), replaced.RateShare())
 	}
 }
--- a/internal/assignment/leave_test.go
+++ b/internal/assignment/leave_test.go
@@ -17,9 +17,9 @@
 }
 
 // contactAll records contact of all relays, of those listed with a request to leave.
-func contactAll(h *RelayHealth, now time.Duration, wish ...Relay) {
+func contactAll(h *RelayHealth, now time.Duration, leaving ...Relay) {
 	for i := range h.locations {
-		if r := Relay(i); slices.Contains(wish, r) {
+		if r := Relay(i); slices.Contains(leaving, r) {
 			h.RecordLeaving(r, now)
 		} else {
 			h.RecordContact(r, now)
@@ -57,14 +57,14 @@
 // An eighth of a zone leaves per minute; in a zone of few relays, one by one.
 func TestLeaveLimitPerZone(t *testing.T) {
 	for _, c := range []struct{ relays, first, second int }{{64, 4, 8}, {8, 1, 2}} {
-		at := rackLayout(c.relays, 2)
+		members := rackLayout(c.relays, 2)
 		var zone []Relay
-		for i, m := range at {
+		for i, m := range members {
 			if m.Zone == 1 {
 				zone = append(zone, Relay(i))
 			}
 		}
-		h := NewRelayHealth(at, nil, 0)
+		h := NewRelayHealth(members, nil, 0)
 		contactAll(h, 0)
 		var most int
 		for now := time.Second; now < removedAfter; now += time.Second {
@@ -103,22 +103,23 @@
 // its end.
 func TestLeaveIsReported(t *testing.T) {
 	const publisher, other = 0, 1
-	at := rackLayout(40, 2)
+	members := rackLayout(40, 2)
 	controls := make([]*ControlNode, 2)
 	for i := range controls {
 		r, err := NewRegister(i, len(controls), regionKey, 1, PersistentState{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		controls[i] = NewControlNode(r, smallConfig, at, regionKey)
+		controls[i] = NewControlNode(r, smallConfig, members, regionKey)
 	}
-	controls[publisher].health = NewRelayHealth(at, nil, 0)
+	controls[publisher].health = NewRelayHealth(members, nil, 0)
 	controls[other].register.publisher = publisher
-	for step, wish := range []bool{true, false, true} {
+	for step, wantsLeave := range []bool{true, false, true} {
 		now := time.Duration(step+1) * 10 * time.Second
-		for r := range Relay(len(at)) {
+		for r := range Relay(len(members)) {
 			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7})
-			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7 && wish}) // the last request counts
+			// The last request counts.
+			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7 && wantsLeave})
 		}
 		reports := controls[other].report(now)
 		if len(reports) != 1 || reports[0].To != publisher {
@@ -126,7 +127,7 @@
 		}
 		controls[publisher].Receive(now, other, reports[0].Message)
 		want := []Relay(nil)
-		if wish {
+		if wantsLeave {
 			want = []Relay{7}
 		}
 		if got := leavingRelays(controls[publisher].health.Members(now)); !slices.Equal(got, want) {
@@ -142,8 +143,8 @@
 
 // A relay that leaves is released once it has no replicas, and only if it asked to leave.
 func TestReleased(t *testing.T) {
-	at := rackLayout(40, 2)
-	first := mustPlan(t, smallConfig, nil, at)
+	members := rackLayout(40, 2)
+	first := mustPlan(t, smallConfig, nil, members)
 	f := NewFollower(1, 3, regionKey)
 	if f.SetLeaving(true); f.Released() {
 		t.Error("released before it has a slice")
@@ -154,8 +155,8 @@
 	if ask, due := f.Poll(time.Second); !due || !ask.Leaving {
 		t.Errorf("it requests %+v", ask)
 	}
-	at[3].State = Leaving
-	next := mustPlan(t, smallConfig, first, at)
+	members[3].State = Leaving
+	next := mustPlan(t, smallConfig, first, members)
 	next.Version = Version{first.Version.Term, first.Version.Number + 1}
 	if _, err := f.HandleAnswer(time.Second, next.Slice(3).Encode(regionKey)); err != nil || !f.Released() {
 		t.Errorf("not released without replicas: %v", err)
@@ -184,27 +185,27 @@
 // Of a partition's leaving replicas, one is reassigned per map; they stay if there are no other
 // relays.
 func TestOneReplicaLeavesPerMap(t *testing.T) {
-	at := rackLayout(40, 2)
-	m := mustPlan(t, smallConfig, nil, at)
-	both := m.Replicas(0)[:2]
-	for _, r := range both {
-		at[r].State = Leaving
-	}
-	for range both {
-		next := mustPlan(t, smallConfig, m, at)
+	members := rackLayout(40, 2)
+	m := mustPlan(t, smallConfig, nil, members)
+	leaving := m.Replicas(0)[:2]
+	for _, r := range leaving {
+		members[r].State = Leaving
+	}
+	for range leaving {
+		next := mustPlan(t, smallConfig, m, members)
 		checkOneReplicaMoved(t, m, next)
 		m = next
 	}
 	for p := range Partition(smallConfig.Partitions) {
-		if m.Serves(both[0], p) || m.Serves(both[1], p) {
+		if m.Serves(leaving[0], p) || m.Serves(leaving[1], p) {
 			t.Errorf("partition %d still has %v", p, m.Replicas(p))
 		}
 	}
-	few := rackLayout(smallConfig.Replicas, 2)
-	for i := range few {
-		few[i].State = Leaving
+	minimal := rackLayout(smallConfig.Replicas, 2)
+	for i := range minimal {
+		minimal[i].State = Leaving
 	}
-	if _, err := Plan(smallConfig, nil, few, nil); err != nil {
+	if _, err := Plan(smallConfig, nil, minimal, nil); err != nil {
 		t.Errorf("all relays are leaving: %v", err)
 	}
 }
@@ -212,9 +213,9 @@
 // A new publisher assigns nothing more to relays that have not made contact yet, and takes nothing
 // from them.
 func TestNewPublisherWaitsForContact(t *testing.T) {
-	at := rackLayout(40, 2)
-	latest := mustPlan(t, smallConfig, nil, at)
-	h := NewRelayHealth(at, latest, 0)
+	members := rackLayout(40, 2)
+	latest := mustPlan(t, smallConfig, nil, members)
+	h := NewRelayHealth(members, latest, 0)
 	for r := range Relay(20) {
 		h.RecordContact(r, time.Second)
 	}
@@ -227,15 +228,15 @@
 
 // Returning relays take over one replica per partition at a time.
 func TestBalanceMovesOneReplicaPerPartition(t *testing.T) {
-	at := rackLayout(40, 2)
+	members := rackLayout(40, 2)
 	for i := range 16 {
-		at[i].State = Removed
+		members[i].State = Removed
 	}
-	m := mustPlan(t, smallConfig, nil, at)
+	m := mustPlan(t, smallConfig, nil, members)
 	for i := range 16 {
-		at[i].State = Live
+		members[i].State = Live
 	}
-	next := mustPlan(t, smallConfig, m, at)
+	next := mustPlan(t, smallConfig, m, members)
 	if next.CountMoved(m) == 0 {
 		t.Fatal("no replicas move to relays that returned")
 	}
--- a/internal/assignment/map.go
+++ b/internal/assignment/map.go
@@ -150,15 +150,19 @@
 // Serves reports whether the relay serves a destination.
 func (s *Slice) Serves(destination uint64) bool {
 	p := Partition(Mix(destination) % uint64(s.Partitions))
-	at, found := slices.BinarySearchFunc(s.Assignments, p, func(a PartitionAssignment, p Partition) int { return cmp.Compare(a.Partition, p) })
+	at, found := slices.BinarySearchFunc(s.Assignments, p, func(a PartitionAssignment, p Partition) int {
+		return cmp.Compare(a.Partition, p)
+	})
 	return found && slices.Contains(s.Assignments[at].Replicas, s.Relay)
 }
 
 // same reports whether two slices have the same partitions with the same replicas.
 func (s *Slice) same(other *Slice) bool {
-	return s.Partitions == other.Partitions && slices.EqualFunc(s.Assignments, other.Assignments, func(a, b PartitionAssignment) bool {
-		return a.Partition == b.Partition && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
-	})
+	return s.Partitions == other.Partitions &&
+		slices.EqualFunc(s.Assignments, other.Assignments, func(a, b PartitionAssignment) bool {
+			return a.Partition == b.Partition &&
+				slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
+		})
 }
 
 // Mix hashes x, spreading its bits evenly (the finalizer of SplitMix64).
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -56,7 +56,8 @@
 		return nil, fmt.Errorf("%w: %d relays, %d replicas", ErrTooFewRelays, p.serving, config.Replicas)
 	}
 	if previous != nil {
-		if previous.Partitions() != config.Partitions || previous.Replication != config.Replicas || previous.Region != config.Region {
+		if previous.Partitions() != config.Partitions || previous.Replication != config.Replicas ||
+			previous.Region != config.Region {
 			return nil, ErrConfigChanged
 		}
 		p.retain(previous, settled)
@@ -69,7 +70,8 @@
 }
 
 func (s MapConfig) check(members int) error {
-	if s.Partitions < 1 || s.Partitions > MaxPartitions || s.Replicas < 1 || s.Replicas > MaxReplicas || members > MaxRelays {
+	if s.Partitions < 1 || s.Partitions > MaxPartitions ||
+		s.Replicas < 1 || s.Replicas > MaxReplicas || members > MaxRelays {
 		return fmt.Errorf("%w: %d partitions, %d replicas, %d relays", ErrOutOfRange, s.Partitions, s.Replicas, members)
 	}
 	return nil
@@ -89,8 +91,11 @@
 }
 
 func newPlanner(config MapConfig, members []Member) *planner {
-	p := &planner{config: config, members: members, replicas: make([][]Relay, config.Partitions),
-		frozen: make([]bool, config.Partitions), reassigns: make([]bool, config.Partitions), load: make([]int, len(members))}
+	p := &planner{
+		config: config, members: members, replicas: make([][]Relay, config.Partitions),
+		frozen: make([]bool, config.Partitions), reassigns: make([]bool, config.Partitions),
+		load: make([]int, len(members)),
+	}
 	seen := map[Zone]bool{}
 	for i, m := range members {
 		if m.State == Removed {
@@ -260,14 +265,14 @@
 			}
 		}
 		for _, r := range underloaded {
-			p.enrich(r, mean)
+			p.takeOver(r, mean)
 		}
 	}
 }
 
-// enrich moves partitions to r, up to mean, from relays of its zone that have more. Partitions for
+// takeOver moves partitions to r, up to mean, from relays of its zone that have more. Partitions for
 // which r ranks highest come first.
-func (p *planner) enrich(r Relay, mean int) {
+func (p *planner) takeOver(r Relay, mean int) {
 	order := make([]Partition, len(p.replicas))
 	for i := range order {
 		order[i] = Partition(i)
@@ -277,7 +282,7 @@
 		if p.load[r] >= mean {
 			return
 		}
-		from, ok := p.richest(partition, r, mean)
+		from, ok := p.mostLoaded(partition, r, mean)
 		if !ok {
 			continue
 		}
@@ -288,14 +293,15 @@
 	}
 }
 
-// richest returns the replica of a partition to hand over to r: the most loaded one in r's zone, if
+// mostLoaded returns the replica of a partition to hand over to r: the most loaded one in r's zone, if
 // it has at least mean partitions and no other replica is in r's rack.
-func (p *planner) richest(partition Partition, r Relay, mean int) (from Relay, found bool) {
+func (p *planner) mostLoaded(partition Partition, r Relay, mean int) (from Relay, found bool) {
 	if p.frozen[partition] || p.reassigns[partition] || slices.Contains(p.replicas[partition], r) {
 		return 0, false
 	}
 	for _, other := range p.replicas[partition] {
-		if p.members[other].Zone != p.members[r].Zone || p.load[other] < max(mean, p.load[r]+2) || !p.inOtherRack(partition, other, r) {
+		if p.members[other].Zone != p.members[r].Zone || p.load[other] < max(mean, p.load[r]+2) ||
+			!p.inOtherRack(partition, other, r) {
 			continue
 		}
 		if !found || p.load[other] > p.load[from] {
--- a/internal/assignment/register.go
+++ b/internal/assignment/register.go
@@ -118,7 +118,10 @@
 	if nodes < 1 || nodes > MaxControlNodes || self < 0 || self >= nodes {
 		return nil, fmt.Errorf("%w: control node %d of %d", ErrOutOfRange, self, nodes)
 	}
-	r := &Register{self: self, nodes: nodes, key: key, state: state, publisher: -1, rng: rand.New(rand.NewPCG(uint64(seed), uint64(self)))}
+	r := &Register{
+		self: self, nodes: nodes, key: key, state: state, publisher: -1,
+		rng: rand.New(rand.NewPCG(uint64(seed), uint64(self))),
+	}
 	var err error
 	if state.AcceptedMap != nil {
 		if r.accepted, err = DecodeMap(state.AcceptedMap, key); err != nil {
--- a/internal/assignment/relay_health.go
+++ b/internal/assignment/relay_health.go
@@ -29,8 +29,11 @@
 // NewRelayHealth returns the health of relays at the given locations. Those that serve in the
 // latest map count as contacted at now, the others as removed until their first contact.
 func NewRelayHealth(locations []Member, latest *Map, now time.Duration) *RelayHealth {
-	h := &RelayHealth{locations: locations, lastContact: make([]time.Duration, len(locations)), removed: make([]bool, len(locations)),
-		contacted: make([]bool, len(locations)), leaves: make([]leaveState, len(locations))}
+	h := &RelayHealth{
+		locations: locations, lastContact: make([]time.Duration, len(locations)),
+		removed: make([]bool, len(locations)), contacted: make([]bool, len(locations)),
+		leaves: make([]leaveState, len(locations)),
+	}
 	for i := range h.lastContact {
 		h.lastContact[i], h.removed[i], h.leaves[i] = now, true, noLeave
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,12 +12,14 @@
 	for _, step := range []int64{-hour, 0, hour} {
 		first := Anchor{BootID: "b", MonotonicUs: 5_000_000, DateUs: 1_700_000_000_000_000}
 		at := time.Now()
-		writes, _ := Continue(Anchor{}, first, at)
-		date := writes.Date(at.Add(12 * time.Second))
-		later := Anchor{BootID: "b", MonotonicUs: first.MonotonicUs + 2_000_000, DateUs: first.DateUs + 2_000_000 + step}
-		reads, goesOn := Continue(first, later, at)
-		if left := reads.Time(date).Sub(at); !goesOn || left != 10*time.Second {
-			t.Errorf("stepped by %d us: %v left, continued %v; want 10s of 12s, 2s later", step, left, goesOn)
+		writer, _ := Continue(Anchor{}, first, at)
+		date := writer.Date(at.Add(12 * time.Second))
+		later := Anchor{
+			BootID: "b", MonotonicUs: first.MonotonicUs + 2_000_000, DateUs: first.DateUs + 2_000_000 + step,
+		}
+		reader, continued := Continue(first, later, at)
+		if remaining := reader.Time(date).Sub(at); !continued || remaining != 10*time.Second {
+			t.Errorf("stepped by %d us: %v left, continued %v; want 10s of 12s, 2s later", step, remaining, continued)
 		}
 	}
 }
@@ -26,10 +28,12 @@
 // clock.
 func TestAnchorOfAnotherBoot(t *testing.T) {
 	now, at := Anchor{BootID: "b", MonotonicUs: 7, DateUs: 1_700_000_000_000_000}, time.Now()
-	for _, kept := range []Anchor{{}, {BootID: "a", MonotonicUs: 1, DateUs: 1}, {BootID: "b", MonotonicUs: 8, DateUs: 1}} {
-		s, goesOn := Continue(kept, now, at)
+	for _, previous := range []Anchor{
+		{}, {BootID: "a", MonotonicUs: 1, DateUs: 1}, {BootID: "b", MonotonicUs: 8, DateUs: 1},
+	} {
+		s, goesOn := Continue(previous, now, at)
 		if goesOn || s.Date(at) != now.DateUs || !s.Time(now.DateUs).Equal(at) {
-			t.Errorf("%+v continues", kept)
+			t.Errorf("%+v continues", previous)
 		}
 	}
 	for _, b := range []string{"", "{}", `{"boot":"b","mono_us":-1}`, "\x00"} {
@@ -46,7 +50,8 @@
 func TestZeroScale(t *testing.T) {
 	at := time.UnixMicro(1_700_000_000_000_000)
 	var s Scale
-	if s.Date(at) != at.UnixMicro() || !s.Time(at.UnixMicro()).Equal(at) || s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
+	if s.Date(at) != at.UnixMicro() || !s.Time(at.UnixMicro()).Equal(at) ||
+		s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
 		t.Error("the zero scale is not the wall clock")
 	}
 	if s = NewScale(time.Now(), 5); s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
@@ -58,7 +63,8 @@
 func TestNow(t *testing.T) {
 	a, _ := Now()
 	b, at := Now()
-	if b.MonotonicUs < a.MonotonicUs || b.BootID != a.BootID || NewScale(at, b.DateUs).Date(at) != b.DateUs || SinceStart() <= 0 {
+	if b.MonotonicUs < a.MonotonicUs || b.BootID != a.BootID ||
+		NewScale(at, b.DateUs).Date(at) != b.DateUs || SinceStart() <= 0 {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 }
--- a/internal/clock/wall_clock_test.go
+++ b/internal/clock/spans_test.go
@@ -38,10 +38,12 @@
 		}
 		name, _ := filepath.Rel(root, path)
 		name = filepath.ToSlash(name)
-		if entry.IsDir() && (name == ".git" || name == "journal" || name == "internal/lab" || name == "internal/standin" || name == "internal/soak" || name == "internal/ci") {
+		if entry.IsDir() && (name == ".git" || name == "journal" || name == "internal/lab" ||
+			name == "internal/standin" || name == "internal/soak" || name == "internal/ci") {
 			return fs.SkipDir
 		}
-		if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || mayConvertDates[name] != "" {
+		if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") ||
+			mayConvertDates[name] != "" {
 			return nil
 		}
 		text, err := os.ReadFile(path)
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -66,7 +66,11 @@
 // View returns the required behaviour at now.
 func (m *Machine) View(now time.Duration) View {
 	// During a handover the next process serves at the same address, and is ready.
-	v := View{Ready: m.started && !m.draining && m.ending != Stop, Serving: m.started && m.ending == 0, Stopping: m.ending == Stop}
+	v := View{
+		Ready:    m.started && !m.draining && m.ending != Stop,
+		Serving:  m.started && m.ending == 0,
+		Stopping: m.ending == Stop,
+	}
 	if m.draining {
 		v.CloseAfterResponse, v.CloseIdle = true, now-m.drainingAt >= IdleGrace
 	}
@@ -86,7 +90,11 @@
 	for _, change := range []struct {
 		on bool
 		at time.Duration
-	}{{m.draining, m.drainingAt + IdleGrace}, {m.ending == Stop, m.endingAt + StopAcceptGrace}, {m.ending == HandOver, m.endingAt + IdleGrace}} {
+	}{
+		{m.draining, m.drainingAt + IdleGrace},
+		{m.ending == Stop, m.endingAt + StopAcceptGrace},
+		{m.ending == HandOver, m.endingAt + IdleGrace},
+	} {
 		if d := change.at - now; change.on && d > 0 && (next == 0 || d < next) {
 			next = d
 		}
--- a/internal/jitter/jitter.go
+++ b/internal/jitter/jitter.go
@@ -17,7 +17,10 @@
 // NewBackoff returns a backoff whose delay starts at minDelay and doubles up to maxDelay. The seed
 // has to differ between relays.
 func NewBackoff(minDelay, maxDelay time.Duration, seed int64) *Backoff {
-	return &Backoff{minDelay: minDelay, maxDelay: max(minDelay, maxDelay), nextDelay: minDelay, rng: rand.New(rand.NewPCG(uint64(seed), 0x5eed))}
+	return &Backoff{
+		minDelay: minDelay, maxDelay: max(minDelay, maxDelay), nextDelay: minDelay,
+		rng: rand.New(rand.NewPCG(uint64(seed), 0x5eed)),
+	}
 }
 
 // NextDelay returns how long to wait after a failure before the next attempt: between half and one
--- a/internal/jitter/jitter_test.go
+++ b/internal/jitter/jitter_test.go
@@ -12,9 +12,9 @@
 	for seed := range int64(80) {
 		b, twin := NewBackoff(time.Second, 8*time.Second, seed), NewBackoff(time.Second, 8*time.Second, seed)
 		for i := range 6 {
-			usual := min(time.Second<<i, 8*time.Second)
+			base := min(time.Second<<i, 8*time.Second)
 			d := b.NextDelay()
-			if d < usual/2 || d > usual*3/2 {
+			if d < base/2 || d > base*3/2 {
 				t.Fatalf("seed %d, delay %d: %v", seed, i, d)
 			}
 			if d != twin.NextDelay() {
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -28,31 +28,31 @@
 
 // Limit returns how long a connection may have been idle at now and still carry a call, from 0 to
 // Max.
-func (t *IdleLimiter) Limit(now time.Duration) time.Duration {
-	if t.limit == 0 {
-		return t.Max
+func (l *IdleLimiter) Limit(now time.Duration) time.Duration {
+	if l.limit == 0 {
+		return l.Max
 	}
-	grown := float64(t.limit) * math.Exp2((now-t.cutAt).Seconds()/limitDoublingTime.Seconds())
-	return time.Duration(min(grown, float64(t.Max)))
+	grown := float64(l.limit) * math.Exp2((now-l.cutAt).Seconds()/limitDoublingTime.Seconds())
+	return time.Duration(min(grown, float64(l.Max)))
 }
 
 // RecordCall records a call on a connection that had been idle for some time; 0 if it was new or
 // busy. It reports whether a loss is explained by the idle time. If most calls on idle connections
 // are lost, and others are not, the limit is cut to half of idle.
-func (t *IdleLimiter) RecordCall(now, idle time.Duration, lost bool) (explained bool) {
+func (l *IdleLimiter) RecordCall(now, idle time.Duration, lost bool) (explained bool) {
 	loss := 0.0
 	if lost {
 		loss = 1
 	}
 	if idle == 0 {
-		t.freshLossRate += (loss - t.freshLossRate) * lossWeight
+		l.freshLossRate += (loss - l.freshLossRate) * lossWeight
 		return false
 	}
-	t.idleLossRate += (loss - t.idleLossRate) * lossWeight
-	known := t.Limit(now) < t.Max/2
-	if lost && t.idleLossRate > lossThreshold && t.idleLossRate > 2*t.freshLossRate {
-		t.limit, t.cutAt, t.idleLossRate = max(1, min(t.Limit(now), idle/2)), now, 0
-		known = true
+	l.idleLossRate += (loss - l.idleLossRate) * lossWeight
+	explains := l.Limit(now) < l.Max/2
+	if lost && l.idleLossRate > lossThreshold && l.idleLossRate > 2*l.freshLossRate {
+		l.limit, l.cutAt, l.idleLossRate = max(1, min(l.Limit(now), idle/2)), now, 0
+		explains = true
 	}
-	return known && lost
+	return explains && lost
 }
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -10,30 +10,30 @@
 // Losses on idle connections cut the limit, which then recovers; the same loss rate on fresh
 // connections does not cut it.
 func TestLimitIsCutAndRecovers(t *testing.T) {
-	trust := &IdleLimiter{Max: maxIdle}
+	limiter := &IdleLimiter{Max: maxIdle}
 	now := time.Minute
-	if trust.Limit(now) != maxIdle {
-		t.Fatalf("initially %v", trust.Limit(now))
+	if limiter.Limit(now) != maxIdle {
+		t.Fatalf("initially %v", limiter.Limit(now))
 	}
-	if trust.RecordCall(now, 4*time.Second, true) {
+	if limiter.RecordCall(now, 4*time.Second, true) {
 		t.Fatal("a single loss is attributed to the idle time")
 	}
-	if !trust.RecordCall(now, 4*time.Second, true) {
+	if !limiter.RecordCall(now, 4*time.Second, true) {
 		t.Fatal("a second loss in a row is not")
 	}
-	if got := trust.Limit(now); got != 2*time.Second {
+	if got := limiter.Limit(now); got != 2*time.Second {
 		t.Fatalf("cut to %v", got)
 	}
-	if got := trust.Limit(now + limitDoublingTime); got != 4*time.Second {
+	if got := limiter.Limit(now + limitDoublingTime); got != 4*time.Second {
 		t.Fatalf("after doubling %v", got)
 	}
-	if got := trust.Limit(now + time.Hour); got != maxIdle {
+	if got := limiter.Limit(now + time.Hour); got != maxIdle {
 		t.Fatalf("after an hour %v", got)
 	}
-	both := &IdleLimiter{Max: maxIdle}
+	lossy := &IdleLimiter{Max: maxIdle}
 	for range 10 {
-		both.RecordCall(now, 0, true)
-		if both.RecordCall(now, 4*time.Second, true) || both.Limit(now) != maxIdle {
+		lossy.RecordCall(now, 0, true)
+		if lossy.RecordCall(now, 4*time.Second, true) || lossy.Limit(now) != maxIdle {
 			t.Fatal("idle connections are blamed though fresh ones lose as many calls")
 		}
 	}
--- a/internal/sites/evaluate.go
+++ b/internal/sites/evaluate.go
@@ -8,19 +8,20 @@
 
 // Evaluation of a site's state from the evidence.
 
+// setState changes the state of a site and records the change.
 func (w *Watch) setState(now Time, s *site, to State, why string) {
 	w.changes = append(w.changes, Change{s.name, s.state, to, why, false})
-	isDown := func(st State) int {
+	downCount := func(st State) int {
 		if st == Lost || st == Returning {
 			return 1
 		}
 		return 0
 	}
-	w.lostSites += isDown(to) - isDown(s.state)
+	w.lostSites += downCount(to) - downCount(s.state)
 	from := s.state
 	s.state, s.since, s.why, s.callCredit, s.degradedSince = to, now, why, 0, -1
 	if to == Healthy {
-		s.loadFraction, s.provenFraction, s.returned = 1, initialFraction, isDown(from) > 0
+		s.loadFraction, s.provenFraction, s.returned = 1, initialFraction, downCount(from) > 0
 	}
 	if to == Returning { // earlier failures say nothing about its return
 		s.failureRun, s.silentRun = 0, 0
@@ -39,6 +40,7 @@
 	return time.Duration(mean * (0.5 + w.rng.Float64()))
 }
 
+// recentCounts sums the calls of all buckets.
 func (s *site) recentCounts() (all counts) {
 	for _, c := range s.recent {
 		all.add(c)
@@ -46,8 +48,8 @@
 	return all
 }
 
-// isDark reports whether no calls to a site's endpoints succeed, and why.
-func (s *site) isDark(now Time) (bool, string) {
+// isFailing reports whether no calls to a site's endpoints succeed, and why.
+func (s *site) isFailing(now Time) (bool, string) {
 	othersFail := s.othersFailedAt >= 0 && now-s.othersFailedAt < fleetStatsLifetime || s.lossReporters >= minReporters
 	if s.failureRun == 0 || s.acceptedAt >= s.failureRunAt || s.failureRun < lossFailures && !othersFail {
 		return false, ""
@@ -66,22 +68,28 @@
 	return now-s.failureRunAt >= delay, why
 }
 
+// evaluate updates the state of a site and the limits of its load. elapsed is the time since the
+// previous tick.
 func (w *Watch) evaluate(now Time, elapsed time.Duration, s *site) {
 	recent := s.recentCounts()
-	dark, why := s.isDark(now)
-	s.maybePartitioned = dark && s.silentRun == s.failureRun
+	failing, why := s.isFailing(now)
+	s.maybePartitioned = failing && s.silentRun == s.failureRun
 	if s.manuallyOut {
 		return
 	}
 	// Relays of a returning site that start with it have not seen its loss. The policy engine has
 	// to treat endpoints of destinations without another site as cold.
-	if level := s.reportedFraction(); !s.lossAnnounced && now-w.startedAt < startupPeriod && s.state == Healthy && (s.lossReporters >= minReporters || level > 0 && level < 1) {
+	if fraction := s.reportedFraction(); !s.lossAnnounced && now-w.startedAt < startupPeriod &&
+		s.state == Healthy && (s.lossReporters >= minReporters || fraction > 0 && fraction < 1) {
 		s.lossAnnounced = true
-		w.changes = append(w.changes, Change{s.name, Healthy, Healthy, fmt.Sprintf("%d relays say that it was lost", s.lossReporters+len(s.reportedFractions)), true})
+		w.changes = append(w.changes, Change{
+			s.name, Healthy, Healthy,
+			fmt.Sprintf("%d relays say that it was lost", s.lossReporters+len(s.reportedFractions)), true,
+		})
 	}
 	switch s.state {
 	case Healthy, Degraded:
-		if dark && s.othersAcceptedAt < s.failureRunAt+fleetStatsLifetime {
+		if failing && s.othersAcceptedAt < s.failureRunAt+fleetStatsLifetime {
 			w.setState(now, s, Lost, why)
 			return
 		}
@@ -91,12 +99,13 @@
 		}
 		degradedWhy := ""
 		switch {
-		case dark:
+		case failing:
 			degradedWhy = why + "; others get through: it is cut off from here alone"
 		case recent.failed >= degradedFailures && recent.failed >= recent.accepted:
 			degradedWhy = fmt.Sprintf("%d of %d calls failed", recent.failed, recent.failed+recent.accepted)
 		case s.relays > 1 && s.relaysAlive*2 < s.relays:
-			degradedWhy = fmt.Sprintf("%d of %d relays are away, its endpoints answer", s.relays-s.relaysAlive, s.relays)
+			degradedWhy = fmt.Sprintf(
+				"%d of %d relays are away, its endpoints answer", s.relays-s.relaysAlive, s.relays)
 		}
 		switch {
 		case degradedWhy == "" && s.state == Degraded && s.clearSince < 0:
@@ -121,8 +130,8 @@
 			w.setState(now, s, Healthy, "its relays are back, and it has no endpoints")
 			return
 		}
-		if level := s.reportedFraction(); level > 0 && now >= s.holdDownUntil {
-			s.loadFraction = level
+		if fraction := s.reportedFraction(); fraction > 0 && now >= s.holdDownUntil {
+			s.loadFraction = fraction
 			w.setState(now, s, Returning, fmt.Sprintf("%d relays get through", len(s.reportedFractions)))
 			return
 		}
@@ -130,7 +139,7 @@
 			s.probeTokens, s.nextProbeAt = 1, now+w.probeDelay()
 		}
 	case Returning:
-		w.advanceRamp(now, elapsed, s, recent, dark, why)
+		w.advanceRamp(now, elapsed, s, recent, failing, why)
 	}
 	w.updateSpillRate(elapsed, s, recent)
 }
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -95,7 +95,7 @@
 	After            []ClassShare `json:"after"`
 	Refused          []Flow       `json:"refused"`  // From: the zone of its clients; To is empty
 	Unserved         []int        `json:"nowhere"`  // destinations without remaining endpoints
-	MinReturnSeconds float64      `json:"return_s"` // minimum time from the first call that is served there to its full share
+	MinReturnSeconds float64      `json:"return_s"` // minimum time until the full share
 	Notes            []string     `json:"notes"`
 }
 
@@ -133,7 +133,8 @@
 		}
 		f.Zones = append(f.Zones, load)
 		if s.Zone != zone && load.Capacity > 0 && load.Before > 0.9*load.Capacity {
-			f.Notes = append(f.Notes, fmt.Sprintf("%s is %.0f of 100 full before anything is lost", s.Zone, 100*load.Before/load.Capacity))
+			f.Notes = append(f.Notes, fmt.Sprintf(
+				"%s is %.0f of 100 full before anything is lost", s.Zone, 100*load.Before/load.Capacity))
 		}
 	}
 	for _, flow := range after.flows {
@@ -237,7 +238,10 @@
 			for tier := 0; tier < maxTiers; tier++ {
 				for range spillRounds { // load that exceeds the headroom of one zone of a tier goes to the others
 					moved := 0.0
-					p.spillClass(c, tier, lost, unserved, headroom, spilled, func(from, to string, n float64) { moved += n; send(from, to, tier+1, c, n) })
+					p.spillClass(c, tier, lost, unserved, headroom, spilled, func(from, to string, n float64) {
+						moved += n
+						send(from, to, tier+1, c, n)
+					})
 					if moved <= epsilon {
 						break
 					}
@@ -261,7 +265,10 @@
 // spillClass sends the unserved load of a class from each zone to the zones of one of its tiers.
 // Zones that spill to the same zone share its headroom in proportion to their requests, so that the
 // order of sites in the plan does not matter.
-func (p *Plan) spillClass(class string, tier int, lost string, unserved map[string]map[string]float64, headroom, spilled map[string]float64, send func(from, to string, n float64)) {
+func (p *Plan) spillClass(
+	class string, tier int, lost string, unserved map[string]map[string]float64,
+	headroom, spilled map[string]float64, send func(from, to string, n float64),
+) {
 	type spillRequest struct {
 		from, to string
 		n        float64
@@ -289,19 +296,20 @@
 		}
 		for _, z := range tierPlan.Zones {
 			if f := free(z); f > epsilon {
-				a := spillRequest{s.Zone, z, min(n*f/tierHeadroom, f)}
-				requests, requested[z], available[z] = append(requests, a), requested[z]+a.n, max(available[z], f)
+				request := spillRequest{s.Zone, z, min(n*f/tierHeadroom, f)}
+				requests, requested[z], available[z] = append(requests, request), requested[z]+request.n, max(available[z], f)
 			}
 		}
 	}
-	for _, a := range requests {
-		n := a.n * min(1, available[a.to]/requested[a.to])
-		send(a.from, a.to, n)
-		unserved[a.from][class] -= n
-		spilled[a.to] += n
+	for _, request := range requests {
+		n := request.n * min(1, available[request.to]/requested[request.to])
+		send(request.from, request.to, n)
+		unserved[request.from][class] -= n
+		spilled[request.to] += n
 	}
 }
 
+// classShares sums a routing by class.
 func (p *Plan) classShares(r routing) (all []ClassShare) {
 	for _, c := range p.classesByPriority() {
 		s := ClassShare{Class: c}
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -21,7 +21,9 @@
 	zone := func(i int) string { return fmt.Sprint("z", i) }
 	for i := range n {
 		s := Site{Zone: zone(i)}
-		others := rapid.Permutation(slices.DeleteFunc([]string{"z0", "z1", "z2", "z3"}[:n], func(z string) bool { return z == s.Zone })).Draw(t, "tiers")
+		others := rapid.Permutation(slices.DeleteFunc([]string{"z0", "z1", "z2", "z3"}[:n], func(z string) bool {
+			return z == s.Zone
+		})).Draw(t, "tiers")
 		cut := rapid.IntRange(0, len(others)).Draw(t, "cut")
 		for _, zones := range [][]string{others[:cut], others[cut:]} {
 			if len(zones) > 0 && rapid.IntRange(0, 4).Draw(t, "tier") > 0 {
@@ -31,17 +33,17 @@
 		p.Sites = append(p.Sites, s)
 	}
 	for d := range rapid.IntRange(1, 3).Draw(t, "destinations") {
-		one := Destination{Number: d, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
+		destination := Destination{Number: d, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
 		for i := range n {
 			if rapid.Bool().Draw(t, "there") {
-				one.Capacity[zone(i)] = rapid.Float64Range(1, 100).Draw(t, "takes")
+				destination.Capacity[zone(i)] = rapid.Float64Range(1, 100).Draw(t, "takes")
 			}
-			one.Demand[zone(i)] = map[string]float64{}
+			destination.Demand[zone(i)] = map[string]float64{}
 			for _, c := range refuseOrder {
-				one.Demand[zone(i)][c] = rapid.Float64Range(0, 60).Draw(t, "wanted")
+				destination.Demand[zone(i)][c] = rapid.Float64Range(0, 60).Draw(t, "wanted")
 			}
 		}
-		p.Destinations = append(p.Destinations, one)
+		p.Destinations = append(p.Destinations, destination)
 	}
 	return p
 }
@@ -78,49 +80,51 @@
 			}
 		}
 		for _, d := range p.Destinations {
-			spilt, own := map[string]float64{}, map[string]float64{}
-			for _, fl := range f.Flows {
-				if fl.Destination != d.Number {
+			spilled, own := map[string]float64{}, map[string]float64{}
+			for _, flow := range f.Flows {
+				if flow.Destination != d.Number {
 					continue
 				}
-				site := p.Sites[slices.IndexFunc(p.Sites, func(s Site) bool { return s.Zone == fl.From })]
-				if fl.To == lost || fl.Tier < 1 || !slices.Contains(site.Tiers[fl.Tier-1].Zones, fl.To) {
-					t.Fatalf("%+v", fl)
+				site := p.Sites[slices.IndexFunc(p.Sites, func(s Site) bool { return s.Zone == flow.From })]
+				if flow.To == lost || flow.Tier < 1 || !slices.Contains(site.Tiers[flow.Tier-1].Zones, flow.To) {
+					t.Fatalf("%+v", flow)
 				}
-				spilt[fl.To] += fl.Rate
+				spilled[flow.To] += flow.Rate
 			}
 			for z, by := range d.Demand {
 				for _, n := range by {
 					own[z] += n
 				}
 			}
-			for z, n := range spilt {
-				most := 0.0
+			for z, n := range spilled {
+				maxFraction := 0.0
 				for _, s := range p.Sites {
 					for _, tier := range s.Tiers {
 						if slices.Contains(tier.Zones, z) {
-							most = max(most, tier.SpillFraction)
+							maxFraction = max(maxFraction, tier.SpillFraction)
 						}
 					}
 				}
-				if n > most*max(0, d.Capacity[z]-own[z])+1e-6 {
-					t.Fatalf("%.3f spilled to %s, which has %.3f of %.3f left, of which %.2f may be used", n, z, d.Capacity[z]-own[z], d.Capacity[z], most)
+				if n > maxFraction*max(0, d.Capacity[z]-own[z])+1e-6 {
+					t.Fatalf("%.3f spilled to %s, which has %.3f of %.3f left, of which %.2f may be used",
+						n, z, d.Capacity[z]-own[z], d.Capacity[z], maxFraction)
 				}
 			}
 			for _, r := range f.Refused {
-				for _, fl := range f.Flows {
-					if r.Destination == d.Number && fl.Destination == d.Number && r.From == fl.From && slices.Index(refuseOrder, fl.Class) < slices.Index(refuseOrder, r.Class) {
-						t.Fatalf("%+v refused while %+v spilled", r, fl)
+				for _, flow := range f.Flows {
+					if r.Destination == d.Number && flow.Destination == d.Number && r.From == flow.From &&
+						slices.Index(refuseOrder, flow.Class) < slices.Index(refuseOrder, r.Class) {
+						t.Fatalf("%+v refused while %+v spilled", r, flow)
 					}
 				}
 			}
 		}
 		// The order of sites in the plan does not matter.
 		slices.Reverse(p.Sites)
-		again, _ := p.ForecastLoss(lost)
+		reversed, _ := p.ForecastLoss(lost)
 		for i, s := range f.After {
-			if !approxEqual(s.Served, again.After[i].Served) {
-				t.Fatalf("%+v, and %+v with the sites in another order", f.After, again.After)
+			if !approxEqual(s.Served, reversed.After[i].Served) {
+				t.Fatalf("%+v, and %+v with the sites in another order", f.After, reversed.After)
 			}
 		}
 		for _, z := range f.Zones {
@@ -134,19 +138,37 @@
 // An example with load in the first and second tier, refused load, and a destination without
 // remaining endpoints.
 func TestForecastLossExample(t *testing.T) {
-	p := &Plan{RefuseFirst: refuseOrder, Ramp: DefaultRamp, Sites: []Site{{"a", []Tier{{[]string{"b"}, 0.5}, {[]string{"c"}, 1}}}, {"b", nil}, {"c", nil}},
-		Destinations: []Destination{{1, map[string]float64{"a": 50, "b": 40, "c": 10}, map[string]map[string]float64{"a": {"charge": 5, "order": 10, "alert": 20}, "b": {"alert": 20}}},
-			{2, map[string]float64{"a": 5}, map[string]map[string]float64{"c": {"order": 3}, "a": {"order": 1}}}}}
+	p := &Plan{
+		RefuseFirst: refuseOrder,
+		Ramp:        DefaultRamp,
+		Sites:       []Site{{"a", []Tier{{[]string{"b"}, 0.5}, {[]string{"c"}, 1}}}, {"b", nil}, {"c", nil}},
+		Destinations: []Destination{
+			{
+				1, map[string]float64{"a": 50, "b": 40, "c": 10},
+				map[string]map[string]float64{
+					"a": {"charge": 5, "order": 10, "alert": 20},
+					"b": {"alert": 20},
+				},
+			},
+			{2, map[string]float64{"a": 5}, map[string]map[string]float64{"c": {"order": 3}, "a": {"order": 1}}},
+		},
+	}
 	f, err := p.ForecastLoss("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	// b may use 10 of its headroom of 20, c all of its 10: 20 for a's demand of 35.
-	want := []Flow{{1, "a", "b", 1, "charge", 5}, {1, "a", "b", 1, "order", 5}, {1, "a", "c", 2, "order", 5}, {1, "a", "c", 2, "alert", 5}}
+	want := []Flow{
+		{1, "a", "b", 1, "charge", 5},
+		{1, "a", "b", 1, "order", 5},
+		{1, "a", "c", 2, "order", 5},
+		{1, "a", "c", 2, "alert", 5},
+	}
 	if !reflect.DeepEqual(f.Flows, want) || !slices.Equal(f.Unserved, []int{2}) || f.MinReturnSeconds != 30 {
 		t.Errorf("%+v, unserved %v", f.Flows, f.Unserved)
 	}
-	if a := f.After; a[0].Served != 25 || a[0].Refused != 15 || a[1].Refused != 4 || a[2].ServedFraction() != 1 || f.Before[1].Refused != 3 {
+	if a := f.After; a[0].Served != 25 || a[0].Refused != 15 || a[1].Refused != 4 ||
+		a[2].ServedFraction() != 1 || f.Before[1].Refused != 3 {
 		t.Errorf("before %+v, after %+v", f.Before, a)
 	}
 	if _, err := p.ForecastLoss("d"); err == nil {
--- a/internal/sites/ramp.go
+++ b/internal/sites/ramp.go
@@ -47,13 +47,13 @@
 }
 
 // advanceRamp grows the load fraction of a returning site while its endpoints answer. A new failure
-// halves it, down to the proven fraction at most, and slows its further growth; if no calls
-// succeed, the site is lost again.
-func (w *Watch) advanceRamp(now Time, elapsed time.Duration, s *site, recent counts, dark bool, why string) {
+// cuts it to half or to the proven fraction, whichever is smaller, and slows its further growth; if
+// no calls succeed, the site is lost again.
+func (w *Watch) advanceRamp(now Time, elapsed time.Duration, s *site, recent counts, failing bool, why string) {
 	latest := s.recent[0]
 	latest.add(s.recent[1])
 	switch {
-	case dark:
+	case failing:
 		s.failedReturns++
 		s.provenFraction = max(minFraction, s.provenFraction/2)
 		s.holdDownUntil = now + min(maxHoldDown, initialHoldDown<<min(s.failedReturns-1, 8))
@@ -62,10 +62,12 @@
 		s.failedReturns++
 		s.loadFraction = max(minFraction, min(s.provenFraction, s.loadFraction/2))
 		s.provenFraction = s.loadFraction
-		s.why = fmt.Sprintf("%d of %d calls failed in its return: it goes on from %.2f of its load", latest.failed, latest.failed+latest.accepted, s.loadFraction)
+		s.why = fmt.Sprintf("%d of %d calls failed in its return: it goes on from %.2f of its load",
+			latest.failed, latest.failed+latest.accepted, s.loadFraction)
 		w.changes = append(w.changes, Change{s.name, Returning, Returning, s.why, false})
 		s.recent[0], s.recent[1] = counts{}, counts{} // handled: must not count again
-	case (s.acceptedAt >= s.since || s.reportedFraction() > s.loadFraction) && s.failureRun == 0 && latest.failed*5 <= latest.accepted && latest.rejected <= latest.accepted+1:
+	case (s.acceptedAt >= s.since || s.reportedFraction() > s.loadFraction) && s.failureRun == 0 &&
+		latest.failed*5 <= latest.accepted && latest.rejected <= latest.accepted+1:
 		s.provenFraction = max(s.provenFraction, s.loadFraction)
 		slowdown := min(maxRampSlowdown, 1+s.failedReturns)
 		if s.loadFraction += elapsed.Seconds() / (w.plan.Ramp.Seconds() * float64(slowdown)); s.loadFraction >= 1 {
@@ -90,12 +92,12 @@
 	if starting {
 		s.maxRate, s.tokens = limit, 1
 	}
-	switch refused := float64(recent.rejected) / float64(max(1, calls)); {
-	case calls >= spillMinCalls && refused > spillCutRejected:
+	switch rejected := float64(recent.rejected) / float64(max(1, calls)); {
+	case calls >= spillMinCalls && rejected > spillCutRejected:
 		if bound := max(0.5, spillCutFactor*float64(recent.accepted)/window); s.maxRate == 0 || bound < s.maxRate {
 			s.maxRate = bound
 		}
-	case refused < spillGrowRejected:
+	case rejected < spillGrowRejected:
 		s.maxRate *= 1 + (spillGrowth-1)*elapsed.Seconds()
 	}
 	if limit > 0 {
@@ -135,4 +137,5 @@
 	return withMargin(max(spillShare, minSpillRate))
 }
 
+// withMargin raises an equal share of a rate, since demand differs between relays.
 func withMargin(rate float64) float64 { return imbalanceFactor * rate }
--- a/internal/sites/site_plan.go
+++ b/internal/sites/site_plan.go
@@ -26,7 +26,8 @@
 	case Lost:
 		return !w.hasEndpointsElsewhere(dest, zone) || !unsafe && s.probeTokens >= 1
 	case Returning:
-		return !w.hasEndpointsElsewhere(dest, zone) || s.callCredit >= 1 && (!unsafe || s.loadFraction >= unsafeCallFraction)
+		return !w.hasEndpointsElsewhere(dest, zone) ||
+			s.callCredit >= 1 && (!unsafe || s.loadFraction >= unsafeCallFraction)
 	}
 	return s.maxRate == 0 || s.tokens >= 1
 }
@@ -48,13 +49,13 @@
 	if w.lostSites == 0 {
 		return
 	}
-	all := 0
+	total := 0
 	for _, n := range w.endpointsByZone[dest] {
-		all += n
+		total += n
 	}
 	for z, n := range w.endpointsByZone[dest] {
 		if s := w.byZone[z]; s != nil && s.state == Returning {
-			s.callCredit = min(2, s.callCredit+s.loadFraction*float64(n)/float64(max(1, all)))
+			s.callCredit = min(2, s.callCredit+s.loadFraction*float64(n)/float64(max(1, total)))
 		}
 	}
 	if s := w.byZone[zone]; s != nil {
@@ -100,11 +101,11 @@
 // MaxAttempts returns the limit of attempts per message: half of most while a site is lost, but at
 // least two. Destinations with endpoints at lost sites only keep all attempts, since they take no
 // capacity from other sites.
-func (w *Watch) MaxAttempts(dest, most int) int {
+func (w *Watch) MaxAttempts(dest, limit int) int {
 	if w.lostSites == 0 || !w.hasEndpointsElsewhere(dest, "") {
-		return most
+		return limit
 	}
-	return min(most, max(2, (most+1)/2))
+	return min(limit, max(2, (limit+1)/2))
 }
 
 // SiteLost reports whether a site is lost or returning, in which case Retry-After times are
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -38,26 +38,26 @@
 
 	initialFraction    = 0.1 // of a returning site's load
 	minFraction        = 0.02
-	unsafeCallFraction = 0.5                    // load fraction from which a site receives calls that must not be repeated
+	unsafeCallFraction = 0.5                    // minimum for calls that must not be repeated
 	fleetProbeInterval = 500 * time.Millisecond // mean time between probes of a lost site by the whole fleet
-	initialHoldDown    = time.Second            // before a site that failed while returning is probed again; doubles each time
+	initialHoldDown    = time.Second            // until a failed return is probed again; doubles
 	maxHoldDown        = 8 * time.Second
 	maxRampSlowdown    = 2 // factor on the plan's ramp for a site that failed while returning
-	stableRamps        = 2 // multiple of the plan's ramp for which a site must be healthy until its failed returns are forgotten
+	stableRamps        = 2 // ramps in which a site stays healthy until failed returns are forgotten
 
 	spillCutRejected     = 0.1  // rejected fraction of a site's calls above which the rate is cut
 	spillCutFactor       = 0.9  // of the accepted rate, after a cut
 	spillGrowth          = 1.05 // factor per second, while few calls are rejected
 	spillGrowRejected    = 0.03
 	spillMinCalls        = 5
-	imbalanceFactor      = 1.15             // factor on an equal share of headroom, since relays' demands differ; rejections lower the rate
+	imbalanceFactor      = 1.15             // factor on an equal share of headroom, since demands differ
 	minReporters         = 2                // reports needed to believe them; a single one may be wrong or malicious
 	startupPeriod        = 10 * time.Second // in which a relay that has just started believes others' reports of a loss
 	recoveryReportPeriod = 15 * time.Second // for how long a relay reports that a site has recovered
 	minSpillRate         = 0.2              // calls per second, enough to keep observing a site
 	baselineTime         = 20 * time.Second
 	deathDetectionTime   = 8 * time.Second        // after a loss, until dead relays are known to be dead
-	burstTime            = 500 * time.Millisecond // of calls at the maximum rate that may be sent at once; longer than a tick
+	burstTime            = 500 * time.Millisecond // of calls that may be sent at once; longer than a tick
 
 	probeDueCost  = -10  // of an endpoint at a lost site that is due for a probe: nothing else would choose it
 	returningCost = -0.1 // of an endpoint at a returning site that has not had its share of calls
@@ -110,15 +110,17 @@
 	CallsRejected    int     `json:"calls_refused"`
 	CallsFailed      int     `json:"calls_failed"`
 	FailedReturns    int     `json:"failed_returns,omitempty"`
-	MaxSpillRate     float64 `json:"spill_most,omitempty"` // calls per second that this relay may send there; 0: no limit
-	Tier             int     `json:"tier"`                 // distance from this relay's site: 0 is its own; -1: not in its tiers
+	MaxSpillRate     float64 `json:"spill_most,omitempty"` // calls per second from this relay; 0: no limit
+	Tier             int     `json:"tier"`                 // 0: this relay's site; -1: not in its tiers
 	Endpoints        int     `json:"endpoints"`
 }
 
+// counts holds the calls of one bucket by outcome.
 type counts struct{ accepted, rejected, failed, noResponse int }
 
 func (c *counts) add(o counts) {
-	c.accepted, c.rejected, c.failed, c.noResponse = c.accepted+o.accepted, c.rejected+o.rejected, c.failed+o.failed, c.noResponse+o.noResponse
+	c.accepted, c.rejected, c.failed, c.noResponse =
+		c.accepted+o.accepted, c.rejected+o.rejected, c.failed+o.failed, c.noResponse+o.noResponse
 }
 
 // site is the state of a zone as one relay sees it.
@@ -157,7 +159,7 @@
 	nextProbeAt                  Time
 	ownDemand, spareCapacity     float64 // calls per second from the plan; both 0: the plan has no figures
 	baselineRate                 float64 // calls per second from here that it accepted while no site was lost
-	maxRate                      float64 // calls per second that may go there from here while a site is lost; 0: no limit
+	maxRate                      float64 // calls per second from here while a site is lost; 0: no limit
 	tokens                       float64
 }
 
@@ -179,6 +181,7 @@
 	changes         []Change
 }
 
+// endpointPlace is the destination and zone of an endpoint.
 type endpointPlace struct {
 	dest int
 	zone string
@@ -186,10 +189,16 @@
 
 // NewWatch returns a relay's view of the plan's sites. home is the relay's own zone.
 func NewWatch(plan *Plan, home string, seed int64) *Watch {
-	w := &Watch{plan: plan, homeZone: home, rng: rand.New(rand.NewPCG(uint64(seed), 0x517e)), byZone: map[string]*site{}, endpoints: map[string]endpointPlace{}, endpointsByZone: map[int]map[string]int{}, liveRelays: 1}
+	w := &Watch{
+		plan: plan, homeZone: home, rng: rand.New(rand.NewPCG(uint64(seed), 0x517e)), byZone: map[string]*site{},
+		endpoints: map[string]endpointPlace{}, endpointsByZone: map[int]map[string]int{}, liveRelays: 1,
+	}
 	for _, s := range plan.Sites {
-		one := &site{name: s.Zone, tier: -1, loadFraction: 1, provenFraction: initialFraction, acceptedAt: -1, othersAcceptedAt: -1, othersFailedAt: -1, degradedSince: -1, why: "nothing speaks against it"}
-		w.sites, w.byZone[s.Zone] = append(w.sites, one), one
+		newSite := &site{
+			name: s.Zone, tier: -1, loadFraction: 1, provenFraction: initialFraction, acceptedAt: -1,
+			othersAcceptedAt: -1, othersFailedAt: -1, degradedSince: -1, why: "nothing speaks against it",
+		}
+		w.sites, w.byZone[s.Zone] = append(w.sites, newSite), newSite
 	}
 	for _, s := range w.sites {
 		s.ownDemand = plan.ownDemand(s.name)
@@ -317,8 +326,8 @@
 
 // RecordCall records the outcome of a call to an endpoint, started at startedAt.
 func (w *Watch) RecordCall(now, startedAt Time, address string, outcome CallOutcome) {
-	p, ok := w.endpoints[address]
-	s := w.byZone[p.zone]
+	place, ok := w.endpoints[address]
+	s := w.byZone[place.zone]
 	if !ok || s == nil || outcome != Accepted && s.state == Returning && startedAt < s.since {
 		return // calls from before the return say nothing about it
 	}
@@ -400,9 +409,14 @@
 // Statuses returns the status of all sites, in the plan's order.
 func (w *Watch) Statuses() (all []Status) {
 	for _, s := range w.sites {
-		c := s.recentCounts()
-		all = append(all, Status{Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, LoadFraction: s.loadFraction, ManuallyOut: s.manuallyOut, MaybePartitioned: s.maybePartitioned, Relays: s.relays, RelaysAlive: s.relaysAlive,
-			CallsAccepted: c.accepted, CallsRejected: c.rejected, CallsFailed: c.failed, FailedReturns: s.failedReturns, MaxSpillRate: s.maxRate, Tier: s.tier, Endpoints: s.endpoints})
+		recent := s.recentCounts()
+		all = append(all, Status{
+			Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, LoadFraction: s.loadFraction,
+			ManuallyOut: s.manuallyOut, MaybePartitioned: s.maybePartitioned,
+			Relays: s.relays, RelaysAlive: s.relaysAlive, CallsAccepted: recent.accepted,
+			CallsRejected: recent.rejected, CallsFailed: recent.failed, FailedReturns: s.failedReturns,
+			MaxSpillRate: s.maxRate, Tier: s.tier, Endpoints: s.endpoints,
+		})
 	}
 	return all
 }
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -17,13 +17,19 @@
 // of a, b and c, and one of destination 2 in a only.
 func newTestWatch() *Watch {
 	plan := &Plan{Ramp: 10 * second, RefuseFirst: []string{"alert", "order", "charge"}, Sites: []Site{
-		{Zone: "a", Tiers: []Tier{{[]string{"b"}, 0.8}, {[]string{"c"}, 0.5}}}, {Zone: "b", Tiers: []Tier{{[]string{"a", "c"}, 0.8}}}, {Zone: "c", Tiers: []Tier{{[]string{"a"}, 0.8}}}}}
+		{Zone: "a", Tiers: []Tier{{[]string{"b"}, 0.8}, {[]string{"c"}, 0.5}}},
+		{Zone: "b", Tiers: []Tier{{[]string{"a", "c"}, 0.8}}},
+		{Zone: "c", Tiers: []Tier{{[]string{"a"}, 0.8}}},
+	}}
 	w := NewWatch(plan, "b", 1)
 	var list []policy.Endpoint
 	for i, z := range []string{"a", "b", "c", "a", "b", "c"} {
 		list = append(list, policy.Endpoint{Address: fmt.Sprint(z, i), Destination: 1, Zone: z})
 	}
-	w.ApplyEndpointList(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"})})
+	w.ApplyEndpointList(policy.EndpointListUpdate{
+		Kind:    policy.ListSnapshot,
+		Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"}),
+	})
 	for _, z := range []string{"a", "b", "c"} {
 		w.SetRelayCounts(z, 4, 4)
 	}
@@ -45,26 +51,39 @@
 // Evidence determines a site's state.
 func TestStates(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(w *Watch, now *Time)
-		want State
-		why  string
-		cut  bool
+		name             string
+		do               func(w *Watch, now *Time)
+		want             State
+		why              string
+		maybePartitioned bool
 	}{
-		{"nothing", func(w *Watch, now *Time) { advance(w, now, 10*second, "", Accepted) }, Healthy, "nothing", false},
-		{"all accepted", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Accepted) }, Healthy, "nothing", false},
+		{"nothing", func(w *Watch, now *Time) {
+			advance(w, now, 10*second, "", Accepted)
+		}, Healthy, "nothing", false},
+		{"all accepted", func(w *Watch, now *Time) {
+			advance(w, now, 10*second, "a0", Accepted)
+		}, Healthy, "nothing", false},
 		{"two fail", func(w *Watch, now *Time) {
 			advance(w, now, 1*second, "a0", Failed)
 			advance(w, now, 5*second, "", Failed)
 		}, Healthy, "", false},
-		{"its endpoints fail, its relays are alive", func(w *Watch, now *Time) { advance(w, now, 4*second, "a0", Failed) }, Lost, "4 of 4 relays live", false},
-		{"not at once, since its relays are alive", func(w *Watch, now *Time) { advance(w, now, 1500*time.Millisecond, "a0", Failed) }, Healthy, "", false},
+		{"its endpoints fail, its relays are alive", func(w *Watch, now *Time) {
+			advance(w, now, 4*second, "a0", Failed)
+		}, Lost, "4 of 4 relays live", false},
+		{"not at once, since its relays are alive", func(w *Watch, now *Time) {
+			advance(w, now, 1500*time.Millisecond, "a0", Failed)
+		}, Healthy, "", false},
 		{"endpoints and relays fail: sooner", func(w *Watch, now *Time) {
 			w.SetRelayCounts("a", 4, 0)
 			advance(w, now, 1750*time.Millisecond, "a0", Failed)
 		}, Lost, "4 of 4 relays are away", false},
-		{"no responses", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 0); advance(w, now, 4*second, "a0", NoResponse) }, Lost, "", true},
-		{"overloaded is not lost", func(w *Watch, now *Time) { advance(w, now, 10*second, "a0", Rejected) }, Healthy, "", false},
+		{"no responses", func(w *Watch, now *Time) {
+			w.SetRelayCounts("a", 4, 0)
+			advance(w, now, 4*second, "a0", NoResponse)
+		}, Lost, "", true},
+		{"overloaded is not lost", func(w *Watch, now *Time) {
+			advance(w, now, 10*second, "a0", Rejected)
+		}, Healthy, "", false},
 		{"other relays report it", func(w *Watch, now *Time) {
 			w.SetPeerReports("a", minReporters, nil)
 			advance(w, now, 3*second, "a0", Failed)
@@ -82,18 +101,23 @@
 				w.RecordCall(*now, *now, "a0", Failed)
 			}
 		}, Degraded, "calls failed", false},
-		{"its relays are dead, its endpoints answer", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 1); advance(w, now, 5*second, "a0", Accepted) }, Degraded, "3 of 4 relays are away", false},
+		{"its relays are dead, its endpoints answer", func(w *Watch, now *Time) {
+			w.SetRelayCounts("a", 4, 1)
+			advance(w, now, 5*second, "a0", Accepted)
+		}, Degraded, "3 of 4 relays are away", false},
 		{"calls of other relays are accepted", func(w *Watch, now *Time) {
 			for range 12 {
 				advance(w, now, 500*time.Millisecond, "a0", Failed)
-				w.ApplyFleetStats(*now+3*second, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // later than this relay's first failure
+				// Later than this relay's first failure.
+				w.ApplyFleetStats(*now+3*second, []policy.RouteStats{{Destination: 2, Accepted: 1}})
 			}
 		}, Degraded, "cut off from here alone", false},
 	} {
 		w, now := newTestWatch(), Time(0)
 		c.do(w, &now)
 		st := w.Statuses()[0]
-		if w.State("a") != c.want || !strings.Contains(st.Why, c.why) || st.MaybePartitioned != c.cut || w.State("b") != Healthy || w.State("nowhere") != Healthy {
+		if w.State("a") != c.want || !strings.Contains(st.Why, c.why) || st.MaybePartitioned != c.maybePartitioned ||
+			w.State("b") != Healthy || w.State("nowhere") != Healthy {
 			t.Errorf("%s: %+v", c.name, st)
 		}
 	}
@@ -103,7 +127,9 @@
 func TestZoneWithoutEndpoints(t *testing.T) {
 	w := newTestWatch()
 	for i := range 6 {
-		w.ApplyEndpointList(policy.EndpointListUpdate{Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}}})
+		w.ApplyEndpointList(policy.EndpointListUpdate{
+			Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}},
+		})
 	}
 	if n := w.Statuses()[2].Endpoints; n != 0 {
 		t.Fatalf("%d endpoints left", n)
@@ -135,17 +161,18 @@
 	if w.State("a") != Returning || w.LoadFraction("a") != initialFraction {
 		t.Fatalf("%v at %v", w.State("a"), w.LoadFraction("a"))
 	}
-	if got := w.Changes(); len(got) != 3 || got[2].PolicyUpdate(w).ReturnedZone != "a" || got[1].PolicyUpdate(w).ReturnedZone != "" {
+	if got := w.Changes(); len(got) != 3 ||
+		got[2].PolicyUpdate(w).ReturnedZone != "a" || got[1].PolicyUpdate(w).ReturnedZone != "" {
 		t.Errorf("changes %+v", got)
 	}
 	advance(w, &now, 5*second, "a0", Accepted)
-	half := w.LoadFraction("a")
-	if half < 0.5 || half > 0.7 {
-		t.Errorf("load fraction %v after half of the ramp", half)
+	beforeFailure := w.LoadFraction("a")
+	if beforeFailure < 0.5 || beforeFailure > 0.7 {
+		t.Errorf("load fraction %v after half of the ramp", beforeFailure)
 	}
 	w.RecordCall(now, w.Statuses()[0].Since-second, "a0", Failed) // started before the return
 	w.RecordCall(now, w.Statuses()[0].Since-second, "a0", Failed)
-	if advance(w, &now, 250*time.Millisecond, "", Accepted); w.LoadFraction("a") < half {
+	if advance(w, &now, 250*time.Millisecond, "", Accepted); w.LoadFraction("a") < beforeFailure {
 		t.Error("calls from before the return count against it")
 	}
 	for range 3 {
@@ -153,11 +180,11 @@
 	}
 	w.RecordCall(now, now, "a3", Accepted)
 	advance(w, &now, 250*time.Millisecond, "", Accepted)
-	if l := w.LoadFraction("a"); w.State("a") != Returning || l > half*0.6 || l < half*0.4 {
-		t.Errorf("after a new failure %v at %v, %v before", w.State("a"), l, half)
+	if l := w.LoadFraction("a"); w.State("a") != Returning || l > beforeFailure*0.6 || l < beforeFailure*0.4 {
+		t.Errorf("after a new failure %v at %v, %v before", w.State("a"), l, beforeFailure)
 	}
 	advance(w, &now, 5*second, "a0", Accepted)
-	if l := w.LoadFraction("a"); l > half*0.6+5.0/20+0.05 {
+	if l := w.LoadFraction("a"); l > beforeFailure*0.6+5.0/20+0.05 {
 		t.Errorf("not slower the second time: %v", l)
 	}
 	loseSiteA(w, &now)
@@ -185,25 +212,26 @@
 func TestReturningSiteShare(t *testing.T) {
 	w, now := newTestWatch(), Time(0)
 	loseSiteA(w, &now)
-	if w.Allows(1, "a", true) || !w.Allows(2, "a", true) || !w.Allows(1, "b", true) || w.EndpointCost("b") != 0 || w.EndpointCost("c") <= 0 {
+	if w.Allows(1, "a", true) || !w.Allows(2, "a", true) || !w.Allows(1, "b", true) ||
+		w.EndpointCost("b") != 0 || w.EndpointCost("c") <= 0 {
 		t.Error("a is lost: wrong zones are allowed or preferred")
 	}
 	w.RecordCall(now, now, "a0", Accepted)
 	w.byZone["a"].loadFraction = 0.3
-	there := 0
+	callsToA := 0
 	for range 1000 {
 		zone := "b"
 		if w.Allows(1, "a", false) {
 			zone = "a"
-			there++
+			callsToA++
 		}
 		if w.Allows(1, "a", true) {
 			t.Fatal("a call that must not be repeated goes to a site with an unproven load fraction")
 		}
 		w.CallSent(1, zone)
 	}
-	if there < 95 || there > 105 { // a third of the endpoints, at a fraction of 0.3
-		t.Errorf("%d of 1000 calls", there)
+	if callsToA < 95 || callsToA > 105 { // a third of the endpoints, at a fraction of 0.3
+		t.Errorf("%d of 1000 calls", callsToA)
 	}
 	w.byZone["a"].loadFraction, w.byZone["a"].callCredit = 0.6, 1
 	if !w.Allows(1, "a", true) {
@@ -214,15 +242,18 @@
 // The whole fleet probes a lost site at one rate, independent of its size, and never with calls
 // that must not be repeated.
 func TestFleetProbeRate(t *testing.T) {
-	for _, each := range []int{1, 27, 100} {
-		tries := 0
-		for n := range 2 * each {
+	for _, relaysPerSite := range []int{1, 27, 100} {
+		probes := 0
+		for n := range 2 * relaysPerSite {
 			plan := newTestWatch().plan
 			w := NewWatch(plan, "b", int64(n))
-			w.ApplyEndpointList(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{{Address: "a0", Destination: 1, Zone: "a"}, {Address: "b0", Destination: 1, Zone: "b"}}})
-			w.SetRelayCounts("a", each, 0)
-			w.SetRelayCounts("b", each-1, each-1)
-			w.SetRelayCounts("c", each, each)
+			w.ApplyEndpointList(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{
+				{Address: "a0", Destination: 1, Zone: "a"},
+				{Address: "b0", Destination: 1, Zone: "b"},
+			}})
+			w.SetRelayCounts("a", relaysPerSite, 0)
+			w.SetRelayCounts("b", relaysPerSite-1, relaysPerSite-1)
+			w.SetRelayCounts("c", relaysPerSite, relaysPerSite)
 			w.SetManuallyOut(0, "a", true)
 			w.byZone["a"].manuallyOut = false // lost, but not taken out manually
 			now := Time(0)
@@ -234,12 +265,12 @@
 					}
 					w.CallSent(1, "a")
 					w.RecordCall(now, now, "a0", Failed)
-					tries++
+					probes++
 				}
 			}
 		}
-		if tries < 400 || tries > 800 { // two per second
-			t.Errorf("%d relays: %d probes in 300 s", 2*each, tries)
+		if probes < 400 || probes > 800 { // two per second
+			t.Errorf("%d relays: %d probes in 300 s", 2*relaysPerSite, probes)
 		}
 	}
 }
@@ -248,8 +279,11 @@
 // site rejects calls.
 func TestSpillIsBounded(t *testing.T) {
 	p := newTestWatch().plan
-	p.Destinations = []Destination{{1, map[string]float64{"a": 100, "b": 100, "c": 100}, map[string]map[string]float64{"a": {"alert": 60}, "b": {"alert": 60}, "c": {"alert": 80}}}}
-	sum := map[string]float64{}
+	p.Destinations = []Destination{{
+		1, map[string]float64{"a": 100, "b": 100, "c": 100},
+		map[string]map[string]float64{"a": {"alert": 60}, "b": {"alert": 60}, "c": {"alert": 80}},
+	}}
+	rates := map[string]float64{}
 	var first *Watch
 	for _, home := range []string{"b", "b", "b", "b", "c", "c", "c", "c"} {
 		w := NewWatch(p, home, 1)
@@ -268,24 +302,25 @@
 		w.Tick(0)
 		w.Tick(10 * second)
 		for _, st := range w.Statuses() {
-			sum[st.Zone] += st.MaxSpillRate
+			rates[st.Zone] += st.MaxSpillRate
 		}
 		if first == nil {
 			first = w
 		}
 	}
-	if b, c := sum["b"], sum["c"]; sum["a"] != 0 || b < 60 || b > imbalanceFactor*100 || c < 80 || c > imbalanceFactor*100 {
-		t.Errorf("%v calls per second are allowed in total", sum)
+	if b, c := rates["b"], rates["c"]; rates["a"] != 0 || b < 60 || b > imbalanceFactor*100 ||
+		c < 80 || c > imbalanceFactor*100 {
+		t.Errorf("%v calls per second are allowed in total", rates)
 	}
-	was := first.Statuses()[2].MaxSpillRate
+	before := first.Statuses()[2].MaxSpillRate
 	now := 10 * second
 	for range 40 {
 		now += 250 * time.Millisecond
 		first.addRecent("c", counts{accepted: 1, rejected: 2})
 		first.Tick(now)
 	}
-	if is := first.Statuses()[2].MaxSpillRate; is >= was || is <= 0 {
-		t.Errorf("%v before rejections, %v after", was, is)
+	if after := first.Statuses()[2].MaxSpillRate; after >= before || after <= 0 {
+		t.Errorf("%v before rejections, %v after", before, after)
 	}
 	sent := 0
 	for range 200 { // a burst is limited too
@@ -323,7 +358,7 @@
 	if w.State("a") != Lost || w.Allows(1, "a", false) || w.Allows(2, "a", false) {
 		t.Error("the site is back in service")
 	}
-	if _, says := w.OwnReport("a"); says {
+	if _, ok := w.OwnReport("a"); ok {
 		t.Error("one operator's action on one relay is reported to the others")
 	}
 	w.SetManuallyOut(now, "a", false)
@@ -339,7 +374,10 @@
 		t.Error("values differ from normal though no site is lost")
 	}
 	loseSiteA(w, &now)
-	if !(w.ShedPriority("unnamed") > w.ShedPriority("alert") && w.ShedPriority("alert") > w.ShedPriority("order") && w.ShedPriority("order") > w.ShedPriority("charge") && w.ShedPriority("charge") == 0) || w.MaxAttempts(1, 6) != 3 || w.MaxAttempts(1, 1) != 1 || w.MaxAttempts(2, 6) != 6 {
+	if !(w.ShedPriority("unnamed") > w.ShedPriority("alert") &&
+		w.ShedPriority("alert") > w.ShedPriority("order") &&
+		w.ShedPriority("order") > w.ShedPriority("charge") && w.ShedPriority("charge") == 0) ||
+		w.MaxAttempts(1, 6) != 3 || w.MaxAttempts(1, 1) != 1 || w.MaxAttempts(2, 6) != 6 {
 		t.Error("wrong shed priority or number of attempts")
 	}
 	if l, ok := w.OwnReport("a"); !ok || l != 0 {
@@ -354,7 +392,8 @@
 		t.Error("one reporter is enough")
 	}
 	w.SetPeerReports("a", 0, []float64{0.2, 0.4, 0.9})
-	if advance(w, &now, second, "", Accepted); w.State("a") != Returning || w.LoadFraction("a") < 0.4 || w.LoadFraction("a") > 0.6 {
+	if advance(w, &now, second, "", Accepted); w.State("a") != Returning ||
+		w.LoadFraction("a") < 0.4 || w.LoadFraction("a") > 0.6 {
 		t.Errorf("%+v", w.Statuses()[0])
 	}
 	if _, ok := w.OwnReport("a"); ok {
@@ -362,10 +401,11 @@
 	}
 	// A relay that has just started learns of a loss from others, and treats endpoints there as
 	// cold.
-	young := newTestWatch()
-	young.SetPeerReports("a", minReporters, nil)
-	young.Tick(second)
-	if c := young.Changes(); len(c) != 1 || c[0].PolicyUpdate(young).ColdZone != "a" || young.State("a") != Healthy {
+	started := newTestWatch()
+	started.SetPeerReports("a", minReporters, nil)
+	started.Tick(second)
+	if c := started.Changes(); len(c) != 1 || c[0].PolicyUpdate(started).ColdZone != "a" ||
+		started.State("a") != Healthy {
 		t.Errorf("%+v", c)
 	}
 }
@@ -375,30 +415,32 @@
 func TestWatchInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := newTestWatch(), Time(0)
-		was := map[string]State{}
-		may := map[[2]State]bool{{Healthy, Degraded}: true, {Healthy, Lost}: true, {Degraded, Healthy}: true, {Degraded, Lost}: true, {Lost, Returning}: true, {Returning, Lost}: true, {Returning, Healthy}: true, {Returning, Returning}: true,
+		lastState := map[string]State{}
+		possible := map[[2]State]bool{
+			{Healthy, Degraded}: true, {Healthy, Lost}: true, {Degraded, Healthy}: true, {Degraded, Lost}: true,
+			{Lost, Returning}: true, {Returning, Lost}: true, {Returning, Healthy}: true, {Returning, Returning}: true,
 			{Healthy, Healthy}: true, {Lost, Lost}: true} // from other relays' reports, and by operators
-		look := func() {
+		check := func() {
 			for _, c := range w.Changes() {
-				if c.From != was[c.Zone] || !may[[2]State{c.From, c.To}] {
-					t.Fatalf("%v -> %v, it was %v", c.From, c.To, was[c.Zone])
+				if c.From != lastState[c.Zone] || !possible[[2]State{c.From, c.To}] {
+					t.Fatalf("%v -> %v, it was %v", c.From, c.To, lastState[c.Zone])
 				}
-				was[c.Zone] = c.To
+				lastState[c.Zone] = c.To
 			}
-			lossy := false
+			siteLost := false
 			for _, st := range w.Statuses() {
 				if st.LoadFraction < 0 || st.LoadFraction > 1 || st.MaxSpillRate < 0 {
 					t.Fatalf("%+v", st)
 				}
-				lossy = lossy || st.State == "lost" || st.State == "returning"
+				siteLost = siteLost || st.State == "lost" || st.State == "returning"
 				if st.ManuallyOut && w.Allows(1, st.Zone, false) {
 					t.Fatal("taken out, but allowed")
 				}
 			}
-			if lossy != w.SiteLost() {
+			if siteLost != w.SiteLost() {
 				t.Fatalf("site lost %v: %+v", w.SiteLost(), w.Statuses())
 			}
-			if !lossy && !(w.Allows(1, "a", true) && w.Allows(1, "b", true) && w.MaxAttempts(1, 6) == 6) {
+			if !siteLost && !(w.Allows(1, "a", true) && w.Allows(1, "b", true) && w.MaxAttempts(1, 6) == 6) {
 				t.Fatal("no site is lost, but something is restricted")
 			}
 		}
@@ -406,17 +448,22 @@
 			z := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
-				advance(w, &now, time.Duration(rapid.IntRange(1, 16).Draw(t, "quarters"))*250*time.Millisecond, z+map[string]string{"a": "0", "b": "1", "c": "2"}[z], CallOutcome(rapid.IntRange(0, 3).Draw(t, "end")))
+				advance(w, &now, time.Duration(rapid.IntRange(1, 16).Draw(t, "quarters"))*250*time.Millisecond,
+					z+map[string]string{"a": "0", "b": "1", "c": "2"}[z],
+					CallOutcome(rapid.IntRange(0, 3).Draw(t, "end")))
 			case 3:
 				w.SetRelayCounts(z, 4, rapid.IntRange(0, 4).Draw(t, "alive"))
 			case 4:
-				w.SetPeerReports(z, rapid.IntRange(0, 3).Draw(t, "lost"), []float64{0.5, 0.9, 1}[:rapid.IntRange(0, 3).Draw(t, "levels")])
+				w.SetPeerReports(z, rapid.IntRange(0, 3).Draw(t, "lost"),
+					[]float64{0.5, 0.9, 1}[:rapid.IntRange(0, 3).Draw(t, "levels")])
 			case 5:
 				w.SetManuallyOut(now, z, rapid.Bool().Draw(t, "out"))
 			case 6:
-				w.ApplyFleetStats(now, []policy.RouteStats{{Destination: 2, Accepted: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Reporters: 2}})
+				w.ApplyFleetStats(now, []policy.RouteStats{{
+					Destination: 2, Accepted: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Reporters: 2,
+				}})
 			}
-			look()
+			check()
 		}
 		for _, z := range []string{"a", "b", "c"} {
 			w.SetManuallyOut(now, z, false)
@@ -429,7 +476,7 @@
 			}
 			advance(w, &now, 500*time.Millisecond, "", Accepted)
 		}
-		look()
+		check()
 		for _, st := range w.Statuses() {
 			if st.State != "whole" {
 				t.Fatalf("accepts all calls, but is %+v", st)
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -9,11 +9,15 @@
 
 // resourceErrnos are temporary shortages on this machine. They say nothing about the other side of
 // a connection.
-var resourceErrnos = []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
-	syscall.ENOLCK, syscall.EADDRNOTAVAIL}
+var resourceErrnos = []syscall.Errno{
+	syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
+	syscall.ENOLCK, syscall.EADDRNOTAVAIL,
+}
 
 // otherErrnos are errors of a disk or network that may recover.
-var otherErrnos = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
+var otherErrnos = []syscall.Errno{
+	syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED,
+}
 
 // IsResourceExhaustion reports whether err is a temporary shortage on this machine.
 func IsResourceExhaustion(err error) bool { return isOneOf(resourceErrnos, err) }
