--- a/internal/clock/spans_test.go
+++ b/internal/clock/spans_test.go
@@ -39,7 +39,7 @@
 		name, _ := filepath.Rel(root, path)
 		name = filepath.ToSlash(name)
 		if entry.IsDir() && (name == ".git" || name == "journal" || name == "internal/lab" ||
-			name == "internal/standin" || name == "internal/soak" || name == "internal/ci") {
+			name == "internal/testdouble" || name == "internal/soak" || name == "internal/ci") {
 			return fs.SkipDir
 		}
 		if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") ||
