--- a/internal/clock/spans_test.go
+++ b/internal/clock/spans_test.go
@@ -15,7 +15,7 @@
 	"internal/clock/clock.go":            "converts dates",
 	"internal/clock/anchor_linux.go":     "reads the anchor",
 	"internal/clock/anchor_other.go":     "reads the anchor",
-	"internal/choice/turn.go":            "relays' time slots use the clock that all machines share",
+	"internal/choice/time_slot.go":       "relays' time slots use the clock that all machines share",
 	"internal/daemon/config/config.go":   "a seed",
 	"internal/wire/members.go":           "a seed",
 	"internal/wire/sites.go":             "a seed",
