--- a/cmd/oatfold/main_test.go
+++ b/cmd/oatfold/main_test.go
@@ -27,27 +27,27 @@
 	os.Exit(m.Run())
 }
 
-// site is what lies round the relay: discovery with one endpoint, which answers as told.
-type site struct {
+// testEnv is what lies round the relay: discovery with one endpoint, which answers as told.
+type testEnv struct {
 	sync.Mutex
-	t        *testing.T
-	state    string
-	listen   string
-	config   string
-	agent    *httptest.Server
-	endpoint *httptest.Server
-	hold     chan struct{}     // while it is open, the endpoint does not answer
-	calls    map[string]int    // by message
-	keys     map[string]string // idempotency keys seen
-	notices  []string
-	slow     time.Duration // that the agent takes for a notice, which it drops if its sender goes away meanwhile
-	asked    int           // whole lists
-	watched  int           // changes
-	log      io.Writer     // of the relay; nil: the test's
+	t             *testing.T
+	state         string
+	listen        string
+	config        string
+	agent         *httptest.Server
+	endpoint      *httptest.Server
+	blocked       chan struct{}     // while it is open, the endpoint does not answer
+	calls         map[string]int    // by message
+	keys          map[string]string // idempotency keys seen
+	notices       []string
+	notifyDelay   time.Duration // that the agent takes for a notice, which it drops if its sender goes away meanwhile
+	listRequests  int           // whole lists
+	watchRequests int           // changes
+	relayLog      io.Writer     // of the relay; nil: the test's
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, state: t.TempDir(), hold: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{}}
+func newTestEnv(t *testing.T) *testEnv {
+	s := &testEnv{t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 		id := r.Header.Get("X-Correlation-Id")
 		s.calls[id]++
 		s.keys[id] = r.Header.Get("Idempotency-Key")
-		hold := s.hold
+		hold := s.blocked
 		s.Unlock()
 		<-hold
 	}))
@@ -76,7 +76,7 @@
 }
 
 // configure writes the configuration file with that address of discovery.
-func (s *site) configure(discovery string) {
+func (s *testEnv) configure(discovery string) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "daemon", "config", "testdata", "config.json"))
 	if err == nil {
 		err = os.WriteFile(s.config, []byte(strings.Replace(string(raw), "{", fmt.Sprintf("{%q:%q,", "discovery", discovery), 1)), 0o600)
@@ -87,7 +87,7 @@
 }
 
 // startAgent starts a discovery that knows one endpoint, and a destination 99 that takes nothing new; on ln, if that is not nil.
-func (s *site) startAgent(ln net.Listener) *httptest.Server {
+func (s *testEnv) startAgent(ln net.Listener) *httptest.Server {
 	end := make(chan struct{})
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -95,7 +95,7 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(s.slow):
+			case <-time.After(s.notifyDelay):
 			}
 			s.Lock()
 			s.notices = append(s.notices, strings.Fields(string(b))...)
@@ -103,12 +103,12 @@
 			w.WriteHeader(204)
 		} else if r.URL.Query().Has("from") {
 			s.Lock()
-			s.watched++
+			s.watchRequests++
 			s.Unlock()
 			<-end
 		} else {
 			s.Lock()
-			s.asked++
+			s.listRequests++
 			s.Unlock()
 			fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"porto-dc1",
 				"machineType":"small-partner","cell":7,"lifecycle":"in_service","weight":1,"startedAtMs":0},
@@ -129,17 +129,17 @@
 }
 
 // release lets the endpoint answer from now on.
-func (s *site) release() {
+func (s *testEnv) release() {
 	s.Lock()
 	defer s.Unlock()
 	select {
-	case <-s.hold:
+	case <-s.blocked:
 	default:
-		close(s.hold)
+		close(s.blocked)
 	}
 }
 
-func (s *site) until(what string, ok func() bool) {
+func (s *testEnv) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	for range 20_000 { // a bound for a hang, not a measure
 		s.Lock()
@@ -154,21 +154,21 @@
 }
 
 // start runs the relay until it is ready.
-func (s *site) start() *exec.Cmd {
+func (s *testEnv) start() *exec.Cmd {
 	s.t.Helper()
-	cmd := s.launch()
-	s.until("the relay to be ready", func() bool { return s.ask("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n") == "200" })
+	cmd := s.startProcess()
+	s.waitUntil("the relay to be ready", func() bool { return s.send("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n") == "200" })
 	return cmd
 }
 
-// launch starts it, and waits for nothing.
-func (s *site) launch() *exec.Cmd {
+// startProcess starts it, and waits for nothing.
+func (s *testEnv) startProcess() *exec.Cmd {
 	s.t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OATFOLD_AS_PROGRAM=1", "ROUTER_LISTEN="+s.listen, "ROUTER_STATE="+s.state,
 		"ROUTER_DISCOVERY=127.0.0.1:1", "ROUTER_CONFIG="+s.config) // the file goes first
-	if cmd.Stderr = s.t.Output(); s.log != nil {
-		cmd.Stderr = s.log
+	if cmd.Stderr = s.t.Output(); s.relayLog != nil {
+		cmd.Stderr = s.relayLog
 	}
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
@@ -177,17 +177,17 @@
 	return cmd
 }
 
-// ask sends one request on a new connection and returns the status.
-func (s *site) ask(request string) string {
+// send sends one request on a new connection and returns the status.
+func (s *testEnv) send(request string) string {
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	return askOn(c, request)
+	return sendOn(c, request)
 }
 
-func askOn(c net.Conn, request string) string {
+func sendOn(c net.Conn, request string) string {
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	io.WriteString(c, request)
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -197,39 +197,39 @@
 	return fmt.Sprint(res.StatusCode)
 }
 
-func hand(class, id, dest string, left int) string {
+func messageRequest(class, id, dest string, left int) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nX-Correlation-Id: %s\r\nIdempotency-Key: key-%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%s\r\nContent-Length: 2\r\n\r\nhi",
 		class, id, id, left, dest)
 }
 
-func (s *site) take(requests ...string) {
+func (s *testEnv) submit(requests ...string) {
 	s.t.Helper()
 	for _, r := range requests {
-		if got := s.ask(r); got != "202" {
+		if got := s.send(r); got != "202" {
 			s.t.Fatalf("answered %s", got)
 		}
 	}
 }
 
-func (s *site) told(id, outcome string) bool {
+func (s *testEnv) notified(id, outcome string) bool {
 	return slices.ContainsFunc(s.notices, func(n string) bool { return strings.Contains(n, `"`+id+`"`) && strings.Contains(n, outcome) })
 }
 
 // After SIGKILL: what was out and must not run twice is given up and never sent again; what may be repeated
 // goes again under its key; what ran out of time meanwhile gets its notice; nothing is lost.
-func TestKilledOutright(t *testing.T) {
-	s := newSite(t)
+func TestKilled(t *testing.T) {
+	s := newTestEnv(t)
 	cmd := s.start()
-	s.take(hand("fee-charge", "fee", "7", 19000), hand("order-relay", "order", "7", 19000))
-	s.until("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
-	s.take(hand("fee-charge", "nowhere", "99", 19000), hand("price-alert", "late", "99", 1500))
+	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
+	s.waitUntil("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
+	s.submit(messageRequest("fee-charge", "nowhere", "99", 19000), messageRequest("price-alert", "late", "99", 1500))
 	cmd.Process.Kill()
 	cmd.Wait()
 	s.release()
 	time.Sleep(1600 * time.Millisecond) // the time of "late" is up before the relay is back
 	s.start()
-	s.until("all ends but one", func() bool { return s.calls["order"] == 2 && s.told("fee", "given_up") && s.told("late", "") })
-	if s.calls["fee"] != 1 || s.keys["order"] != "key-order" || s.told("order", "") || s.told("nowhere", "") {
+	s.waitUntil("all ends but one", func() bool { return s.calls["order"] == 2 && s.notified("fee", "given_up") && s.notified("late", "") })
+	if s.calls["fee"] != 1 || s.keys["order"] != "key-order" || s.notified("order", "") || s.notified("nowhere", "") {
 		t.Errorf("calls %v, keys %v, notices %v", s.calls, s.keys, s.notices)
 	}
 }
@@ -237,29 +237,29 @@
 // After SIGTERM: connections are served on for a moment, the call that is out is finished, the rest is left to the next start,
 // the exit is clean.
 func TestPlannedStop(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	cmd := s.start()
 	kept, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	s.take(hand("fee-charge", "fee", "7", 19000), hand("price-alert", "nowhere", "99", 6000))
-	s.until("the call", func() bool { return s.calls["fee"] == 1 })
+	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("price-alert", "nowhere", "99", 6000))
+	s.waitUntil("the call", func() bool { return s.calls["fee"] == 1 })
 	cmd.Process.Signal(syscall.SIGTERM)
-	if got := askOn(kept, hand("fee-charge", "more", "7", 19000)); got != "202" {
+	if got := sendOn(kept, messageRequest("fee-charge", "more", "7", 19000)); got != "202" {
 		t.Errorf("after SIGTERM a kept connection was answered %s", got)
 	}
 	s.release()
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v", err)
 	}
-	if s.calls["fee"] != 1 || s.told("fee", "") {
+	if s.calls["fee"] != 1 || s.notified("fee", "") {
 		t.Errorf("calls %v, notices %v", s.calls, s.notices)
 	}
 	s.start()
-	s.until("the rest to end", func() bool { return s.calls["more"] == 1 && s.told("nowhere", "handed_back") })
-	if s.calls["fee"] != 1 || s.told("fee", "") || s.told("more", "") {
+	s.waitUntil("the rest to end", func() bool { return s.calls["more"] == 1 && s.notified("nowhere", "handed_back") })
+	if s.calls["fee"] != 1 || s.notified("fee", "") || s.notified("more", "") {
 		t.Errorf("calls %v, notices %v", s.calls, s.notices)
 	}
 }
@@ -267,32 +267,32 @@
 // After SIGHUP the relay goes on at the new address of discovery, with all that it holds; a file that is wrong changes
 // nothing; SIGTERM soon after is a planned stop as any.
 func TestReload(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	cmd := s.start()
-	s.take(hand("fee-charge", "fee", "7", 19000), hand("order-relay", "held", "99", 2500))
-	s.until("the call", func() bool { return s.calls["fee"] == 1 })
+	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "held", "99", 2500))
+	s.waitUntil("the call", func() bool { return s.calls["fee"] == 1 })
 	if err := os.WriteFile(s.config, []byte(`{"discovery":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.take(hand("order-relay", "more", "99", 2500))
+	s.submit(messageRequest("order-relay", "more", "99", 2500))
 	next := s.startAgent(nil)
 	s.configure(next.Listener.Addr().String())
-	asked := s.asked
+	asked := s.listRequests
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.until("the new address to be asked", func() bool { return s.asked > asked })
+	s.waitUntil("the new address to be asked", func() bool { return s.listRequests > asked })
 	s.agent.CloseClientConnections()
 	s.agent.Listener.Close()
-	s.until("notices at the new address", func() bool { return s.told("held", "handed_back") && s.told("more", "handed_back") })
+	s.waitUntil("notices at the new address", func() bool { return s.notified("held", "handed_back") && s.notified("more", "handed_back") })
 	cmd.Process.Signal(syscall.SIGTERM)
 	s.release()
-	if err := cmd.Wait(); err != nil || s.calls["fee"] != 1 || s.told("fee", "") {
+	if err := cmd.Wait(); err != nil || s.calls["fee"] != 1 || s.notified("fee", "") {
 		t.Errorf("exit %v, calls %v, notices %v", err, s.calls, s.notices)
 	}
 }
 
 // What is told wrong ends the start with one line that names the key.
-func TestBadConfigurationIsNamed(t *testing.T) {
+func TestConfigurationErrorNamesTheKey(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OATFOLD_AS_PROGRAM=1", "ROUTER_STATE=/nonexistent")
 	out, err := cmd.CombinedOutput()
@@ -303,7 +303,7 @@
 
 // Killed outright again and again while messages come in and the configuration is reloaded: each that was told 202 ends, and no charge is sent twice.
 func TestKilledAtAnyMoment(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	s.release()
 	var taken []string
 	for round := range 6 {
@@ -318,7 +318,7 @@
 		})
 		for n, alive := 0, true; alive; n++ {
 			id := fmt.Sprintf("m%d-%d", round, n)
-			if s.ask(hand([]string{"fee-charge", "order-relay", "price-alert"}[n%3], id, "7", 19000)) == "202" {
+			if s.send(messageRequest([]string{"fee-charge", "order-relay", "price-alert"}[n%3], id, "7", 19000)) == "202" {
 				taken = append(taken, id)
 			}
 			if n == 2*round {
@@ -335,8 +335,8 @@
 		}
 	}
 	s.start()
-	s.until("all that was taken to end", func() bool {
-		return !slices.ContainsFunc(taken, func(id string) bool { return s.calls[id] == 0 && !s.told(id, "") })
+	s.waitUntil("all that was taken to end", func() bool {
+		return !slices.ContainsFunc(taken, func(id string) bool { return s.calls[id] == 0 && !s.notified(id, "") })
 	})
 	for _, id := range taken {
 		var n int
--- a/cmd/oatfold/notices_test.go
+++ b/cmd/oatfold/notices_test.go
@@ -16,9 +16,9 @@
 //
 // Cause: a retry that cancels the attempt before it, with a time-out shorter than the other side may take.
 func TestNoticeReachesASlowAgent(t *testing.T) {
-	s := newSite(t)
-	s.slow = 250 * time.Millisecond
+	s := newTestEnv(t)
+	s.notifyDelay = 250 * time.Millisecond
 	s.start()
-	s.take(hand("order-relay", "ends", "99", 500))
-	s.until("the notice to be taken", func() bool { return s.told("ends", "") })
+	s.submit(messageRequest("order-relay", "ends", "99", 500))
+	s.waitUntil("the notice to be taken", func() bool { return s.notified("ends", "") })
 }
--- a/cmd/oatfold/signals_test.go
+++ b/cmd/oatfold/signals_test.go
@@ -14,10 +14,10 @@
 func TestStopIsNotPushedOutByReloads(t *testing.T) {
 	for _, reloads := range []int{1, 9} {
 		t.Run(fmt.Sprint(reloads), func(t *testing.T) {
-			s := newSite(t)
+			s := newTestEnv(t)
 			s.release()
 			cmd := s.start()
-			s.take(hand("order-relay", "kept", "99", 19000))
+			s.submit(messageRequest("order-relay", "kept", "99", 19000))
 			if err := os.Remove(s.config); err != nil {
 				t.Fatal(err)
 			}
@@ -25,7 +25,7 @@
 			if err := syscall.Mkfifo(s.config, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			log := &logged{}
+			log := &logBuffer{}
 			for range reloads {
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(5 * time.Millisecond) // each is delivered by itself
@@ -43,19 +43,19 @@
 			}
 			os.Remove(s.config)
 			s.configure(s.agent.Listener.Addr().String())
-			s.log = log
+			s.relayLog = log
 			s.start()
-			s.until("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
+			s.waitUntil("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
 		})
 	}
 }
 
 // A reload whose file can't be opened for a moment is not forgotten: the operators have said it once, and say it no more.
 func TestReloadOutlastsAMomentOfTrouble(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	s.release()
-	log := &logged{}
-	s.log = log
+	log := &logBuffer{}
+	s.relayLog = log
 	cmd := s.start()
 	good, err := os.ReadFile(s.config)
 	if err != nil {
@@ -66,17 +66,17 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.until("the reload to begin", func() bool { return log.has("reloading") })
-	s.until("its trouble to be told", func() bool { return log.has("configuration can't be read now") })
+	s.waitUntil("the reload to begin", func() bool { return log.has("reloading") })
+	s.waitUntil("its trouble to be told", func() bool { return log.has("configuration can't be read now") })
 	os.Remove(s.config)
 	if err := os.WriteFile(s.config, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the reload to pass", func() bool { return log.has("msg=reloaded") })
+	s.waitUntil("the reload to pass", func() bool { return log.has("msg=reloaded") })
 	if log.has("the old one stays") {
 		t.Error("told to stay with the old one")
 	}
-	if strings.Contains(s.ask("GET /ready HTTP/1.1\r\n\r\n"), "EOF") {
+	if strings.Contains(s.send("GET /ready HTTP/1.1\r\n\r\n"), "EOF") {
 		t.Error("it serves no more")
 	}
 }
--- a/cmd/oatfold/stop_test.go
+++ b/cmd/oatfold/stop_test.go
@@ -14,26 +14,26 @@
 	"time"
 )
 
-// logged keeps a process's log.
-type logged struct {
+// logBuffer keeps a process's log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) has(text string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
-// when is the time of the first line with that message.
-func (l *logged) when(t *testing.T, msg string) time.Time {
+// timeOf is the time of the first line with that message.
+func (l *logBuffer) timeOf(t *testing.T, msg string) time.Time {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,9 +54,9 @@
 // twice, and a reload behind it with a file that is wrong. The exit is clean and in time; whoever had sent a request whole is answered, who
 // rests sees a plain end; and the next start ends what was taken on.
 func TestStopUnderEverything(t *testing.T) {
-	s := newSite(t)
-	log := &logged{}
-	s.log = log
+	s := newTestEnv(t)
+	log := &logBuffer{}
+	s.relayLog = log
 	cmd := s.start()
 	open := func(first string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", s.listen)
@@ -72,11 +72,11 @@
 	if a, err := restsR.ReadString('\n'); err != nil || !strings.Contains(a, " 200 ") {
 		t.Fatalf("%q, %v", a, err)
 	}
-	s.take(hand("fee-charge", "fee", "7", 19000), hand("order-relay", "order", "7", 19000))
-	s.until("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
-	s.take(hand("price-alert", "waits", "99", 4500))
+	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
+	s.waitUntil("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
+	s.submit(messageRequest("price-alert", "waits", "99", 4500))
 	_, silentR := open("")
-	req := hand("order-relay", "half", "99", 19000)
+	req := messageRequest("order-relay", "half", "99", 19000)
 	half, halfR := open(req[:len(req)-1])
 	if err := os.WriteFile(s.config, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -99,31 +99,31 @@
 		t.Fatalf("exit: %v", err)
 	}
 	// As the process saw it: it had not to wait for a processor before its first line.
-	if took := log.when(t, "stopped").Sub(log.when(t, "stopping")); took > 3700*time.Millisecond {
+	if took := log.timeOf(t, "stopped").Sub(log.timeOf(t, "stopping")); took > 3700*time.Millisecond {
 		t.Errorf("the stop took %v", took)
 	}
 	s.configure(s.agent.Listener.Addr().String())
 	s.release()
 	s.start()
-	s.until("all to end", func() bool {
-		return s.told("fee", "given_up") && s.calls["order"] >= 2 && s.told("waits", "handed_back")
+	s.waitUntil("all to end", func() bool {
+		return s.notified("fee", "given_up") && s.calls["order"] >= 2 && s.notified("waits", "handed_back")
 	})
 	s.Lock()
 	defer s.Unlock()
-	if s.calls["fee"] != 1 || s.told("order", "") {
+	if s.calls["fee"] != 1 || s.notified("order", "") {
 		t.Errorf("calls %v, notices %v", s.calls, s.notices)
 	}
 }
 
 // Told to end before it can serve, or as soon as it says that it is ready, it ends clean as well.
 func TestStopAtTheStart(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	s.release()
 	for n := range 2 {
-		log := &logged{}
-		s.log = log
+		log := &logBuffer{}
+		s.relayLog = log
 		cmd := s.start()
-		s.take(hand("order-relay", fmt.Sprint("m", n), "99", 19000))
+		s.submit(messageRequest("order-relay", fmt.Sprint("m", n), "99", 19000))
 		cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
 			t.Fatalf("exit: %v", err)
@@ -137,19 +137,19 @@
 // Told to end while its journal is read, which takes as long as the test says: it ends clean once that is over, and what the folder holds is
 // there at the next start.
 func TestStopWhileTheJournalIsRead(t *testing.T) {
-	s := newSite(t)
+	s := newTestEnv(t)
 	s.release()
-	log := &logged{}
-	s.log = log
+	log := &logBuffer{}
+	s.relayLog = log
 	cmd := s.start()
-	s.take(hand("order-relay", "kept", "99", 19000))
+	s.submit(messageRequest("order-relay", "kept", "99", 19000))
 	cmd.Process.Kill()
 	cmd.Wait()
 	slow := filepath.Join(s.state, "000000000000.seg") // read before all others
 	if err := syscall.Mkfifo(slow, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd = s.launch()
+	cmd = s.startProcess()
 	pipe, err := os.OpenFile(slow, os.O_WRONLY, 0) // comes back when the relay has opened its side
 	if err != nil {
 		t.Fatal(err)
@@ -161,8 +161,8 @@
 		t.Fatalf("exit: %v", err)
 	}
 	os.Remove(slow)
-	log = &logged{}
-	s.log = log
+	log = &logBuffer{}
+	s.relayLog = log
 	s.start()
-	s.until("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
+	s.waitUntil("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
 }
--- a/cmd/oatfold/unanswered_test.go
+++ b/cmd/oatfold/unanswered_test.go
@@ -25,29 +25,29 @@
 // Cause: the end of a connection read away what came behind it, so as not to reset the last answer. What is read is owed an answer.
 func TestNothingIsReadAndLeftUnanswered(t *testing.T) {
 	t.Run("resting connection", func(t *testing.T) {
-		s := newSite(t)
+		s := newTestEnv(t)
 		cmd := s.start()
-		c, r := s.open("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		if status := statusOf(r); status != "200" {
+		c, r := s.dial("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		if status := readStatus(r); status != "200" {
 			t.Fatalf("answered %s", status)
 		}
 		cmd.Process.Signal(syscall.SIGTERM)
-		sendBehindTheEnd(t, c, r, hand("order-relay", "crosses", "99", 19000))
+		sendAfterClose(t, c, r, messageRequest("order-relay", "crosses", "99", 19000))
 	})
 	t.Run("new connection", func(t *testing.T) {
-		s := newSite(t)
+		s := newTestEnv(t)
 		s.start()
-		c, r := s.open("")
-		sendBehindTheEnd(t, c, r, hand("order-relay", "crosses", "99", 19000))
+		c, r := s.dial("")
+		sendAfterClose(t, c, r, messageRequest("order-relay", "crosses", "99", 19000))
 	})
 	t.Run("one packet", func(t *testing.T) {
-		s := newSite(t)
+		s := newTestEnv(t)
 		cmd := s.start()
 		// Its request has begun when the relay stops, so that the connection lasts until it is answered.
-		first, second := hand("order-relay", "first", "99", 19000), hand("order-relay", "second", "99", 19000)
-		c, r := s.open(first[:1])
-		rests, restsR := s.open("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		if status := statusOf(restsR); status != "200" {
+		first, second := messageRequest("order-relay", "first", "99", 19000), messageRequest("order-relay", "second", "99", 19000)
+		c, r := s.dial(first[:1])
+		rests, restsR := s.dial("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		if status := readStatus(restsR); status != "200" {
 			t.Fatalf("answered %s", status)
 		}
 		cmd.Process.Signal(syscall.SIGTERM)
@@ -55,15 +55,15 @@
 		rests.Close()
 		io.WriteString(c, first[1:]+second)
 		for _, name := range []string{"first", "second"} {
-			if status := statusOf(r); status != "202" && status != "503" {
+			if status := readStatus(r); status != "202" && status != "503" {
 				t.Errorf("the %s of two requests in one packet is answered %q", name, status)
 			}
 		}
 	})
 }
 
-// open connects to the relay and sends what the client says first.
-func (s *site) open(first string) (*net.TCPConn, *bufio.Reader) {
+// dial connects to the relay and sends what the client says first.
+func (s *testEnv) dial(first string) (*net.TCPConn, *bufio.Reader) {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-// statusOf reads one answer and returns its status, or why there is none.
-func statusOf(r *bufio.Reader) string {
+// readStatus reads one answer and returns its status, or why there is none.
+func readStatus(r *bufio.Reader) string {
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return err.Error()
@@ -85,9 +85,9 @@
 	return fmt.Sprint(res.StatusCode)
 }
 
-// sendBehindTheEnd sends a request once the relay has closed its side, as one does that the end has not reached yet, and
+// sendAfterClose sends a request once the relay has closed its side, as one does that the end has not reached yet, and
 // wants it reset: a reset is how TCP tells that nobody has read it.
-func sendBehindTheEnd(t *testing.T, c *net.TCPConn, r *bufio.Reader, request string) {
+func sendAfterClose(t *testing.T, c *net.TCPConn, r *bufio.Reader, request string) {
 	t.Helper()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
 		t.Fatalf("%q, %v: want a plain end", rest, err)
--- a/internal/daemon/inherit_test.go
+++ b/internal/daemon/adopt_test.go
@@ -16,22 +16,22 @@
 	"oatfold/internal/wire"
 )
 
-// account is what a process that is gone has left of the charge "m" in its room, and who was taking that room over.
-type account struct {
-	successor string // "-": nobody
-	steps     int
-	over      bool // delivered
-	owed      bool // handed back, and the platform has yet to hear of it
-	nothing   bool // it knows nothing of the charge
+// journalState is what a process that is gone has left of the charge "m" in its room, and who was taking that room over.
+type journalState struct {
+	successor           string // "-": nobody
+	attempts            int
+	delivered           bool // delivered
+	notificationPending bool // handed back, and the platform has yet to hear of it
+	empty               bool // it knows nothing of the charge
 }
 
-// charge returns the charge "m" after so many calls, none of which has run.
-func charge(num uint32, steps int) *memory.Message {
+// newCharge returns the charge "m" after so many calls, none of which has run.
+func newCharge(num uint32, steps int) *memory.Message {
 	return &memory.Message{Number: num, ID: "m", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour), Attempts: steps}
 }
 
-// leave writes a room as its process left it, with its lock fallen.
-func (a account) leave(t *testing.T, dir, name string) {
+// write writes a room as its process left it, with its lock fallen.
+func (a journalState) write(t *testing.T, dir, name string) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	folder, err := processdir.Open(dir, log)
@@ -46,14 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := charge(7, a.steps)
-	if a.owed {
+	m := newCharge(7, a.attempts)
+	if a.notificationPending {
 		m.Notification = &memory.Notification{Returned: true}
 	}
-	if !a.nothing {
+	if !a.empty {
 		kept.AppendTransferred(table, m)
 	}
-	if a.over {
+	if a.delivered {
 		table.Remove(m)
 		kept.AppendCompleted(m, false)
 	}
@@ -69,8 +69,8 @@
 	folder.Release(room, false)
 }
 
-// found tells what a room's journal still holds of "m".
-func found(t *testing.T, dir string) *memory.Message {
+// readMessage tells what a room's journal still holds of "m".
+func readMessage(t *testing.T, dir string) *memory.Message {
 	t.Helper()
 	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 1 << 20, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -82,20 +82,20 @@
 
 // Several rooms fall together, since each successor died before it had booked off what it took over. Whatever their names, the latest account
 // counts: what one of them has ended does not run once more.
-func TestRoomsThatFallTogether(t *testing.T) {
+func TestSeveralProcessDirsAdoptedTogether(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		left []account // of the state folder, life-1, life-2
-		held int       // messages that the successor goes on with, notices among them
-		want int       // calls that it knows of
+		left []journalState // of the state folder, life-1, life-2
+		held int            // messages that the successor goes on with, notices among them
+		want int            // calls that it knows of
 	}{
-		{"delivered by the successor", []account{{successor: "life-1"}, {successor: "-", over: true}}, 0, 0},
-		{"delivered by the process before", []account{{successor: "-", over: true}, {successor: ""}}, 0, 0},
-		{"called by the successor", []account{{successor: "life-1"}, {successor: "-", steps: 1}}, 1, 1},
-		{"handed back by the successor", []account{{successor: "life-1"}, {successor: "-", owed: true}}, 1, 0},
-		{"delivered by the successor's successor", []account{{successor: "life-1"}, {successor: "life-2"}, {successor: "-", over: true}}, 0, 0},
-		{"booked off by the successor's successor", []account{{successor: "life-1"}, {successor: "life-2", steps: 2}, {successor: "-", nothing: true}}, 1, 2},
-		{"tried by nobody", []account{{successor: "life-1"}, {successor: "-", nothing: true}}, 1, 0},
+		{"delivered by the successor", []journalState{{successor: "life-1"}, {successor: "-", delivered: true}}, 0, 0},
+		{"delivered by the process before", []journalState{{successor: "-", delivered: true}, {successor: ""}}, 0, 0},
+		{"called by the successor", []journalState{{successor: "life-1"}, {successor: "-", attempts: 1}}, 1, 1},
+		{"handed back by the successor", []journalState{{successor: "life-1"}, {successor: "-", notificationPending: true}}, 1, 0},
+		{"delivered by the successor's successor", []journalState{{successor: "life-1"}, {successor: "life-2"}, {successor: "-", delivered: true}}, 0, 0},
+		{"booked off by the successor's successor", []journalState{{successor: "life-1"}, {successor: "life-2", attempts: 2}, {successor: "-", empty: true}}, 1, 2},
+		{"tried by nobody", []journalState{{successor: "life-1"}, {successor: "-", empty: true}}, 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -104,29 +104,29 @@
 				if n > 0 {
 					name = fmt.Sprint("life-", n)
 				}
-				a.leave(t, dir, name)
+				a.write(t, dir, name)
 			}
 			h := startSuccessor(t, dir)
-			_, fallen, err := h.folder.Others(h.room)
+			_, fallen, err := h.stateDir.Others(h.dir)
 			if err != nil || len(fallen) != len(c.left) {
 				t.Fatal(fallen, err)
 			}
-			all, live := h.read(fallen), 0
+			all, live := h.openJournals(fallen), 0
 			for _, i := range all { // a host that sends already takes the first account that it is told
 				live += len(i.table.All())
 			}
 			if live != c.held {
 				t.Errorf("%d accounts are told, want %d", live, c.held)
 			}
-			h.inherit(all)
+			h.adoptAll(all)
 			if held, _ := h.host.Load(); held != c.held {
 				t.Errorf("%d held, want %d", held, c.held)
 			}
-			if left, fallen, err := h.folder.Others(h.room); err != nil || len(left)+len(fallen) > 0 {
+			if left, fallen, err := h.stateDir.Others(h.dir); err != nil || len(left)+len(fallen) > 0 {
 				t.Errorf("rooms stay: %v, %v, %v", left, fallen, err)
 			}
 			if c.held > 0 {
-				if steps := steps(t, h); steps != c.want {
+				if steps := recordedAttempts(t, h); steps != c.want {
 					t.Errorf("%d calls are known, want %d", steps, c.want)
 				}
 			}
@@ -134,11 +134,11 @@
 	}
 }
 
-// steps asks for the calls of "m" that the successor knows of, as it would tell the process after it.
-func steps(t *testing.T, h *successor) (steps int) {
+// recordedAttempts asks for the calls of "m" that the successor knows of, as it would tell the process after it.
+func recordedAttempts(t *testing.T, h *successor) (steps int) {
 	t.Helper()
 	h.host.Do(func(*wire.Host) {}) // what was adopted is in the journal
-	m := found(t, h.room.Path)
+	m := readMessage(t, h.dir.Path)
 	if m == nil {
 		t.Fatal("it is not in the successor's journal")
 	}
@@ -146,33 +146,33 @@
 }
 
 // A room whose messages went on in one that can't be read is left alone.
-func TestUnreadableSuccessorKeepsItsSource(t *testing.T) {
+func TestDirIsKeptWhenSuccessorIsUnreadable(t *testing.T) {
 	dir := t.TempDir()
-	account{successor: "life-1"}.leave(t, dir, "")
+	journalState{successor: "life-1"}.write(t, dir, "")
 	h := startSuccessor(t, dir)
-	h.folder.Release(h.room, false) // the room "life-1" falls
-	fallen := []*processdir.Dir{{Name: "", Path: dir}, {Name: "life-1", Path: h.room.Path + "/gone"}}
+	h.stateDir.Release(h.dir, false) // the room "life-1" falls
+	fallen := []*processdir.Dir{{Name: "", Path: dir}, {Name: "life-1", Path: h.dir.Path + "/gone"}}
 	if err := fallen[0].Claim(fallen[1]); err == nil {
 		t.Fatal("a room that is not locked takes a word")
 	}
-	if all := h.read(fallen); len(all) > 0 {
+	if all := h.openJournals(fallen); len(all) > 0 {
 		t.Errorf("%d rooms are read", len(all))
 	}
 }
 
 // A process that has to leave while it takes a room over books off what it has taken. Forced: its host stands still between the part that it
 // adopts and the write to the journal, until the process was told to leave.
-func TestLeavesInTheMiddleOfARoom(t *testing.T) {
+func TestStopWhileAdoptingADir(t *testing.T) {
 	dir := t.TempDir()
-	account{successor: "-"}.leave(t, dir, "")
+	journalState{successor: "-"}.write(t, dir, "")
 	h := startSuccessor(t, dir)
 	ctx, leave := context.WithCancel(context.Background())
 	h.ctx = ctx
-	_, fallen, err := h.folder.Others(h.room)
+	_, fallen, err := h.stateDir.Others(h.dir)
 	if err != nil || len(fallen) != 1 {
 		t.Fatal(fallen, err)
 	}
-	all := h.read(fallen)
+	all := h.openJournals(fallen)
 	queued := func(n int) {
 		t.Helper()
 		for bound := time.Now().Add(10 * time.Second); len(h.host.Events()) < n; time.Sleep(100 * time.Microsecond) {
@@ -205,33 +205,33 @@
 	if held, _ := h.host.Load(); held != 1 {
 		t.Fatalf("%d held", held)
 	}
-	if m := found(t, dir); m != nil {
+	if m := readMessage(t, dir); m != nil {
 		t.Errorf("its room still says of it that it was never tried: %+v", m)
 	}
 }
 
 // A gift that a process ended, and had not booked when it died, does not run once more.
-func TestGiftThatWasEnded(t *testing.T) {
+func TestTransferOfCompletedMessage(t *testing.T) {
 	for what, c := range map[string]struct {
-		account
+		journalState
 		held int
-	}{"delivered": {account{successor: "-", over: true}, 0}, "handed back": {account{successor: "-", owed: true}, 1}} {
+	}{"delivered": {journalState{successor: "-", delivered: true}, 0}, "handed back": {journalState{successor: "-", notificationPending: true}, 1}} {
 		t.Run(what, func(t *testing.T) {
 			dir := t.TempDir()
-			c.leave(t, dir, "")
+			c.write(t, dir, "")
 			h := startSuccessor(t, dir)
 			news := handover.Update{}
-			if err := h.folder.WriteTransfer(journal.EncodeTransfer([]*memory.Message{charge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
+			if err := h.stateDir.WriteTransfer(journal.EncodeTransfer([]*memory.Message{newCharge(7, 0)}, news.Encode(), clock.Scale{})); err != nil {
 				t.Fatal(err)
 			}
-			h.take()
+			h.takeOver()
 			if held, _ := h.host.Load(); held != c.held {
 				t.Errorf("%d held, want %d", held, c.held)
 			}
-			if m := found(t, h.room.Path); m != nil && m.Notification == nil {
+			if m := readMessage(t, h.dir.Path); m != nil && m.Notification == nil {
 				t.Errorf("it is still to be run: %+v", m)
 			}
-			if given := h.folder.Transfers(); len(given) > 0 {
+			if given := h.stateDir.Transfers(); len(given) > 0 {
 				t.Errorf("%v stay in the spool", given)
 			}
 		})
--- a/internal/daemon/choices.go
+++ b/internal/daemon/choices.go
@@ -7,14 +7,14 @@
 
 // choicesJSON is what GET /choices answers.
 type choicesJSON struct {
-	Self    int          `json:"self"`
-	Choices string       `json:"choices"`
-	Place   int          `json:"place"` // -1: not known yet
-	Live    int          `json:"live"`  // relays that have one
-	AgeMs   int64        `json:"age_ms"`
-	Subsets []subsetJSON `json:"subsets"`
-	Beyond  int          `json:"subsets_beyond,omitempty"` // that did not fit, at least
-	News    []newsJSON   `json:"destinations"`
+	Self           int               `json:"self"`
+	Choices        string            `json:"choices"`
+	Place          int               `json:"place"` // -1: not known yet
+	Live           int               `json:"live"`  // relays that have one
+	AgeMs          int64             `json:"age_ms"`
+	Subsets        []subsetJSON      `json:"subsets"`
+	OmittedSubsets int               `json:"subsets_beyond,omitempty"` // that did not fit, at least
+	Destinations   []destinationJSON `json:"destinations"`
 }
 
 type subsetJSON struct {
@@ -24,56 +24,56 @@
 	Why         string   `json:"why"`
 }
 
-type newsJSON struct {
-	Destination int     `json:"destination"`
-	AgeMs       int64   `json:"age_ms"`
-	Holders     int     `json:"turn_holders,omitempty"`
-	Holds       bool    `json:"turn_held,omitempty"`
-	Down        bool    `json:"only_holders_try,omitempty"`
-	Allowed     float64 `json:"allowed_even,omitempty"` // calls a second that each relay may make; none: any number
-	Slice       float64 `json:"slice,omitempty"`        // this relay's, in parts of that
-	Own         float64 `json:"wanted_here,omitempty"`
-	Mean        float64 `json:"wanted_mean"`
-	Voices      int     `json:"relays_that_saw_failures,omitempty"`
-	WaitMs      int64   `json:"wait_heard_ms,omitempty"`
-	Why         string  `json:"why"`
+type destinationJSON struct {
+	Destination  int     `json:"destination"`
+	AgeMs        int64   `json:"age_ms"`
+	SlotHolders  int     `json:"turn_holders,omitempty"`
+	HoldsSlot    bool    `json:"turn_held,omitempty"`
+	Down         bool    `json:"only_holders_try,omitempty"`
+	Allowed      float64 `json:"allowed_even,omitempty"` // calls a second that each relay may make; none: any number
+	DemandShare  float64 `json:"slice,omitempty"`        // this relay's, in parts of that
+	OwnDemand    float64 `json:"wanted_here,omitempty"`
+	MeanDemand   float64 `json:"wanted_mean"`
+	Reporters    int     `json:"relays_that_saw_failures,omitempty"`
+	RetryAfterMs int64   `json:"wait_heard_ms,omitempty"`
+	Why          string  `json:"why"`
 }
 
 // choices writes what this relay made of what it knows of the fleet; nil where nothing is shared.
 func (r *relay) choices() []byte {
-	host := r.serving.Load()
+	host := r.runningHost.Load()
 	if host == nil {
 		return nil
 	}
-	c := host.Choices()
-	if c == nil {
+	view := host.Choices()
+	if view == nil {
 		return nil
 	}
 	now := host.Now()
-	out := choicesJSON{Self: c.Me, Choices: c.Set.String(), Place: c.Place, Live: c.Live, AgeMs: max(0, now-c.At).Milliseconds(), Subsets: []subsetJSON{}, Beyond: c.Omitted, News: []newsJSON{}}
-	for _, k := range c.Subsets {
-		s := subsetJSON{Destination: k.Dest, Of: k.Total, Why: fmt.Sprintf("place %d of %d relays, %d of %d endpoints", c.Place, c.Live, len(k.Endpoints), k.Total)}
-		for _, e := range k.Endpoints {
-			s.Endpoints = append(s.Endpoints, e.Address)
+	out := choicesJSON{Self: view.Me, Choices: view.Set.String(), Place: view.Place, Live: view.Live, AgeMs: max(0, now-view.At).Milliseconds(), Subsets: []subsetJSON{}, OmittedSubsets: view.Omitted, Destinations: []destinationJSON{}}
+	for _, subset := range view.Subsets {
+		row := subsetJSON{Destination: subset.Dest, Of: subset.Total, Why: fmt.Sprintf("place %d of %d relays, %d of %d endpoints", view.Place, view.Live, len(subset.Endpoints), subset.Total)}
+		for _, e := range subset.Endpoints {
+			row.Endpoints = append(row.Endpoints, e.Address)
 		}
-		out.Subsets = append(out.Subsets, s)
+		out.Subsets = append(out.Subsets, row)
 	}
-	for _, s := range c.Destinations {
-		n := newsJSON{Destination: s.Dest, AgeMs: max(0, now-s.At).Milliseconds(), Holders: s.SlotHolders, Holds: s.HoldsSlot, Down: s.Down, Allowed: s.Allowed, Slice: s.DemandShare,
-			Own: s.OwnDemand, Mean: s.MeanDemand, Voices: s.Reporters, WaitMs: s.RetryAfter.Milliseconds()}
+	for _, dest := range view.Destinations {
+		row := destinationJSON{Destination: dest.Dest, AgeMs: max(0, now-dest.At).Milliseconds(), SlotHolders: dest.SlotHolders, HoldsSlot: dest.HoldsSlot, Down: dest.Down, Allowed: dest.Allowed, DemandShare: dest.DemandShare,
+			OwnDemand: dest.OwnDemand, MeanDemand: dest.MeanDemand, Reporters: dest.Reporters, RetryAfterMs: dest.RetryAfter.Milliseconds()}
 		switch {
-		case s.RetryAfter > 0:
-			n.Why = "other relays were told to wait"
-		case s.Down && !s.HoldsSlot:
-			n.Why = "nobody gets through: others try it in this turn"
-		case s.Down:
-			n.Why = "nobody gets through: this relay is one of those that try it in this turn"
-		case s.Allowed > 0 && s.DemandShare > 0:
-			n.Why = fmt.Sprintf("%.2f calls a second: %.2f of an even part, by what comes in here", s.Allowed*s.DemandShare, s.DemandShare)
+		case dest.RetryAfter > 0:
+			row.Why = "other relays were told to wait"
+		case dest.Down && !dest.HoldsSlot:
+			row.Why = "nobody gets through: others try it in this turn"
+		case dest.Down:
+			row.Why = "nobody gets through: this relay is one of those that try it in this turn"
+		case dest.Allowed > 0 && dest.DemandShare > 0:
+			row.Why = fmt.Sprintf("%.2f calls a second: %.2f of an even part, by what comes in here", dest.Allowed*dest.DemandShare, dest.DemandShare)
 		default:
-			n.Why = "nothing holds it back"
+			row.Why = "nothing holds it back"
 		}
-		out.News = append(out.News, n)
+		out.Destinations = append(out.Destinations, row)
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -43,11 +43,11 @@
 
 // Defaults of what the configuration may leave out.
 const (
-	defaultMemoryMB  = 192
-	defaultSockets   = 1024
-	defaultDiskMB    = 2
-	defaultConnectUs = 1_500_000
-	megabyte         = 1_000_000 // the smaller reading of a limit in MB
+	defaultMemoryMB    = 192
+	defaultDescriptors = 1024
+	defaultDiskMB      = 2
+	defaultConnectUs   = 1_500_000
+	megabyte           = 1_000_000 // the smaller reading of a limit in MB
 )
 
 // Load reads the configuration file that the environment names. Where both name a value, the file goes first: it can be
@@ -84,11 +84,11 @@
 	if c.StateDir == "" {
 		return nil, fmt.Errorf("ROUTER_STATE is not set: name the folder that lasts")
 	}
-	st, err := os.Stat(c.StateDir)
+	info, err := os.Stat(c.StateDir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("ROUTER_STATE: %w", err)
 	}
-	if err != nil || !st.IsDir() {
+	if err != nil || !info.IsDir() {
 		return nil, fmt.Errorf("ROUTER_STATE: %q is not a folder", c.StateDir)
 	}
 	for key, addr := range map[string]string{"listen (ROUTER_LISTEN)": c.ListenAddr, "discovery (ROUTER_DISCOVERY)": c.DiscoveryAddr} {
@@ -128,7 +128,7 @@
 	for i, l := range []struct {
 		key      string
 		fallback float64
-	}{{"limits.memory_mb", defaultMemoryMB}, {"limits.sockets", defaultSockets}, {"limits.disk_mb", defaultDiskMB},
+	}{{"limits.memory_mb", defaultMemoryMB}, {"limits.sockets", defaultDescriptors}, {"limits.disk_mb", defaultDiskMB},
 		{"settings.policyLimits.connectTimeoutUs", defaultConnectUs}} {
 		n, err := limit(l.key, l.fallback)
 		if err != nil {
@@ -146,16 +146,16 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.LoadReports = len(columns) > 0
-	if err := c.peers(doc, text("ROUTER_MEMBERS", "members")); err != nil {
+	if err := c.parsePeers(doc, text("ROUTER_MEMBERS", "members")); err != nil {
 		return nil, err
 	}
-	switch want := text("ROUTER_CHOICES", "choices"); want {
+	switch mode := text("ROUTER_CHOICES", "choices"); mode {
 	case "", "auto":
 		if c.MembershipEnabled && len(c.PeerAddrs) >= peers.MinFleetSize {
 			c.Choices = choice.Options{DemandShares: true, Signals: true}
 		}
 	default:
-		if c.Choices, err = choice.Parse(want); err != nil {
+		if c.Choices, err = choice.Parse(mode); err != nil {
 			return nil, fmt.Errorf("choices (ROUTER_CHOICES): %w", err)
 		}
 	}
@@ -170,11 +170,11 @@
 	return c, nil
 }
 
-// peers reads who the other relays are. Where notes are not allowed, few relays share the destinations, or this one's number does not lie
+// parsePeers reads who the other relays are. Where notes are not allowed, few relays share the destinations, or this one's number does not lie
 // among them, there are none: a relay serves without.
-func (c *Config) peers(doc gjson.Result, want string) error {
-	if want != "" && want != "auto" && want != "on" && want != "off" {
-		return fmt.Errorf("members (ROUTER_MEMBERS): %q is neither on nor off nor auto", want)
+func (c *Config) parsePeers(doc gjson.Result, mode string) error {
+	if mode != "" && mode != "auto" && mode != "on" && mode != "off" {
+		return fmt.Errorf("members (ROUTER_MEMBERS): %q is neither on nor off nor auto", mode)
 	}
 	list, me := doc.Get("peers"), doc.Get("settings.me")
 	if !list.Exists() || !doc.Get("settings.policyLimits.peers").Bool() {
@@ -183,12 +183,12 @@
 	if !list.IsArray() {
 		return fmt.Errorf("peers: %s is not a list of host:port", list.Raw)
 	}
-	var all []string
+	var addrs []string
 	for i, v := range list.Array() {
 		if _, err := netip.ParseAddrPort(v.Str); err != nil {
 			return fmt.Errorf("peers[%d]: %s is not an address with a port", i, v.Raw)
 		}
-		all = append(all, v.Str)
+		addrs = append(addrs, v.Str)
 	}
 	for _, v := range doc.Get("settings.zones").Array() {
 		c.ZoneNames = append(c.ZoneNames, v.Str)
@@ -196,19 +196,19 @@
 	if c.Zone = slices.Index(c.ZoneNames, doc.Get("settings.myZone").Str); c.Zone < 0 || c.Zone >= members.NoZone {
 		c.Zone = members.NoZone
 	}
-	least := peers.MinFleetSize
-	switch want {
+	minPeers := peers.MinFleetSize
+	switch mode {
 	case "on":
-		c.MembershipEnabled, least = len(all) > 1, 2 // by counts alone a small fleet has no need of notes
+		c.MembershipEnabled, minPeers = len(addrs) > 1, 2 // by counts alone a small fleet has no need of notes
 	case "", "auto":
-		c.MembershipEnabled = len(all) >= peers.MinFleetSize
+		c.MembershipEnabled = len(addrs) >= peers.MinFleetSize
 	}
 	c.PeerListenAddr = doc.Get("peer_listen").Str
 	if _, err := netip.ParseAddrPort(c.PeerListenAddr); err != nil {
 		return nil // it can't hear
 	}
-	if n := me.Int(); me.Type == gjson.Number && n >= 0 && n < int64(len(all)) && len(all) >= least {
-		c.PeerAddrs, c.RelayNumber = all, int(n)
+	if n := me.Int(); me.Type == gjson.Number && n >= 0 && n < int64(len(addrs)) && len(addrs) >= minPeers {
+		c.PeerAddrs, c.RelayNumber = addrs, int(n)
 	}
 	return nil
 }
@@ -229,9 +229,9 @@
 		return fmt.Errorf("settings.grades: no class of message")
 	}
 	for i, g := range grades {
-		for key, least := range map[string]float64{"promiseUs": 1, "deadlineUs": max(1, g.Get("promiseUs").Num)} {
-			if v := g.Get(key); v.Num < least {
-				return fmt.Errorf("settings.grades[%d].%s: %s is under %g", i, key, v.Raw, least)
+		for key, minimum := range map[string]float64{"promiseUs": 1, "deadlineUs": max(1, g.Get("promiseUs").Num)} {
+			if v := g.Get(key); v.Num < minimum {
+				return fmt.Errorf("settings.grades[%d].%s: %s is under %g", i, key, v.Raw, minimum)
 			}
 		}
 		if w := g.Get("repeatWindowUs"); g.Get("effect").Str == "keyed" && w.Num < 1 {
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func as(s string) string { return s }
+func unchanged(s string) string { return s }
 
 // The whole configuration is read; the file goes before the environment, which a reload can't change; what is
 // left out has a default.
@@ -46,7 +46,7 @@
 	c, err = load(t, func(s string) string {
 		return `{"known":null,"limits":{"sockets":null},"listen":"127.0.0.1:9","discovery":"127.0.0.1:1","settings":` + gjson.Get(s, "settings").Raw + `}`
 	}, nil)
-	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.MaxDescriptors != defaultSockets || c.DiskBytes != defaultDiskMB*megabyte {
+	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.MaxDescriptors != defaultDescriptors || c.DiskBytes != defaultDiskMB*megabyte {
 		t.Errorf("defaults: %+v, %v", c, err)
 	}
 }
@@ -65,14 +65,14 @@
 		change func(string) string
 		env    map[string]string
 	}{
-		"ROUTER_CONFIG":                     {as, map[string]string{"ROUTER_CONFIG": "/nonexistent"}},
-		"ROUTER_STATE is not set":           {as, map[string]string{"ROUTER_STATE": ""}},
-		"ROUTER_STATE: \"/nonexistent\"":    {as, map[string]string{"ROUTER_STATE": "/nonexistent"}},
+		"ROUTER_CONFIG":                     {unchanged, map[string]string{"ROUTER_CONFIG": "/nonexistent"}},
+		"ROUTER_STATE is not set":           {unchanged, map[string]string{"ROUTER_STATE": ""}},
+		"ROUTER_STATE: \"/nonexistent\"":    {unchanged, map[string]string{"ROUTER_STATE": "/nonexistent"}},
 		"not JSON":                          {put("{", ""), nil},
-		"listen":                            {as, map[string]string{"ROUTER_LISTEN": "nowhere"}},
+		"listen":                            {unchanged, map[string]string{"ROUTER_LISTEN": "nowhere"}},
 		"discovery":                         {put("{", `{"discovery":"nowhere",`), nil},
-		"admin (ROUTER_ADMIN)":              {as, map[string]string{"ROUTER_ADMIN": "nowhere"}},
-		"clients' address, listen":          {as, map[string]string{"ROUTER_ADMIN": "127.0.0.1:0"}},
+		"admin (ROUTER_ADMIN)":              {unchanged, map[string]string{"ROUTER_ADMIN": "nowhere"}},
+		"clients' address, listen":          {unchanged, map[string]string{"ROUTER_ADMIN": "127.0.0.1:0"}},
 		"admin: 7 is not":                   {put("{", `{"admin":7,`), nil},
 		"limits.memory_mb":                  {put("\"memory_mb\": 192", "\"memory_mb\": -1"), nil},
 		"limits.sockets":                    {put("1024", "\"many\""), nil},
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// unread says of each key of the settings that the relay does not go by why that is so. A list's elements are named by #.
-var unread = map[string]string{
+// unusedKeys says of each key of the settings that the relay does not go by why that is so. A list's elements are named by #.
+var unusedKeys = map[string]string{
 	"clientHabits.marksRetry":       "a hand-in that comes again is a new one, marked or not",
 	"family":                        "there is one family of deployments on sockets",
 	"familyInfo.notes":              "prose for the simulator's wire",
@@ -50,25 +50,25 @@
 	"policyLimits.connectTimeoutUs": "read beside the settings",
 }
 
-// leaves lists the keys of a document, and one value for each.
-func leaves(at string, v gjson.Result, to map[string]gjson.Result) {
+// collectLeaves lists the keys of a document, and one value for each.
+func collectLeaves(at string, v gjson.Result, to map[string]gjson.Result) {
 	switch {
 	case v.IsObject():
 		v.ForEach(func(k, v gjson.Result) bool {
-			leaves(strings.TrimPrefix(at+"."+k.Str, "."), v, to)
+			collectLeaves(strings.TrimPrefix(at+"."+k.Str, "."), v, to)
 			return true
 		})
 	case v.IsArray():
 		for _, e := range v.Array() {
-			leaves(at+".#", e, to)
+			collectLeaves(at+".#", e, to)
 		}
 	default:
 		to[at] = v
 	}
 }
 
-// other is a value unlike v that the key may have.
-func other(key string, v gjson.Result) string {
+// otherValue is a value unlike v that the key may have.
+func otherValue(key string, v gjson.Result) string {
 	if s, ok := map[string]string{"discovery": `"ask"`, "weightSource": `"rough"`, "familyInfo.decay": `"halving"`, "grades.#.effect": `"keyed"`,
 		"grades.#.group": `"zone"`, "familyInfo.callSlots": "9", "policyLimits.maxOpen": "31", "policyLimits.maxAttempts": "3", "fleetSize": "5"}[key]; ok {
 		return s
@@ -86,7 +86,7 @@
 
 // Each key of the settings, changed alone and everywhere in its list, changes what the module is told, or a sentence says why not; and a key
 // that neither does is noticed. Guards against a value that is fixed in the program.
-func TestEachKeyFollows(t *testing.T) {
+func TestEachKeyHasAnEffect(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -97,14 +97,14 @@
 		t.Fatal(err)
 	}
 	all := map[string]gjson.Result{}
-	leaves("", set, all)
+	collectLeaves("", set, all)
 	for key, v := range all {
 		name := key[strings.LastIndex(strings.TrimSuffix(key, ".#"), ".")+1:]
 		changed := set.Raw
 		switch {
 		case strings.HasSuffix(key, ".#"):
 			list := strings.TrimSuffix(key, ".#")
-			changed = strings.ReplaceAll(changed, gjson.Get(changed, list).Raw, "["+other(key, v)+"]")
+			changed = strings.ReplaceAll(changed, gjson.Get(changed, list).Raw, "["+otherValue(key, v)+"]")
 		default:
 			// The last part of each key stands once in the file, or once in each element of one list.
 			for _, part := range strings.Split(changed, "\n") {
@@ -113,7 +113,7 @@
 					if strings.HasSuffix(part, ",") {
 						end = ","
 					}
-					changed = strings.Replace(changed, part, k+":"+other(key, v)+end, 1)
+					changed = strings.Replace(changed, part, k+":"+otherValue(key, v)+end, 1)
 				}
 			}
 		}
@@ -122,15 +122,15 @@
 			t.Errorf("%s: %v", key, err)
 			continue
 		}
-		if follows := !reflect.DeepEqual(now, was); !follows && unread[key] == "" {
+		if follows := !reflect.DeepEqual(now, was); !follows && unusedKeys[key] == "" {
 			t.Errorf("%s has no effect on what the module is told, and nothing says why", key)
-		} else if follows && unread[key] != "" {
+		} else if follows && unusedKeys[key] != "" {
 			t.Errorf("%s has an effect after all: its sentence is wrong", key)
 		}
 	}
 	for _, key := range []string{"fleetSize", "me", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen", "policyLimits.maxAttempts", "grades.#.deadlineUs",
 		"grades.#.promiseUs", "grades.#.credit", "grades.#.lateValue", "guarantees.coldUs", "policyLimits.peers", "policyLimits.retryAfter"} {
-		if _, there := all[key]; !there || unread[key] != "" {
+		if _, there := all[key]; !there || unusedKeys[key] != "" {
 			t.Errorf("%s is to be read, and is not looked at", key)
 		}
 	}
--- a/internal/daemon/config/names.go
+++ b/internal/daemon/config/names.go
@@ -20,9 +20,9 @@
 		{"familyInfo.batchByKind", "kinds"}, {"familyInfo.separateRoutes", "kinds"}, {"familyInfo.feeByZone", "zones"},
 	} {
 		// Fewer are allowed: a kind or zone without a value has a batch of one, one route and no fee.
-		have, most := len(set.Get(values.key).Array()), len(set.Get(values.names).Array())
-		if have > most {
-			return fmt.Errorf("settings.%s: %d values for %d settings.%s", values.key, have, most, values.names)
+		count, limit := len(set.Get(values.key).Array()), len(set.Get(values.names).Array())
+		if count > limit {
+			return fmt.Errorf("settings.%s: %d values for %d settings.%s", values.key, count, limit, values.names)
 		}
 	}
 	return nil
@@ -32,16 +32,16 @@
 func checkDistinct(list gjson.Result, key, field string) error {
 	first := map[string]int{}
 	for i, element := range list.Array() {
-		at := fmt.Sprintf("%s[%d]", key, i)
+		path := fmt.Sprintf("%s[%d]", key, i)
 		name := element
 		if field != "" {
-			at, name = at+"."+field, element.Get(field)
+			path, name = path+"."+field, element.Get(field)
 		}
 		if name.Type != gjson.String || name.Str == "" {
-			return fmt.Errorf("%s: %q is not a name", at, name.Raw)
+			return fmt.Errorf("%s: %q is not a name", path, name.Raw)
 		}
-		if earlier, twice := first[name.Str]; twice {
-			return fmt.Errorf("%s: %q is the name of %s[%d] too", at, name.Str, key, earlier)
+		if previous, duplicate := first[name.Str]; duplicate {
+			return fmt.Errorf("%s: %q is the name of %s[%d] too", path, name.Str, key, previous)
 		}
 		first[name.Str] = i
 	}
--- a/internal/daemon/config/names_test.go
+++ b/internal/daemon/config/names_test.go
@@ -13,8 +13,8 @@
 // postings.json has charges in order, tenants and routes apart.
 var deployments = []string{"alerts.json", "postings.json"}
 
-// read returns a file of testdata, whole.
-func read(t *testing.T, file string) string {
+// readTestFile returns a file of testdata, whole.
+func readTestFile(t *testing.T, file string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
@@ -26,7 +26,7 @@
 // Each deployment's settings are taken as they are.
 func TestBothDeploymentsLoad(t *testing.T) {
 	for _, file := range deployments {
-		raw := read(t, file)
+		raw := readTestFile(t, file)
 		c, err := load(t, func(string) string { return raw }, nil)
 		if err != nil {
 			t.Errorf("%s: %v", file, err)
@@ -42,7 +42,7 @@
 
 // Settings that were put together from those of two deployments, or name something twice or not at all, are refused by
 // the key, and the name where there is one.
-func TestNamesThatDoNotFit(t *testing.T) {
+func TestInconsistentNames(t *testing.T) {
 	replace := func(old, new string) func(string) string {
 		return func(s string) string {
 			if !strings.Contains(s, old) {
@@ -54,7 +54,7 @@
 	// with puts the value that a key has in the other deployment in the place of this one's.
 	with := func(other, key string) func(string) string {
 		return func(s string) string {
-			return replace(gjson.Get(s, "settings."+key).Raw, gjson.Get(read(t, other), "settings."+key).Raw)(s)
+			return replace(gjson.Get(s, "settings."+key).Raw, gjson.Get(readTestFile(t, other), "settings."+key).Raw)(s)
 		}
 	}
 	for _, c := range []struct {
@@ -73,7 +73,7 @@
 		{"postings.json", replace(`"mangrove-team"`, `""`), "settings.tenants[2].name"},
 		{"postings.json", replace(`"east-basin",`, `"west-basin",`), `settings.zones[1]: "west-basin" is the name of settings.zones[0] too`},
 	} {
-		raw := c.change(read(t, c.file))
+		raw := c.change(readTestFile(t, c.file))
 		if _, err := load(t, func(string) string { return raw }, nil); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: error %v, want one with %q", c.file, err, c.says)
 		}
@@ -82,7 +82,7 @@
 
 // A kind or zone that has no value of its own keeps the defaults: there may be fewer values than names.
 func TestFewerValuesThanNames(t *testing.T) {
-	raw := read(t, "postings.json")
+	raw := readTestFile(t, "postings.json")
 	for _, key := range []string{"familyInfo.batchByKind", "familyInfo.separateRoutes", "familyInfo.feeByZone"} {
 		list := gjson.Get(raw, "settings."+key)
 		raw = strings.Replace(raw, list.Raw, "["+list.Array()[0].Raw+"]", 1)
--- a/internal/daemon/config/operator/operator_test.go
+++ b/internal/daemon/config/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"oatfold/plugin/abi"
 )
 
-func write(t *testing.T, text string) string {
+func writeOperatorFile(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "m.wasm"), []byte("x"), 0o600); err != nil {
@@ -25,7 +25,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	path := write(t, `# two of them
+	path := writeOperatorFile(t, `# two of them
 plugins {
   plugin { name: "a" module: "m.wasm" hook: SHAPE_REQUEST hook: READ_ANSWER match { dest: 3 dest: 4 } }
   plugin { name: "b" module: "m.wasm" hook: ON_HANDIN budget { wall_ms: 10 cpu_ms: 500 } on_failure { class: "price-alert" then: PASS } on_failure { then: FAIL } }
@@ -42,13 +42,13 @@
 	if b.Budget.CPU != 10*time.Millisecond || b.Then("price-alert") != limits.Pass || b.Then("fee-charge") != limits.Fail {
 		t.Errorf("%+v", b)
 	}
-	if c, err := Load(write(t, ""), 0); err != nil || len(c.Plugins) != 0 {
+	if c, err := Load(writeOperatorFile(t, ""), 0); err != nil || len(c.Plugins) != 0 {
 		t.Errorf("an empty file: %v, %v", c, err)
 	}
 }
 
 // What is wrong is named by line and key.
-func TestFaultsAreNamed(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	const good = "name: \"a\"\nmodule: \"m.wasm\"\nhook: SHAPE_REQUEST\n"
 	for text, want := range map[string][]string{
 		"plugins {\n  plugin {\n    nome: \"a\"\n  }\n}":                                  {"line 3", "nome"},
@@ -74,7 +74,7 @@
 		"plugins {\n plugin {\n" + good + "hook: ON_HANDIN\nbudget { wall_ms: 301 } }\n}": {"line 7", "ON_HANDIN"},
 		"plugin { }": {"line 1", "plugin"},
 	} {
-		path := write(t, text)
+		path := writeOperatorFile(t, text)
 		_, err := Load(path, 192e6)
 		if err == nil {
 			t.Errorf("taken: %s", text)
@@ -98,7 +98,7 @@
 		t.Fatalf("%v %+v", err, c)
 	}
 	site := `site { zone: "a" tier { zone: "b" } } site { zone: "b" }`
-	if c, err := Load(write(t, "sites { "+site+" }"), 0); err != nil || c.Sites.Sites[0].Tiers[0].Spill != 0.8 || c.Sites.Ramp != 30*time.Second {
+	if c, err := Load(writeOperatorFile(t, "sites { "+site+" }"), 0); err != nil || c.Sites.Sites[0].Tiers[0].Spill != 0.8 || c.Sites.Ramp != 30*time.Second {
 		t.Errorf("%v %+v", err, c)
 	}
 	for text, key := range map[string]string{
@@ -118,7 +118,7 @@
 		site + ` destination { wanted { zone: "a" rate: 1 } }`:              "sites.destination[0].wanted[0].class",
 		site + ` destination { wanted { zone: "a" class: "x" rate: nan } }`: "sites.destination[0].wanted[0].rate",
 	} {
-		if _, err := Load(write(t, "sites {\n"+text+"\n}"), 0); err == nil || !strings.Contains(err.Error(), key+":") || !strings.Contains(err.Error(), "line 2") {
+		if _, err := Load(writeOperatorFile(t, "sites {\n"+text+"\n}"), 0); err == nil || !strings.Contains(err.Error(), key+":") || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/daemon/config/operator/sites.go
+++ b/internal/daemon/config/operator/sites.go
@@ -8,120 +8,120 @@
 )
 
 const (
-	mostSites = 30
-	mostTiers = 8
-	mostRamp  = 3600 // s
-	mostRate  = 1e7  // messages a second
+	maxSites       = 30
+	maxTiers       = 8
+	maxRampSeconds = 3600 // s
+	maxRate        = 1e7  // messages a second
 )
 
-// sites checks what the file says of sites.
-func (k *checker) sites(all *Sites) (*sites.Plan, error) {
-	if all == nil {
+// sitePlan checks what the file says of sites.
+func (c *checker) sitePlan(file *Sites) (*sites.Plan, error) {
+	if file == nil {
 		return nil, nil
 	}
-	k.at = "sites"
-	p := &sites.Plan{Ramp: time.Duration(all.RampS) * time.Second}
+	c.path = "sites"
+	plan := &sites.Plan{Ramp: time.Duration(file.RampS) * time.Second}
 	switch {
-	case all.RampS > mostRamp:
-		return nil, k.wrong("ramp_s", "%d is over %d", all.RampS, mostRamp)
-	case all.RampS == 0:
-		p.Ramp = sites.UsualRamp
+	case file.RampS > maxRampSeconds:
+		return nil, c.errorAt("ramp_s", "%d is over %d", file.RampS, maxRampSeconds)
+	case file.RampS == 0:
+		plan.Ramp = sites.UsualRamp
 	}
-	if len(all.Site) < 2 {
-		return nil, k.wrong("site", "a plan needs two sites at least")
+	if len(file.Site) < 2 {
+		return nil, c.errorAt("site", "a plan needs two sites at least")
 	}
-	if len(all.Site) > mostSites {
-		return nil, k.wrong("site", "more than %d", mostSites)
+	if len(file.Site) > maxSites {
+		return nil, c.errorAt("site", "more than %d", maxSites)
 	}
 	zones := map[string]bool{}
-	for i, s := range all.Site {
-		k.at = fmt.Sprintf("sites.site[%d]", i)
+	for i, s := range file.Site {
+		c.path = fmt.Sprintf("sites.site[%d]", i)
 		if s.Zone == "" {
-			return nil, k.wrong("zone", "missing")
+			return nil, c.errorAt("zone", "missing")
 		}
 		if zones[s.Zone] {
-			return nil, k.wrong("zone", "%q is there already", s.Zone)
+			return nil, c.errorAt("zone", "%q is there already", s.Zone)
 		}
 		zones[s.Zone] = true
 	}
-	for i, s := range all.Site {
+	for i, s := range file.Site {
 		site, named := sites.Site{Zone: s.Zone}, map[string]bool{}
-		if len(s.Tier) > mostTiers {
-			k.at = fmt.Sprintf("sites.site[%d]", i)
-			return nil, k.wrong("tier", "more than %d", mostTiers)
+		if len(s.Tier) > maxTiers {
+			c.path = fmt.Sprintf("sites.site[%d]", i)
+			return nil, c.errorAt("tier", "more than %d", maxTiers)
 		}
 		for j, t := range s.Tier {
-			k.at = fmt.Sprintf("sites.site[%d].tier[%d]", i, j)
+			c.path = fmt.Sprintf("sites.site[%d].tier[%d]", i, j)
 			tier := sites.Tier{Spill: t.Spill}
 			switch {
 			case !(t.Spill >= 0 && t.Spill <= 1):
-				return nil, k.wrong("spill", "%v does not lie over 0 and up to 1", t.Spill)
+				return nil, c.errorAt("spill", "%v does not lie over 0 and up to 1", t.Spill)
 			case t.Spill == 0:
 				tier.Spill = sites.UsualSpill
 			}
 			if len(t.Zone) == 0 {
-				return nil, k.wrong("zone", "a tier names one zone at least")
+				return nil, c.errorAt("zone", "a tier names one zone at least")
 			}
 			for _, z := range t.Zone {
 				switch {
 				case z == s.Zone:
-					return nil, k.wrong("zone", "%q names itself", z)
+					return nil, c.errorAt("zone", "%q names itself", z)
 				case !zones[z]:
-					return nil, k.wrong("zone", "%q is no site", z)
+					return nil, c.errorAt("zone", "%q is no site", z)
 				case named[z]:
-					return nil, k.wrong("zone", "%q is in a tier of this site already", z)
+					return nil, c.errorAt("zone", "%q is in a tier of this site already", z)
 				}
 				named[z] = true
 				tier.Zones = append(tier.Zones, z)
 			}
 			site.Tiers = append(site.Tiers, tier)
 		}
-		p.Sites = append(p.Sites, site)
+		plan.Sites = append(plan.Sites, site)
 	}
-	k.at = "sites"
+	c.path = "sites"
 	classes := map[string]bool{}
-	for i, c := range all.RefuseFirst {
-		if classes[c] || c == "" {
-			return nil, k.wrong(fmt.Sprintf("refuse_first[%d]", i), "%q is named twice, or empty", c)
+	for i, class := range file.RefuseFirst {
+		if classes[class] || class == "" {
+			return nil, c.errorAt(fmt.Sprintf("refuse_first[%d]", i), "%q is named twice, or empty", class)
 		}
-		classes[c] = true
+		classes[class] = true
 	}
-	p.RefuseFirst = all.RefuseFirst
+	plan.RefuseFirst = file.RefuseFirst
 	numbers := map[int32]bool{}
-	for i, d := range all.Destination {
-		k.at = fmt.Sprintf("sites.destination[%d]", i)
+	for i, d := range file.Destination {
+		c.path = fmt.Sprintf("sites.destination[%d]", i)
 		if numbers[d.Number] {
-			return nil, k.wrong("number", "%d is there already", d.Number)
+			return nil, c.errorAt("number", "%d is there already", d.Number)
 		}
 		numbers[d.Number] = true
-		one := sites.Destination{Number: int(d.Number), Takes: map[string]float64{}, Wanted: map[string]map[string]float64{}}
+		dest := sites.Destination{Number: int(d.Number), Takes: map[string]float64{}, Wanted: map[string]map[string]float64{}}
 		for j, t := range d.Takes {
-			k.at = fmt.Sprintf("sites.destination[%d].takes[%d]", i, j)
-			if _, twice := one.Takes[t.Zone]; twice || !zones[t.Zone] {
-				return nil, k.wrong("zone", "%q is no site, or named twice", t.Zone)
+			c.path = fmt.Sprintf("sites.destination[%d].takes[%d]", i, j)
+			if _, twice := dest.Takes[t.Zone]; twice || !zones[t.Zone] {
+				return nil, c.errorAt("zone", "%q is no site, or named twice", t.Zone)
 			}
-			if !(t.Rate > 0 && t.Rate <= mostRate) {
-				return nil, k.wrong("rate", "%v does not lie over 0 and up to %.0f", t.Rate, mostRate)
+			if !(t.Rate > 0 && t.Rate <= maxRate) {
+				return nil, c.errorAt("rate", "%v does not lie over 0 and up to %.0f", t.Rate, maxRate)
 			}
-			one.Takes[t.Zone] = t.Rate
+			dest.Takes[t.Zone] = t.Rate
 		}
 		for j, w := range d.Wanted {
-			k.at = fmt.Sprintf("sites.destination[%d].wanted[%d]", i, j)
+			c.path = fmt.Sprintf("sites.destination[%d].wanted[%d]", i, j)
 			if !zones[w.Zone] {
-				return nil, k.wrong("zone", "%q is no site", w.Zone)
+				return nil, c.errorAt("zone", "%q is no site", w.Zone)
 			}
-			if _, twice := one.Wanted[w.Zone][w.Class]; twice || w.Class == "" {
-				return nil, k.wrong("class", "%q is named twice for %s, or empty", w.Class, w.Zone)
+			if _, twice := dest.Wanted[w.Zone][w.Class]; twice || w.Class == "" {
+				return nil, c.errorAt("class", "%q is named twice for %s, or empty", w.Class, w.Zone)
 			}
-			if !(w.Rate >= 0 && w.Rate <= mostRate) {
-				return nil, k.wrong("rate", "%v does not lie within 0 and %.0f", w.Rate, mostRate)
+			if !(w.Rate >= 0 && w.Rate <= maxRate) {
+				return nil, c.errorAt("rate", "%v does not lie within 0 and %.0f", w.Rate, maxRate)
 			}
-			if one.Wanted[w.Zone] == nil {
-				one.Wanted[w.Zone] = map[string]float64{}
+			if dest.Wanted[w.Zone] == nil {
+				dest.Wanted[w.Zone] = map[string]float64{}
 			}
-			one.Wanted[w.Zone][w.Class] = w.Rate
+			dest.Wanted[w.Zone][w.Class] = w.Rate
 		}
-		p.Destinations = append(p.Destinations, one)
+		plan.Destinations = append(plan.Destinations, dest)
 	}
-	return p, nil
+	return plan, nil
 }
--- a/internal/daemon/config/settings.go
+++ b/internal/daemon/config/settings.go
@@ -10,11 +10,11 @@
 	"oatfold/policy"
 )
 
-var effects = map[string]policy.Effect{
+var effectsByName = map[string]policy.Effect{
 	"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe,
 }
 
-func us(v gjson.Result) time.Duration { return time.Duration(v.Int()) * time.Microsecond }
+func microseconds(v gjson.Result) time.Duration { return time.Duration(v.Int()) * time.Microsecond }
 
 // ParseSettings reads the settings object, which a BOOT of the simulator and the configuration of a real
 // relay hold alike: what the module is told, and the columns of load reports. Ranges are checked by the
@@ -36,17 +36,17 @@
 			return s, nil, fmt.Errorf("malformed settings: %s is %s, want %v", k.path, v.Raw, k.want)
 		}
 	}
-	lim, g, fam := doc.Get("policyLimits"), doc.Get("guarantees"), doc.Get("familyInfo")
+	limits, guarantees, family := doc.Get("policyLimits"), doc.Get("guarantees"), doc.Get("familyInfo")
 	s = policy.Settings{
-		Relays: int(doc.Get("fleetSize").Int()), MaxConcurrentCalls: int(fam.Get("callSlots").Int()),
-		MaxPending: int(lim.Get("maxOpen").Int()), MaxAttempts: int(lim.Get("maxAttempts").Int()),
-		MustSubscribe: doc.Get("discovery").Str == "ask", MaxSubscribeInterval: us(g.Get("askWithinUs")),
-		SendRetryAfter: lim.Get("retryAfter").Bool(), MaxRetryAfter: us(lim.Get("maxRetryAfterUs")),
-		Tick: us(doc.Get("tickUs")), IdleConnTimeout: us(lim.Get("connIdleUs")), ColdStartShare: g.Get("coldFrom").Float(),
-		WarmUpTime: us(g.Get("coldUs")), OverloadFactor: g.Get("overloadFactor").Float(),
-		OverloadTime: us(g.Get("fallUs")), KeyQuietTime: us(g.Get("keyQuietUs")),
-		NoGossip:       lim.Get("peers").Type == gjson.False,
-		OverQuotaValue: doc.Get("overShareWorth").Float(), ExponentialDecay: fam.Get("decay").Str == "halving",
+		Relays: int(doc.Get("fleetSize").Int()), MaxConcurrentCalls: int(family.Get("callSlots").Int()),
+		MaxPending: int(limits.Get("maxOpen").Int()), MaxAttempts: int(limits.Get("maxAttempts").Int()),
+		MustSubscribe: doc.Get("discovery").Str == "ask", MaxSubscribeInterval: microseconds(guarantees.Get("askWithinUs")),
+		SendRetryAfter: limits.Get("retryAfter").Bool(), MaxRetryAfter: microseconds(limits.Get("maxRetryAfterUs")),
+		Tick: microseconds(doc.Get("tickUs")), IdleConnTimeout: microseconds(limits.Get("connIdleUs")), ColdStartShare: guarantees.Get("coldFrom").Float(),
+		WarmUpTime: microseconds(guarantees.Get("coldUs")), OverloadFactor: guarantees.Get("overloadFactor").Float(),
+		OverloadTime: microseconds(guarantees.Get("fallUs")), KeyQuietTime: microseconds(guarantees.Get("keyQuietUs")),
+		NoGossip:       limits.Get("peers").Type == gjson.False,
+		OverQuotaValue: doc.Get("overShareWorth").Float(), ExponentialDecay: family.Get("decay").Str == "halving",
 	}
 	if me := doc.Get("me"); me.Type == gjson.Number {
 		s.TimeSlots = pacing.New(int(me.Int()), s.Relays)
@@ -55,27 +55,27 @@
 	s.RatesListed = weights == "nominal" || weights == "rough"
 	for _, c := range doc.Get("grades").Array() {
 		name := c.Get("name").Str
-		effect, ok := effects[c.Get("effect").Str]
+		effect, ok := effectsByName[c.Get("effect").Str]
 		if !ok {
 			return s, nil, fmt.Errorf("class %q has unknown effect %q", name, c.Get("effect").Str)
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: name, Effect: effect,
-			ZoneOnly: effect == policy.Keyed && c.Get("group").Str != "all", RepeatWindow: us(c.Get("repeatWindowUs")),
-			Ordered: c.Get("inTurn").Bool(), TargetLatency: us(c.Get("promiseUs")), Deadline: us(c.Get("deadlineUs")),
+			ZoneOnly: effect == policy.Keyed && c.Get("group").Str != "all", RepeatWindow: microseconds(c.Get("repeatWindowUs")),
+			Ordered: c.Get("inTurn").Bool(), TargetLatency: microseconds(c.Get("promiseUs")), Deadline: microseconds(c.Get("deadlineUs")),
 			Value: c.Get("credit").Float(), LateValue: c.Get("lateValue").Float()})
 	}
 	for _, t := range doc.Get("tenants").Array() {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Get("name").Str, Share: t.Get("share").Float(),
 			Quota: t.Get("quotaPerS").Float()})
 	}
-	batch, apart, fees := fam.Get("batchByKind").Array(), fam.Get("separateRoutes").Array(), fam.Get("feeByZone").Array()
+	batch, separate, fees := family.Get("batchByKind").Array(), family.Get("separateRoutes").Array(), family.Get("feeByZone").Array()
 	for i, name := range doc.Get("kinds").Array() {
 		k := policy.Kind{Name: name.Str, MaxBatch: 1}
 		if i < len(batch) {
 			k.MaxBatch = int(batch[i].Int())
 		}
-		if i < len(apart) {
-			k.SeparateRoutes = apart[i].Bool()
+		if i < len(separate) {
+			k.SeparateRoutes = separate[i].Bool()
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/handover_test.go
@@ -45,7 +45,7 @@
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() { host.Run(stop); close(done) }()
 	t.Cleanup(func() { close(stop); <-done; kept.Close(); folder.Release(room, false) })
-	r := &relay{folder: folder, room: room, host: host, log: log, c: &config.Config{DiskBytes: 1 << 20}}
+	r := &relay{stateDir: folder, dir: room, host: host, log: log, config: &config.Config{DiskBytes: 1 << 20}}
 	return &successor{r, context.Background(), map[string]bool{}, map[string]string{}}
 }
 
@@ -93,13 +93,13 @@
 	h := startSuccessor(t, dir)
 	gives("a", &memory.Message{Number: 2, ID: "m", Class: "fee", Body: []byte("x")})
 	for range 2 { // the second time it is known
-		h.spool(true)
+		h.adoptTransfers(true)
 		if owes, msgs := kept(); len(owes) != 1 || owes[0] != "a" || msgs != 0 {
 			t.Fatalf("%v and %d messages stay, want a alone", owes, msgs)
 		}
 	}
 	gives("b")
-	h.spool(true)
+	h.adoptTransfers(true)
 	if owes, _ := kept(); len(owes) != 1 || owes[0] != "b" {
 		t.Fatalf("%v stay, want b alone", owes)
 	}
@@ -107,7 +107,7 @@
 		t.Errorf("%d held", held)
 	}
 	old.Release(room, false)
-	if h.take() {
+	if h.takeOver() {
 		t.Error("somebody is said to leave")
 	}
 	if owes, _ := kept(); len(owes) > 0 {
@@ -118,7 +118,7 @@
 // Found by reading: a given file, or a room, that could not be read for a moment was left for good, and what it held was lost for this life.
 func TestTakingOverOutlastsAMomentOfTrouble(t *testing.T) {
 	dir := t.TempDir()
-	account{successor: "-"}.leave(t, dir, "")
+	journalState{successor: "-"}.write(t, dir, "")
 	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -147,9 +147,9 @@
 			}
 		}
 	})
-	h.take()
+	h.takeOver()
 	tried.Wait()
-	if held, _ := h.host.Load(); held != 2 || len(h.bad) > 0 {
-		t.Errorf("%d of 2 messages are taken over, files left: %v", held, h.bad)
+	if held, _ := h.host.Load(); held != 2 || len(h.unreadable) > 0 {
+		t.Errorf("%d of 2 messages are taken over, files left: %v", held, h.unreadable)
 	}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -19,39 +19,39 @@
 
 // membersJSON is what GET /members answers.
 type membersJSON struct {
-	Self    int          `json:"self"`
-	Version uint64       `json:"version"`
-	Sharing int          `json:"sharing"` // relays that may be calling
-	Deaf    bool         `json:"deaf,omitempty"`
-	Rival   bool         `json:"rival,omitempty"`
-	CutOff  []string     `json:"zones_away,omitempty"`
-	Members []memberJSON `json:"members"`
+	Self            int          `json:"self"`
+	Version         uint64       `json:"version"`
+	PossibleCallers int          `json:"sharing"` // relays that may be calling
+	Isolated        bool         `json:"deaf,omitempty"`
+	DuplicateNumber bool         `json:"rival,omitempty"`
+	CutOff          []string     `json:"zones_away,omitempty"`
+	Members         []memberJSON `json:"members"`
 }
 
 // members writes what this relay knows of the fleet; nil where it does not ask.
 func (r *relay) members() []byte {
-	host := r.serving.Load()
+	host := r.runningHost.Load()
 	if host == nil {
 		return nil
 	}
-	v := host.Members()
-	if v == nil {
+	view := host.Members()
+	if view == nil {
 		return nil
 	}
-	out := membersJSON{Self: v.Self, Version: v.Version, Sharing: v.PossibleCallers, Deaf: v.Isolated, Rival: v.DuplicateNumber}
+	out := membersJSON{Self: view.Self, Version: view.Version, PossibleCallers: view.PossibleCallers, Isolated: view.Isolated, DuplicateNumber: view.DuplicateNumber}
 	zone := func(n int) string {
-		if n < len(r.zones) {
-			return r.zones[n]
+		if n < len(r.zoneNames) {
+			return r.zoneNames[n]
 		}
 		return ""
 	}
-	for _, z := range v.Zones {
+	for _, z := range view.Zones {
 		if z.CutOff {
 			out.CutOff = append(out.CutOff, zone(z.Zone))
 		}
 	}
-	for _, m := range v.Members {
-		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, v.At-m.Since).Milliseconds(), m.Reason})
+	for _, m := range view.Members {
+		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, view.At-m.Since).Milliseconds(), m.Reason})
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
@@ -62,14 +62,14 @@
 
 // stats writes the figures.
 func (r *relay) stats(b []byte) []byte {
-	b = r.count.Append(b)
-	host := r.serving.Load()
+	b = r.metrics.Append(b)
+	host := r.runningHost.Load()
 	if host == nil || host.Members() == nil {
 		return b
 	}
-	v := host.Members()
+	view := host.Members()
 	var states [members.Left + 1]int
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		states[m.State]++
 	}
 	for s, n := range states {
@@ -78,13 +78,13 @@
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"members_sharing", v.PossibleCallers}, {"members_asked", v.Counts.Probes}, {"members_unanswered", v.Counts.ProbeTimeouts},
-		{"members_accused", v.Counts.Suspicions}, {"members_contradicted", v.Counts.Refutations}, {"members_notes_refused", v.Counts.Rejected}} {
+	}{{"members_sharing", view.PossibleCallers}, {"members_asked", view.Counts.Probes}, {"members_unanswered", view.Counts.ProbeTimeouts},
+		{"members_accused", view.Counts.Suspicions}, {"members_contradicted", view.Counts.Refutations}, {"members_notes_refused", view.Counts.Rejected}} {
 		b = figures.Line(b, f.name, "", "", int64(f.n))
 	}
-	deaf := int64(0)
-	if v.Isolated {
-		deaf = 1
+	isolated := int64(0)
+	if view.Isolated {
+		isolated = 1
 	}
-	return figures.Line(b, "members_deaf", "", "", deaf)
+	return figures.Line(b, "members_deaf", "", "", isolated)
 }
--- a/internal/daemon/names_test.go
+++ b/internal/daemon/removed_names_test.go
@@ -10,7 +10,7 @@
 )
 
 // A reload that takes names out of the settings says which, and one that keeps them says nothing.
-func TestNamesThatAReloadTakesOut(t *testing.T) {
+func TestNamesRemovedByReload(t *testing.T) {
 	old := policy.Settings{
 		Classes: []policy.Class{{Name: "berth-alert"}, {Name: "dues-charge"}},
 		Tenants: []policy.Tenant{{Name: "reef-lab"}},
@@ -27,7 +27,7 @@
 		{&old, &now, []string{"classes=[dues-charge]", "tenants=[reef-lab]", "kinds=[pilot-desk]", "zones=[quay-one]"}},
 	} {
 		var text bytes.Buffer
-		warnGone(slog.New(slog.NewTextHandler(&text, nil)), c.old, c.now)
+		warnRemovedNames(slog.New(slog.NewTextHandler(&text, nil)), c.old, c.now)
 		if got := strings.Count(text.String(), "\n"); got != len(c.want) {
 			t.Errorf("%d lines, want %d: %s", got, len(c.want), text.String())
 		}
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -22,17 +22,17 @@
 
 // sites writes what this relay takes sites for; nil where no plan is in force.
 func (r *relay) sites() []byte {
-	host := r.serving.Load()
+	host := r.runningHost.Load()
 	if host == nil {
 		return nil
 	}
-	v := host.Sites()
-	if v == nil {
+	view := host.Sites()
+	if view == nil {
 		return nil
 	}
 	now := host.Now()
-	out := sitesJSON{Home: v.Home, AgeMs: max(0, now-v.At).Milliseconds()}
-	for _, s := range v.All {
+	out := sitesJSON{Home: view.Home, AgeMs: max(0, now-view.At).Milliseconds()}
+	for _, s := range view.All {
 		out.Sites = append(out.Sites, siteJSON{s, max(0, now-s.Since).Milliseconds()})
 	}
 	b, err := json.Marshal(out)
@@ -44,15 +44,15 @@
 
 // site hands an operator's word on. It waits for nobody.
 func (r *relay) site(zone string, out bool) (known, done bool) {
-	host := r.serving.Load()
+	host := r.runningHost.Load()
 	if host == nil {
 		return true, false
 	}
-	v := host.Sites()
-	if v == nil {
+	view := host.Sites()
+	if view == nil {
 		return false, false
 	}
-	for _, s := range v.All {
+	for _, s := range view.All {
 		if s.Zone == zone {
 			return true, host.SubmitSiteCommand(wire.SiteCommand{Zone: zone, Out: out})
 		}
@@ -62,8 +62,8 @@
 
 // home is the name of this relay's own zone; empty: not known.
 func (r *relay) home() string {
-	if r.c.Zone >= 0 && r.c.Zone < len(r.c.ZoneNames) {
-		return r.c.ZoneNames[r.c.Zone]
+	if r.config.Zone >= 0 && r.config.Zone < len(r.config.ZoneNames) {
+		return r.config.ZoneNames[r.config.Zone]
 	}
 	return ""
 }
--- a/internal/daemon/resident_linux.go
+++ b/internal/daemon/startup_pages_linux.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// giveBack lets go of the program's own pages that only its start needed: code and read-only data, which come back from
+// releaseStartupPages lets go of the program's own pages that only its start needed: code and read-only data, which come back from
 // the file when they are used again. The kernel maps them in clusters round each page that is touched, so that after the
 // start nearly all of a program with many sub-commands is resident.
-func giveBack() {
+func releaseStartupPages() {
 	exe, err := os.Readlink("/proc/self/exe")
 	if err != nil {
 		return
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -45,8 +45,8 @@
 }
 
 // Encode writes news.
-func (n *Update) Encode() []byte {
-	b, err := json.Marshal(n)
+func (u *Update) Encode() []byte {
+	b, err := json.Marshal(u)
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -55,22 +55,22 @@
 
 // Decode reads news.
 func Decode(b []byte) (*Update, error) {
-	n := &Update{}
-	if err := json.Unmarshal(b, n); err != nil {
+	update := &Update{}
+	if err := json.Unmarshal(b, update); err != nil {
 		return nil, fmt.Errorf("news of the process before: %w", err)
 	}
-	return n, nil
+	return update, nil
 }
 
 // JournalBudget is what a process's journal may take of the disk while another has a room as well: what it takes already, and half
 // of what neither does.
-func JournalBudget(all, mine, others int64) int64 { return mine + max(0, all-mine-others)/2 }
+func JournalBudget(total, own, others int64) int64 { return own + max(0, total-own-others)/2 }
 
 // MaxTransferBytes is how much may be taken over at once where so much of the disk is free: it stands in two journals and the spool for a moment, beside the copy
 // that cleaning makes.
-func MaxTransferBytes(free int64) int64 { return min(max(0, free)/8, partMost) }
+func MaxTransferBytes(free int64) int64 { return min(max(0, free)/8, maxTransferBytes) }
 
-const partMost = 64 << 10
+const maxTransferBytes = 64 << 10
 
 // Times of the process that leaves, from SIGTERM on.
 const (
@@ -99,13 +99,13 @@
 )
 
 // NextAction decides it.
-func NextAction(f Progress) Action {
+func NextAction(p Progress) Action {
 	switch {
-	case f.Elapsed >= ExitAfter:
+	case p.Elapsed >= ExitAfter:
 		return Exit
-	case f.Listening && (f.SuccessorServing || f.Elapsed >= StopListeningAfter):
+	case p.Listening && (p.SuccessorServing || p.Elapsed >= StopListeningAfter):
 		return StopListening
-	case !f.Listening && f.ClientConns == 0 && f.CallsInFlight == 0 && f.Pending <= f.NotTransferable:
+	case !p.Listening && p.ClientConns == 0 && p.CallsInFlight == 0 && p.Pending <= p.NotTransferable:
 		return Exit
 	}
 	return Continue
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -10,7 +10,7 @@
 	"oatfold/policy"
 )
 
-func TestCourse(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		f    Progress
@@ -34,7 +34,7 @@
 }
 
 // Two processes that share the disk anew at any time, in any order, never go over it together.
-func TestBudgetsHoldTogether(t *testing.T) {
+func TestJournalBudgetsStayWithinTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.Int64Range(1, 1<<20).Draw(t, "all")
 		var used, budget [2]int64
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestNewsComesThrough(t *testing.T) {
+func TestUpdateRoundTrip(t *testing.T) {
 	n := &Update{InFlightCalls: []policy.InheritedCall{{Endpoint: "e", Age: time.Second}}, RetryAfters: []RetryAfter{{"e", 7, time.Unix(5, 6).UTC()}}, OwnedIDs: []string{"a"}, LearnedState: &policy.LearnedState{CompletionRate: 3, Routes: []policy.RouteState{{Endpoint: "e", Interval: time.Second}}},
 		EndpointList: &EndpointList{4, []ListedEndpoint{{policy.Endpoint{Address: "e", State: policy.Draining}, "127.0.0.1:1"}}}, Drained: true}
 	got, err := Decode(n.Encode())
--- a/internal/handover/processdir/claim_test.go
+++ b/internal/handover/processdir/claim_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 // The room of a process that is gone is not read while the process that was taking it over still has its own: what became of its messages is there.
-func TestClaimedRoomWaitsForItsSuccessor(t *testing.T) {
+func TestClaimedDirIsNotReadWhileItsSuccessorRuns(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := process(t, dir)
-	put(t, roomA, "000000000001.seg")
-	b, roomB, _ := process(t, dir)
-	die(a, roomA)
-	put(t, roomB, "000000000001.seg")
+	a, roomA, _ := startProcess(t, dir)
+	writeTestFile(t, roomA, "000000000001.seg")
+	b, roomB, _ := startProcess(t, dir)
+	exitProcess(a, roomA)
+	writeTestFile(t, roomB, "000000000001.seg")
 	roomB.SetStatus(StatusServing)
 	_, fallen, err := b.Others(roomB)
 	if err != nil || len(fallen) != 1 {
@@ -18,14 +18,14 @@
 	if err := fallen[0].Claim(roomB); err != nil {
 		t.Fatal(err)
 	}
-	c, roomC, _ := process(t, dir)
-	fallen[0].lock.Close() // the locks of a process that dies fall one after another
+	c, roomC, _ := startProcess(t, dir)
+	fallen[0].lockFile.Close() // the locks of a process that dies fall one after another
 	for range 2 {
 		if held, early, err := c.Others(roomC); err != nil || len(early) > 0 || len(held) != 1 || held[0] != roomB.Name {
 			t.Fatalf("held %v, to read %v, %v", held, early, err)
 		}
 	}
-	die(b, roomB)
+	exitProcess(b, roomB)
 	held, fallen, err := c.Others(roomC)
 	if err != nil || len(held) > 0 || len(fallen) != 2 || fallen[0].Name != "" || fallen[1].Name != roomB.Name {
 		t.Fatalf("held %v, to read %v, %v", held, fallen, err)
@@ -36,30 +36,30 @@
 }
 
 // The name of a successor may have passed to a process that only stands by: nothing waits for that one.
-func TestClaimOfANameThatIsUsedAnew(t *testing.T) {
+func TestClaimBySuccessorWhoseNameIsReused(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := process(t, dir)
-	put(t, roomA, "000000000001.seg")
-	b, roomB, _ := process(t, dir)
+	a, roomA, _ := startProcess(t, dir)
+	writeTestFile(t, roomA, "000000000001.seg")
+	b, roomB, _ := startProcess(t, dir)
 	roomB.SetStatus(StatusReady)
 	roomA.Claim(roomB)
-	die(a, roomA)
-	c, roomC, _ := process(t, dir)
+	exitProcess(a, roomA)
+	c, roomC, _ := startProcess(t, dir)
 	held, fallen, err := c.Others(roomC)
 	if err != nil || len(held) != 1 || len(fallen) != 1 || fallen[0].Name != "" {
 		t.Fatalf("held %v, to read %v, %v", held, fallen, err)
 	}
-	die(b, roomB)
+	exitProcess(b, roomB)
 }
 
 // A room that a successor was taking over is nobody's home, and one that was taken over whole is.
-func TestClaimedRoomIsNoHome(t *testing.T) {
+func TestClaimedDirIsNotReopened(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := process(t, dir)
-	put(t, roomA, "000000000001.seg")
+	a, roomA, _ := startProcess(t, dir)
+	writeTestFile(t, roomA, "000000000001.seg")
 	roomA.Claim(&Dir{Name: "life-9"})
-	die(a, roomA)
-	b, roomB, active := process(t, dir)
+	exitProcess(a, roomA)
+	b, roomB, active := startProcess(t, dir)
 	if !active || roomB.Name == "" {
 		t.Fatalf("%v, %+v", active, roomB)
 	}
@@ -70,15 +70,15 @@
 	if err := b.Remove(fallen[0]); err != nil {
 		t.Fatal(err)
 	}
-	if _, roomC, _ := process(t, dir); roomC.Name != "" {
+	if _, roomC, _ := startProcess(t, dir); roomC.Name != "" {
 		t.Errorf("%+v", roomC)
 	}
 }
 
 // Each room comes before its successor's, whatever their names are.
-func TestRoomsComeBeforeTheirSuccessors(t *testing.T) {
+func TestDirsAreListedBeforeTheirSuccessors(t *testing.T) {
 	all := []*Dir{{Name: "", successor: "life-9", claimed: true}, {Name: "life-1"}, {Name: "life-2", successor: "", claimed: true}, {Name: "life-3", successor: "life-3", claimed: true}}
-	got := (&StateDir{dir: t.TempDir()}).readable(all, nil)
+	got := (&StateDir{dir: t.TempDir()}).readableDirs(all, nil)
 	at := map[string]int{}
 	for i, r := range got {
 		at[r.Name] = i
--- a/internal/handover/processdir/rooms_test.go
+++ b/internal/handover/processdir/processdir_test.go
@@ -11,12 +11,12 @@
 	"oatfold/internal/clock"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// process is what one process of a relay has open; locks are of the open files, so that two of them in one test are as apart as two processes.
-func process(t *testing.T, dir string) (*StateDir, *Dir, bool) {
+// startProcess is what one process of a relay has open; locks are of the open files, so that two of them in one test are as apart as two processes.
+func startProcess(t *testing.T, dir string) (*StateDir, *Dir, bool) {
 	t.Helper()
-	f, err := Open(dir, quiet)
+	f, err := Open(dir, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,24 +36,24 @@
 	return f, r, active
 }
 
-func die(f *StateDir, r *Dir) { f.baton.Close(); r.lock.Close() }
+func exitProcess(f *StateDir, r *Dir) { f.leaderLock.Close(); r.lockFile.Close() }
 
-func put(t *testing.T, r *Dir, name string) {
+func writeTestFile(t *testing.T, r *Dir, name string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(r.Path, name), make([]byte, 600), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestOneBatonAndARoomEach(t *testing.T) {
+func TestOneLeaderLockAndOneDirPerProcess(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, active := process(t, dir)
+	a, roomA, active := startProcess(t, dir)
 	if !active || roomA.Path != dir {
 		t.Fatalf("first: %v, %+v", active, roomA)
 	}
-	put(t, roomA, "000000000001.seg")
-	b, roomB, active := process(t, dir)
-	c, roomC, third := process(t, dir)
+	writeTestFile(t, roomA, "000000000001.seg")
+	b, roomB, active := startProcess(t, dir)
+	c, roomC, third := startProcess(t, dir)
 	if active || third || roomB.Path == dir || roomC.Path == roomB.Path {
 		t.Fatalf("beside it: %v %v, %+v, %+v", active, third, roomB, roomC)
 	}
@@ -65,8 +65,8 @@
 	if used := b.UsedBytes(roomB); used < 1024 {
 		t.Errorf("%d bytes of others", used)
 	}
-	die(a, roomA)
-	die(c, roomC)
+	exitProcess(a, roomA)
+	exitProcess(c, roomC)
 	if err := b.WaitLeaderLock(); err != nil {
 		t.Fatal(err)
 	}
@@ -80,9 +80,9 @@
 			t.Fatal(err)
 		}
 	}
-	put(t, roomB, "000000000001.seg")
-	die(b, roomB)
-	d, roomD, active := process(t, dir)
+	writeTestFile(t, roomB, "000000000001.seg")
+	exitProcess(b, roomB)
+	d, roomD, active := startProcess(t, dir)
 	if !active || roomD.Path != roomB.Path {
 		t.Errorf("the next start goes on in %+v", roomD)
 	}
@@ -90,23 +90,23 @@
 		t.Errorf("rooms left: %v, %v", held, fallen)
 	}
 	// The folder itself is empty: it is the next one's room.
-	if _, roomE, active := process(t, dir); active || roomE.Path != dir {
+	if _, roomE, active := startProcess(t, dir); active || roomE.Path != dir {
 		t.Errorf("beside it: %v, %+v", active, roomE)
 	}
 }
 
 // A state folder without a baton, as an earlier version leaves it, is the first room as it stands.
-func TestFolderOfAnEarlierVersion(t *testing.T) {
+func TestStateFolderOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "000000000007.seg"), []byte("x"), 0o600)
-	if _, r, active := process(t, dir); !active || r.Path != dir {
+	if _, r, active := startProcess(t, dir); !active || r.Path != dir {
 		t.Errorf("%v, %+v", active, r)
 	}
 }
 
 // A file of the spool is there whole or not at all, in order, until it is done.
 func TestSpool(t *testing.T) {
-	f, _, _ := process(t, t.TempDir())
+	f, _, _ := startProcess(t, t.TempDir())
 	for _, s := range []string{"one", "two", "three"} {
 		if err := f.WriteTransfer([]byte(s)); err != nil {
 			t.Fatal(err)
--- a/internal/handover/sequence/sequence_test.go
+++ b/internal/handover/sequence/sequence_test.go
@@ -9,40 +9,40 @@
 	"pgregory.net/rapid"
 )
 
-const later = time.Hour
+const farDeadline = time.Hour
 
-func TestNothingIsHeldAlone(t *testing.T) {
+func TestNothingIsHeldWithoutPredecessor(t *testing.T) {
 	var s Sequencer
-	if s.Hold(Message{"a", "s", 1}, later, false) {
+	if s.Hold(Message{"a", "s", 1}, farDeadline, false) {
 		t.Error("held where no process is beside this one")
 	}
-	if s.BeginScan(); s.Hold(Message{"a", "", 1}, later, false) {
+	if s.BeginScan(); s.Hold(Message{"a", "", 1}, farDeadline, false) {
 		t.Error("held though it is of no subject")
 	}
 }
 
 // Only a look that began since tells what others had taken on before.
-func TestLooks(t *testing.T) {
+func TestOnlyLaterScanReleases(t *testing.T) {
 	var s Sequencer
 	s.BeginScan()
-	s.Hold(Message{"a", "s", 1}, later, false)
+	s.Hold(Message{"a", "s", 1}, farDeadline, false)
 	if s.EndScan(); len(s.Ready()) > 0 {
 		t.Error("goes on after a look that began before")
 	}
 	s.BeginScan()
-	s.Hold(Message{"b", "s", 2}, later, false)
-	s.Hold(Message{"c", "s", 0}, later, true) // given: it goes first, and needs no look
+	s.Hold(Message{"b", "s", 2}, farDeadline, false)
+	s.Hold(Message{"c", "s", 0}, farDeadline, true) // given: it goes first, and needs no look
 	if s.EndScan(); !slices.Equal(s.Ready(), []uint32{0, 1}) {
 		t.Error("the wrong ones go on")
 	}
 }
 
-func TestOwedElsewhere(t *testing.T) {
+func TestPendingElsewhere(t *testing.T) {
 	var s Sequencer
 	s.BeginScan()
 	s.SetPending("old", []Message{{"a", "s", 1}, {"d", "s", 4}, {"x", "other", 9}})
 	for _, m := range []Message{{"c", "s", 3}, {"b", "s", 2}, {"e", "s", 5}} {
-		s.Hold(m, later, true)
+		s.Hold(m, farDeadline, true)
 	}
 	step := func(name string, do func(), want ...uint32) {
 		t.Helper()
@@ -58,11 +58,11 @@
 	if !s.PendingElsewhere("a") || s.PendingElsewhere("x") {
 		t.Error("what is owed is not known")
 	}
-	step("here", func() { s.MarkArrived("a"); s.Hold(Message{"a", "s", 1}, later, true) }, 1, 2, 3)
+	step("here", func() { s.MarkArrived("a"); s.Hold(Message{"a", "s", 1}, farDeadline, true) }, 1, 2, 3)
 	step("over", func() { s.SetPending("old", nil) }, 5)
 }
 
-func TestTimeIsUp(t *testing.T) {
+func TestExpired(t *testing.T) {
 	var s Sequencer
 	s.BeginScan()
 	s.SetPending("old", []Message{{"a", "s", 1}})
@@ -80,14 +80,14 @@
 	if got := s.Finish(); !slices.Equal(got, []uint32{3}) {
 		t.Errorf("%v at the end", got)
 	}
-	if _, some := s.NextDeadline(); some || s.Hold(Message{"d", "s", 4}, later, false) {
+	if _, some := s.NextDeadline(); some || s.Hold(Message{"d", "s", 4}, farDeadline, false) {
 		t.Error("held after the end")
 	}
 }
 
 // Whatever comes in whatever order: each held message goes on, expires or is released at the end exactly once, none before one of its subject that is owed
 // and was handed in earlier.
-func TestOrderAtAnyCourse(t *testing.T) {
+func TestOrderInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Sequencer
 		s.BeginScan()
@@ -116,7 +116,7 @@
 				for n, o := range owed {
 					if delete(owed, n); rapid.Bool().Draw(t, "given") {
 						s.MarkArrived(o.ID)
-						s.Hold(o, later, true)
+						s.Hold(o, farDeadline, true)
 						held[n] = o
 					}
 					break
