--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts relays of the module on the simulator's wire, standard input to output.
+// Command adapter runs relays of the policy engine on the simulator's wire, from standard input to
+// standard output.
 package main
 
 import (
--- a/cmd/oatfold-lab/main.go
+++ b/cmd/oatfold-lab/main.go
@@ -1,5 +1,5 @@
-// Command oatfold-lab is the laboratory, which `oatfold lab` starts. It is a program of its own so that a relay carries none of
-// its libraries.
+// Command oatfold-lab is the laboratory, which `oatfold lab` starts. It is a separate program so
+// that the relay does not contain its libraries.
 package main
 
 import (
--- a/cmd/oatfold/main.go
+++ b/cmd/oatfold/main.go
@@ -1,5 +1,5 @@
-// Command oatfold is the relay: it takes messages on at its front socket and delivers them to destinations. Its
-// sub-commands are tools round it.
+// Command oatfold is the relay: it accepts messages from clients over HTTP and delivers them to
+// destinations. Its subcommands are tools for operators.
 package main
 
 import (
--- a/internal/daemon/adopt.go
+++ b/internal/daemon/adopt.go
@@ -11,19 +11,20 @@
 	"oatfold/internal/wire"
 )
 
-// This file takes over the rooms of processes that are gone.
+// This file adopts the journals of processes that no longer run.
 
-// errSuccessorUnread says that a room's messages went on in one that can't be read.
-var errSuccessorUnread = errors.New("the room of the process that was taking it over can't be read")
+// errSuccessorUnread means that some messages of a directory moved to one that can't be read.
+var errSuccessorUnread = errors.New("the directory of the process that was taking it over can't be read")
 
-// leftJournal is the room of a process that is gone, and what its journal holds.
+// leftJournal is the directory of a process that no longer runs, and the content of its journal.
 type leftJournal struct {
 	dir     *processdir.Dir
 	journal *journal.Journal
 	table   *memory.Table
 }
 
-// adoptAll takes over rooms that were read. The lock of one that is not taken over whole stays with this process.
+// adoptAll adopts the journals and removes their directories. This process keeps the lock of a
+// directory that could not be adopted completely.
 func (s *successor) adoptAll(journals []*leftJournal) {
 	for _, j := range journals {
 		if err := s.adopt(j); err != nil {
@@ -34,11 +35,12 @@
 }
 
 func (s *successor) logNotAdopted(dir *processdir.Dir, err error) {
-	s.log.Error("a room is not taken over", "room", dir.Path, "err", err)
+	s.log.Error("process directory not adopted", "room", dir.Path, "err", err)
 }
 
-// openJournals reads rooms, each of which comes before its successor's, and leaves the latest account of each message. A room whose successor's room can't be
-// read is left out as well: its messages may have run.
+// openJournals reads directories, each listed before its successor's, and keeps only the latest
+// state of each message. A directory whose successor's directory can't be read is skipped as well,
+// since its messages may have been sent.
 func (s *successor) openJournals(abandoned []*processdir.Dir) (journals []*leftJournal) {
 	unreadable := map[string]bool{}
 	for _, dir := range slices.Backward(abandoned) {
@@ -47,8 +49,10 @@
 		if successor, claimed := dir.Successor(); claimed && unreadable[successor] {
 			err = errSuccessorUnread
 		} else {
-			err = s.retry("a room can't be read", func() (err error) {
-				j.journal, j.table, err = journal.Open(journal.Config{FS: journal.Dir(dir.Path), Budget: s.diskBytes() - s.stateDir.UsedBytes(dir), TimeScale: s.stateDir.TimeScale(), Log: s.log, CompactInline: true})
+			err = s.retry("a process directory can't be read", func() (err error) {
+				j.journal, j.table, err = journal.Open(journal.Config{FS: journal.Dir(dir.Path),
+					Budget:    s.diskBytes() - s.stateDir.UsedBytes(dir),
+					TimeScale: s.stateDir.TimeScale(), Log: s.log, CompactInline: true})
 				return err
 			})
 		}
@@ -64,8 +68,8 @@
 	return journals
 }
 
-// dropOutdated leaves the latest account of each message only. Guards against a message that a successor had taken on and run when it died, and not
-// yet booked off the room that it came from.
+// dropOutdated keeps only the latest state of each message. A successor may have adopted and sent a
+// message, and died before it removed it from the directory that it came from.
 func dropOutdated(journals []*leftJournal) {
 	completed, latest := map[string]struct{}{}, map[string]*memory.Message{}
 	for _, j := range journals {
@@ -73,7 +77,7 @@
 			completed[id] = struct{}{}
 		}
 		for _, m := range j.table.All() {
-			if have := latest[m.ID]; have == nil || m.Supersedes(have) {
+			if known := latest[m.ID]; known == nil || m.Supersedes(known) {
 				latest[m.ID] = m
 			}
 		}
@@ -87,17 +91,17 @@
 	}
 }
 
-// remove books m off, without an end of its own.
+// remove deletes m without recording a completion of its own.
 func (j *leftJournal) remove(m *memory.Message) {
 	j.table.Remove(m)
 	j.table.ForgetCompleted(m.ID)
-	j.journal.AppendCompleted(m, true) // so that its room gives way to the next part
+	j.journal.AppendCompleted(m, true) // frees space for the next batch
 }
 
-// adopt takes one room over, part by part, and clears it.
+// adopt adopts the messages of one directory in batches, and removes it.
 func (s *successor) adopt(j *leftJournal) error {
 	if err := j.dir.Claim(s.dir); err != nil {
-		s.log.Warn("a room takes no word of who takes it over", "room", j.dir.Path, "err", err)
+		s.log.Warn("successor can't be recorded in the process directory", "room", j.dir.Path, "err", err)
 	}
 	remaining := j.messagesInOrder()
 	for len(remaining) > 0 {
@@ -112,7 +116,7 @@
 			j.remove(m)
 		}
 		if _, err := j.journal.Commit(); err != nil {
-			s.log.Warn("a room's journal takes no records as it is taken over", "room", j.dir.Path, "err", err)
+			s.log.Warn("journal of an adopted directory can't be written", "room", j.dir.Path, "err", err)
 		}
 		remaining = remaining[n:]
 	}
@@ -131,7 +135,8 @@
 	return messages
 }
 
-// copyBatch copies the first messages, one at least, whose bodies take up to so many bytes: the other journal has numbers of its own for them.
+// copyBatch copies the first n messages, at least one, whose bodies together take at most that many
+// bytes. Copies are needed because the other journal gives them its own numbers.
 func copyBatch(messages []*memory.Message, bytes int64) (n int, batch []*memory.Message) {
 	for size := 0; n < len(messages) && (n == 0 || size+messages[n].BodySize() <= int(bytes)); n++ {
 		m := *messages[n]
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads, checks and defaults what a relay is told. Nothing else reads the environment.
+// Package config reads and checks the platform's configuration of a relay and fills in defaults.
+// Nothing else reads the environment.
 package config
 
 import (
@@ -21,37 +22,38 @@
 	"oatfold/policy"
 )
 
-// Config is all that a relay is told when it starts.
+// Config is the configuration of a relay.
 type Config struct {
 	Name, ListenAddr, DiscoveryAddr, StateDir string
-	AdminAddr                                 string // the operators' address; empty: none
+	AdminAddr                                 string // address for operators; empty: none
 	Seed                                      int64
 	MemoryBytes, DiskBytes                    int64
 	MaxDescriptors                            int
-	LoadReports                               bool // answers may hold load reports
+	LoadReports                               bool // replies may contain load reports
 	ConnectTimeout                            time.Duration
 	KnownEndpoints                            memory.EndpointList
 	Settings                                  policy.Settings
-	PeerListenAddr                            string   // where notes of other relays come in
-	PeerAddrs                                 []string // their addresses by number, this one's included; none: no notes
-	RelayNumber                               int      // this one's number
-	MembershipEnabled                         bool     // relays ask one another who lives
+	PeerListenAddr                            string   // where gossip of other relays arrives
+	PeerAddrs                                 []string // gossip addresses by relay number, with its own; empty: none
+	RelayNumber                               int      // number of this relay
+	MembershipEnabled                         bool     // relays monitor one another
 	Choices                                   choice.Options
-	Zone                                      int      // this one's, among settings.zones; members.NoZone: not named
-	ZoneNames                                 []string // their names
+	Zone                                      int      // this relay's index in ZoneNames; members.NoZone: unknown
+	ZoneNames                                 []string // names of all zones
 }
 
-// Defaults of what the configuration may leave out.
+// Defaults for keys that the configuration may leave out.
 const (
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
 	defaultDiskMB      = 2
 	defaultConnectUs   = 1_500_000
-	megabyte           = 1_000_000 // the smaller reading of a limit in MB
+	megabyte           = 1_000_000 // decimal, the smaller meaning of a limit in MB
 )
 
-// Load reads the configuration file that the environment names. Where both name a value, the file goes first: it can be
-// replaced while the relay runs, and must mean the same at a reload as at the next start. Errors name the key at fault.
+// Load reads the configuration file that the environment names. The file takes precedence over
+// environment variables: it can be replaced while the relay runs, and must mean the same at a
+// reload as at the next start. Errors name the key at fault.
 func Load(getenv func(string) string) (*Config, error) {
 	raw := "{}"
 	if path := getenv("ROUTER_CONFIG"); path != "" {
@@ -68,6 +70,7 @@
 	return c, nil
 }
 
+// parse reads the configuration from the text of the file and the environment.
 func parse(raw string, getenv func(string) string) (*Config, error) {
 	if !gjson.Valid(raw) {
 		return nil, fmt.Errorf("not JSON")
@@ -80,9 +83,10 @@
 		return getenv(env)
 	}
 	c := &Config{Name: text("ROUTER_NAME", "name"), ListenAddr: text("ROUTER_LISTEN", "listen"),
-		DiscoveryAddr: text("ROUTER_DISCOVERY", "discovery"), AdminAddr: text("ROUTER_ADMIN", "admin"), StateDir: getenv("ROUTER_STATE")}
+		DiscoveryAddr: text("ROUTER_DISCOVERY", "discovery"), AdminAddr: text("ROUTER_ADMIN", "admin"),
+		StateDir: getenv("ROUTER_STATE")}
 	if c.StateDir == "" {
-		return nil, fmt.Errorf("ROUTER_STATE is not set: name the folder that lasts")
+		return nil, fmt.Errorf("ROUTER_STATE is not set; it names the persistent state folder")
 	}
 	info, err := os.Stat(c.StateDir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -91,7 +95,10 @@
 	if err != nil || !info.IsDir() {
 		return nil, fmt.Errorf("ROUTER_STATE: %q is not a folder", c.StateDir)
 	}
-	for key, addr := range map[string]string{"listen (ROUTER_LISTEN)": c.ListenAddr, "discovery (ROUTER_DISCOVERY)": c.DiscoveryAddr} {
+	for key, addr := range map[string]string{
+		"listen (ROUTER_LISTEN)":       c.ListenAddr,
+		"discovery (ROUTER_DISCOVERY)": c.DiscoveryAddr,
+	} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: %q is not host:port", key, addr)
 		}
@@ -104,7 +111,7 @@
 			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is not host:port", c.AdminAddr)
 		}
 		if c.AdminAddr == c.ListenAddr {
-			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is the clients' address, listen", c.AdminAddr)
+			return nil, fmt.Errorf("admin (ROUTER_ADMIN): %q is also the clients' address, listen", c.AdminAddr)
 		}
 	}
 	if s := doc.Get("seed").String(); s != "" {
@@ -170,8 +177,8 @@
 	return c, nil
 }
 
-// parsePeers reads who the other relays are. Where notes are not allowed, few relays share the destinations, or this one's number does not lie
-// among them, there are none: a relay serves without.
+// parsePeers reads the addresses of the other relays. There are none, and the relay serves alone,
+// where gossip is not allowed, the fleet is too small, or this relay's number is not in the list.
 func (c *Config) parsePeers(doc gjson.Result, mode string) error {
 	if mode != "" && mode != "auto" && mode != "on" && mode != "off" {
 		return fmt.Errorf("members (ROUTER_MEMBERS): %q is neither on nor off nor auto", mode)
@@ -199,13 +206,13 @@
 	minPeers := peers.MinFleetSize
 	switch mode {
 	case "on":
-		c.MembershipEnabled, minPeers = len(addrs) > 1, 2 // by counts alone a small fleet has no need of notes
+		c.MembershipEnabled, minPeers = len(addrs) > 1, 2 // with two relays gossip is of use to membership only
 	case "", "auto":
 		c.MembershipEnabled = len(addrs) >= peers.MinFleetSize
 	}
 	c.PeerListenAddr = doc.Get("peer_listen").Str
 	if _, err := netip.ParseAddrPort(c.PeerListenAddr); err != nil {
-		return nil // it can't hear
+		return nil // gossip can't be received
 	}
 	if n := me.Int(); me.Type == gjson.Number && n >= 0 && n < int64(len(addrs)) && len(addrs) >= minPeers {
 		c.PeerAddrs, c.RelayNumber = addrs, int(n)
@@ -213,10 +220,11 @@
 	return nil
 }
 
-// checkSettings names the first key of the settings with which no relay could work. The module checks the
-// same in its own terms.
+// checkSettings returns an error that names the first key of the settings with which no relay could
+// work. The policy engine checks the same values again.
 func checkSettings(set gjson.Result) error {
-	for _, key := range []string{"fleetSize", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen", "policyLimits.maxAttempts"} {
+	for _, key := range []string{"fleetSize", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen",
+		"policyLimits.maxAttempts"} {
 		if v := set.Get(key); v.Num < 1 {
 			return fmt.Errorf("settings.%s: %s is not a number of at least 1", key, v.Raw)
 		}
@@ -226,7 +234,7 @@
 	}
 	grades := set.Get("grades").Array()
 	if len(grades) == 0 {
-		return fmt.Errorf("settings.grades: no class of message")
+		return fmt.Errorf("settings.grades: no message class")
 	}
 	for i, g := range grades {
 		for key, minimum := range map[string]float64{"promiseUs": 1, "deadlineUs": max(1, g.Get("promiseUs").Num)} {
--- a/internal/daemon/config/names.go
+++ b/internal/daemon/config/names.go
@@ -6,8 +6,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// checkNames names the first key of the settings whose names can't be told apart, or that has more values than there
-// are names for them. Guards against settings that were put together from those of two deployments.
+// checkNames returns an error that names the first key of the settings with missing or duplicate
+// names, or with more values than there are names. Such settings are usually a mix of two
+// deployments.
 func checkNames(set gjson.Result) error {
 	for _, list := range []struct{ key, field string }{
 		{"grades", "name"}, {"tenants", "name"}, {"kinds", ""}, {"zones", ""},
@@ -19,7 +20,8 @@
 	for _, values := range []struct{ key, names string }{
 		{"familyInfo.batchByKind", "kinds"}, {"familyInfo.separateRoutes", "kinds"}, {"familyInfo.feeByZone", "zones"},
 	} {
-		// Fewer are allowed: a kind or zone without a value has a batch of one, one route and no fee.
+		// Fewer are allowed: a kind or zone without a value has batches of one message, one route
+		// and no fee.
 		count, limit := len(set.Get(values.key).Array()), len(set.Get(values.names).Array())
 		if count > limit {
 			return fmt.Errorf("settings.%s: %d values for %d settings.%s", values.key, count, limit, values.names)
@@ -28,7 +30,8 @@
 	return nil
 }
 
-// checkDistinct wants each element of the list to have a name, in its field where one is given, and one of its own.
+// checkDistinct checks that each element of the list has a name of its own: in the given field, or
+// the element itself if field is "".
 func checkDistinct(list gjson.Result, key, field string) error {
 	first := map[string]int{}
 	for i, element := range list.Array() {
--- a/internal/daemon/config/operator/operator.go
+++ b/internal/daemon/config/operator/operator.go
@@ -1,4 +1,5 @@
-// Package operator reads, checks and defaults the operator's file, in protobuf text format. Errors name line and key.
+// Package operator reads and checks the operator's file, in protobuf text format, and fills in
+// defaults. Errors name line and key.
 package operator
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative operator.proto
@@ -20,24 +21,25 @@
 	"oatfold/plugin/abi"
 )
 
-// Config is what the operator's file says, with its defaults.
+// Config is the content of the operator's file, with defaults.
 type Config struct {
 	Plugins         []plugin.Spec
-	BodyMemoryBytes int64       // bytes that bodies may take in memory; 0: the file says nothing
-	Sites           *sites.Plan // nil: the file says nothing
+	BodyMemoryBytes int64       // bytes of memory for message bodies; 0: not set
+	Sites           *sites.Plan // nil: not set
 }
 
 // Defaults and bounds.
 const (
-	pluginMemoryDivisor = 4 // of the memory limit, one part in so many is for plug-ins if the file says nothing
+	pluginMemoryDivisor = 4 // plug-ins get one part in pluginMemoryDivisor of the memory limit by default
 	maxWallMs           = 1000
-	maxOnHandInMs       = 300 // ms that all plug-ins at on_handin may take together: a client waits 400
+	maxOnHandInMs       = 300 // for all plug-ins at ON_HANDIN together; a client waits 400 ms
 	maxPlugins          = 64
 	maxOutputBytes      = limits.MaxBody + 8<<10
 	maxLoadMs           = 60_000
 )
 
-// Load reads the file at path. memory is the limit of the process in bytes; 0 checks no sum against it.
+// Load reads the file at path. memory is the memory limit of the process in bytes; with 0 no sum is
+// checked against it.
 func Load(path string, memory int64) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,13 +52,14 @@
 	return c, nil
 }
 
+// parse reads the text of an operator's file. Relative paths in it start at dir.
 func parse(text []byte, dir string, memory int64) (*Config, error) {
 	file := &Operator{}
 	if err := prototext.Unmarshal(text, file); err != nil {
 		return nil, withPosition(text, err)
 	}
 	c := &checker{}
-	c.syntax, _ = parser.Parse(text) // without it errors name the key only
+	c.syntax, _ = parser.Parse(text) // without a syntax tree, errors name the key only
 	config := &Config{}
 	plugins := file.GetPlugins().GetPlugin()
 	if len(plugins) > maxPlugins {
@@ -70,22 +73,26 @@
 			return nil, err
 		}
 		if names[s.Name] {
-			return nil, c.errorAt("name", "%q is there already", s.Name)
+			return nil, c.errorAt("name", "%q is used already", s.Name)
 		}
 		names[s.Name] = true
 		total += int64(s.Budget.Pages) * plugin.PageBytes * int64(s.Budget.Instances)
 		for _, h := range s.Hooks {
 			if h == abi.OnHandIn {
 				if onHandInMs += uint32((s.Budget.Wall + s.Budget.Wait).Milliseconds()); onHandInMs > maxOnHandInMs {
-					return nil, c.errorAt("budget", "wall_ms and wait_ms of all plug-ins at ON_HANDIN come to %d ms, over %d", onHandInMs, maxOnHandInMs)
+					return nil, c.errorAt("budget",
+						"wall_ms and wait_ms of all plug-ins at ON_HANDIN add up to %d ms, more than %d",
+						onHandInMs, maxOnHandInMs)
 				}
 			}
 		}
 		config.Plugins = append(config.Plugins, s)
 	}
 	c.path = "bodies"
-	if config.BodyMemoryBytes = int64(file.GetBodies().GetMemoryKb()) << 10; memory > 0 && config.BodyMemoryBytes > memory/2 {
-		return nil, c.errorAt("memory_kb", "%d KiB are over half of the memory limit of %d MB", config.BodyMemoryBytes>>10, memory/1_000_000)
+	if config.BodyMemoryBytes = int64(file.GetBodies().GetMemoryKb()) << 10; memory > 0 &&
+		config.BodyMemoryBytes > memory/2 {
+		return nil, c.errorAt("memory_kb", "%d KiB are more than half of the memory limit of %d MB",
+			config.BodyMemoryBytes>>10, memory/1_000_000)
 	}
 	var err error
 	if config.Sites, err = c.sitePlan(file.GetSites()); err != nil {
@@ -94,18 +101,20 @@
 	c.path = "plugins"
 	limit := int64(file.GetPlugins().GetMemoryMb()) << 20
 	if memory > 0 && limit > memory/2 {
-		return nil, c.errorAt("memory_mb", "%d MiB are over half of the memory limit of %d MB", limit>>20, memory/1_000_000)
+		return nil, c.errorAt("memory_mb", "%d MiB are more than half of the memory limit of %d MB",
+			limit>>20, memory/1_000_000)
 	}
 	if limit == 0 {
 		limit = memory / pluginMemoryDivisor
 	}
 	if limit > 0 && total > limit {
-		return nil, c.errorAt("plugin", "memory_pages of all instances come to %d MiB, over %d MiB", total>>20, limit>>20)
+		return nil, c.errorAt("plugin", "memory_pages of all instances add up to %d MiB, more than %d MiB",
+			total>>20, limit>>20)
 	}
 	return config, nil
 }
 
-// withPosition adds to an error of the format what it lacks: the key before the place that it names, or the line.
+// withPosition adds to a parse error what it lacks: the key before its position, or the line.
 func withPosition(text []byte, err error) error {
 	line, column := 0, 0
 	_, position, ok := strings.Cut(err.Error(), "(line ")
@@ -126,13 +135,13 @@
 	return fmt.Errorf("line %d, at %s: %w", line, key, err)
 }
 
-// checker names what is wrong.
+// checker checks the values of the file and reports errors with line and key.
 type checker struct {
 	syntax []*ast.Node
-	path   string // where in the file, as a key
+	path   string // key of the message that is being checked
 }
 
-// errorAt is an error at a key below the present place.
+// errorAt returns an error at a key below the current path.
 func (c *checker) errorAt(key, format string, args ...any) error {
 	full := c.path + "." + key
 	if line := c.line(strings.Split(full, ".")); line > 0 {
@@ -141,12 +150,13 @@
 	return fmt.Errorf("%s: %s", full, fmt.Sprintf(format, args...))
 }
 
+// tooMany returns an error at a list that is too long.
 func (c *checker) tooMany(format string, most int, key string) error {
 	c.path = strings.Split(key, ".")[0]
 	return c.errorAt(strings.Split(key, ".")[1], format, most)
 }
 
-// line is where the key stands, or the deepest part of it that is there.
+// line returns the line of the key, or of the deepest part of the path that exists; 0 if none does.
 func (c *checker) line(path []string) (line int) {
 	nodes := c.syntax
 	for _, part := range path {
@@ -173,15 +183,29 @@
 	return line
 }
 
-var hooksByProto = map[Hook]abi.Hook{Hook_ON_HANDIN: abi.OnHandIn, Hook_SHAPE_REQUEST: abi.ShapeRequest, Hook_READ_ANSWER: abi.ReadAnswer}
+// hooksByProto maps the hooks of the file to those of the plug-in ABI.
+var hooksByProto = map[Hook]abi.Hook{
+	Hook_ON_HANDIN:     abi.OnHandIn,
+	Hook_SHAPE_REQUEST: abi.ShapeRequest,
+	Hook_READ_ANSWER:   abi.ReadAnswer,
+}
 
-var failureActions = map[Then]limits.Then{Then_REFUSE: limits.Refuse, Then_FAIL: limits.Fail, Then_PASS: limits.Pass}
+// failureActions maps the values of on_failure.then.
+var failureActions = map[Then]limits.Then{
+	Then_REFUSE: limits.Refuse,
+	Then_FAIL:   limits.Fail,
+	Then_PASS:   limits.Pass,
+}
 
+// pluginSpec checks one plug-in and returns its specification with defaults.
 func (c *checker) pluginSpec(p *Plugin, dir string) (s plugin.Spec, err error) {
-	s = plugin.Spec{Name: p.GetName(), Path: p.GetModule(), Setting: p.GetSetting(), Classes: p.GetMatch().GetClass(), Kinds: p.GetMatch().GetKind(),
+	s = plugin.Spec{Name: p.GetName(), Path: p.GetModule(), Setting: p.GetSetting(),
+		Classes: p.GetMatch().GetClass(), Kinds: p.GetMatch().GetKind(),
 		OnFailure: map[string]limits.Then{"": limits.Refuse}}
-	if s.Name == "" || strings.Trim(s.Name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") != "" || len(s.Name) > 64 {
-		return s, c.errorAt("name", "%q is no name of letters, digits, dots, dashes and underscores", s.Name)
+	if s.Name == "" ||
+		strings.Trim(s.Name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") != "" ||
+		len(s.Name) > 64 {
+		return s, c.errorAt("name", "%q is not a name of letters, digits, dots, dashes and underscores", s.Name)
 	}
 	if s.Path == "" {
 		return s, c.errorAt("module", "missing")
@@ -190,7 +214,7 @@
 		s.Path = filepath.Join(dir, s.Path)
 	}
 	if st, err := os.Stat(s.Path); err != nil || !st.Mode().IsRegular() {
-		return s, c.errorAt("module", "%q is no file that can be read", s.Path)
+		return s, c.errorAt("module", "%q is not a readable file", s.Path)
 	}
 	if len(p.GetHook()) == 0 {
 		return s, c.errorAt("hook", "missing")
@@ -198,7 +222,7 @@
 	for i, h := range p.GetHook() {
 		hook, ok := hooksByProto[h]
 		if !ok {
-			return s, c.errorAt(fmt.Sprintf("hook[%d]", i), "%v is no hook", h)
+			return s, c.errorAt(fmt.Sprintf("hook[%d]", i), "%v is not a hook", h)
 		}
 		if hook == abi.OnHandIn && len(s.Kinds) > 0 {
 			return s, c.errorAt("match.kind", "the kind is not known at ON_HANDIN; name destinations instead")
@@ -214,7 +238,7 @@
 	for i, f := range p.GetOnFailure() {
 		then, ok := failureActions[f.GetThen()]
 		if !ok {
-			return s, c.errorAt(fmt.Sprintf("on_failure[%d].then", i), "%v is none of REFUSE, FAIL, PASS", f.GetThen())
+			return s, c.errorAt(fmt.Sprintf("on_failure[%d].then", i), "%v is not one of REFUSE, FAIL, PASS", f.GetThen())
 		}
 		s.OnFailure[f.GetClass()] = then
 	}
@@ -247,7 +271,9 @@
 		}
 	}
 	ms := func(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
-	s.Budget = plugin.Budget{Wall: ms(wall), CPU: ms(min(cpu, wall)), Pages: pages, Output: int(output), Instances: int(instances), Wait: ms(wait), Load: ms(load)}
-	s.Probation = limits.Probation{Failures: int(failures), Pause: ms(pause), PauseMax: ms(max(pause, pauseMax)), Trials: int(trials)}
+	s.Budget = plugin.Budget{Wall: ms(wall), CPU: ms(min(cpu, wall)), Pages: pages, Output: int(output),
+		Instances: int(instances), Wait: ms(wait), Load: ms(load)}
+	s.Probation = limits.Probation{Failures: int(failures), Pause: ms(pause), PauseMax: ms(max(pause, pauseMax)),
+		Trials: int(trials)}
 	return s, nil
 }
--- a/internal/daemon/config/operator/sites.go
+++ b/internal/daemon/config/operator/sites.go
@@ -7,14 +7,16 @@
 	"oatfold/internal/sites"
 )
 
+// Bounds of a site plan.
 const (
 	maxSites       = 30
 	maxTiers       = 8
-	maxRampSeconds = 3600 // s
-	maxRate        = 1e7  // messages a second
+	maxRampSeconds = 3600
+	maxRate        = 1e7 // messages per second
 )
 
-// sitePlan checks what the file says of sites.
+// sitePlan checks the sites of the file and returns the plan with defaults; nil if the file has
+// none.
 func (c *checker) sitePlan(file *Sites) (*sites.Plan, error) {
 	if file == nil {
 		return nil, nil
@@ -23,12 +25,12 @@
 	plan := &sites.Plan{Ramp: time.Duration(file.RampS) * time.Second}
 	switch {
 	case file.RampS > maxRampSeconds:
-		return nil, c.errorAt("ramp_s", "%d is over %d", file.RampS, maxRampSeconds)
+		return nil, c.errorAt("ramp_s", "%d is more than %d", file.RampS, maxRampSeconds)
 	case file.RampS == 0:
 		plan.Ramp = sites.UsualRamp
 	}
 	if len(file.Site) < 2 {
-		return nil, c.errorAt("site", "a plan needs two sites at least")
+		return nil, c.errorAt("site", "a plan needs at least two sites")
 	}
 	if len(file.Site) > maxSites {
 		return nil, c.errorAt("site", "more than %d", maxSites)
@@ -40,7 +42,7 @@
 			return nil, c.errorAt("zone", "missing")
 		}
 		if zones[s.Zone] {
-			return nil, c.errorAt("zone", "%q is there already", s.Zone)
+			return nil, c.errorAt("zone", "%q is used already", s.Zone)
 		}
 		zones[s.Zone] = true
 	}
@@ -55,21 +57,21 @@
 			tier := sites.Tier{Spill: t.Spill}
 			switch {
 			case !(t.Spill >= 0 && t.Spill <= 1):
-				return nil, c.errorAt("spill", "%v does not lie over 0 and up to 1", t.Spill)
+				return nil, c.errorAt("spill", "%v is not above 0 and at most 1", t.Spill)
 			case t.Spill == 0:
 				tier.Spill = sites.UsualSpill
 			}
 			if len(t.Zone) == 0 {
-				return nil, c.errorAt("zone", "a tier names one zone at least")
+				return nil, c.errorAt("zone", "a tier needs at least one zone")
 			}
 			for _, z := range t.Zone {
 				switch {
 				case z == s.Zone:
-					return nil, c.errorAt("zone", "%q names itself", z)
+					return nil, c.errorAt("zone", "%q refers to itself", z)
 				case !zones[z]:
-					return nil, c.errorAt("zone", "%q is no site", z)
+					return nil, c.errorAt("zone", "%q is not a site", z)
 				case named[z]:
-					return nil, c.errorAt("zone", "%q is in a tier of this site already", z)
+					return nil, c.errorAt("zone", "%q is already in a tier of this site", z)
 				}
 				named[z] = true
 				tier.Zones = append(tier.Zones, z)
@@ -82,7 +84,7 @@
 	classes := map[string]bool{}
 	for i, class := range file.RefuseFirst {
 		if classes[class] || class == "" {
-			return nil, c.errorAt(fmt.Sprintf("refuse_first[%d]", i), "%q is named twice, or empty", class)
+			return nil, c.errorAt(fmt.Sprintf("refuse_first[%d]", i), "%q is empty or a duplicate", class)
 		}
 		classes[class] = true
 	}
@@ -91,30 +93,31 @@
 	for i, d := range file.Destination {
 		c.path = fmt.Sprintf("sites.destination[%d]", i)
 		if numbers[d.Number] {
-			return nil, c.errorAt("number", "%d is there already", d.Number)
+			return nil, c.errorAt("number", "%d is used already", d.Number)
 		}
 		numbers[d.Number] = true
-		dest := sites.Destination{Number: int(d.Number), Takes: map[string]float64{}, Wanted: map[string]map[string]float64{}}
+		dest := sites.Destination{Number: int(d.Number), Takes: map[string]float64{},
+			Wanted: map[string]map[string]float64{}}
 		for j, t := range d.Takes {
 			c.path = fmt.Sprintf("sites.destination[%d].takes[%d]", i, j)
 			if _, twice := dest.Takes[t.Zone]; twice || !zones[t.Zone] {
-				return nil, c.errorAt("zone", "%q is no site, or named twice", t.Zone)
+				return nil, c.errorAt("zone", "%q is not a site, or a duplicate", t.Zone)
 			}
 			if !(t.Rate > 0 && t.Rate <= maxRate) {
-				return nil, c.errorAt("rate", "%v does not lie over 0 and up to %.0f", t.Rate, maxRate)
+				return nil, c.errorAt("rate", "%v is not above 0 and at most %.0f", t.Rate, maxRate)
 			}
 			dest.Takes[t.Zone] = t.Rate
 		}
 		for j, w := range d.Wanted {
 			c.path = fmt.Sprintf("sites.destination[%d].wanted[%d]", i, j)
 			if !zones[w.Zone] {
-				return nil, c.errorAt("zone", "%q is no site", w.Zone)
+				return nil, c.errorAt("zone", "%q is not a site", w.Zone)
 			}
 			if _, twice := dest.Wanted[w.Zone][w.Class]; twice || w.Class == "" {
-				return nil, c.errorAt("class", "%q is named twice for %s, or empty", w.Class, w.Zone)
+				return nil, c.errorAt("class", "%q is empty or a duplicate for %s", w.Class, w.Zone)
 			}
 			if !(w.Rate >= 0 && w.Rate <= maxRate) {
-				return nil, c.errorAt("rate", "%v does not lie within 0 and %.0f", w.Rate, maxRate)
+				return nil, c.errorAt("rate", "%v is not within 0 and %.0f", w.Rate, maxRate)
 			}
 			if dest.Wanted[w.Zone] == nil {
 				dest.Wanted[w.Zone] = map[string]float64{}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon starts and stops the relay.
+// Package daemon runs the relay: start, reload, handover to another process, and stop.
 package daemon
 
 import (
@@ -29,26 +29,29 @@
 	"oatfold/internal/wire"
 )
 
-// bodyMemoryDivisor of the memory limit, one part in so many, is what bodies of held messages may take; beyond it they are in the
-// journal only.
+// bodyMemoryDivisor is the part of the memory limit, one in bodyMemoryDivisor, that bodies of
+// pending messages may take. Further bodies are kept in the journal only.
 const bodyMemoryDivisor = 8
 
-// smallFileBytes is what the state folder's files besides journals take: the baton, the mark of the clock, a lock for each room.
+// smallFileBytes is what the files of the state folder take besides journals: the leader lock, the
+// clock mark, and a lock for each process directory.
 const smallFileBytes = 2560
 
-// ownDescriptors is what descriptors the process needs for itself: standard ones, journal, poll, listener, discovery.
+// ownDescriptors is the number of descriptors for the process itself: standard streams, journal,
+// poll, listener, discovery.
 const ownDescriptors = 24
 
-// standbyDescriptors is what a process that stands by holds, where operators are there to start one.
+// standbyDescriptors is the number of descriptors that a standby process takes. It counts only
+// where operators can start one.
 const standbyDescriptors = 16
 
-// standbyCheckInterval is between two looks at who stands by.
+// standbyCheckInterval is the time between two checks for standby processes.
 const standbyCheckInterval = time.Second
 
-// descriptorLimits shares the descriptors out: besides its own files, a connection for each slot and some that are listened to behind the end of
-// their calls, up to a quarter may be idle
-// connections to endpoints and up to half clients' connections. Clients use a third, the rest is for crowds that say
-// nothing. Guards against calls that fail for want of a descriptor, where slots are many.
+// descriptorLimits divides the file descriptors that remain besides the process's own files and one
+// for each concurrent call, including calls that are still read after their end. Up to a quarter of
+// all may be idle connections to endpoints and up to half client connections. Clients use about a
+// third; the rest is a reserve for many idle clients, so that calls never lack a descriptor.
 func descriptorLimits(c *config.Config) (clients, idle int) {
 	reserved := ownDescriptors + wire.MaxLateListeners
 	if c.AdminAddr != "" {
@@ -59,43 +62,45 @@
 	return max(1, min(c.MaxDescriptors/2, remaining-idle)), idle
 }
 
-// relay is one process of a relay as it runs.
+// relay is one process of a relay.
 type relay struct {
 	sources ConfigSources
 	config  *config.Config
 	log     *slog.Logger
-	// A signal of its own for each: reloads that wait never push a stop out. One that waits stands for all that come meanwhile.
+	// Separate channels, so that pending reloads never displace a stop. A pending signal stands for
+	// all further ones of its kind.
 	terminate, hangup chan os.Signal
 	stateDir          *processdir.StateDir
 	dir               *processdir.Dir
 	host              *wire.Host
-	runningHost       atomic.Pointer[wire.Host]   // nil: there is none yet
-	zoneNames         []string                    // names, as configured at the start
-	server            atomic.Pointer[wire.Server] // nil: it does not serve yet
-	standingBy        atomic.Bool                 // it could, and waits for the baton
+	runningHost       atomic.Pointer[wire.Host]   // nil before the host runs
+	zoneNames         []string                    // as configured at the start
+	server            atomic.Pointer[wire.Server] // nil before the relay serves
+	standingBy        atomic.Bool                 // ready, waiting for the leader lock
 	gossip            *wire.GossipSocket
 	plugins           *plugin.Holder
 	metrics           *figures.Set
 	pluginLoad        <-chan pluginLoadResult // plug-ins of a reload
-	configRead        <-chan configReadResult // the configuration of a reload; nil: none is read
-	reloadAgain       bool                    // one was asked for while it was read
+	configRead        <-chan configReadResult // configuration of a reload; nil: none is being read
+	reloadAgain       bool                    // another reload was requested meanwhile
 
-	takingOver       atomic.Bool // the process before is still leaving
-	drainMark        sync.Mutex  // of what the state folder says of a drain
+	takingOver       atomic.Bool // the previous process is still leaving
+	drainMark        sync.Mutex  // guards the drain record in the state folder
 	stopping         atomic.Bool // a planned stop, which ends a drain
 	announcedDrain   bool        // the fleet knows that this relay is drained and empty
-	othersBytes      int64       // bytes of the state folder outside the own room, as of the last look
-	cancelPluginLoad func()      // their loading
+	othersBytes      int64       // bytes of the state folder outside the own directory, as last seen
+	cancelPluginLoad func()
 }
 
-// Run serves until SIGTERM or SIGINT. SIGHUP makes it read its sources again and go on with what they say. Where another process of
-// the same relay serves, it stands by until that one leaves.
+// Run serves until SIGTERM or SIGINT. SIGHUP makes it reload its configuration sources. While
+// another process of the same relay serves, it stands by until that one leaves.
 func Run(sources ConfigSources, log *slog.Logger) error {
-	r := &relay{sources: sources, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1), plugins: &plugin.Holder{}, metrics: &figures.Set{}, cancelPluginLoad: func() {}}
+	r := &relay{sources: sources, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1),
+		plugins: &plugin.Holder{}, metrics: &figures.Set{}, cancelPluginLoad: func() {}}
 	signal.Notify(r.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(r.hangup, syscall.SIGHUP)
 	traces := make(chan os.Signal, 1)
-	signal.Notify(traces, syscall.SIGUSR1) // from the start on: unheard it would end the process
+	signal.Notify(traces, syscall.SIGUSR1) // without a handler the signal would end the process
 	var c *config.Config
 	err := r.retryStart("configuration can't be read", func() (err error) {
 		c, err = sources.LoadPlatform()
@@ -106,10 +111,10 @@
 	}
 	r.config, r.zoneNames = c, c.ZoneNames
 	debug.SetMemoryLimit(memoryTarget(c))
-	// The operators' calls are answered while a journal is read, too.
+	// Admin requests are answered while the journal is being read, too.
 	if c.AdminAddr != "" {
 		var ln net.Listener
-		err := r.retryStart("admin address can't be had", func() (err error) {
+		err := r.retryStart("admin address can't be opened", func() (err error) {
 			ln, err = net.Listen("tcp", c.AdminAddr)
 			return err
 		})
@@ -145,7 +150,8 @@
 	var messageJournal *journal.Journal
 	var table *memory.Table
 	err = r.retryStart("journal can't be opened", func() (err error) {
-		messageJournal, table, err = journal.Open(journal.Config{FS: journal.Dir(r.dir.Path), Budget: budget, MaxBodyBytes: bodyBytes, TimeScale: r.stateDir.TimeScale(), Log: log})
+		messageJournal, table, err = journal.Open(journal.Config{FS: journal.Dir(r.dir.Path), Budget: budget,
+			MaxBodyBytes: bodyBytes, TimeScale: r.stateDir.TimeScale(), Log: log})
 		return err
 	})
 	if err != nil {
@@ -162,11 +168,12 @@
 				return fmt.Errorf("operator's file: %w", result.err)
 			}
 			if result.err != nil {
-				// The relay serves all the same: messages that need a plug-in which is not there go by its rule.
+				// The relay serves anyway: messages that need a missing plug-in follow its failure
+				// rule.
 				log.Error("plug-ins not loaded", "err", result.err)
 			}
 			r.plugins.Put(result.set)
-		case <-r.terminate: // a reload waits until there is something to reload
+		case <-r.terminate: // a reload waits until the start is complete
 			return nil
 		}
 	}
@@ -214,7 +221,7 @@
 			}
 		}
 	}()
-	var standbyCheck <-chan time.Time // at who stands by; without operators nobody does
+	var standbyCheck <-chan time.Time // nil without operators, since then nobody starts a standby
 	if c.AdminAddr != "" {
 		ticker := time.NewTicker(standbyCheckInterval)
 		defer ticker.Stop()
@@ -229,7 +236,7 @@
 		case result := <-r.configRead:
 			r.applyReload(ctx, result)
 		case <-standbyCheck:
-			// Guards against a disk limit that the journal here and the room of one that stands by go over together.
+			// Keeps the journal and the directory of a standby within the disk limit together.
 			if used := r.stateDir.UsedBytes(r.dir); !r.takingOver.Load() && used != r.othersBytes {
 				r.othersBytes = used
 				r.host.SetJournalShare(r.diskBytes(), used, true)
@@ -244,17 +251,21 @@
 	stopTakeOver()
 	if !r.handOver() {
 		r.stopping.Store(true)
-		go r.saveDrain() // the next start is at work
+		go r.saveDrain() // the next start is not drained
 		stopPlanned(r.host, r.server.Load(), log)
 	}
 	stopHost()
 	return nil
 }
 
-// openStateDir takes the baton and the room that goes with it, or a room to stand by in.
+// openStateDir opens the state folder and locks a process directory. It reports whether this
+// process holds the leader lock; otherwise it is a standby.
 func (r *relay) openStateDir() (active bool, err error) {
-	// Guards against a process of an earlier version, which knows no baton: its journal must not be opened beside it.
-	if err := r.retryStart("address can't be looked at", func() error { return wire.CheckAddress(r.config.ListenAddr) }); err != nil {
+	// A process of an earlier version holds no leader lock but has the address: its journal must
+	// not be opened.
+	if err := r.retryStart("address can't be checked", func() error {
+		return wire.CheckAddress(r.config.ListenAddr)
+	}); err != nil {
 		return false, fmt.Errorf("listen: %w", err)
 	}
 	for _, step := range []func() error{
@@ -268,23 +279,24 @@
 			return r.stateDir.SetCurrent(r.dir)
 		},
 	} {
-		if err := r.retryStart("state folder can't be entered", step); err != nil {
+		if err := r.retryStart("state folder can't be opened", step); err != nil {
 			return false, fmt.Errorf("ROUTER_STATE: %w", err)
 		}
 	}
 	return active, nil
 }
 
-// startFailed is what a start ends with that got no further: nothing is wrong where it was told to end meanwhile.
+// startFailed returns the error that ends a start: none if the process was told to stop meanwhile
+// and the error is transient.
 func (r *relay) startFailed(err error) error {
 	if len(r.terminate) > 0 && transient.Is(err) {
-		r.log.Info("told to end before the start was over", "err", err)
+		r.log.Info("told to stop before the start was complete", "err", err)
 		return nil
 	}
 	return err
 }
 
-// leftByOthers tells whether there is anything of other processes to take over.
+// leftByOthers reports whether other processes left anything to take over.
 func (r *relay) leftByOthers() bool {
 	if len(r.stateDir.Transfers()) > 0 {
 		return true
@@ -296,10 +308,12 @@
 	return err != nil || len(running)+len(abandoned) > 0
 }
 
-// diskBytes is what all processes of the relay may write, less what the folder's own small files take.
+// diskBytes returns what the journals of all processes may take: the disk limit less the folder's
+// small files.
 func (r *relay) diskBytes() int64 { return r.config.DiskBytes - smallFileBytes }
 
-// standBy waits until the relay is this process's, and tells whether it is.
+// standBy waits for the leader lock and reports whether this process holds it; false if it was told
+// to stop.
 func (r *relay) standBy(ctx context.Context) (bool, error) {
 	if err := r.dir.SetStatus(processdir.StatusReady); err != nil {
 		return false, fmt.Errorf("ROUTER_STATE: %w", err)
@@ -307,7 +321,7 @@
 	r.standingBy.Store(true)
 	r.log.Info("standing by: another process of this relay serves", "room", r.dir.Name)
 	leaderLock := make(chan error, 1)
-	go func() { leaderLock <- r.retryStart("the baton can't be waited for", r.stateDir.WaitLeaderLock) }()
+	go func() { leaderLock <- r.retryStart("leader lock can't be waited for", r.stateDir.WaitLeaderLock) }()
 	for {
 		select {
 		case err := <-leaderLock:
@@ -331,7 +345,9 @@
 	}
 }
 
-// serve opens the clients' address. Where there is something of other processes it takes that over; what it returns ends this.
+// serve opens the clients' address. With takeOver it first takes over what other processes left,
+// and continues in the background while one is still leaving; stopTakeOver ends that and waits for
+// it.
 func (r *relay) serve(takeOver bool) (stopTakeOver func(), err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var takeOvers sync.WaitGroup
@@ -342,7 +358,7 @@
 		predecessorLeaving = successor.takeOver()
 	}
 	var ln net.Listener
-	err = r.retryStart("address can't be had", func() (err error) {
+	err = r.retryStart("address can't be opened", func() (err error) {
 		ln, err = wire.Listen(r.config.ListenAddr)
 		return err
 	})
@@ -366,9 +382,11 @@
 	server.HandleDrainEvent(drain.Started)
 	r.server.Store(server)
 	if err := r.dir.SetStatus(processdir.StatusServing); err != nil {
-		r.log.Warn("the state folder takes no word: an upgrade won't be seen", "err", err)
+		r.log.Warn("status can't be written to the state folder; a leaving process will not see that this one serves",
+			"err", err)
 	}
-	r.log.Info("ready", "name", r.config.Name, "listen", r.config.ListenAddr, "discovery", r.config.DiscoveryAddr, "slots", r.config.Settings.MaxConcurrentCalls, "held_most", r.config.Settings.MaxPending)
+	r.log.Info("ready", "name", r.config.Name, "listen", r.config.ListenAddr, "discovery", r.config.DiscoveryAddr,
+		"slots", r.config.Settings.MaxConcurrentCalls, "held_most", r.config.Settings.MaxPending)
 	if predecessorLeaving {
 		r.takingOver.Store(true)
 		takeOvers.Go(successor.takeOverUntilLast)
@@ -376,28 +394,34 @@
 	return stopTakeOver, nil
 }
 
+// fleetIdentity returns what the relay tells its fleet about itself.
 func fleetIdentity(c *config.Config) wire.FleetIdentity {
-	return wire.FleetIdentity{Number: c.RelayNumber, MembershipEnabled: c.MembershipEnabled, Zone: c.Zone, Choices: c.Choices}
+	return wire.FleetIdentity{Number: c.RelayNumber, MembershipEnabled: c.MembershipEnabled, Zone: c.Zone,
+		Choices: c.Choices}
 }
 
-// listenGossip opens the socket between relays. Notes are a help: where it can't be had, the relay serves without.
+// listenGossip opens the socket for gossip between relays. The relay serves without it where it
+// can't be opened.
 func (r *relay) listenGossip() {
 	if len(r.config.PeerAddrs) == 0 {
 		return
 	}
 	var gossip *wire.GossipSocket
-	err := retryTransient("no notes between relays", time.Second, func() bool { return len(r.terminate) > 0 }, r.log, func() (err error) {
+	err := retryTransient("gossip address can't be opened", time.Second, func() bool {
+		return len(r.terminate) > 0
+	}, r.log, func() (err error) {
 		gossip, err = wire.ListenGossip(r.config.PeerListenAddr, r.config.PeerAddrs, r.log)
 		return err
 	})
 	if err != nil {
-		r.log.Warn("no notes between relays", "peer_listen", r.config.PeerListenAddr, "err", err)
+		r.log.Warn("no gossip between relays", "peer_listen", r.config.PeerListenAddr, "err", err)
 		return
 	}
 	r.gossip = gossip
 }
 
-// adminCalls is what the operators can ask for. A drain that is told before the relay serves is answered with no.
+// adminCalls returns the handlers of the admin address. A drain request before the relay serves is
+// refused.
 func (r *relay) adminCalls() admin.Calls {
 	return admin.Calls{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices, Sites: r.sites, Site: r.site,
 		Serving: func() bool {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -14,50 +14,55 @@
 )
 
 const (
-	takeOverInterval    = 10 * time.Millisecond // between two looks at what the process before gives
-	handOverInterval    = 5 * time.Millisecond  // of the one that leaves
-	maxPendingTransfers = 4                     // files that wait in the spool: more would only take room
+	takeOverInterval    = 10 * time.Millisecond // between two scans for transfers of the previous process
+	handOverInterval    = 5 * time.Millisecond  // between two checks in the leaving process
+	maxPendingTransfers = 4                     // files in the spool that the successor has not read yet
 )
 
-// successor takes over what other processes of this relay leave. It waits for disks, on a goroutine that nobody waits for.
+// successor takes over what other processes of this relay leave. It waits for the disk, so it runs
+// on a goroutine that nothing waits for.
 type successor struct {
 	*relay
 	ctx        context.Context
-	unreadable map[string]bool // files of the spool that can't be read: they stay, for a person to look at
-
-	latestTransfer map[string]string // by process: the file that it gave last. It stays, without messages, for a process that has to start anew
+	unreadable map[string]bool // files of the spool that can't be read; they stay for an operator
+	// By process: its last file. It stays in the spool without its messages, for a successor that is restarted.
+	latestTransfer map[string]string
 }
 
-// takeOverRetryLimit is for how long something that can't be read is tried again: what it holds is owed.
+// takeOverRetryLimit is how long reading is retried before what can't be read is left alone.
 const takeOverRetryLimit = 5 * time.Second
 
+// retry calls step until it succeeds, fails permanently, or this process is told to stop.
 func (s *successor) retry(what string, step func() error) error {
-	return retryTransient(what, takeOverRetryLimit, func() bool { return s.ctx.Err() != nil || len(s.terminate) > 0 }, s.log, step)
+	return retryTransient(what, takeOverRetryLimit, func() bool {
+		return s.ctx.Err() != nil || len(s.terminate) > 0
+	}, s.log, step)
 }
 
-// takeOver takes over what is there, and tells whether a process is still leaving.
+// takeOver adopts what is there now, and reports whether a process is still leaving.
 func (s *successor) takeOver() (leaving bool) {
 	s.host.BeginTransferScan()
 	var running []string
 	var abandoned []*processdir.Dir
-	err := s.retry("rooms of other processes can't be looked at", func() (err error) {
+	err := s.retry("directories of other processes can't be listed", func() (err error) {
 		for _, dir := range abandoned {
-			s.stateDir.Release(dir, false) // of a look that failed half way
+			s.stateDir.Release(dir, false) // locked by an attempt that failed
 		}
 		running, abandoned, err = s.stateDir.Others(s.dir)
 		return err
 	})
 	if err != nil {
-		s.log.Error("rooms of other processes not looked at", "err", err)
+		s.log.Error("directories of other processes not listed", "err", err)
 	}
 	for _, name := range running {
 		leaving = leaving || s.stateDir.Status(name) == processdir.StatusServing
 	}
-	// Guards against a message that is in a room and was given as well: the gift is taken first. All that the process of a fallen room gave is there.
+	// A message may be both in a directory and in a transfer: the transfer is read first. All
+	// transfers of the process of an abandoned directory are there by now.
 	s.adoptTransfers(leaving)
 	s.adoptAll(s.openJournals(abandoned))
 	if s.ctx.Err() != nil {
-		return leaving // Guards against the word that all is here, which lets later messages of a subject pass what is left in a room
+		return leaving // not complete: later messages of an ordering key must not overtake what is left
 	}
 	if !leaving {
 		for _, name := range s.latestTransfer {
@@ -73,7 +78,7 @@
 	return leaving
 }
 
-// takeOverUntilLast goes on until nobody is leaving.
+// takeOverUntilLast repeats takeOver until no other process is leaving.
 func (s *successor) takeOverUntilLast() {
 	_, idle := descriptorLimits(s.config)
 	s.host.SetMaxIdleConns(idle / 2)
@@ -97,8 +102,9 @@
 	s.log.Info("the process before has left, all is taken over")
 }
 
-// waitCommitted waits until something taken over is in the journal. Where this process has to leave itself it waits on, but not for a disk that takes no
-// records. Guards against a message that goes on from here while its room says that it was never tried.
+// waitCommitted waits until adopted messages are in the journal, and reports whether they are. When
+// this process has to stop it still waits, unless the journal can't be written: a message must not
+// be sent from here while its old directory says that it was never attempted.
 func (s *successor) waitCommitted(done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -118,7 +124,7 @@
 	}
 }
 
-// adoptTransfers takes over what was given.
+// adoptTransfers adopts the files of the spool.
 func (s *successor) adoptTransfers(leaving bool) {
 	for _, name := range s.stateDir.Transfers() {
 		sender := processdir.TransferSender(name)
@@ -128,7 +134,7 @@
 		var messages []*memory.Message
 		var update *handover.Update
 		var raw []byte
-		err := s.retry("a given file can't be read", func() (err error) {
+		err := s.retry("a transfer can't be read", func() (err error) {
 			raw, err = s.stateDir.ReadTransfer(name)
 			return err
 		})
@@ -140,11 +146,11 @@
 		}
 		if err != nil {
 			s.unreadable[name] = true
-			s.log.Error("given file not taken over", "file", name, "err", err)
+			s.log.Error("transfer not adopted", "file", name, "err", err)
 			continue
 		}
 		if !leaving {
-			update = &handover.Update{Numbering: update.Numbering} // who gave it is gone, perhaps for long
+			update = &handover.Update{Numbering: update.Numbering} // its sender has ended, perhaps long ago
 		}
 		if s.waitCommitted(s.host.Adopt(wire.Transfer{Sender: sender, Messages: messages, Update: update})) {
 			s.keepLatestTransfer(name, sender, update, len(messages) > 0)
@@ -152,20 +158,22 @@
 	}
 }
 
-// keepLatestTransfer lets a file of the spool go that is taken over. The latest one of each process stays, without its messages: should this process be killed, the one
-// that comes after it has to know what the other still owes.
-func (s *successor) keepLatestTransfer(name, from string, update *handover.Update, hadMessages bool) {
-	if previous, ok := s.latestTransfer[from]; ok {
+// keepLatestTransfer removes a transfer that has been adopted. The latest one of each process stays
+// without its messages: if this process is killed, the next one has to know what is still pending
+// at the sender.
+func (s *successor) keepLatestTransfer(name, sender string, update *handover.Update, hadMessages bool) {
+	if previous, ok := s.latestTransfer[sender]; ok {
 		s.removeTransfer(previous)
 	}
-	s.latestTransfer[from] = name
+	s.latestTransfer[sender] = name
 	if !hadMessages {
 		return
 	}
-	if err := s.stateDir.ReplaceTransfer(name, journal.EncodeTransfer(nil, update.Encode(), s.stateDir.TimeScale())); err != nil {
-		s.log.Warn("news of the process before are not kept for another start", "file", name, "err", err)
+	if err := s.stateDir.ReplaceTransfer(name,
+		journal.EncodeTransfer(nil, update.Encode(), s.stateDir.TimeScale())); err != nil {
+		s.log.Warn("update of the previous process can't be kept for a restart", "file", name, "err", err)
 		s.removeTransfer(name)
-		delete(s.latestTransfer, from)
+		delete(s.latestTransfer, sender)
 	}
 }
 
@@ -173,20 +181,23 @@
 func (s *successor) removeTransfer(name string) {
 	if err := s.stateDir.RemoveTransfer(name); err != nil {
 		s.unreadable[name] = true
-		s.log.Error("given file is taken over but stays", "file", name, "err", err)
+		s.log.Error("adopted transfer can't be removed", "file", name, "err", err)
 	}
 }
 
-// freeBytes is what is free of the disk, over all processes.
+// freeBytes returns the free part of the disk limit, over all processes.
 func (r *relay) freeBytes() int64 { return r.config.DiskBytes - r.stateDir.UsedBytes(nil) }
 
-// handOver leaves the relay to a process that stands by, and tells whether there was one that it could be left to.
+// handOver hands the relay over to a standby process, and reports whether there was one that could
+// take it.
 func (r *relay) handOver() bool {
 	running, abandoned, err := r.stateDir.Others(r.dir)
 	for _, dir := range abandoned {
 		r.stateDir.Release(dir, false)
 	}
-	running = slices.DeleteFunc(running, func(name string) bool { return r.stateDir.Status(name) != processdir.StatusReady })
+	running = slices.DeleteFunc(running, func(name string) bool {
+		return r.stateDir.Status(name) != processdir.StatusReady
+	})
 	if err != nil || len(running) == 0 {
 		return false
 	}
@@ -201,7 +212,7 @@
 		r.gossip = nil
 	}
 	if err := r.stateDir.ReleaseLeaderLock(); err != nil {
-		r.log.Error("the baton is not given up before this process ends", "err", err)
+		r.log.Error("leader lock not released until this process ends", "err", err)
 	}
 	server.HandleDrainEvent(drain.HandOver)
 	progress, listenerClosed, readsStopped := handover.Progress{}, false, false
@@ -209,7 +220,7 @@
 		if len(r.stateDir.Transfers()) < maxPendingTransfers {
 			r.host.TransferRemaining(handover.MaxTransferBytes(r.freeBytes()))
 		}
-		// In this order: once nothing is accepted, no connection is added.
+		// Read in this order: once the listener is closed, no connection is added.
 		progress.Listening = server.Accepting()
 		progress.Elapsed, progress.ClientConns = time.Since(began), server.OpenConnections()
 		if !readsStopped && progress.Elapsed >= stopReadsAfter {
@@ -217,7 +228,9 @@
 			readsStopped = true
 		}
 		progress.Pending, progress.CallsInFlight, progress.NotTransferable = r.host.Remaining()
-		progress.SuccessorServing = progress.SuccessorServing || slices.ContainsFunc(running, func(name string) bool { return r.stateDir.Status(name) == processdir.StatusServing })
+		progress.SuccessorServing = progress.SuccessorServing || slices.ContainsFunc(running, func(name string) bool {
+			return r.stateDir.Status(name) == processdir.StatusServing
+		})
 		switch handover.NextAction(progress) {
 		case handover.Exit:
 			r.log.Info("handed over", "left_in_room", progress.Pending, "calls_out", progress.CallsInFlight)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -7,28 +7,28 @@
 	"oatfold/internal/peers/members"
 )
 
-// memberJSON is a relay as GET /members shows it.
+// memberJSON is one relay in the reply to GET /members.
 type memberJSON struct {
 	Number      int    `json:"number"`
 	State       string `json:"state"`
 	Zone        string `json:"zone,omitempty"`
 	Incarnation uint32 `json:"incarnation"`
-	SinceMs     int64  `json:"since_ms"` // ago
+	SinceMs     int64  `json:"since_ms"` // time in this state
 	Why         string `json:"why"`
 }
 
-// membersJSON is what GET /members answers.
+// membersJSON is the reply to GET /members.
 type membersJSON struct {
 	Self            int          `json:"self"`
 	Version         uint64       `json:"version"`
-	PossibleCallers int          `json:"sharing"` // relays that may be calling
+	PossibleCallers int          `json:"sharing"` // relays that may be making calls
 	Isolated        bool         `json:"deaf,omitempty"`
 	DuplicateNumber bool         `json:"rival,omitempty"`
 	CutOff          []string     `json:"zones_away,omitempty"`
 	Members         []memberJSON `json:"members"`
 }
 
-// members writes what this relay knows of the fleet; nil where it does not ask.
+// members returns the reply to GET /members; nil where membership is disabled.
 func (r *relay) members() []byte {
 	host := r.runningHost.Load()
 	if host == nil {
@@ -38,7 +38,8 @@
 	if view == nil {
 		return nil
 	}
-	out := membersJSON{Self: view.Self, Version: view.Version, PossibleCallers: view.PossibleCallers, Isolated: view.Isolated, DuplicateNumber: view.DuplicateNumber}
+	out := membersJSON{Self: view.Self, Version: view.Version, PossibleCallers: view.PossibleCallers,
+		Isolated: view.Isolated, DuplicateNumber: view.DuplicateNumber}
 	zone := func(n int) string {
 		if n < len(r.zoneNames) {
 			return r.zoneNames[n]
@@ -51,16 +52,17 @@
 		}
 	}
 	for _, m := range view.Members {
-		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, view.At-m.Since).Milliseconds(), m.Reason})
+		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation,
+			max(0, view.At-m.Since).Milliseconds(), m.Reason})
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
-		return nil // plain values
+		return nil // cannot happen: all fields can be encoded
 	}
 	return append(b, '\n')
 }
 
-// stats writes the figures.
+// stats appends the metrics to b.
 func (r *relay) stats(b []byte) []byte {
 	b = r.metrics.Append(b)
 	host := r.runningHost.Load()
@@ -78,8 +80,14 @@
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"members_sharing", view.PossibleCallers}, {"members_asked", view.Counts.Probes}, {"members_unanswered", view.Counts.ProbeTimeouts},
-		{"members_accused", view.Counts.Suspicions}, {"members_contradicted", view.Counts.Refutations}, {"members_notes_refused", view.Counts.Rejected}} {
+	}{
+		{"members_sharing", view.PossibleCallers},
+		{"members_asked", view.Counts.Probes},
+		{"members_unanswered", view.Counts.ProbeTimeouts},
+		{"members_accused", view.Counts.Suspicions},
+		{"members_contradicted", view.Counts.Refutations},
+		{"members_notes_refused", view.Counts.Rejected},
+	} {
 		b = figures.Line(b, f.name, "", "", int64(f.n))
 	}
 	isolated := int64(0)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -12,25 +12,26 @@
 	"oatfold/internal/wire"
 )
 
-// This file reads the relay's sources, at the start and at each SIGHUP, and puts what they say in force.
+// This file reads the configuration sources, at the start and at each SIGHUP, and applies them.
 
-// memoryTargetShare of the limit is what the garbage collector aims to stay under.
+// memoryTargetShare is the share of the memory limit that the garbage collector keeps the heap
+// below.
 const memoryTargetShare = 0.6
 
-// ConfigSources is where a relay's configuration comes from, at the start and at each SIGHUP.
+// ConfigSources loads a relay's configuration, at the start and at each SIGHUP.
 type ConfigSources struct {
 	LoadPlatform func() (*config.Config, error)
-	LoadOperator func(*config.Config) (*operator.Config, error) // nil: no operator's file
+	LoadOperator func(*config.Config) (*operator.Config, error) // nil: there is no operator's file
 }
 
-// pluginLoadResult is what a load of plug-ins came to.
+// pluginLoadResult is the result of loading the operator's file and its plug-ins.
 type pluginLoadResult struct {
 	set   *plugin.Set
 	sites *sites.Plan
 	err   error
 }
 
-// loadPlugins loads what the operator's file says, off the serving path.
+// loadPlugins loads the operator's file and its plug-ins in the background.
 func (s ConfigSources) loadPlugins(ctx context.Context, c *config.Config, log *slog.Logger) <-chan pluginLoadResult {
 	done := make(chan pluginLoadResult, 1)
 	if s.LoadOperator == nil {
@@ -49,14 +50,14 @@
 	return done
 }
 
-// configReadResult is what reading the platform's configuration came to.
+// configReadResult is the result of reading the platform's configuration.
 type configReadResult struct {
 	config *config.Config
 	err    error
 }
 
-// reload begins to read the sources again, off the goroutine that hears of a stop: a file may hang as it is read. What is asked for while
-// one is read comes behind it, since that one may be too old by then.
+// reload starts reading the sources in the background, since reading a file may hang and must not
+// delay a stop. A request during a read is served by another read after it.
 func (r *relay) reload() {
 	r.log.Info("reloading")
 	if r.configRead != nil {
@@ -66,7 +67,9 @@
 	done := make(chan configReadResult, 1)
 	go func() {
 		var result configReadResult
-		result.err = retryTransient("configuration can't be read", reloadRetryLimit, func() bool { return r.stopping.Load() }, r.log, func() (err error) {
+		result.err = retryTransient("configuration can't be read", reloadRetryLimit, func() bool {
+			return r.stopping.Load()
+		}, r.log, func() (err error) {
 			result.config, err = r.sources.LoadPlatform()
 			return err
 		})
@@ -75,7 +78,7 @@
 	r.configRead = done
 }
 
-// applyReload puts a configuration that was read in force, and goes on with the operator's file.
+// applyReload applies a configuration that was read, and starts loading the operator's file.
 func (r *relay) applyReload(ctx context.Context, result configReadResult) {
 	r.configRead = nil
 	r.config = applyConfig(r.config, result, r.host, r.server.Load(), r.log)
@@ -83,21 +86,21 @@
 		r.reloadAgain = false
 		r.reload()
 	}
-	r.cancelPluginLoad() // Guards against an older file that comes into force after a newer one
+	r.cancelPluginLoad() // an older file must not be applied after a newer one
 	go discardPluginLoad(r.pluginLoad)
 	var loadCtx context.Context
 	loadCtx, r.cancelPluginLoad = context.WithCancel(ctx)
 	r.pluginLoad = r.sources.loadPlugins(loadCtx, r.config, r.log)
 }
 
-// discardPluginLoad lets go of plug-ins that nobody waits for any more.
+// discardPluginLoad waits for a load that is no longer needed and releases its plug-ins.
 func discardPluginLoad(load <-chan pluginLoadResult) {
 	if load != nil {
 		(<-load).set.Done()
 	}
 }
 
-// applyPlugins brings a reloaded operator's file into force, or leaves all as it was.
+// applyPlugins applies a reloaded operator's file; if it failed to load, the old one stays.
 func (r *relay) applyPlugins(result pluginLoadResult) {
 	if result.err != nil {
 		r.log.Error("plug-ins not reloaded, the old ones stay", "err", result.err)
@@ -111,17 +114,20 @@
 	}
 }
 
+// memoryTarget returns the soft memory limit of the Go runtime, in bytes.
 func memoryTarget(c *config.Config) int64 { return int64(float64(c.MemoryBytes) * memoryTargetShare) }
 
+// hostConfig returns the part of the host's configuration that a reload can change.
 func hostConfig(c *config.Config) wire.HostConfig {
 	_, idle := descriptorLimits(c)
-	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout, LoadReports: c.LoadReports,
-		MaxIdleConns: idle, KnownEndpoints: c.KnownEndpoints, JournalBytes: c.DiskBytes}
+	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout,
+		LoadReports: c.LoadReports, MaxIdleConns: idle, KnownEndpoints: c.KnownEndpoints, JournalBytes: c.DiskBytes}
 }
 
-// applyConfig puts the configuration as it is now in force and returns it. Guards against a file that is wrong or half
-// written: it is read and checked whole before anything changes, and the old one stays.
-func applyConfig(old *config.Config, result configReadResult, host *wire.Host, server *wire.Server, log *slog.Logger) *config.Config {
+// applyConfig applies the result of a read and returns the configuration that is then in force. It
+// was read and checked completely before anything changes; if that failed, the old one stays.
+func applyConfig(old *config.Config, result configReadResult, host *wire.Host, server *wire.Server,
+	log *slog.Logger) *config.Config {
 	c, err := result.config, result.err
 	if err == nil {
 		err = host.Reload(hostConfig(c), c.DiscoveryAddr)
@@ -131,11 +137,11 @@
 		return old
 	}
 	if c.AdminAddr != old.AdminAddr {
-		log.Warn("admin changes with the next start only", "admin", old.AdminAddr, "configured", c.AdminAddr)
+		log.Warn("admin changes only at the next start", "admin", old.AdminAddr, "configured", c.AdminAddr)
 		c.AdminAddr = old.AdminAddr
 	}
 	if c.ListenAddr != old.ListenAddr {
-		log.Warn("listen changes with the next start only", "listen", old.ListenAddr, "configured", c.ListenAddr)
+		log.Warn("listen changes only at the next start", "listen", old.ListenAddr, "configured", c.ListenAddr)
 		c.ListenAddr = old.ListenAddr
 	}
 	warnRemovedNames(log, &old.Settings, &c.Settings)
@@ -143,6 +149,7 @@
 	if clients, _ := descriptorLimits(c); server != nil {
 		server.Configure(&c.Settings, clients)
 	}
-	log.Info("reloaded", "discovery", c.DiscoveryAddr, "slots", c.Settings.MaxConcurrentCalls, "held_most", c.Settings.MaxPending)
+	log.Info("reloaded", "discovery", c.DiscoveryAddr, "slots", c.Settings.MaxConcurrentCalls,
+		"held_most", c.Settings.MaxPending)
 	return c
 }
--- a/internal/daemon/removed_names.go
+++ b/internal/daemon/removed_names.go
@@ -7,8 +7,9 @@
 	"oatfold/policy"
 )
 
-// warnRemovedNames logs the names that a reload has taken out of the settings. What is held goes on under the terms that it was
-// taken on under; new hand-ins of these classes and tenants are refused.
+// warnRemovedNames logs the names that a reload has removed from the settings. Pending messages
+// keep the terms under which they were accepted; new messages of removed classes and tenants are
+// rejected.
 func warnRemovedNames(log *slog.Logger, old, now *policy.Settings) {
 	className := func(c policy.Class) string { return c.Name }
 	tenantName := func(t policy.Tenant) string { return t.Name }
@@ -24,12 +25,12 @@
 		{"zones", removedNames(old.Zones, now.Zones, zoneName)},
 	} {
 		if len(list.gone) > 0 {
-			log.Warn("names are gone from the settings", list.key, list.gone)
+			log.Warn("names removed from the settings", list.key, list.gone)
 		}
 	}
 }
 
-// removedNames lists the names of old that now lacks, in their order.
+// removedNames lists the names in old that are missing in now, in their order.
 func removedNames[T any](old, now []T, name func(T) string) []string {
 	var out []string
 	for _, previous := range old {
--- a/internal/daemon/retry.go
+++ b/internal/daemon/retry.go
@@ -7,16 +7,17 @@
 	"oatfold/internal/transient"
 )
 
-// This file is about system calls that fail for a moment: no start is refused and no reload forgotten for one.
+// This file retries steps that fail with transient errors, so that none of them ends a start or a
+// reload.
 
 const (
-	startRetryLimit  = 25 * time.Second // a process that takes 30 s to be ready counts as failed
+	startRetryLimit  = 25 * time.Second // a start that takes 30 s counts as failed
 	reloadRetryLimit = 10 * time.Second
 	retryInterval    = 50 * time.Millisecond
 )
 
-// retryTransient takes a step again while it fails with an error that may pass, for so long at most, or until giveUp says so. It returns the
-// last error.
+// retryTransient calls step until it succeeds, fails with an error that is not transient, the limit
+// has passed, or giveUp returns true. It returns the last error. what names the failure in the log.
 func retryTransient(what string, limit time.Duration, giveUp func() bool, log *slog.Logger, step func() error) error {
 	for startedAt, logged := time.Now(), false; ; {
 		err := step()
@@ -24,14 +25,14 @@
 			return err
 		}
 		if !logged {
-			log.Warn(what+" now, and is tried again", "err", err)
+			log.Warn(what+" now, retrying", "err", err)
 		}
 		logged = true
 		time.Sleep(retryInterval)
 	}
 }
 
-// retryStart takes a step of the start patiently, until the process is told to end.
+// retryStart retries a step of the start until the process is told to stop.
 func (r *relay) retryStart(what string, step func() error) error {
 	return retryTransient(what, startRetryLimit, func() bool { return len(r.terminate) > 0 }, r.log, step)
 }
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -7,20 +7,20 @@
 	"oatfold/internal/wire"
 )
 
-// siteJSON is a site as GET /sites shows it.
+// siteJSON is one site in the reply to GET /sites.
 type siteJSON struct {
 	sites.Standing
-	SinceMs int64 `json:"since_ms"` // ago
+	SinceMs int64 `json:"since_ms"` // time in this state
 }
 
-// sitesJSON is what GET /sites answers.
+// sitesJSON is the reply to GET /sites.
 type sitesJSON struct {
-	Home  string     `json:"home"` // this relay's own
+	Home  string     `json:"home"` // this relay's zone
 	AgeMs int64      `json:"age_ms"`
 	Sites []siteJSON `json:"sites"`
 }
 
-// sites writes what this relay takes sites for; nil where no plan is in force.
+// sites returns the reply to GET /sites; nil where no plan is in force.
 func (r *relay) sites() []byte {
 	host := r.runningHost.Load()
 	if host == nil {
@@ -37,12 +37,14 @@
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
-		return nil // plain values
+		return nil // cannot happen: all fields can be encoded
 	}
 	return append(b, '\n')
 }
 
-// site hands an operator's word on. It waits for nobody.
+// site submits an operator's command to take a site out or let it back in, without waiting for the
+// result. known is false if the plan has no such site; done is false if the command was not
+// submitted.
 func (r *relay) site(zone string, out bool) (known, done bool) {
 	host := r.runningHost.Load()
 	if host == nil {
@@ -60,7 +62,7 @@
 	return false, false
 }
 
-// home is the name of this relay's own zone; empty: not known.
+// home returns the name of this relay's zone; "" if unknown.
 func (r *relay) home() string {
 	if r.config.Zone >= 0 && r.config.Zone < len(r.config.ZoneNames) {
 		return r.config.ZoneNames[r.config.Zone]
--- a/internal/daemon/startup_pages_linux.go
+++ b/internal/daemon/startup_pages_linux.go
@@ -8,9 +8,10 @@
 	"syscall"
 )
 
-// releaseStartupPages lets go of the program's own pages that only its start needed: code and read-only data, which come back from
-// the file when they are used again. The kernel maps them in clusters round each page that is touched, so that after the
-// start nearly all of a program with many sub-commands is resident.
+// releaseStartupPages releases pages of the program file that only the start needed: code and
+// read-only data, which the kernel reads from the file again when they are used. The kernel maps
+// them in clusters around each page that is touched, so after the start nearly all of the program
+// is resident.
 func releaseStartupPages() {
 	exe, err := os.Readlink("/proc/self/exe")
 	if err != nil {
@@ -21,7 +22,7 @@
 		return
 	}
 	defer maps.Close()
-	var from, to uintptr // of the mapping that the lines are about, if it is one of ours
+	var from, to uintptr // bounds of the current mapping, if it is one of the program file
 	for lines := bufio.NewScanner(maps); lines.Scan(); {
 		f := strings.Fields(lines.Text())
 		switch {
@@ -31,7 +32,7 @@
 				fmt.Sscanf(f[0], "%x-%x", &from, &to)
 			}
 		case len(f) >= 2 && f[0] == "Anonymous:" && f[1] == "0" && to > 0:
-			// Guards against pages of ours that were written, as the linker does before it seals them: they would be lost.
+			// Only mappings without written pages: pages that the linker has written would be lost.
 			syscall.Syscall(syscall.SYS_MADVISE, from, to-from, syscall.MADV_DONTNEED)
 		}
 	}
--- a/internal/daemon/startup_pages_other.go
+++ b/internal/daemon/startup_pages_other.go
@@ -2,4 +2,5 @@
 
 package daemon
 
-func giveBack() {}
+// releaseStartupPages does nothing on this system.
+func releaseStartupPages() {}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover is what two processes of one relay agree on as one takes the other's place: what is passed on, how the disk
-// is shared out meanwhile, and the course of the one that leaves. It does no I/O and reads no clock.
+// Package handover defines what two processes of one relay agree on while one replaces the other:
+// the state that is transferred, how the disk is divided meanwhile, and what the leaving process
+// does when. It does no I/O and reads no clock.
 package handover
 
 import (
@@ -12,93 +13,94 @@
 	"oatfold/policy"
 )
 
-// Update is what the process that leaves tells beside messages.
+// Update is the state that the leaving process sends in addition to messages.
 type Update struct {
-	InFlightCalls []policy.InheritedCall `json:"out,omitempty"`     // calls that it has out
-	RetryAfters   []RetryAfter           `json:"waits,omitempty"`   // told waits that are not over
-	OwnedIDs      []string               `json:"known,omitempty"`   // ids that it took on and keeps: their calls are out
-	LearnedState  *policy.LearnedState   `json:"learned,omitempty"` // what the module knows
-	EndpointList  *EndpointList          `json:"list,omitempty"`    // the pool config
-	Drained       bool                   `json:"drained,omitempty"` // the operators have emptied the relay
-
-	PendingOrdered []sequence.Message      `json:"owes,omitempty"`    // of ordered classes: all that it still owes and does not give here
-	Numbering      *memory.SharedNumbering `json:"numbers,omitempty"` // how both number messages from now on
+	InFlightCalls []policy.InheritedCall `json:"out,omitempty"`     // calls that it has in flight
+	RetryAfters   []RetryAfter           `json:"waits,omitempty"`   // Retry-After intervals still running
+	OwnedIDs      []string               `json:"known,omitempty"`   // ids of accepted messages in flight at the sender
+	LearnedState  *policy.LearnedState   `json:"learned,omitempty"` // what its policy engine has learned
+	EndpointList  *EndpointList          `json:"list,omitempty"`
+	Drained       bool                   `json:"drained,omitempty"` // operators have drained the relay
+
+	PendingOrdered []sequence.Message      `json:"owes,omitempty"`    // pending messages of ordered classes that stay for now
+	Numbering      *memory.SharedNumbering `json:"numbers,omitempty"` // how both processes number messages from now on
 }
 
-// RetryAfter is a told wait.
+// RetryAfter is a Retry-After interval of an endpoint.
 type RetryAfter struct {
 	Endpoint string    `json:"endpoint"`
 	Dest     int       `json:"dest"`
-	Until    time.Time `json:"until"` // wall clock: both processes read one
+	Until    time.Time `json:"until"` // wall-clock time, which both processes share
 }
 
-// EndpointList is the pool config as the process that leaves has it.
+// EndpointList is the endpoint list of the leaving process.
 type EndpointList struct {
 	Generation int64            `json:"generation"`
 	Endpoints  []ListedEndpoint `json:"members"`
 }
 
-// ListedEndpoint is an endpoint of it.
+// ListedEndpoint is one endpoint of an EndpointList.
 type ListedEndpoint struct {
 	Endpoint policy.Endpoint `json:"endpoint"`
 	HostPort string          `json:"at"`
 }
 
-// Encode writes news.
+// Encode returns the update as JSON.
 func (u *Update) Encode() []byte {
 	b, err := json.Marshal(u)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	return b
 }
 
-// Decode reads news.
+// Decode reads an update that Encode wrote.
 func Decode(b []byte) (*Update, error) {
 	update := &Update{}
 	if err := json.Unmarshal(b, update); err != nil {
-		return nil, fmt.Errorf("news of the process before: %w", err)
+		return nil, fmt.Errorf("update of the previous process: %w", err)
 	}
 	return update, nil
 }
 
-// JournalBudget is what a process's journal may take of the disk while another has a room as well: what it takes already, and half
-// of what neither does.
+// JournalBudget returns the bytes of disk that a process's journal may use while another process
+// has a directory as well: what it uses already, and half of the free space.
 func JournalBudget(total, own, others int64) int64 { return own + max(0, total-own-others)/2 }
 
-// MaxTransferBytes is how much may be taken over at once where so much of the disk is free: it stands in two journals and the spool for a moment, beside the copy
-// that cleaning makes.
+// MaxTransferBytes returns how many bytes of messages may be transferred at once when that much of
+// the disk is free. A transferred message is in two journals and the spool for a moment, in
+// addition to the copy that compaction makes.
 func MaxTransferBytes(free int64) int64 { return min(max(0, free)/8, maxTransferBytes) }
 
 const maxTransferBytes = 64 << 10
 
-// Times of the process that leaves, from SIGTERM on.
+// Times of the leaving process, counted from SIGTERM.
 const (
-	StopListeningAfter = 450 * time.Millisecond  // without a word of its successor it closes its listener then, as at any planned stop
-	ExitAfter          = 3450 * time.Millisecond // SIGKILL follows at 3.7 s
+	StopListeningAfter = 450 * time.Millisecond  // the listener closes then even without a successor that serves
+	ExitAfter          = 3450 * time.Millisecond // SIGKILL follows 3.7 s after SIGTERM
 )
 
-// Progress is what the process that leaves sees.
+// Progress is what the leaving process observes.
 type Progress struct {
 	Elapsed                time.Duration // since SIGTERM
-	Listening              bool          // its listener is open
-	SuccessorServing       bool          // its successor accepts clients
-	ClientConns            int           // connections of clients
-	CallsInFlight, Pending int           // calls out, and messages that it still owes something for
-	NotTransferable        int           // of these, messages that can only be taken over with its room
+	Listening              bool          // the listener is open
+	SuccessorServing       bool          // the successor accepts clients
+	ClientConns            int           // open client connections
+	CallsInFlight, Pending int           // calls, and messages that still need work here
+	NotTransferable        int           // pending messages that can only be adopted with their process directory
 }
 
-// Action is what it does next.
+// Action is what the leaving process does next.
 type Action int
 
-// The steps.
+// Actions of the leaving process.
 const (
 	Continue      Action = iota
-	StopListening        // empty the accept queue and close the listener
+	StopListening        // accept what is queued, then close the listener
 	Exit
 )
 
-// NextAction decides it.
+// NextAction returns what the leaving process does next.
 func NextAction(p Progress) Action {
 	switch {
 	case p.Elapsed >= ExitAfter:
--- a/internal/handover/processdir/claim.go
+++ b/internal/handover/processdir/claim.go
@@ -5,40 +5,48 @@
 	"strings"
 )
 
-// claimPrefix begins the word in the lock file of a room that another process is taking over. The name of that process's room follows.
+// claimPrefix starts the status of a directory that another process is taking over. The name of
+// that process's directory follows.
 const claimPrefix = "successor:"
 
-// Claim notes in r, whose process is gone, that the process of successor takes it over. From then on messages of r may go on in successor: whoever
-// comes after that process has to read both.
+// Claim records in an abandoned directory that the process of successor is taking it over. From
+// then on some of its messages may have moved to successor, so a later process has to read both.
 func (d *Dir) Claim(successor *Dir) error {
 	d.successor, d.claimed = successor.Name, true
 	return d.SetStatus(claimPrefix + successor.Name)
 }
 
-// Successor names the room of the process that was taking r over when it ended; false if none was.
+// Successor returns the name of the directory whose process was taking d over when it ended; false
+// if there was none.
 func (d *Dir) Successor() (name string, claimed bool) { return d.successor, d.claimed }
 
-// readClaim returns what Claim has noted in the room of that name. A room without a journal was taken over whole.
+// readClaim returns the successor that Claim recorded. A directory without a journal has been
+// adopted completely, and counts as not claimed.
 func (s *StateDir) readClaim(name string) (successor string, claimed bool) {
 	successor, claimed = strings.CutPrefix(s.Status(name), claimPrefix)
 	return successor, claimed && len(s.journalFiles(name)) > 0
 }
 
-// readableDirs gives back the rooms that can't be read yet, and returns the others, each before the room of its successor. Guards against a room that
-// its successor had emptied in part: what became of its messages is in the successor's own room, whose lock falls a moment later.
+// readableDirs releases the directories that can't be read yet and returns the others, each before
+// the directory of its successor. A directory that its successor had adopted in part can't be read
+// until the lock of the successor's own directory is free, since that one tells what became of its
+// messages.
 func (s *StateDir) readableDirs(abandoned []*Dir, running []string) []*Dir {
-	abandoned = slices.DeleteFunc(abandoned, func(r *Dir) bool {
-		successorRuns := r.claimed && slices.Contains(running, r.successor) && s.Status(r.successor) == StatusServing
+	abandoned = slices.DeleteFunc(abandoned, func(dir *Dir) bool {
+		successorRuns := dir.claimed && slices.Contains(running, dir.successor) &&
+			s.Status(dir.successor) == StatusServing
 		if successorRuns {
-			r.lockFile.Close()
+			dir.lockFile.Close()
 		}
 		return successorRuns
 	})
-	slices.SortStableFunc(abandoned, func(a, b *Dir) int { return countSuccessors(b, abandoned) - countSuccessors(a, abandoned) })
+	slices.SortStableFunc(abandoned, func(a, b *Dir) int {
+		return countSuccessors(b, abandoned) - countSuccessors(a, abandoned)
+	})
 	return abandoned
 }
 
-// countSuccessors counts the rooms among all that took r over, one after another.
+// countSuccessors counts the directories among dirs that took dir over, one after another.
 func countSuccessors(dir *Dir, dirs []*Dir) (n int) {
 	for ; dir.claimed && n < len(dirs); n++ {
 		index := slices.IndexFunc(dirs, func(other *Dir) bool { return other.Name == dir.successor })
--- a/internal/handover/processdir/processdir.go
+++ b/internal/handover/processdir/processdir.go
@@ -1,6 +1,7 @@
-// Package rooms is the state folder that processes of one relay share: the baton, a room for each life with its journal, and the spool
-// between them. It does the I/O that package handover knows nothing of, and decides nothing. Locks are flock's: they
-// die with their process, whatever ends it.
+// Package processdir manages the state folder that the processes of one relay share: the leader
+// lock, a directory for each process with its journal, and the spool of transfers between them. It
+// does the I/O for package handover and decides nothing. Locks are taken with flock, so they end
+// with their process, however it ends.
 package processdir
 
 import (
@@ -28,16 +29,16 @@
 	runPrefix      = "life-"
 	transferExt    = ".give"
 	tmpExt         = ".tmp"
-	blockSize      = 512 // files count in whole blocks
+	blockSize      = 512 // disk usage counts whole blocks
 )
 
-// The words that a process says in its room.
+// Statuses that a process writes to its directory.
 const (
-	StatusReady   = "ready"   // it stands by, and can serve
-	StatusServing = "serving" // it accepts clients
+	StatusReady   = "ready"   // stands by and can serve
+	StatusServing = "serving" // accepts clients
 )
 
-// StateDir is a state folder.
+// StateDir is an open state folder.
 type StateDir struct {
 	dir           string
 	leaderLock    *os.File
@@ -46,15 +47,16 @@
 	timeScale     clock.Scale
 }
 
-// Dir is where one process writes its journal. The zero name is the state folder itself.
+// Dir is the directory where one process writes its journal. An empty name is the state folder
+// itself.
 type Dir struct {
 	Path, Name string
 	lockFile   *os.File
-	successor  string // the room of the process that was taking this one over
-	claimed    bool   // one was
+	successor  string // name of the directory whose process was taking this one over
+	claimed    bool   // a successor is recorded
 }
 
-// Open opens a state folder, which is there.
+// Open opens an existing state folder.
 func Open(dir string, log *slog.Logger) (*StateDir, error) {
 	lockFile, err := os.OpenFile(filepath.Join(dir, leaderLockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -65,34 +67,35 @@
 	return stateDir, nil
 }
 
-// minClockStep is from which difference on the wall clock is said to have been stepped.
+// minClockStep is the smallest step of the wall clock that is logged.
 const minClockStep = time.Second
 
-// TimeScale is the scale on which all processes of the relay date what they leave to others.
+// TimeScale returns the scale for dates that processes of the relay exchange.
 func (s *StateDir) TimeScale() clock.Scale { return s.timeScale }
 
-// loadTimeScale goes on with the scale of the processes before, or begins one.
+// loadTimeScale continues the time scale of earlier processes, or starts one.
 func (s *StateDir) loadTimeScale() clock.Scale {
 	now, at := clock.Now()
 	raw, err := os.ReadFile(s.path(clockMarkName))
 	saved, decodeErr := clock.Decode(raw)
 	if err == nil && decodeErr != nil {
-		s.log.Warn("what the state folder says of the clock can't be read: dates go by the wall clock", "err", decodeErr)
+		s.log.Warn("the state folder's clock mark can't be read; dates follow the wall clock", "err", decodeErr)
 	}
 	scale, continued := clock.Continue(saved, now, at)
 	if continued {
 		if step := time.Duration(now.Date-scale.Date(at)) * time.Microsecond; step.Abs() >= minClockStep {
-			s.log.Warn("the wall clock was stepped, dates go on as before", "by", step)
+			s.log.Warn("the wall clock was stepped; dates continue on the earlier scale", "by", step)
 		}
 		return scale
 	}
 	if err := s.writeFile(clockMarkName, now.Encode()); err != nil {
-		s.log.Warn("the state folder keeps no mark of the clock: a step of the wall clock would move deadlines", "err", err)
+		s.log.Warn("the clock mark can't be written to the state folder; a step of the wall clock would move deadlines",
+			"err", err)
 	}
 	return scale
 }
 
-// writeFile puts a file of the folder in place, whole or not at all.
+// writeFile replaces a file of the folder atomically.
 func (s *StateDir) writeFile(name string, content []byte) error {
 	tmp := s.path(name) + tmpExt
 	if err := os.WriteFile(tmp, content, 0o600); err != nil {
@@ -102,8 +105,8 @@
 	return os.Rename(tmp, s.path(name))
 }
 
-// tryFlock takes a file's lock, or tells that another process has it. Where the system knows no such locks, nobody else can have it:
-// the relay serves alone.
+// tryFlock locks a file and reports whether it could. Where the system has no such locks it
+// succeeds: no other process can hold one, so the relay serves alone.
 func tryFlock(file *os.File, how int) (bool, error) {
 	for {
 		switch err := unix.Flock(int(file.Fd()), how); {
@@ -117,25 +120,26 @@
 	}
 }
 
-// TryLeaderLock takes the baton if nobody has it.
+// TryLeaderLock takes the leader lock if no process holds it.
 func (s *StateDir) TryLeaderLock() (bool, error) {
 	return tryFlock(s.leaderLock, unix.LOCK_EX|unix.LOCK_NB)
 }
 
-// WaitLeaderLock waits until the baton is this process's. It holds a thread meanwhile.
+// WaitLeaderLock blocks its thread until this process holds the leader lock.
 func (s *StateDir) WaitLeaderLock() error {
 	_, err := tryFlock(s.leaderLock, unix.LOCK_EX)
 	return err
 }
 
-// ReleaseLeaderLock gives the baton up.
+// ReleaseLeaderLock releases the leader lock.
 func (s *StateDir) ReleaseLeaderLock() error { return unix.Flock(int(s.leaderLock.Fd()), unix.LOCK_UN) }
 
-// SetCurrent writes whose journal is in force from now on. The holder of the baton does so before it takes anything over.
+// SetCurrent records which directory holds the current journal. The holder of the leader lock calls
+// it before it takes anything over.
 func (s *StateDir) SetCurrent(dir *Dir) error {
 	name := dir.Name + "\n"
 	if previous, err := os.ReadFile(s.leaderLock.Name()); err == nil && string(previous) == name {
-		return nil // a disk that takes nothing now refuses no start for it
+		return nil // no write, so that a full disk does not prevent the start
 	}
 	if _, err := s.leaderLock.WriteAt([]byte(name), 0); err != nil {
 		return err
@@ -143,7 +147,8 @@
 	return s.leaderLock.Truncate(int64(len(name)))
 }
 
-// current is the room that the last holder of the baton wrote to, "" also if there was none.
+// current returns the name of the directory that the last holder of the leader lock wrote to; "" if
+// there was none.
 func (s *StateDir) current() string {
 	b := make([]byte, 64)
 	n, _ := s.leaderLock.ReadAt(b, 0)
@@ -152,19 +157,20 @@
 
 func (s *StateDir) path(name string) string { return filepath.Join(s.dir, name) }
 
-// dirNames lists the rooms that there are, the state folder itself first.
+// dirNames lists the process directories, the state folder itself first.
 func (s *StateDir) dirNames() []string {
 	names := []string{""}
 	entries, _ := os.ReadDir(s.dir)
 	for _, e := range entries {
-		if _, err := strconv.Atoi(strings.TrimPrefix(e.Name(), runPrefix)); e.IsDir() && err == nil && strings.HasPrefix(e.Name(), runPrefix) {
+		if _, err := strconv.Atoi(strings.TrimPrefix(e.Name(), runPrefix)); e.IsDir() && err == nil &&
+			strings.HasPrefix(e.Name(), runPrefix) {
 			names = append(names, e.Name())
 		}
 	}
 	return names
 }
 
-// TryLock takes a room if no process has it; nil if one does, or if it is gone.
+// TryLock locks a process directory. It returns nil if a process holds it or it no longer exists.
 func (s *StateDir) TryLock(name string) (*Dir, error) {
 	path := filepath.Join(s.path(name), lockFileName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -176,7 +182,7 @@
 	}
 	locked, err := tryFlock(file, unix.LOCK_EX|unix.LOCK_NB)
 	if locked {
-		// Guards against the lock of a room that its last user has just removed.
+		// Its last user may just have removed the directory and its lock file.
 		current, currentErr := os.Stat(path)
 		opened, openedErr := file.Stat()
 		locked = currentErr == nil && openedErr == nil && os.SameFile(current, opened)
@@ -187,13 +193,14 @@
 	}
 	dir := &Dir{Path: s.path(name), Name: name, lockFile: file}
 	if dir.successor, dir.claimed = s.readClaim(name); !dir.claimed {
-		file.Truncate(0) // the last word of a process that is gone
+		file.Truncate(0) // the status of a process that no longer runs
 	}
 	return dir, nil
 }
 
-// OpenOwn takes the room that this process writes to. Who holds the baton goes on in the one that was in force; who stands by gets an empty one: the state
-// folder itself if it can, so that every second upgrade leaves a folder that a version without rooms can read.
+// OpenOwn locks the directory that this process writes to. The active process continues in the
+// current one. A process that stands by gets an empty one, if possible the state folder itself, so
+// that after every second upgrade the folder can be read by versions without process directories.
 func (s *StateDir) OpenOwn(active bool) (*Dir, error) {
 	var preferred []string
 	if active {
@@ -204,7 +211,7 @@
 	for _, name := range preferred {
 		dir, err := s.TryLock(name)
 		if dir != nil && dir.claimed {
-			dir.lockFile.Close() // it is taken over like any other: a part of its messages has gone on in its successor's room
+			dir.lockFile.Close() // adopted like any other: some of its messages have moved to its successor
 			continue
 		}
 		if dir != nil || err != nil {
@@ -226,7 +233,7 @@
 	}
 }
 
-// SetStatus leaves a word in the room, for other processes.
+// SetStatus writes a status for other processes to the directory.
 func (d *Dir) SetStatus(status string) error {
 	_, err := d.lockFile.WriteAt([]byte(status+"\n"), 0)
 	if err == nil {
@@ -235,14 +242,15 @@
 	return err
 }
 
-// Status is the last word in a room.
+// Status returns the last status that was written to a directory.
 func (s *StateDir) Status(name string) string {
 	b, _ := os.ReadFile(filepath.Join(s.path(name), lockFileName))
 	return strings.TrimSpace(string(b))
 }
 
-// Others lists the rooms beside mine: those that a process has, and those whose lock has fallen, which are taken, each before the room of its successor.
-// The state folder itself counts only if there is a journal in it.
+// Others lists the other process directories: the names of those that a running process holds, and
+// the abandoned ones, which it locks, each before the directory of its successor. The state folder
+// itself counts only if it contains a journal.
 func (s *StateDir) Others(own *Dir) (running []string, abandoned []*Dir, err error) {
 	for _, name := range s.dirNames() {
 		if name == own.Name || name == "" && len(s.journalFiles("")) == 0 {
@@ -263,7 +271,7 @@
 	return running, s.readableDirs(abandoned, running), nil
 }
 
-// journalFiles lists the files of a room's journal.
+// journalFiles lists the files of a directory's journal.
 func (s *StateDir) journalFiles(name string) (paths []string) {
 	entries, _ := os.ReadDir(s.path(name))
 	for _, e := range entries {
@@ -279,7 +287,7 @@
 	return paths
 }
 
-// Remove removes a room that is taken: its journal has been taken over.
+// Remove deletes a locked directory whose journal has been adopted.
 func (s *StateDir) Remove(dir *Dir) error {
 	for _, path := range s.journalFiles(dir.Name) {
 		if err := os.Remove(path); err != nil {
@@ -292,12 +300,13 @@
 	}
 	os.Remove(filepath.Join(dir.Path, lockFileName))
 	if err := os.Remove(dir.Path); err != nil {
-		s.log.Warn("a room is taken over but stays", "room", dir.Name, "err", err)
+		s.log.Warn("an adopted process directory can't be removed", "room", dir.Name, "err", err)
 	}
 	return dir.lockFile.Close()
 }
 
-// Release gives the room's lock up. The room of a process that has never held the baton is empty, and goes.
+// Release unlocks the directory. An empty one, of a process that never held the leader lock, is
+// removed.
 func (s *StateDir) Release(dir *Dir, empty bool) {
 	if empty && dir.Name != "" {
 		s.Remove(dir)
@@ -306,7 +315,8 @@
 	dir.lockFile.Close()
 }
 
-// UsedBytes is what all files take that are not in mine; all of them where that is nil.
+// UsedBytes returns the disk space that all files outside the own directory take; that of all files
+// if own is nil.
 func (s *StateDir) UsedBytes(own *Dir) (bytes int64) {
 	for _, name := range append(s.dirNames(), spoolName) {
 		if own != nil && name == own.Name {
@@ -322,18 +332,17 @@
 	return bytes
 }
 
-// --- the spool ---
-
-// drainedName is there while the operators keep the relay empty.
+// drainedName is a file that exists while operators keep the relay drained.
 const drainedName = "drained"
 
-// Drained tells whether the operators had emptied the relay when a process last marked it.
+// Drained reports whether the relay is recorded as drained by operators.
 func (s *StateDir) Drained() bool {
 	_, err := os.Stat(s.path(drainedName))
 	return err == nil
 }
 
-// SetDrained notes that the operators have emptied the relay, or that it is back at work, for a process that comes after a crash.
+// SetDrained records whether operators have drained the relay, for a process that starts after a
+// crash.
 func (s *StateDir) SetDrained(drained bool) error {
 	if !drained {
 		if err := os.Remove(s.path(drainedName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -344,14 +353,15 @@
 	return os.WriteFile(s.path(drainedName), nil, 0o600)
 }
 
-// WriteTransfer adds a file to the spool. It is there whole, or not at all.
+// WriteTransfer adds a file to the spool atomically.
 func (s *StateDir) WriteTransfer(content []byte) error {
 	dir := s.path(spoolName)
 	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	s.transferCount++
-	name := filepath.Join(dir, fmt.Sprintf("%020d-%d-%06d", s.timeScale.Date(time.Now())*1000, os.Getpid(), s.transferCount))
+	name := filepath.Join(dir,
+		fmt.Sprintf("%020d-%d-%06d", s.timeScale.Date(time.Now())*1000, os.Getpid(), s.transferCount))
 	if err := os.WriteFile(name+tmpExt, content, 0o600); err != nil {
 		os.Remove(name + tmpExt)
 		return err
@@ -359,14 +369,15 @@
 	return os.Rename(name+tmpExt, name+transferExt)
 }
 
-// TransferSender tells files of the spool apart by the process that gave them.
+// TransferSender returns the id of the process that wrote a file of the spool, from the file's
+// name.
 func TransferSender(name string) string {
 	_, afterTime, _ := strings.Cut(name, "-")
 	process, _, _ := strings.Cut(afterTime, "-")
 	return process
 }
 
-// ReplaceTransfer puts another content in place of a file of the spool. At each moment the old one is there whole, or the new one.
+// ReplaceTransfer replaces the content of a file of the spool atomically.
 func (s *StateDir) ReplaceTransfer(name string, content []byte) error {
 	path := filepath.Join(s.path(spoolName), name)
 	tmp := strings.TrimSuffix(path, transferExt) + tmpExt
@@ -377,7 +388,7 @@
 	return os.Rename(tmp, path)
 }
 
-// Transfers lists the spool's files, the oldest first.
+// Transfers lists the names of the spool's files, the oldest first.
 func (s *StateDir) Transfers() (names []string) {
 	entries, _ := os.ReadDir(s.path(spoolName)) // sorted by name
 	for _, e := range entries {
@@ -388,17 +399,18 @@
 	return names
 }
 
-// ReadTransfer returns a file of the spool.
+// ReadTransfer reads a file of the spool.
 func (s *StateDir) ReadTransfer(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(s.path(spoolName), name))
 }
 
-// RemoveTransfer removes a file of the spool, whose content is taken over.
+// RemoveTransfer removes a file of the spool after its content has been adopted.
 func (s *StateDir) RemoveTransfer(name string) error {
 	return os.Remove(filepath.Join(s.path(spoolName), name))
 }
 
-// RemovePartialTransfers removes what half a write left in the spool. Nobody else may be giving.
+// RemovePartialTransfers removes the remains of interrupted writes from the spool. No other process
+// may be writing to it.
 func (s *StateDir) RemovePartialTransfers() {
 	entries, _ := os.ReadDir(s.path(spoolName))
 	for _, e := range entries {
--- a/internal/handover/sequence/sequence.go
+++ b/internal/handover/sequence/sequence.go
@@ -1,6 +1,7 @@
-// Package sequence keeps messages of one subject in the order of their hand-in while two processes of one relay overlap. The process that
-// leaves tells which messages it still owes; its successor holds back those of the same subject that were handed in later. The package does
-// no I/O and reads no clock. One goroutine owns a Sequencer.
+// Package sequence keeps the messages of one ordering key in the order of submission while two
+// processes of one relay overlap. The leaving process reports which messages are still pending
+// there; its successor holds back later messages of the same ordering key. The package does no I/O
+// and reads no clock. A Sequencer is owned by one goroutine.
 package sequence
 
 import (
@@ -12,27 +13,28 @@
 	"oatfold/internal/index"
 )
 
-// Message is what the order needs to know of a message.
+// Message identifies a message and its place in the order.
 type Message struct {
 	ID          string `json:"id"`
 	OrderingKey string `json:"subject"`
-	Number      uint32 `json:"num"` // over all processes of the relay, numbers grow in the order of hand-in
+	Number      uint32 `json:"num"` // grows in the order of submission over all processes of the relay
 }
 
-// Sequencer holds messages of the successor back until those before them are over, or are here as well. The zero value holds nothing:
-// Hold then tells that there is nothing to wait for.
+// Sequencer holds back messages of the successor until earlier ones of the same ordering key have
+// completed or been transferred. The zero value holds nothing back: Hold returns false.
 type Sequencer struct {
 	active           bool
-	pending          map[string]map[string]Message    // by predecessor, then by id: what it still owes
-	pendingPositions map[string]map[position]struct{} // by subject: the same
-	held             map[string][]*heldMessage        // by subject, in the order of hand-in
-	changedKeys      map[string]struct{}              // subjects of which something may go on
-	unscanned        []*heldMessage                   // that wait for a look, the first held first
-	scansBegun       uint64                           // looks at what predecessors gave
+	pending          map[string]map[string]Message    // by predecessor, then by id
+	pendingPositions map[string]map[position]struct{} // the same by ordering key
+	held             map[string][]*heldMessage        // by ordering key, in the order of submission
+	changedKeys      map[string]struct{}              // ordering keys with messages that may have become ready
+	unscanned        []*heldMessage                   // held messages that wait for a scan, the first held first
+	scansBegun       uint64                           // scans of what predecessors have transferred
 	deadlines        index.Heap[*heldMessage]
 }
 
-// position is where an owed message stands among those of its subject. Two predecessors may name the same one.
+// position is the place of a pending message in its ordering key's queue. Two predecessors may
+// report the same message.
 type position struct {
 	predecessor string
 	number      uint32
@@ -41,21 +43,25 @@
 // heldMessage is a message that is held back.
 type heldMessage struct {
 	Message
-	scan     uint64 // it goes on once a later look has ended
+	scan     uint64 // released only after a later scan has ended
 	scanned  bool
 	deadline *index.Entry[*heldMessage]
 }
 
-// BeginScan books that all that predecessors have given by now is about to be read. From the first look on messages are held back.
+// BeginScan records that everything transferred so far is about to be read. Messages are held back
+// from the first scan on.
 func (s *Sequencer) BeginScan() {
 	if !s.active {
-		*s = Sequencer{active: true, pending: map[string]map[string]Message{}, pendingPositions: map[string]map[position]struct{}{}, held: map[string][]*heldMessage{}, changedKeys: map[string]struct{}{}}
+		*s = Sequencer{active: true, pending: map[string]map[string]Message{},
+			pendingPositions: map[string]map[position]struct{}{}, held: map[string][]*heldMessage{},
+			changedKeys: map[string]struct{}{}}
 	}
 	s.scansBegun++
 }
 
-// EndScan books that what was there as the last look began has been taken in. A message that was held before then needs no further look: whatever a
-// predecessor had taken on before it is known.
+// EndScan records that everything that was there when the last scan began has been adopted.
+// Messages that were held before that scan need no other one: all that a predecessor accepted
+// before them is known.
 func (s *Sequencer) EndScan() {
 	for len(s.unscanned) > 0 && s.unscanned[0].scan < s.scansBegun {
 		s.unscanned[0].scanned = true
@@ -64,7 +70,8 @@
 	}
 }
 
-// SetPending replaces what one predecessor is known to owe. What it named before and does not name now is over, or has been given.
+// SetPending replaces the list of messages that are pending at a predecessor. A message that is no
+// longer listed has completed or been transferred.
 func (s *Sequencer) SetPending(predecessor string, messages []Message) {
 	if !s.active {
 		return
@@ -100,7 +107,7 @@
 	s.changedKeys[m.OrderingKey] = struct{}{}
 }
 
-// PendingElsewhere tells whether a predecessor owes the message of that id.
+// PendingElsewhere reports whether the message with that id is pending at a predecessor.
 func (s *Sequencer) PendingElsewhere(id string) bool {
 	for _, pending := range s.pending {
 		if _, there := pending[id]; there {
@@ -110,7 +117,7 @@
 	return false
 }
 
-// MarkArrived books that a message that a predecessor owed is here now.
+// MarkArrived records that a message that was pending at a predecessor has been transferred.
 func (s *Sequencer) MarkArrived(id string) {
 	for predecessor, pending := range s.pending {
 		if m, there := pending[id]; there {
@@ -120,8 +127,8 @@
 	}
 }
 
-// Hold holds m back, until the time at the latest, and tells whether it does. A message that a predecessor gave is looked for already: what
-// that one had taken on before is known.
+// Hold holds m back, at most until its deadline, and reports whether it does. A message that was
+// transferred counts as scanned: what its predecessor accepted before it is known.
 func (s *Sequencer) Hold(m Message, deadline time.Duration, scanned bool) bool {
 	if !s.active || m.OrderingKey == "" {
 		return false
@@ -129,8 +136,10 @@
 	entry := &heldMessage{Message: m, scan: s.scansBegun, scanned: scanned}
 	entry.deadline = s.deadlines.Push(deadline, entry)
 	queue := s.held[m.OrderingKey]
-	index, _ := slices.BinarySearchFunc(queue, m.Number, func(h *heldMessage, num uint32) int { return cmp.Compare(h.Number, num) })
-	s.held[m.OrderingKey] = slices.Insert(queue, index, entry)
+	insertAt, _ := slices.BinarySearchFunc(queue, m.Number, func(h *heldMessage, num uint32) int {
+		return cmp.Compare(h.Number, num)
+	})
+	s.held[m.OrderingKey] = slices.Insert(queue, insertAt, entry)
 	if scanned {
 		s.changedKeys[m.OrderingKey] = struct{}{}
 	} else {
@@ -139,7 +148,8 @@
 	return true
 }
 
-// Ready returns the numbers of messages that may go on, those of one subject in the order of hand-in, and holds them no longer.
+// Ready releases the messages that need no longer be held back and returns their numbers, those of
+// one ordering key in the order of submission.
 func (s *Sequencer) Ready() (numbers []uint32) {
 	for _, key := range slices.Sorted(maps.Keys(s.changedKeys)) {
 		queue, first := s.held[key], s.firstPending(key)
@@ -153,19 +163,21 @@
 	return numbers
 }
 
-// Expired returns the numbers of messages whose time is up, and holds them no longer.
+// Expired releases the messages whose deadline has passed and returns their numbers.
 func (s *Sequencer) Expired(now time.Duration) (numbers []uint32) {
 	for e := s.deadlines.First(); e != nil && now >= e.At(); e = s.deadlines.First() {
 		s.deadlines.Remove(e)
 		entry := e.Value
-		s.setHeld(entry.OrderingKey, slices.DeleteFunc(s.held[entry.OrderingKey], func(h *heldMessage) bool { return h == entry }))
+		s.setHeld(entry.OrderingKey, slices.DeleteFunc(s.held[entry.OrderingKey], func(h *heldMessage) bool {
+			return h == entry
+		}))
 		s.changedKeys[entry.OrderingKey] = struct{}{}
 		numbers = append(numbers, entry.Number)
 	}
 	return numbers
 }
 
-// NextDeadline is when the next message's time is up; false if none is held.
+// NextDeadline returns the earliest deadline of a held message; false if none is held.
 func (s *Sequencer) NextDeadline() (at time.Duration, ok bool) {
 	if e := s.deadlines.First(); e != nil {
 		return e.At(), true
@@ -173,13 +185,14 @@
 	return 0, false
 }
 
-// DropHeld holds nothing back any more; what predecessors owe stays known.
+// DropHeld forgets all held messages. The lists of pending messages stay.
 func (s *Sequencer) DropHeld() {
 	clear(s.held)
 	s.unscanned, s.deadlines = nil, index.Heap[*heldMessage]{}
 }
 
-// Finish books that no predecessor is left, and returns the numbers of all that is still held, in the order of hand-in.
+// Finish records that no predecessor is left, and returns the numbers of all messages that are
+// still held, in the order of submission.
 func (s *Sequencer) Finish() (numbers []uint32) {
 	for _, queue := range s.held {
 		for _, entry := range queue {
@@ -191,7 +204,8 @@
 	return numbers
 }
 
-// firstPending is the lowest number of the subject that a predecessor owes; above all numbers if it owes none.
+// firstPending returns the lowest number of the ordering key that is pending at a predecessor; a
+// number above all others if none is.
 func (s *Sequencer) firstPending(key string) uint64 {
 	first := uint64(1) << 32
 	for p := range s.pendingPositions[key] {
