--- a/cmd/oatfold/crowd_test.go
+++ b/cmd/oatfold/crowd_test.go
@@ -14,41 +14,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// reconnectPause bounds how often a client of a crowd comes.
+// reconnectPause is the least time between two connections of an idle client.
 const reconnectPause = 5 * time.Millisecond
 
-// limitDescriptors sets what the configuration says of descriptors.
-func (s *testEnv) limitDescriptors(most int) {
-	raw, err := os.ReadFile(s.config)
+// limitDescriptors sets the limit of descriptors in the configuration file.
+func (e *testEnv) limitDescriptors(limit int) {
+	raw, err := os.ReadFile(e.config)
 	if err == nil {
-		told := strings.Replace(string(raw), `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, most), 1)
-		err = os.WriteFile(s.config, []byte(told), 0o600)
+		text := strings.Replace(string(raw), `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, limit), 1)
+		err = os.WriteFile(e.config, []byte(text), 0o600)
 	}
 	if err != nil {
-		s.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 }
 
-// idleClients is clients that rest on their connections.
+// idleClients is a set of clients that stay idle on their connections.
 type idleClients struct {
 	env    *testEnv
 	done   chan struct{}
-	closed atomic.Int64 // connections that the relay ended after its answer
+	closed atomic.Int64 // connections that the relay closed after its reply
 }
 
-// startIdleClients keeps that many clients at the relay until the test ends: each asks once, rests on its connection, and comes again on a new one as soon
-// as the relay ends it. Guards against a crowd that the relay has emptied before anybody looked at it.
-func (s *testEnv) startIdleClients(clients int) *idleClients {
-	c := &idleClients{env: s, done: make(chan struct{})}
-	var all sync.WaitGroup
-	s.t.Cleanup(func() { close(c.done); all.Wait() })
+// startIdleClients keeps that many clients connected until the test ends. Each sends one request,
+// stays idle, and reconnects as soon as the relay closes its connection, so that the relay never
+// runs out of idle clients.
+func (e *testEnv) startIdleClients(clients int) *idleClients {
+	c := &idleClients{env: e, done: make(chan struct{})}
+	var running sync.WaitGroup
+	e.t.Cleanup(func() { close(c.done); running.Wait() })
 	for range clients {
-		all.Go(c.reconnect)
+		running.Go(c.reconnect)
 	}
 	return c
 }
 
-// reconnect is one client of a crowd.
+// reconnect runs one idle client.
 func (c *idleClients) reconnect() {
 	for {
 		select {
@@ -77,22 +78,22 @@
 	}
 }
 
-// While discovery is down, idle clients take all descriptors that they can get. As it comes back, the watch and the notices find one
-// each all the same.
+// While discovery is down, idle clients take all descriptors that they can get. When it returns,
+// the list watch and the notifications still get one each.
 func TestDiscoveryReturnsToACrowd(t *testing.T) {
-	const most = 96 // descriptors
-	s := newTestEnv(t)
-	s.limitDescriptors(most)
-	cmd := s.start()
+	const limit = 96 // descriptors
+	env := newTestEnv(t)
+	env.limitDescriptors(limit)
+	cmd := env.start()
 	pid := cmd.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: most}, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.waitUntil("the first watch", func() bool { return s.watchRequests == 1 })
-	address := s.agent.Listener.Addr().String()
-	s.agent.Listener.Close()
-	s.agent.CloseClientConnections()
-	s.submit(messageRequest("price-alert", "nowhere", "99", 1500))
+	env.waitUntil("the first watch", func() bool { return env.watchRequests == 1 })
+	address := env.agent.Listener.Addr().String()
+	env.agent.Listener.Close()
+	env.agent.CloseClientConnections()
+	env.submit(messageRequest("price-alert", "nowhere", "99", 1500))
 	descriptors := func() int {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		if err != nil {
@@ -100,14 +101,19 @@
 		}
 		return len(open)
 	}
-	own := descriptors()
-	resting := s.startIdleClients(2 * most)
-	// Guards against a bound on all descriptors that the relay's own move by one: clients have all that they may have once resting ones give way.
-	s.waitUntil("the crowd to be let in", func() bool { return descriptors()-own >= most/3 && resting.closed.Load() > most })
-	back, err := net.Listen("tcp", address)
+	ownDescriptors := descriptors()
+	idle := env.startIdleClients(2 * limit)
+	// The relay's own descriptors vary by one, so the bound is on those of clients: they have all
+	// that they may have once idle ones are closed.
+	env.waitUntil("the idle clients to be accepted", func() bool {
+		return descriptors()-ownDescriptors >= limit/3 && idle.closed.Load() > limit
+	})
+	restored, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.startAgent(back)
-	s.waitUntil("the watch and the notice", func() bool { return s.watchRequests > 1 && s.notified("nowhere", "handed_back") })
+	env.startAgent(restored)
+	env.waitUntil("the watch and the notification", func() bool {
+		return env.watchRequests > 1 && env.notified("nowhere", "handed_back")
+	})
 }
--- a/cmd/oatfold/main_test.go
+++ b/cmd/oatfold/main_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http" // an independent peer for the tests; the program has its own parsers
+	"net/http" // independent of the program, which has its own parsers
 	"net/http/httptest"
 	"os"
 	"os/exec"
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// The test binary is the program when it is started so: the restarts here are those of real processes.
+// TestMain runs the program itself if the environment says so: the tests restart real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("OATFOLD_AS_PROGRAM") != "" {
 		main()
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// testEnv is what lies round the relay: discovery with one endpoint, which answers as told.
+// testEnv is the environment of the relay: discovery and one endpoint.
 type testEnv struct {
 	sync.Mutex
 	t             *testing.T
@@ -36,58 +36,60 @@
 	config        string
 	agent         *httptest.Server
 	endpoint      *httptest.Server
-	blocked       chan struct{}     // while it is open, the endpoint does not answer
-	calls         map[string]int    // by message
-	keys          map[string]string // idempotency keys seen
+	blocked       chan struct{}     // while it is open, the endpoint does not reply
+	calls         map[string]int    // by message id
+	keys          map[string]string // idempotency keys by message id
 	notices       []string
-	notifyDelay   time.Duration // that the agent takes for a notice, which it drops if its sender goes away meanwhile
-	listRequests  int           // whole lists
-	watchRequests int           // changes
-	relayLog      io.Writer     // of the relay; nil: the test's
+	notifyDelay   time.Duration // the agent's delay for a notification, which it drops if the sender disconnects
+	listRequests  int           // requests for the whole list
+	watchRequests int           // requests for changes
+	relayLog      io.Writer     // nil: the output of the test
 }
 
 func newTestEnv(t *testing.T) *testEnv {
-	s := &testEnv{t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{}}
+	e := &testEnv{t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.listen = ln.Addr().String()
+	e.listen = ln.Addr().String()
 	ln.Close()
-	s.endpoint = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	e.endpoint = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		s.Lock()
+		e.Lock()
 		id := r.Header.Get("X-Correlation-Id")
-		s.calls[id]++
-		s.keys[id] = r.Header.Get("Idempotency-Key")
-		hold := s.blocked
-		s.Unlock()
+		e.calls[id]++
+		e.keys[id] = r.Header.Get("Idempotency-Key")
+		hold := e.blocked
+		e.Unlock()
 		<-hold
 	}))
-	s.config = filepath.Join(t.TempDir(), "config.json")
-	s.agent = s.startAgent(nil)
-	s.configure(s.agent.Listener.Addr().String())
+	e.config = filepath.Join(t.TempDir(), "config.json")
+	e.agent = e.startAgent(nil)
+	e.configure(e.agent.Listener.Addr().String())
 	t.Cleanup(func() {
-		s.release()
-		s.endpoint.CloseClientConnections()
-		s.endpoint.Close()
+		e.release()
+		e.endpoint.CloseClientConnections()
+		e.endpoint.Close()
 	})
-	return s
+	return e
 }
 
-// configure writes the configuration file with that address of discovery.
-func (s *testEnv) configure(discovery string) {
+// configure writes the configuration file with that discovery address.
+func (e *testEnv) configure(discovery string) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "daemon", "config", "testdata", "config.json"))
 	if err == nil {
-		err = os.WriteFile(s.config, []byte(strings.Replace(string(raw), "{", fmt.Sprintf("{%q:%q,", "discovery", discovery), 1)), 0o600)
+		err = os.WriteFile(e.config, []byte(strings.Replace(string(raw), "{",
+			fmt.Sprintf("{%q:%q,", "discovery", discovery), 1)), 0o600)
 	}
 	if err != nil {
-		s.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 }
 
-// startAgent starts a discovery that knows one endpoint, and a destination 99 that takes nothing new; on ln, if that is not nil.
-func (s *testEnv) startAgent(ln net.Listener) *httptest.Server {
+// startAgent starts a discovery agent that lists one endpoint, and a destination 99 that accepts
+// nothing new. It listens on ln if that is not nil.
+func (e *testEnv) startAgent(ln net.Listener) *httptest.Server {
 	end := make(chan struct{})
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -95,24 +97,24 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(s.notifyDelay):
+			case <-time.After(e.notifyDelay):
 			}
-			s.Lock()
-			s.notices = append(s.notices, strings.Fields(string(b))...)
-			s.Unlock()
+			e.Lock()
+			e.notices = append(e.notices, strings.Fields(string(b))...)
+			e.Unlock()
 			w.WriteHeader(204)
 		} else if r.URL.Query().Has("from") {
-			s.Lock()
-			s.watchRequests++
-			s.Unlock()
+			e.Lock()
+			e.watchRequests++
+			e.Unlock()
 			<-end
 		} else {
-			s.Lock()
-			s.listRequests++
-			s.Unlock()
+			e.Lock()
+			e.listRequests++
+			e.Unlock()
 			fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"porto-dc1",
 				"machineType":"small-partner","cell":7,"lifecycle":"in_service","weight":1,"startedAtMs":0},
-				{"instanceId":"s-99","hostPort":"127.0.0.1:1","machineType":"small-partner","cell":99,"lifecycle":"terminating"}]}`, s.endpoint.Listener.Addr())
+				{"instanceId":"s-99","hostPort":"127.0.0.1:1","machineType":"small-partner","cell":99,"lifecycle":"terminating"}]}`, e.endpoint.Listener.Addr())
 		}
 	}))
 	if ln != nil {
@@ -120,7 +122,7 @@
 		agent.Listener = ln
 	}
 	agent.Start()
-	s.t.Cleanup(func() {
+	e.t.Cleanup(func() {
 		close(end)
 		agent.CloseClientConnections()
 		agent.Close()
@@ -128,58 +130,60 @@
 	return agent
 }
 
-// release lets the endpoint answer from now on.
-func (s *testEnv) release() {
-	s.Lock()
-	defer s.Unlock()
+// release lets the endpoint reply from now on.
+func (e *testEnv) release() {
+	e.Lock()
+	defer e.Unlock()
 	select {
-	case <-s.blocked:
+	case <-e.blocked:
 	default:
-		close(s.blocked)
+		close(e.blocked)
 	}
 }
 
-func (s *testEnv) waitUntil(what string, ok func() bool) {
-	s.t.Helper()
-	for range 20_000 { // a bound for a hang, not a measure
-		s.Lock()
+func (e *testEnv) waitUntil(what string, ok func() bool) {
+	e.t.Helper()
+	for range 20_000 { // limits a hang
+		e.Lock()
 		done := ok()
-		s.Unlock()
+		e.Unlock()
 		if done {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	s.t.Fatalf("waited in vain for %s: calls %v, notices %v", what, s.calls, s.notices)
+	e.t.Fatalf("timed out waiting for %s: calls %v, notifications %v", what, e.calls, e.notices)
 }
 
-// start runs the relay until it is ready.
-func (s *testEnv) start() *exec.Cmd {
-	s.t.Helper()
-	cmd := s.startProcess()
-	s.waitUntil("the relay to be ready", func() bool { return s.send("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n") == "200" })
+// start runs the relay and waits until it is ready.
+func (e *testEnv) start() *exec.Cmd {
+	e.t.Helper()
+	cmd := e.startProcess()
+	e.waitUntil("the relay to be ready", func() bool {
+		return e.send("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n") == "200"
+	})
 	return cmd
 }
 
-// startProcess starts it, and waits for nothing.
-func (s *testEnv) startProcess() *exec.Cmd {
-	s.t.Helper()
+// startProcess runs the relay and waits for nothing.
+func (e *testEnv) startProcess() *exec.Cmd {
+	e.t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "OATFOLD_AS_PROGRAM=1", "ROUTER_LISTEN="+s.listen, "ROUTER_STATE="+s.state,
-		"ROUTER_DISCOVERY=127.0.0.1:1", "ROUTER_CONFIG="+s.config) // the file goes first
-	if cmd.Stderr = s.t.Output(); s.relayLog != nil {
-		cmd.Stderr = s.relayLog
+	cmd.Env = append(os.Environ(), "OATFOLD_AS_PROGRAM=1", "ROUTER_LISTEN="+e.listen, "ROUTER_STATE="+e.state,
+		"ROUTER_DISCOVERY=127.0.0.1:1", "ROUTER_CONFIG="+e.config) // the file takes precedence
+	if cmd.Stderr = e.t.Output(); e.relayLog != nil {
+		cmd.Stderr = e.relayLog
 	}
 	if err := cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { cmd.Process.Kill() })
+	e.t.Cleanup(func() { cmd.Process.Kill() })
 	return cmd
 }
 
 // send sends one request on a new connection and returns the status.
-func (s *testEnv) send(request string) string {
-	c, err := net.Dial("tcp", s.listen)
+func (e *testEnv) send(request string) string {
+	c, err := net.Dial("tcp", e.listen)
 	if err != nil {
 		return ""
 	}
@@ -187,6 +191,7 @@
 	return sendOn(c, request)
 }
 
+// sendOn sends one request on c and returns the status, or the error.
 func sendOn(c net.Conn, request string) string {
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	io.WriteString(c, request)
@@ -197,101 +202,114 @@
 	return fmt.Sprint(res.StatusCode)
 }
 
+// messageRequest returns the request that submits a message with left milliseconds of its time
+// left.
 func messageRequest(class, id, dest string, left int) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nX-Correlation-Id: %s\r\nIdempotency-Key: key-%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%s\r\nContent-Length: 2\r\n\r\nhi",
 		class, id, id, left, dest)
 }
 
-func (s *testEnv) submit(requests ...string) {
-	s.t.Helper()
+// submit sends requests that have to be accepted.
+func (e *testEnv) submit(requests ...string) {
+	e.t.Helper()
 	for _, r := range requests {
-		if got := s.send(r); got != "202" {
-			s.t.Fatalf("answered %s", got)
+		if got := e.send(r); got != "202" {
+			e.t.Fatalf("answered %s", got)
 		}
 	}
 }
 
-func (s *testEnv) notified(id, outcome string) bool {
-	return slices.ContainsFunc(s.notices, func(n string) bool { return strings.Contains(n, `"`+id+`"`) && strings.Contains(n, outcome) })
+// notified reports whether the platform was notified of that outcome of a message; "" is any
+// outcome.
+func (e *testEnv) notified(id, outcome string) bool {
+	return slices.ContainsFunc(e.notices, func(n string) bool {
+		return strings.Contains(n, `"`+id+`"`) && strings.Contains(n, outcome)
+	})
 }
 
-// After SIGKILL: what was out and must not run twice is given up and never sent again; what may be repeated
-// goes again under its key; what ran out of time meanwhile gets its notice; nothing is lost.
+// After SIGKILL: a message that was in flight and must not be repeated is given up, one that may be
+// repeated is sent again with its key, an expired one is notified, and none is lost.
 func TestKilled(t *testing.T) {
-	s := newTestEnv(t)
-	cmd := s.start()
-	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
-	s.waitUntil("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
-	s.submit(messageRequest("fee-charge", "nowhere", "99", 19000), messageRequest("price-alert", "late", "99", 1500))
+	env := newTestEnv(t)
+	cmd := env.start()
+	env.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
+	env.waitUntil("both calls", func() bool { return env.calls["fee"] == 1 && env.calls["order"] == 1 })
+	env.submit(messageRequest("fee-charge", "nowhere", "99", 19000), messageRequest("price-alert", "late", "99", 1500))
 	cmd.Process.Kill()
 	cmd.Wait()
-	s.release()
-	time.Sleep(1600 * time.Millisecond) // the time of "late" is up before the relay is back
-	s.start()
-	s.waitUntil("all ends but one", func() bool { return s.calls["order"] == 2 && s.notified("fee", "given_up") && s.notified("late", "") })
-	if s.calls["fee"] != 1 || s.keys["order"] != "key-order" || s.notified("order", "") || s.notified("nowhere", "") {
-		t.Errorf("calls %v, keys %v, notices %v", s.calls, s.keys, s.notices)
+	env.release()
+	time.Sleep(1600 * time.Millisecond) // "late" expires while the relay is down
+	env.start()
+	env.waitUntil("all but one to complete", func() bool {
+		return env.calls["order"] == 2 && env.notified("fee", "given_up") && env.notified("late", "")
+	})
+	if env.calls["fee"] != 1 || env.keys["order"] != "key-order" || env.notified("order", "") || env.notified("nowhere", "") {
+		t.Errorf("calls %v, keys %v, notifications %v", env.calls, env.keys, env.notices)
 	}
 }
 
-// After SIGTERM: connections are served on for a moment, the call that is out is finished, the rest is left to the next start,
-// the exit is clean.
+// After SIGTERM: connections are served for a short time, the call in flight is completed, the rest
+// is left for the next start, and the exit code is 0.
 func TestPlannedStop(t *testing.T) {
-	s := newTestEnv(t)
-	cmd := s.start()
-	kept, err := net.Dial("tcp", s.listen)
+	env := newTestEnv(t)
+	cmd := env.start()
+	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("price-alert", "nowhere", "99", 6000))
-	s.waitUntil("the call", func() bool { return s.calls["fee"] == 1 })
+	defer conn.Close()
+	env.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("price-alert", "nowhere", "99", 6000))
+	env.waitUntil("the call", func() bool { return env.calls["fee"] == 1 })
 	cmd.Process.Signal(syscall.SIGTERM)
-	if got := sendOn(kept, messageRequest("fee-charge", "more", "7", 19000)); got != "202" {
-		t.Errorf("after SIGTERM a kept connection was answered %s", got)
+	if got := sendOn(conn, messageRequest("fee-charge", "more", "7", 19000)); got != "202" {
+		t.Errorf("after SIGTERM an open connection was answered %s", got)
 	}
-	s.release()
+	env.release()
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v", err)
 	}
-	if s.calls["fee"] != 1 || s.notified("fee", "") {
-		t.Errorf("calls %v, notices %v", s.calls, s.notices)
+	if env.calls["fee"] != 1 || env.notified("fee", "") {
+		t.Errorf("calls %v, notifications %v", env.calls, env.notices)
 	}
-	s.start()
-	s.waitUntil("the rest to end", func() bool { return s.calls["more"] == 1 && s.notified("nowhere", "handed_back") })
-	if s.calls["fee"] != 1 || s.notified("fee", "") || s.notified("more", "") {
-		t.Errorf("calls %v, notices %v", s.calls, s.notices)
+	env.start()
+	env.waitUntil("the rest to complete", func() bool {
+		return env.calls["more"] == 1 && env.notified("nowhere", "handed_back")
+	})
+	if env.calls["fee"] != 1 || env.notified("fee", "") || env.notified("more", "") {
+		t.Errorf("calls %v, notifications %v", env.calls, env.notices)
 	}
 }
 
-// After SIGHUP the relay goes on at the new address of discovery, with all that it holds; a file that is wrong changes
-// nothing; SIGTERM soon after is a planned stop as any.
+// After SIGHUP the relay continues with the new discovery address and all pending messages; an
+// invalid file changes nothing; SIGTERM soon after is a planned stop like any other.
 func TestReload(t *testing.T) {
-	s := newTestEnv(t)
-	cmd := s.start()
-	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "held", "99", 2500))
-	s.waitUntil("the call", func() bool { return s.calls["fee"] == 1 })
-	if err := os.WriteFile(s.config, []byte(`{"discovery":`), 0o600); err != nil {
+	env := newTestEnv(t)
+	cmd := env.start()
+	env.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "held", "99", 2500))
+	env.waitUntil("the call", func() bool { return env.calls["fee"] == 1 })
+	if err := os.WriteFile(env.config, []byte(`{"discovery":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.submit(messageRequest("order-relay", "more", "99", 2500))
-	next := s.startAgent(nil)
-	s.configure(next.Listener.Addr().String())
-	asked := s.listRequests
+	env.submit(messageRequest("order-relay", "more", "99", 2500))
+	next := env.startAgent(nil)
+	env.configure(next.Listener.Addr().String())
+	asked := env.listRequests
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.waitUntil("the new address to be asked", func() bool { return s.listRequests > asked })
-	s.agent.CloseClientConnections()
-	s.agent.Listener.Close()
-	s.waitUntil("notices at the new address", func() bool { return s.notified("held", "handed_back") && s.notified("more", "handed_back") })
+	env.waitUntil("a request at the new address", func() bool { return env.listRequests > asked })
+	env.agent.CloseClientConnections()
+	env.agent.Listener.Close()
+	env.waitUntil("notifications at the new address", func() bool {
+		return env.notified("held", "handed_back") && env.notified("more", "handed_back")
+	})
 	cmd.Process.Signal(syscall.SIGTERM)
-	s.release()
-	if err := cmd.Wait(); err != nil || s.calls["fee"] != 1 || s.notified("fee", "") {
-		t.Errorf("exit %v, calls %v, notices %v", err, s.calls, s.notices)
+	env.release()
+	if err := cmd.Wait(); err != nil || env.calls["fee"] != 1 || env.notified("fee", "") {
+		t.Errorf("exit %v, calls %v, notifications %v", err, env.calls, env.notices)
 	}
 }
 
-// What is told wrong ends the start with one line that names the key.
+// An invalid configuration ends the start with one line that names the key.
 func TestConfigurationErrorNamesTheKey(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OATFOLD_AS_PROGRAM=1", "ROUTER_STATE=/nonexistent")
@@ -301,13 +319,14 @@
 	}
 }
 
-// Killed outright again and again while messages come in and the configuration is reloaded: each that was told 202 ends, and no charge is sent twice.
+// The relay is killed repeatedly while messages arrive and the configuration is reloaded: each
+// message answered with 202 completes, and no charge is sent twice.
 func TestKilledAtAnyMoment(t *testing.T) {
-	s := newTestEnv(t)
-	s.release()
-	var taken []string
+	env := newTestEnv(t)
+	env.release()
+	var accepted []string
 	for round := range 6 {
-		cmd := s.start()
+		cmd := env.start()
 		done := make(chan struct{})
 		kill := sync.OnceFunc(func() {
 			go func() {
@@ -318,13 +337,13 @@
 		})
 		for n, alive := 0, true; alive; n++ {
 			id := fmt.Sprintf("m%d-%d", round, n)
-			if s.send(messageRequest([]string{"fee-charge", "order-relay", "price-alert"}[n%3], id, "7", 19000)) == "202" {
-				taken = append(taken, id)
+			if env.send(messageRequest([]string{"fee-charge", "order-relay", "price-alert"}[n%3], id, "7", 19000)) == "202" {
+				accepted = append(accepted, id)
 			}
 			if n == 2*round {
 				cmd.Process.Signal(syscall.SIGHUP)
 			}
-			if n >= 5*round { // and on, while the kill is on its way
+			if n >= 5*round { // continues until the kill takes effect
 				kill()
 			}
 			select {
@@ -334,18 +353,18 @@
 			}
 		}
 	}
-	s.start()
-	s.waitUntil("all that was taken to end", func() bool {
-		return !slices.ContainsFunc(taken, func(id string) bool { return s.calls[id] == 0 && !s.notified(id, "") })
+	env.start()
+	env.waitUntil("all accepted messages to complete", func() bool {
+		return !slices.ContainsFunc(accepted, func(id string) bool { return env.calls[id] == 0 && !env.notified(id, "") })
 	})
-	for _, id := range taken {
+	for _, id := range accepted {
 		var n int
 		fmt.Sscanf(id[strings.Index(id, "-")+1:], "%d", &n)
-		if n%3 == 0 && s.calls[id] > 1 {
-			t.Errorf("charge %s was sent %d times", id, s.calls[id])
+		if n%3 == 0 && env.calls[id] > 1 {
+			t.Errorf("charge %s was sent %d times", id, env.calls[id])
 		}
 	}
-	if len(taken) < 6 {
-		t.Errorf("only %d taken", len(taken))
+	if len(accepted) < 6 {
+		t.Errorf("only %d accepted", len(accepted))
 	}
 }
--- a/cmd/oatfold/signals_test.go
+++ b/cmd/oatfold/signals_test.go
@@ -9,26 +9,25 @@
 	"time"
 )
 
-// Found by reading, after requests went unanswered at planned restarts: reloads and a stop shared a queue of four signals. Four reloads that wait, as
-// while one hangs on its file, pushed the stop out, and the relay served on until it was killed.
+// A stop is not lost behind reloads that wait while one of them hangs on its file.
 func TestStopIsNotPushedOutByReloads(t *testing.T) {
 	for _, reloads := range []int{1, 9} {
 		t.Run(fmt.Sprint(reloads), func(t *testing.T) {
-			s := newTestEnv(t)
-			s.release()
-			cmd := s.start()
-			s.submit(messageRequest("order-relay", "kept", "99", 19000))
-			if err := os.Remove(s.config); err != nil {
+			env := newTestEnv(t)
+			env.release()
+			cmd := env.start()
+			env.submit(messageRequest("order-relay", "kept", "99", 19000))
+			if err := os.Remove(env.config); err != nil {
 				t.Fatal(err)
 			}
-			// A file that hangs as it is read: a pipe that nobody writes to.
-			if err := syscall.Mkfifo(s.config, 0o600); err != nil {
+			// Reading the file hangs: a pipe without a writer.
+			if err := syscall.Mkfifo(env.config, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			log := &logBuffer{}
 			for range reloads {
 				cmd.Process.Signal(syscall.SIGHUP)
-				time.Sleep(5 * time.Millisecond) // each is delivered by itself
+				time.Sleep(5 * time.Millisecond) // so that each signal is delivered separately
 			}
 			cmd.Process.Signal(syscall.SIGTERM)
 			ended := make(chan error, 1)
@@ -39,44 +38,44 @@
 					t.Fatalf("exit: %v", err)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("the stop was not heard")
+				t.Fatal("the stop had no effect")
 			}
-			os.Remove(s.config)
-			s.configure(s.agent.Listener.Addr().String())
-			s.relayLog = log
-			s.start()
-			s.waitUntil("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
+			os.Remove(env.config)
+			env.configure(env.agent.Listener.Addr().String())
+			env.relayLog = log
+			env.start()
+			env.waitUntil("the accepted message to be recovered", func() bool { return log.has("messages=1 ") })
 		})
 	}
 }
 
-// A reload whose file can't be opened for a moment is not forgotten: the operators have said it once, and say it no more.
+// A reload whose file can't be opened for a moment is retried: operators send the signal only once.
 func TestReloadOutlastsAMomentOfTrouble(t *testing.T) {
-	s := newTestEnv(t)
-	s.release()
+	env := newTestEnv(t)
+	env.release()
 	log := &logBuffer{}
-	s.relayLog = log
-	cmd := s.start()
-	good, err := os.ReadFile(s.config)
+	env.relayLog = log
+	cmd := env.start()
+	good, err := os.ReadFile(env.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(s.config)
-	if err := os.Symlink("/proc/self/mem", s.config); err != nil { // reading it fails with EIO
+	os.Remove(env.config)
+	if err := os.Symlink("/proc/self/mem", env.config); err != nil { // reading it fails with EIO
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	s.waitUntil("the reload to begin", func() bool { return log.has("reloading") })
-	s.waitUntil("its trouble to be told", func() bool { return log.has("configuration can't be read now") })
-	os.Remove(s.config)
-	if err := os.WriteFile(s.config, good, 0o600); err != nil {
+	env.waitUntil("the reload to begin", func() bool { return log.has("reloading") })
+	env.waitUntil("its failure to be logged", func() bool { return log.has("configuration can't be read now") })
+	os.Remove(env.config)
+	if err := os.WriteFile(env.config, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.waitUntil("the reload to pass", func() bool { return log.has("msg=reloaded") })
+	env.waitUntil("the reload to pass", func() bool { return log.has("msg=reloaded") })
 	if log.has("the old one stays") {
-		t.Error("told to stay with the old one")
+		t.Error("the reload was given up")
 	}
-	if strings.Contains(s.send("GET /ready HTTP/1.1\r\n\r\n"), "EOF") {
-		t.Error("it serves no more")
+	if strings.Contains(env.send("GET /ready HTTP/1.1\r\n\r\n"), "EOF") {
+		t.Error("the relay no longer serves")
 	}
 }
--- a/cmd/oatfold/stop_test.go
+++ b/cmd/oatfold/stop_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// logBuffer keeps a process's log.
+// logBuffer keeps the log of a process.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -32,7 +32,7 @@
 	return strings.Contains(l.text.String(), text)
 }
 
-// timeOf is the time of the first line with that message.
+// timeOf returns the time of the first line with that message.
 func (l *logBuffer) timeOf(t *testing.T, msg string) time.Time {
 	t.Helper()
 	l.mu.Lock()
@@ -50,16 +50,17 @@
 	return time.Time{}
 }
 
-// A stop with all at once: calls out at an endpoint that hangs, clients that rest, one that says nothing, one in the middle of a request, told
-// twice, and a reload behind it with a file that is wrong. The exit is clean and in time; whoever had sent a request whole is answered, who
-// rests sees a plain end; and the next start ends what was taken on.
+// A stop with calls in flight at an endpoint that hangs, idle clients, one that has sent nothing,
+// one in the middle of a request, repeated signals, and a reload with an invalid file. The exit is
+// clean and in time, complete requests are answered, idle connections are closed without a reset,
+// and the next start completes the accepted messages.
 func TestStopUnderEverything(t *testing.T) {
-	s := newTestEnv(t)
+	env := newTestEnv(t)
 	log := &logBuffer{}
-	s.relayLog = log
-	cmd := s.start()
+	env.relayLog = log
+	cmd := env.start()
 	open := func(first string) (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", s.listen)
+		c, err := net.Dial("tcp", env.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,89 +69,89 @@
 		io.WriteString(c, first)
 		return c, bufio.NewReader(c)
 	}
-	rests, restsR := open("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	if a, err := restsR.ReadString('\n'); err != nil || !strings.Contains(a, " 200 ") {
+	idle, idleReader := open("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	if a, err := idleReader.ReadString('\n'); err != nil || !strings.Contains(a, " 200 ") {
 		t.Fatalf("%q, %v", a, err)
 	}
-	s.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
-	s.waitUntil("both calls", func() bool { return s.calls["fee"] == 1 && s.calls["order"] == 1 })
-	s.submit(messageRequest("price-alert", "waits", "99", 4500))
-	_, silentR := open("")
+	env.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
+	env.waitUntil("both calls", func() bool { return env.calls["fee"] == 1 && env.calls["order"] == 1 })
+	env.submit(messageRequest("price-alert", "waits", "99", 4500))
+	_, silentReader := open("")
 	req := messageRequest("order-relay", "half", "99", 19000)
-	half, halfR := open(req[:len(req)-1])
-	if err := os.WriteFile(s.config, []byte("{"), 0o600); err != nil {
+	half, halfReader := open(req[:len(req)-1])
+	if err := os.WriteFile(env.config, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		cmd.Process.Signal(sig)
 	}
-	if _, err := io.ReadAll(restsR); err != nil {
-		t.Errorf("who rests sees %v, want a plain end", err)
+	if _, err := io.ReadAll(idleReader); err != nil {
+		t.Errorf("an idle client sees %v, want EOF", err)
 	}
-	if b, err := io.ReadAll(silentR); err != nil || len(b) > 0 {
-		t.Errorf("who says nothing sees %q, %v, want a plain end", b, err)
+	if b, err := io.ReadAll(silentReader); err != nil || len(b) > 0 {
+		t.Errorf("a silent client sees %q, %v, want EOF", b, err)
 	}
 	io.WriteString(half, req[len(req)-1:])
-	if a, err := halfR.ReadString('\n'); err != nil || !strings.Contains(a, " 202 ") {
-		t.Errorf("a request that had begun is answered %q, %v", a, err)
+	if a, err := halfReader.ReadString('\n'); err != nil || !strings.Contains(a, " 202 ") {
+		t.Errorf("a request that had begun was answered %q, %v", a, err)
 	}
-	rests.Close()
+	idle.Close()
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v", err)
 	}
-	// As the process saw it: it had not to wait for a processor before its first line.
-	if took := log.timeOf(t, "stopped").Sub(log.timeOf(t, "stopping")); took > 3700*time.Millisecond {
-		t.Errorf("the stop took %v", took)
+	// Measured from the log, so that waiting for a processor before the first line does not count.
+	if duration := log.timeOf(t, "stopped").Sub(log.timeOf(t, "stopping")); duration > 3700*time.Millisecond {
+		t.Errorf("the stop took %v", duration)
 	}
-	s.configure(s.agent.Listener.Addr().String())
-	s.release()
-	s.start()
-	s.waitUntil("all to end", func() bool {
-		return s.notified("fee", "given_up") && s.calls["order"] >= 2 && s.notified("waits", "handed_back")
+	env.configure(env.agent.Listener.Addr().String())
+	env.release()
+	env.start()
+	env.waitUntil("all to complete", func() bool {
+		return env.notified("fee", "given_up") && env.calls["order"] >= 2 && env.notified("waits", "handed_back")
 	})
-	s.Lock()
-	defer s.Unlock()
-	if s.calls["fee"] != 1 || s.notified("order", "") {
-		t.Errorf("calls %v, notices %v", s.calls, s.notices)
+	env.Lock()
+	defer env.Unlock()
+	if env.calls["fee"] != 1 || env.notified("order", "") {
+		t.Errorf("calls %v, notifications %v", env.calls, env.notices)
 	}
 }
 
-// Told to end before it can serve, or as soon as it says that it is ready, it ends clean as well.
+// A relay that is stopped as soon as it is ready exits cleanly, too.
 func TestStopAtTheStart(t *testing.T) {
-	s := newTestEnv(t)
-	s.release()
+	env := newTestEnv(t)
+	env.release()
 	for n := range 2 {
 		log := &logBuffer{}
-		s.relayLog = log
-		cmd := s.start()
-		s.submit(messageRequest("order-relay", fmt.Sprint("m", n), "99", 19000))
+		env.relayLog = log
+		cmd := env.start()
+		env.submit(messageRequest("order-relay", fmt.Sprint("m", n), "99", 19000))
 		cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
 			t.Fatalf("exit: %v", err)
 		}
 		if n > 0 && !log.has(fmt.Sprintf("messages=%d ", n)) {
-			t.Errorf("start %d finds something else than it left: %s", n, log.text.String())
+			t.Errorf("start %d does not recover what was left: %s", n, log.text.String())
 		}
 	}
 }
 
-// Told to end while its journal is read, which takes as long as the test says: it ends clean once that is over, and what the folder holds is
-// there at the next start.
+// A relay that is stopped while it reads its journal exits cleanly afterwards, and the next start
+// recovers the content of the folder. The test determines how long reading takes.
 func TestStopWhileTheJournalIsRead(t *testing.T) {
-	s := newTestEnv(t)
-	s.release()
+	env := newTestEnv(t)
+	env.release()
 	log := &logBuffer{}
-	s.relayLog = log
-	cmd := s.start()
-	s.submit(messageRequest("order-relay", "kept", "99", 19000))
+	env.relayLog = log
+	cmd := env.start()
+	env.submit(messageRequest("order-relay", "kept", "99", 19000))
 	cmd.Process.Kill()
 	cmd.Wait()
-	slow := filepath.Join(s.state, "000000000000.seg") // read before all others
+	slow := filepath.Join(env.state, "000000000000.seg") // read before all others
 	if err := syscall.Mkfifo(slow, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd = s.startProcess()
-	pipe, err := os.OpenFile(slow, os.O_WRONLY, 0) // comes back when the relay has opened its side
+	cmd = env.startProcess()
+	pipe, err := os.OpenFile(slow, os.O_WRONLY, 0) // returns when the relay has opened its side
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +163,7 @@
 	}
 	os.Remove(slow)
 	log = &logBuffer{}
-	s.relayLog = log
-	s.start()
-	s.waitUntil("what was taken on to be there still", func() bool { return log.has("messages=1 ") })
+	env.relayLog = log
+	env.start()
+	env.waitUntil("the accepted message to be recovered", func() bool { return log.has("messages=1 ") })
 }
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -25,14 +25,15 @@
 		if v, ok := env[name]; ok {
 			return v
 		}
-		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": dir, "ROUTER_LISTEN": "127.0.0.1:0", "ROUTER_DISCOVERY": "127.0.0.1:1"}[name]
+		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": dir, "ROUTER_LISTEN": "127.0.0.1:0",
+			"ROUTER_DISCOVERY": "127.0.0.1:1"}[name]
 	})
 }
 
 func unchanged(s string) string { return s }
 
-// The whole configuration is read; the file goes before the environment, which a reload can't change; what is
-// left out has a default.
+// The file takes precedence over the environment, which a reload can't change; what is left out has
+// a default.
 func TestLoad(t *testing.T) {
 	c, err := load(t, func(s string) string { return strings.Replace(s, "{", `{"listen":"127.0.0.1:9",`, 1) }, nil)
 	if err != nil {
@@ -44,16 +45,18 @@
 		t.Errorf("%+v", c)
 	}
 	c, err = load(t, func(s string) string {
-		return `{"known":null,"limits":{"sockets":null},"listen":"127.0.0.1:9","discovery":"127.0.0.1:1","settings":` + gjson.Get(s, "settings").Raw + `}`
+		return `{"known":null,"limits":{"sockets":null},"listen":"127.0.0.1:9","discovery":"127.0.0.1:1","settings":` +
+			gjson.Get(s, "settings").Raw + `}`
 	}, nil)
-	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.MaxDescriptors != defaultDescriptors || c.DiskBytes != defaultDiskMB*megabyte {
+	if err != nil || c.MemoryBytes != defaultMemoryMB*megabyte || c.MaxDescriptors != defaultDescriptors ||
+		c.DiskBytes != defaultDiskMB*megabyte {
 		t.Errorf("defaults: %+v, %v", c, err)
 	}
 }
 
-// Each message names the key at fault.
+// Each error names the key at fault.
 func TestErrorsNameTheKey(t *testing.T) {
-	put := func(old, new string) func(string) string {
+	replace := func(old, new string) func(string) string {
 		return func(s string) string {
 			if !strings.Contains(s, old) {
 				t.Fatalf("%q is not in the file", old)
@@ -61,35 +64,35 @@
 			return strings.Replace(s, old, new, 1)
 		}
 	}
-	for says, c := range map[string]struct {
+	for message, c := range map[string]struct {
 		change func(string) string
 		env    map[string]string
 	}{
 		"ROUTER_CONFIG":                     {unchanged, map[string]string{"ROUTER_CONFIG": "/nonexistent"}},
 		"ROUTER_STATE is not set":           {unchanged, map[string]string{"ROUTER_STATE": ""}},
 		"ROUTER_STATE: \"/nonexistent\"":    {unchanged, map[string]string{"ROUTER_STATE": "/nonexistent"}},
-		"not JSON":                          {put("{", ""), nil},
+		"not JSON":                          {replace("{", ""), nil},
 		"listen":                            {unchanged, map[string]string{"ROUTER_LISTEN": "nowhere"}},
-		"discovery":                         {put("{", `{"discovery":"nowhere",`), nil},
+		"discovery":                         {replace("{", `{"discovery":"nowhere",`), nil},
 		"admin (ROUTER_ADMIN)":              {unchanged, map[string]string{"ROUTER_ADMIN": "nowhere"}},
 		"clients' address, listen":          {unchanged, map[string]string{"ROUTER_ADMIN": "127.0.0.1:0"}},
-		"admin: 7 is not":                   {put("{", `{"admin":7,`), nil},
-		"limits.memory_mb":                  {put("\"memory_mb\": 192", "\"memory_mb\": -1"), nil},
-		"limits.sockets":                    {put("1024", "\"many\""), nil},
-		"limits.disk_mb":                    {put("\"disk_mb\": 3", "\"disk_mb\": 0"), nil},
-		"known: pool config: generation":    {put("\"generation\": 0", "\"generation\": null"), nil},
-		"settings.policyLimits.connectTime": {put("\"connectTimeoutUs\": 1500000", "\"connectTimeoutUs\": \"x\""), nil},
-		"settings: missing":                 {put("\"settings\"", "\"other\""), nil},
-		"familyInfo.callSlots":              {put("\"callSlots\": 4", "\"callSlots\": \"x\""), nil},
-		"settings.tickUs: 0 is not":         {put("\"tickUs\": 5000", "\"tickUs\": 0"), nil},
+		"admin: 7 is not":                   {replace("{", `{"admin":7,`), nil},
+		"limits.memory_mb":                  {replace("\"memory_mb\": 192", "\"memory_mb\": -1"), nil},
+		"limits.sockets":                    {replace("1024", "\"many\""), nil},
+		"limits.disk_mb":                    {replace("\"disk_mb\": 3", "\"disk_mb\": 0"), nil},
+		"known: pool config: generation":    {replace("\"generation\": 0", "\"generation\": null"), nil},
+		"settings.policyLimits.connectTime": {replace("\"connectTimeoutUs\": 1500000", "\"connectTimeoutUs\": \"x\""), nil},
+		"settings: missing":                 {replace("\"settings\"", "\"other\""), nil},
+		"familyInfo.callSlots":              {replace("\"callSlots\": 4", "\"callSlots\": \"x\""), nil},
+		"settings.tickUs: 0 is not":         {replace("\"tickUs\": 5000", "\"tickUs\": 0"), nil},
 		"grades[0].repeatWindowUs": {func(s string) string {
-			return put("\"safe\"", "\"keyed\"")(put("\"repeatWindowUs\": 5000000", "\"repeatWindowUs\": 0")(s))
+			return replace("\"safe\"", "\"keyed\"")(replace("\"repeatWindowUs\": 5000000", "\"repeatWindowUs\": 0")(s))
 		}, nil},
-		"grades[0].promiseUs":    {put("\"promiseUs\": 1500000", "\"promiseUs\": 0"), nil},
-		"unknown effect \"odd\"": {put("\"unsafe\"", "\"odd\""), nil},
+		"grades[0].promiseUs":    {replace("\"promiseUs\": 1500000", "\"promiseUs\": 0"), nil},
+		"unknown effect \"odd\"": {replace("\"unsafe\"", "\"odd\""), nil},
 	} {
-		if _, err := load(t, c.change, c.env); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("error %v, want one with %q", err, says)
+		if _, err := load(t, c.change, c.env); err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("error %v, want one with %q", err, message)
 		}
 	}
 }
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -11,25 +11,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// unusedKeys says of each key of the settings that the relay does not go by why that is so. A list's elements are named by #.
+// unusedKeys gives the reason for each key of the settings that the relay ignores. # stands for the
+// elements of a list.
 var unusedKeys = map[string]string{
-	"clientHabits.marksRetry":       "a hand-in that comes again is a new one, marked or not",
-	"family":                        "there is one family of deployments on sockets",
-	"familyInfo.notes":              "prose for the simulator's wire",
+	"clientHabits.marksRetry":       "a retried request is a new one, marked or not",
+	"family":                        "there is one family of deployments over HTTP",
+	"familyInfo.notes":              "text for the simulator's wire",
 	"familyInfo.reportX0":           "prose",
 	"familyInfo.reportX1":           "prose",
-	"familyInfo.turnedAwayPrice":    "no decision weighs points of G",
-	"grades.#.streamed":             "nothing is streamed on sockets",
-	"guarantees.answerSlackUs":      "the relay ends messages before their time and counts on no slack",
-	"guarantees.drainGraceUs":       "nothing new goes out from the moment of the news on",
-	"myZone":                        "tells a relay its place among peers, if there are any; no price here depends on the relay's own zone",
-	"policyLimits.cpuUsPerRequest":  "a bound for the simulator's account",
+	"familyInfo.turnedAwayPrice":    "no decision depends on the simulator's score",
+	"grades.#.streamed":             "nothing is streamed over HTTP",
+	"guarantees.answerSlackUs":      "the relay completes messages before their deadline and relies on no slack",
+	"guarantees.drainGraceUs":       "no new calls are made from the moment of the update on",
+	"myZone":                        "places a relay among its peers, if any; no price depends on the relay's own zone",
+	"policyLimits.cpuUsPerRequest":  "a limit of the simulator",
 	"policyLimits.cpuUsPerS":        "the same",
 	"policyLimits.maxStreams":       "a connection carries one call at a time on HTTP/1.1",
 	"policyLimits.mayCancel":        "the relay cancels no call",
-	"policyLimits.probes":           "the relay makes no probes",
-	"policyLimits.secondCopies":     "it never has two attempts of a message out",
-	"prices.connection":             "no decision weighs points of G",
+	"policyLimits.probes":           "the relay sends no separate probe requests",
+	"policyLimits.secondCopies":     "it never has two attempts of a message in flight",
+	"prices.connection":             "no decision depends on the simulator's score",
 	"prices.crossZone":              "the same",
 	"prices.discovery":              "the same",
 	"prices.handshake":              "the same",
@@ -43,14 +44,14 @@
 	"scoringMix.worstClass":         "the same",
 	"scoringMix.worstTenant":        "the same",
 	"scoringMix.worstWindow":        "the same",
-	"stage":                         "a count of the simulator's",
-	"stats.source":                  "the columns tell whether answers hold reports",
+	"stage":                         "a counter of the simulator",
+	"stats.source":                  "the columns tell whether replies contain reports",
 	"tiers.#":                       "there is one tier of destinations",
-	"worthBy":                       "each message has its class's worth",
-	"policyLimits.connectTimeoutUs": "read beside the settings",
+	"worthBy":                       "each message has the value of its class",
+	"policyLimits.connectTimeoutUs": "read outside the settings",
 }
 
-// collectLeaves lists the keys of a document, and one value for each.
+// collectLeaves collects the keys of a document, with one value for each.
 func collectLeaves(at string, v gjson.Result, to map[string]gjson.Result) {
 	switch {
 	case v.IsObject():
@@ -67,10 +68,11 @@
 	}
 }
 
-// otherValue is a value unlike v that the key may have.
+// otherValue returns a value other than v that the key may have.
 func otherValue(key string, v gjson.Result) string {
-	if s, ok := map[string]string{"discovery": `"ask"`, "weightSource": `"rough"`, "familyInfo.decay": `"halving"`, "grades.#.effect": `"keyed"`,
-		"grades.#.group": `"zone"`, "familyInfo.callSlots": "9", "policyLimits.maxOpen": "31", "policyLimits.maxAttempts": "3", "fleetSize": "5"}[key]; ok {
+	if s, ok := map[string]string{"discovery": `"ask"`, "weightSource": `"rough"`, "familyInfo.decay": `"halving"`,
+		"grades.#.effect": `"keyed"`, "grades.#.group": `"zone"`, "familyInfo.callSlots": "9", "policyLimits.maxOpen": "31", "policyLimits.maxAttempts": "3",
+		"fleetSize": "5"}[key]; ok {
 		return s
 	}
 	switch v.Type {
@@ -84,21 +86,21 @@
 	return fmt.Sprintf("%g", 2*v.Num+1)
 }
 
-// Each key of the settings, changed alone and everywhere in its list, changes what the module is told, or a sentence says why not; and a key
-// that neither does is noticed. Guards against a value that is fixed in the program.
+// Each key of the settings, when it alone is changed, changes the settings of the policy engine, or
+// unusedKeys says why not. Prevents values that are fixed in the program.
 func TestEachKeyHasAnEffect(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := gjson.GetBytes(raw, "settings")
-	was, _, err := ParseSettings(set.Raw)
+	before, _, err := ParseSettings(set.Raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := map[string]gjson.Result{}
-	collectLeaves("", set, all)
-	for key, v := range all {
+	values := map[string]gjson.Result{}
+	collectLeaves("", set, values)
+	for key, v := range values {
 		name := key[strings.LastIndex(strings.TrimSuffix(key, ".#"), ".")+1:]
 		changed := set.Raw
 		switch {
@@ -106,7 +108,8 @@
 			list := strings.TrimSuffix(key, ".#")
 			changed = strings.ReplaceAll(changed, gjson.Get(changed, list).Raw, "["+otherValue(key, v)+"]")
 		default:
-			// The last part of each key stands once in the file, or once in each element of one list.
+			// The last part of each key occurs once in the file, or once in each element of one
+			// list.
 			for _, part := range strings.Split(changed, "\n") {
 				if k, _, ok := strings.Cut(strings.TrimSpace(part), ":"); ok && k == fmt.Sprintf("%q", name) && strings.Contains(part, v.Raw) {
 					end := ""
@@ -117,26 +120,28 @@
 				}
 			}
 		}
-		now, _, err := ParseSettings(changed)
+		after, _, err := ParseSettings(changed)
 		if err != nil {
 			t.Errorf("%s: %v", key, err)
 			continue
 		}
-		if follows := !reflect.DeepEqual(now, was); !follows && unusedKeys[key] == "" {
-			t.Errorf("%s has no effect on what the module is told, and nothing says why", key)
-		} else if follows && unusedKeys[key] != "" {
-			t.Errorf("%s has an effect after all: its sentence is wrong", key)
+		if changes := !reflect.DeepEqual(after, before); !changes && unusedKeys[key] == "" {
+			t.Errorf("%s has no effect on the policy engine's settings, and no reason is given", key)
+		} else if changes && unusedKeys[key] != "" {
+			t.Errorf("%s has an effect, but is listed as unused", key)
 		}
 	}
-	for _, key := range []string{"fleetSize", "me", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen", "policyLimits.maxAttempts", "grades.#.deadlineUs",
-		"grades.#.promiseUs", "grades.#.credit", "grades.#.lateValue", "guarantees.coldUs", "policyLimits.peers", "policyLimits.retryAfter"} {
-		if _, there := all[key]; !there || unusedKeys[key] != "" {
-			t.Errorf("%s is to be read, and is not looked at", key)
+	for _, key := range []string{"fleetSize", "me", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen",
+		"policyLimits.maxAttempts", "grades.#.deadlineUs", "grades.#.promiseUs", "grades.#.credit", "grades.#.lateValue", "guarantees.coldUs",
+		"policyLimits.peers", "policyLimits.retryAfter"} {
+		if _, there := values[key]; !there || unusedKeys[key] != "" {
+			t.Errorf("%s has to be read, and was not checked", key)
 		}
 	}
 }
 
-// What this deployment's file leaves out is read too: tenants, order per key, and who drops repeats of whom.
+// Keys that the main test file leaves out are read too: tenants, ordered classes, and the scope of
+// deduplication.
 func TestKeysOfOtherDeployments(t *testing.T) {
 	s, columns, err := ParseSettings(`{"fleetSize":2,"tickUs":5000,"familyInfo":{"callSlots":4,"separateRoutes":[true],"feeByZone":[0.5],"batchByKind":[3]},"kinds":["k"],"zones":["z"],
 		"policyLimits":{"maxOpen":20,"maxAttempts":6,"peers":false},"tenants":[{"name":"b","share":0.3,"quotaPerS":7}],"stats":{"columns":["x0","x1"]},
--- a/internal/daemon/config/names_test.go
+++ b/internal/daemon/config/names_test.go
@@ -9,11 +9,11 @@
 	"github.com/tidwall/gjson"
 )
 
-// Two deployments of which neither has a class, kind, tenant or zone of the other: alerts.json names no tenants, and
-// postings.json has charges in order, tenants and routes apart.
+// deployments are two test files without a common class, kind, tenant or zone: alerts.json has no
+// tenants; postings.json has ordered charges, tenants and separate routes.
 var deployments = []string{"alerts.json", "postings.json"}
 
-// readTestFile returns a file of testdata, whole.
+// readTestFile returns the content of a file of testdata.
 func readTestFile(t *testing.T, file string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
@@ -23,7 +23,7 @@
 	return string(raw)
 }
 
-// Each deployment's settings are taken as they are.
+// The settings of each deployment are accepted unchanged.
 func TestBothDeploymentsLoad(t *testing.T) {
 	for _, file := range deployments {
 		raw := readTestFile(t, file)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Settings that were put together from those of two deployments, or name something twice or not at all, are refused by
-// the key, and the name where there is one.
+// Settings that mix two deployments, or have duplicate or missing names, are rejected with the key,
+// and the name where there is one.
 func TestInconsistentNames(t *testing.T) {
 	replace := func(old, new string) func(string) string {
 		return func(s string) string {
@@ -51,19 +51,19 @@
 			return strings.Replace(s, old, new, 1)
 		}
 	}
-	// with puts the value that a key has in the other deployment in the place of this one's.
-	with := func(other, key string) func(string) string {
+	// valueFrom replaces the value of a key with that of the other deployment.
+	valueFrom := func(other, key string) func(string) string {
 		return func(s string) string {
 			return replace(gjson.Get(s, "settings."+key).Raw, gjson.Get(readTestFile(t, other), "settings."+key).Raw)(s)
 		}
 	}
 	for _, c := range []struct {
-		file   string
-		change func(string) string
-		says   string
+		file    string
+		change  func(string) string
+		message string
 	}{
-		{"alerts.json", with("postings.json", "familyInfo.feeByZone"), "settings.familyInfo.feeByZone: 2 values for 1 settings.zones"},
-		{"postings.json", with("alerts.json", "zones"), "settings.familyInfo.feeByZone: 2 values for 1 settings.zones"},
+		{"alerts.json", valueFrom("postings.json", "familyInfo.feeByZone"), "settings.familyInfo.feeByZone: 2 values for 1 settings.zones"},
+		{"postings.json", valueFrom("alerts.json", "zones"), "settings.familyInfo.feeByZone: 2 values for 1 settings.zones"},
 		{"alerts.json", replace(`"pilot-desk",`, ""), "settings.familyInfo.batchByKind: 2 values for 1 settings.kinds"},
 		{"alerts.json", replace(`"pilot-desk"`, `"quay-office"`), `settings.kinds[1]: "quay-office" is the name of settings.kinds[0] too`},
 		{"alerts.json", replace(`"manifest-order"`, `"berth-alert"`), `settings.grades[1].name: "berth-alert" is the name of settings.grades[0] too`},
@@ -74,13 +74,13 @@
 		{"postings.json", replace(`"east-basin",`, `"west-basin",`), `settings.zones[1]: "west-basin" is the name of settings.zones[0] too`},
 	} {
 		raw := c.change(readTestFile(t, c.file))
-		if _, err := load(t, func(string) string { return raw }, nil); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v, want one with %q", c.file, err, c.says)
+		if _, err := load(t, func(string) string { return raw }, nil); err == nil || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: error %v, want one with %q", c.file, err, c.message)
 		}
 	}
 }
 
-// A kind or zone that has no value of its own keeps the defaults: there may be fewer values than names.
+// A kind or zone without a value of its own has the default: there may be fewer values than names.
 func TestFewerValuesThanNames(t *testing.T) {
 	raw := readTestFile(t, "postings.json")
 	for _, key := range []string{"familyInfo.batchByKind", "familyInfo.separateRoutes", "familyInfo.feeByZone"} {
--- a/internal/daemon/config/operator/operator_test.go
+++ b/internal/daemon/config/operator/operator_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// What is wrong is named by line and key.
+// Errors name line and key.
 func TestErrorsNameLineAndKey(t *testing.T) {
 	const good = "name: \"a\"\nmodule: \"m.wasm\"\nhook: SHAPE_REQUEST\n"
 	for text, want := range map[string][]string{
@@ -77,7 +77,7 @@
 		path := writeOperatorFile(t, text)
 		_, err := Load(path, 192e6)
 		if err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("accepted: %s", text)
 			continue
 		}
 		for _, w := range append(want, path) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The whole example is good, and each thing that is wrong in a plan for sites is named by its key.
+// The example of a site plan is valid, and each mistake in a plan is reported with its key.
 func TestSites(t *testing.T) {
 	c, err := Load("../../../../deploy/sites.textproto", 0)
 	if err != nil || len(c.Sites.Sites) != 3 || c.Sites.Sites[0].Tiers[1].Spill != 0.9 || len(c.Sites.Destinations) != 2 || c.Sites.RefuseFirst[2] != "fee-charge" {
@@ -102,7 +102,9 @@
 		t.Errorf("%v %+v", err, c)
 	}
 	for text, key := range map[string]string{
-		`site { zone: "a" }`: "sites.site", `site { zone: "a" } site { }`: "sites.site[1].zone", `site { zone: "a" } site { zone: "a" }`: "sites.site[1].zone",
+		`site { zone: "a" }`:                                                          "sites.site",
+		`site { zone: "a" } site { }`:                                                 "sites.site[1].zone",
+		`site { zone: "a" } site { zone: "a" }`:                                       "sites.site[1].zone",
 		`site { zone: "a" tier { zone: "a" } } site { zone: "b" }`:                    "sites.site[0].tier[0].zone",
 		`site { zone: "a" tier { zone: "x" } } site { zone: "b" }`:                    "sites.site[0].tier[0].zone",
 		`site { zone: "a" tier { } } site { zone: "b" }`:                              "sites.site[0].tier[0].zone",
@@ -110,15 +112,16 @@
 		`site { zone: "a" tier { zone: "b" spill: 1.1 } } site { zone: "b" }`:         "sites.site[0].tier[0].spill",
 		`site { zone: "a" tier { zone: "b" spill: nan } } site { zone: "b" }`:         "sites.site[0].tier[0].spill",
 		site + ` refuse_first: "x" refuse_first: "x"`:                                 "sites.refuse_first[1]",
-		site + ` ramp_s: 4000`: "sites.ramp_s",
-		site + ` destination { number: 1 } destination { number: 1 }`:       "sites.destination[1].number",
-		site + ` destination { takes { zone: "c" rate: 1 } }`:               "sites.destination[0].takes[0].zone",
-		site + ` destination { takes { zone: "a" rate: -1 } }`:              "sites.destination[0].takes[0].rate",
-		site + ` destination { wanted { zone: "c" class: "x" rate: 1 } }`:   "sites.destination[0].wanted[0].zone",
-		site + ` destination { wanted { zone: "a" rate: 1 } }`:              "sites.destination[0].wanted[0].class",
-		site + ` destination { wanted { zone: "a" class: "x" rate: nan } }`: "sites.destination[0].wanted[0].rate",
+		site + ` ramp_s: 4000`:                                                        "sites.ramp_s",
+		site + ` destination { number: 1 } destination { number: 1 }`:                 "sites.destination[1].number",
+		site + ` destination { takes { zone: "c" rate: 1 } }`:                         "sites.destination[0].takes[0].zone",
+		site + ` destination { takes { zone: "a" rate: -1 } }`:                        "sites.destination[0].takes[0].rate",
+		site + ` destination { wanted { zone: "c" class: "x" rate: 1 } }`:             "sites.destination[0].wanted[0].zone",
+		site + ` destination { wanted { zone: "a" rate: 1 } }`:                        "sites.destination[0].wanted[0].class",
+		site + ` destination { wanted { zone: "a" class: "x" rate: nan } }`:           "sites.destination[0].wanted[0].rate",
 	} {
-		if _, err := Load(writeOperatorFile(t, "sites {\n"+text+"\n}"), 0); err == nil || !strings.Contains(err.Error(), key+":") || !strings.Contains(err.Error(), "line 2") {
+		if _, err := Load(writeOperatorFile(t, "sites {\n"+text+"\n}"), 0); err == nil ||
+			!strings.Contains(err.Error(), key+":") || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -20,55 +20,59 @@
 	"oatfold/policy"
 )
 
-// startSuccessor returns a process that takes over what is in folder, as one that has just got the baton.
+// startSuccessor returns a process that takes over what is in the state folder, as one that has
+// just received the leader lock.
 func startSuccessor(t *testing.T, dir string) *successor {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	folder, err := processdir.Open(dir, log)
+	stateDir, err := processdir.Open(dir, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := folder.OpenOwn(false)
+	processDir, err := stateDir.OpenOwn(false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(room.Path), Budget: 1 << 20, Log: log})
+	messageJournal, table, err := journal.Open(journal.Config{FS: journal.Dir(processDir.Path), Budget: 1 << 20, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, err := wire.NewHost(wire.HostConfig{Settings: policy.Settings{Relays: 1, MaxConcurrentCalls: 1, MaxPending: 9, MaxAttempts: 1, Tick: 1,
-		Classes: []policy.Class{{Name: "fee", Effect: policy.Unsafe, Ordered: true, TargetLatency: 1, Deadline: 1 << 40, Value: 1}}},
-		Table: table, Journal: kept, Standby: true, Log: log})
+	host, err := wire.NewHost(wire.HostConfig{Settings: policy.Settings{
+		Relays: 1, MaxConcurrentCalls: 1, MaxPending: 9, MaxAttempts: 1, Tick: 1,
+		Classes: []policy.Class{{Name: "fee", Effect: policy.Unsafe, Ordered: true, TargetLatency: 1,
+			Deadline: 1 << 40, Value: 1}}},
+		Table: table, Journal: messageJournal, Standby: true, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() { host.Run(stop); close(done) }()
-	t.Cleanup(func() { close(stop); <-done; kept.Close(); folder.Release(room, false) })
-	r := &relay{stateDir: folder, dir: room, host: host, log: log, config: &config.Config{DiskBytes: 1 << 20}}
+	t.Cleanup(func() { close(stop); <-done; messageJournal.Close(); stateDir.Release(processDir, false) })
+	r := &relay{stateDir: stateDir, dir: processDir, host: host, log: log, config: &config.Config{DiskBytes: 1 << 20}}
 	return &successor{r, context.Background(), map[string]bool{}, map[string]string{}}
 }
 
-// The latest news of each process stay in the spool, without the messages, until nobody leaves: a process that starts anew in the middle has to know
-// what the other one still owes.
+// The latest update of each process stays in the spool, without its messages, until no process is
+// leaving: a successor that is restarted meanwhile has to know what is still pending at the other
+// process.
 func TestLatestNewsStay(t *testing.T) {
 	dir := t.TempDir()
 	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	room, err := old.TryLock("")
-	if err != nil || room == nil {
-		t.Fatal(room, err)
+	processDir, err := old.TryLock("")
+	if err != nil || processDir == nil {
+		t.Fatal(processDir, err)
 	}
-	gives := func(owes string, msgs ...*memory.Message) {
+	transfer := func(pendingID string, messages ...*memory.Message) {
 		t.Helper()
-		news := handover.Update{PendingOrdered: []sequence.Message{{ID: owes, OrderingKey: "s", Number: 1}}}
-		if err := old.WriteTransfer(journal.EncodeTransfer(msgs, news.Encode(), clock.Scale{})); err != nil {
+		update := handover.Update{PendingOrdered: []sequence.Message{{ID: pendingID, OrderingKey: "s", Number: 1}}}
+		if err := old.WriteTransfer(journal.EncodeTransfer(messages, update.Encode(), clock.Scale{})); err != nil {
 			t.Fatal(err)
 		}
 	}
-	kept := func() (owes []string, msgs int) {
+	spoolContent := func() (pending []string, messages int) {
 		t.Helper()
 		for _, name := range old.Transfers() {
 			raw, err := old.ReadTransfer(name)
@@ -79,43 +83,43 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			news, err := handover.Decode(text)
+			update, err := handover.Decode(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range news.PendingOrdered {
-				owes = append(owes, m.ID)
+			for _, m := range update.PendingOrdered {
+				pending = append(pending, m.ID)
 			}
-			msgs += len(given)
+			messages += len(given)
 		}
-		return owes, msgs
+		return pending, messages
 	}
 	h := startSuccessor(t, dir)
-	gives("a", &memory.Message{Number: 2, ID: "m", Class: "fee", Body: []byte("x")})
-	for range 2 { // the second time it is known
+	transfer("a", &memory.Message{Number: 2, ID: "m", Class: "fee", Body: []byte("x")})
+	for range 2 { // the second time it has been adopted already
 		h.adoptTransfers(true)
-		if owes, msgs := kept(); len(owes) != 1 || owes[0] != "a" || msgs != 0 {
-			t.Fatalf("%v and %d messages stay, want a alone", owes, msgs)
+		if pending, messages := spoolContent(); len(pending) != 1 || pending[0] != "a" || messages != 0 {
+			t.Fatalf("%v and %d messages left, want only a", pending, messages)
 		}
 	}
-	gives("b")
+	transfer("b")
 	h.adoptTransfers(true)
-	if owes, _ := kept(); len(owes) != 1 || owes[0] != "b" {
-		t.Fatalf("%v stay, want b alone", owes)
+	if pending, _ := spoolContent(); len(pending) != 1 || pending[0] != "b" {
+		t.Fatalf("%v left, want only b", pending)
 	}
-	if held, _ := h.host.Load(); held != 1 {
-		t.Errorf("%d held", held)
+	if pending, _ := h.host.Load(); pending != 1 {
+		t.Errorf("%d pending", pending)
 	}
-	old.Release(room, false)
+	old.Release(processDir, false)
 	if h.takeOver() {
-		t.Error("somebody is said to leave")
+		t.Error("a process is still reported as leaving")
 	}
-	if owes, _ := kept(); len(owes) > 0 {
-		t.Errorf("%v stay at the end", owes)
+	if pending, _ := spoolContent(); len(pending) > 0 {
+		t.Errorf("%v left at the end", pending)
 	}
 }
 
-// Found by reading: a given file, or a room, that could not be read for a moment was left for good, and what it held was lost for this life.
+// Files and directories that can't be read for a moment are read again and adopted.
 func TestTakingOverOutlastsAMomentOfTrouble(t *testing.T) {
 	dir := t.TempDir()
 	journalState{successor: "-"}.write(t, dir, "")
@@ -123,14 +127,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := &memory.Message{Number: 3, ID: "given", Class: "fee", Dest: 1, Body: []byte("x"), Deadline: time.Now().Add(time.Hour)}
-	if err := old.WriteTransfer(journal.EncodeTransfer([]*memory.Message{other}, (&handover.Update{}).Encode(), clock.Scale{})); err != nil {
+	message := &memory.Message{Number: 3, ID: "given", Class: "fee", Dest: 1, Body: []byte("x"),
+		Deadline: time.Now().Add(time.Hour)}
+	if err := old.WriteTransfer(journal.EncodeTransfer(
+		[]*memory.Message{message}, (&handover.Update{}).Encode(), clock.Scale{})); err != nil {
 		t.Fatal(err)
 	}
 	segments, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
-	given, _ := filepath.Glob(filepath.Join(dir, "spool", "*.give"))
+	transfers, _ := filepath.Glob(filepath.Join(dir, "spool", "*.give"))
 	h := startSuccessor(t, dir)
-	for _, path := range append(segments, given...) {
+	for _, path := range append(segments, transfers...) {
 		if err := os.Rename(path, path+".away"); err != nil {
 			t.Fatal(err)
 		}
@@ -138,9 +144,9 @@
 			t.Fatal(err)
 		}
 	}
-	var tried sync.WaitGroup
-	tried.Go(func() {
-		for _, path := range append(segments, given...) { // well again, in one step
+	var repair sync.WaitGroup
+	repair.Go(func() {
+		for _, path := range append(segments, transfers...) { // repaired one by one
 			time.Sleep(30 * time.Millisecond)
 			if err := os.Rename(path+".away", path); err != nil {
 				t.Error(err)
@@ -148,8 +154,8 @@
 		}
 	})
 	h.takeOver()
-	tried.Wait()
-	if held, _ := h.host.Load(); held != 2 || len(h.unreadable) > 0 {
-		t.Errorf("%d of 2 messages are taken over, files left: %v", held, h.unreadable)
+	repair.Wait()
+	if pending, _ := h.host.Load(); pending != 2 || len(h.unreadable) > 0 {
+		t.Errorf("%d of 2 messages adopted, files left: %v", pending, h.unreadable)
 	}
 }
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -19,8 +19,8 @@
 	"oatfold/internal/standin"
 )
 
-// bin is the real relay, built when it is first needed.
-var bin = sync.OnceValues(func() (string, error) {
+// buildRelay builds the relay when it is first needed and returns the path of the program.
+var buildRelay = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "relay")
 	if err != nil {
 		return "", err
@@ -28,9 +28,9 @@
 	return standin.Build(dir)
 })
 
-func world(t *testing.T, set standin.Config) (*standin.World, *standin.Relay) {
+func startWorld(t *testing.T, set standin.Config) (*standin.World, *standin.Relay) {
 	t.Helper()
-	program, err := bin()
+	program, err := buildRelay()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,50 +46,52 @@
 	return w, r
 }
 
-// load is clients that hand in all classes, until they are told to stop.
-type load struct {
-	w    *standin.World
-	all  sync.WaitGroup
-	stop atomic.Bool
+// clientLoad is a set of clients that submit messages of all classes until they are stopped.
+type clientLoad struct {
+	w       *standin.World
+	clients sync.WaitGroup
+	stop    atomic.Bool
 
 	mu      sync.Mutex
-	results map[string]client.Result // by the message's name
+	results map[string]client.Result // by name of the message
 }
 
-func start(t *testing.T, w *standin.World, addr string) *load {
-	l := &load{w: w, results: map[string]client.Result{}}
+func startLoad(t *testing.T, w *standin.World, addr string) *clientLoad {
+	l := &clientLoad{w: w, results: map[string]client.Result{}}
 	for lane := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		l.all.Go(func() {
+		l.clients.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
 				class := standin.Classes[(lane+n)%3].Name
 				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
-				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2, TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
+				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2,
+					TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
 				l.mu.Lock()
 				l.results[name] = res
 				l.mu.Unlock()
-				time.Sleep(2 * time.Millisecond) // more would only fill the hold
+				time.Sleep(2 * time.Millisecond) // a higher rate would only fill the relay
 			}
 		})
 	}
 	return l
 }
 
-// end stops the clients, waits until all that was taken on has ended, and checks that each did so once.
-func (l *load) end(t *testing.T, log func() string) map[client.Outcome]int {
+// finish stops the clients, waits until all accepted messages have completed, and checks that each
+// did so once.
+func (l *clientLoad) finish(t *testing.T, log func() string) map[client.Outcome]int {
 	t.Helper()
 	l.stop.Store(true)
-	l.all.Wait()
-	did := map[string]int{}
-	if err := l.w.Until("all that was taken on to end", func() bool {
-		did = l.w.Ledger.Count()
-		told := l.w.Platform.Notices()
+	l.clients.Wait()
+	effects := map[string]int{}
+	if err := l.w.Until("all accepted messages to complete", func() bool {
+		effects = l.w.Ledger.Count()
+		notified := l.w.Platform.Notices()
 		for name, res := range l.results {
-			if _, ended := told[res.ID]; res.Outcome == client.Taken && did[name] == 0 && !ended {
+			if _, completed := notified[res.ID]; res.Outcome == client.Taken && effects[name] == 0 && !completed {
 				return false
 			}
 		}
@@ -98,24 +100,28 @@
 		t.Fatalf("%v\n%s", err, log())
 	}
 	if doubles := l.w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
-		t.Errorf("charges ran twice: %v", doubles)
+		t.Errorf("charges were executed twice: %v", doubles)
 	}
 	counts := map[client.Outcome]int{}
 	for name, res := range l.results {
-		if counts[res.Outcome]++; did[name] > 0 && res.Outcome == client.Refused {
-			t.Errorf("%s was refused and ran: %+v", name, res)
+		if counts[res.Outcome]++; effects[name] > 0 && res.Outcome == client.Refused {
+			t.Errorf("%s was rejected and executed: %+v", name, res)
 		}
 	}
 	return counts
 }
 
-var partners = []standin.PartnerConfig{{Dest: 1, Serve: 5 * time.Millisecond}, {Dest: 2, Kind: "broker", Serve: 40 * time.Millisecond}}
+var partners = []standin.PartnerConfig{
+	{Dest: 1, Serve: 5 * time.Millisecond},
+	{Dest: 2, Kind: "broker", Serve: 40 * time.Millisecond},
+}
 
-// Upgrades in a row under load: the old process exits with 0 once the new one serves, nobody is turned away unheard, each message ends
-// once, no charge runs twice; a drain goes on in the new process.
+// Several upgrades under load: the old process exits with 0 once the new one serves, no message is
+// rejected, each completes once, no charge is executed twice, and a drain continues in the new
+// process.
 func TestUpgradeUnderLoad(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
-	l := start(t, w, r.Addr)
+	w, r := startWorld(t, standin.Config{Partners: partners})
+	l := startLoad(t, w, r.Addr)
 	const upgrades = 4
 	for range upgrades {
 		next, err := r.Beside()
@@ -138,7 +144,7 @@
 			t.Fatal(r.Log())
 		}
 	}
-	counts := l.end(t, r.Log)
+	counts := l.finish(t, r.Log)
 	if counts[client.Taken] < 100 || counts[client.Taken] < len(l.results) {
 		t.Errorf("%v\n%s", counts, r.Log())
 	}
@@ -155,113 +161,116 @@
 		t.Fatalf("%v\n%s", err, next.Log())
 	}
 	for _, want := range []int{503, 200} {
-		if got := ready(next.Addr); got != want {
+		if got := readyStatus(next.Addr); got != want {
 			t.Errorf("GET /ready: %d, want %d", got, want)
 		}
 		next.Call("PUT", "/healthcheck/ok")
 	}
 	if err := next.Stop(); err != nil || next.Logged("handed over") != 0 {
-		t.Errorf("planned stop with nobody beside: %v", err)
+		t.Errorf("planned stop without a standby: %v", err)
 	}
 	entries, _ := os.ReadDir(r.State)
 	lives := slices.DeleteFunc(entries, func(e os.DirEntry) bool { return !strings.HasPrefix(e.Name(), "life-") })
 	if len(lives) > 1 {
-		t.Errorf("rooms that nobody needs stay: %v", lives)
+		t.Errorf("unused process directories left: %v", lives)
 	}
 }
 
-func ready(addr string) int {
+func readyStatus(addr string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Minute)) // a bound for a hang
+	c.SetDeadline(time.Now().Add(time.Minute)) // limits a hang
 	fmt.Fprint(c, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
 	var status int
 	fmt.Fscanf(c, "HTTP/1.1 %d", &status)
 	return status
 }
 
-// Either process is killed at drawn moments of an upgrade: what was told 202 ends, no charge runs twice, and somebody serves again.
+// Either process is killed at random moments of an upgrade: messages answered with 202 complete, no
+// charge is executed twice, and one process serves afterwards.
 func TestUpgradeKilledAtAnyMoment(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
-	l := start(t, w, r.Addr)
+	w, r := startWorld(t, standin.Config{Partners: partners})
+	l := startLoad(t, w, r.Addr)
 	random := rand.New(rand.NewPCG(20, 26))
-	soon := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
+	randomDelay := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
 	for round := range 10 {
 		next, err := r.Beside()
 		if err != nil {
 			t.Fatal(err)
 		}
-		kind := round % 5
-		if kind > 0 {
+		scenario := round % 5
+		if scenario > 0 {
 			if err := next.Await("standing by"); err != nil {
 				t.Fatal(err)
 			}
 		}
-		switch kind {
-		case 0: // the new one before its yes: the old one serves on
-			soon()
+		switch scenario {
+		case 0: // the new one before it stands by: the old one continues
+			randomDelay()
 			next.Kill()
 			next = r
-		case 1: // the new one after its yes
+		case 1: // the new one while it stands by
 			next.Kill()
 			next = r
-		case 2: // the old one as it leaves
+		case 2: // the old one while it leaves
 			r.Signal(syscall.SIGTERM)
-			soon()
+			randomDelay()
 			r.Kill()
 			err = next.Await("msg=ready")
-		case 3: // the new one as it takes over
+		case 3: // the new one while it takes over
 			r.Signal(syscall.SIGTERM)
-			soon()
+			randomDelay()
 			next.Kill()
 			if e := r.Wait(); e != nil {
 				t.Errorf("old process: %v\n%s", e, r.Log())
 			}
 			err = next.Start()
-		case 4: // the old one without a word
+		case 4: // the old one without notice
 			r.Kill()
 			err = next.Await("msg=ready")
 		}
 		if err != nil {
 			t.Fatalf("round %d: %v\n%s", round, err, next.Log())
 		}
-		if r = next; ready(r.Addr) != 200 {
-			t.Fatalf("round %d: nobody serves\n%s", round, r.Log())
+		if r = next; readyStatus(r.Addr) != 200 {
+			t.Fatalf("round %d: no process serves\n%s", round, r.Log())
 		}
 	}
-	counts := l.end(t, r.Log)
+	counts := l.finish(t, r.Log)
 	if counts[client.Taken] < 100 {
 		t.Errorf("%v\n%s", counts, r.Log())
 	}
 	t.Logf("%v", counts)
 }
 
-// handIn hands a charge about a subject in, under that id, on a connection of its own, and returns the status.
-func handIn(addr, id, subject string) (status int) {
+// submitCharge submits a charge with that id and ordering key on a connection of its own, and
+// returns the status.
+func submitCharge(addr, id, key string) (status int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Minute)) // a bound for a hang
+	c.SetDeadline(time.Now().Add(time.Minute)) // limits a hang
 	fmt.Fprintf(c, "POST /fee-charge?subject=%s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 19000\r\nEnvelope: dest=1\r\n"+
-		"Content-Length: 13\r\nConnection: close\r\n\r\nfee-charge/%s", subject, id, id)
+		"Content-Length: 13\r\nConnection: close\r\n\r\nfee-charge/%s", key, id, id)
 	fmt.Fscanf(c, "HTTP/1.1 %d", &status)
 	return status
 }
 
-// A successor that is killed while it holds messages back behind a call of the old process, and starts again, still holds them back, and those of a subject
-// go in the order of hand-in over all three.
+// A successor holds back messages behind a call of the old process, is killed and starts again: it
+// still holds them back, and the messages of an ordering key are sent in the order of submission
+// across all three processes.
 func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
 	classes := slices.Clone(standin.Classes)
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
-	came, held := make(chan struct{}, 1), make(chan struct{})
-	release := sync.OnceFunc(func() { close(held) })
+	callStarted, hold := make(chan struct{}, 1), make(chan struct{})
+	release := sync.OnceFunc(func() { close(hold) })
 	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, Watch: func(c standin.Call) {
 		if c.Ended {
 			return
@@ -270,14 +279,14 @@
 		calls = append(calls, c.IDs...)
 		mu.Unlock()
 		select {
-		case came <- struct{}{}:
+		case callStarted <- struct{}{}:
 		default:
 		}
 		if c.IDs[0] == "id-a" {
-			<-held
+			<-hold
 		}
 	}}}}
-	w, old := world(t, set)
+	w, old := startWorld(t, set)
 	t.Cleanup(release)
 	called := func(id string) bool {
 		mu.Lock()
@@ -288,21 +297,21 @@
 		t.Helper()
 		for !called(id) {
 			select {
-			case <-came:
-			case <-time.After(time.Minute): // a bound for a hang
+			case <-callStarted:
+			case <-time.After(time.Minute): // limits a hang
 				t.Fatalf("no call of %s\n%s", id, log())
 			}
 		}
 	}
-	take := func(id, subject string) {
+	submit := func(id, key string) {
 		t.Helper()
-		if status := handIn(old.Addr, id, subject); status != 202 {
+		if status := submitCharge(old.Addr, id, key); status != 202 {
 			t.Fatalf("%s was answered %d", id, status)
 		}
 	}
-	take("id-a", "s")
+	submit("id-a", "s")
 	await("id-a", old.Log)
-	take("id-b", "s")
+	submit("id-b", "s")
 	next, err := old.Beside()
 	if err == nil {
 		err = next.Await("standing by")
@@ -316,46 +325,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	take("id-c", "s")
+	submit("id-c", "s")
 	next.Kill()
 	if err := next.Start(); err != nil {
 		t.Fatal(err)
 	}
-	take("id-d", "s")
-	for _, id := range []string{"mark-1", "mark-2"} { // what may go out has gone when the second one goes
-		take(id, id)
+	submit("id-d", "s")
+	for _, id := range []string{"mark-1", "mark-2"} { // once the second one is sent, everything that may be sent was
+		submit(id, id)
 		await(id, next.Log)
 	}
 	mu.Lock()
-	if _, over := w.Platform.Notices()["id-a"]; !over && len(calls) != 3 {
-		t.Errorf("called %v while the first one is out", calls)
+	if _, completed := w.Platform.Notices()["id-a"]; !completed && len(calls) != 3 {
+		t.Errorf("called %v while the first one is in flight", calls)
 	}
 	mu.Unlock()
 	release()
 	await("id-d", next.Log)
 	mu.Lock()
 	defer mu.Unlock()
-	if got := slices.DeleteFunc(calls, func(id string) bool { return strings.HasPrefix(id, "mark") }); !slices.Equal(got, []string{"id-a", "id-b", "id-c", "id-d"}) {
+	if got := slices.DeleteFunc(calls, func(id string) bool {
+		return strings.HasPrefix(id, "mark")
+	}); !slices.Equal(got, []string{"id-a", "id-b", "id-c", "id-d"}) {
 		t.Errorf("called %v", got)
 	}
 }
 
-// The figures against the ledger: refusals of a full hold, batches, resets, partners that fail and that say nothing, notices, and messages of an earlier life.
-func TestFiguresMatchTheLedger(t *testing.T) {
-	var tried atomic.Int64
+// Compares the metrics with the effect log: rejections when the relay is full, batches, resets,
+// partners that fail or do not answer, notifications, and messages of an earlier run.
+func TestMetricsMatchEffectLog(t *testing.T) {
+	var attempts atomic.Int64
 	watch := func(c standin.Call) {
 		if !c.Ended {
-			tried.Add(int64(len(c.IDs)))
+			attempts.Add(int64(len(c.IDs)))
 		}
 	}
-	w, r := world(t, standin.Config{Hold: 30, Slots: 8, Partners: []standin.PartnerConfig{{Dest: 1, Serve: time.Millisecond, Watch: watch},
+	w, r := startWorld(t, standin.Config{Hold: 30, Slots: 8, Partners: []standin.PartnerConfig{
+		{Dest: 1, Serve: time.Millisecond, Watch: watch},
 		{Dest: 2, Kind: "broker", Serve: 20 * time.Millisecond, Watch: watch}, {Dest: 3, Watch: watch}}})
 	w.Partners[1].Set(standin.Broken, 0.2)
 	w.Partners[3].Set(standin.Refusing, 1)
 	if all, err := r.Figures(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
 		t.Fatalf("at the start: %v, %v", all, err)
 	}
-	refused, handedIn := map[string]int{}, 0
+	rejected, submitted := map[string]int{}, 0
 	send := func(n int) {
 		var lanes sync.WaitGroup
 		var mu sync.Mutex
@@ -368,11 +381,12 @@
 				}
 				for i := lane; i < n; i += 8 {
 					class := standin.Classes[i%3].Name
-					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3, TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
+					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3,
+						TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
 					mu.Lock()
-					if handedIn++; res.Outcome == client.Refused {
-						refused[class]++
-						c.Close() // a told wait binds what comes after it
+					if submitted++; res.Outcome == client.Refused {
+						rejected[class]++
+						c.Close() // a Retry-After binds later messages of the client
 						c, _ = client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 					}
 					mu.Unlock()
@@ -382,7 +396,7 @@
 		}
 		lanes.Wait()
 	}
-	check := func(what string, ended, refused, tried int, before map[string]int) {
+	check := func(what string, completed, rejected, attempts int, before map[string]int) {
 		t.Helper()
 		all, err := r.Figures()
 		if err != nil {
@@ -390,77 +404,82 @@
 		}
 		sum := map[string]int{}
 		for name, n := range all {
-			figure, _, _ := strings.Cut(name, "{")
-			sum[figure] += n
+			metric, _, _ := strings.Cut(name, "{")
+			sum[metric] += n
 		}
-		did := map[string]int{}
+		effects := map[string]int{}
 		for _, e := range w.Ledger.Effects() {
-			did[strings.Split(e.Name, "/")[0]]++
+			effects[strings.Split(e.Name, "/")[0]]++
 		}
 		for _, c := range standin.Classes {
-			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], did[c.Name]-before[c.Name]; got != want {
-				t.Errorf("%s: %d passed of %s, the ledger has %d", what, got, c.Name, want)
+			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], effects[c.Name]-before[c.Name]; got != want {
+				t.Errorf("%s: %d passed of %s, the effect log has %d", what, got, c.Name, want)
 			}
 		}
-		if sum["passed"]+sum["dropped"]+sum["bad_gateway"] != ended+refused || sum["in_progress"] != 0 || sum["known_endpoints"] != 3 || sum["upstream_tries"] != tried {
-			t.Errorf("%s: %v; %d ended, %d refused, %d tried\n%s", what, sum, ended, refused, tried, r.Log())
+		if sum["passed"]+sum["dropped"]+sum["bad_gateway"] != completed+rejected || sum["in_progress"] != 0 ||
+			sum["known_endpoints"] != 3 || sum["upstream_tries"] != attempts {
+			t.Errorf("%s: %v; %d completed, %d rejected, %d attempts\n%s", what, sum, completed, rejected, attempts, r.Log())
 		}
 	}
-	settled := func(ended int) {
+	waitCompleted := func(completed int) {
 		t.Helper()
-		if err := w.Until("all to end", func() bool {
+		if err := w.Until("all to complete", func() bool {
 			all, err := r.Figures()
-			return err == nil && all["in_progress"] == 0 && w.Ledger.Len()+len(w.Platform.Notices()) >= ended
+			return err == nil && all["in_progress"] == 0 && w.Ledger.Len()+len(w.Platform.Notices()) >= completed
 		}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	send(200)
 	total := func() (n int) {
-		for _, v := range refused {
+		for _, v := range rejected {
 			n += v
 		}
 		return n
 	}
-	settled(handedIn - total())
-	check("first life", handedIn-total(), total(), int(tried.Load()), map[string]int{})
+	waitCompleted(submitted - total())
+	check("first run", submitted-total(), total(), int(attempts.Load()), map[string]int{})
 	if total() == 0 || len(w.Platform.Notices()) == 0 {
-		t.Errorf("%d refused, %d notices: nothing was tested", total(), len(w.Platform.Notices()))
+		t.Errorf("%d rejected, %d notifications: nothing was tested", total(), len(w.Platform.Notices()))
 	}
 
-	// What an earlier life left is counted by the one that ends it.
+	// Messages of an earlier run are counted by the run that completes them.
 	w.Partners[1].Set(standin.Refusing, 1)
 	w.Partners[2].Set(standin.Refusing, 1)
-	wasIn, wasRefused := handedIn, total()
+	submittedBefore, rejectedBefore := submitted, total()
 	before := map[string]int{}
 	for _, e := range w.Ledger.Effects() {
 		before[strings.Split(e.Name, "/")[0]]++
 	}
 	send(15)
-	left := handedIn - wasIn - (total() - wasRefused)
+	remaining := submitted - submittedBefore - (total() - rejectedBefore)
 	r.Kill()
-	triedBefore := int(tried.Load())
+	attemptsBefore := int(attempts.Load())
 	w.Partners[2].Set(standin.Well, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
-	settled(wasIn - wasRefused + left)
-	if left == 0 {
-		t.Error("nothing was left")
+	waitCompleted(submittedBefore - rejectedBefore + remaining)
+	if remaining == 0 {
+		t.Error("no messages were left")
 	}
-	check("second life", left, 0, int(tried.Load())-triedBefore, before)
+	check("second run", remaining, 0, int(attempts.Load())-attemptsBefore, before)
 }
 
-// Addresses that are taken end the start with one line that names the key, and the state folder of whoever serves there is not touched.
-func TestStartRefusedWhereAddressesAreTaken(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // as an earlier version listens
+// A start with an address that is in use fails with one line that names the key, and does not touch
+// the state folder of the process that serves there.
+func TestStartFailsOnUsedAddress(t *testing.T) {
+	w, r := startWorld(t, standin.Config{Partners: partners})
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // the way earlier versions listen
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	taken := ln.Addr().String()
-	for key, set := range map[string]func(*standin.Relay){"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.Admin = taken }, "listen:": func(n *standin.Relay) { n.Addr = taken }} {
+	usedAddr := ln.Addr().String()
+	for key, set := range map[string]func(*standin.Relay){
+		"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.Admin = usedAddr },
+		"listen:":              func(n *standin.Relay) { n.Addr = usedAddr },
+	} {
 		n, err := w.NewRelay()
 		if err != nil {
 			t.Fatal(err)
@@ -474,18 +493,18 @@
 			t.Errorf("%s: %v: %q", key, err, text)
 		}
 		if entries, _ := os.ReadDir(n.State); len(entries) > 0 {
-			t.Errorf("%s: the folder holds %v", key, entries)
+			t.Errorf("%s: the folder contains %v", key, entries)
 		}
 	}
-	if ready(r.Addr) != 200 {
-		t.Error("the relay that serves was disturbed")
+	if readyStatus(r.Addr) != 200 {
+		t.Error("the relay that serves was affected")
 	}
 }
 
-// A third process stands by as the second does; whoever is left takes over, each time.
+// A third process stands by like the second; one of those that are left takes over each time.
 func TestThirdProcessStandsBy(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
-	l := start(t, w, r.Addr)
+	w, r := startWorld(t, standin.Config{Partners: partners})
+	l := startLoad(t, w, r.Addr)
 	procs := []*standin.Relay{r}
 	for range 2 {
 		n, err := r.Beside()
@@ -500,7 +519,9 @@
 	if err := r.Stop(); err != nil || r.Logged("handed over") != 1 {
 		t.Fatalf("%v\n%s", err, r.Log())
 	}
-	if err := w.Until("a successor", func() bool { return procs[1].Logged("msg=ready")+procs[2].Logged("msg=ready") == 1 }); err != nil {
+	if err := w.Until("a successor", func() bool {
+		return procs[1].Logged("msg=ready")+procs[2].Logged("msg=ready") == 1
+	}); err != nil {
 		t.Fatal(err)
 	}
 	first, second := procs[1], procs[2]
@@ -511,7 +532,7 @@
 	if err := second.Await("msg=ready"); err != nil {
 		t.Fatal(err)
 	}
-	if counts := l.end(t, second.Log); counts[client.Taken] < 20 {
+	if counts := l.finish(t, second.Log); counts[client.Taken] < 20 {
 		t.Errorf("%v", counts)
 	}
 	if err := second.Stop(); err != nil {
@@ -519,36 +540,42 @@
 	}
 }
 
-// An upgrade while the folder is full, with all that is held in it: nothing is lost, nothing new is promised that can't be kept, the budget holds over both.
-func TestUpgradeWithAFullFolder(t *testing.T) {
-	for name, leave := range map[string]func(*standin.Relay) error{"told": (*standin.Relay).Stop, "killed": func(r *standin.Relay) error { r.Kill(); return nil }} {
-		t.Run(name, func(t *testing.T) { upgradeFull(t, leave) })
+// An upgrade while the state folder is full: no message is lost, none is accepted that can't be
+// stored, and both processes together stay within the disk limit.
+func TestUpgradeWithFullFolder(t *testing.T) {
+	for name, stopRelay := range map[string]func(*standin.Relay) error{
+		"told":   (*standin.Relay).Stop,
+		"killed": func(r *standin.Relay) error { r.Kill(); return nil },
+	} {
+		t.Run(name, func(t *testing.T) { testUpgradeWithFullFolder(t, stopRelay) })
 	}
 }
 
-func upgradeFull(t *testing.T, leave func(*standin.Relay) error) {
+func testUpgradeWithFullFolder(t *testing.T, stopRelay func(*standin.Relay) error) {
 	const budget = 300_000
-	// A destination that refused connections is tried again some 11 s later, on a busy machine 17 s: messages outlast that.
+	// A destination that refused connections is retried up to 17 s later on a busy machine.
 	classes := slices.Clone(standin.Classes)
 	for i := range classes {
 		classes[i].Deadline = time.Minute
 	}
-	w, r := world(t, standin.Config{DiskMB: budget / 1e6, Hold: 400, Classes: classes, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w, r := startWorld(t, standin.Config{DiskMB: budget / 1e6, Hold: 400, Classes: classes,
+		Partners: []standin.PartnerConfig{{Dest: 7}}})
 	w.Partners[7].Set(standin.Refusing, 1)
-	taken := map[string]client.Result{}
-	refused := false
-	for n := 0; !refused; n++ {
+	accepted := map[string]client.Result{}
+	rejected := false
+	for n := 0; !rejected; n++ {
 		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		class := []string{"fee-charge", "order-relay"}[n%2] // no charge is the first into a destination that was out
+		class := []string{"fee-charge", "order-relay"}[n%2] // a charge is never the first call to a destination that was down
 		name := fmt.Sprint(class, "/", n)
-		res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 7, TimeLeft: 59 * time.Second, Body: fmt.Appendf(nil, "%s\n%02000d", name, 0)})
+		res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 7, TimeLeft: 59 * time.Second,
+			Body: fmt.Appendf(nil, "%s\n%02000d", name, 0)})
 		if c.Close(); res.Outcome == client.Taken {
-			taken[name] = res
+			accepted[name] = res
 		}
-		refused = res.Outcome == client.Refused
+		rejected = res.Outcome == client.Refused
 	}
 	size := func() (n int64) {
 		filepath.WalkDir(r.State, func(_ string, e os.DirEntry, _ error) error {
@@ -564,19 +591,19 @@
 		err = next.Await("standing by")
 	}
 	if n := size(); n > budget {
-		t.Errorf("beside one that stands by the folder holds %d bytes", n)
+		t.Errorf("with a standby process the folder contains %d bytes", n)
 	}
-	if err != nil || leave(r) != nil || next.Await("msg=ready") != nil {
+	if err != nil || stopRelay(r) != nil || next.Await("msg=ready") != nil {
 		t.Fatalf("%v\n%s", err, next.Log())
 	}
 	if n := size(); n > budget {
-		t.Errorf("after the hand-over the folder holds %d bytes", n)
+		t.Errorf("after the handover the folder contains %d bytes", n)
 	}
 	w.Partners[7].Set(standin.Well, 1)
-	if err := w.Until("all to end", func() bool {
-		did, told := w.Ledger.Count(), w.Platform.Notices()
-		for name, res := range taken {
-			if did[name] == 0 && told[res.ID].Outcome == "" {
+	if err := w.Until("all to complete", func() bool {
+		effects, notified := w.Ledger.Count(), w.Platform.Notices()
+		for name, res := range accepted {
+			if effects[name] == 0 && notified[res.ID].Outcome == "" {
 				return false
 			}
 		}
@@ -584,18 +611,19 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, next.Log())
 	}
-	if d := w.Ledger.Doubles("fee-charge"); len(d) > 0 || len(taken) < 10 || w.Ledger.Len() < len(taken)/2 {
-		t.Errorf("%d taken, %d ran, doubles %v\n%s", len(taken), w.Ledger.Len(), d, next.Log())
+	if d := w.Ledger.Doubles("fee-charge"); len(d) > 0 || len(accepted) < 10 || w.Ledger.Len() < len(accepted)/2 {
+		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.Ledger.Len(), d, next.Log())
 	}
 	if n := size(); n > budget {
-		t.Errorf("at the end the folder holds %d bytes", n)
+		t.Errorf("at the end the folder contains %d bytes", n)
 	}
-	t.Logf("%d held over the upgrade, %d ran, folder %d bytes after it", len(taken), w.Ledger.Len(), size())
+	t.Logf("%d pending during the upgrade, %d executed, folder %d bytes after it", len(accepted), w.Ledger.Len(), size())
 }
 
-// A drain outlasts a reload, and a planned stop during a drain ends with 0; told twice it is one drain.
-func TestDrainThenReloadThenStop(t *testing.T) {
-	_, r := world(t, standin.Config{Partners: partners})
+// A drain survives a reload, and a planned stop during a drain exits with 0. A second drain request
+// has no further effect.
+func TestDrainSurvivesReload(t *testing.T) {
+	_, r := startWorld(t, standin.Config{Partners: partners})
 	for range 2 {
 		if status, _, err := r.Call("PUT", "/healthcheck/fail"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
@@ -606,7 +634,7 @@
 		t.Fatal(err)
 	}
 	health, _, _ := r.Call("GET", "/healthcheck")
-	if got := ready(r.Addr); got != 503 || health != 200 {
+	if got := readyStatus(r.Addr); got != 503 || health != 200 {
 		t.Errorf("drained and reloaded: GET /ready %d, health %d", got, health)
 	}
 	if err := r.Stop(); err != nil || r.Logged("msg=stopped") != 1 {
@@ -614,24 +642,24 @@
 	}
 }
 
-// A drain outlasts a crash, and a planned stop ends it; ok ends it too.
-func TestDrainOutlastsACrash(t *testing.T) {
-	_, r := world(t, standin.Config{Partners: partners})
+// A drain survives a crash; a planned stop or an ok ends it.
+func TestDrainSurvivesCrash(t *testing.T) {
+	_, r := startWorld(t, standin.Config{Partners: partners})
 	call := func(path string) {
 		t.Helper()
 		if status, _, err := r.Call("PUT", path); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
-	marked := func(want bool) {
+	waitDrainMark := func(want bool) {
 		t.Helper()
-		for n := 0; n < 2000; n++ { // the mark follows the answer
+		for n := 0; n < 2000; n++ { // the record is written after the reply
 			if _, err := os.Stat(filepath.Join(r.State, "drained")); (err == nil) == want {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Fatalf("marked as drained: not %v", want)
+		t.Fatalf("recorded as drained: not %v", want)
 	}
 	start := func() {
 		t.Helper()
@@ -640,27 +668,27 @@
 		}
 	}
 	call("/healthcheck/fail")
-	marked(true)
+	waitDrainMark(true)
 	r.Kill()
 	start()
-	if got := ready(r.Addr); got != 503 {
+	if got := readyStatus(r.Addr); got != 503 {
 		t.Errorf("drained and killed: GET /ready %d", got)
 	}
 	call("/healthcheck/ok")
-	marked(false)
+	waitDrainMark(false)
 	r.Kill()
 	start()
-	if got := ready(r.Addr); got != 200 {
-		t.Errorf("back at work and killed: GET /ready %d", got)
+	if got := readyStatus(r.Addr); got != 200 {
+		t.Errorf("drain ended and killed: GET /ready %d", got)
 	}
 	call("/healthcheck/fail")
-	marked(true)
+	waitDrainMark(true)
 	if err := r.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	marked(false)
+	waitDrainMark(false)
 	start()
-	if got := ready(r.Addr); got != 200 {
+	if got := readyStatus(r.Addr); got != 200 {
 		t.Errorf("drained and stopped as planned: GET /ready %d", got)
 	}
 }
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -11,76 +11,79 @@
 	"oatfold/internal/standin"
 )
 
-// promises is what became of the messages of a day, by their ids.
-type promises struct {
-	mu     sync.Mutex
-	called map[string]int // in which order the first calls came
-	ran    map[string]time.Time
-	given  map[string]time.Time // notices
-	out    int
-	most   int // calls at once
+// messageTracker records what became of messages, by their ids.
+type messageTracker struct {
+	mu          sync.Mutex
+	firstCalls  map[string]int // order of the first calls
+	delivered   map[string]time.Time
+	notified    map[string]time.Time // times of outcome notifications
+	inFlight    int
+	maxInFlight int
 }
 
-func (p *promises) call(c standin.Call) {
+func (p *messageTracker) recordCall(c standin.Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Ended {
-		p.out--
+		p.inFlight--
 	} else {
-		p.out++
-		p.most = max(p.most, p.out)
+		p.inFlight++
+		p.maxInFlight = max(p.maxInFlight, p.inFlight)
 	}
 	for _, id := range c.IDs {
-		if _, there := p.called[id]; !there {
-			p.called[id] = len(p.called)
+		if _, there := p.firstCalls[id]; !there {
+			p.firstCalls[id] = len(p.firstCalls)
 		}
 		if c.Ended && c.OK {
-			p.ran[id] = time.Now()
+			p.delivered[id] = time.Now()
 		}
 	}
 }
 
-// A day with processes: a relay with many untried messages, and most of their time left, is killed twice. What it had taken on is tried, in
-// its order and no more at once than it has slots; none whose destination takes calls is given up early without a call. Told beside it: how
-// many are taken on, as their clients hear it, only after their delivery.
+// A relay with many pending messages that have most of their time left is killed twice. Accepted
+// messages are attempted, within the limit of concurrent calls; none whose destination works is
+// given up early without a call.
 func TestTakenOnIsTried(t *testing.T) {
-	const messages, lanes, slots, left = 280, 8, 4, 6 * time.Second
-	p := &promises{called: map[string]int{}, ran: map[string]time.Time{}, given: map[string]time.Time{}}
-	w, r := world(t, standin.Config{Seed: 5, Slots: slots, Partners: []standin.PartnerConfig{
-		{Dest: 1, Serve: 60 * time.Millisecond, Watch: p.call}, {Dest: 2, Serve: 60 * time.Millisecond, Watch: p.call}}})
+	const messages, clients, concurrency, timeLeft = 280, 8, 4, 6 * time.Second
+	p := &messageTracker{firstCalls: map[string]int{}, delivered: map[string]time.Time{},
+		notified: map[string]time.Time{}}
+	w, r := startWorld(t, standin.Config{Seed: 5, Slots: concurrency, Partners: []standin.PartnerConfig{
+		{Dest: 1, Serve: 60 * time.Millisecond, Watch: p.recordCall},
+		{Dest: 2, Serve: 60 * time.Millisecond, Watch: p.recordCall}}})
 	w.Platform.Watch(func(n standin.Notice) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.given[n.Message] = time.Now()
+		p.notified[n.Message] = time.Now()
 	})
-	type handed struct {
+	type submission struct {
 		client.Result
-		began, told time.Time
+		submittedAt, repliedAt time.Time
 	}
-	results := make([]handed, messages)
+	results := make([]submission, messages)
 	var all sync.WaitGroup
-	for lane := range lanes {
+	for first := range clients {
 		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
 		all.Go(func() {
-			for n := lane; n < messages; n += lanes {
-				h := handed{began: time.Now()}
+			for n := first; n < messages; n += clients {
+				h := submission{submittedAt: time.Now()}
 				class := "price-alert"
 				if n%10 == 0 {
 					class = "fee-charge"
 				}
-				h.Result, _ = c.Send(context.Background(), client.Message{Class: class, Dest: 1 + n/lanes%2, TimeLeft: left, Body: fmt.Appendf(nil, "%s/%d\n", class, n)})
-				h.told = time.Now()
+				h.Result, _ = c.Send(context.Background(), client.Message{Class: class, Dest: 1 + n/clients%2, TimeLeft: timeLeft,
+					Body: fmt.Appendf(nil, "%s/%d\n", class, n)})
+				h.repliedAt = time.Now()
 				results[n] = h
 			}
 		})
 	}
 	all.Wait()
-	for life := range 2 {
-		if err := w.Until("calls of this life", func() bool { return w.Ledger.Len() >= 10*(life+1) }); err != nil {
+	for run := range 2 {
+		if err := w.Until("calls of this run", func() bool { return w.Ledger.Len() >= 10*(run+1) }); err != nil {
 			t.Fatal(err)
 		}
 		r.Kill()
@@ -88,13 +91,14 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Until("all that was taken on to end", func() bool {
-		did := w.Ledger.Count()
+	if err := w.Until("all accepted messages to complete", func() bool {
+		effects := w.Ledger.Count()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for n, h := range results {
-			_, told := p.given[h.ID]
-			if h.Outcome == client.Taken && !told && did[fmt.Sprintf("price-alert/%d", n)]+did[fmt.Sprintf("fee-charge/%d", n)] == 0 {
+			_, notified := p.notified[h.ID]
+			if h.Outcome == client.Taken && !notified &&
+				effects[fmt.Sprintf("price-alert/%d", n)]+effects[fmt.Sprintf("fee-charge/%d", n)] == 0 {
 				return false
 			}
 		}
@@ -104,37 +108,40 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	taken, tried, early, late, cut, after := 0, 0, 0, 0, 0, 0
+	accepted, attempted, early, late, cutOff, repliedLate := 0, 0, 0, 0, 0, 0
 	for n, h := range results {
 		if h.Outcome != client.Taken {
 			continue
 		}
-		taken++
-		ran, was := p.ran[h.ID]
-		if was && ran.Before(h.told) {
-			after++
+		accepted++
+		deliveredAt, ok := p.delivered[h.ID]
+		if ok && deliveredAt.Before(h.repliedAt) {
+			repliedLate++
 		}
-		_, called := p.called[h.ID]
-		switch at, told := p.given[h.ID]; {
-		case called:
-			tried++
-		case told && n%10 == 0:
-			cut++ // killed between a charge's record and its call: it may have run
-		case told && at.Before(h.began.Add(left*7/10)):
+		_, attempt := p.firstCalls[h.ID]
+		switch notifiedAt, notified := p.notified[h.ID]; {
+		case attempt:
+			attempted++
+		case notified && n%10 == 0:
+			cutOff++ // killed between a charge's record and its call: it may have been executed
+		case notified && notifiedAt.Before(h.submittedAt.Add(timeLeft*7/10)):
 			early++
-			t.Errorf("%d is given up %v after its hand-in, without a call", n, at.Sub(h.began))
-		case told:
+			t.Errorf("%d was given up %v after its submission, without a call", n, notifiedAt.Sub(h.submittedAt))
+		case notified:
 			late++
 		}
 	}
-	t.Logf("taken on %d: tried %d, given up without a call early %d, late %d, as charges that were cut off %d; taken on only after their delivery %d", taken, tried, early, late, cut, after)
-	if taken < messages*9/10 || tried+late+cut != taken || cut > 2*slots || tried < taken/2 || after > taken/2 {
-		t.Errorf("of %d taken on %d are tried and %d late; %d only after their delivery", taken, tried, late, after)
+	t.Logf("accepted %d: attempted %d, given up without a call early %d, late %d, charges cut off %d; replied after delivery %d",
+		accepted, attempted, early, late, cutOff, repliedLate)
+	if accepted < messages*9/10 || attempted+late+cutOff != accepted || cutOff > 2*concurrency ||
+		attempted < accepted/2 || repliedLate > accepted/2 {
+		t.Errorf("of %d accepted messages %d were attempted and %d given up late; %d replies came after delivery",
+			accepted, attempted, late, repliedLate)
 	}
-	if p.most > 2*slots { // those of the life before are still being run
-		t.Errorf("%d calls at once with %d slots", p.most, slots)
+	if p.maxInFlight > 2*concurrency { // calls of the previous run are still executed
+		t.Errorf("%d concurrent calls with a limit of %d", p.maxInFlight, concurrency)
 	}
 	if doubles := w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
-		t.Errorf("charges ran twice: %v", doubles)
+		t.Errorf("charges were executed twice: %v", doubles)
 	}
 }
--- a/internal/daemon/removed_names_test.go
+++ b/internal/daemon/removed_names_test.go
@@ -9,7 +9,7 @@
 	"oatfold/policy"
 )
 
-// A reload that takes names out of the settings says which, and one that keeps them says nothing.
+// A reload that removes names from the settings logs them; one that keeps all names logs nothing.
 func TestNamesRemovedByReload(t *testing.T) {
 	old := policy.Settings{
 		Classes: []policy.Class{{Name: "berth-alert"}, {Name: "dues-charge"}},
--- a/internal/handover/processdir/claim_test.go
+++ b/internal/handover/processdir/claim_test.go
@@ -2,88 +2,98 @@
 
 import "testing"
 
-// The room of a process that is gone is not read while the process that was taking it over still has its own: what became of its messages is there.
+// A directory is not read while the process that was taking it over runs: that process knows what
+// became of its messages.
 func TestClaimedDirIsNotReadWhileItsSuccessorRuns(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := startProcess(t, dir)
-	writeTestFile(t, roomA, "000000000001.seg")
-	b, roomB, _ := startProcess(t, dir)
-	exitProcess(a, roomA)
-	writeTestFile(t, roomB, "000000000001.seg")
-	roomB.SetStatus(StatusServing)
-	_, fallen, err := b.Others(roomB)
-	if err != nil || len(fallen) != 1 {
-		t.Fatal(fallen, err)
+	a, dirA, _ := startProcess(t, dir)
+	writeTestFile(t, dirA, "000000000001.seg")
+	b, dirB, _ := startProcess(t, dir)
+	exitProcess(a, dirA)
+	writeTestFile(t, dirB, "000000000001.seg")
+	dirB.SetStatus(StatusServing)
+	_, abandoned, err := b.Others(dirB)
+	if err != nil || len(abandoned) != 1 {
+		t.Fatal(abandoned, err)
 	}
-	if err := fallen[0].Claim(roomB); err != nil {
+	if err := abandoned[0].Claim(dirB); err != nil {
 		t.Fatal(err)
 	}
-	c, roomC, _ := startProcess(t, dir)
-	fallen[0].lockFile.Close() // the locks of a process that dies fall one after another
+	c, dirC, _ := startProcess(t, dir)
+	abandoned[0].lockFile.Close() // the locks of a killed process are released one after another
 	for range 2 {
-		if held, early, err := c.Others(roomC); err != nil || len(early) > 0 || len(held) != 1 || held[0] != roomB.Name {
-			t.Fatalf("held %v, to read %v, %v", held, early, err)
+		if running, early, err := c.Others(dirC); err != nil || len(early) > 0 || len(running) != 1 ||
+			running[0] != dirB.Name {
+			t.Fatalf("running %v, to read %v, %v", running, early, err)
 		}
 	}
-	exitProcess(b, roomB)
-	held, fallen, err := c.Others(roomC)
-	if err != nil || len(held) > 0 || len(fallen) != 2 || fallen[0].Name != "" || fallen[1].Name != roomB.Name {
-		t.Fatalf("held %v, to read %v, %v", held, fallen, err)
+	exitProcess(b, dirB)
+	running, abandoned, err := c.Others(dirC)
+	if err != nil || len(running) > 0 || len(abandoned) != 2 || abandoned[0].Name != "" ||
+		abandoned[1].Name != dirB.Name {
+		t.Fatalf("running %v, to read %v, %v", running, abandoned, err)
 	}
-	if successor, claimed := fallen[0].Successor(); !claimed || successor != roomB.Name {
-		t.Errorf("the claim is lost: %q, %v", successor, claimed)
+	if successor, claimed := abandoned[0].Successor(); !claimed || successor != dirB.Name {
+		t.Errorf("the claim was lost: %q, %v", successor, claimed)
 	}
 }
 
-// The name of a successor may have passed to a process that only stands by: nothing waits for that one.
+// The directory name of a successor may now belong to a standby process, which nothing has to wait
+// for.
 func TestClaimBySuccessorWhoseNameIsReused(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := startProcess(t, dir)
-	writeTestFile(t, roomA, "000000000001.seg")
-	b, roomB, _ := startProcess(t, dir)
-	roomB.SetStatus(StatusReady)
-	roomA.Claim(roomB)
-	exitProcess(a, roomA)
-	c, roomC, _ := startProcess(t, dir)
-	held, fallen, err := c.Others(roomC)
-	if err != nil || len(held) != 1 || len(fallen) != 1 || fallen[0].Name != "" {
-		t.Fatalf("held %v, to read %v, %v", held, fallen, err)
+	a, dirA, _ := startProcess(t, dir)
+	writeTestFile(t, dirA, "000000000001.seg")
+	b, dirB, _ := startProcess(t, dir)
+	dirB.SetStatus(StatusReady)
+	dirA.Claim(dirB)
+	exitProcess(a, dirA)
+	c, dirC, _ := startProcess(t, dir)
+	running, abandoned, err := c.Others(dirC)
+	if err != nil || len(running) != 1 || len(abandoned) != 1 || abandoned[0].Name != "" {
+		t.Fatalf("running %v, to read %v, %v", running, abandoned, err)
 	}
-	exitProcess(b, roomB)
+	exitProcess(b, dirB)
 }
 
-// A room that a successor was taking over is nobody's home, and one that was taken over whole is.
+// A process does not continue in a directory that a successor was taking over, unless it had been
+// adopted completely.
 func TestClaimedDirIsNotReopened(t *testing.T) {
 	dir := t.TempDir()
-	a, roomA, _ := startProcess(t, dir)
-	writeTestFile(t, roomA, "000000000001.seg")
-	roomA.Claim(&Dir{Name: "life-9"})
-	exitProcess(a, roomA)
-	b, roomB, active := startProcess(t, dir)
-	if !active || roomB.Name == "" {
-		t.Fatalf("%v, %+v", active, roomB)
+	a, dirA, _ := startProcess(t, dir)
+	writeTestFile(t, dirA, "000000000001.seg")
+	dirA.Claim(&Dir{Name: "life-9"})
+	exitProcess(a, dirA)
+	b, dirB, active := startProcess(t, dir)
+	if !active || dirB.Name == "" {
+		t.Fatalf("%v, %+v", active, dirB)
 	}
-	_, fallen, err := b.Others(roomB)
-	if err != nil || len(fallen) != 1 {
-		t.Fatal(fallen, err)
+	_, abandoned, err := b.Others(dirB)
+	if err != nil || len(abandoned) != 1 {
+		t.Fatal(abandoned, err)
 	}
-	if err := b.Remove(fallen[0]); err != nil {
+	if err := b.Remove(abandoned[0]); err != nil {
 		t.Fatal(err)
 	}
-	if _, roomC, _ := startProcess(t, dir); roomC.Name != "" {
-		t.Errorf("%+v", roomC)
+	if _, dirC, _ := startProcess(t, dir); dirC.Name != "" {
+		t.Errorf("%+v", dirC)
 	}
 }
 
-// Each room comes before its successor's, whatever their names are.
+// Each directory is listed before its successor's, independent of their names.
 func TestDirsAreListedBeforeTheirSuccessors(t *testing.T) {
-	all := []*Dir{{Name: "", successor: "life-9", claimed: true}, {Name: "life-1"}, {Name: "life-2", successor: "", claimed: true}, {Name: "life-3", successor: "life-3", claimed: true}}
-	got := (&StateDir{dir: t.TempDir()}).readableDirs(all, nil)
-	at := map[string]int{}
-	for i, r := range got {
-		at[r.Name] = i
+	dirs := []*Dir{
+		{Name: "", successor: "life-9", claimed: true},
+		{Name: "life-1"},
+		{Name: "life-2", successor: "", claimed: true},
+		{Name: "life-3", successor: "life-3", claimed: true},
 	}
-	if len(got) != 4 || at["life-2"] > at[""] {
-		t.Errorf("%v", at)
+	got := (&StateDir{dir: t.TempDir()}).readableDirs(dirs, nil)
+	index := map[string]int{}
+	for i, d := range got {
+		index[d.Name] = i
+	}
+	if len(got) != 4 || index["life-2"] > index[""] {
+		t.Errorf("%v", index)
 	}
 }
