--- a/internal/assignment/codec.go
+++ b/internal/assignment/codec.go
@@ -12,9 +12,9 @@
 
 // Errors of an encoded map or slice that is refused.
 var (
-	ErrTorn   = errors.New("assignment: cut short, or too long")
-	ErrForged = errors.New("assignment: not signed with this region's key")
-	ErrFormat = errors.New("assignment: not a map or slice of this format")
+	ErrTruncated    = errors.New("assignment: cut short, or too long")
+	ErrBadSignature = errors.New("assignment: not signed with this region's key")
+	ErrFormat       = errors.New("assignment: not a map or slice of this format")
 )
 
 // Key signs what control machines publish. All control machines and relays of a
@@ -69,8 +69,8 @@
 // Encode returns the slice, signed. It takes 64 bytes, and 2 + 4 x replicas for
 // each partition that concerns the relay.
 func (s *Slice) Encode(key Key) []byte {
-	b := header{kindSlice, s.Region, s.Replication, s.Version, s.Relay, s.Partitions, len(s.Serving)}.append(nil)
-	for _, serving := range s.Serving {
+	b := header{kindSlice, s.Region, s.Replication, s.Version, s.Relay, s.Partitions, len(s.Assignments)}.append(nil)
+	for _, serving := range s.Assignments {
 		b = binary.BigEndian.AppendUint16(b, uint16(serving.Partition))
 		b = appendRelays(b, serving.Replicas)
 		b = appendRelays(b, serving.Previous)
@@ -107,7 +107,7 @@
 	}
 	half := h.entries * h.replicas * relaySize
 	if h.entries != h.partitions || len(body) != 2*half {
-		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTorn, len(body), h.entries)
+		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTruncated, len(body), h.entries)
 	}
 	m := &Map{Region: h.region, Version: h.version, Replication: h.replicas, replicas: readRelays(body[:half]), previous: readRelays(body[half:])}
 	for p := range m.Partitions() {
@@ -132,11 +132,11 @@
 	half := h.replicas * relaySize
 	size := servingSize + 2*half
 	if len(body) != h.entries*size {
-		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTorn, len(body), h.entries)
+		return nil, fmt.Errorf("%w: %d bytes of %d partitions", ErrTruncated, len(body), h.entries)
 	}
 	s := &Slice{Region: h.region, Version: h.version, Relay: h.relay, Partitions: h.partitions, Replication: h.replicas}
 	for ; len(body) > 0; body = body[size:] {
-		serving := Serving{
+		serving := PartitionAssignment{
 			Partition: Partition(binary.BigEndian.Uint16(body)),
 			Replicas:  readRelays(body[servingSize : servingSize+half]),
 			Previous:  readRelays(body[servingSize+half : size]),
@@ -144,18 +144,18 @@
 		if err := s.checkServing(serving); err != nil {
 			return nil, err
 		}
-		s.Serving = append(s.Serving, serving)
+		s.Assignments = append(s.Assignments, serving)
 	}
 	return s, nil
 }
 
 // checkServing tells whether a partition may follow those that the slice has.
-func (s *Slice) checkServing(next Serving) error {
+func (s *Slice) checkServing(next PartitionAssignment) error {
 	if int(next.Partition) >= s.Partitions {
 		return fmt.Errorf("%w: partition %d of %d", ErrFormat, next.Partition, s.Partitions)
 	}
-	if n := len(s.Serving); n > 0 && s.Serving[n-1].Partition >= next.Partition {
-		return fmt.Errorf("%w: partition %d behind %d", ErrFormat, next.Partition, s.Serving[n-1].Partition)
+	if n := len(s.Assignments); n > 0 && s.Assignments[n-1].Partition >= next.Partition {
+		return fmt.Errorf("%w: partition %d behind %d", ErrFormat, next.Partition, s.Assignments[n-1].Partition)
 	}
 	if !slices.Contains(next.Replicas, s.Relay) && !slices.Contains(next.Previous, s.Relay) {
 		return fmt.Errorf("%w: partition %d is not relay %d's", ErrFormat, next.Partition, s.Relay)
@@ -187,7 +187,7 @@
 // is between the two.
 func open(b []byte, key Key, kinds ...byte) (h header, body []byte, err error) {
 	if len(b) < headerSize+signatureSize || len(b) > maxEncoded {
-		return h, nil, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
+		return h, nil, fmt.Errorf("%w: %d bytes", ErrTruncated, len(b))
 	}
 	if !bytes.HasPrefix(b, []byte(magic)) || b[formatAt] != format || !slices.Contains(kinds, b[kindAt]) {
 		return h, nil, ErrFormat
@@ -200,11 +200,11 @@
 		entries:    int(binary.BigEndian.Uint32(b[entriesAt:])),
 	}
 	if want := h.size(); len(b) != want {
-		return h, nil, fmt.Errorf("%w: %d bytes, %d wanted", ErrTorn, len(b), want)
+		return h, nil, fmt.Errorf("%w: %d bytes, %d wanted", ErrTruncated, len(b), want)
 	}
 	body = b[headerSize : len(b)-signatureSize]
 	if !hmac.Equal(signature(b[:len(b)-signatureSize], key), b[len(b)-signatureSize:]) {
-		return h, nil, ErrForged
+		return h, nil, ErrBadSignature
 	}
 	if h.partitions < 1 || h.partitions > MaxPartitions || h.entries > h.partitions || h.replicas > MaxReplicas {
 		return h, nil, fmt.Errorf("%w: %d partitions, %d replicas", ErrFormat, h.partitions, h.replicas)
--- a/internal/assignment/control.go
+++ b/internal/assignment/control.go
@@ -16,41 +16,41 @@
 	settleAfter = goneAfter
 )
 
-// Heard tells the publisher which relays have asked another control machine since
+// ContactReport tells the publisher which relays have asked another control machine since
 // its last report: a bit for each relay, and which of them said that they leave.
-type Heard struct{ Relays, Leaving []uint64 }
+type ContactReport struct{ Relays, Leaving []uint64 }
 
-func (Heard) message() {}
+func (ContactReport) message() {}
 
-// Control is a control machine of a region: it takes part in publishing maps, and
+// ControlNode is a control machine of a region: it takes part in publishing maps, and
 // answers relays. It is not safe for concurrent use.
-type Control struct {
+type ControlNode struct {
 	register  *Register
 	directory *Directory
-	shape     Shape
+	shape     MapConfig
 	places    []Member
-	health    *Health // while it publishes
+	health    *RelayHealth // while it publishes
 	states    []Member
-	heard     Heard           // since the last report
+	heard     ContactReport   // since the last report
 	changedAt []time.Duration // by partition, while it publishes
 	planAt    time.Duration
 	reportAt  time.Duration
 }
 
-// NewControl makes a control machine from its part of the register. The member at
+// NewControlNode makes a control machine from its part of the register. The member at
 // index i of places is the zone and rack of relay i.
-func NewControl(register *Register, shape Shape, places []Member, key Key) *Control {
-	c := &Control{register: register, directory: NewDirectory(key), shape: shape, places: places, heard: newHeard(len(places))}
-	c.directory.Publish(register.Published())
+func NewControlNode(register *Register, shape MapConfig, places []Member, key Key) *ControlNode {
+	c := &ControlNode{register: register, directory: NewDirectory(key), shape: shape, places: places, heard: newHeard(len(places))}
+	c.directory.Update(register.Published())
 	return c
 }
 
 // Register returns its part of the register, whose Durable has to be on disk
 // before what Tick and Receive return is sent.
-func (c *Control) Register() *Register { return c.register }
+func (c *ControlNode) Register() *Register { return c.register }
 
 // Answer answers a relay, as Directory.Answer does.
-func (c *Control) Answer(now time.Duration, a Ask) ([]byte, error) {
+func (c *ControlNode) Answer(now time.Duration, a SliceRequest) ([]byte, error) {
 	if int(a.Relay) < len(c.places) {
 		c.heard.book(a)
 		c.tellHealth(now, a.Relay, a.Leaving)
@@ -59,25 +59,25 @@
 }
 
 // tellHealth books that a relay was heard of, where this machine publishes.
-func (c *Control) tellHealth(now time.Duration, r Relay, leaves bool) {
+func (c *ControlNode) tellHealth(now time.Duration, r Relay, leaves bool) {
 	switch {
 	case c.health == nil:
 	case leaves:
-		c.health.Leaves(r, now)
+		c.health.RecordLeaving(r, now)
 	default:
-		c.health.Heard(r, now)
+		c.health.RecordContact(r, now)
 	}
 }
 
 const wordBits = 64
 
-func newHeard(relays int) Heard {
+func newHeard(relays int) ContactReport {
 	words := (relays + wordBits - 1) / wordBits
-	return Heard{make([]uint64, words), make([]uint64, words)}
+	return ContactReport{make([]uint64, words), make([]uint64, words)}
 }
 
 // book takes in a question of a relay that has a bit.
-func (h Heard) book(a Ask) {
+func (h ContactReport) book(a SliceRequest) {
 	word, bit := a.Relay/wordBits, uint64(1)<<(a.Relay%wordBits)
 	h.Relays[word] |= bit
 	if h.Leaving[word] &^= bit; a.Leaving {
@@ -86,19 +86,19 @@
 }
 
 // Receive takes in a message of another control machine and returns what to send.
-func (c *Control) Receive(now time.Duration, from int, m Message) []Envelope {
-	if report, ok := m.(Heard); ok {
+func (c *ControlNode) Receive(now time.Duration, from int, m Message) []Envelope {
+	if report, ok := m.(ContactReport); ok {
 		c.reported(now, report)
 		return nil
 	}
 	out := c.register.Receive(now, from, m)
-	c.directory.Publish(c.register.Published())
+	c.directory.Update(c.register.Published())
 	return out
 }
 
 // reported takes in which relays another machine has heard of. A report of a
 // machine that knows nothing of leaves has no bits for them.
-func (c *Control) reported(now time.Duration, report Heard) {
+func (c *ControlNode) reported(now time.Duration, report ContactReport) {
 	for i, word := range report.Relays {
 		for bit := range wordBits {
 			r := i*wordBits + bit
@@ -110,7 +110,7 @@
 }
 
 // Tick takes the time and returns what to send.
-func (c *Control) Tick(now time.Duration) []Envelope {
+func (c *ControlNode) Tick(now time.Duration) []Envelope {
 	out := c.register.Tick(now)
 	if c.register.Publishing() {
 		out = append(out, c.plan(now)...)
@@ -118,12 +118,12 @@
 		c.health = nil
 		out = append(out, c.report(now)...)
 	}
-	c.directory.Publish(c.register.Published())
+	c.directory.Update(c.register.Published())
 	return out
 }
 
 // report tells the publisher who has asked.
-func (c *Control) report(now time.Duration) []Envelope {
+func (c *ControlNode) report(now time.Duration) []Envelope {
 	to := c.register.Publisher()
 	if to < 0 || now < c.reportAt {
 		return nil
@@ -135,12 +135,12 @@
 }
 
 // plan proposes another map where that has to change.
-func (c *Control) plan(now time.Duration) []Envelope {
+func (c *ControlNode) plan(now time.Duration) []Envelope {
 	if now < c.planAt {
 		return nil
 	}
 	c.planAt = now + planEvery
-	latest := c.register.Latest()
+	latest := c.register.LatestAccepted()
 	if c.health == nil {
 		c.begin(now, latest)
 		if latest == nil { // Risk: the first map without those that have not asked yet
@@ -172,8 +172,8 @@
 
 // begin takes up planning: this machine has just become the publisher. When what
 // is not settled has changed it does not know, so it counts from now.
-func (c *Control) begin(now time.Duration, latest *Map) {
-	c.health, c.states = NewHealth(c.places, latest, now), nil
+func (c *ControlNode) begin(now time.Duration, latest *Map) {
+	c.health, c.states = NewRelayHealth(c.places, latest, now), nil
 	c.changedAt = make([]time.Duration, c.shape.Partitions)
 	for p := range c.changedAt {
 		c.changedAt[p] = -settleAfter
@@ -184,7 +184,7 @@
 }
 
 // settling tells whether a change that the map shows has got settled.
-func (c *Control) settling(now time.Duration, latest *Map) bool {
+func (c *ControlNode) settling(now time.Duration, latest *Map) bool {
 	for p, at := range c.changedAt {
 		if now >= at+settleAfter && !latest.Settled(Partition(p)) {
 			return true
--- a/internal/assignment/directory.go
+++ b/internal/assignment/directory.go
@@ -8,8 +8,8 @@
 
 // Errors of a question that can't be answered.
 var (
-	ErrNoMap  = errors.New("assignment: no map is published yet")
-	ErrBehind = errors.New("assignment: the relay has a later map than this control machine")
+	ErrNoMap = errors.New("assignment: no map is published yet")
+	ErrStale = errors.New("assignment: the relay has a later map than this control machine")
 )
 
 // Directory answers relays' questions from the published map. It is not safe for
@@ -24,8 +24,8 @@
 // NewDirectory makes one that has no map yet.
 func NewDirectory(key Key) *Directory { return &Directory{key: key} }
 
-// Publish goes over to a map, if it is later than the one before.
-func (d *Directory) Publish(m *Map) {
+// Update goes over to a map, if it is later than the one before.
+func (d *Directory) Update(m *Map) {
 	if m == nil || d.current != nil && m.Version.Compare(d.current.Version) <= 0 {
 		return
 	}
@@ -58,15 +58,15 @@
 // Answer returns the encoded answer to a relay's question: its slice, or that the
 // one it has holds still. The error is ErrNoMap, wraps ErrBehind (the relay asks
 // another machine), or wraps ErrShape for a number that no relay can have.
-func (d *Directory) Answer(a Ask) ([]byte, error) {
+func (d *Directory) Answer(a SliceRequest) ([]byte, error) {
 	switch {
 	case d.current == nil:
 		return nil, ErrNoMap
 	case a.Relay >= MaxRelays:
-		return nil, fmt.Errorf("%w: relay %d", ErrShape, a.Relay)
-	case a.Have.Compare(d.current.Version) > 0:
-		return nil, fmt.Errorf("%w: %v, here %v", ErrBehind, a.Have, d.current.Version)
-	case a.Have != Version{} && a.Have.Compare(d.changed[a.Relay]) >= 0:
+		return nil, fmt.Errorf("%w: relay %d", ErrOutOfRange, a.Relay)
+	case a.HaveVersion.Compare(d.current.Version) > 0:
+		return nil, fmt.Errorf("%w: %v, here %v", ErrStale, a.HaveVersion, d.current.Version)
+	case a.HaveVersion != Version{} && a.HaveVersion.Compare(d.changed[a.Relay]) >= 0:
 		return confirmation(d.current.Region, d.current.Version, a.Relay, d.current.Partitions(), d.key), nil
 	}
 	return d.current.slice(a.Relay, d.serving[a.Relay]).Encode(d.key), nil
--- a/internal/assignment/follower.go
+++ b/internal/assignment/follower.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// PullEvery is how often a relay asks a control machine for changes.
-	PullEvery = 500 * time.Millisecond
+	// PollInterval is how often a relay asks a control machine for changes.
+	PollInterval = 500 * time.Millisecond
 	// retryEvery is when it asks another one, where none answers; quickRetries is
 	// how often it does before it is back to PullEvery.
 	retryEvery   = 120 * time.Millisecond
 	quickRetries = 10
 	// silentAfter is how long no control machine has to answer before a relay says
 	// that it goes on by the last assignment.
-	silentAfter = 10 * PullEvery
+	silentAfter = 10 * PollInterval
 )
 
 // Follower keeps the slice that is in force at one relay. It is not safe for
@@ -49,67 +49,67 @@
 	return &Follower{region: region, relay: relay, key: key, heardAt: -silentAfter}
 }
 
-// Ask is a relay's question for its slice.
-type Ask struct {
-	Relay   Relay
-	Have    Version // of the slice in force, or the latest that it was confirmed for
-	Leaving bool    // it wants to go, and asks for its replicas to be given to others
+// SliceRequest is a relay's question for its slice.
+type SliceRequest struct {
+	Relay       Relay
+	HaveVersion Version // of the slice in force, or the latest that it was confirmed for
+	Leaving     bool    // it wants to go, and asks for its replicas to be given to others
 }
 
 // Current returns the slice in force, nil before the first.
 func (f *Follower) Current() *Slice { return f.current }
 
-// Latest returns the version for which the slice in force is known to hold.
-func (f *Follower) Latest() Version { return f.latest }
+// LatestVersion returns the version for which the slice in force is known to hold.
+func (f *Follower) LatestVersion() Version { return f.latest }
 
 // Encoded returns the slice in force as it has to be kept on disk, nil before the
 // first. Restore takes it at the next start.
 func (f *Follower) Encoded() []byte { return f.encoded }
 
-// Leave has the relay say from its next question on that it wants to go, or that
+// SetLeaving has the relay say from its next question on that it wants to go, or that
 // it stays after all. A start begins with staying.
-func (f *Follower) Leave(leave bool) { f.leaving = leave }
+func (f *Follower) SetLeaving(leave bool) { f.leaving = leave }
 
 // Released tells whether a relay that leaves has no replicas any more. It may go
 // once its handovers are done as well.
 func (f *Follower) Released() bool {
-	return f.leaving && f.current != nil && !slices.ContainsFunc(f.current.Serving, func(s Serving) bool {
+	return f.leaving && f.current != nil && !slices.ContainsFunc(f.current.Assignments, func(s PartitionAssignment) bool {
 		return slices.Contains(s.Replicas, f.relay)
 	})
 }
 
-// Silent tells whether no control machine has answered for long, so that the
+// ControlUnreachable tells whether no control machine has answered for long, so that the
 // slice in force may be out of date.
-func (f *Follower) Silent(now time.Duration) bool { return now-f.heardAt >= silentAfter }
+func (f *Follower) ControlUnreachable(now time.Duration) bool { return now-f.heardAt >= silentAfter }
 
 // Poll returns the question that is due at now, if any.
-func (f *Follower) Poll(now time.Duration) (Ask, bool) {
+func (f *Follower) Poll(now time.Duration) (SliceRequest, bool) {
 	if now < f.nextAt {
-		return Ask{}, false
+		return SliceRequest{}, false
 	}
-	f.askedAt, f.nextAt = now, now+PullEvery
+	f.askedAt, f.nextAt = now, now+PollInterval
 	if f.tries++; f.tries <= quickRetries {
 		f.nextAt = now + retryEvery
 	}
-	return Ask{f.relay, f.latest, f.leaving}, true
+	return SliceRequest{f.relay, f.latest, f.leaving}, true
 }
 
-// Next returns when Poll has the next question.
-func (f *Follower) Next() time.Duration { return f.nextAt }
+// NextPoll returns when Poll has the next question.
+func (f *Follower) NextPoll() time.Duration { return f.nextAt }
 
 // Restore takes the slice that was kept on disk before a restart. Its errors are
 // those of Take; the relay then starts without a slice, and asks for one.
 func (f *Follower) Restore(encoded []byte) error {
 	heard, next := f.heardAt, f.nextAt
-	_, err := f.Take(heard, encoded)
+	_, err := f.HandleAnswer(heard, encoded)
 	f.heardAt, f.nextAt = heard, next // a disk is no control machine
 	return err
 }
 
-// Take takes in a control machine's answer and tells whether the slice in force
+// HandleAnswer takes in a control machine's answer and tells whether the slice in force
 // has changed. An answer that is refused changes nothing; the error wraps ErrTorn,
 // ErrForged, ErrFormat, ErrOlder, ErrConflict, ErrOtherRegion or ErrOtherRelay.
-func (f *Follower) Take(now time.Duration, answer []byte) (changed bool, err error) {
+func (f *Follower) HandleAnswer(now time.Duration, answer []byte) (changed bool, err error) {
 	h, body, err := open(answer, f.key, kindSlice, kindConfirm)
 	switch {
 	case err != nil:
@@ -129,7 +129,7 @@
 			return false, err
 		}
 	}
-	f.latest, f.heardAt, f.tries, f.nextAt = h.version, now, 0, f.askedAt+PullEvery
+	f.latest, f.heardAt, f.tries, f.nextAt = h.version, now, 0, f.askedAt+PollInterval
 	return changed, nil
 }
 
--- a/internal/assignment/handover/handover.go
+++ b/internal/assignment/handover/handover.go
@@ -23,24 +23,24 @@
 // resendEvery is how often what is not acknowledged is told again.
 const resendEvery = 200 * time.Millisecond
 
-// Wait is a destination that may not be sent to until a time has passed.
-type Wait struct {
+// RetryAfter is a destination that may not be sent to until a time has passed.
+type RetryAfter struct {
 	Destination uint64
-	Left        time.Duration // when the message was sent
+	Remaining   time.Duration // when the message was sent
 }
 
 // Message tells another replica how far this one is with a handover.
 type Message struct {
-	Change   uint64 // which one; those of others are ignored
-	Adopted  bool   // the sender goes by the present replicas
-	Released bool   // and holds nothing of keys that it owns no more
-	Known    Known  // of the receiver, to the sender
-	Reply    bool   // it answers a message, and asks for no answer
-	Waits    []Wait
+	ChangeID     uint64   // which one; those of others are ignored
+	Adopted      bool     // the sender goes by the present replicas
+	Released     bool     // and holds nothing of keys that it owns no more
+	Acknowledged Progress // of the receiver, to the sender
+	Reply        bool     // it answers a message, and asks for no answer
+	RetryAfters  []RetryAfter
 }
 
-// Known is what a replica knows of how far another one is.
-type Known struct{ Adopted, Released bool }
+// Progress is what a replica knows of how far another one is.
+type Progress struct{ Adopted, Released bool }
 
 // Envelope is a message to another replica.
 type Envelope struct {
@@ -65,15 +65,15 @@
 
 // peer is how far another replica is.
 type peer struct {
-	Known
-	knows Known // what it has acknowledged of this one
+	Progress
+	knows Progress // what it has acknowledged of this one
 	gone  bool
 }
 
 // New makes the part of relay self in the change of a partition that concerns it.
 // Held are the keys of the messages that it holds for the partition, one entry for
 // each message; unkeyed is how many it holds that keep no order.
-func New(self assignment.Relay, s assignment.Serving, held []uint64, unkeyed int) *Handover {
+func New(self assignment.Relay, s assignment.PartitionAssignment, held []uint64, unkeyed int) *Handover {
 	h := &Handover{self: self, former: s.Previous, present: s.Replicas, change: changeOf(s), held: map[uint64]int{}, peers: map[assignment.Relay]*peer{}}
 	for _, r := range slices.Concat(s.Previous, s.Replicas) {
 		if r != self && h.peers[r] == nil {
@@ -103,7 +103,7 @@
 }
 
 // changeOf names a change, alike for all.
-func changeOf(s assignment.Serving) uint64 {
+func changeOf(s assignment.PartitionAssignment) uint64 {
 	name := uint64(s.Partition)
 	for _, r := range s.Previous {
 		name = assignment.Mix(name ^ uint64(r))
@@ -115,9 +115,9 @@
 	return name
 }
 
-// MayTake tells whether this replica takes on a message of a key. If not, it says
+// MayAccept tells whether this replica takes on a message of a key. If not, it says
 // so, and owner is the one that does.
-func (h *Handover) MayTake(key uint64) (ok bool, owner assignment.Relay) {
+func (h *Handover) MayAccept(key uint64) (ok bool, owner assignment.Relay) {
 	owner = Owner(h.present, key)
 	return owner == h.self, owner
 }
@@ -135,8 +135,8 @@
 // MaySendUnkeyed tells the same of messages that keep no order.
 func (h *Handover) MaySendUnkeyed() bool { return slices.Contains(h.former, h.self) || h.joined() }
 
-// Share is the share of a destination's rate that this replica may use now, 0 to 1.
-func (h *Handover) Share() float64 {
+// RateShare is the share of a destination's rate that this replica may use now, 0 to 1.
+func (h *Handover) RateShare() float64 {
 	switch {
 	case h.released() && !slices.Contains(h.present, h.self):
 		return 0 // it has nothing left, and others may know
@@ -148,9 +148,9 @@
 	return 0
 }
 
-// Ended tells that a message of a key, which this replica held as it adopted the
+// CompletedKeyed tells that a message of a key, which this replica held as it adopted the
 // change, is over.
-func (h *Handover) Ended(key uint64) {
+func (h *Handover) CompletedKeyed(key uint64) {
 	if h.held[key] > 1 {
 		h.held[key]--
 		return
@@ -161,17 +161,17 @@
 	}
 }
 
-// EndedUnkeyed tells the same of a message that keeps no order.
-func (h *Handover) EndedUnkeyed() {
+// CompletedUnkeyed tells the same of a message that keeps no order.
+func (h *Handover) CompletedUnkeyed() {
 	if h.unkeyed > 0 {
 		h.unkeyed--
 		h.tellAnew = h.released()
 	}
 }
 
-// Gone tells that a replica will not come back, and that all that it held is over
+// MarkRemoved tells that a replica will not come back, and that all that it held is over
 // or out of time. Only the control machines may say so.
-func (h *Handover) Gone(r assignment.Relay) {
+func (h *Handover) MarkRemoved(r assignment.Relay) {
 	if p := h.peers[r]; p != nil {
 		p.gone = true
 	}
@@ -210,7 +210,7 @@
 }
 
 // Tick returns what to tell at now, with the waits that this replica has been told.
-func (h *Handover) Tick(now time.Duration, waits []Wait) (out []Envelope) {
+func (h *Handover) Tick(now time.Duration, waits []RetryAfter) (out []Envelope) {
 	if now < h.nextTell && !h.tellAnew {
 		return nil
 	}
@@ -233,21 +233,21 @@
 }
 
 // tell says to another replica how far this one is.
-func (h *Handover) tell(r assignment.Relay, reply bool, waits []Wait) Envelope {
-	m := Message{Change: h.change, Adopted: true, Released: h.released(), Known: h.peers[r].Known, Reply: reply, Waits: waits}
+func (h *Handover) tell(r assignment.Relay, reply bool, waits []RetryAfter) Envelope {
+	m := Message{ChangeID: h.change, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress, Reply: reply, RetryAfters: waits}
 	return Envelope{r, m}
 }
 
 // Receive takes in a message of another replica. It returns the answer, if one is
 // due, and whether the message is of this change; if it is, its waits bind this
 // replica too.
-func (h *Handover) Receive(from assignment.Relay, m Message, waits []Wait) (answer []Envelope, mine bool) {
+func (h *Handover) Receive(from assignment.Relay, m Message, waits []RetryAfter) (answer []Envelope, mine bool) {
 	p := h.peers[from]
-	if p == nil || m.Change != h.change {
+	if p == nil || m.ChangeID != h.change {
 		return nil, false
 	}
 	p.Adopted, p.Released = p.Adopted || m.Adopted, p.Released || m.Released
-	p.knows = Known{p.knows.Adopted || m.Known.Adopted, p.knows.Released || m.Known.Released}
+	p.knows = Progress{p.knows.Adopted || m.Acknowledged.Adopted, p.knows.Released || m.Acknowledged.Released}
 	if m.Reply {
 		return nil, true
 	}
--- a/internal/assignment/handover/handover_test.go
+++ b/internal/assignment/handover/handover_test.go
@@ -14,7 +14,7 @@
 const keys = 24
 
 // serving is a partition whose replica 0 has given way to replica 4.
-var serving = assignment.Serving{Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4}}
+var serving = assignment.PartitionAssignment{Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4}}
 
 // fleet is relays that send the messages of a partition as it is handed over. The test delivers what they tell one another.
 type fleet struct {
@@ -71,7 +71,7 @@
 	if r.handover == nil {
 		return Owner(serving.Previous, key) == r.number
 	}
-	ok, _ := r.handover.MayTake(key)
+	ok, _ := r.handover.MayAccept(key)
 	return ok
 }
 
@@ -80,7 +80,7 @@
 func (r *relay) share() float64 {
 	switch {
 	case r.handover != nil:
-		return r.handover.Share()
+		return r.handover.RateShare()
 	case slices.Contains(serving.Previous, r.number):
 		return 1 / float64(len(serving.Previous))
 	}
@@ -122,7 +122,7 @@
 	f.over[key]++
 	r.queue[key] = r.queue[key][1:]
 	if r.handover != nil {
-		r.handover.Ended(key)
+		r.handover.CompletedKeyed(key)
 	}
 }
 
@@ -132,11 +132,11 @@
 	}
 }
 
-func (r *relay) waits(now time.Duration) []Wait {
+func (r *relay) waits(now time.Duration) []RetryAfter {
 	if r.wait <= now {
 		return nil
 	}
-	return []Wait{{Destination: 1, Left: r.wait - now}}
+	return []RetryAfter{{Destination: 1, Remaining: r.wait - now}}
 }
 
 func (f *fleet) deliver(n int) {
@@ -147,8 +147,8 @@
 	}
 	out, mine := to.handover.Receive(l.from, l.Message, to.waits(f.now))
 	if mine {
-		for _, w := range l.Message.Waits {
-			to.wait = max(to.wait, f.now+w.Left)
+		for _, w := range l.Message.RetryAfters {
+			to.wait = max(to.wait, f.now+w.Remaining)
 		}
 	}
 	f.post(to, out)
@@ -258,49 +258,49 @@
 // A former replica that is gone for good is waited for until control says so, and no longer.
 func TestGoneReplica(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	other := Message{Change: h.change, Adopted: true, Released: true}
+	other := Message{ChangeID: h.change, Adopted: true, Released: true}
 	for _, r := range []assignment.Relay{1, 2, 3} {
 		if _, mine := h.Receive(r, other, nil); !mine {
 			t.Fatalf("relay %d's message is not of this change", r)
 		}
 	}
-	if h.MaySendUnkeyed() || h.Share() != 0 || h.Done() {
+	if h.MaySendUnkeyed() || h.RateShare() != 0 || h.Done() {
 		t.Error("sends before relay 0 is heard of")
 	}
-	h.Gone(0)
-	if !h.MaySendUnkeyed() || h.Share() != 0.25 || !h.Done() {
-		t.Errorf("relay 0 is gone: %v %v %v", h.MaySendUnkeyed(), h.Share(), h.Done())
+	h.MarkRemoved(0)
+	if !h.MaySendUnkeyed() || h.RateShare() != 0.25 || !h.Done() {
+		t.Errorf("relay 0 is gone: %v %v %v", h.MaySendUnkeyed(), h.RateShare(), h.Done())
 	}
-	h.Gone(9) // no replica
+	h.MarkRemoved(9) // no replica
 }
 
 // What is not of this change, or of no replica, changes nothing; what is not the relay's own is named with its owner.
 func TestNotMine(t *testing.T) {
 	h := New(4, serving, nil, 3)
-	if _, mine := h.Receive(1, Message{Change: h.change + 1, Adopted: true}, nil); mine {
+	if _, mine := h.Receive(1, Message{ChangeID: h.change + 1, Adopted: true}, nil); mine {
 		t.Error("another change is taken for this one")
 	}
-	if _, mine := h.Receive(9, Message{Change: h.change, Adopted: true}, nil); mine {
+	if _, mine := h.Receive(9, Message{ChangeID: h.change, Adopted: true}, nil); mine {
 		t.Error("a relay that is no replica is heard")
 	}
 	for key := range uint64(keys) {
-		if ok, owner := h.MayTake(key); owner != Owner(serving.Replicas, key) || ok != (owner == 4) {
+		if ok, owner := h.MayAccept(key); owner != Owner(serving.Replicas, key) || ok != (owner == 4) {
 			t.Errorf("key %d: %v, %d", key, ok, owner)
 		}
 	}
 	leaves := New(0, serving, []uint64{1, 1}, 1)
-	if ok, _ := leaves.MayTake(1); ok || leaves.released() {
+	if ok, _ := leaves.MayAccept(1); ok || leaves.released() {
 		t.Error("one that leaves takes on more, or has released what it holds")
 	}
-	leaves.Ended(1)
-	leaves.Ended(2) // never held
-	leaves.EndedUnkeyed()
-	if leaves.released() || math.Abs(leaves.Share()-0.2) > 1e-9 {
-		t.Errorf("with one message left: released %v, share %v", leaves.released(), leaves.Share())
+	leaves.CompletedKeyed(1)
+	leaves.CompletedKeyed(2) // never held
+	leaves.CompletedUnkeyed()
+	if leaves.released() || math.Abs(leaves.RateShare()-0.2) > 1e-9 {
+		t.Errorf("with one message left: released %v, share %v", leaves.released(), leaves.RateShare())
 	}
-	leaves.Ended(1)
-	leaves.EndedUnkeyed() // one too many
-	if !leaves.released() || leaves.Share() != 0 {
-		t.Errorf("released: %v, share %v", leaves.released(), leaves.Share())
+	leaves.CompletedKeyed(1)
+	leaves.CompletedUnkeyed() // one too many
+	if !leaves.released() || leaves.RateShare() != 0 {
+		t.Errorf("released: %v, share %v", leaves.released(), leaves.RateShare())
 	}
 }
--- a/internal/assignment/leave.go
+++ b/internal/assignment/leave.go
@@ -21,12 +21,12 @@
 // comes later; a relay that has changed its mind is believed after awayAfter.
 func (l leaving) at(now time.Duration) bool { return now-l.saidAt < awayAfter }
 
-// Leaves books that a relay was heard of at a time and said that it leaves.
+// RecordLeaving books that a relay was heard of at a time and said that it leaves.
 // Numbers of no relay are ignored.
-func (h *Health) Leaves(r Relay, at time.Duration) {
+func (h *RelayHealth) RecordLeaving(r Relay, at time.Duration) {
 	if int(r) < len(h.leaving) {
 		h.leaving[r].saidAt = max(h.leaving[r].saidAt, at)
-		h.Heard(r, at)
+		h.RecordContact(r, at)
 	}
 }
 
@@ -34,7 +34,7 @@
 // relay in lostShare at most begins to in each goneAfter, one at least; the others
 // go on as before. Risk: a zone that is emptied at once moves half of all
 // replicas, and the other zones have to carry them.
-func (h *Health) leave(now time.Duration, members []Member, size perZone) {
+func (h *RelayHealth) leave(now time.Duration, members []Member, size perZone) {
 	var begun perZone
 	for i, m := range members {
 		if l := h.leaving[i]; l.granted && now-l.grantedAt < goneAfter {
--- a/internal/assignment/leave_test.go
+++ b/internal/assignment/leave_test.go
@@ -17,30 +17,30 @@
 }
 
 // hearAll books that all relays have asked, those listed saying that they leave.
-func hearAll(h *Health, now time.Duration, wish ...Relay) {
+func hearAll(h *RelayHealth, now time.Duration, wish ...Relay) {
 	for i := range h.places {
 		if r := Relay(i); slices.Contains(wish, r) {
-			h.Leaves(r, now)
+			h.RecordLeaving(r, now)
 		} else {
-			h.Heard(r, now)
+			h.RecordContact(r, now)
 		}
 	}
 }
 
 // A relay that leaves is given up at once, and one that changes its mind gets replicas again.
 func TestLeaveAndStayAfterAll(t *testing.T) {
-	h := NewHealth(places(40, 2), nil, 0)
+	h := NewRelayHealth(places(40, 2), nil, 0)
 	hearAll(h, 0)
 	hearAll(h, time.Second, 6)
 	if got := leave(h.Members(time.Second)); !slices.Equal(got, []Relay{6}) {
 		t.Fatalf("given up: %v", got)
 	}
 	// A machine that was asked before tells later.
-	h.Heard(6, 2*time.Second)
+	h.RecordContact(6, 2*time.Second)
 	if got := leave(h.Members(2 * time.Second)); !slices.Equal(got, []Relay{6}) {
 		t.Errorf("behind an older report: %v", got)
 	}
-	h.Leaves(6, 1500*time.Millisecond) // and another one tells of the leave
+	h.RecordLeaving(6, 1500*time.Millisecond) // and another one tells of the leave
 	for now := 2 * time.Second; now < 1500*time.Millisecond+awayAfter; now += time.Second {
 		hearAll(h, now)
 		if got := leave(h.Members(now)); !slices.Equal(got, []Relay{6}) {
@@ -51,7 +51,7 @@
 	if got := leave(h.Members(1500*time.Millisecond + awayAfter)); len(got) > 0 {
 		t.Errorf("stays after all: %v", got)
 	}
-	h.Leaves(40, time.Minute) // no relay's number
+	h.RecordLeaving(40, time.Minute) // no relay's number
 }
 
 // Of a zone an eighth leaves at a time, and the next ones a minute later; a zone of few relays empties one by one.
@@ -64,7 +64,7 @@
 				zone = append(zone, Relay(i))
 			}
 		}
-		h := NewHealth(at, nil, 0)
+		h := NewRelayHealth(at, nil, 0)
 		hearAll(h, 0)
 		var most int
 		for now := time.Second; now < goneAfter; now += time.Second {
@@ -86,15 +86,15 @@
 
 // One that was away already when it was to leave is taken for lost, not for leaving.
 func TestAwayIsNotLeaving(t *testing.T) {
-	h := NewHealth(places(40, 2), nil, 0)
+	h := NewRelayHealth(places(40, 2), nil, 0)
 	hearAll(h, 0)
-	h.Leaves(6, time.Second)
+	h.RecordLeaving(6, time.Second)
 	for i := range 40 {
 		if i != 6 {
-			h.Heard(Relay(i), 30*time.Second)
+			h.RecordContact(Relay(i), 30*time.Second)
 		}
 	}
-	if m := h.Members(30 * time.Second); m[6].State != Away {
+	if m := h.Members(30 * time.Second); m[6].State != Unreachable {
 		t.Errorf("state %v", m[6].State)
 	}
 }
@@ -103,21 +103,21 @@
 func TestLeaveIsReported(t *testing.T) {
 	const publisher, other = 0, 1
 	at := places(40, 2)
-	controls := make([]*Control, 2)
+	controls := make([]*ControlNode, 2)
 	for i := range controls {
-		r, err := NewRegister(i, len(controls), testKey, 1, Durable{})
+		r, err := NewRegister(i, len(controls), testKey, 1, PersistentState{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		controls[i] = NewControl(r, small, at, testKey)
+		controls[i] = NewControlNode(r, small, at, testKey)
 	}
-	controls[publisher].health = NewHealth(at, nil, 0)
+	controls[publisher].health = NewRelayHealth(at, nil, 0)
 	controls[other].register.publisher = publisher
 	for step, wish := range []bool{true, false, true} {
 		now := time.Duration(step+1) * 10 * time.Second
 		for r := range Relay(len(at)) {
-			controls[other].Answer(now, Ask{Relay: r, Leaving: r == 7})
-			controls[other].Answer(now, Ask{Relay: r, Leaving: r == 7 && wish}) // the last question counts
+			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7})
+			controls[other].Answer(now, SliceRequest{Relay: r, Leaving: r == 7 && wish}) // the last question counts
 		}
 		reports := controls[other].report(now)
 		if len(reports) != 1 || reports[0].To != publisher {
@@ -133,7 +133,7 @@
 		}
 	}
 	// A report of a machine that knows of no leaves tells who was heard.
-	controls[publisher].Receive(time.Minute, other, Heard{Relays: []uint64{1 << 7}})
+	controls[publisher].Receive(time.Minute, other, ContactReport{Relays: []uint64{1 << 7}})
 	if got := controls[publisher].health.heardAt[7]; got != time.Minute {
 		t.Errorf("heard at %v", got)
 	}
@@ -144,10 +144,10 @@
 	at := places(40, 2)
 	first := mustPlan(t, small, nil, at)
 	f := NewFollower(1, 3, testKey)
-	if f.Leave(true); f.Released() {
+	if f.SetLeaving(true); f.Released() {
 		t.Error("it goes before it knows what it serves")
 	}
-	if _, err := f.Take(0, first.Slice(3).Encode(testKey)); err != nil || f.Released() {
+	if _, err := f.HandleAnswer(0, first.Slice(3).Encode(testKey)); err != nil || f.Released() {
 		t.Errorf("it goes with replicas: %v", err)
 	}
 	if ask, due := f.Poll(time.Second); !due || !ask.Leaving {
@@ -156,10 +156,10 @@
 	at[3].State = Leaving
 	next := mustPlan(t, small, first, at)
 	next.Version = Version{first.Version.Term, first.Version.Number + 1}
-	if _, err := f.Take(time.Second, next.Slice(3).Encode(testKey)); err != nil || !f.Released() {
+	if _, err := f.HandleAnswer(time.Second, next.Slice(3).Encode(testKey)); err != nil || !f.Released() {
 		t.Errorf("it stays without replicas: %v", err)
 	}
-	if f.Leave(false); f.Released() {
+	if f.SetLeaving(false); f.Released() {
 		t.Error("it goes though it was not to")
 	}
 }
@@ -211,12 +211,12 @@
 func TestNewPublisherWaitsForWord(t *testing.T) {
 	at := places(40, 2)
 	latest := mustPlan(t, small, nil, at)
-	h := NewHealth(at, latest, 0)
+	h := NewRelayHealth(at, latest, 0)
 	for r := range Relay(20) {
-		h.Heard(r, time.Second)
+		h.RecordContact(r, time.Second)
 	}
 	for i, m := range h.Members(time.Second) {
-		if want := map[bool]State{true: Live, false: Away}[i < 20]; m.State != want {
+		if want := map[bool]State{true: Live, false: Unreachable}[i < 20]; m.State != want {
 			t.Errorf("relay %d is %v, want %v", i, m.State, want)
 		}
 	}
@@ -226,14 +226,14 @@
 func TestBalanceTakesOneReplicaOfAPartition(t *testing.T) {
 	at := places(40, 2)
 	for i := range 16 {
-		at[i].State = Gone
+		at[i].State = Removed
 	}
 	m := mustPlan(t, small, nil, at)
 	for i := range 16 {
 		at[i].State = Live
 	}
 	next := mustPlan(t, small, m, at)
-	if next.Moved(m) == 0 {
+	if next.CountMoved(m) == 0 {
 		t.Fatal("nothing moves to those that came back")
 	}
 	oneMoves(t, m, next)
--- a/internal/assignment/map.go
+++ b/internal/assignment/map.go
@@ -88,7 +88,7 @@
 func (m *Map) slice(r Relay, partitions []Partition) *Slice {
 	s := &Slice{Region: m.Region, Version: m.Version, Relay: r, Partitions: m.Partitions(), Replication: m.Replication}
 	for _, p := range partitions {
-		s.Serving = append(s.Serving, Serving{p, m.Replicas(p), m.Previous(p)})
+		s.Assignments = append(s.Assignments, PartitionAssignment{p, m.Replicas(p), m.Previous(p)})
 	}
 	return s
 }
@@ -110,9 +110,9 @@
 	return concerned
 }
 
-// Moved counts the replicas of m that were not replicas of the same partition in
+// CountMoved counts the replicas of m that were not replicas of the same partition in
 // previous; all of them where the two have not the same shape.
-func (m *Map) Moved(previous *Map) (moved int) {
+func (m *Map) CountMoved(previous *Map) (moved int) {
 	if previous == nil || previous.Partitions() != m.Partitions() || previous.Replication != m.Replication {
 		return len(m.replicas)
 	}
@@ -139,12 +139,12 @@
 	Relay       Relay
 	Partitions  int // of the whole map
 	Replication int
-	Serving     []Serving // ascending by partition
+	Assignments []PartitionAssignment // ascending by partition
 }
 
-// Serving is a partition that concerns a relay: one that it serves, or has served
+// PartitionAssignment is a partition that concerns a relay: one that it serves, or has served
 // until the latest change and may hold messages for.
-type Serving struct {
+type PartitionAssignment struct {
 	Partition Partition
 	Replicas  []Relay // ascending
 	Previous  []Relay // before the latest change, ascending; the same once that is settled
@@ -153,13 +153,13 @@
 // Serves tells whether the relay serves a destination.
 func (s *Slice) Serves(destination uint64) bool {
 	p := Partition(Mix(destination) % uint64(s.Partitions))
-	at, found := slices.BinarySearchFunc(s.Serving, p, func(a Serving, p Partition) int { return cmp.Compare(a.Partition, p) })
-	return found && slices.Contains(s.Serving[at].Replicas, s.Relay)
+	at, found := slices.BinarySearchFunc(s.Assignments, p, func(a PartitionAssignment, p Partition) int { return cmp.Compare(a.Partition, p) })
+	return found && slices.Contains(s.Assignments[at].Replicas, s.Relay)
 }
 
 // same tells whether two slices have the same partitions with the same replicas.
 func (s *Slice) same(other *Slice) bool {
-	return s.Partitions == other.Partitions && slices.EqualFunc(s.Serving, other.Serving, func(a, b Serving) bool {
+	return s.Partitions == other.Partitions && slices.EqualFunc(s.Assignments, other.Assignments, func(a, b PartitionAssignment) bool {
 		return a.Partition == b.Partition && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Previous, b.Previous)
 	})
 }
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -11,10 +11,10 @@
 type State uint8
 
 const (
-	Gone    State = iota // serves nothing; its replicas are given to others
-	Live                 // serves
-	Away                 // not heard of of late: keeps its replicas, and gets no more
-	Leaving              // serves until its replicas have been given to others
+	Removed     State = iota // serves nothing; its replicas are given to others
+	Live                     // serves
+	Unreachable              // not heard of of late: keeps its replicas, and gets no more
+	Leaving                  // serves until its replicas have been given to others
 )
 
 // Member is a relay of a region, with its failure domains.
@@ -24,8 +24,8 @@
 	Rack  uint16 // numbered over the whole region
 }
 
-// Shape is what an operator sets of a region's map.
-type Shape struct {
+// MapConfig is what an operator sets of a region's map.
+type MapConfig struct {
 	Region     uint8
 	Partitions int // 1 to MaxPartitions
 	Replicas   int // 1 to MaxReplicas
@@ -33,9 +33,9 @@
 
 // Errors of a plan that can't be made.
 var (
-	ErrShape    = errors.New("assignment: partitions, replicas or relays out of bounds")
-	ErrTooFew   = errors.New("assignment: fewer relays serve than a partition has replicas")
-	ErrReshaped = errors.New("assignment: the map before has another shape")
+	ErrOutOfRange    = errors.New("assignment: partitions, replicas or relays out of bounds")
+	ErrTooFewRelays  = errors.New("assignment: fewer relays serve than a partition has replicas")
+	ErrConfigChanged = errors.New("assignment: the map before has another shape")
 )
 
 // Plan makes the next map of a region from the one before, nil for the first.
@@ -47,17 +47,17 @@
 // move is about the share of relays that went or came. A partition whose latest
 // change is not settled does not change again: settled tells of each whether it is,
 // nil that all are. Of a partition, relays that serve give one replica away with a map.
-func Plan(shape Shape, previous *Map, members []Member, settled func(Partition) bool) (*Map, error) {
+func Plan(shape MapConfig, previous *Map, members []Member, settled func(Partition) bool) (*Map, error) {
 	if err := shape.check(len(members)); err != nil {
 		return nil, err
 	}
 	p := newPlanner(shape, members)
 	if p.serving < shape.Replicas {
-		return nil, fmt.Errorf("%w: %d relays, %d replicas", ErrTooFew, p.serving, shape.Replicas)
+		return nil, fmt.Errorf("%w: %d relays, %d replicas", ErrTooFewRelays, p.serving, shape.Replicas)
 	}
 	if previous != nil {
 		if previous.Partitions() != shape.Partitions || previous.Replication != shape.Replicas || previous.Region != shape.Region {
-			return nil, ErrReshaped
+			return nil, ErrConfigChanged
 		}
 		p.keep(previous, settled)
 	}
@@ -68,16 +68,16 @@
 	return p.done(previous), nil
 }
 
-func (s Shape) check(members int) error {
+func (s MapConfig) check(members int) error {
 	if s.Partitions < 1 || s.Partitions > MaxPartitions || s.Replicas < 1 || s.Replicas > MaxReplicas || members > MaxRelays {
-		return fmt.Errorf("%w: %d partitions, %d replicas, %d relays", ErrShape, s.Partitions, s.Replicas, members)
+		return fmt.Errorf("%w: %d partitions, %d replicas, %d relays", ErrOutOfRange, s.Partitions, s.Replicas, members)
 	}
 	return nil
 }
 
 // planner is a map in the making.
 type planner struct {
-	shape    Shape
+	shape    MapConfig
 	members  []Member
 	replicas [][]Relay // of each partition
 	frozen   []bool    // partitions that don't change
@@ -88,12 +88,12 @@
 	zones    int       // with a relay that is
 }
 
-func newPlanner(shape Shape, members []Member) *planner {
+func newPlanner(shape MapConfig, members []Member) *planner {
 	p := &planner{shape: shape, members: members, replicas: make([][]Relay, shape.Partitions),
 		frozen: make([]bool, shape.Partitions), gives: make([]bool, shape.Partitions), load: make([]int, len(members))}
 	seen := map[Zone]bool{}
 	for i, m := range members {
-		if m.State == Gone {
+		if m.State == Removed {
 			continue
 		}
 		p.serving++
@@ -132,7 +132,7 @@
 // the map.
 func (p *planner) stays(partition Partition, r Relay) bool {
 	switch {
-	case int(r) >= len(p.members) || p.members[r].State == Gone:
+	case int(r) >= len(p.members) || p.members[r].State == Removed:
 		return false
 	case p.members[r].State == Leaving && !p.gives[partition]:
 		p.gives[partition] = true
@@ -208,7 +208,7 @@
 func (p *planner) anyone(partition Partition) Relay {
 	best := -1
 	for i, m := range p.members {
-		if m.State == Gone || slices.Contains(p.replicas[partition], Relay(i)) {
+		if m.State == Removed || slices.Contains(p.replicas[partition], Relay(i)) {
 			continue
 		}
 		if best < 0 || cmp.Or(cmp.Compare(m.State, p.members[best].State), cmp.Compare(p.load[i], p.load[best])) < 0 {
--- a/internal/assignment/register.go
+++ b/internal/assignment/register.go
@@ -12,8 +12,8 @@
 	electionAfter  = 5 * heartbeatEvery // without a heartbeat, before a draw of as much again
 )
 
-// MaxControls is how many control machines a region may have.
-const MaxControls = 64
+// MaxControlNodes is how many control machines a region may have.
+const MaxControlNodes = 64
 
 // Message is what control machines tell one another.
 type Message interface{ message() }
@@ -39,8 +39,8 @@
 	Number uint64 // of the map
 }
 
-// Refused answers Prepare, Accept or Heartbeat of a term that is over.
-type Refused struct{ Promised uint64 }
+// Rejected answers Prepare, Accept or Heartbeat of a term that is over.
+type Rejected struct{ PromisedTerm uint64 }
 
 // Heartbeat tells that the publisher of a term works, and what is published.
 type Heartbeat struct {
@@ -48,8 +48,8 @@
 	Published Version
 }
 
-// Behind answers Heartbeat where the published map is not known.
-type Behind struct{ Term uint64 }
+// FetchPublished answers Heartbeat where the published map is not known.
+type FetchPublished struct{ Term uint64 }
 
 // Published carries the published map.
 type Published struct {
@@ -57,14 +57,14 @@
 	Map  []byte
 }
 
-func (Prepare) message()   {}
-func (Promise) message()   {}
-func (Accept) message()    {}
-func (Accepted) message()  {}
-func (Refused) message()   {}
-func (Heartbeat) message() {}
-func (Behind) message()    {}
-func (Published) message() {}
+func (Prepare) message()        {}
+func (Promise) message()        {}
+func (Accept) message()         {}
+func (Accepted) message()       {}
+func (Rejected) message()       {}
+func (Heartbeat) message()      {}
+func (FetchPublished) message() {}
+func (Published) message()      {}
 
 // Envelope is a message to a control machine.
 type Envelope struct {
@@ -72,12 +72,12 @@
 	Message Message
 }
 
-// Durable is what a control machine must have on disk before it sends the
+// PersistentState is what a control machine must have on disk before it sends the
 // envelopes of the call that changed it.
-type Durable struct {
-	Promised  uint64 // term
-	Map       []byte // accepted last, published or not
-	Published []byte // the latest that is known to be
+type PersistentState struct {
+	PromisedTerm uint64 // term
+	AcceptedMap  []byte // accepted last, published or not
+	PublishedMap []byte // the latest that is known to be
 }
 
 // Register is one control machine's part in a value that all of a region share:
@@ -89,7 +89,7 @@
 	me, controls int
 	key          Key
 	rng          *rand.Rand
-	disk         Durable
+	disk         PersistentState
 	accepted     *Map
 	published    *Map
 
@@ -115,27 +115,27 @@
 
 // NewRegister makes the part of control machine me of so many, 1 to 64, from what
 // it had on disk.
-func NewRegister(me, controls int, key Key, seed int64, disk Durable) (*Register, error) {
-	if controls < 1 || controls > MaxControls || me < 0 || me >= controls {
-		return nil, fmt.Errorf("%w: control machine %d of %d", ErrShape, me, controls)
+func NewRegister(me, controls int, key Key, seed int64, disk PersistentState) (*Register, error) {
+	if controls < 1 || controls > MaxControlNodes || me < 0 || me >= controls {
+		return nil, fmt.Errorf("%w: control machine %d of %d", ErrOutOfRange, me, controls)
 	}
 	r := &Register{me: me, controls: controls, key: key, disk: disk, publisher: -1, rng: rand.New(rand.NewPCG(uint64(seed), uint64(me)))}
 	var err error
-	if disk.Map != nil {
-		if r.accepted, err = DecodeMap(disk.Map, key); err != nil {
+	if disk.AcceptedMap != nil {
+		if r.accepted, err = DecodeMap(disk.AcceptedMap, key); err != nil {
 			return nil, fmt.Errorf("accepted map: %w", err)
 		}
 	}
-	if disk.Published != nil {
-		if r.published, err = DecodeMap(disk.Published, key); err != nil {
+	if disk.PublishedMap != nil {
+		if r.published, err = DecodeMap(disk.PublishedMap, key); err != nil {
 			return nil, fmt.Errorf("published map: %w", err)
 		}
 	}
 	return r, nil
 }
 
-// Durable returns what has to be on disk now.
-func (r *Register) Durable() Durable { return r.disk }
+// PersistentState returns what has to be on disk now.
+func (r *Register) PersistentState() PersistentState { return r.disk }
 
 // Published returns the latest map that is known to be published, nil before the
 // first.
@@ -148,9 +148,9 @@
 // it has heard of one.
 func (r *Register) Publisher() int { return r.publisher }
 
-// Latest returns the map that the next one has to be planned from, nil before the
+// LatestAccepted returns the map that the next one has to be planned from, nil before the
 // first. It is only of use to the machine that is publishing.
-func (r *Register) Latest() *Map { return r.accepted }
+func (r *Register) LatestAccepted() *Map { return r.accepted }
 
 // Tick takes the time and returns what to send.
 func (r *Register) Tick(now time.Duration) []Envelope {
@@ -176,14 +176,14 @@
 	r.await(now)
 	r.role, r.proposal, r.promises = electing, nil, map[int]Promise{}
 	r.term = r.nextTerm()
-	r.disk.Promised = r.term
+	r.disk.PromisedTerm = r.term
 	out := r.all(Prepare{r.term})
-	return append(out, r.promised(now, r.me, Promise{r.term, r.disk.Map})...)
+	return append(out, r.promised(now, r.me, Promise{r.term, r.disk.AcceptedMap})...)
 }
 
 // nextTerm is above all that were heard of, and differs from those of others.
 func (r *Register) nextTerm() uint64 {
-	return (r.disk.Promised/MaxControls+1)*MaxControls + uint64(r.me)
+	return (r.disk.PromisedTerm/MaxControlNodes+1)*MaxControlNodes + uint64(r.me)
 }
 
 // all addresses a message to all others.
@@ -236,7 +236,7 @@
 }
 
 func (r *Register) accept(term uint64, m *Map, encoded []byte) {
-	r.accepted, r.disk.Map, r.disk.Promised = m, encoded, term
+	r.accepted, r.disk.AcceptedMap, r.disk.PromisedTerm = m, encoded, term
 }
 
 // Receive takes in a message of another control machine and returns what to send.
@@ -252,13 +252,13 @@
 		return r.approved(now, from, m)
 	case Heartbeat:
 		return r.heartbeat(now, from, m)
-	case Behind:
+	case FetchPublished:
 		if r.role == publishing && m.Term == r.term && r.published != nil {
-			return []Envelope{{from, Published{r.term, r.disk.Published}}}
+			return []Envelope{{from, Published{r.term, r.disk.PublishedMap}}}
 		}
 	case Published:
 		r.publish(m.Map)
-	case Refused:
+	case Rejected:
 		r.refused(now, m)
 	}
 	return nil
@@ -266,11 +266,11 @@
 
 // over tells whether a term is over here; if it is not, it is the one from now on.
 func (r *Register) over(now time.Duration, term uint64) bool {
-	if term < r.disk.Promised {
+	if term < r.disk.PromisedTerm {
 		return true
 	}
-	if term > r.disk.Promised {
-		r.disk.Promised, r.role, r.proposal = term, waiting, nil
+	if term > r.disk.PromisedTerm {
+		r.disk.PromisedTerm, r.role, r.proposal = term, waiting, nil
 	}
 	r.await(now)
 	return false
@@ -278,9 +278,9 @@
 
 func (r *Register) prepare(now time.Duration, from int, m Prepare) []Envelope {
 	if r.over(now, m.Term) {
-		return []Envelope{{from, Refused{r.disk.Promised}}}
+		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
 	}
-	return []Envelope{{from, Promise{m.Term, r.disk.Map}}}
+	return []Envelope{{from, Promise{m.Term, r.disk.AcceptedMap}}}
 }
 
 // promised counts promises; with a majority's this machine is the publisher, and
@@ -319,13 +319,13 @@
 		return // as if that machine had none: a majority of the others has what is published
 	}
 	if r.accepted == nil || m.Version.Compare(r.accepted.Version) > 0 {
-		r.accepted, r.disk.Map = m, p.Map
+		r.accepted, r.disk.AcceptedMap = m, p.Map
 	}
 }
 
 func (r *Register) acceptable(now time.Duration, from int, m Accept) []Envelope {
 	if r.over(now, m.Term) {
-		return []Envelope{{from, Refused{r.disk.Promised}}}
+		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
 	}
 	next, err := DecodeMap(m.Map, r.key)
 	if err != nil || next.Version.Term != m.Term || r.accepted != nil && next.Version.Compare(r.accepted.Version) < 0 {
@@ -344,7 +344,7 @@
 	if !r.majority(len(r.approvals)) {
 		return nil
 	}
-	r.published, r.disk.Published, r.proposal = r.proposal, r.encoded, nil
+	r.published, r.disk.PublishedMap, r.proposal = r.proposal, r.encoded, nil
 	r.beatAt = now + heartbeatEvery
 	return r.all(Published{r.term, r.encoded})
 }
@@ -353,13 +353,13 @@
 func (r *Register) publish(encoded []byte) {
 	m, err := DecodeMap(encoded, r.key)
 	if err == nil && (r.published == nil || m.Version.Compare(r.published.Version) > 0) {
-		r.published, r.disk.Published = m, encoded
+		r.published, r.disk.PublishedMap = m, encoded
 	}
 }
 
 func (r *Register) heartbeat(now time.Duration, from int, m Heartbeat) []Envelope {
 	if r.over(now, m.Term) {
-		return []Envelope{{from, Refused{r.disk.Promised}}}
+		return []Envelope{{from, Rejected{r.disk.PromisedTerm}}}
 	}
 	r.publisher = from
 	known := Version{}
@@ -367,15 +367,15 @@
 		known = r.published.Version
 	}
 	if known.Compare(m.Published) < 0 {
-		return []Envelope{{from, Behind{m.Term}}}
+		return []Envelope{{from, FetchPublished{m.Term}}}
 	}
 	return nil
 }
 
 // refused ends this machine's term: another one's is later.
-func (r *Register) refused(now time.Duration, m Refused) {
-	if m.Promised > r.disk.Promised {
-		r.disk.Promised, r.role, r.proposal = m.Promised, waiting, nil
+func (r *Register) refused(now time.Duration, m Rejected) {
+	if m.PromisedTerm > r.disk.PromisedTerm {
+		r.disk.PromisedTerm, r.role, r.proposal = m.PromisedTerm, waiting, nil
 		r.await(now)
 	}
 }
--- a/internal/assignment/register_test.go
+++ b/internal/assignment/register_test.go
@@ -15,7 +15,7 @@
 	now       time.Duration
 	registers []*Register
 	up        []bool
-	disks     []Durable
+	disks     []PersistentState
 	published map[uint64]Version
 	mail      []posted
 }
@@ -27,7 +27,7 @@
 
 func newOffice(t *testing.T, controls int, seed uint64) *office {
 	o := &office{t: t, rng: rand.New(rand.NewPCG(seed, 1)), published: map[uint64]Version{},
-		registers: make([]*Register, controls), up: make([]bool, controls), disks: make([]Durable, controls)}
+		registers: make([]*Register, controls), up: make([]bool, controls), disks: make([]PersistentState, controls)}
 	for i := range controls {
 		o.start(i)
 	}
@@ -46,7 +46,7 @@
 // post saves what machine i must have on disk, checks what it published, and takes its messages for delivery.
 func (o *office) post(i int, out []Envelope) {
 	r := o.registers[i]
-	o.disks[i] = r.Durable()
+	o.disks[i] = r.PersistentState()
 	if m := r.Published(); m != nil {
 		if known, found := o.published[m.Version.Number]; found && known != m.Version {
 			o.t.Fatalf("maps %v and %v were both published as number %d", known, m.Version, m.Version.Number)
@@ -134,7 +134,7 @@
 	o := newOffice(t, 5, 1)
 	members := places(40, 2)
 	first := mustPlan(t, small, nil, members)
-	members[3].State = Gone
+	members[3].State = Removed
 	second := mustPlan(t, small, first, members)
 	o.publish(0, first)
 	o.propose(0, second)
@@ -147,7 +147,7 @@
 	}
 	o.up[0] = false
 	o.elect(1)
-	if got := o.registers[1].Published(); got == nil || got.Moved(second) != 0 || got.Version.Number != 3 {
+	if got := o.registers[1].Published(); got == nil || got.CountMoved(second) != 0 || got.Version.Number != 3 {
 		t.Errorf("published %+v", got.Version)
 	}
 }
@@ -160,7 +160,7 @@
 	o.elect(1)
 	o.start(2)
 	out := o.registers[2].Receive(o.now, 0, Accept{old, mustPlan(t, small, nil, places(40, 2)).at(old, 1).Encode(testKey)})
-	if len(out) != 1 || out[0].Message != (Refused{o.registers[1].term}) {
+	if len(out) != 1 || out[0].Message != (Rejected{o.registers[1].term}) {
 		t.Errorf("%+v", out)
 	}
 }
@@ -175,11 +175,11 @@
 	for name, b := range map[string][]byte{
 		"torn":         good[:len(good)-1],
 		"forged":       m.at(term, 2).Encode(Key("another")),
-		"another term": m.at(term+MaxControls, 2).Encode(testKey),
+		"another term": m.at(term+MaxControlNodes, 2).Encode(testKey),
 		"older":        m.at(term, 0).Encode(testKey),
 	} {
-		before := r.Latest()
-		if out := r.Receive(o.now, 0, Accept{term, b}); len(out) > 0 || r.Latest() != before {
+		before := r.LatestAccepted()
+		if out := r.Receive(o.now, 0, Accept{term, b}); len(out) > 0 || r.LatestAccepted() != before {
 			t.Errorf("%s: %+v", name, out)
 		}
 	}
@@ -190,15 +190,15 @@
 	if r.Published().Version.Number != 1 {
 		t.Error("a torn map is published")
 	}
-	for _, n := range []int{0, -1, MaxControls + 1} {
-		if _, err := NewRegister(0, n, testKey, 1, Durable{}); err == nil {
+	for _, n := range []int{0, -1, MaxControlNodes + 1} {
+		if _, err := NewRegister(0, n, testKey, 1, PersistentState{}); err == nil {
 			t.Errorf("%d control machines", n)
 		}
 	}
-	if _, err := NewRegister(0, 3, testKey, 1, Durable{Map: good[:20]}); err == nil {
+	if _, err := NewRegister(0, 3, testKey, 1, PersistentState{AcceptedMap: good[:20]}); err == nil {
 		t.Error("a torn map on disk is taken")
 	}
-	if _, err := NewRegister(0, 3, testKey, 1, Durable{Published: good[:20]}); err == nil {
+	if _, err := NewRegister(0, 3, testKey, 1, PersistentState{PublishedMap: good[:20]}); err == nil {
 		t.Error("a torn published map on disk is taken")
 	}
 }
@@ -212,7 +212,7 @@
 			o := newOffice(t, 5, seed)
 			maps := []*Map{mustPlan(t, small, nil, members)}
 			gone := slices.Clone(members)
-			gone[3].State = Gone
+			gone[3].State = Removed
 			maps = append(maps, mustPlan(t, small, maps[0], gone))
 			for range 4000 {
 				o.trouble(maps)
--- a/internal/cli/assignment.go
+++ b/internal/cli/assignment.go
@@ -25,7 +25,7 @@
 }
 
 func assignmentPlan() *cobra.Command {
-	var shape assignment.Shape
+	var shape assignment.MapConfig
 	var from, out, keyFile string
 	cmd := &cobra.Command{Use: "plan MEMBERS --key FILE", Short: "Make a region's map, or the next one, from a list of its relays", Args: cobra.ExactArgs(1),
 		Long: "Make a region's map, or with --from the next one, and say what moves. MEMBERS is a file of lines `relay,zone,rack,state`: numbers, and live, away or gone."}
@@ -102,7 +102,7 @@
 func printPlan(out io.Writer, next, before *assignment.Map, members []assignment.Member) error {
 	least, most, serving := next.Partitions(), 0, 0
 	for r, partitions := range next.ByRelay()[:len(members)] {
-		if members[r].State == assignment.Gone {
+		if members[r].State == assignment.Removed {
 			continue
 		}
 		n := 0
@@ -117,7 +117,7 @@
 	fmt.Fprintf(out, "region %d, map %d: %d partitions, %d replicas each, %d relays\n", next.Region, next.Version.Number, next.Partitions(), next.Replication, serving)
 	fmt.Fprintf(out, "partitions of a relay: %d to %d, %.1f in the mean\n", least, most, float64(all)/float64(max(1, serving)))
 	if before != nil {
-		moved := next.Moved(before)
+		moved := next.CountMoved(before)
 		fmt.Fprintf(out, "moved: %d of %d replicas (%.3f %%)\n", moved, all, 100*float64(moved)/float64(all))
 	}
 	return nil
@@ -126,7 +126,7 @@
 func printSlice(out io.Writer, s *assignment.Slice) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "partition\treplicas\tbefore")
-	for _, serving := range s.Serving {
+	for _, serving := range s.Assignments {
 		fmt.Fprintf(w, "%d\t%v\t%v\n", serving.Partition, serving.Replicas, serving.Previous)
 	}
 	return w.Flush()
@@ -191,7 +191,7 @@
 }
 
 func readMember(fields []string) (number int, m assignment.Member, err error) {
-	states := map[string]assignment.State{"live": assignment.Live, "away": assignment.Away, "gone": assignment.Gone, "leaving": assignment.Leaving}
+	states := map[string]assignment.State{"live": assignment.Live, "away": assignment.Unreachable, "gone": assignment.Removed, "leaving": assignment.Leaving}
 	relay, err := strconv.ParseUint(fields[0], 10, 16)
 	if err != nil || relay >= assignment.MaxRelays {
 		return 0, m, fmt.Errorf("relay: %q, 0 to %d wanted", fields[0], assignment.MaxRelays-1)
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -39,7 +39,7 @@
 					return err
 				}
 			}
-			f, err := c.Sites.Lose(lost)
+			f, err := c.Sites.ForecastLoss(lost)
 			if err != nil {
 				return usageError{fmt.Errorf("--lost: %w", err)}
 			}
@@ -52,16 +52,16 @@
 			fmt.Fprintf(out, "%s is lost; messages a second\n\n", lost)
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "zone\ttakes\tserves now\tserves then\tfull")
-			for _, z := range f.Fills {
+			for _, z := range f.Zones {
 				if z.Zone == lost {
 					fmt.Fprintf(w, "%s\tlost\t%.1f\t\t\n", z.Zone, z.Before)
 					continue
 				}
-				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.2f\n", z.Zone, z.Takes, z.Before, z.After, z.Full)
+				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.2f\n", z.Zone, z.Capacity, z.Before, z.After, z.Utilization)
 			}
 			fmt.Fprintln(w, "\nclass\twanted\tserved now\tserved then\trefused then")
 			for i, s := range f.After {
-				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", s.Class, s.Wanted, f.Before[i].Served, s.Served, s.Refused)
+				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", s.Class, s.Demand, f.Before[i].Served, s.Served, s.Refused)
 			}
 			fmt.Fprintln(w, "\ndestination\tclass\tclients of\tgo to\ttier\trate")
 			for _, fl := range append(f.Flows, f.Refused...) {
@@ -74,7 +74,7 @@
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "\nreturn: its full share %.0f s after the first call that is served there, at least\n", f.ReturnS)
+			fmt.Fprintf(out, "\nreturn: its full share %.0f s after the first call that is served there, at least\n", f.MinReturnSeconds)
 			for _, n := range f.Notes {
 				fmt.Fprintln(out, "note:", n)
 			}
@@ -142,7 +142,7 @@
 				zone = m.Get("zone").Str
 			}
 		}
-		if !plan.Known(zone) {
+		if !plan.HasZone(zone) {
 			return fmt.Errorf("%s: its zone %q is no site of the file", addr, zone)
 		}
 		for _, d := range gjson.GetBytes(choices, "destinations").Array() {
@@ -156,7 +156,7 @@
 	for i := range plan.Destinations {
 		d := &plan.Destinations[i]
 		mix, all := map[string]float64{}, 0.0
-		for _, by := range d.Wanted {
+		for _, by := range d.Demand {
 			for c, n := range by {
 				mix[c], all = mix[c]+n, all+n
 			}
@@ -164,11 +164,11 @@
 		if all <= 0 || len(wanted[d.Number]) == 0 {
 			continue // nothing is known of its classes, or of what comes in
 		}
-		d.Wanted = map[string]map[string]float64{}
+		d.Demand = map[string]map[string]float64{}
 		for zone, n := range wanted[d.Number] {
-			d.Wanted[zone] = map[string]float64{}
+			d.Demand[zone] = map[string]float64{}
 			for c, share := range mix {
-				d.Wanted[zone][c] = n * share / all
+				d.Demand[zone][c] = n * share / all
 			}
 		}
 	}
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -59,16 +59,16 @@
 		t.Fatal(err)
 	}
 	sum := map[string]float64{}
-	for z, by := range c.Sites.Destinations[0].Wanted {
+	for z, by := range c.Sites.Destinations[0].Demand {
 		for _, n := range by {
 			sum[z] += n
 		}
 	}
-	alerts := c.Sites.Destinations[0].Wanted["porto"]["price-alert"]
+	alerts := c.Sites.Destinations[0].Demand["porto"]["price-alert"]
 	if math.Abs(sum["porto"]-20) > 1e-9 || math.Abs(sum["braga"]-10) > 1e-9 || sum["faro"] != 0 || math.Abs(alerts-20*125/185.0) > 1e-9 {
 		t.Errorf("%v, %v alerts", sum, alerts)
 	}
-	if n := c.Sites.Destinations[1].Wanted["braga"]["order-relay"]; n != 8 {
+	if n := c.Sites.Destinations[1].Demand["braga"]["order-relay"]; n != 8 {
 		t.Errorf("of a destination that nobody told of: %v", n)
 	}
 	zone["one"] = "lisboa"
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -11,18 +11,18 @@
 
 var start = time.Now()
 
-// Since is real time since the process started, for moments that are kept as a number. It never goes back.
-func Since() time.Duration { return time.Since(start) }
+// SinceStart is real time since the process started, for moments that are kept as a number. It never goes back.
+func SinceStart() time.Duration { return time.Since(start) }
 
-// Mark says which date belongs to a moment of a machine's monotonic clock.
-type Mark struct {
-	Boot string `json:"boot"`    // of the machine; empty: not known
-	Mono int64  `json:"mono_us"` // monotonic clock, in microseconds
-	Date int64  `json:"date_us"` // date at that moment, in microseconds since 1970
+// Anchor says which date belongs to a moment of a machine's monotonic clock.
+type Anchor struct {
+	BootID      string `json:"boot"`    // of the machine; empty: not known
+	MonotonicUs int64  `json:"mono_us"` // monotonic clock, in microseconds
+	DateUs      int64  `json:"date_us"` // date at that moment, in microseconds since 1970
 }
 
 // Encode writes a mark, to be read by Decode.
-func (m Mark) Encode() []byte {
+func (m Anchor) Encode() []byte {
 	b, _ := json.Marshal(m) // it holds nothing that can't be written
 	return append(b, '\n')
 }
@@ -30,13 +30,13 @@
 var errNoMark = errors.New("clock: no mark")
 
 // Decode reads a mark. An error says that b is none.
-func Decode(b []byte) (Mark, error) {
-	var m Mark
+func Decode(b []byte) (Anchor, error) {
+	var m Anchor
 	if err := json.Unmarshal(b, &m); err != nil {
-		return Mark{}, err
+		return Anchor{}, err
 	}
-	if m.Boot == "" || m.Mono < 0 {
-		return Mark{}, errNoMark
+	if m.BootID == "" || m.MonotonicUs < 0 {
+		return Anchor{}, errNoMark
 	}
 	return m, nil
 }
@@ -47,17 +47,17 @@
 	date int64     // its date, in microseconds
 }
 
-// At returns the scale on which t has that date, in microseconds. t was read from this process's clock.
-func At(t time.Time, date int64) Scale { return Scale{t, date} }
+// NewScale returns the scale on which t has that date, in microseconds. t was read from this process's clock.
+func NewScale(t time.Time, date int64) Scale { return Scale{t, date} }
 
 // Continue returns the scale of a mark that an earlier process has left, if it is of this run of the machine; else one that begins
 // with the wall clock at now. Now is what the clocks say at the moment at. It tells whether the earlier scale goes on.
-func Continue(kept, now Mark, at time.Time) (s Scale, goesOn bool) {
+func Continue(kept, now Anchor, at time.Time) (s Scale, goesOn bool) {
 	// Guards against a monotonic clock that began anew, under the same name or none.
-	if kept.Boot == "" || kept.Boot != now.Boot || kept.Mono > now.Mono {
-		return Scale{at, now.Date}, false
+	if kept.BootID == "" || kept.BootID != now.BootID || kept.MonotonicUs > now.MonotonicUs {
+		return Scale{at, now.DateUs}, false
 	}
-	return Scale{at, kept.Date + now.Mono - kept.Mono}, true
+	return Scale{at, kept.DateUs + now.MonotonicUs - kept.MonotonicUs}, true
 }
 
 // Date is the date of t, in microseconds; 0 for the zero time.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,11 +10,11 @@
 func TestDatesOutliveStepsOfTheWallClock(t *testing.T) {
 	const hour = int64(time.Hour / time.Microsecond)
 	for _, step := range []int64{-hour, 0, hour} {
-		first := Mark{Boot: "b", Mono: 5_000_000, Date: 1_700_000_000_000_000}
+		first := Anchor{BootID: "b", MonotonicUs: 5_000_000, DateUs: 1_700_000_000_000_000}
 		at := time.Now()
-		writes, _ := Continue(Mark{}, first, at)
+		writes, _ := Continue(Anchor{}, first, at)
 		date := writes.Date(at.Add(12 * time.Second))
-		later := Mark{Boot: "b", Mono: first.Mono + 2_000_000, Date: first.Date + 2_000_000 + step}
+		later := Anchor{BootID: "b", MonotonicUs: first.MonotonicUs + 2_000_000, DateUs: first.DateUs + 2_000_000 + step}
 		reads, goesOn := Continue(first, later, at)
 		if left := reads.Time(date).Sub(at); !goesOn || left != 10*time.Second {
 			t.Errorf("stepped by %d us: %v left, goes on %v; want 10s of 12s, 2s later", step, left, goesOn)
@@ -24,10 +24,10 @@
 
 // A mark of another run of the machine, of a clock that is behind, or none at all: dates go by the wall clock as it is.
 func TestMarkOfAnotherRun(t *testing.T) {
-	now, at := Mark{Boot: "b", Mono: 7, Date: 1_700_000_000_000_000}, time.Now()
-	for _, kept := range []Mark{{}, {Boot: "a", Mono: 1, Date: 1}, {Boot: "b", Mono: 8, Date: 1}} {
+	now, at := Anchor{BootID: "b", MonotonicUs: 7, DateUs: 1_700_000_000_000_000}, time.Now()
+	for _, kept := range []Anchor{{}, {BootID: "a", MonotonicUs: 1, DateUs: 1}, {BootID: "b", MonotonicUs: 8, DateUs: 1}} {
 		s, goesOn := Continue(kept, now, at)
-		if goesOn || s.Date(at) != now.Date || !s.Time(now.Date).Equal(at) {
+		if goesOn || s.Date(at) != now.DateUs || !s.Time(now.DateUs).Equal(at) {
 			t.Errorf("%+v goes on", kept)
 		}
 	}
@@ -48,7 +48,7 @@
 	if s.Date(at) != at.UnixMicro() || !s.Time(at.UnixMicro()).Equal(at) || s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
 		t.Error("the zero scale is not the wall clock")
 	}
-	if s = At(time.Now(), 5); s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
+	if s = NewScale(time.Now(), 5); s.Date(time.Time{}) != 0 || !s.Time(0).IsZero() {
 		t.Error("no date became one")
 	}
 }
@@ -57,7 +57,7 @@
 func TestNow(t *testing.T) {
 	a, _ := Now()
 	b, at := Now()
-	if b.Mono < a.Mono || b.Boot != a.Boot || At(at, b.Date).Date(at) != b.Date || Since() <= 0 {
+	if b.MonotonicUs < a.MonotonicUs || b.BootID != a.BootID || NewScale(at, b.DateUs).Date(at) != b.DateUs || SinceStart() <= 0 {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 }
--- a/internal/clock/mark_linux.go
+++ b/internal/clock/mark_linux.go
@@ -11,16 +11,16 @@
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
 // Now reads both clocks of the machine: a mark, and the moment that it is of.
-func Now() (Mark, time.Time) {
+func Now() (Anchor, time.Time) {
 	boot, err := os.ReadFile(bootFile)
 	var mono unix.Timespec
 	if err == nil {
 		err = unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono)
 	}
 	at := time.Now()
-	m := Mark{Date: at.UnixMicro()}
+	m := Anchor{DateUs: at.UnixMicro()}
 	if err == nil {
-		m.Boot, m.Mono = strings.TrimSpace(string(boot)), mono.Nano()/1000
+		m.BootID, m.MonotonicUs = strings.TrimSpace(string(boot)), mono.Nano()/1000
 	}
 	return m, at
 }
--- a/internal/daemon/config/operator/sites.go
+++ b/internal/daemon/config/operator/sites.go
@@ -27,7 +27,7 @@
 	case file.RampS > maxRampSeconds:
 		return nil, c.errorAt("ramp_s", "%d is more than %d", file.RampS, maxRampSeconds)
 	case file.RampS == 0:
-		plan.Ramp = sites.UsualRamp
+		plan.Ramp = sites.DefaultRamp
 	}
 	if len(file.Site) < 2 {
 		return nil, c.errorAt("site", "a plan needs at least two sites")
@@ -54,12 +54,12 @@
 		}
 		for j, t := range s.Tier {
 			c.path = fmt.Sprintf("sites.site[%d].tier[%d]", i, j)
-			tier := sites.Tier{Spill: t.Spill}
+			tier := sites.Tier{SpillFraction: t.Spill}
 			switch {
 			case !(t.Spill >= 0 && t.Spill <= 1):
 				return nil, c.errorAt("spill", "%v is not above 0 and at most 1", t.Spill)
 			case t.Spill == 0:
-				tier.Spill = sites.UsualSpill
+				tier.SpillFraction = sites.DefaultSpillFraction
 			}
 			if len(t.Zone) == 0 {
 				return nil, c.errorAt("zone", "a tier needs at least one zone")
@@ -96,33 +96,33 @@
 			return nil, c.errorAt("number", "%d is used already", d.Number)
 		}
 		numbers[d.Number] = true
-		dest := sites.Destination{Number: int(d.Number), Takes: map[string]float64{},
-			Wanted: map[string]map[string]float64{}}
+		dest := sites.Destination{Number: int(d.Number), Capacity: map[string]float64{},
+			Demand: map[string]map[string]float64{}}
 		for j, t := range d.Takes {
 			c.path = fmt.Sprintf("sites.destination[%d].takes[%d]", i, j)
-			if _, twice := dest.Takes[t.Zone]; twice || !zones[t.Zone] {
+			if _, twice := dest.Capacity[t.Zone]; twice || !zones[t.Zone] {
 				return nil, c.errorAt("zone", "%q is not a site, or a duplicate", t.Zone)
 			}
 			if !(t.Rate > 0 && t.Rate <= maxRate) {
 				return nil, c.errorAt("rate", "%v is not above 0 and at most %.0f", t.Rate, maxRate)
 			}
-			dest.Takes[t.Zone] = t.Rate
+			dest.Capacity[t.Zone] = t.Rate
 		}
 		for j, w := range d.Wanted {
 			c.path = fmt.Sprintf("sites.destination[%d].wanted[%d]", i, j)
 			if !zones[w.Zone] {
 				return nil, c.errorAt("zone", "%q is not a site", w.Zone)
 			}
-			if _, twice := dest.Wanted[w.Zone][w.Class]; twice || w.Class == "" {
+			if _, twice := dest.Demand[w.Zone][w.Class]; twice || w.Class == "" {
 				return nil, c.errorAt("class", "%q is empty or a duplicate for %s", w.Class, w.Zone)
 			}
 			if !(w.Rate >= 0 && w.Rate <= maxRate) {
 				return nil, c.errorAt("rate", "%v is not within 0 and %.0f", w.Rate, maxRate)
 			}
-			if dest.Wanted[w.Zone] == nil {
-				dest.Wanted[w.Zone] = map[string]float64{}
+			if dest.Demand[w.Zone] == nil {
+				dest.Demand[w.Zone] = map[string]float64{}
 			}
-			dest.Wanted[w.Zone][w.Class] = w.Rate
+			dest.Demand[w.Zone][w.Class] = w.Rate
 		}
 		plan.Destinations = append(plan.Destinations, dest)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -373,7 +373,7 @@
 	server.SetPlugins(r.plugins)
 	server.SetMetrics(r.metrics)
 	if r.host.Activate() || r.stateDir.Drained() {
-		server.HandleDrainEvent(drain.Fail)
+		server.HandleDrainEvent(drain.HealthFail)
 	}
 	go server.Serve()
 	if !predecessorLeaving {
@@ -433,9 +433,9 @@
 			if server == nil {
 				return false
 			}
-			event := drain.OK
+			event := drain.HealthOK
 			if drained {
-				event = drain.Fail
+				event = drain.HealthFail
 			}
 			server.HandleDrainEvent(event)
 			go r.saveDrain()
--- a/internal/daemon/sites.go
+++ b/internal/daemon/sites.go
@@ -9,7 +9,7 @@
 
 // siteJSON is one site in the reply to GET /sites.
 type siteJSON struct {
-	sites.Standing
+	sites.Status
 	SinceMs int64 `json:"since_ms"` // time in this state
 }
 
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -51,7 +51,7 @@
 	log.Info("stopping")
 	server.HandleDrainEvent(drain.Stop)
 	host.SetLeaving(true)
-	time.Sleep(drain.ServeOn)
+	time.Sleep(drain.StopAcceptGrace)
 	stopPrepared, attemptsStopped, readsStopped := false, false, false
 	for time.Since(began) < exitAfter {
 		pending, inFlight := host.Load()
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -16,7 +16,7 @@
 		case time.Duration:
 			now += e
 		case Event:
-			m.Do(e, now)
+			m.Handle(e, now)
 		}
 	}
 	return m, now
@@ -30,18 +30,18 @@
 	}{
 		"not started":               {nil, View{}},
 		"serving":                   {[]any{Started}, serving},
-		"drained":                   {[]any{Started, Fail}, View{Serving: true, Close: true}},
-		"drained for long":          {[]any{Started, Fail, IdleOn}, View{Serving: true, Close: true, Idle: true}},
-		"drained twice":             {[]any{Started, Fail, IdleOn - ms, Fail, ms}, View{Serving: true, Close: true, Idle: true}},
-		"ok in the middle":          {[]any{Started, Fail, 500 * ms, OK}, serving},
-		"drained before it started": {[]any{Fail, Started}, View{Serving: true, Close: true}},
+		"drained":                   {[]any{Started, HealthFail}, View{Serving: true, CloseAfterResponse: true}},
+		"drained for long":          {[]any{Started, HealthFail, IdleGrace}, View{Serving: true, CloseAfterResponse: true, CloseIdle: true}},
+		"drained twice":             {[]any{Started, HealthFail, IdleGrace - ms, HealthFail, ms}, View{Serving: true, CloseAfterResponse: true, CloseIdle: true}},
+		"ok in the middle":          {[]any{Started, HealthFail, 500 * ms, HealthOK}, serving},
+		"drained before it started": {[]any{HealthFail, Started}, View{Serving: true, CloseAfterResponse: true}},
 		"stop":                      {[]any{Started, Stop}, View{Stopping: true}},
-		"stop, closed":              {[]any{Started, Stop, ServeOn}, View{Stopping: true, Close: true, Idle: true, Shut: true}},
-		"drain, then stop":          {[]any{Started, Fail, IdleOn, Stop}, View{Stopping: true, Close: true, Idle: true}},
-		"ok takes back no stop":     {[]any{Started, Stop, OK}, View{Stopping: true}},
-		"handed over":               {[]any{Started, HandOver}, View{Ready: true, Close: true}},
-		"drained, then handed over": {[]any{Started, Fail, IdleOn, HandOver}, View{Close: true, Idle: true}},
-		"stop, then handed over":    {[]any{Started, Stop, HandOver, ServeOn}, View{Stopping: true, Close: true, Idle: true, Shut: true}},
+		"stop, closed":              {[]any{Started, Stop, StopAcceptGrace}, View{Stopping: true, CloseAfterResponse: true, CloseIdle: true, StopAccepting: true}},
+		"drain, then stop":          {[]any{Started, HealthFail, IdleGrace, Stop}, View{Stopping: true, CloseAfterResponse: true, CloseIdle: true}},
+		"ok takes back no stop":     {[]any{Started, Stop, HealthOK}, View{Stopping: true}},
+		"handed over":               {[]any{Started, HandOver}, View{Ready: true, CloseAfterResponse: true}},
+		"drained, then handed over": {[]any{Started, HealthFail, IdleGrace, HandOver}, View{CloseAfterResponse: true, CloseIdle: true}},
+		"stop, then handed over":    {[]any{Started, Stop, HandOver, StopAcceptGrace}, View{Stopping: true, CloseAfterResponse: true, CloseIdle: true, StopAccepting: true}},
 	} {
 		if m, now := after(c.events...); m.View(now) != c.want {
 			t.Errorf("%s: %+v, want %+v", name, m.View(now), c.want)
@@ -54,11 +54,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := &Machine{}, time.Duration(0)
 		for _, e := range rapid.SliceOfN(rapid.IntRange(0, 4), 1, 8).Draw(t, "events") {
-			m.Do(Event(e), now)
+			m.Handle(Event(e), now)
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * ms
 		}
 		for turns := 0; ; turns++ {
-			d := m.Next(now)
+			d := m.NextChange(now)
 			if d == 0 {
 				d = time.Hour
 				if v := m.View(now); v != m.View(now+d) {
--- a/internal/handover/processdir/processdir.go
+++ b/internal/handover/processdir/processdir.go
@@ -83,7 +83,7 @@
 	}
 	scale, continued := clock.Continue(saved, now, at)
 	if continued {
-		if step := time.Duration(now.Date-scale.Date(at)) * time.Microsecond; step.Abs() >= minClockStep {
+		if step := time.Duration(now.DateUs-scale.Date(at)) * time.Microsecond; step.Abs() >= minClockStep {
 			s.log.Warn("the wall clock was stepped; dates continue on the earlier scale", "by", step)
 		}
 		return scale
--- a/internal/handover/processdir/processdir_test.go
+++ b/internal/handover/processdir/processdir_test.go
@@ -141,11 +141,11 @@
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		dir := t.TempDir()
 		mark, at := clock.Now()
-		mark.Date += step.Microseconds()
+		mark.DateUs += step.Microseconds()
 		if err := os.WriteFile(filepath.Join(dir, "clock"), mark.Encode(), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		date := clock.At(at, mark.Date).Date(at.Add(time.Minute)) // written by the first process
+		date := clock.NewScale(at, mark.DateUs).Date(at.Add(time.Minute)) // written by the first process
 		s, err := Open(dir, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/spread/spread_test.go
+++ b/internal/jitter/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package jitter
 
 import (
 	"testing"
@@ -12,17 +12,17 @@
 		b, twin := NewBackoff(time.Second, 8*time.Second, seed), NewBackoff(time.Second, 8*time.Second, seed)
 		for i := range 6 {
 			usual := min(time.Second<<i, 8*time.Second)
-			d := b.Failed()
+			d := b.NextDelay()
 			if d < usual/2 || d > usual*3/2 {
 				t.Fatalf("seed %d, pause %d: %v", seed, i, d)
 			}
-			if d != twin.Failed() {
+			if d != twin.NextDelay() {
 				t.Fatal("one seed, two draws")
 			}
 			seen[d.Truncate(10*time.Millisecond)] = true
 		}
-		b.Worked()
-		if d := b.Failed(); d > 3*time.Second/2 {
+		b.Reset()
+		if d := b.NextDelay(); d > 3*time.Second/2 {
 			t.Fatalf("after it worked: %v", d)
 		}
 	}
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -15,9 +15,9 @@
 	doubling   = 20 * time.Second // in which the limit doubles again after a cut
 )
 
-// Trust is for how long unused connections are taken to live. Most has to be set before its first use.
-type Trust struct {
-	Most time.Duration // after which they are closed in any case
+// IdleLimiter is for how long unused connections are taken to live. Most has to be set before its first use.
+type IdleLimiter struct {
+	Max time.Duration // after which they are closed in any case
 
 	limit     time.Duration // as of cutAt; 0: never cut
 	cutAt     time.Duration
@@ -26,18 +26,18 @@
 }
 
 // Limit is how long a connection may be unused at time now and still carry a call, from 0 to Most.
-func (t *Trust) Limit(now time.Duration) time.Duration {
+func (t *IdleLimiter) Limit(now time.Duration) time.Duration {
 	if t.limit == 0 {
-		return t.Most
+		return t.Max
 	}
 	grown := float64(t.limit) * math.Exp2((now-t.cutAt).Seconds()/doubling.Seconds())
-	return time.Duration(min(grown, float64(t.Most)))
+	return time.Duration(min(grown, float64(t.Max)))
 }
 
-// Ended takes in the end of a call on a connection that had been unused for idle; 0 if it was new or busy. It tells whether a loss
+// RecordCall takes in the end of a call on a connection that had been unused for idle; 0 if it was new or busy. It tells whether a loss
 // is explained by its connection. Where most calls on idle connections are lost, and others are not, the limit is cut to
 // half of idle.
-func (t *Trust) Ended(now, idle time.Duration, lost bool) (explained bool) {
+func (t *IdleLimiter) RecordCall(now, idle time.Duration, lost bool) (explained bool) {
 	share := 0.0
 	if lost {
 		share = 1
@@ -47,7 +47,7 @@
 		return false
 	}
 	t.lostIdle += (share - t.lostIdle) * lossWeight
-	known := t.Limit(now) < t.Most/2
+	known := t.Limit(now) < t.Max/2
 	if lost && t.lostIdle > lossShare && t.lostIdle > 2*t.lostFresh {
 		t.limit, t.cutAt, t.lostIdle = max(1, min(t.Limit(now), idle/2)), now, 0
 		known = true
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -9,15 +9,15 @@
 
 // Calls lost on idle connections cut the limit, which grows again; the same share of losses on fresh ones does not.
 func TestLimitIsCutAndGrowsAgain(t *testing.T) {
-	trust := &Trust{Most: most}
+	trust := &IdleLimiter{Max: most}
 	now := time.Minute
 	if trust.Limit(now) != most {
 		t.Fatalf("at first %v", trust.Limit(now))
 	}
-	if trust.Ended(now, 4*time.Second, true) {
+	if trust.RecordCall(now, 4*time.Second, true) {
 		t.Fatal("a single loss is put down to its connection")
 	}
-	if !trust.Ended(now, 4*time.Second, true) {
+	if !trust.RecordCall(now, 4*time.Second, true) {
 		t.Fatal("a second loss in a row is not")
 	}
 	if got := trust.Limit(now); got != 2*time.Second {
@@ -29,10 +29,10 @@
 	if got := trust.Limit(now + time.Hour); got != most {
 		t.Fatalf("at last %v", got)
 	}
-	both := &Trust{Most: most}
+	both := &IdleLimiter{Max: most}
 	for range 10 {
-		both.Ended(now, 0, true)
-		if both.Ended(now, 4*time.Second, true) || both.Limit(now) != most {
+		both.RecordCall(now, 0, true)
+		if both.RecordCall(now, 4*time.Second, true) || both.Limit(now) != most {
 			t.Fatal("blamed idle connections while fresh ones lose as many")
 		}
 	}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -138,7 +138,7 @@
 func (r *relay) listed(news policy.EndpointListUpdate) {
 	r.pool.UpdateEndpoints(news)
 	if r.watch != nil {
-		r.watch.List(news)
+		r.watch.ApplyEndpointList(news)
 	}
 	r.hear(news)
 }
@@ -171,7 +171,7 @@
 			news := policy.FleetUpdate{Routes: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Relays: r.pool.PossibleCallers(w.now)}
 			w.targets.ResolveEndpoints(news.Routes)
 			if r.watch != nil {
-				r.watch.Heard(w.now, news.Routes)
+				r.watch.ApplyFleetStats(w.now, news.Routes)
 			}
 			if len(news.Routes) > 0 || news.Relays != r.sharing {
 				r.sharing = news.Relays
@@ -207,15 +207,15 @@
 					}
 				}
 				for z, n := range relays {
-					r.watch.Members(z, n, alive[z])
+					r.watch.SetRelayCounts(z, n, alive[z])
 				}
 			}
 			r.words()
-			r.watch.Turn(w.now)
+			r.watch.Tick(w.now)
 			if changes := r.watch.Changes(); len(changes) > 0 {
 				for _, c := range changes {
 					w.res.Sites = append(w.res.Sites, SiteChange{w.now, r.no, c.Zone, c.From.String(), c.To.String(), c.Why})
-					r.hear(c.News(r.watch))
+					r.hear(c.PolicyUpdate(r.watch))
 				}
 			}
 		}
@@ -241,8 +241,8 @@
 	})
 	var mine []peers.SiteReport
 	for z, s := range all {
-		r.watch.Said(zoneName(z), s.lost, s.levels)
-		if level, ok := r.watch.Word(zoneName(z)); ok {
+		r.watch.SetPeerReports(zoneName(z), s.lost, s.levels)
+		if level, ok := r.watch.OwnReport(zoneName(z)); ok {
 			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
@@ -426,7 +426,7 @@
 		w.after(it.timeout, func() {
 			if !it.done {
 				if c.closed = true; r.watch != nil && r.life == c.rlife && r.mod != nil {
-					r.watch.Ended(w.now, c.sentAt, e.address, sites.Silent)
+					r.watch.RecordCall(w.now, c.sentAt, e.address, sites.NoResponse)
 				}
 				w.ended(c, it, policy.TimedOut, 0)
 			}
@@ -491,9 +491,9 @@
 		if r.watch != nil {
 			how := siteEnd(out)
 			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.Connect {
-				how = sites.Silent
+				how = sites.NoResponse
 			}
-			r.watch.Ended(w.now, c.sentAt, e.address, how)
+			r.watch.RecordCall(w.now, c.sentAt, e.address, how)
 		}
 		switch out {
 		case policy.Delivered, policy.Errored:
@@ -519,14 +519,14 @@
 }
 
 // siteEnd is what the end of a call says of the site of its endpoint.
-func siteEnd(out policy.Outcome) sites.End {
+func siteEnd(out policy.Outcome) sites.CallOutcome {
 	switch out {
 	case policy.Delivered, policy.Errored:
-		return sites.Taken
+		return sites.Accepted
 	case policy.Rejected:
-		return sites.Refused
+		return sites.Rejected
 	case policy.TimedOut:
-		return sites.Silent
+		return sites.NoResponse
 	}
 	return sites.Failed
 }
--- a/internal/lab/region/check.go
+++ b/internal/lab/region/check.go
@@ -22,7 +22,7 @@
 		if !r.Up || r.Follower.Current() == nil {
 			continue
 		}
-		for _, s := range r.Follower.Current().Serving {
+		for _, s := range r.Follower.Current().Assignments {
 			if !slices.Contains(s.Replicas, r.Number) {
 				continue
 			}
@@ -56,10 +56,10 @@
 // partitions concern it.
 func (r *Relay) holds(m *assignment.Map, concerned []assignment.Partition) bool {
 	current := r.Follower.Current()
-	if current == nil || len(current.Serving) != len(concerned) {
+	if current == nil || len(current.Assignments) != len(concerned) {
 		return false
 	}
-	for i, s := range current.Serving {
+	for i, s := range current.Assignments {
 		if s.Partition != concerned[i] || !slices.Equal(s.Replicas, m.Replicas(s.Partition)) || !slices.Equal(s.Previous, m.Previous(s.Partition)) {
 			return false
 		}
@@ -111,7 +111,7 @@
 		}
 		open = slices.DeleteFunc(open, func(c change) bool {
 			r := w.Relays[c.relay]
-			if r.Up && r.Follower.Latest().Compare(c.version) >= 0 {
+			if r.Up && r.Follower.LatestVersion().Compare(c.version) >= 0 {
 				delays = append(delays, w.Now-c.since)
 				return true
 			}
--- a/internal/lab/region/events.go
+++ b/internal/lab/region/events.go
@@ -220,7 +220,7 @@
 
 // share is the share of all replicas that moved between two maps.
 func (p *play) share(now, before *assignment.Map) float64 {
-	return float64(now.Moved(before)) / float64(p.Config.Partitions*p.Config.Replicas)
+	return float64(now.CountMoved(before)) / float64(p.Config.Partitions*p.Config.Replicas)
 }
 
 // clearCounts begins to count bytes anew.
--- a/internal/lab/region/leave_test.go
+++ b/internal/lab/region/leave_test.go
@@ -35,16 +35,16 @@
 					t.Fatalf("%d of %d relays were free to go within %v", stopped, len(relays), leaveBy)
 				}
 				left := w.Published()
-				if moved := float64(left.Moved(before)) / all; moved == 0 || moved > 2*share {
+				if moved := float64(left.CountMoved(before)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays left", moved, share)
 				}
 				w.watch(80*time.Second, inBoth) // nobody takes them for lost as well
-				if moved := w.Published().Moved(left); moved > 0 {
+				if moved := w.Published().CountMoved(left); moved > 0 {
 					t.Errorf("%d replicas moved once more", moved)
 				}
 				w.StartAll(relays)
 				w.watch(20*time.Second, inBoth)
-				if moved := float64(w.Published().Moved(left)) / all; moved == 0 || moved > 2*share {
+				if moved := float64(w.Published().CountMoved(left)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays came back", moved, share)
 				}
 			})
--- a/internal/lab/region/region_test.go
+++ b/internal/lab/region/region_test.go
@@ -82,13 +82,13 @@
 				w.StopAll(relays)
 				w.watch(80*time.Second, inBoth)
 				gone := w.Published()
-				if moved := float64(gone.Moved(before)) / all; moved == 0 || moved > 2*share {
+				if moved := float64(gone.CountMoved(before)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays went", moved, share)
 				}
 				w.StartAll(relays)
 				w.watch(20*time.Second, inBoth)
 				back := w.Published()
-				if moved := float64(back.Moved(gone)) / all; moved == 0 || moved > 2*share {
+				if moved := float64(back.CountMoved(gone)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays came back", moved, share)
 				}
 				if n := len(w.Outdated(back)); n > 0 {
@@ -112,7 +112,7 @@
 		}
 		w.Run(w.Now + 80*time.Second)
 		if after := w.Published(); after.Version != before.Version {
-			t.Errorf("map %v became %v: %d replicas moved", before.Version, after.Version, after.Moved(before))
+			t.Errorf("map %v became %v: %d replicas moved", before.Version, after.Version, after.CountMoved(before))
 		}
 	})
 }
@@ -134,8 +134,8 @@
 			t.Errorf("as the zone is back: %+v", c)
 		}
 		w.Run(w.Now + 30*time.Second)
-		if after := w.Published(); after.Moved(before) > 0 {
-			t.Errorf("%d replicas moved", after.Moved(before))
+		if after := w.Published(); after.CountMoved(before) > 0 {
+			t.Errorf("%d replicas moved", after.CountMoved(before))
 		}
 	})
 }
@@ -175,8 +175,8 @@
 		w.StopAll(w.Rack(3))
 		w.Run(w.Now + 55*time.Second)
 		w.inForceIn3s(t)
-		if after := w.Published(); after.Moved(before) == 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays hold something else; publisher %d", after.Moved(before), len(w.Outdated(after)), w.Publisher())
+		if after := w.Published(); after.CountMoved(before) == 0 || len(w.Outdated(after)) > 0 {
+			t.Errorf("%d replicas moved, %d relays hold something else; publisher %d", after.CountMoved(before), len(w.Outdated(after)), w.Publisher())
 		}
 	})
 }
@@ -198,7 +198,7 @@
 				t.Fatalf("at %v %+v", w.Now, c)
 			}
 		})
-		if !w.Relays[0].Follower.Silent(w.Now) {
+		if !w.Relays[0].Follower.ControlUnreachable(w.Now) {
 			t.Error("no relay says that control is silent")
 		}
 		for i := range w.Controls {
@@ -207,10 +207,10 @@
 			}
 		}
 		w.Run(w.Now + 90*time.Second)
-		if after := w.Published(); after.Moved(before) > 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays hold something else", after.Moved(before), len(w.Outdated(after)))
+		if after := w.Published(); after.CountMoved(before) > 0 || len(w.Outdated(after)) > 0 {
+			t.Errorf("%d replicas moved, %d relays hold something else", after.CountMoved(before), len(w.Outdated(after)))
 		}
-		if w.Relays[0].Follower.Silent(w.Now) {
+		if w.Relays[0].Follower.ControlUnreachable(w.Now) {
 			t.Error("control is back, and a relay takes it for silent")
 		}
 	})
@@ -236,8 +236,8 @@
 		before := w.Published()
 		w.Run(w.Now + 90*time.Second)
 		after := w.Published()
-		if after.Moved(before) == 0 || w.Publisher() == first {
-			t.Fatalf("publisher %d, %d before; %d replicas moved", w.Publisher(), first, after.Moved(before))
+		if after.CountMoved(before) == 0 || w.Publisher() == first {
+			t.Fatalf("publisher %d, %d before; %d replicas moved", w.Publisher(), first, after.CountMoved(before))
 		}
 		if old := w.Controls[first].Control.Register().Published(); old.Version != before.Version {
 			t.Errorf("the one that is cut off published %v", old.Version)
@@ -282,7 +282,7 @@
 			}
 		}
 		other := assignment.NewFollower(w.Config.Number+1, 0, w.key)
-		if _, err := other.Take(0, w.Relays[0].Follower.Encoded()); !errors.Is(err, assignment.ErrOtherRegion) {
+		if _, err := other.HandleAnswer(0, w.Relays[0].Follower.Encoded()); !errors.Is(err, assignment.ErrOtherRegion) {
 			t.Errorf("another region's relay: %v", err)
 		}
 	})
--- a/internal/lab/region/world.go
+++ b/internal/lab/region/world.go
@@ -46,8 +46,8 @@
 		return fmt.Errorf("loss: %g does not lie within 0 and 1", c.Loss)
 	case c.RackSize < 1:
 		return fmt.Errorf("rack: %d relays", c.RackSize)
-	case c.Controls < 1 || c.Controls > assignment.MaxControls:
-		return fmt.Errorf("controls: %d, 1 to %d wanted", c.Controls, assignment.MaxControls)
+	case c.Controls < 1 || c.Controls > assignment.MaxControlNodes:
+		return fmt.Errorf("controls: %d, 1 to %d wanted", c.Controls, assignment.MaxControlNodes)
 	case c.Zones < 2 || c.Zones > mostZones:
 		return fmt.Errorf("zones: %d, 2 to %d wanted", c.Zones, mostZones)
 	case c.Relays < 2*c.RackSize*c.Zones || c.Relays > assignment.MaxRelays:
@@ -96,11 +96,11 @@
 // Control is a control machine.
 type Control struct {
 	Up      bool
-	Control *assignment.Control
+	Control *assignment.ControlNode
 	Sent    int64 // bytes, to relays
 	Peers   int64 // bytes, to other control machines
 
-	disk assignment.Durable
+	disk assignment.PersistentState
 	cut  map[int]bool // control machines that it does not reach
 	life int
 }
@@ -140,7 +140,7 @@
 		}
 	}
 	life := r.life
-	w.After(w.draw(assignment.PullEvery), func() { w.poll(r, life) })
+	w.After(w.draw(assignment.PollInterval), func() { w.poll(r, life) })
 }
 
 // StopRelay ends relay i; what it has on disk stays.
@@ -163,7 +163,7 @@
 // LeaveAll has relays say that they leave, or that they stay after all.
 func (w *World) LeaveAll(relays []int, leave bool) {
 	for _, i := range relays {
-		w.Relays[i].Follower.Leave(leave)
+		w.Relays[i].Follower.SetLeaving(leave)
 	}
 }
 
@@ -209,8 +209,8 @@
 	if err != nil {
 		return err
 	}
-	shape := assignment.Shape{Region: w.Config.Number, Partitions: w.Config.Partitions, Replicas: w.Config.Replicas}
-	c.Control = assignment.NewControl(register, shape, w.Places, w.key)
+	shape := assignment.MapConfig{Region: w.Config.Number, Partitions: w.Config.Partitions, Replicas: w.Config.Replicas}
+	c.Control = assignment.NewControlNode(register, shape, w.Places, w.key)
 	c.Up, c.life = true, c.life+1
 	life := c.life
 	w.After(w.draw(controlTick), func() { w.tick(i, life) })
@@ -231,8 +231,8 @@
 	publisher = -1
 	var term uint64
 	for i, c := range w.Controls {
-		if c.Up && c.Control.Register().Publishing() && c.Control.Register().Durable().Promised >= term {
-			publisher, term = i, c.Control.Register().Durable().Promised
+		if c.Up && c.Control.Register().Publishing() && c.Control.Register().PersistentState().PromisedTerm >= term {
+			publisher, term = i, c.Control.Register().PersistentState().PromisedTerm
 		}
 	}
 	return publisher
@@ -259,11 +259,11 @@
 		i := w.rng.IntN(len(w.Controls))
 		w.send(func() { w.answer(r, life, i, ask) })
 	}
-	w.At(r.Follower.Next(), func() { w.poll(r, life) })
+	w.At(r.Follower.NextPoll(), func() { w.poll(r, life) })
 }
 
 // answer has control machine i answer a relay.
-func (w *World) answer(r *Relay, life, i int, ask assignment.Ask) {
+func (w *World) answer(r *Relay, life, i int, ask assignment.SliceRequest) {
 	c := w.Controls[i]
 	if !c.Up || r.cut {
 		return
@@ -281,7 +281,7 @@
 		return
 	}
 	r.Heard += int64(len(answer) + datagramBytes)
-	if _, err := r.Follower.Take(w.Now, answer); err != nil {
+	if _, err := r.Follower.HandleAnswer(w.Now, answer); err != nil {
 		r.Refused++
 		return
 	}
@@ -301,7 +301,7 @@
 // post saves what control machine i must have on disk, and sends its messages.
 func (w *World) post(i int, out []assignment.Envelope) {
 	from := w.Controls[i]
-	from.disk = from.Control.Register().Durable()
+	from.disk = from.Control.Register().PersistentState()
 	w.record(from.Control.Register().Published())
 	for _, e := range out {
 		from.Peers += datagramBytes + messageBytes(e.Message)
@@ -325,7 +325,7 @@
 	switch {
 	case !found:
 		w.History[m.Version.Number] = m
-	case known != m && (known.Version != m.Version || m.Moved(known) != 0):
+	case known != m && (known.Version != m.Version || m.CountMoved(known) != 0):
 		w.Conflicts = append(w.Conflicts, fmt.Sprintf("number %d: terms %d and %d", m.Version.Number, known.Version.Term, m.Version.Term))
 	}
 }
@@ -340,7 +340,7 @@
 		return int64(fixed + len(m.Map))
 	case assignment.Published:
 		return int64(fixed + len(m.Map))
-	case assignment.Heard:
+	case assignment.ContactReport:
 		return int64(fixed + 8*(len(m.Relays)+len(m.Leaving)))
 	}
 	return fixed
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -195,7 +195,7 @@
 	for _, s := range p.Sites {
 		one := sites.Site{Zone: of(s.Zone)}
 		for _, t := range s.Tiers {
-			tier := sites.Tier{Spill: t.Spill}
+			tier := sites.Tier{SpillFraction: t.SpillFraction}
 			for _, z := range t.Zones {
 				tier.Zones = append(tier.Zones, of(z))
 			}
@@ -204,12 +204,12 @@
 		out.Sites = append(out.Sites, one)
 	}
 	for _, d := range p.Destinations {
-		one := sites.Destination{Number: d.Number, Takes: map[string]float64{}, Wanted: map[string]map[string]float64{}}
-		for z, n := range d.Takes {
-			one.Takes[of(z)] = n
+		one := sites.Destination{Number: d.Number, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
+		for z, n := range d.Capacity {
+			one.Capacity[of(z)] = n
 		}
-		for z, by := range d.Wanted {
-			one.Wanted[of(z)] = by
+		for z, by := range d.Demand {
+			one.Demand[of(z)] = by
 		}
 		out.Destinations = append(out.Destinations, one)
 	}
@@ -237,7 +237,7 @@
 	for i, dest := range p.Destinations {
 		one := emu.Dest{}
 		for z, s := range p.Sites {
-			takes := dest.Takes[s.Zone]
+			takes := dest.Capacity[s.Zone]
 			if takes > 0 {
 				n := int(math.Ceil(takes / each))
 				need := takes * work.Seconds() / float64(n)
@@ -247,12 +247,12 @@
 				}
 			}
 			var names []string
-			for c := range dest.Wanted[s.Zone] {
+			for c := range dest.Demand[s.Zone] {
 				names = append(names, c)
 			}
 			slices.Sort(names)
 			for _, c := range names {
-				if rate := dest.Wanted[s.Zone][c]; rate > 0 {
+				if rate := dest.Demand[s.Zone][c]; rate > 0 {
 					one.Mix = append(one.Mix, emu.Mix{Class: class(c), Zone: z, Share: rate})
 					one.Share += rate
 				}
@@ -290,7 +290,7 @@
 		}
 	}
 	for _, dest := range p.Destinations {
-		for z, t := range dest.Takes {
+		for z, t := range dest.Capacity {
 			takes[z] += t
 		}
 	}
@@ -349,7 +349,7 @@
 		}
 		all := true
 		for _, s := range states {
-			all = all && s == sites.Whole.String()
+			all = all && s == sites.Healthy.String()
 		}
 		if whole = -1; all {
 			whole = c.At - at - gone
@@ -374,7 +374,7 @@
 
 // Against compares a rehearsal with the plan's forecast.
 func Against(set Set) ([]Agrees, *Outcome, error) {
-	f, err := set.Plan.Lose(set.Lost)
+	f, err := set.Plan.ForecastLoss(set.Lost)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -395,7 +395,7 @@
 				missed = c.Requests - c.Delivered
 			}
 		}
-		all = append(all, Agrees{s.Class, s.Part(), got, math.Abs(s.Part()-got) <= Near, s.Refused, float64(missed)})
+		all = append(all, Agrees{s.Class, s.ServedFraction(), got, math.Abs(s.ServedFraction()-got) <= Near, s.Refused, float64(missed)})
 	}
 	return all, out, nil
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -35,12 +35,12 @@
 	return Schedule{int64(sender), turns}
 }
 
-// Shared tells whether there are turns to keep.
-func (s Schedule) Shared() bool { return s.turns > 0 }
+// HasSlots tells whether there are turns to keep.
+func (s Schedule) HasSlots() bool { return s.turns > 0 }
 
-// Step returns the width of a turn for senders that call once in interval or less often: all of them find the same one for
+// SlotWidth returns the width of a turn for senders that call once in interval or less often: all of them find the same one for
 // intervals that are alike. Steps are 1, 2, 3, 4, 6, 8, 12 ... ms. A sender's own turns come Step times the number of turns apart.
-func (s Schedule) Step(interval time.Duration) time.Duration {
+func (s Schedule) SlotWidth(interval time.Duration) time.Duration {
 	want := min(interval, longest) / time.Duration(max(1, s.turns))
 	step := unit
 	for step < want {
@@ -52,11 +52,11 @@
 	return step
 }
 
-// Next returns the beginning of the sender's first turn of that width at or after the given time, which counts from a moment that
+// NextSlot returns the beginning of the sender's first turn of that width at or after the given time, which counts from a moment that
 // all senders share. shift moves the turns of all senders alike: with another shift for each limit, a sender's turns at several
 // limits do not fall together. Without turns to keep, after is returned.
-func (s Schedule) Next(after time.Duration, step time.Duration, shift uint64) time.Duration {
-	if !s.Shared() || step < unit {
+func (s Schedule) NextSlot(after time.Duration, step time.Duration, shift uint64) time.Duration {
+	if !s.HasSlots() || step < unit {
 		return after
 	}
 	width := int64(step / unit)
--- a/internal/sites/look.go
+++ b/internal/sites/look.go
@@ -19,7 +19,7 @@
 	w.lost += down(to) - down(s.state)
 	was := s.state
 	s.state, s.since, s.why, s.credit, s.thinAt = to, now, why, 0, -1
-	if to == Whole {
+	if to == Healthy {
 		s.level, s.proved, s.returned = 1, firstLevel, down(was) > 0
 	}
 	if to == Returning { // what failed before tells nothing of its return
@@ -73,12 +73,12 @@
 		return
 	}
 	// Risk: relays of a returning site that start with it know nothing of its loss, and send to those that are there alone as to warm ones.
-	if level := s.said(); !s.told && now-w.began < youngFor && s.state == Whole && (s.lostSaid >= voices || level > 0 && level < 1) {
+	if level := s.said(); !s.told && now-w.began < youngFor && s.state == Healthy && (s.lostSaid >= voices || level > 0 && level < 1) {
 		s.told = true
-		w.changes = append(w.changes, Change{s.name, Whole, Whole, fmt.Sprintf("%d relays say that it was lost", s.lostSaid+len(s.levels)), true})
+		w.changes = append(w.changes, Change{s.name, Healthy, Healthy, fmt.Sprintf("%d relays say that it was lost", s.lostSaid+len(s.levels)), true})
 	}
 	switch s.state {
-	case Whole, Thin:
+	case Healthy, Degraded:
 		if dark && s.othersOK < s.runAt+newsFor {
 			w.become(now, s, Lost, why)
 			return
@@ -97,26 +97,26 @@
 			thin = fmt.Sprintf("%d of %d relays are away, its endpoints answer", s.relays-s.alive, s.relays)
 		}
 		switch {
-		case thin == "" && s.state == Thin && s.clearAt < 0:
+		case thin == "" && s.state == Degraded && s.clearAt < 0:
 			s.clearAt = now
-		case thin == "" && s.state == Thin && now-s.clearAt >= clearFor:
-			w.become(now, s, Whole, "nothing speaks against it any more")
+		case thin == "" && s.state == Degraded && now-s.clearAt >= clearFor:
+			w.become(now, s, Healthy, "nothing speaks against it any more")
 		case thin == "":
 			s.thinAt = -1
 		case s.thinAt < 0:
 			s.thinAt, s.clearAt = now, -1
-		case s.state == Whole && now-s.thinAt >= thinFor:
+		case s.state == Healthy && now-s.thinAt >= thinFor:
 			s.clearAt = -1
-			w.become(now, s, Thin, thin)
+			w.become(now, s, Degraded, thin)
 		default:
 			s.clearAt = -1
 		}
-		if s.flaps > 0 && s.state == Whole && now-s.since >= calmFor*w.plan.Ramp {
+		if s.flaps > 0 && s.state == Healthy && now-s.since >= calmFor*w.plan.Ramp {
 			s.flaps = 0
 		}
 	case Lost:
 		if s.eps == 0 && s.alive > 0 {
-			w.become(now, s, Whole, "its relays are back, and it has no endpoints")
+			w.become(now, s, Healthy, "its relays are back, and it has no endpoints")
 			return
 		}
 		if level := s.said(); level > 0 && now >= s.holdTil {
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -29,38 +29,38 @@
 
 // Tier is a set of sites that take load in proportion to their headroom.
 type Tier struct {
-	Zones []string
-	Spill float64 // part of their headroom that the load of others may take
+	Zones         []string
+	SpillFraction float64 // part of their headroom that the load of others may take
 }
 
 // Destination is what a partner takes and is asked for.
 type Destination struct {
-	Number int
-	Takes  map[string]float64            // messages a second, by zone of its endpoints
-	Wanted map[string]map[string]float64 // messages a second that clients hand in, by zone and class
+	Number   int
+	Capacity map[string]float64            // messages a second, by zone of its endpoints
+	Demand   map[string]map[string]float64 // messages a second that clients hand in, by zone and class
 }
 
 // UsualSpill and UsualRamp are used where the file says nothing.
 const (
-	UsualSpill = 0.8
-	UsualRamp  = 30 * time.Second
-	slack      = 1e-9
+	DefaultSpillFraction = 0.8
+	DefaultRamp          = 30 * time.Second
+	slack                = 1e-9
 )
 
-// Share is what becomes of one class.
-type Share struct {
+// ClassShare is what becomes of one class.
+type ClassShare struct {
 	Class   string  `json:"class"`
-	Wanted  float64 `json:"wanted"`
+	Demand  float64 `json:"wanted"`
 	Served  float64 `json:"served"`
 	Refused float64 `json:"refused"`
 }
 
-// Part is the served part.
-func (s Share) Part() float64 {
-	if s.Wanted <= 0 {
+// ServedFraction is the served part.
+func (s ClassShare) ServedFraction() float64 {
+	if s.Demand <= 0 {
 		return 1
 	}
-	return s.Served / s.Wanted
+	return s.Served / s.Demand
 }
 
 // Flow is load that goes from one zone's clients to another zone's endpoints of a destination.
@@ -73,30 +73,30 @@
 	Rate        float64 `json:"rate"`
 }
 
-// Fill is how full a zone's endpoints become.
-type Fill struct {
-	Zone   string  `json:"zone"`
-	Takes  float64 `json:"takes"`
-	Before float64 `json:"before"` // messages a second that they serve with all sites there
-	After  float64 `json:"after"`
-	Full   float64 `json:"full"` // After as a part of Takes
+// ZoneLoad is how full a zone's endpoints become.
+type ZoneLoad struct {
+	Zone        string  `json:"zone"`
+	Capacity    float64 `json:"takes"`
+	Before      float64 `json:"before"` // messages a second that they serve with all sites there
+	After       float64 `json:"after"`
+	Utilization float64 `json:"full"` // After as a part of Takes
 }
 
 // Forecast is what a loss comes to.
 type Forecast struct {
-	Lost    string   `json:"lost"`
-	Fills   []Fill   `json:"zones"`
-	Flows   []Flow   `json:"flows"` // that are not in their own zone
-	Before  []Share  `json:"before"`
-	After   []Share  `json:"after"`
-	Refused []Flow   `json:"refused"`  // From: where its clients are; no To
-	Nowhere []int    `json:"nowhere"`  // destinations that nothing is left of
-	ReturnS float64  `json:"return_s"` // from the first call that is served there to its full share, at least
-	Notes   []string `json:"notes"`
+	Lost             string       `json:"lost"`
+	Zones            []ZoneLoad   `json:"zones"`
+	Flows            []Flow       `json:"flows"` // that are not in their own zone
+	Before           []ClassShare `json:"before"`
+	After            []ClassShare `json:"after"`
+	Refused          []Flow       `json:"refused"`  // From: where its clients are; no To
+	Unserved         []int        `json:"nowhere"`  // destinations that nothing is left of
+	MinReturnSeconds float64      `json:"return_s"` // from the first call that is served there to its full share, at least
+	Notes            []string     `json:"notes"`
 }
 
-// Known tells whether the plan has a site of that name.
-func (p *Plan) Known(zone string) bool {
+// HasZone tells whether the plan has a site of that name.
+func (p *Plan) HasZone(zone string) bool {
 	return slices.ContainsFunc(p.Sites, func(s Site) bool { return s.Zone == zone })
 }
 
@@ -108,27 +108,27 @@
 	return all
 }
 
-// Lose works out what becomes of the load when a zone is lost with its relays and its endpoints: its clients come to the relays of others.
-func (p *Plan) Lose(zone string) (*Forecast, error) {
-	if !p.Known(zone) {
+// ForecastLoss works out what becomes of the load when a zone is lost with its relays and its endpoints: its clients come to the relays of others.
+func (p *Plan) ForecastLoss(zone string) (*Forecast, error) {
+	if !p.HasZone(zone) {
 		return nil, fmt.Errorf("%q is no site of the file; there are %s", zone, strings.Join(p.Zones(), ", "))
 	}
-	f := &Forecast{Lost: zone, ReturnS: p.Ramp.Seconds()}
+	f := &Forecast{Lost: zone, MinReturnSeconds: p.Ramp.Seconds()}
 	before, after := p.route(""), p.route(zone)
 	f.Before, f.After = p.shares(before), p.shares(after)
 	for _, s := range p.Sites {
-		fill := Fill{Zone: s.Zone, Before: before.load[s.Zone], After: after.load[s.Zone]}
+		fill := ZoneLoad{Zone: s.Zone, Before: before.load[s.Zone], After: after.load[s.Zone]}
 		for _, d := range p.Destinations {
 			if s.Zone != zone {
-				fill.Takes += d.Takes[s.Zone]
+				fill.Capacity += d.Capacity[s.Zone]
 			}
 		}
-		if fill.Takes > 0 {
-			fill.Full = fill.After / fill.Takes
+		if fill.Capacity > 0 {
+			fill.Utilization = fill.After / fill.Capacity
 		}
-		f.Fills = append(f.Fills, fill)
-		if s.Zone != zone && fill.Takes > 0 && fill.Before > 0.9*fill.Takes {
-			f.Notes = append(f.Notes, fmt.Sprintf("%s is %.0f of 100 full before anything is lost", s.Zone, 100*fill.Before/fill.Takes))
+		f.Zones = append(f.Zones, fill)
+		if s.Zone != zone && fill.Capacity > 0 && fill.Before > 0.9*fill.Capacity {
+			f.Notes = append(f.Notes, fmt.Sprintf("%s is %.0f of 100 full before anything is lost", s.Zone, 100*fill.Before/fill.Capacity))
 		}
 	}
 	for _, fl := range after.flows {
@@ -140,13 +140,13 @@
 	}
 	for _, d := range p.Destinations {
 		left := 0.0
-		for z, n := range d.Takes {
+		for z, n := range d.Capacity {
 			if z != zone {
 				left += n
 			}
 		}
-		if left <= 0 && len(d.Wanted) > 0 {
-			f.Nowhere = append(f.Nowhere, d.Number)
+		if left <= 0 && len(d.Demand) > 0 {
+			f.Unserved = append(f.Unserved, d.Number)
 			f.Notes = append(f.Notes, fmt.Sprintf("destination %d has endpoints in %s only", d.Number, zone))
 		}
 	}
@@ -165,7 +165,7 @@
 // classes are those of the plan, the one that is refused last first. What the order does not name is refused before all others.
 func (p *Plan) classes() (all []string) {
 	for _, d := range p.Destinations {
-		for _, by := range d.Wanted {
+		for _, by := range d.Demand {
 			for c := range by {
 				if !slices.Contains(all, c) {
 					all = append(all, c)
@@ -192,12 +192,12 @@
 			if s.Zone == lost {
 				continue
 			}
-			room[s.Zone] = d.Takes[s.Zone]
+			room[s.Zone] = d.Capacity[s.Zone]
 			own := 0.0
-			for _, n := range d.Wanted[s.Zone] {
+			for _, n := range d.Demand[s.Zone] {
 				own += n
 			}
-			spare[s.Zone] = max(0, d.Takes[s.Zone]-own)
+			spare[s.Zone] = max(0, d.Capacity[s.Zone]-own)
 		}
 		send := func(from, to string, tier int, class string, n float64) {
 			r.load[to] += n
@@ -216,7 +216,7 @@
 		for _, s := range p.Sites {
 			left[s.Zone] = map[string]float64{}
 			for _, c := range order {
-				n := d.Wanted[s.Zone][c]
+				n := d.Demand[s.Zone][c]
 				if here := min(n, room[s.Zone]); here > slack {
 					send(s.Zone, s.Zone, 0, c, here)
 					n -= here
@@ -270,7 +270,7 @@
 			if z == lost {
 				return 0
 			}
-			return max(0, t.Spill*spare[z]-used[z])
+			return max(0, t.SpillFraction*spare[z]-used[z])
 		}
 		for _, z := range t.Zones {
 			all += free(z)
@@ -293,9 +293,9 @@
 	}
 }
 
-func (p *Plan) shares(r routed) (all []Share) {
+func (p *Plan) shares(r routed) (all []ClassShare) {
 	for _, c := range p.classes() {
-		s := Share{Class: c}
+		s := ClassShare{Class: c}
 		for _, f := range r.flows {
 			if f.Class == c && f.To != "" {
 				s.Served += f.Rate
@@ -303,7 +303,7 @@
 				s.Refused += f.Rate
 			}
 		}
-		s.Wanted = s.Served + s.Refused
+		s.Demand = s.Served + s.Refused
 		if math.Abs(s.Refused) < slack {
 			s.Refused = 0
 		}
--- a/internal/sites/ramp.go
+++ b/internal/sites/ramp.go
@@ -12,10 +12,10 @@
 func (p *Plan) headroom(zone string) (sum float64) {
 	for _, d := range p.Destinations {
 		own := 0.0
-		for _, n := range d.Wanted[zone] {
+		for _, n := range d.Demand[zone] {
 			own += n
 		}
-		sum += max(0, d.Takes[zone]-own)
+		sum += max(0, d.Capacity[zone]-own)
 	}
 	return sum
 }
@@ -25,7 +25,7 @@
 	for _, s := range p.Sites {
 		for _, t := range s.Tiers {
 			if slices.Contains(t.Zones, zone) {
-				spill = max(spill, t.Spill)
+				spill = max(spill, t.SpillFraction)
 			}
 		}
 	}
@@ -36,10 +36,10 @@
 func (p *Plan) own(zone string) (sum float64) {
 	for _, d := range p.Destinations {
 		own := 0.0
-		for _, n := range d.Wanted[zone] {
+		for _, n := range d.Demand[zone] {
 			own += n
 		}
-		sum += min(own, d.Takes[zone])
+		sum += min(own, d.Capacity[zone])
 	}
 	return sum
 }
@@ -65,7 +65,7 @@
 		s.proved = max(s.proved, s.level)
 		slow := min(slowest, 1+s.flaps)
 		if s.level += span.Seconds() / (w.plan.Ramp.Seconds() * float64(slow)); s.level >= 1 {
-			w.become(now, s, Whole, "it takes its full load")
+			w.become(now, s, Healthy, "it takes its full load")
 		}
 	}
 }
--- a/internal/sites/reach.go
+++ b/internal/sites/reach.go
@@ -31,7 +31,7 @@
 // elsewhere tells whether a destination has endpoints in a zone that is neither lost nor returns.
 func (w *Watch) elsewhere(dest int, zone string) bool {
 	for z := range w.dests[dest] {
-		if s := w.by[z]; z != zone && (s == nil || s.state == Whole || s.state == Thin) {
+		if s := w.by[z]; z != zone && (s == nil || s.state == Healthy || s.state == Degraded) {
 			return true
 		}
 	}
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -16,8 +16,8 @@
 
 // The states of a site.
 const (
-	Whole     State = iota
-	Thin            // a part of it serves, or it is cut off from here alone
+	Healthy   State = iota
+	Degraded        // a part of it serves, or it is cut off from here alone
 	Lost            // nothing gets through
 	Returning       // it answers again, and is given its load by steps
 )
@@ -64,15 +64,15 @@
 	tierCost = 0.02 // of an endpoint one tier farther away, in parts of the slots
 )
 
-// End is how a call to a site's endpoint ended.
-type End int
+// CallOutcome is how a call to a site's endpoint ended.
+type CallOutcome int
 
 // The ends of a call.
 const (
-	Taken   End = iota // whatever became of it then
-	Refused            // turned away
-	Failed             // refused or reset: somebody's machine is there
-	Silent             // no connection, or no answer, in its time
+	Accepted   CallOutcome = iota // whatever became of it then
+	Rejected                      // turned away
+	Failed                        // refused or reset: somebody's machine is there
+	NoResponse                    // no connection, or no answer, in its time
 )
 
 // Change is a site that is taken for something else from now on.
@@ -83,8 +83,8 @@
 	said     bool // others say so: this relay saw nothing of the loss
 }
 
-// News is what the module is told of a change.
-func (c Change) News(w *Watch) policy.SitesUpdate {
+// PolicyUpdate is what the module is told of a change.
+func (c Change) PolicyUpdate(w *Watch) policy.SitesUpdate {
 	news := policy.SitesUpdate{Plan: w}
 	switch {
 	case c.To == Returning && c.From == Lost:
@@ -95,24 +95,24 @@
 	return news
 }
 
-// Standing is what is made of a site, for staff.
-type Standing struct {
-	Zone     string  `json:"zone"`
-	State    string  `json:"state"`
-	Since    Time    `json:"-"`
-	Why      string  `json:"why"`
-	Level    float64 `json:"level"` // part of its load that it is given
-	Out      bool    `json:"out_by_hand,omitempty"`
-	Cut      bool    `json:"cut_perhaps,omitempty"` // nothing but silence speaks for a loss
-	Relays   int     `json:"relays"`
-	Alive    int     `json:"relays_alive"`
-	Taken    int     `json:"calls_taken"` // here, in the last two seconds
-	Refused  int     `json:"calls_refused"`
-	Failed   int     `json:"calls_failed"`
-	Flaps    int     `json:"failed_returns,omitempty"`
-	Spill    float64 `json:"spill_most,omitempty"` // calls a second that may spill there from this relay; 0: any number
-	Tier     int     `json:"tier"`                 // from this relay's own site: 0 its own; -1: none of the plan
-	Endpoint int     `json:"endpoints"`
+// Status is what is made of a site, for staff.
+type Status struct {
+	Zone             string  `json:"zone"`
+	State            string  `json:"state"`
+	Since            Time    `json:"-"`
+	Why              string  `json:"why"`
+	LoadFraction     float64 `json:"level"` // part of its load that it is given
+	ManuallyOut      bool    `json:"out_by_hand,omitempty"`
+	MaybePartitioned bool    `json:"cut_perhaps,omitempty"` // nothing but silence speaks for a loss
+	Relays           int     `json:"relays"`
+	RelaysAlive      int     `json:"relays_alive"`
+	CallsAccepted    int     `json:"calls_taken"` // here, in the last two seconds
+	CallsRejected    int     `json:"calls_refused"`
+	CallsFailed      int     `json:"calls_failed"`
+	FailedReturns    int     `json:"failed_returns,omitempty"`
+	MaxSpillRate     float64 `json:"spill_most,omitempty"` // calls a second that may spill there from this relay; 0: any number
+	Tier             int     `json:"tier"`                 // from this relay's own site: 0 its own; -1: none of the plan
+	Endpoints        int     `json:"endpoints"`
 }
 
 type counts struct{ taken, refused, failed, silent int }
@@ -204,7 +204,7 @@
 		for i, t := range s.Tiers {
 			for _, z := range t.Zones {
 				if o := w.by[z]; o != nil && o.tier < 0 {
-					o.tier, o.spare = i+1, t.Spill*plan.headroom(z)
+					o.tier, o.spare = i+1, t.SpillFraction*plan.headroom(z)
 				}
 			}
 		}
@@ -212,13 +212,13 @@
 	return w
 }
 
-// Keeps tells whether this is the plan that the watch goes by.
-func (w *Watch) Keeps(plan *Plan, home string) bool {
+// HasPlan tells whether this is the plan that the watch goes by.
+func (w *Watch) HasPlan(plan *Plan, home string) bool {
 	return plan != nil && home == w.home && reflect.DeepEqual(plan, w.plan)
 }
 
-// List takes news of the pool config.
-func (w *Watch) List(news policy.EndpointListUpdate) {
+// ApplyEndpointList takes news of the pool config.
+func (w *Watch) ApplyEndpointList(news policy.EndpointListUpdate) {
 	if news.Kind == policy.ListUnavailable {
 		return
 	}
@@ -256,8 +256,8 @@
 	}
 }
 
-// Members takes how many relays of a zone there are and how many are held for alive, this one not counted.
-func (w *Watch) Members(zone string, relays, alive int) {
+// SetRelayCounts takes how many relays of a zone there are and how many are held for alive, this one not counted.
+func (w *Watch) SetRelayCounts(zone string, relays, alive int) {
 	if s := w.by[zone]; s != nil {
 		if s.state == Lost && s.alive == 0 && alive > 0 { // its relays are back: its endpoints may be
 			s.probeAt = min(s.probeAt, w.turned+time.Duration(w.rng.Int64N(int64(4*probeTurn))))
@@ -270,8 +270,8 @@
 	}
 }
 
-// Heard takes what the relays of the fleet see in the mean. What a destination with endpoints in one zone only tells is evidence of that zone.
-func (w *Watch) Heard(now Time, usual []policy.RouteStats) {
+// ApplyFleetStats takes what the relays of the fleet see in the mean. What a destination with endpoints in one zone only tells is evidence of that zone.
+func (w *Watch) ApplyFleetStats(now Time, usual []policy.RouteStats) {
 	for _, u := range usual {
 		if len(w.dests[u.Destination]) != 1 {
 			continue
@@ -288,15 +288,15 @@
 	}
 }
 
-// Said takes what other relays say of a zone by calls of their own: how many that it is lost, and what part of its load the others give it.
-func (w *Watch) Said(zone string, lost int, levels []float64) {
+// SetPeerReports takes what other relays say of a zone by calls of their own: how many that it is lost, and what part of its load the others give it.
+func (w *Watch) SetPeerReports(zone string, lost int, levels []float64) {
 	if s := w.by[zone]; s != nil {
 		s.lostSaid, s.levels = lost, levels
 	}
 }
 
-// Word is what this relay says of a zone, by its own calls: a level, 0 where nothing gets through. ok is false where it has nothing to say.
-func (w *Watch) Word(zone string) (level float64, ok bool) {
+// OwnReport is what this relay says of a zone, by its own calls: a level, 0 where nothing gets through. ok is false where it has nothing to say.
+func (w *Watch) OwnReport(zone string) (level float64, ok bool) {
 	s := w.by[zone]
 	switch {
 	case s == nil || s.out:
@@ -305,29 +305,29 @@
 		return 0, s.run > 0
 	case s.state == Returning:
 		return s.level, s.tookAt >= s.since && s.run == 0
-	case s.state == Whole && s.returned && w.turned-s.since < wholeSaid:
+	case s.state == Healthy && s.returned && w.turned-s.since < wholeSaid:
 		return 1, true
 	}
 	return 0, false
 }
 
-// Ended takes the end of a call to an endpoint, which began at began.
-func (w *Watch) Ended(now, began Time, address string, how End) {
+// RecordCall takes the end of a call to an endpoint, which began at began.
+func (w *Watch) RecordCall(now, began Time, address string, how CallOutcome) {
 	p, ok := w.at[address]
 	s := w.by[p.zone]
-	if !ok || s == nil || how != Taken && s.state == Returning && began < s.since {
+	if !ok || s == nil || how != Accepted && s.state == Returning && began < s.since {
 		return // what failed before it answered again tells nothing of its return
 	}
 	w.ended(now, s, how)
 }
 
-func (w *Watch) ended(now Time, s *site, how End) {
+func (w *Watch) ended(now Time, s *site, how CallOutcome) {
 	c := &s.recent[0]
 	switch how {
-	case Refused: // somebody is there, and full: it proves neither
+	case Rejected: // somebody is there, and full: it proves neither
 		c.refused++
 		return
-	case Taken:
+	case Accepted:
 		c.taken++
 		s.run, s.silent, s.tookAt = 0, 0, now
 		if s.state == Lost && !s.out && now >= s.holdTil {
@@ -335,7 +335,7 @@
 			w.become(now, s, Returning, "a call was taken there")
 		}
 		return
-	case Silent:
+	case NoResponse:
 		c.silent++
 		s.silent++
 	}
@@ -351,8 +351,8 @@
 	return all
 }
 
-// Turn looks at all sites. It comes a few times a second.
-func (w *Watch) Turn(now Time) {
+// Tick looks at all sites. It comes a few times a second.
+func (w *Watch) Tick(now Time) {
 	if !w.started {
 		w.started, w.began, w.turned = true, now, now
 	}
@@ -371,8 +371,8 @@
 	}
 }
 
-// ByHand takes a site out, or lets it come back by the ramp. It is false where the plan has no such site.
-func (w *Watch) ByHand(now Time, zone string, out bool) bool {
+// SetManuallyOut takes a site out, or lets it come back by the ramp. It is false where the plan has no such site.
+func (w *Watch) SetManuallyOut(now Time, zone string, out bool) bool {
 	s := w.by[zone]
 	switch {
 	case s == nil:
@@ -384,7 +384,7 @@
 		s.out, s.holdTil, s.run, s.silent = false, 0, 0, 0
 		s.level = firstLevel
 		if s.eps == 0 {
-			w.become(now, s, Whole, "brought back by hand")
+			w.become(now, s, Healthy, "brought back by hand")
 		} else {
 			w.become(now, s, Returning, "brought back by hand")
 		}
@@ -392,12 +392,12 @@
 	return true
 }
 
-// Standings are what is made of all sites, in the plan's order.
-func (w *Watch) Standings() (all []Standing) {
+// Statuses are what is made of all sites, in the plan's order.
+func (w *Watch) Statuses() (all []Status) {
 	for _, s := range w.sites {
 		c := s.sum()
-		all = append(all, Standing{Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, Level: s.level, Out: s.out, Cut: s.cut, Relays: s.relays, Alive: s.alive,
-			Taken: c.taken, Refused: c.refused, Failed: c.failed, Flaps: s.flaps, Spill: s.rate, Tier: s.tier, Endpoint: s.eps})
+		all = append(all, Status{Zone: s.name, State: s.state.String(), Since: s.since, Why: s.why, LoadFraction: s.level, ManuallyOut: s.out, MaybePartitioned: s.cut, Relays: s.relays, RelaysAlive: s.alive,
+			CallsAccepted: c.taken, CallsRejected: c.refused, CallsFailed: c.failed, FailedReturns: s.flaps, MaxSpillRate: s.rate, Tier: s.tier, Endpoints: s.eps})
 	}
 	return all
 }
@@ -407,11 +407,11 @@
 	if s := w.by[zone]; s != nil {
 		return s.state
 	}
-	return Whole
+	return Healthy
 }
 
-// Level is the part of its load that a site is given.
-func (w *Watch) Level(zone string) float64 {
+// LoadFraction is the part of its load that a site is given.
+func (w *Watch) LoadFraction(zone string) float64 {
 	if s := w.by[zone]; s != nil {
 		return s.level
 	}
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -22,22 +22,22 @@
 	for i, z := range []string{"a", "b", "c", "a", "b", "c"} {
 		list = append(list, policy.Endpoint{Address: fmt.Sprint(z, i), Destination: 1, Zone: z})
 	}
-	w.List(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"})})
+	w.ApplyEndpointList(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: append(list, policy.Endpoint{Address: "a9", Destination: 2, Zone: "a"})})
 	for _, z := range []string{"a", "b", "c"} {
-		w.Members(z, 4, 4)
+		w.SetRelayCounts(z, 4, 4)
 	}
-	w.Turn(0)
+	w.Tick(0)
 	return w
 }
 
 // run moves on by so long, with a call each half second to the given endpoint.
-func run(w *Watch, now *Time, span time.Duration, address string, how End) {
+func run(w *Watch, now *Time, span time.Duration, address string, how CallOutcome) {
 	for end := *now + span; *now < end; {
 		*now += 250 * time.Millisecond
 		if address != "" && *now%(500*time.Millisecond) == 0 {
-			w.Ended(*now, *now-100*time.Millisecond, address, how)
+			w.RecordCall(*now, *now-100*time.Millisecond, address, how)
 		}
-		w.Turn(*now)
+		w.Tick(*now)
 	}
 }
 
@@ -50,40 +50,43 @@
 		why  string
 		cut  bool
 	}{
-		{"nothing", func(w *Watch, now *Time) { run(w, now, 10*s, "", Taken) }, Whole, "nothing", false},
-		{"all is taken", func(w *Watch, now *Time) { run(w, now, 10*s, "a0", Taken) }, Whole, "nothing", false},
-		{"two fail", func(w *Watch, now *Time) { run(w, now, 1*s, "a0", Failed); run(w, now, 5*s, "", Failed) }, Whole, "", false},
+		{"nothing", func(w *Watch, now *Time) { run(w, now, 10*s, "", Accepted) }, Healthy, "nothing", false},
+		{"all is taken", func(w *Watch, now *Time) { run(w, now, 10*s, "a0", Accepted) }, Healthy, "nothing", false},
+		{"two fail", func(w *Watch, now *Time) { run(w, now, 1*s, "a0", Failed); run(w, now, 5*s, "", Failed) }, Healthy, "", false},
 		{"its endpoints fail, its relays live", func(w *Watch, now *Time) { run(w, now, 4*s, "a0", Failed) }, Lost, "4 of 4 relays live", false},
-		{"not at once, since they live", func(w *Watch, now *Time) { run(w, now, 1500*time.Millisecond, "a0", Failed) }, Whole, "", false},
-		{"with its relays, sooner", func(w *Watch, now *Time) { w.Members("a", 4, 0); run(w, now, 1750*time.Millisecond, "a0", Failed) }, Lost, "4 of 4 relays are away", false},
-		{"only silence", func(w *Watch, now *Time) { w.Members("a", 4, 0); run(w, now, 4*s, "a0", Silent) }, Lost, "", true},
-		{"full is not lost", func(w *Watch, now *Time) { run(w, now, 10*s, "a0", Refused) }, Whole, "", false},
-		{"others say so", func(w *Watch, now *Time) { w.Said("a", voices, nil); run(w, now, 3*s, "a0", Failed) }, Lost, "as others see", false},
+		{"not at once, since they live", func(w *Watch, now *Time) { run(w, now, 1500*time.Millisecond, "a0", Failed) }, Healthy, "", false},
+		{"with its relays, sooner", func(w *Watch, now *Time) {
+			w.SetRelayCounts("a", 4, 0)
+			run(w, now, 1750*time.Millisecond, "a0", Failed)
+		}, Lost, "4 of 4 relays are away", false},
+		{"only silence", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 0); run(w, now, 4*s, "a0", NoResponse) }, Lost, "", true},
+		{"full is not lost", func(w *Watch, now *Time) { run(w, now, 10*s, "a0", Rejected) }, Healthy, "", false},
+		{"others say so", func(w *Watch, now *Time) { w.SetPeerReports("a", voices, nil); run(w, now, 3*s, "a0", Failed) }, Lost, "as others see", false},
 		{"one voice is not enough", func(w *Watch, now *Time) {
-			w.Said("a", 1, nil)
+			w.SetPeerReports("a", 1, nil)
 			run(w, now, 1*s, "a0", Failed)
 			run(w, now, 8*s, "", Failed)
-		}, Whole, "", false},
+		}, Healthy, "", false},
 		{"half of the calls fail", func(w *Watch, now *Time) {
 			for range 20 {
 				run(w, now, 500*time.Millisecond, "a0", Failed)
-				w.Ended(*now, *now, "a3", Taken)
-				w.Ended(*now, *now, "a0", Failed)
-				w.Ended(*now, *now, "a0", Failed)
+				w.RecordCall(*now, *now, "a3", Accepted)
+				w.RecordCall(*now, *now, "a0", Failed)
+				w.RecordCall(*now, *now, "a0", Failed)
 			}
-		}, Thin, "calls failed", false},
-		{"its relays are away, its endpoints answer", func(w *Watch, now *Time) { w.Members("a", 4, 1); run(w, now, 5*s, "a0", Taken) }, Thin, "3 of 4 relays are away", false},
+		}, Degraded, "calls failed", false},
+		{"its relays are away, its endpoints answer", func(w *Watch, now *Time) { w.SetRelayCounts("a", 4, 1); run(w, now, 5*s, "a0", Accepted) }, Degraded, "3 of 4 relays are away", false},
 		{"others get through all the time", func(w *Watch, now *Time) {
 			for range 12 {
 				run(w, now, 500*time.Millisecond, "a0", Failed)
-				w.Heard(*now+3*s, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // news of what comes after this relay's first failure
+				w.ApplyFleetStats(*now+3*s, []policy.RouteStats{{Destination: 2, Accepted: 1}}) // news of what comes after this relay's first failure
 			}
-		}, Thin, "cut off from here alone", false},
+		}, Degraded, "cut off from here alone", false},
 	} {
 		w, now := watched(), Time(0)
 		c.do(w, &now)
-		st := w.Standings()[0]
-		if w.State("a") != c.want || !strings.Contains(st.Why, c.why) || st.Cut != c.cut || w.State("b") != Whole || w.State("nowhere") != Whole {
+		st := w.Statuses()[0]
+		if w.State("a") != c.want || !strings.Contains(st.Why, c.why) || st.MaybePartitioned != c.cut || w.State("b") != Healthy || w.State("nowhere") != Healthy {
 			t.Errorf("%s: %+v", c.name, st)
 		}
 	}
@@ -93,23 +96,23 @@
 func TestZoneWithoutEndpoints(t *testing.T) {
 	w := watched()
 	for i := range 6 {
-		w.List(policy.EndpointListUpdate{Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}}})
+		w.ApplyEndpointList(policy.EndpointListUpdate{Entries: []policy.Endpoint{{Address: fmt.Sprint("c", i), Zone: "c", State: policy.Removed}}})
 	}
-	if n := w.Standings()[2].Endpoint; n != 0 {
+	if n := w.Statuses()[2].Endpoints; n != 0 {
 		t.Fatalf("%d endpoints left", n)
 	}
-	w.Members("c", 4, 0)
-	if w.Turn(s); w.State("c") != Lost {
+	w.SetRelayCounts("c", 4, 0)
+	if w.Tick(s); w.State("c") != Lost {
 		t.Error("all of its relays are away")
 	}
-	w.Members("c", 4, 1)
-	if w.Turn(2 * s); w.State("c") != Whole {
+	w.SetRelayCounts("c", 4, 1)
+	if w.Tick(2 * s); w.State("c") != Healthy {
 		t.Error("a relay is back")
 	}
 }
 
 func lose(w *Watch, now *Time) {
-	w.Members("a", 4, 0)
+	w.SetRelayCounts("a", 4, 0)
 	run(w, now, 3*s, "a0", Failed)
 }
 
@@ -117,54 +120,54 @@
 func TestReturn(t *testing.T) {
 	w, now := watched(), Time(0)
 	lose(w, &now)
-	if w.State("a") != Lost || w.Level("a") != 0 || !w.SiteLost() {
+	if w.State("a") != Lost || w.LoadFraction("a") != 0 || !w.SiteLost() {
 		t.Fatal("not lost")
 	}
-	w.Ended(now, now, "a0", Taken)
-	if w.State("a") != Returning || w.Level("a") != firstLevel {
-		t.Fatalf("%v at %v", w.State("a"), w.Level("a"))
+	w.RecordCall(now, now, "a0", Accepted)
+	if w.State("a") != Returning || w.LoadFraction("a") != firstLevel {
+		t.Fatalf("%v at %v", w.State("a"), w.LoadFraction("a"))
 	}
-	if got := w.Changes(); len(got) != 3 || got[2].News(w).ReturnedZone != "a" || got[1].News(w).ReturnedZone != "" {
+	if got := w.Changes(); len(got) != 3 || got[2].PolicyUpdate(w).ReturnedZone != "a" || got[1].PolicyUpdate(w).ReturnedZone != "" {
 		t.Errorf("changes %+v", got)
 	}
-	run(w, &now, 5*s, "a0", Taken)
-	half := w.Level("a")
+	run(w, &now, 5*s, "a0", Accepted)
+	half := w.LoadFraction("a")
 	if half < 0.5 || half > 0.7 {
 		t.Errorf("level %v after half of the ramp", half)
 	}
-	w.Ended(now, w.Standings()[0].Since-s, "a0", Failed) // it began before the return
-	w.Ended(now, w.Standings()[0].Since-s, "a0", Failed)
-	if run(w, &now, 250*time.Millisecond, "", Taken); w.Level("a") < half {
+	w.RecordCall(now, w.Statuses()[0].Since-s, "a0", Failed) // it began before the return
+	w.RecordCall(now, w.Statuses()[0].Since-s, "a0", Failed)
+	if run(w, &now, 250*time.Millisecond, "", Accepted); w.LoadFraction("a") < half {
 		t.Error("what began before the return counts against it")
 	}
 	for range 3 {
-		w.Ended(now, now, "a0", Failed)
+		w.RecordCall(now, now, "a0", Failed)
 	}
-	w.Ended(now, now, "a3", Taken)
-	run(w, &now, 250*time.Millisecond, "", Taken)
-	if l := w.Level("a"); w.State("a") != Returning || l > half*0.6 || l < half*0.4 {
+	w.RecordCall(now, now, "a3", Accepted)
+	run(w, &now, 250*time.Millisecond, "", Accepted)
+	if l := w.LoadFraction("a"); w.State("a") != Returning || l > half*0.6 || l < half*0.4 {
 		t.Errorf("after a fresh failure %v at %v, %v before", w.State("a"), l, half)
 	}
-	run(w, &now, 5*s, "a0", Taken)
-	if l := w.Level("a"); l > half*0.6+5.0/20+0.05 {
+	run(w, &now, 5*s, "a0", Accepted)
+	if l := w.LoadFraction("a"); l > half*0.6+5.0/20+0.05 {
 		t.Errorf("no slower the second time: %v", l)
 	}
 	lose(w, &now)
 	if w.State("a") != Lost {
 		t.Fatal("dark in its ramp, and not lost")
 	}
-	if w.Ended(now, now, "a0", Taken); w.State("a") == Returning && now < w.by["a"].holdTil {
+	if w.RecordCall(now, now, "a0", Accepted); w.State("a") == Returning && now < w.by["a"].holdTil {
 		t.Error("tried again at once")
 	}
 	// However often it flapped: one that answers all is whole within the hold and the slowest ramp.
 	for range 9 {
-		run(w, &now, 9*s, "a0", Taken)
+		run(w, &now, 9*s, "a0", Accepted)
 		lose(w, &now)
 	}
-	w.Members("a", 4, 4)
-	run(w, &now, holdMost+slowest*10*s+2*s, "a0", Taken)
-	if w.State("a") != Whole || w.Level("a") != 1 || w.SiteLost() {
-		t.Errorf("%+v", w.Standings()[0])
+	w.SetRelayCounts("a", 4, 4)
+	run(w, &now, holdMost+slowest*10*s+2*s, "a0", Accepted)
+	if w.State("a") != Healthy || w.LoadFraction("a") != 1 || w.SiteLost() {
+		t.Errorf("%+v", w.Statuses()[0])
 	}
 }
 
@@ -175,7 +178,7 @@
 	if w.Allows(1, "a", true) || !w.Allows(2, "a", true) || !w.Allows(1, "b", true) || w.EndpointCost("b") != 0 || w.EndpointCost("c") <= 0 {
 		t.Error("lost: who may go where")
 	}
-	w.Ended(now, now, "a0", Taken)
+	w.RecordCall(now, now, "a0", Accepted)
 	w.by["a"].level = 0.3
 	there := 0
 	for range 1000 {
@@ -205,21 +208,21 @@
 		for n := range 2 * each {
 			plan := watched().plan
 			w := NewWatch(plan, "b", int64(n))
-			w.List(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{{Address: "a0", Destination: 1, Zone: "a"}, {Address: "b0", Destination: 1, Zone: "b"}}})
-			w.Members("a", each, 0)
-			w.Members("b", each-1, each-1)
-			w.Members("c", each, each)
-			w.ByHand(0, "a", true)
+			w.ApplyEndpointList(policy.EndpointListUpdate{Kind: policy.ListSnapshot, Entries: []policy.Endpoint{{Address: "a0", Destination: 1, Zone: "a"}, {Address: "b0", Destination: 1, Zone: "b"}}})
+			w.SetRelayCounts("a", each, 0)
+			w.SetRelayCounts("b", each-1, each-1)
+			w.SetRelayCounts("c", each, each)
+			w.SetManuallyOut(0, "a", true)
 			w.by["a"].out = false // lost, and not by hand
 			now := Time(0)
 			for now < 300*s {
 				now += 250 * time.Millisecond
-				if w.Turn(now); w.Allows(1, "a", false) {
+				if w.Tick(now); w.Allows(1, "a", false) {
 					if w.Allows(1, "a", true) || w.EndpointCost("a") != dueCost {
 						t.Fatal("a charge, or not the first choice")
 					}
 					w.CallSent(1, "a")
-					w.Ended(now, now, "a0", Failed)
+					w.RecordCall(now, now, "a0", Failed)
 					tries++
 				}
 			}
@@ -244,16 +247,16 @@
 				n = 3
 			}
 			if z == "a" {
-				w.Members(z, n, 0)
+				w.SetRelayCounts(z, n, 0)
 			} else {
-				w.Members(z, n, n)
+				w.SetRelayCounts(z, n, n)
 			}
 		}
-		w.ByHand(0, "a", true)
-		w.Turn(0)
-		w.Turn(10 * s)
-		for _, st := range w.Standings() {
-			sum[st.Zone] += st.Spill
+		w.SetManuallyOut(0, "a", true)
+		w.Tick(0)
+		w.Tick(10 * s)
+		for _, st := range w.Statuses() {
+			sum[st.Zone] += st.MaxSpillRate
 		}
 		if first == nil {
 			first = w
@@ -262,14 +265,14 @@
 	if b, c := sum["b"], sum["c"]; sum["a"] != 0 || b < 60 || b > uneven*100 || c < 80 || c > uneven*100 {
 		t.Errorf("%v may go there from all", sum)
 	}
-	was := first.Standings()[2].Spill
+	was := first.Statuses()[2].MaxSpillRate
 	now := 10 * s
 	for range 40 {
 		now += 250 * time.Millisecond
 		first.recent("c", counts{taken: 1, refused: 2})
-		first.Turn(now)
+		first.Tick(now)
 	}
-	if is := first.Standings()[2].Spill; is >= was || is <= 0 {
+	if is := first.Statuses()[2].MaxSpillRate; is >= was || is <= 0 {
 		t.Errorf("%v before refusals, %v after", was, is)
 	}
 	sent := 0
@@ -290,10 +293,10 @@
 // A plan that is read again as it was is no other plan.
 func TestKeeps(t *testing.T) {
 	w, same := watched(), watched().plan
-	if !w.Keeps(same, "b") || w.Keeps(same, "a") || w.Keeps(nil, "b") {
+	if !w.HasPlan(same, "b") || w.HasPlan(same, "a") || w.HasPlan(nil, "b") {
 		t.Error("the same plan is another, or another the same")
 	}
-	if same.Ramp++; w.Keeps(same, "b") {
+	if same.Ramp++; w.HasPlan(same, "b") {
 		t.Error("another ramp is the same plan")
 	}
 }
@@ -301,19 +304,19 @@
 // Out by hand: nothing goes there, nothing is tried, and it comes back by the ramp.
 func TestByHand(t *testing.T) {
 	w, now := watched(), Time(0)
-	if w.ByHand(now, "z", true) || !w.ByHand(now, "a", true) || !w.Standings()[0].Out {
+	if w.SetManuallyOut(now, "z", true) || !w.SetManuallyOut(now, "a", true) || !w.Statuses()[0].ManuallyOut {
 		t.Fatal("not taken out")
 	}
-	run(w, &now, 30*s, "a0", Taken) // calls that are out end well
+	run(w, &now, 30*s, "a0", Accepted) // calls that are out end well
 	if w.State("a") != Lost || w.Allows(1, "a", false) || w.Allows(2, "a", false) {
 		t.Error("it is in again")
 	}
-	if _, says := w.Word("a"); says {
+	if _, says := w.OwnReport("a"); says {
 		t.Error("others are told of what one operator did at one relay")
 	}
-	w.ByHand(now, "a", false)
-	if w.State("a") != Returning || w.Level("a") != firstLevel {
-		t.Errorf("%v at %v", w.State("a"), w.Level("a"))
+	w.SetManuallyOut(now, "a", false)
+	if w.State("a") != Returning || w.LoadFraction("a") != firstLevel {
+		t.Errorf("%v at %v", w.State("a"), w.LoadFraction("a"))
 	}
 }
 
@@ -327,29 +330,29 @@
 	if !(w.ShedPriority("unnamed") > w.ShedPriority("alert") && w.ShedPriority("alert") > w.ShedPriority("order") && w.ShedPriority("order") > w.ShedPriority("charge") && w.ShedPriority("charge") == 0) || w.MaxAttempts(1, 6) != 3 || w.MaxAttempts(1, 1) != 1 || w.MaxAttempts(2, 6) != 6 {
 		t.Error("order or attempts")
 	}
-	if l, ok := w.Word("a"); !ok || l != 0 {
+	if l, ok := w.OwnReport("a"); !ok || l != 0 {
 		t.Errorf("says %v, %v", l, ok)
 	}
-	if _, ok := w.Word("b"); ok {
+	if _, ok := w.OwnReport("b"); ok {
 		t.Error("says something of what is whole")
 	}
 	// Others get through: it is given what they give it, and they may be followed without a call of its own.
-	w.Said("a", 0, []float64{0.2})
-	if run(w, &now, s, "", Taken); w.State("a") != Lost {
+	w.SetPeerReports("a", 0, []float64{0.2})
+	if run(w, &now, s, "", Accepted); w.State("a") != Lost {
 		t.Error("one voice is enough")
 	}
-	w.Said("a", 0, []float64{0.2, 0.4, 0.9})
-	if run(w, &now, s, "", Taken); w.State("a") != Returning || w.Level("a") < 0.4 || w.Level("a") > 0.6 {
-		t.Errorf("%+v", w.Standings()[0])
+	w.SetPeerReports("a", 0, []float64{0.2, 0.4, 0.9})
+	if run(w, &now, s, "", Accepted); w.State("a") != Returning || w.LoadFraction("a") < 0.4 || w.LoadFraction("a") > 0.6 {
+		t.Errorf("%+v", w.Statuses()[0])
 	}
-	if _, ok := w.Word("a"); ok {
+	if _, ok := w.OwnReport("a"); ok {
 		t.Error("passes on what it has not seen itself")
 	}
 	// A relay that has just started hears that it was lost: what is there alone is cold to it.
 	young := watched()
-	young.Said("a", voices, nil)
-	young.Turn(s)
-	if c := young.Changes(); len(c) != 1 || c[0].News(young).ColdZone != "a" || young.State("a") != Whole {
+	young.SetPeerReports("a", voices, nil)
+	young.Tick(s)
+	if c := young.Changes(); len(c) != 1 || c[0].PolicyUpdate(young).ColdZone != "a" || young.State("a") != Healthy {
 		t.Errorf("%+v", c)
 	}
 }
@@ -359,8 +362,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := watched(), Time(0)
 		was := map[string]State{}
-		may := map[[2]State]bool{{Whole, Thin}: true, {Whole, Lost}: true, {Thin, Whole}: true, {Thin, Lost}: true, {Lost, Returning}: true, {Returning, Lost}: true, {Returning, Whole}: true, {Returning, Returning}: true,
-			{Whole, Whole}: true, {Lost, Lost}: true} // others' word, and an operator's
+		may := map[[2]State]bool{{Healthy, Degraded}: true, {Healthy, Lost}: true, {Degraded, Healthy}: true, {Degraded, Lost}: true, {Lost, Returning}: true, {Returning, Lost}: true, {Returning, Healthy}: true, {Returning, Returning}: true,
+			{Healthy, Healthy}: true, {Lost, Lost}: true} // others' word, and an operator's
 		look := func() {
 			for _, c := range w.Changes() {
 				if c.From != was[c.Zone] || !may[[2]State{c.From, c.To}] {
@@ -369,17 +372,17 @@
 				was[c.Zone] = c.To
 			}
 			lossy := false
-			for _, st := range w.Standings() {
-				if st.Level < 0 || st.Level > 1 || st.Spill < 0 {
+			for _, st := range w.Statuses() {
+				if st.LoadFraction < 0 || st.LoadFraction > 1 || st.MaxSpillRate < 0 {
 					t.Fatalf("%+v", st)
 				}
 				lossy = lossy || st.State == "lost" || st.State == "returning"
-				if st.Out && w.Allows(1, st.Zone, false) {
+				if st.ManuallyOut && w.Allows(1, st.Zone, false) {
 					t.Fatal("out, and open")
 				}
 			}
 			if lossy != w.SiteLost() {
-				t.Fatalf("lossy %v: %+v", w.SiteLost(), w.Standings())
+				t.Fatalf("lossy %v: %+v", w.SiteLost(), w.Statuses())
 			}
 			if !lossy && !(w.Allows(1, "a", true) && w.Allows(1, "b", true) && w.MaxAttempts(1, 6) == 6) {
 				t.Fatal("nothing is lost, and something is shut")
@@ -389,31 +392,31 @@
 			z := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
-				run(w, &now, time.Duration(rapid.IntRange(1, 16).Draw(t, "quarters"))*250*time.Millisecond, z+map[string]string{"a": "0", "b": "1", "c": "2"}[z], End(rapid.IntRange(0, 3).Draw(t, "end")))
+				run(w, &now, time.Duration(rapid.IntRange(1, 16).Draw(t, "quarters"))*250*time.Millisecond, z+map[string]string{"a": "0", "b": "1", "c": "2"}[z], CallOutcome(rapid.IntRange(0, 3).Draw(t, "end")))
 			case 3:
-				w.Members(z, 4, rapid.IntRange(0, 4).Draw(t, "alive"))
+				w.SetRelayCounts(z, 4, rapid.IntRange(0, 4).Draw(t, "alive"))
 			case 4:
-				w.Said(z, rapid.IntRange(0, 3).Draw(t, "lost"), []float64{0.5, 0.9, 1}[:rapid.IntRange(0, 3).Draw(t, "levels")])
+				w.SetPeerReports(z, rapid.IntRange(0, 3).Draw(t, "lost"), []float64{0.5, 0.9, 1}[:rapid.IntRange(0, 3).Draw(t, "levels")])
 			case 5:
-				w.ByHand(now, z, rapid.Bool().Draw(t, "out"))
+				w.SetManuallyOut(now, z, rapid.Bool().Draw(t, "out"))
 			case 6:
-				w.Heard(now, []policy.RouteStats{{Destination: 2, Accepted: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Reporters: 2}})
+				w.ApplyFleetStats(now, []policy.RouteStats{{Destination: 2, Accepted: float64(rapid.IntRange(0, 1).Draw(t, "taken")), Failed: 1, Reporters: 2}})
 			}
 			look()
 		}
 		for _, z := range []string{"a", "b", "c"} {
-			w.ByHand(now, z, false)
-			w.Members(z, 4, 4)
-			w.Said(z, 0, nil)
+			w.SetManuallyOut(now, z, false)
+			w.SetRelayCounts(z, 4, 4)
+			w.SetPeerReports(z, 0, nil)
 		}
 		for range int((holdMost + slowest*10*s + 8*s) / (500 * time.Millisecond)) {
 			for _, a := range []string{"a0", "b1", "c2"} {
-				w.Ended(now, now, a, Taken)
+				w.RecordCall(now, now, a, Accepted)
 			}
-			run(w, &now, 500*time.Millisecond, "", Taken)
+			run(w, &now, 500*time.Millisecond, "", Accepted)
 		}
 		look()
-		for _, st := range w.Standings() {
+		for _, st := range w.Statuses() {
 			if st.State != "whole" {
 				t.Fatalf("serves all, and is %+v", st)
 			}
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -14,8 +14,8 @@
 // others are a disk or a network that may be well again.
 var others = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
 
-// Resource tells whether err says that this machine has no room for something at the moment.
-func Resource(err error) bool { return among(resources, err) }
+// IsResourceExhaustion tells whether err says that this machine has no room for something at the moment.
+func IsResourceExhaustion(err error) bool { return among(resources, err) }
 
 // Is tells whether err may pass by itself, so that the same call may succeed a moment later.
 func Is(err error) bool { return among(resources, err) || among(others, err) }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -24,8 +24,8 @@
 		{&fs.PathError{Op: "write", Err: syscall.ENOSPC}, true, false},
 		{fmt.Errorf("configuration: %w", &fs.PathError{Op: "open", Err: syscall.ENFILE}), true, true},
 	} {
-		if Is(c.err) != c.is || Resource(c.err) != c.resource {
-			t.Errorf("%v: %t, %t", c.err, Is(c.err), Resource(c.err))
+		if Is(c.err) != c.is || IsResourceExhaustion(c.err) != c.resource {
+			t.Errorf("%v: %t, %t", c.err, Is(c.err), IsResourceExhaustion(c.err))
 		}
 	}
 }
--- a/internal/wire/attempt_error.go
+++ b/internal/wire/attempt_error.go
@@ -40,7 +40,7 @@
 // Outcome is what the module is told.
 func (e *AttemptError) Outcome() policy.Outcome {
 	switch {
-	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut), e.Stage == Started && transient.Resource(e.Err):
+	case errors.Is(e.Err, errBlocked), errors.Is(e.Err, errConnectionCut), e.Stage == Started && transient.IsResourceExhaustion(e.Err):
 		return policy.Unsent // it tells nothing of the endpoint
 	case errors.Is(e.Err, errNewConnectionCut):
 		return policy.RequestIncomplete
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -59,7 +59,7 @@
 func (f *Server) beginRequest(c *clientConn, readBy time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.keepAlive.Came(c.state == connNew, time.Since(f.startedAt))
+	f.keepAlive.RecordRequest(c.state == connNew, time.Since(f.startedAt))
 	f.setState(c, connBusy)
 	f.setReadDeadline(c, readBy)
 }
@@ -68,7 +68,7 @@
 func (f *Server) beginIdle(c *clientConn) {
 	f.mu.Lock()
 	f.setState(c, connIdle)
-	f.setReadDeadline(c, c.stateSince.Add(f.keepAlive.For(f.idleConns, f.maxConns)))
+	f.setReadDeadline(c, c.stateSince.Add(f.keepAlive.IdleTimeout(f.idleConns, f.maxConns)))
 	f.mu.Unlock()
 	f.signalCapacity()
 }
@@ -147,7 +147,7 @@
 			return
 		}
 		f.beginIdle(c)
-		if f.drainView.Load().Idle {
+		if f.drainView.Load().CloseIdle {
 			// Guards against a drain that looked at this connection while it was busy. Its last answer did not say that it closes: the next request
 			// may be on the way.
 			c.sock.SetReadDeadline(time.Now().Add(drainGracePeriod))
--- a/internal/wire/decisions.go
+++ b/internal/wire/decisions.go
@@ -29,7 +29,7 @@
 		h.reportedRelays, h.pendingEvents = news.Relays, append(h.pendingEvents, news)
 	}
 	if h.siteWatch != nil {
-		h.siteWatch.Heard(now, news.Routes)
+		h.siteWatch.ApplyFleetStats(now, news.Routes)
 	}
 	h.updateSubsets(now)
 }
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -46,7 +46,7 @@
 	h.pendingEvents = append(h.pendingEvents, news)
 	h.gossiper.UpdateEndpoints(news)
 	if h.siteWatch != nil {
-		h.siteWatch.List(news)
+		h.siteWatch.ApplyEndpointList(news)
 	}
 	h.log.Debug("pool config", "generation", pc.Generation, "entries", len(pc.Entries), "whole", kind != policy.ListChanges)
 }
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -77,7 +77,7 @@
 	switch {
 	case x.closeAfter:
 		reason = closedByRequest
-	case view.Close && x.reader.Buffered() == 0:
+	case view.CloseAfterResponse && x.reader.Buffered() == 0:
 		// A further request that came with this one has been read, and is owed an answer before the connection may end.
 		reason = closedByServer
 	}
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -55,7 +55,7 @@
 	shutdown       bool // Drain was called
 	maxConns       int  // connections at once
 	idleConns      int  // of these, between requests
-	keepAlive      admission.Keep
+	keepAlive      admission.KeepAlive
 	conns          map[*clientConn]struct{}
 	crowdedUntil   time.Time
 	lastConnNumber uint32                        // number of the last connection
@@ -138,8 +138,8 @@
 		if c.stateSince.Before(f.crowdedUntil) {
 			limit = crowdedFirstByteTimeout // it may have waited long to be accepted
 		}
-		if f.drainView.Load().Idle {
-			limit = min(limit, drain.SilentFor)
+		if f.drainView.Load().CloseIdle {
+			limit = min(limit, drain.FirstRequestTimeout)
 		}
 		f.setReadDeadline(c, c.stateSince.Add(limit))
 		f.mu.Unlock()
@@ -151,7 +151,7 @@
 // of them that had their time give way, then the kept connection that has been idle longest.
 func (f *Server) waitForCapacity() {
 	waits := time.Time{}
-	for !f.drainView.Load().Shut && !f.drainingQueue.Load() {
+	for !f.drainView.Load().StopAccepting && !f.drainingQueue.Load() {
 		f.mu.Lock()
 		now, short := time.Now(), len(f.conns) >= f.maxConns
 		if short {
@@ -208,7 +208,7 @@
 func (f *Server) HandleDrainEvent(e drain.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drainMachine.Do(e, time.Since(f.startedAt))
+	f.drainMachine.Handle(e, time.Since(f.startedAt))
 	f.applyDrainView()
 }
 
@@ -217,14 +217,14 @@
 	now := time.Since(f.startedAt)
 	was, v := f.drainView.Load(), f.drainMachine.View(now)
 	if f.shutdown {
-		v = drain.View{Stopping: v.Stopping, Close: true, Idle: true, Shut: true}
+		v = drain.View{Stopping: v.Stopping, CloseAfterResponse: true, CloseIdle: true, StopAccepting: true}
 	}
 	f.drainView.Store(&v)
-	if v.Shut && !was.Shut {
+	if v.StopAccepting && !was.StopAccepting {
 		// Guards against a client whose connection waits to be accepted, perhaps with its request on it: a close would reset it.
 		f.drainAcceptQueue()
 	}
-	if v.Idle && !was.Idle {
+	if v.CloseIdle && !was.CloseIdle {
 		for c := range f.conns {
 			if c.state == connNew || c.state == connIdle { // one that is ending has its time to read its answer
 				c.sock.SetReadDeadline(time.Unix(1, 0))
@@ -234,7 +234,7 @@
 	if f.drainTimer != nil {
 		f.drainTimer.Stop()
 	}
-	if next := f.drainMachine.Next(now); next > 0 && !f.shutdown {
+	if next := f.drainMachine.NextChange(now); next > 0 && !f.shutdown {
 		f.drainTimer = time.AfterFunc(next, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -247,7 +247,7 @@
 func (f *Server) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.drainMachine.Failed()
+	return f.drainMachine.Draining()
 }
 
 // Serving tells whether the front socket serves, drained or not, and is not about to end.
--- a/internal/wire/front_end_test.go
+++ b/internal/wire/front_end_test.go
@@ -225,7 +225,7 @@
 	for _, half := range []bool{false, true} {
 		e := startClosingServer(t, &blockingListener{})
 		sock, r := e.dial(t)
-		e.HandleDrainEvent(drain.Fail) // from here on each answer closes its connection
+		e.HandleDrainEvent(drain.HealthFail) // from here on each answer closes its connection
 		sent := readyRequest + readyRequest
 		if half {
 			sent += readyRequest[:10]
@@ -463,7 +463,7 @@
 	e := startClosingServer(t, &blockingListener{})
 	defer e.ln.Close()
 	sock, r := e.dial(t)
-	e.HandleDrainEvent(drain.Fail) // answers close their connections; resting ones have a second left
+	e.HandleDrainEvent(drain.HealthFail) // answers close their connections; resting ones have a second left
 	fmt.Fprint(sock, readyRequest)
 	expectStatus(t, r, 503)
 	e.waitStage(t, closeDecided)
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -405,7 +405,7 @@
 	if a, err := readResponseHead(keptR); err != nil || a.status != 202 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.Long)
+	(<-ln.accepted).expireRead(t, len(request), firstByteTimeout, requestReadTimeout, admission.LongIdleTimeout)
 	if _, err := keptR.ReadByte(); err != io.EOF {
 		t.Fatalf("still open: %v", err)
 	}
@@ -503,7 +503,7 @@
 	used, usedR := dialListener(t, ln)
 	_, idleR := dialListener(t, ln)
 	waitFor(t, "both connections", func() bool { return front.OpenConnections() == 2 })
-	front.HandleDrainEvent(drain.Fail)
+	front.HandleDrainEvent(drain.HealthFail)
 	io.WriteString(used, validRequest("m1", "body"))
 	if res, err := http.ReadResponse(usedR, nil); err != nil || res.StatusCode != 202 || !res.Close {
 		t.Fatalf("in use: %v, %v", res, err)
@@ -528,7 +528,7 @@
 	if status, closes := ask(validRequest("m2", "body")); status != 202 || !closes {
 		t.Errorf("who still comes: %d, close %v", status, closes)
 	}
-	front.HandleDrainEvent(drain.OK)
+	front.HandleDrainEvent(drain.HealthOK)
 	if status, closes := ask("GET /ready HTTP/1.1\r\n\r\n"); status != 200 || closes {
 		t.Errorf("back: %d, close %v", status, closes)
 	}
--- a/internal/wire/gate.go
+++ b/internal/wire/gate.go
@@ -16,7 +16,7 @@
 
 // extend closes the gate for at least d from now on.
 func (g *backoff) extend(d time.Duration) {
-	for end := int64(clock.Since() + d); ; {
+	for end := int64(clock.SinceStart() + d); ; {
 		was := g.until.Load()
 		if was >= end || g.until.CompareAndSwap(was, end) {
 			return
@@ -25,7 +25,9 @@
 }
 
 // remaining is for how long the gate stays closed; negative once it is open.
-func (g *backoff) remaining() time.Duration { return time.Duration(g.until.Load()) - clock.Since() }
+func (g *backoff) remaining() time.Duration {
+	return time.Duration(g.until.Load()) - clock.SinceStart()
+}
 
 func (g *backoff) active() bool { return g.remaining() > 0 }
 
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -255,7 +255,7 @@
 	w.firstDelay()
 	seen := map[time.Duration]bool{}
 	for range 20 {
-		d := w.silenceBackoff.Failed()
+		d := w.silenceBackoff.NextDelay()
 		if seen[d] = true; d > 2*silentWatchBackoff {
 			t.Errorf("a pause of %v after silence", d)
 		}
--- a/internal/wire/sites.go
+++ b/internal/wire/sites.go
@@ -24,13 +24,13 @@
 type Sites struct {
 	At   policy.Time
 	Home string
-	All  []sites.Standing
+	All  []sites.Status
 }
 
 // applySitePlan has the host act on a plan; nil: on none. Sites that operators have taken out stay out.
 func (h *Host) applySitePlan(plan *sites.Plan, home string) {
 	was := h.siteWatch
-	if was != nil && was.Keeps(plan, home) {
+	if was != nil && was.HasPlan(plan, home) {
 		return // what it has seen stays, also in the middle of a loss
 	}
 	if h.siteWatch = nil; plan == nil {
@@ -45,11 +45,11 @@
 	for _, ep := range h.endpoints {
 		whole.Entries = append(whole.Entries, policy.Endpoint{Address: ep.id, Destination: ep.dest, Zone: ep.zone, State: policy.EndpointState(ep.state.Load())})
 	}
-	h.siteWatch.List(whole)
+	h.siteWatch.ApplyEndpointList(whole)
 	if was != nil {
-		for _, s := range was.Standings() {
-			if s.Out {
-				h.siteWatch.ByHand(h.now(), s.Zone, true)
+		for _, s := range was.Statuses() {
+			if s.ManuallyOut {
+				h.siteWatch.SetManuallyOut(h.now(), s.Zone, true)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	for more := true; more; {
 		select {
 		case w := <-h.siteCommands:
-			h.siteWatch.ByHand(now, w.Zone, w.Out)
+			h.siteWatch.SetManuallyOut(now, w.Zone, w.Out)
 		default:
 			more = false
 		}
@@ -89,18 +89,18 @@
 			}
 		}
 		for z, n := range relays {
-			h.siteWatch.Members(z, n, alive[z])
+			h.siteWatch.SetRelayCounts(z, n, alive[z])
 		}
 	}
 	h.exchangeSiteReports(now)
-	h.siteWatch.Turn(now)
+	h.siteWatch.Tick(now)
 	if changes := h.siteWatch.Changes(); len(changes) > 0 {
 		for _, c := range changes {
 			h.log.Warn("site", "zone", c.Zone, "state", c.To.String(), "was", c.From.String(), "why", c.Why)
-			h.pendingEvents = append(h.pendingEvents, c.News(h.siteWatch))
+			h.pendingEvents = append(h.pendingEvents, c.PolicyUpdate(h.siteWatch))
 		}
 	}
-	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Standings()})
+	h.sitesStatus.Store(&Sites{At: now, Home: h.homeZone, All: h.siteWatch.Statuses()})
 }
 
 // exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
@@ -115,8 +115,8 @@
 	})
 	var mine []peers.SiteReport
 	for z, name := range h.zoneNames {
-		h.siteWatch.Said(name, lost[z], levels[z])
-		if level, ok := h.siteWatch.Word(name); ok {
+		h.siteWatch.SetPeerReports(name, lost[z], levels[z])
+		if level, ok := h.siteWatch.OwnReport(name); ok {
 			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
@@ -131,19 +131,19 @@
 	how := sites.Failed
 	switch e.results[0].outcome {
 	case policy.Delivered, policy.Errored:
-		how = sites.Taken
+		how = sites.Accepted
 	case policy.Rejected:
-		how = sites.Refused
+		how = sites.Rejected
 	case policy.TimedOut:
-		how = sites.Silent
+		how = sites.NoResponse
 	case policy.ConnectFailed:
 		if now-e.call.startedAt >= min(h.dialTimeout, e.call.timeout) { // nobody said no
-			how = sites.Silent
+			how = sites.NoResponse
 		}
 	case policy.Unsent:
 		return
 	}
-	h.siteWatch.Ended(now, e.call.startedAt, e.call.endpoint.id, how)
+	h.siteWatch.RecordCall(now, e.call.startedAt, e.call.endpoint.id, how)
 }
 
 // Sites is the latest view; nil: no plan is in force. Anyone may call it: it waits for nothing.
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -20,13 +20,13 @@
 		t.Fatal("sites without a plan")
 	}
 	plan := func() *sites.Plan {
-		return &sites.Plan{Ramp: time.Second, Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, Spill: 1}}}, {Zone: "b"}}}
+		return &sites.Plan{Ramp: time.Second, Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, SpillFraction: 1}}}, {Zone: "b"}}}
 	}
 	h.applySitePlan(plan(), "b")
-	if v := h.Sites(); v == nil || v.Home != "b" || len(v.All) != 2 || v.All[0].Endpoint != 1 || v.All[1].Tier != 0 {
+	if v := h.Sites(); v == nil || v.Home != "b" || len(v.All) != 2 || v.All[0].Endpoints != 1 || v.All[1].Tier != 0 {
 		t.Fatalf("%+v", v)
 	}
-	look := func() sites.Standing {
+	look := func() sites.Status {
 		h.nextSitesCheck = 0
 		h.updateSites(h.now())
 		return h.Sites().All[0]
@@ -39,7 +39,7 @@
 	if h.SubmitSiteCommand(SiteCommand{"a", true}) {
 		t.Error("words wait without bound")
 	}
-	if st := look(); !st.Out || st.State != "lost" {
+	if st := look(); !st.ManuallyOut || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
 	since := h.siteWatch
@@ -48,7 +48,7 @@
 	}
 	other := plan()
 	other.Ramp++
-	if h.applySitePlan(other, "b"); h.siteWatch == since || !look().Out {
+	if h.applySitePlan(other, "b"); h.siteWatch == since || !look().ManuallyOut {
 		t.Error("another plan lets in what is out by hand")
 	}
 	if h.siteWatch.Allows(7, "a", false) || !h.siteWatch.Allows(7, "b", true) {
@@ -61,7 +61,7 @@
 		h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now(), timeout: time.Minute}, results: []itemResult{{outcome: o}}}, h.now())
 	}
 	h.recordSiteResult(callResult{call: &call{endpoint: h.endpoints["a-1"], startedAt: h.now()}, results: []itemResult{{outcome: policy.ConnectFailed}}, err: errConnectionLimit}, h.now())
-	if st := h.siteWatch.Standings()[0]; st.Taken != 1 || st.Refused != 1 || st.Failed != 3 {
+	if st := h.siteWatch.Statuses()[0]; st.CallsAccepted != 1 || st.CallsRejected != 1 || st.CallsFailed != 3 {
 		t.Errorf("%+v", st)
 	}
 	h.pendingEvents = nil
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
+	"oatfold/internal/jitter"
 	"oatfold/internal/memory"
-	"oatfold/internal/spread"
 )
 
 // What discovery has to tell counts as told after 6 s even if it did not arrive: a watch that hangs unseen must
@@ -40,8 +40,8 @@
 	fleetSize      int   // relays that share discovery
 	polled         bool  // lists come only to those that ask, and discovery serves so many a second
 	seed           int64 // of this relay's own draws
-	failureBackoff *spread.Backoff
-	silenceBackoff *spread.Backoff
+	failureBackoff *jitter.Backoff
+	silenceBackoff *jitter.Backoff
 	onPause        func(time.Duration) // nil but in tests: told of each pause
 	dial           dialFunc            // nil but in tests
 }
@@ -58,9 +58,9 @@
 		if most = maxPollBackoff; least > maxPollBackoff {
 			most = 2 * maxFirstPollDelay // so many would keep it shut
 		}
-		first = spread.Within(least, w.seed)
+		first = jitter.Within(least, w.seed)
 	}
-	w.failureBackoff, w.silenceBackoff = spread.NewBackoff(least, most, w.seed), spread.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
+	w.failureBackoff, w.silenceBackoff = jitter.NewBackoff(least, most, w.seed), jitter.NewBackoff(silentWatchBackoff, silentWatchBackoff, w.seed)
 	return first
 }
 
@@ -109,17 +109,17 @@
 			failing = true
 			if silent && !w.polled {
 				// Guards against the news of an agent that comes back while nobody asks: they count as told at once.
-				w.pause(ctx, w.silenceBackoff.Failed())
+				w.pause(ctx, w.silenceBackoff.NextDelay())
 				continue
 			}
-			w.pause(ctx, w.failureBackoff.Failed())
+			w.pause(ctx, w.failureBackoff.NextDelay())
 			continue
 		}
 		if failing {
 			log.Info("discovery answers again", "generation", pc.Generation)
 		}
 		failing = false
-		w.failureBackoff.Worked()
+		w.failureBackoff.Reset()
 		if have < 0 {
 			pc.Complete = true
 		}
--- a/internal/wire/watch_test.go
+++ b/internal/wire/watch_test.go
@@ -42,7 +42,7 @@
 			served, all = served+1, all[1:]
 		} else {
 			turnedAway++
-			r.next += r.w.failureBackoff.Failed()
+			r.next += r.w.failureBackoff.NextDelay()
 		}
 	}
 	return served, turnedAway
@@ -73,7 +73,7 @@
 	if w := (listWatcher{fleetSize: 80}); w.firstDelay() != 0 {
 		t.Error("a pushed list waits")
 	}
-	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay || w.failureBackoff.Failed() > 3*maxFirstPollDelay {
+	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay || w.failureBackoff.NextDelay() > 3*maxFirstPollDelay {
 		t.Error("a huge fleet waits longer than any relay may")
 	}
 }
@@ -94,7 +94,7 @@
 			w.firstDelay()
 			var longest time.Duration
 			for range 1000 {
-				longest = max(longest, w.failureBackoff.Failed(), w.silenceBackoff.Failed())
+				longest = max(longest, w.failureBackoff.NextDelay(), w.silenceBackoff.NextDelay())
 			}
 			hangs := max(watchHold+watchAnswerMargin, agentDialTimeout)
 			if hangs+longest+answered > updateDeadline {
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -92,7 +92,7 @@
 		l := r.dests[1].lines[0]
 		l.gap, l.countsTil, l.dest.demand = slot, r.now+time.Minute, 10
 		l.claimed = r.now - slot/2 - time.Duration(number)*time.Millisecond
-		step = r.set.TimeSlots.Step(slot)
+		step = r.set.TimeSlots.SlotWidth(slot)
 		at := r.freeAt(l)
 		if at < l.claimed+part(slot, 0.9) || at > l.claimed+3*slot {
 			t.Fatalf("sender %d called at %v and may again at %v", number, l.claimed, at)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -73,7 +73,7 @@
 // configure takes settings over: destinations keep their kinds, and messages what they were taken on under.
 func (r *Relay) configure(s Settings) {
 	r.set, r.aim, r.quota = s, s.Classes[0].TargetLatency, 0
-	r.idle.Most = s.IdleConnTimeout
+	r.idle.Max = s.IdleConnTimeout
 	for _, c := range s.Classes {
 		r.classes[c.Name] = &c
 		r.aim, r.patience = min(r.aim, c.TargetLatency), max(r.patience, c.Deadline)
@@ -694,9 +694,9 @@
 	if !r.takesTurns(l, slot) {
 		return max(from, l.claimed+part(slot, l.jitter))
 	}
-	step := r.set.TimeSlots.Step(slot)
+	step := r.set.TimeSlots.SlotWidth(slot)
 	from = max(from, l.claimed+part(slot, 0.9), r.now-max(step, 2*r.set.Tick)) // one just begun will do
-	return r.set.TimeSlots.Next(from+r.set.ClockOffset, step, l.hash) - r.set.ClockOffset
+	return r.set.TimeSlots.NextSlot(from+r.set.ClockOffset, step, l.hash) - r.set.ClockOffset
 }
 
 // takesTurns tells whether this sender calls the line in turns of its own. Risk: where refused calls use up a
@@ -858,7 +858,7 @@
 }
 
 // stale tells whether a call's loss is explained by its connection, which had been unused for long.
-func (r *Relay) stale(c *call, lost bool) bool { return r.idle.Ended(r.now, c.idle, lost) }
+func (r *Relay) stale(c *call, lost bool) bool { return r.idle.RecordCall(r.now, c.idle, lost) }
 
 // closeSpare gives connections back as soon as they carry no call, where an endpoint of the kind took none of
 // late. Risk: hundreds of relays that each keep an idle connection fill an endpoint's table.
--- a/policy/state.go
+++ b/policy/state.go
@@ -153,20 +153,20 @@
 	lastIn, askAt   Time
 	askTries, done  int
 	shedAt, paceAt  Time
-	pace            float64           // messages a second that attempts have ended for
-	again           map[*Kind]float64 // share of calls soon after a refusal that were taken
-	soon            map[*Kind]float64 // share of failed connections after which the endpoint answered within the aim
-	noConn          map[*Kind]Time    // when one of its endpoints last took no connection
-	spare           []*endpoint       // whose calls have ended in this step
-	idle            keepalive.Trust   // in connections that were unused for a while
-	short           time.Duration     // for how long call slots have been short, of late
-	aim             time.Duration     // the shortest aim
-	patience        time.Duration     // the longest deadline
-	turn            time.Duration     // the first slot: a few attempts fit into the shortest aim
-	atOnce          time.Duration     // a connection that fails within it was refused, not left unanswered
-	out             []*call           // the calls that are out
-	lent            []*call           // of these, the ones of the process before
-	skipped         int               // endpoints that get no usual work
+	pace            float64               // messages a second that attempts have ended for
+	again           map[*Kind]float64     // share of calls soon after a refusal that were taken
+	soon            map[*Kind]float64     // share of failed connections after which the endpoint answered within the aim
+	noConn          map[*Kind]Time        // when one of its endpoints last took no connection
+	spare           []*endpoint           // whose calls have ended in this step
+	idle            keepalive.IdleLimiter // in connections that were unused for a while
+	short           time.Duration         // for how long call slots have been short, of late
+	aim             time.Duration         // the shortest aim
+	patience        time.Duration         // the longest deadline
+	turn            time.Duration         // the first slot: a few attempts fit into the shortest aim
+	atOnce          time.Duration         // a connection that fails within it was refused, not left unanswered
+	out             []*call               // the calls that are out
+	lent            []*call               // of these, the ones of the process before
+	skipped         int                   // endpoints that get no usual work
 	steps           int
 	acts            []Action
 	reach           SitePlan
