--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -21,16 +21,16 @@
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.Main(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
 
 // startWorld starts what lies round the relays. At the test's end neither it nor a client has left a goroutine behind.
-func startWorld(t testing.TB, set standin.Config) *standin.World {
+func startWorld(t testing.TB, set standin.Config) *standin.Environment {
 	t.Helper()
 	if set.Partners == nil {
 		set.Partners = []standin.PartnerConfig{{Dest: 7}}
 	}
 	before := goleak.IgnoreCurrent()
-	w, err := standin.NewWorld(set)
+	w, err := standin.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return w
 }
 
-func startRelay(t testing.TB, w *standin.World) *standin.Relay {
+func startRelay(t testing.TB, w *standin.Environment) *standin.Relay {
 	t.Helper()
 	r, err := w.StartRelay(bin)
 	if err != nil {
@@ -56,9 +56,9 @@
 	return r
 }
 
-func startGate(t testing.TB, w *standin.World, to string, script func(n int, path string) standin.Fault) *standin.Gate {
+func startGate(t testing.TB, w *standin.Environment, to string, script func(n int, path string) standin.Fault) *standin.FaultProxy {
 	t.Helper()
-	g, err := w.Gate(to, script)
+	g, err := w.StartFaultProxy(to, script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 
 // seen is told what a client does.
 type seen struct {
-	w       *standin.World
+	w       *standin.Environment
 	mu      sync.Mutex
 	handIns int
 	opened  []time.Time // connections tried
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	s.handIns++
 	s.mu.Unlock()
-	s.w.Changed()
+	s.w.Notify()
 }
 
 func (s *seen) Done(client.Result) {}
@@ -101,9 +101,9 @@
 	return c
 }
 
-func until(t testing.TB, w *standin.World, what string, cond func() bool) {
+func until(t testing.TB, w *standin.Environment, what string, cond func() bool) {
 	t.Helper()
-	if err := w.Until(what, cond); err != nil {
+	if err := w.WaitUntil(what, cond); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -132,7 +132,7 @@
 }
 
 func refusal(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Answer, Status: status, Header: http.Header{}}
+	f := standin.Fault{Kind: standin.Respond, Status: status, Header: http.Header{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -143,7 +143,7 @@
 func TestWaitLongerThanTimeLeft(t *testing.T) {
 	w := startWorld(t, standin.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
-	w.Partners[7].Set(standin.Silent, 1)
+	w.Partners[7].SetMode(standin.Unresponsive, 1)
 	c := newClient(t, client.Config{Relays: []string{r.Addr}})
 	large := func(class string, n int, left time.Duration) client.Message {
 		m := message(class, n, left)
@@ -170,16 +170,16 @@
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	res, err := c.Send(context.Background(), message("fee-charge", 1, 5*time.Second))
 	want(t, "refused for good", res, err, client.Refused, 3)
-	seen := g.Seen()
+	seen := g.Requests()
 	if len(seen) != 3 || len(res.Waits) != 3 || !errors.Is(err, client.ErrRefused) {
 		t.Fatalf("%d requests, waits %v, %v", len(seen), res.Waits, err)
 	}
 	for i, s := range seen {
-		if mark := []string{"", "1", "1"}[i]; s.Mark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 && s.ID == seen[i-1].ID {
+		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 && s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
-		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.Left >= seen[i-1].Left && len(s.Left) == len(seen[i-1].Left)) {
-			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.Left, seen[i-1].Left)
+		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.TimeLeft >= seen[i-1].TimeLeft && len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
+			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.TimeLeft, seen[i-1].TimeLeft)
 		}
 	}
 	full := startGate(t, w, "", func(int, string) standin.Fault { return refusal(503, "60") })
@@ -191,7 +191,7 @@
 			t.Errorf("%d hand-ins", res.HandIns)
 		}
 	}
-	if n := len(full.Seen()); n > 1 {
+	if n := len(full.Requests()); n > 1 {
 		t.Errorf("the relay that told to wait was asked %d times", n)
 	}
 	limited := startGate(t, w, "", func(int, string) standin.Fault { return refusal(429, "60") })
@@ -230,7 +230,7 @@
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken, "fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
 			w := startWorld(t, standin.Config{})
-			g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.LoseAnswer}))
+			g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
 			res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
 			hands := 2
@@ -238,12 +238,12 @@
 				hands = 1
 			}
 			want(t, class, res, err, o, hands)
-			seen := g.Seen()
-			if len(seen) != hands || hands == 2 && (seen[1].Mark != "again" || seen[1].Key != seen[0].Key || seen[1].ID == seen[0].ID) {
+			seen := g.Requests()
+			if len(seen) != hands || hands == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key || seen[1].ID == seen[0].ID) {
 				t.Fatalf("on the wire: %+v", seen)
 			}
-			until(t, w, "all that ran", func() bool { return len(w.Ledger.Effects()) == hands })
-			if n := w.Ledger.Count()[class+"/1"]; n != 1 && class != "price-alert" {
+			until(t, w, "all that ran", func() bool { return len(w.EffectLog.Entries()) == hands })
+			if n := w.EffectLog.CountByName()[class+"/1"]; n != 1 && class != "price-alert" {
 				t.Errorf("took effect %d times", n)
 			}
 		})
@@ -255,7 +255,7 @@
 	w := startWorld(t, standin.Config{})
 	g := startGate(t, w, "", func(n int, _ string) standin.Fault {
 		if n == 0 {
-			return standin.Fault{Kind: standin.Mute}
+			return standin.Fault{Kind: standin.IgnoreRequest}
 		}
 		return refusal(202, "")
 	})
@@ -268,7 +268,7 @@
 		t.Errorf("the repeat states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	g2 := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
 	want(t, "past the window", res, err, client.Uncertain, 1)
@@ -282,7 +282,7 @@
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
 		w := startWorld(t, standin.Config{})
-		g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.HoldAnswer}))
+		g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
 		res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
 		hands := 2
@@ -290,11 +290,11 @@
 			hands = 1
 		}
 		want(t, class, res, err, o, hands)
-		g.Release()
+		g.ReleaseResponses()
 		res, err = c.Send(context.Background(), message(class, 2, 5*time.Second))
 		want(t, class+" after it", res, err, client.Taken, 1)
-		until(t, w, "the first to run", func() bool { return w.Ledger.Count()[class+"/1"] >= 1 })
-		if d := w.Ledger.Doubles("fee-charge"); d != nil {
+		until(t, w, "the first to run", func() bool { return w.EffectLog.CountByName()[class+"/1"] >= 1 })
+		if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 			t.Error("doubles:", d)
 		}
 	}
@@ -303,20 +303,20 @@
 // A relay that accepts and says nothing is left for another one; where there is none a message ends uncertain.
 func TestMuteRelay(t *testing.T) {
 	w := startWorld(t, standin.Config{})
-	mute := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	mute := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	fine := startGate(t, w, "", func(int, string) standin.Fault { return refusal(202, "") })
 	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), message("price-alert", 1, 1500*time.Millisecond))
-	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Seen()) || res.HandIns > 3 || !errors.Is(err, client.ErrUncertain) {
-		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Seen()))
+	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 || !errors.Is(err, client.ErrUncertain) {
+		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Requests()))
 	}
 	c = newClient(t, client.Config{Relays: []string{mute.Addr, fine.Addr}, AnswerTimeout: 50 * time.Millisecond})
-	before := len(mute.Seen())
+	before := len(mute.Requests())
 	for n := range 20 {
 		res, err := c.Send(context.Background(), message("price-alert", n, 5*time.Second))
 		want(t, "with another relay", res, err, client.Taken, res.HandIns)
 	}
-	if n := len(mute.Seen()) - before; n > 2 {
+	if n := len(mute.Requests()) - before; n > 2 {
 		t.Errorf("the mute relay was given %d messages", n)
 	}
 }
@@ -327,7 +327,7 @@
 	w := startWorld(t, standin.Config{})
 	g := startGate(t, w, "", func(n int, _ string) standin.Fault {
 		if n%2 == 1 {
-			return standin.Fault{Kind: standin.Cut}
+			return standin.Fault{Kind: standin.ResetConnection}
 		}
 		return refusal(202, "")
 	})
@@ -341,15 +341,15 @@
 			t.Errorf("%+v, %v", res, err)
 		}
 	}
-	if n := len(g.Seen()); n != hands {
+	if n := len(g.Requests()); n != hands {
 		t.Errorf("%d requests on the wire, %d hand-ins counted", n, hands)
 	}
 }
 
 // Every relay is down: nothing goes out, and the message fails within its time.
 func TestEveryRelayDown(t *testing.T) {
-	a, _ := standin.Addr()
-	b, err := standin.Addr()
+	a, _ := standin.ReserveAddr()
+	b, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,7 +363,7 @@
 
 // A relay gets SIGTERM while hand-ins go on over kept connections: all go on at the other one, none is lost or doubled.
 func TestPlannedStop(t *testing.T) {
-	w := startWorld(t, standin.Config{Relays: 2, Hold: 2000}) // a busy relay may come to hold all of them
+	w := startWorld(t, standin.Config{FleetSize: 2, MaxPending: 2000}) // a busy relay may come to hold all of them
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
@@ -389,8 +389,8 @@
 	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all to run", func() bool { return len(w.Ledger.Count()) == 8*120 })
-	if d := w.Ledger.Doubles("fee-charge"); d != nil {
+	until(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 8*120 })
+	if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 		t.Error("doubles:", d)
 	}
 }
@@ -398,8 +398,8 @@
 // The caller gives up at each stage; what is reported is true, and nothing is left behind.
 func TestCancelled(t *testing.T) {
 	w := startWorld(t, standin.Config{})
-	down, _ := standin.Addr()
-	held := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	down, _ := standin.ReserveAddr()
+	held := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	waits := startGate(t, w, "", func(int, string) standin.Fault { return refusal(429, "10") })
 	var o *seen
 	ended := func(n int) bool { o.mu.Lock(); defer o.mu.Unlock(); return o.handIns == n }
@@ -412,8 +412,8 @@
 	}{
 		{"before", held.Addr, nil, client.Failed, 0},
 		{"connecting", down, func() bool { return true }, client.Failed, 0},
-		{"waiting for the answer", held.Addr, func() bool { return len(held.Seen()) == 1 }, client.Uncertain, 1},
-		{"waiting after a refusal", waits.Addr, func() bool { return len(waits.Seen()) == 1 && ended(1) }, client.Failed, 1},
+		{"waiting for the answer", held.Addr, func() bool { return len(held.Requests()) == 1 }, client.Uncertain, 1},
+		{"waiting after a refusal", waits.Addr, func() bool { return len(waits.Requests()) == 1 && ended(1) }, client.Failed, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -442,7 +442,7 @@
 // HandIn bounds what is in flight and pushes back; Close ends what waits.
 func TestHandInPushesBack(t *testing.T) {
 	w := startWorld(t, standin.Config{})
-	g := startGate(t, w, startRelay(t, w).Addr, func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldAnswer} })
+	g := startGate(t, w, startRelay(t, w).Addr, func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldResponse} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
@@ -461,7 +461,7 @@
 	}
 	until(t, w, "all answered by the relay", func() bool {
 		n := 0
-		for _, s := range g.Seen() {
+		for _, s := range g.Requests() {
 			if s.Status == 202 {
 				n++
 			}
@@ -471,7 +471,7 @@
 	if err := c.Flush(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("Flush while three are out: %v", err)
 	}
-	g.Release()
+	g.ReleaseResponses()
 	if err := c.Flush(context.Background()); err != nil {
 		t.Error(err)
 	}
@@ -507,7 +507,7 @@
 			t.Errorf("%s: %+v, %v", what, res, err)
 		}
 	}
-	if n := len(g.Opened()); n != 0 {
+	if n := len(g.ConnectionTimes()); n != 0 {
 		t.Errorf("%d connections", n)
 	}
 }
@@ -516,8 +516,8 @@
 // true; no charge runs twice; there are no more than two hand-ins after refusals.
 func TestSoakWithKills(t *testing.T) {
 	const messages, lanes = 1800, 12
-	w := startWorld(t, standin.Config{Seed: 5, Relays: 2, Hold: 300,
-		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", Serve: 5 * time.Millisecond}}})
+	w := startWorld(t, standin.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
+		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
 	relays := []*standin.Relay{startRelay(t, w), startRelay(t, w)}
 	c := newClient(t, client.Config{Relays: []string{relays[0].Addr, relays[1].Addr}, Spread: 100 * time.Millisecond})
 	classes := []string{"price-alert", "order-relay", "fee-charge"}
@@ -549,10 +549,10 @@
 	killer.Wait()
 	ended := func(n int) bool {
 		r := results[n]
-		if w.Ledger.Count()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
+		if w.EffectLog.CountByName()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
 			return true
 		}
-		_, told := w.Platform.Notices()[r.ID]
+		_, told := w.Platform.Notifications()[r.ID]
 		return told
 	}
 	counts := map[client.Outcome]int{}
@@ -578,14 +578,14 @@
 		}
 		return true
 	})
-	did := w.Ledger.Count()
+	did := w.EffectLog.CountByName()
 	for n, r := range results {
 		name := fmt.Sprintf("%s/%d", classes[n%3], n)
 		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not && did[name] > 0 {
 			t.Errorf("%s took effect %d times: %+v", name, did[name], r)
 		}
 	}
-	if d := append(w.Ledger.Doubles("fee-charge"), w.Ledger.Doubles("order-relay")...); d != nil {
+	if d := append(w.EffectLog.Duplicates("fee-charge"), w.EffectLog.Duplicates("order-relay")...); d != nil {
 		t.Error("doubles:", d)
 	}
 	t.Logf("%v", counts)
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -18,7 +18,7 @@
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
 			const clients = 1000
-			w := startWorld(t, standin.Config{Relays: 1, Sockets: 8192, Hold: 3 * clients, Slots: 64})
+			w := startWorld(t, standin.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
 			r := startRelay(t, w)
 			o := &seen{w: w}
 			var all []*client.Client
@@ -37,7 +37,7 @@
 				wg.Wait()
 			}
 			round(0, func() {})
-			until(t, w, "the first thousand to run", func() bool { return len(w.Ledger.Count()) == clients })
+			until(t, w, "the first thousand to run", func() bool { return len(w.EffectLog.CountByName()) == clients })
 			r.Kill()
 			o.mu.Lock()
 			before, refusedBefore := len(o.opened), o.refused // under load dials of the first round fail, too
@@ -62,8 +62,8 @@
 				t.Errorf("%d tries, %d refused: not one connection a client", tries, refused)
 			}
 			t.Logf("%d tries, %d of them refused; connections per 100 ms since the relay is back: %v", tries, refused, bins)
-			until(t, w, "all to run", func() bool { return len(w.Ledger.Count()) == 2*clients })
-			if d := w.Ledger.Doubles("fee-charge"); d != nil {
+			until(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 2*clients })
+			if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 				t.Error("doubles:", fmt.Sprint(d))
 			}
 		})
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -39,14 +39,14 @@
 	if code, out := tool(t, "", "plugin", "check", good); code != exitOK || !strings.Contains(out, "shape_request") {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	shape := write(t, "m.wasm", wasm.Does("shape_request", wasm.Trap()).Bytes())
+	shape := write(t, "m.wasm", wasm.WithCode("shape_request", wasm.Trap()).Bytes())
 	if code, _ := tool(t, "", "plugin", "check", shape, "--hook", "read_answer"); code != exitFault {
 		t.Errorf("a hook that is not there: exit %d", code)
 	}
 	if code, _ := tool(t, "", "plugin", "check", write(t, "m.wasm", wasm.Module{}.Bytes())); code != exitFault {
 		t.Errorf("no hook at all: exit %d", code)
 	}
-	for what, code := range wasm.Broken("shape_request") {
+	for what, code := range wasm.UnloadableModules("shape_request") {
 		if what == "loops at start" {
 			continue // it takes its 20 s
 		}
@@ -63,7 +63,7 @@
 
 // plugin run prints what a hook did, and fails where it does.
 func TestPluginRun(t *testing.T) {
-	path := write(t, "m.wasm", wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header, "X-Form: 2")).Bytes())
+	path := write(t, "m.wasm", wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header, "X-Form: 2")).Bytes())
 	code, out := tool(t, "a body", "plugin", "run", path, "--hook", "shape_request", "--times", "3")
 	var got struct {
 		Hook, Body string
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal([]byte(out), &got); code != exitOK || err != nil || got.Body != "shaped" || len(got.Headers) != 1 || got.Memory != 4<<16 {
 		t.Errorf("exit %d, %s, %v", code, out, err)
 	}
-	for what, m := range wasm.Faults("read_answer") {
+	for what, m := range wasm.FaultyPlugins("read_answer") {
 		if code, out := tool(t, "x", "plugin", "run", write(t, "m.wasm", m.Bytes()), "--hook", "read_answer"); code != exitFault || out != "" {
 			t.Errorf("%s: exit %d, %s", what, code, out)
 		}
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -31,14 +31,14 @@
 	return code, all
 }
 
-func gate(t *testing.T, script func(n int, path string) standin.Fault) *standin.Gate {
+func gate(t *testing.T, script func(n int, path string) standin.Fault) *standin.FaultProxy {
 	t.Helper()
-	w, err := standin.NewWorld(standin.Config{})
+	w, err := standin.NewEnvironment(standin.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	g, err := w.Gate("", script)
+	g, err := w.StartFaultProxy("", script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 func answers(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Answer, Status: status, Header: map[string][]string{}}
+	f := standin.Fault{Kind: standin.Respond, Status: status, Header: map[string][]string{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -55,7 +55,7 @@
 
 // One message: its result, the hand-ins that went out and the exit code.
 func TestSendOne(t *testing.T) {
-	taken, mute := answers(202, ""), standin.Fault{Kind: standin.Mute}
+	taken, mute := answers(202, ""), standin.Fault{Kind: standin.IgnoreRequest}
 	for _, c := range []struct {
 		what    string
 		effect  string
@@ -76,14 +76,14 @@
 		g := gate(t, func(n int, _ string) standin.Fault { return c.script[min(n, len(c.script)-1)] })
 		code, out := run(t, "CLASS/1\nbody", "send", "--relay", g.Addr, "--class", "some-class", "--dest", "7", "--time-left", "1500ms",
 			"--effect", c.effect, "--answer-timeout", "100ms")
-		if code != c.code || len(out) != 1 || out[0].Result != c.result || out[0].HandIns != c.handIns || len(g.Seen()) != c.handIns {
-			t.Errorf("%s: exit %d, %+v, %d on the wire", c.what, code, out, len(g.Seen()))
+		if code != c.code || len(out) != 1 || out[0].Result != c.result || out[0].HandIns != c.handIns || len(g.Requests()) != c.handIns {
+			t.Errorf("%s: exit %d, %+v, %d on the wire", c.what, code, out, len(g.Requests()))
 		}
-		if s := g.Seen()[0]; s.Path != "/some-class" || s.Left == "" || s.Left > "1500" {
+		if s := g.Requests()[0]; s.Path != "/some-class" || s.TimeLeft == "" || s.TimeLeft > "1500" {
 			t.Errorf("%s: %+v", c.what, s)
 		}
 	}
-	down, err := standin.Addr()
+	down, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 			t.Errorf("line %d: %+v", want.line, o)
 		}
 	}
-	if s := g.Seen(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" || s[0].Key != "" || s[2].Key == "" {
+	if s := g.Requests(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" || s[0].Key != "" || s[2].Key == "" {
 		t.Errorf("on the wire: %+v", s)
 	}
 	if code, _ := run(t, lines[:strings.Index(lines, "\n")], "send", "--relay", g.Addr, "--file", "-", "--progress", "on"); code != exitOK {
@@ -145,7 +145,7 @@
 			t.Errorf("%v: exit %d, %+v", args, code, out)
 		}
 	}
-	if n := len(g.Opened()); n > 0 {
+	if n := len(g.ConnectionTimes()); n > 0 {
 		t.Errorf("%d connections", n)
 	}
 	if code, _ := run(t, "", append(good, "--file", "/nonexistent")...); code != exitFault {
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -25,16 +25,16 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.Build(dir)
+	return standin.BuildRelay(dir)
 })
 
-func startWorld(t *testing.T, set standin.Config) (*standin.World, *standin.Relay) {
+func startWorld(t *testing.T, set standin.Config) (*standin.Environment, *standin.Relay) {
 	t.Helper()
 	program, err := buildRelay()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewWorld(set)
+	w, err := standin.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // clientLoad is a set of clients that submit messages of all classes until they are stopped.
 type clientLoad struct {
-	w       *standin.World
+	w       *standin.Environment
 	clients sync.WaitGroup
 	stop    atomic.Bool
 
@@ -56,7 +56,7 @@
 	results map[string]client.Result // by name of the message
 }
 
-func startLoad(t *testing.T, w *standin.World, addr string) *clientLoad {
+func startLoad(t *testing.T, w *standin.Environment, addr string) *clientLoad {
 	l := &clientLoad{w: w, results: map[string]client.Result{}}
 	for lane := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
@@ -66,7 +66,7 @@
 		t.Cleanup(func() { c.Close() })
 		l.clients.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
-				class := standin.Classes[(lane+n)%3].Name
+				class := standin.DefaultClasses[(lane+n)%3].Name
 				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
 				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2,
 					TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
@@ -87,9 +87,9 @@
 	l.stop.Store(true)
 	l.clients.Wait()
 	effects := map[string]int{}
-	if err := l.w.Until("all accepted messages to complete", func() bool {
-		effects = l.w.Ledger.Count()
-		notified := l.w.Platform.Notices()
+	if err := l.w.WaitUntil("all accepted messages to complete", func() bool {
+		effects = l.w.EffectLog.CountByName()
+		notified := l.w.Platform.Notifications()
 		for name, res := range l.results {
 			if _, completed := notified[res.ID]; res.Outcome == client.Taken && effects[name] == 0 && !completed {
 				return false
@@ -99,7 +99,7 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, log())
 	}
-	if doubles := l.w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
+	if doubles := l.w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
 		t.Errorf("charges were executed twice: %v", doubles)
 	}
 	counts := map[client.Outcome]int{}
@@ -112,8 +112,8 @@
 }
 
 var partners = []standin.PartnerConfig{
-	{Dest: 1, Serve: 5 * time.Millisecond},
-	{Dest: 2, Kind: "broker", Serve: 40 * time.Millisecond},
+	{Dest: 1, ServiceTime: 5 * time.Millisecond},
+	{Dest: 2, Kind: "broker", ServiceTime: 40 * time.Millisecond},
 }
 
 // Several upgrades under load: the old process exits with 0 once the new one serves, no message is
@@ -124,52 +124,52 @@
 	l := startLoad(t, w, r.Addr)
 	const upgrades = 4
 	for range upgrades {
-		next, err := r.Beside()
+		next, err := r.StartNextProcess()
 		if err == nil {
-			err = next.Await("standing by")
+			err = next.AwaitLog("standing by")
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status, _, err := next.Call("GET", "/healthcheck"); status != 200 {
+		if status, _, err := next.CallAdmin("GET", "/healthcheck"); status != 200 {
 			t.Fatalf("standing by: %d, %v", status, err)
 		}
 		if err := r.Stop(); err != nil {
-			t.Fatalf("old process: %v\n%s", err, r.Log())
+			t.Fatalf("old process: %v\n%s", err, r.LogTail())
 		}
-		if r.Logged("handed over") != 1 {
-			t.Fatalf("not handed over\n%s", r.Log())
+		if r.CountLogLines("handed over") != 1 {
+			t.Fatalf("not handed over\n%s", r.LogTail())
 		}
-		if r = next; r.Await("all is taken over") != nil {
-			t.Fatal(r.Log())
+		if r = next; r.AwaitLog("all is taken over") != nil {
+			t.Fatal(r.LogTail())
 		}
 	}
-	counts := l.finish(t, r.Log)
+	counts := l.finish(t, r.LogTail)
 	if counts[client.Taken] < 100 || counts[client.Taken] < len(l.results) {
-		t.Errorf("%v\n%s", counts, r.Log())
+		t.Errorf("%v\n%s", counts, r.LogTail())
 	}
 	t.Logf("%d upgrades: %v", upgrades, counts)
 
-	if status, _, err := r.Call("PUT", "/healthcheck/fail"); status != 200 {
+	if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 		t.Fatalf("drain: %d, %v", status, err)
 	}
-	next, err := r.Beside()
+	next, err := r.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
-	if err != nil || r.Stop() != nil || next.Await("all is taken over") != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+	if err != nil || r.Stop() != nil || next.AwaitLog("all is taken over") != nil {
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
 	for _, want := range []int{503, 200} {
 		if got := readyStatus(next.Addr); got != want {
 			t.Errorf("GET /ready: %d, want %d", got, want)
 		}
-		next.Call("PUT", "/healthcheck/ok")
+		next.CallAdmin("PUT", "/healthcheck/ok")
 	}
-	if err := next.Stop(); err != nil || next.Logged("handed over") != 0 {
+	if err := next.Stop(); err != nil || next.CountLogLines("handed over") != 0 {
 		t.Errorf("planned stop without a standby: %v", err)
 	}
-	entries, _ := os.ReadDir(r.State)
+	entries, _ := os.ReadDir(r.StateDir)
 	lives := slices.DeleteFunc(entries, func(e os.DirEntry) bool { return !strings.HasPrefix(e.Name(), "life-") })
 	if len(lives) > 1 {
 		t.Errorf("unused process directories left: %v", lives)
@@ -197,13 +197,13 @@
 	random := rand.New(rand.NewPCG(20, 26))
 	randomDelay := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
 	for round := range 10 {
-		next, err := r.Beside()
+		next, err := r.StartNextProcess()
 		if err != nil {
 			t.Fatal(err)
 		}
 		scenario := round % 5
 		if scenario > 0 {
-			if err := next.Await("standing by"); err != nil {
+			if err := next.AwaitLog("standing by"); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -219,29 +219,29 @@
 			r.Signal(syscall.SIGTERM)
 			randomDelay()
 			r.Kill()
-			err = next.Await("msg=ready")
+			err = next.AwaitLog("msg=ready")
 		case 3: // the new one while it takes over
 			r.Signal(syscall.SIGTERM)
 			randomDelay()
 			next.Kill()
 			if e := r.Wait(); e != nil {
-				t.Errorf("old process: %v\n%s", e, r.Log())
+				t.Errorf("old process: %v\n%s", e, r.LogTail())
 			}
 			err = next.Start()
 		case 4: // the old one without notice
 			r.Kill()
-			err = next.Await("msg=ready")
+			err = next.AwaitLog("msg=ready")
 		}
 		if err != nil {
-			t.Fatalf("round %d: %v\n%s", round, err, next.Log())
+			t.Fatalf("round %d: %v\n%s", round, err, next.LogTail())
 		}
 		if r = next; readyStatus(r.Addr) != 200 {
-			t.Fatalf("round %d: no process serves\n%s", round, r.Log())
+			t.Fatalf("round %d: no process serves\n%s", round, r.LogTail())
 		}
 	}
-	counts := l.finish(t, r.Log)
+	counts := l.finish(t, r.LogTail)
 	if counts[client.Taken] < 100 {
-		t.Errorf("%v\n%s", counts, r.Log())
+		t.Errorf("%v\n%s", counts, r.LogTail())
 	}
 	t.Logf("%v", counts)
 }
@@ -265,14 +265,14 @@
 // still holds them back, and the messages of an ordering key are sent in the order of submission
 // across all three processes.
 func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
-	classes := slices.Clone(standin.Classes)
+	classes := slices.Clone(standin.DefaultClasses)
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
 	callStarted, hold := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
-	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, Watch: func(c standin.Call) {
-		if c.Ended {
+	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, OnCall: func(c standin.Call) {
+		if c.Completed {
 			return
 		}
 		mu.Lock()
@@ -310,17 +310,17 @@
 		}
 	}
 	submit("id-a", "s")
-	await("id-a", old.Log)
+	await("id-a", old.LogTail)
 	submit("id-b", "s")
-	next, err := old.Beside()
+	next, err := old.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
 	if err == nil {
 		err = old.Signal(syscall.SIGTERM)
 	}
 	if err == nil {
-		err = next.Await("msg=ready")
+		err = next.AwaitLog("msg=ready")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -333,15 +333,15 @@
 	submit("id-d", "s")
 	for _, id := range []string{"mark-1", "mark-2"} { // once the second one is sent, everything that may be sent was
 		submit(id, id)
-		await(id, next.Log)
+		await(id, next.LogTail)
 	}
 	mu.Lock()
-	if _, completed := w.Platform.Notices()["id-a"]; !completed && len(calls) != 3 {
+	if _, completed := w.Platform.Notifications()["id-a"]; !completed && len(calls) != 3 {
 		t.Errorf("called %v while the first one is in flight", calls)
 	}
 	mu.Unlock()
 	release()
-	await("id-d", next.Log)
+	await("id-d", next.LogTail)
 	mu.Lock()
 	defer mu.Unlock()
 	if got := slices.DeleteFunc(calls, func(id string) bool {
@@ -356,16 +356,16 @@
 func TestMetricsMatchEffectLog(t *testing.T) {
 	var attempts atomic.Int64
 	watch := func(c standin.Call) {
-		if !c.Ended {
+		if !c.Completed {
 			attempts.Add(int64(len(c.IDs)))
 		}
 	}
-	w, r := startWorld(t, standin.Config{Hold: 30, Slots: 8, Partners: []standin.PartnerConfig{
-		{Dest: 1, Serve: time.Millisecond, Watch: watch},
-		{Dest: 2, Kind: "broker", Serve: 20 * time.Millisecond, Watch: watch}, {Dest: 3, Watch: watch}}})
-	w.Partners[1].Set(standin.Broken, 0.2)
-	w.Partners[3].Set(standin.Refusing, 1)
-	if all, err := r.Figures(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
+	w, r := startWorld(t, standin.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []standin.PartnerConfig{
+		{Dest: 1, ServiceTime: time.Millisecond, OnCall: watch},
+		{Dest: 2, Kind: "broker", ServiceTime: 20 * time.Millisecond, OnCall: watch}, {Dest: 3, OnCall: watch}}})
+	w.Partners[1].SetMode(standin.InternalError, 0.2)
+	w.Partners[3].SetMode(standin.RefusingConnections, 1)
+	if all, err := r.Metrics(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
 		t.Fatalf("at the start: %v, %v", all, err)
 	}
 	rejected, submitted := map[string]int{}, 0
@@ -380,7 +380,7 @@
 					return
 				}
 				for i := lane; i < n; i += 8 {
-					class := standin.Classes[i%3].Name
+					class := standin.DefaultClasses[i%3].Name
 					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3,
 						TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
 					mu.Lock()
@@ -398,7 +398,7 @@
 	}
 	check := func(what string, completed, rejected, attempts int, before map[string]int) {
 		t.Helper()
-		all, err := r.Figures()
+		all, err := r.Metrics()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -408,24 +408,24 @@
 			sum[metric] += n
 		}
 		effects := map[string]int{}
-		for _, e := range w.Ledger.Effects() {
+		for _, e := range w.EffectLog.Entries() {
 			effects[strings.Split(e.Name, "/")[0]]++
 		}
-		for _, c := range standin.Classes {
+		for _, c := range standin.DefaultClasses {
 			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], effects[c.Name]-before[c.Name]; got != want {
 				t.Errorf("%s: %d passed of %s, the effect log has %d", what, got, c.Name, want)
 			}
 		}
 		if sum["passed"]+sum["dropped"]+sum["bad_gateway"] != completed+rejected || sum["in_progress"] != 0 ||
 			sum["known_endpoints"] != 3 || sum["upstream_tries"] != attempts {
-			t.Errorf("%s: %v; %d completed, %d rejected, %d attempts\n%s", what, sum, completed, rejected, attempts, r.Log())
+			t.Errorf("%s: %v; %d completed, %d rejected, %d attempts\n%s", what, sum, completed, rejected, attempts, r.LogTail())
 		}
 	}
 	waitCompleted := func(completed int) {
 		t.Helper()
-		if err := w.Until("all to complete", func() bool {
-			all, err := r.Figures()
-			return err == nil && all["in_progress"] == 0 && w.Ledger.Len()+len(w.Platform.Notices()) >= completed
+		if err := w.WaitUntil("all to complete", func() bool {
+			all, err := r.Metrics()
+			return err == nil && all["in_progress"] == 0 && w.EffectLog.Len()+len(w.Platform.Notifications()) >= completed
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -439,23 +439,23 @@
 	}
 	waitCompleted(submitted - total())
 	check("first run", submitted-total(), total(), int(attempts.Load()), map[string]int{})
-	if total() == 0 || len(w.Platform.Notices()) == 0 {
-		t.Errorf("%d rejected, %d notifications: nothing was tested", total(), len(w.Platform.Notices()))
+	if total() == 0 || len(w.Platform.Notifications()) == 0 {
+		t.Errorf("%d rejected, %d notifications: nothing was tested", total(), len(w.Platform.Notifications()))
 	}
 
 	// Messages of an earlier run are counted by the run that completes them.
-	w.Partners[1].Set(standin.Refusing, 1)
-	w.Partners[2].Set(standin.Refusing, 1)
+	w.Partners[1].SetMode(standin.RefusingConnections, 1)
+	w.Partners[2].SetMode(standin.RefusingConnections, 1)
 	submittedBefore, rejectedBefore := submitted, total()
 	before := map[string]int{}
-	for _, e := range w.Ledger.Effects() {
+	for _, e := range w.EffectLog.Entries() {
 		before[strings.Split(e.Name, "/")[0]]++
 	}
 	send(15)
 	remaining := submitted - submittedBefore - (total() - rejectedBefore)
 	r.Kill()
 	attemptsBefore := int(attempts.Load())
-	w.Partners[2].Set(standin.Well, 1)
+	w.Partners[2].SetMode(standin.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -477,7 +477,7 @@
 	defer ln.Close()
 	usedAddr := ln.Addr().String()
 	for key, set := range map[string]func(*standin.Relay){
-		"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.Admin = usedAddr },
+		"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.AdminAddr = usedAddr },
 		"listen:":              func(n *standin.Relay) { n.Addr = usedAddr },
 	} {
 		n, err := w.NewRelay()
@@ -485,14 +485,14 @@
 			t.Fatal(err)
 		}
 		set(n)
-		if err := n.Configure(); err != nil {
+		if err := n.WriteConfig(); err != nil {
 			t.Fatal(err)
 		}
 		err = n.Start()
-		if text := n.Log(); err == nil || strings.Count(text, "\n") > 0 || !strings.Contains(text, key) {
+		if text := n.LogTail(); err == nil || strings.Count(text, "\n") > 0 || !strings.Contains(text, key) {
 			t.Errorf("%s: %v: %q", key, err, text)
 		}
-		if entries, _ := os.ReadDir(n.State); len(entries) > 0 {
+		if entries, _ := os.ReadDir(n.StateDir); len(entries) > 0 {
 			t.Errorf("%s: the folder contains %v", key, entries)
 		}
 	}
@@ -507,32 +507,32 @@
 	l := startLoad(t, w, r.Addr)
 	procs := []*standin.Relay{r}
 	for range 2 {
-		n, err := r.Beside()
+		n, err := r.StartNextProcess()
 		if err == nil {
-			err = n.Await("standing by")
+			err = n.AwaitLog("standing by")
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		procs = append(procs, n)
 	}
-	if err := r.Stop(); err != nil || r.Logged("handed over") != 1 {
-		t.Fatalf("%v\n%s", err, r.Log())
+	if err := r.Stop(); err != nil || r.CountLogLines("handed over") != 1 {
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
-	if err := w.Until("a successor", func() bool {
-		return procs[1].Logged("msg=ready")+procs[2].Logged("msg=ready") == 1
+	if err := w.WaitUntil("a successor", func() bool {
+		return procs[1].CountLogLines("msg=ready")+procs[2].CountLogLines("msg=ready") == 1
 	}); err != nil {
 		t.Fatal(err)
 	}
 	first, second := procs[1], procs[2]
-	if second.Logged("msg=ready") == 1 {
+	if second.CountLogLines("msg=ready") == 1 {
 		first, second = second, first
 	}
 	first.Kill()
-	if err := second.Await("msg=ready"); err != nil {
+	if err := second.AwaitLog("msg=ready"); err != nil {
 		t.Fatal(err)
 	}
-	if counts := l.finish(t, second.Log); counts[client.Taken] < 20 {
+	if counts := l.finish(t, second.LogTail); counts[client.Taken] < 20 {
 		t.Errorf("%v", counts)
 	}
 	if err := second.Stop(); err != nil {
@@ -554,13 +554,13 @@
 func testUpgradeWithFullFolder(t *testing.T, stopRelay func(*standin.Relay) error) {
 	const budget = 300_000
 	// A destination that refused connections is retried up to 17 s later on a busy machine.
-	classes := slices.Clone(standin.Classes)
+	classes := slices.Clone(standin.DefaultClasses)
 	for i := range classes {
 		classes[i].Deadline = time.Minute
 	}
-	w, r := startWorld(t, standin.Config{DiskMB: budget / 1e6, Hold: 400, Classes: classes,
+	w, r := startWorld(t, standin.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes,
 		Partners: []standin.PartnerConfig{{Dest: 7}}})
-	w.Partners[7].Set(standin.Refusing, 1)
+	w.Partners[7].SetMode(standin.RefusingConnections, 1)
 	accepted := map[string]client.Result{}
 	rejected := false
 	for n := 0; !rejected; n++ {
@@ -578,7 +578,7 @@
 		rejected = res.Outcome == client.Refused
 	}
 	size := func() (n int64) {
-		filepath.WalkDir(r.State, func(_ string, e os.DirEntry, _ error) error {
+		filepath.WalkDir(r.StateDir, func(_ string, e os.DirEntry, _ error) error {
 			if info, err := e.Info(); err == nil && !e.IsDir() {
 				n += (info.Size() + 511) / 512 * 512
 			}
@@ -586,22 +586,22 @@
 		})
 		return n
 	}
-	next, err := r.Beside()
+	next, err := r.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
 	if n := size(); n > budget {
 		t.Errorf("with a standby process the folder contains %d bytes", n)
 	}
-	if err != nil || stopRelay(r) != nil || next.Await("msg=ready") != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+	if err != nil || stopRelay(r) != nil || next.AwaitLog("msg=ready") != nil {
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("after the handover the folder contains %d bytes", n)
 	}
-	w.Partners[7].Set(standin.Well, 1)
-	if err := w.Until("all to complete", func() bool {
-		effects, notified := w.Ledger.Count(), w.Platform.Notices()
+	w.Partners[7].SetMode(standin.Healthy, 1)
+	if err := w.WaitUntil("all to complete", func() bool {
+		effects, notified := w.EffectLog.CountByName(), w.Platform.Notifications()
 		for name, res := range accepted {
 			if effects[name] == 0 && notified[res.ID].Outcome == "" {
 				return false
@@ -609,15 +609,15 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
-	if d := w.Ledger.Doubles("fee-charge"); len(d) > 0 || len(accepted) < 10 || w.Ledger.Len() < len(accepted)/2 {
-		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.Ledger.Len(), d, next.Log())
+	if d := w.EffectLog.Duplicates("fee-charge"); len(d) > 0 || len(accepted) < 10 || w.EffectLog.Len() < len(accepted)/2 {
+		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.EffectLog.Len(), d, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("at the end the folder contains %d bytes", n)
 	}
-	t.Logf("%d pending during the upgrade, %d executed, folder %d bytes after it", len(accepted), w.Ledger.Len(), size())
+	t.Logf("%d pending during the upgrade, %d executed, folder %d bytes after it", len(accepted), w.EffectLog.Len(), size())
 }
 
 // A drain survives a reload, and a planned stop during a drain exits with 0. A second drain request
@@ -625,20 +625,20 @@
 func TestDrainSurvivesReload(t *testing.T) {
 	_, r := startWorld(t, standin.Config{Partners: partners})
 	for range 2 {
-		if status, _, err := r.Call("PUT", "/healthcheck/fail"); status != 200 {
+		if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	r.Signal(syscall.SIGHUP)
-	if err := r.Await("msg=reloaded"); err != nil {
+	if err := r.AwaitLog("msg=reloaded"); err != nil {
 		t.Fatal(err)
 	}
-	health, _, _ := r.Call("GET", "/healthcheck")
+	health, _, _ := r.CallAdmin("GET", "/healthcheck")
 	if got := readyStatus(r.Addr); got != 503 || health != 200 {
 		t.Errorf("drained and reloaded: GET /ready %d, health %d", got, health)
 	}
-	if err := r.Stop(); err != nil || r.Logged("msg=stopped") != 1 {
-		t.Errorf("%v\n%s", err, r.Log())
+	if err := r.Stop(); err != nil || r.CountLogLines("msg=stopped") != 1 {
+		t.Errorf("%v\n%s", err, r.LogTail())
 	}
 }
 
@@ -647,14 +647,14 @@
 	_, r := startWorld(t, standin.Config{Partners: partners})
 	call := func(path string) {
 		t.Helper()
-		if status, _, err := r.Call("PUT", path); status != 200 {
+		if status, _, err := r.CallAdmin("PUT", path); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	waitDrainMark := func(want bool) {
 		t.Helper()
 		for n := 0; n < 2000; n++ { // the record is written after the reply
-			if _, err := os.Stat(filepath.Join(r.State, "drained")); (err == nil) == want {
+			if _, err := os.Stat(filepath.Join(r.StateDir, "drained")); (err == nil) == want {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -24,7 +24,7 @@
 func (p *messageTracker) recordCall(c standin.Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.Ended {
+	if c.Completed {
 		p.inFlight--
 	} else {
 		p.inFlight++
@@ -34,7 +34,7 @@
 		if _, there := p.firstCalls[id]; !there {
 			p.firstCalls[id] = len(p.firstCalls)
 		}
-		if c.Ended && c.OK {
+		if c.Completed && c.OK {
 			p.delivered[id] = time.Now()
 		}
 	}
@@ -47,10 +47,10 @@
 	const messages, clients, concurrency, timeLeft = 280, 8, 4, 6 * time.Second
 	p := &messageTracker{firstCalls: map[string]int{}, delivered: map[string]time.Time{},
 		notified: map[string]time.Time{}}
-	w, r := startWorld(t, standin.Config{Seed: 5, Slots: concurrency, Partners: []standin.PartnerConfig{
-		{Dest: 1, Serve: 60 * time.Millisecond, Watch: p.recordCall},
-		{Dest: 2, Serve: 60 * time.Millisecond, Watch: p.recordCall}}})
-	w.Platform.Watch(func(n standin.Notice) {
+	w, r := startWorld(t, standin.Config{Seed: 5, MaxConcurrentCalls: concurrency, Partners: []standin.PartnerConfig{
+		{Dest: 1, ServiceTime: 60 * time.Millisecond, OnCall: p.recordCall},
+		{Dest: 2, ServiceTime: 60 * time.Millisecond, OnCall: p.recordCall}}})
+	w.Platform.OnNotification(func(n standin.Notification) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.notified[n.Message] = time.Now()
@@ -83,7 +83,7 @@
 	}
 	all.Wait()
 	for run := range 2 {
-		if err := w.Until("calls of this run", func() bool { return w.Ledger.Len() >= 10*(run+1) }); err != nil {
+		if err := w.WaitUntil("calls of this run", func() bool { return w.EffectLog.Len() >= 10*(run+1) }); err != nil {
 			t.Fatal(err)
 		}
 		r.Kill()
@@ -91,8 +91,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Until("all accepted messages to complete", func() bool {
-		effects := w.Ledger.Count()
+	if err := w.WaitUntil("all accepted messages to complete", func() bool {
+		effects := w.EffectLog.CountByName()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for n, h := range results {
@@ -104,7 +104,7 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, r.Log())
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +141,7 @@
 	if p.maxInFlight > 2*concurrency { // calls of the previous run are still executed
 		t.Errorf("%d concurrent calls with a limit of %d", p.maxInFlight, concurrency)
 	}
-	if doubles := w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
+	if doubles := w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
 		t.Errorf("charges were executed twice: %v", doubles)
 	}
 }
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -21,13 +21,13 @@
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.Main(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
 
 var effects = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed, "fee-charge": client.Unsafe}
 
 // site is a relay with an operator's file.
 type site struct {
-	*standin.World
+	*standin.Environment
 	t     *testing.T
 	dir   string
 	relay *standin.Relay
@@ -51,12 +51,12 @@
 	for d := range dests {
 		partners = append(partners, standin.PartnerConfig{Dest: d})
 	}
-	w, err := standin.NewWorld(standin.Config{Partners: partners})
+	w, err := standin.NewEnvironment(standin.Config{Partners: partners})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	s := &site{World: w, t: t, dir: t.TempDir()}
+	s := &site{Environment: w, t: t, dir: t.TempDir()}
 	for name, code := range modules {
 		s.write(name, code)
 	}
@@ -77,8 +77,8 @@
 
 func (s *site) until(what string, cond func() bool) {
 	s.t.Helper()
-	if err := s.Until(what, cond); err != nil {
-		s.t.Fatalf("%v\n%s", err, s.relay.Log())
+	if err := s.WaitUntil(what, cond); err != nil {
+		s.t.Fatalf("%v\n%s", err, s.relay.LogTail())
 	}
 }
 
@@ -109,11 +109,11 @@
 		places = append(places, place{hook, fault})
 	}
 	for _, hook := range []string{"on_handin", "shape_request", "read_answer"} {
-		for fault, m := range wasm.Faults(hook) {
+		for fault, m := range wasm.FaultyPlugins(hook) {
 			add(hook, fault, m.Bytes())
 		}
 	}
-	for fault, code := range wasm.Broken("shape_request") {
+	for fault, code := range wasm.UnloadableModules("shape_request") {
 		add("shape_request", fault, code)
 	}
 	s := start(t, len(places), file+"}\n", modules)
@@ -141,7 +141,7 @@
 	}
 	lanes.Wait()
 	s.until("all that was taken on to end", func() bool {
-		did, told := s.Ledger.Count(), s.Platform.Notices()
+		did, told := s.EffectLog.CountByName(), s.Platform.Notifications()
 		for name, m := range all {
 			if _, ended := told[m.ID]; m.Outcome == client.Taken && did[name] == 0 && !ended {
 				return false
@@ -150,10 +150,10 @@
 		return true
 	})
 	calls := map[string]int{}
-	for _, e := range s.Ledger.Effects() {
+	for _, e := range s.EffectLog.Entries() {
 		calls[e.Name]++
 	}
-	told := s.Platform.Notices()
+	told := s.Platform.Notifications()
 	for name, m := range all {
 		at, notice := places[m.dest], told[m.ID].Outcome
 		want, effect, ended := client.Taken, 1, ""
@@ -175,7 +175,7 @@
 			t.Errorf("%s, %s: %s: result %v, %d calls, notice %q; want %v, %d, %q", at.hook, at.fault, name, m.Outcome, calls[name], notice, want, effect, ended)
 		}
 	}
-	if n := s.relay.Logged(`msg="plug-ins not loaded"`); n != 1 {
+	if n := s.relay.CountLogLines(`msg="plug-ins not loaded"`); n != 1 {
 		t.Errorf("%d lines say that modules were not loaded", n)
 	}
 	if err := s.relay.Stop(); err != nil {
@@ -186,7 +186,7 @@
 // Plug-ins are replaced under load: each charge runs once and in one form; a bad file and a bad module change nothing.
 func TestReplacedUnderLoad(t *testing.T) {
 	form := func(v string) []byte {
-		return wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-Form: "+v)).Bytes()
+		return wasm.Returning("shape_request", abi.Append(nil, abi.Header, "X-Form: "+v)).Bytes()
 	}
 	file := func(module string) []byte {
 		return fmt.Appendf(nil, "plugins { plugin { name: \"form\" module: %q hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 wait_ms: 1000 } } }", module)
@@ -208,12 +208,12 @@
 					return
 				}
 				total[lane]++
-				s.until("what was taken on to run", func() bool { return s.Ledger.Len() >= 4*total[lane]-400 })
+				s.until("what was taken on to run", func() bool { return s.EffectLog.Len() >= 4*total[lane]-400 })
 			}
 		})
 	}
 	seen := func(form string) (n int) {
-		for _, e := range s.Ledger.Effects() {
+		for _, e := range s.EffectLog.Entries() {
 			if e.Form == form {
 				n++
 			}
@@ -224,7 +224,7 @@
 	for n, bad := range []string{"plugins { plug", "plugins { plugin { name: \"form\" module: \"broken\" hook: SHAPE_REQUEST } }"} {
 		s.write("operator.textproto", []byte(bad))
 		s.relay.Signal(syscall.SIGHUP)
-		s.until("the bad file to be refused", func() bool { return s.relay.Logged(`msg="plug-ins not reloaded`) == n+1 })
+		s.until("the bad file to be refused", func() bool { return s.relay.CountLogLines(`msg="plug-ins not reloaded`) == n+1 })
 	}
 	if n := seen("b"); n != 0 {
 		t.Errorf("%d charges in a form that is not in force", n)
@@ -237,8 +237,8 @@
 	close(stop)
 	lanes.Wait()
 	sum := total[0] + total[1] + total[2] + total[3]
-	s.until("all to run", func() bool { return len(s.Ledger.Count()) == sum })
-	if d := s.Ledger.Doubles("fee-charge"); d != nil || seen("") != 0 || seen("a")+seen("b") != sum {
+	s.until("all to run", func() bool { return len(s.EffectLog.CountByName()) == sum })
+	if d := s.EffectLog.Duplicates("fee-charge"); d != nil || seen("") != 0 || seen("a")+seen("b") != sum {
 		t.Errorf("doubles %v; %d without a form, %d+%d of %d; %d in the first form when the second came", d, seen(""), seen("a"), seen("b"), sum, before)
 	}
 }
@@ -246,40 +246,40 @@
 // SIGTERM while a plug-in loops for a charge: the exit is clean and in time, and the charge ends truthfully, having never run.
 func TestStopWhileAPluginLoops(t *testing.T) {
 	s := start(t, 1, `plugins { plugin { name: "loops" module: "loops" hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 } on_failure { then: FAIL } } }`,
-		map[string][]byte{"loops": wasm.Does("shape_request", wasm.Forever()).Bytes()})
+		map[string][]byte{"loops": wasm.WithCode("shape_request", wasm.InfiniteLoop()).Bytes()})
 	r := s.send("fee-charge", 0, 1)
 	if r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
 	}
 	if err := s.relay.Stop(); err != nil {
-		t.Fatalf("exit: %v\n%s", err, s.relay.Log())
+		t.Fatalf("exit: %v\n%s", err, s.relay.LogTail())
 	}
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the charge to end", func() bool { return s.Platform.Notices()[r.ID].Outcome != "" })
-	if n := s.Platform.Notices()[r.ID]; n.Outcome != "given_up" || len(s.Ledger.Effects()) != 0 {
-		t.Errorf("%+v, %v", n, s.Ledger.Effects())
+	s.until("the charge to end", func() bool { return s.Platform.Notifications()[r.ID].Outcome != "" })
+	if n := s.Platform.Notifications()[r.ID]; n.Outcome != "given_up" || len(s.EffectLog.Entries()) != 0 {
+		t.Errorf("%+v, %v", n, s.EffectLog.Entries())
 	}
 }
 
 // What a plug-in notes as a message comes in is there after a restart.
 func TestNotesOutliveTheProcess(t *testing.T) {
 	s := start(t, 1, `plugins { plugin { name: "note" module: "note" hook: ON_HANDIN } }`,
-		map[string][]byte{"note": wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
-	s.Partners[0].Set(standin.Refusing, 1)
+		map[string][]byte{"note": wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
+	s.Partners[0].SetMode(standin.RefusingConnections, 1)
 	// An order, since the kill may fall between the record of a step and its end: a charge that may have run is given up, as it has to be.
 	if r := s.send("order-relay", 0, 1); r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
 	}
 	s.relay.Kill()
-	in, err := journal.Inspect(journal.Dir(s.relay.State), nil)
+	in, err := journal.Inspect(journal.Dir(s.relay.StateDir), nil)
 	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note, "a=b")) {
 		t.Errorf("the journal lacks the note: %+v, %v", in, err)
 	}
-	s.Partners[0].Set(standin.Well, 1)
+	s.Partners[0].SetMode(standin.Healthy, 1)
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the order to run", func() bool { return s.Ledger.Count()["order-relay/0-1"] == 1 })
+	s.until("the order to run", func() bool { return s.EffectLog.CountByName()["order-relay/0-1"] == 1 })
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -50,7 +50,7 @@
 // after its pause, and taken out again.
 func TestFaults(t *testing.T) {
 	for _, h := range allHooks {
-		for name, m := range wasm.Faults(h.String()) {
+		for name, m := range wasm.FaultyPlugins(h.String()) {
 			p := load(t, spec(t, m.Bytes(), h))
 			now := time.Unix(1000, 0)
 			p.now = func() time.Time { return now }
@@ -83,7 +83,7 @@
 
 // What can't load is named, and fails each message by its rule.
 func TestBrokenModules(t *testing.T) {
-	for name, code := range wasm.Broken("shape_request") {
+	for name, code := range wasm.UnloadableModules("shape_request") {
 		s := spec(t, code, abi.ShapeRequest)
 		if name == "loops at start" {
 			s.Budget.LoadTimeout = 100 * time.Millisecond
@@ -108,7 +108,7 @@
 
 // A plug-in that loops is stopped by its CPU time, long before its wall time.
 func TestCPUBudget(t *testing.T) {
-	s := spec(t, wasm.Does("shape_request", wasm.Forever()).Bytes(), abi.ShapeRequest)
+	s := spec(t, wasm.WithCode("shape_request", wasm.InfiniteLoop()).Bytes(), abi.ShapeRequest)
 	s.Budget.Wall = time.Hour
 	p := load(t, s)
 	_, err := p.Call(abi.ShapeRequest, p.input(message("fee-charge"), nil, 0))
@@ -145,11 +145,11 @@
 func TestTenAtTheMemoryLimit(t *testing.T) {
 	var specs []Spec
 	for n := range 10 {
-		s := spec(t, wasm.Does("shape_request", wasm.Grow()).Bytes(), abi.ShapeRequest)
+		s := spec(t, wasm.WithCode("shape_request", wasm.GrowUntilTrap()).Bytes(), abi.ShapeRequest)
 		s.Name, s.Budget.MemoryPages, s.Budget.Instances, s.Classes = fmt.Sprint("m", n), 16, 2, []string{"fee-charge"}
 		specs = append(specs, s)
 	}
-	good := spec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, "shaped")).Bytes(), abi.ShapeRequest)
+	good := spec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, "shaped")).Bytes(), abi.ShapeRequest)
 	good.Classes = []string{"price-alert"}
 	set, err := LoadSet(context.Background(), append(specs, good), quiet)
 	if err != nil {
@@ -188,12 +188,12 @@
 
 // What one hook notes reaches the next; plug-ins are asked in order, and only for what they match.
 func TestChain(t *testing.T) {
-	note := spec(t, wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
-	one := spec(t, wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body, "one")).Bytes(), abi.ShapeRequest)
-	two := spec(t, wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
-	other := spec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
+	note := spec(t, wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
+	one := spec(t, wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body, "one")).Bytes(), abi.ShapeRequest)
+	two := spec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
+	other := spec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
 	other.Dests = []int{8}
-	late := spec(t, wasm.Says("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
+	late := spec(t, wasm.Returning("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
 	set, err := LoadSet(context.Background(), []Spec{note, one, other, two, late}, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -222,7 +222,7 @@
 		t.Fatal("a set from nowhere")
 	}
 	load := func(body string) *Set {
-		one := spec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, body)).Bytes(), abi.ShapeRequest)
+		one := spec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, body)).Bytes(), abi.ShapeRequest)
 		one.Budget.Instances, one.Budget.InstanceTimeout = 8, time.Minute
 		s, err := LoadSet(context.Background(), []Spec{one}, quiet)
 		if err != nil {
@@ -265,7 +265,7 @@
 // The cost of a message at the hook of a route step: no plug-in, one that changes nothing, one that writes a body.
 func BenchmarkShape(b *testing.B) {
 	for name, m := range map[string]*wasm.Module{"none": nil, "noop": ptr(wasm.Noop()),
-		"rewrite": ptr(wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)), abi.Header, "X-Form: 2")))} {
+		"rewrite": ptr(wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)), abi.Header, "X-Form: 2")))} {
 		b.Run(name, func(b *testing.B) {
 			h := &Holder{}
 			if m != nil {
