--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -15,22 +15,22 @@
 	"go.uber.org/goleak"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
 
 // startWorld starts what lies round the relays. At the test's end neither it nor a client has left a goroutine behind.
-func startWorld(t testing.TB, set standin.Config) *standin.Environment {
+func startWorld(t testing.TB, set testdouble.Config) *testdouble.Environment {
 	t.Helper()
 	if set.Partners == nil {
-		set.Partners = []standin.PartnerConfig{{Dest: 7}}
+		set.Partners = []testdouble.PartnerConfig{{Dest: 7}}
 	}
 	before := goleak.IgnoreCurrent()
-	w, err := standin.NewEnvironment(set)
+	w, err := testdouble.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return w
 }
 
-func startRelay(t testing.TB, w *standin.Environment) *standin.Relay {
+func startRelay(t testing.TB, w *testdouble.Environment) *testdouble.Relay {
 	t.Helper()
 	r, err := w.StartRelay(bin)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return r
 }
 
-func startGate(t testing.TB, w *standin.Environment, to string, script func(n int, path string) standin.Fault) *standin.FaultProxy {
+func startGate(t testing.TB, w *testdouble.Environment, to string, script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
 	t.Helper()
 	g, err := w.StartFaultProxy(to, script)
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // seen is told what a client does.
 type seen struct {
-	w       *standin.Environment
+	w       *testdouble.Environment
 	mu      sync.Mutex
 	handIns int
 	opened  []time.Time // connections tried
@@ -101,7 +101,7 @@
 	return c
 }
 
-func until(t testing.TB, w *standin.Environment, what string, cond func() bool) {
+func until(t testing.TB, w *testdouble.Environment, what string, cond func() bool) {
 	t.Helper()
 	if err := w.WaitUntil(what, cond); err != nil {
 		t.Fatal(err)
@@ -122,17 +122,17 @@
 }
 
 // only answers the first n requests so and passes the rest.
-func only(n int, f standin.Fault) func(int, string) standin.Fault {
-	return func(i int, _ string) standin.Fault {
+func only(n int, f testdouble.Fault) func(int, string) testdouble.Fault {
+	return func(i int, _ string) testdouble.Fault {
 		if i < n {
 			return f
 		}
-		return standin.Fault{}
+		return testdouble.Fault{}
 	}
 }
 
-func refusal(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Respond, Status: status, Header: http.Header{}}
+func refusal(status int, after string) testdouble.Fault {
+	f := testdouble.Fault{Kind: testdouble.Respond, Status: status, Header: http.Header{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -141,9 +141,9 @@
 
 // A relay whose disk is full refuses an alert, and tells a wait that is longer than the time left: the message is given up at once.
 func TestWaitLongerThanTimeLeft(t *testing.T) {
-	w := startWorld(t, standin.Config{DiskMB: 0.15})
+	w := startWorld(t, testdouble.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
-	w.Partners[7].SetMode(standin.Unresponsive, 1)
+	w.Partners[7].SetMode(testdouble.Unresponsive, 1)
 	c := newClient(t, client.Config{Relays: []string{r.Addr}})
 	large := func(class string, n int, left time.Duration) client.Message {
 		m := message(class, n, left)
@@ -165,8 +165,8 @@
 
 // Waits, marks, keys and times of further hand-ins, and no more than two of them, at one relay and at two.
 func TestRefusals(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	g := startGate(t, w, "", func(int, string) standin.Fault { return refusal(503, "0.05") })
+	w := startWorld(t, testdouble.Config{})
+	g := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(503, "0.05") })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	res, err := c.Send(context.Background(), message("fee-charge", 1, 5*time.Second))
 	want(t, "refused for good", res, err, client.Refused, 3)
@@ -182,8 +182,8 @@
 			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.TimeLeft, seen[i-1].TimeLeft)
 		}
 	}
-	full := startGate(t, w, "", func(int, string) standin.Fault { return refusal(503, "60") })
-	room := startGate(t, w, "", func(int, string) standin.Fault { return refusal(202, "") })
+	full := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(503, "60") })
+	room := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(202, "") })
 	c = newClient(t, client.Config{Relays: []string{full.Addr, room.Addr}})
 	for n := range 20 {
 		res, err := c.Send(context.Background(), message("fee-charge", n, 5*time.Second))
@@ -194,8 +194,8 @@
 	if n := len(full.Requests()); n > 1 {
 		t.Errorf("the relay that told to wait was asked %d times", n)
 	}
-	limited := startGate(t, w, "", func(int, string) standin.Fault { return refusal(429, "60") })
-	other := startGate(t, w, "", func(int, string) standin.Fault { return refusal(429, "60") })
+	limited := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "60") })
+	other := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "60") })
 	c = newClient(t, client.Config{Relays: []string{limited.Addr, other.Addr}})
 	res, err = c.Send(context.Background(), message("order-relay", 1, 5*time.Second))
 	want(t, "a destination's limit binds at every relay", res, err, client.GivenUp, 1)
@@ -208,8 +208,8 @@
 	for after, o := range map[string]client.Outcome{"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken, "soon": client.Taken, "": client.Taken,
 		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken, "9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
 		"Tue, 01 Dec 2099 00:00:00 GMT": client.Taken} {
-		w := startWorld(t, standin.Config{})
-		g := startGate(t, w, "", func(n int, _ string) standin.Fault {
+		w := startWorld(t, testdouble.Config{})
+		g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
 			if n == 0 {
 				return refusal(503, after)
 			}
@@ -229,8 +229,8 @@
 func TestAnswerLost(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken, "fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
-			w := startWorld(t, standin.Config{})
-			g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.DropResponse}))
+			w := startWorld(t, testdouble.Config{})
+			g := startGate(t, w, startRelay(t, w).Addr, only(1, testdouble.Fault{Kind: testdouble.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
 			res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
 			hands := 2
@@ -252,10 +252,10 @@
 
 // A keyed message is not repeated once its window is over, nor with a stated time past it.
 func TestKeyedWindow(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	g := startGate(t, w, "", func(n int, _ string) standin.Fault {
+	w := startWorld(t, testdouble.Config{})
+	g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n == 0 {
-			return standin.Fault{Kind: standin.IgnoreRequest}
+			return testdouble.Fault{Kind: testdouble.IgnoreRequest}
 		}
 		return refusal(202, "")
 	})
@@ -268,7 +268,7 @@
 		t.Errorf("the repeat states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
+	g2 := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
 	want(t, "past the window", res, err, client.Uncertain, 1)
@@ -281,8 +281,8 @@
 // The 202 comes after the time-out: it counts for nothing, and does not answer a later hand-in.
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
-		w := startWorld(t, standin.Config{})
-		g := startGate(t, w, startRelay(t, w).Addr, only(1, standin.Fault{Kind: standin.HoldResponse}))
+		w := startWorld(t, testdouble.Config{})
+		g := startGate(t, w, startRelay(t, w).Addr, only(1, testdouble.Fault{Kind: testdouble.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
 		res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
 		hands := 2
@@ -302,9 +302,9 @@
 
 // A relay that accepts and says nothing is left for another one; where there is none a message ends uncertain.
 func TestMuteRelay(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	mute := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
-	fine := startGate(t, w, "", func(int, string) standin.Fault { return refusal(202, "") })
+	w := startWorld(t, testdouble.Config{})
+	mute := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	fine := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(202, "") })
 	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), message("price-alert", 1, 1500*time.Millisecond))
 	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 || !errors.Is(err, client.ErrUncertain) {
@@ -324,10 +324,10 @@
 // The connection is cut while the request is on its way: each message is on the wire as often as the library counts,
 // also on a kept connection, with a key and a body that could be sent again.
 func TestNothingIsResentUnseen(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	g := startGate(t, w, "", func(n int, _ string) standin.Fault {
+	w := startWorld(t, testdouble.Config{})
+	g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n%2 == 1 {
-			return standin.Fault{Kind: standin.ResetConnection}
+			return testdouble.Fault{Kind: testdouble.ResetConnection}
 		}
 		return refusal(202, "")
 	})
@@ -348,8 +348,8 @@
 
 // Every relay is down: nothing goes out, and the message fails within its time.
 func TestEveryRelayDown(t *testing.T) {
-	a, _ := standin.ReserveAddr()
-	b, err := standin.ReserveAddr()
+	a, _ := testdouble.ReserveAddr()
+	b, err := testdouble.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,7 +363,7 @@
 
 // A relay gets SIGTERM while hand-ins go on over kept connections: all go on at the other one, none is lost or doubled.
 func TestPlannedStop(t *testing.T) {
-	w := startWorld(t, standin.Config{FleetSize: 2, MaxPending: 2000}) // a busy relay may come to hold all of them
+	w := startWorld(t, testdouble.Config{FleetSize: 2, MaxPending: 2000}) // a busy relay may come to hold all of them
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
@@ -397,10 +397,10 @@
 
 // The caller gives up at each stage; what is reported is true, and nothing is left behind.
 func TestCancelled(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	down, _ := standin.ReserveAddr()
-	held := startGate(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
-	waits := startGate(t, w, "", func(int, string) standin.Fault { return refusal(429, "10") })
+	w := startWorld(t, testdouble.Config{})
+	down, _ := testdouble.ReserveAddr()
+	held := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	waits := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "10") })
 	var o *seen
 	ended := func(n int) bool { o.mu.Lock(); defer o.mu.Unlock(); return o.handIns == n }
 	for _, s := range []struct {
@@ -441,8 +441,8 @@
 
 // HandIn bounds what is in flight and pushes back; Close ends what waits.
 func TestHandInPushesBack(t *testing.T) {
-	w := startWorld(t, standin.Config{})
-	g := startGate(t, w, startRelay(t, w).Addr, func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldResponse} })
+	w := startWorld(t, testdouble.Config{})
+	g := startGate(t, w, startRelay(t, w).Addr, func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.HoldResponse} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
@@ -491,7 +491,7 @@
 
 // Messages that no relay could take never go out.
 func TestBadMessages(t *testing.T) {
-	w := startWorld(t, standin.Config{})
+	w := startWorld(t, testdouble.Config{})
 	g := startGate(t, w, "", nil)
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	for what, m := range map[string]client.Message{
@@ -516,9 +516,9 @@
 // true; no charge runs twice; there are no more than two hand-ins after refusals.
 func TestSoakWithKills(t *testing.T) {
 	const messages, lanes = 1800, 12
-	w := startWorld(t, standin.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
-		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
-	relays := []*standin.Relay{startRelay(t, w), startRelay(t, w)}
+	w := startWorld(t, testdouble.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
+		Partners: []testdouble.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
+	relays := []*testdouble.Relay{startRelay(t, w), startRelay(t, w)}
 	c := newClient(t, client.Config{Relays: []string{relays[0].Addr, relays[1].Addr}, Spread: 100 * time.Millisecond})
 	classes := []string{"price-alert", "order-relay", "fee-charge"}
 	results := make([]client.Result, messages)
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // A thousand clients reconnect to a real relay that was killed and comes back: each gets its charge taken on, with one
@@ -18,7 +18,7 @@
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
 			const clients = 1000
-			w := startWorld(t, standin.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
+			w := startWorld(t, testdouble.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
 			r := startRelay(t, w)
 			o := &seen{w: w}
 			var all []*client.Client
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // run runs the command line with that input and returns its exit code and the objects that it printed.
@@ -31,9 +31,9 @@
 	return code, all
 }
 
-func gate(t *testing.T, script func(n int, path string) standin.Fault) *standin.FaultProxy {
+func gate(t *testing.T, script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
 	t.Helper()
-	w, err := standin.NewEnvironment(standin.Config{})
+	w, err := testdouble.NewEnvironment(testdouble.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +45,8 @@
 	return g
 }
 
-func answers(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Respond, Status: status, Header: map[string][]string{}}
+func answers(status int, after string) testdouble.Fault {
+	f := testdouble.Fault{Kind: testdouble.Respond, Status: status, Header: map[string][]string{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -55,25 +55,25 @@
 
 // One message: its result, the hand-ins that went out and the exit code.
 func TestSendOne(t *testing.T) {
-	taken, mute := answers(202, ""), standin.Fault{Kind: standin.IgnoreRequest}
+	taken, mute := answers(202, ""), testdouble.Fault{Kind: testdouble.IgnoreRequest}
 	for _, c := range []struct {
 		what    string
 		effect  string
-		script  []standin.Fault // the last goes on
+		script  []testdouble.Fault // the last goes on
 		result  string
 		handIns int
 		code    int
 	}{
-		{"taken", "unsafe", []standin.Fault{taken}, "taken", 1, exitOK},
-		{"refused once", "unsafe", []standin.Fault{answers(503, "0.01"), taken}, "taken", 2, exitOK},
-		{"refused", "safe", []standin.Fault{answers(429, "0.01")}, "refused", 3, exitRefused},
-		{"told too long a wait", "safe", []standin.Fault{answers(503, "5")}, "given_up", 1, exitGivenUp},
-		{"not understood", "safe", []standin.Fault{answers(400, "")}, "failed", 1, exitFailed},
-		{"no answer to a charge", "unsafe", []standin.Fault{mute, taken}, "uncertain", 1, exitUncertain},
-		{"no answer to an order", "keyed", []standin.Fault{mute, taken}, "taken", 2, exitOK},
-		{"no answer to an alert", "safe", []standin.Fault{mute, taken}, "taken", 2, exitOK},
+		{"taken", "unsafe", []testdouble.Fault{taken}, "taken", 1, exitOK},
+		{"refused once", "unsafe", []testdouble.Fault{answers(503, "0.01"), taken}, "taken", 2, exitOK},
+		{"refused", "safe", []testdouble.Fault{answers(429, "0.01")}, "refused", 3, exitRefused},
+		{"told too long a wait", "safe", []testdouble.Fault{answers(503, "5")}, "given_up", 1, exitGivenUp},
+		{"not understood", "safe", []testdouble.Fault{answers(400, "")}, "failed", 1, exitFailed},
+		{"no answer to a charge", "unsafe", []testdouble.Fault{mute, taken}, "uncertain", 1, exitUncertain},
+		{"no answer to an order", "keyed", []testdouble.Fault{mute, taken}, "taken", 2, exitOK},
+		{"no answer to an alert", "safe", []testdouble.Fault{mute, taken}, "taken", 2, exitOK},
 	} {
-		g := gate(t, func(n int, _ string) standin.Fault { return c.script[min(n, len(c.script)-1)] })
+		g := gate(t, func(n int, _ string) testdouble.Fault { return c.script[min(n, len(c.script)-1)] })
 		code, out := run(t, "CLASS/1\nbody", "send", "--relay", g.Addr, "--class", "some-class", "--dest", "7", "--time-left", "1500ms",
 			"--effect", c.effect, "--answer-timeout", "100ms")
 		if code != c.code || len(out) != 1 || out[0].Result != c.result || out[0].HandIns != c.handIns || len(g.Requests()) != c.handIns {
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %+v", c.what, s)
 		}
 	}
-	down, err := standin.ReserveAddr()
+	down, err := testdouble.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 
 // A file: each line has its result, one that can't be read fails alone, and the worst sets the exit code.
 func TestSendFile(t *testing.T) {
-	g := gate(t, func(_ int, path string) standin.Fault {
+	g := gate(t, func(_ int, path string) testdouble.Fault {
 		if path == "/bad" {
 			return answers(400, "")
 		}
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // buildRelay builds the relay when it is first needed and returns the path of the program.
@@ -25,16 +25,16 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.BuildRelay(dir)
+	return testdouble.BuildRelay(dir)
 })
 
-func startWorld(t *testing.T, set standin.Config) (*standin.Environment, *standin.Relay) {
+func startWorld(t *testing.T, set testdouble.Config) (*testdouble.Environment, *testdouble.Relay) {
 	t.Helper()
 	program, err := buildRelay()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewEnvironment(set)
+	w, err := testdouble.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // clientLoad is a set of clients that submit messages of all classes until they are stopped.
 type clientLoad struct {
-	w       *standin.Environment
+	w       *testdouble.Environment
 	clients sync.WaitGroup
 	stop    atomic.Bool
 
@@ -56,7 +56,7 @@
 	results map[string]client.Result // by name of the message
 }
 
-func startLoad(t *testing.T, w *standin.Environment, addr string) *clientLoad {
+func startLoad(t *testing.T, w *testdouble.Environment, addr string) *clientLoad {
 	l := &clientLoad{w: w, results: map[string]client.Result{}}
 	for lane := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
@@ -66,7 +66,7 @@
 		t.Cleanup(func() { c.Close() })
 		l.clients.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
-				class := standin.DefaultClasses[(lane+n)%3].Name
+				class := testdouble.DefaultClasses[(lane+n)%3].Name
 				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
 				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2,
 					TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
@@ -111,7 +111,7 @@
 	return counts
 }
 
-var partners = []standin.PartnerConfig{
+var partners = []testdouble.PartnerConfig{
 	{Dest: 1, ServiceTime: 5 * time.Millisecond},
 	{Dest: 2, Kind: "broker", ServiceTime: 40 * time.Millisecond},
 }
@@ -120,7 +120,7 @@
 // rejected, each completes once, no charge is executed twice, and a drain continues in the new
 // process.
 func TestUpgradeUnderLoad(t *testing.T) {
-	w, r := startWorld(t, standin.Config{Partners: partners})
+	w, r := startWorld(t, testdouble.Config{Partners: partners})
 	l := startLoad(t, w, r.Addr)
 	const upgrades = 4
 	for range upgrades {
@@ -192,7 +192,7 @@
 // Either process is killed at random moments of an upgrade: messages answered with 202 complete, no
 // charge is executed twice, and one process serves afterwards.
 func TestUpgradeKilledAtAnyMoment(t *testing.T) {
-	w, r := startWorld(t, standin.Config{Partners: partners})
+	w, r := startWorld(t, testdouble.Config{Partners: partners})
 	l := startLoad(t, w, r.Addr)
 	random := rand.New(rand.NewPCG(20, 26))
 	randomDelay := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
@@ -265,13 +265,13 @@
 // still holds them back, and the messages of an ordering key are sent in the order of submission
 // across all three processes.
 func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
-	classes := slices.Clone(standin.DefaultClasses)
+	classes := slices.Clone(testdouble.DefaultClasses)
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
 	callStarted, hold := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
-	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, OnCall: func(c standin.Call) {
+	set := testdouble.Config{Classes: classes, Partners: []testdouble.PartnerConfig{{Dest: 1, OnCall: func(c testdouble.Call) {
 		if c.Completed {
 			return
 		}
@@ -355,16 +355,16 @@
 // partners that fail or do not answer, notifications, and messages of an earlier run.
 func TestMetricsMatchEffectLog(t *testing.T) {
 	var attempts atomic.Int64
-	watch := func(c standin.Call) {
+	watch := func(c testdouble.Call) {
 		if !c.Completed {
 			attempts.Add(int64(len(c.IDs)))
 		}
 	}
-	w, r := startWorld(t, standin.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []standin.PartnerConfig{
+	w, r := startWorld(t, testdouble.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []testdouble.PartnerConfig{
 		{Dest: 1, ServiceTime: time.Millisecond, OnCall: watch},
 		{Dest: 2, Kind: "broker", ServiceTime: 20 * time.Millisecond, OnCall: watch}, {Dest: 3, OnCall: watch}}})
-	w.Partners[1].SetMode(standin.InternalError, 0.2)
-	w.Partners[3].SetMode(standin.RefusingConnections, 1)
+	w.Partners[1].SetMode(testdouble.InternalError, 0.2)
+	w.Partners[3].SetMode(testdouble.RefusingConnections, 1)
 	if all, err := r.Metrics(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
 		t.Fatalf("at the start: %v, %v", all, err)
 	}
@@ -380,7 +380,7 @@
 					return
 				}
 				for i := lane; i < n; i += 8 {
-					class := standin.DefaultClasses[i%3].Name
+					class := testdouble.DefaultClasses[i%3].Name
 					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3,
 						TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
 					mu.Lock()
@@ -411,7 +411,7 @@
 		for _, e := range w.EffectLog.Entries() {
 			effects[strings.Split(e.Name, "/")[0]]++
 		}
-		for _, c := range standin.DefaultClasses {
+		for _, c := range testdouble.DefaultClasses {
 			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], effects[c.Name]-before[c.Name]; got != want {
 				t.Errorf("%s: %d passed of %s, the effect log has %d", what, got, c.Name, want)
 			}
@@ -444,8 +444,8 @@
 	}
 
 	// Messages of an earlier run are counted by the run that completes them.
-	w.Partners[1].SetMode(standin.RefusingConnections, 1)
-	w.Partners[2].SetMode(standin.RefusingConnections, 1)
+	w.Partners[1].SetMode(testdouble.RefusingConnections, 1)
+	w.Partners[2].SetMode(testdouble.RefusingConnections, 1)
 	submittedBefore, rejectedBefore := submitted, total()
 	before := map[string]int{}
 	for _, e := range w.EffectLog.Entries() {
@@ -455,7 +455,7 @@
 	remaining := submitted - submittedBefore - (total() - rejectedBefore)
 	r.Kill()
 	attemptsBefore := int(attempts.Load())
-	w.Partners[2].SetMode(standin.Healthy, 1)
+	w.Partners[2].SetMode(testdouble.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -469,16 +469,16 @@
 // A start with an address that is in use fails with one line that names the key, and does not touch
 // the state folder of the process that serves there.
 func TestStartFailsOnUsedAddress(t *testing.T) {
-	w, r := startWorld(t, standin.Config{Partners: partners})
+	w, r := startWorld(t, testdouble.Config{Partners: partners})
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // the way earlier versions listen
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	usedAddr := ln.Addr().String()
-	for key, set := range map[string]func(*standin.Relay){
-		"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.AdminAddr = usedAddr },
-		"listen:":              func(n *standin.Relay) { n.Addr = usedAddr },
+	for key, set := range map[string]func(*testdouble.Relay){
+		"admin (ROUTER_ADMIN)": func(n *testdouble.Relay) { n.AdminAddr = usedAddr },
+		"listen:":              func(n *testdouble.Relay) { n.Addr = usedAddr },
 	} {
 		n, err := w.NewRelay()
 		if err != nil {
@@ -503,9 +503,9 @@
 
 // A third process stands by like the second; one of those that are left takes over each time.
 func TestThirdProcessStandsBy(t *testing.T) {
-	w, r := startWorld(t, standin.Config{Partners: partners})
+	w, r := startWorld(t, testdouble.Config{Partners: partners})
 	l := startLoad(t, w, r.Addr)
-	procs := []*standin.Relay{r}
+	procs := []*testdouble.Relay{r}
 	for range 2 {
 		n, err := r.StartNextProcess()
 		if err == nil {
@@ -543,24 +543,24 @@
 // An upgrade while the state folder is full: no message is lost, none is accepted that can't be
 // stored, and both processes together stay within the disk limit.
 func TestUpgradeWithFullFolder(t *testing.T) {
-	for name, stopRelay := range map[string]func(*standin.Relay) error{
-		"told":   (*standin.Relay).Stop,
-		"killed": func(r *standin.Relay) error { r.Kill(); return nil },
+	for name, stopRelay := range map[string]func(*testdouble.Relay) error{
+		"told":   (*testdouble.Relay).Stop,
+		"killed": func(r *testdouble.Relay) error { r.Kill(); return nil },
 	} {
 		t.Run(name, func(t *testing.T) { testUpgradeWithFullFolder(t, stopRelay) })
 	}
 }
 
-func testUpgradeWithFullFolder(t *testing.T, stopRelay func(*standin.Relay) error) {
+func testUpgradeWithFullFolder(t *testing.T, stopRelay func(*testdouble.Relay) error) {
 	const budget = 300_000
 	// A destination that refused connections is retried up to 17 s later on a busy machine.
-	classes := slices.Clone(standin.DefaultClasses)
+	classes := slices.Clone(testdouble.DefaultClasses)
 	for i := range classes {
 		classes[i].Deadline = time.Minute
 	}
-	w, r := startWorld(t, standin.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes,
-		Partners: []standin.PartnerConfig{{Dest: 7}}})
-	w.Partners[7].SetMode(standin.RefusingConnections, 1)
+	w, r := startWorld(t, testdouble.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes,
+		Partners: []testdouble.PartnerConfig{{Dest: 7}}})
+	w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 	accepted := map[string]client.Result{}
 	rejected := false
 	for n := 0; !rejected; n++ {
@@ -599,7 +599,7 @@
 	if n := size(); n > budget {
 		t.Errorf("after the handover the folder contains %d bytes", n)
 	}
-	w.Partners[7].SetMode(standin.Healthy, 1)
+	w.Partners[7].SetMode(testdouble.Healthy, 1)
 	if err := w.WaitUntil("all to complete", func() bool {
 		effects, notified := w.EffectLog.CountByName(), w.Platform.Notifications()
 		for name, res := range accepted {
@@ -623,7 +623,7 @@
 // A drain survives a reload, and a planned stop during a drain exits with 0. A second drain request
 // has no further effect.
 func TestDrainSurvivesReload(t *testing.T) {
-	_, r := startWorld(t, standin.Config{Partners: partners})
+	_, r := startWorld(t, testdouble.Config{Partners: partners})
 	for range 2 {
 		if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
@@ -644,7 +644,7 @@
 
 // A drain survives a crash; a planned stop or an ok ends it.
 func TestDrainSurvivesCrash(t *testing.T) {
-	_, r := startWorld(t, standin.Config{Partners: partners})
+	_, r := startWorld(t, testdouble.Config{Partners: partners})
 	call := func(path string) {
 		t.Helper()
 		if status, _, err := r.CallAdmin("PUT", path); status != 200 {
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // messageTracker records what became of messages, by their ids.
@@ -21,7 +21,7 @@
 	maxInFlight int
 }
 
-func (p *messageTracker) recordCall(c standin.Call) {
+func (p *messageTracker) recordCall(c testdouble.Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Completed {
@@ -47,10 +47,10 @@
 	const messages, clients, concurrency, timeLeft = 280, 8, 4, 6 * time.Second
 	p := &messageTracker{firstCalls: map[string]int{}, delivered: map[string]time.Time{},
 		notified: map[string]time.Time{}}
-	w, r := startWorld(t, standin.Config{Seed: 5, MaxConcurrentCalls: concurrency, Partners: []standin.PartnerConfig{
+	w, r := startWorld(t, testdouble.Config{Seed: 5, MaxConcurrentCalls: concurrency, Partners: []testdouble.PartnerConfig{
 		{Dest: 1, ServiceTime: 60 * time.Millisecond, OnCall: p.recordCall},
 		{Dest: 2, ServiceTime: 60 * time.Millisecond, OnCall: p.recordCall}}})
-	w.Platform.OnNotification(func(n standin.Notification) {
+	w.Platform.OnNotification(func(n testdouble.Notification) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.notified[n.Message] = time.Now()
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -13,24 +13,24 @@
 
 	"oatfold/client"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin"
-	"oatfold/internal/standin/wasm"
+	"oatfold/internal/testdouble"
+	"oatfold/internal/testdouble/wasm"
 	"oatfold/plugin/abi"
 )
 
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
 
 var effects = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed, "fee-charge": client.Unsafe}
 
 // site is a relay with an operator's file.
 type site struct {
-	*standin.Environment
+	*testdouble.Environment
 	t     *testing.T
 	dir   string
-	relay *standin.Relay
+	relay *testdouble.Relay
 	c     *client.Client
 }
 
@@ -47,11 +47,11 @@
 // start starts partners for these destinations and a relay with that operator's file.
 func start(t *testing.T, dests int, file string, modules map[string][]byte) *site {
 	t.Helper()
-	var partners []standin.PartnerConfig
+	var partners []testdouble.PartnerConfig
 	for d := range dests {
-		partners = append(partners, standin.PartnerConfig{Dest: d})
+		partners = append(partners, testdouble.PartnerConfig{Dest: d})
 	}
-	w, err := standin.NewEnvironment(standin.Config{Partners: partners})
+	w, err := testdouble.NewEnvironment(testdouble.Config{Partners: partners})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 func TestNotesOutliveTheProcess(t *testing.T) {
 	s := start(t, 1, `plugins { plugin { name: "note" module: "note" hook: ON_HANDIN } }`,
 		map[string][]byte{"note": wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
-	s.Partners[0].SetMode(standin.RefusingConnections, 1)
+	s.Partners[0].SetMode(testdouble.RefusingConnections, 1)
 	// An order, since the kill may fall between the record of a step and its end: a charge that may have run is given up, as it has to be.
 	if r := s.send("order-relay", 0, 1); r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
@@ -277,7 +277,7 @@
 	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note, "a=b")) {
 		t.Errorf("the journal lacks the note: %+v, %v", in, err)
 	}
-	s.Partners[0].SetMode(standin.Healthy, 1)
+	s.Partners[0].SetMode(testdouble.Healthy, 1)
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
