--- a/internal/daemon/adopt.go
+++ b/internal/daemon/adopt.go
@@ -13,8 +13,8 @@
 
 // This file adopts the journals of processes that no longer run.
 
-// errSuccessorUnread means that some messages of a directory moved to one that can't be read.
-var errSuccessorUnread = errors.New("the directory of the process that was taking it over can't be read")
+// errSuccessorUnreadable means that some messages of a directory moved to one that can't be read.
+var errSuccessorUnreadable = errors.New("the directory of the process that was taking it over can't be read")
 
 // leftJournal is the directory of a process that no longer runs, and the content of its journal.
 type leftJournal struct {
@@ -47,7 +47,7 @@
 		var err error
 		j := &leftJournal{dir: dir}
 		if successor, claimed := dir.Successor(); claimed && unreadable[successor] {
-			err = errSuccessorUnread
+			err = errSuccessorUnreadable
 		} else {
 			err = s.retry("a process directory can't be read", func() (err error) {
 				j.journal, j.table, err = journal.Open(journal.Config{FS: journal.Dir(dir.Path),
--- a/internal/daemon/adopt_test.go
+++ b/internal/daemon/adopt_test.go
@@ -96,7 +96,8 @@
 		{"delivered by the successor", []journalState{{successor: "life-1"}, {successor: "-", delivered: true}}, 0, 0},
 		{"delivered by the previous process", []journalState{{successor: "-", delivered: true}, {successor: ""}}, 0, 0},
 		{"attempted by the successor", []journalState{{successor: "life-1"}, {successor: "-", attempts: 1}}, 1, 1},
-		{"returned by the successor", []journalState{{successor: "life-1"}, {successor: "-", notificationPending: true}}, 1, 0},
+		{"returned by the successor", []journalState{
+			{successor: "life-1"}, {successor: "-", notificationPending: true}}, 1, 0},
 		{"delivered by the successor's successor", []journalState{
 			{successor: "life-1"}, {successor: "life-2"}, {successor: "-", delivered: true}}, 0, 0},
 		{"removed by the successor's successor", []journalState{
@@ -105,12 +106,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			for n, a := range c.states {
+			for n, state := range c.states {
 				name := ""
 				if n > 0 {
 					name = fmt.Sprint("life-", n)
 				}
-				a.write(t, dir, name)
+				state.write(t, dir, name)
 			}
 			h := startSuccessor(t, dir)
 			_, abandoned, err := h.stateDir.Others(h.dir)
@@ -161,8 +162,8 @@
 	if err := abandoned[0].Claim(abandoned[1]); err == nil {
 		t.Fatal("a directory that is not locked was claimed")
 	}
-	if all := h.openJournals(abandoned); len(all) > 0 {
-		t.Errorf("%d directories were read", len(all))
+	if journals := h.openJournals(abandoned); len(journals) > 0 {
+		t.Errorf("%d directories were read", len(journals))
 	}
 }
 
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -71,8 +71,8 @@
 // otherValue returns a value other than v that the key may have.
 func otherValue(key string, v gjson.Result) string {
 	if s, ok := map[string]string{"discovery": `"ask"`, "weightSource": `"rough"`, "familyInfo.decay": `"halving"`,
-		"grades.#.effect": `"keyed"`, "grades.#.group": `"zone"`, "familyInfo.callSlots": "9", "policyLimits.maxOpen": "31", "policyLimits.maxAttempts": "3",
-		"fleetSize": "5"}[key]; ok {
+		"grades.#.effect": `"keyed"`, "grades.#.group": `"zone"`, "familyInfo.callSlots": "9", "policyLimits.maxOpen": "31",
+		"policyLimits.maxAttempts": "3", "fleetSize": "5"}[key]; ok {
 		return s
 	}
 	switch v.Type {
@@ -111,7 +111,8 @@
 			// The last part of each key occurs once in the file, or once in each element of one
 			// list.
 			for _, part := range strings.Split(changed, "\n") {
-				if k, _, ok := strings.Cut(strings.TrimSpace(part), ":"); ok && k == fmt.Sprintf("%q", name) && strings.Contains(part, v.Raw) {
+				if k, _, ok := strings.Cut(strings.TrimSpace(part), ":"); ok && k == fmt.Sprintf("%q", name) &&
+					strings.Contains(part, v.Raw) {
 					end := ""
 					if strings.HasSuffix(part, ",") {
 						end = ","
@@ -132,8 +133,8 @@
 		}
 	}
 	for _, key := range []string{"fleetSize", "me", "tickUs", "familyInfo.callSlots", "policyLimits.maxOpen",
-		"policyLimits.maxAttempts", "grades.#.deadlineUs", "grades.#.promiseUs", "grades.#.credit", "grades.#.lateValue", "guarantees.coldUs",
-		"policyLimits.peers", "policyLimits.retryAfter"} {
+		"policyLimits.maxAttempts", "grades.#.deadlineUs", "grades.#.promiseUs", "grades.#.credit", "grades.#.lateValue",
+		"guarantees.coldUs", "policyLimits.peers", "policyLimits.retryAfter"} {
 		if _, there := values[key]; !there || unusedKeys[key] != "" {
 			t.Errorf("%s has to be read, and was not checked", key)
 		}
@@ -147,7 +148,8 @@
 		"policyLimits":{"maxOpen":20,"maxAttempts":6,"peers":false},"tenants":[{"name":"b","share":0.3,"quotaPerS":7}],"stats":{"columns":["x0","x1"]},
 		"grades":[{"name":"posting","effect":"unsafe","inTurn":true,"promiseUs":1000,"deadlineUs":9000},{"name":"call","effect":"keyed","group":"zone","repeatWindowUs":6000}]}`)
 	if err != nil || len(columns) != 2 || !s.NoGossip || s.Tenants[0].Name != "b" || s.Tenants[0].Share != 0.3 || s.Tenants[0].Quota != 7 ||
-		!s.Classes[0].Ordered || s.Classes[1].Ordered || !s.Classes[1].ZoneOnly || s.Kinds[0].MaxBatch != 3 || !s.Kinds[0].SeparateRoutes || s.Zones[0].Fee != 0.5 {
+		!s.Classes[0].Ordered || s.Classes[1].Ordered || !s.Classes[1].ZoneOnly ||
+		s.Kinds[0].MaxBatch != 3 || !s.Kinds[0].SeparateRoutes || s.Zones[0].Fee != 0.5 {
 		t.Errorf("%+v, %v, %v", s, columns, err)
 	}
 }
--- a/internal/daemon/config/operator/operator_test.go
+++ b/internal/daemon/config/operator/operator_test.go
@@ -36,7 +36,8 @@
 	}
 	a, b := c.Plugins[0], c.Plugins[1]
 	if a.Path != filepath.Join(filepath.Dir(path), "m.wasm") || len(a.Hooks) != 2 || a.Hooks[1] != abi.ReadAnswer || a.Dests[1] != 4 ||
-		a.Budget.Wall != 50*time.Millisecond || a.Budget.MemoryPages != 128 || a.Budget.Instances != 2 || a.Breaker.FailureThreshold != 5 || a.FailureAction("x") != limits.Refuse {
+		a.Budget.Wall != 50*time.Millisecond || a.Budget.MemoryPages != 128 || a.Budget.Instances != 2 || a.Breaker.FailureThreshold != 5 ||
+		a.FailureAction("x") != limits.Refuse {
 		t.Errorf("%+v", a)
 	}
 	if b.Budget.CPU != 10*time.Millisecond || b.FailureAction("price-alert") != limits.Pass || b.FailureAction("fee-charge") != limits.Fail {
@@ -94,11 +95,13 @@
 // The example of a site plan is valid, and each mistake in a plan is reported with its key.
 func TestSites(t *testing.T) {
 	c, err := Load("../../../../deploy/sites.textproto", 0)
-	if err != nil || len(c.Sites.Sites) != 3 || c.Sites.Sites[0].Tiers[1].SpillFraction != 0.9 || len(c.Sites.Destinations) != 2 || c.Sites.RefuseFirst[2] != "fee-charge" {
+	if err != nil || len(c.Sites.Sites) != 3 || c.Sites.Sites[0].Tiers[1].SpillFraction != 0.9 ||
+		len(c.Sites.Destinations) != 2 || c.Sites.RefuseFirst[2] != "fee-charge" {
 		t.Fatalf("%v %+v", err, c)
 	}
 	site := `site { zone: "a" tier { zone: "b" } } site { zone: "b" }`
-	if c, err := Load(writeOperatorFile(t, "sites { "+site+" }"), 0); err != nil || c.Sites.Sites[0].Tiers[0].SpillFraction != 0.8 || c.Sites.Ramp != 30*time.Second {
+	if c, err := Load(writeOperatorFile(t, "sites { "+site+" }"), 0); err != nil ||
+		c.Sites.Sites[0].Tiers[0].SpillFraction != 0.8 || c.Sites.Ramp != 30*time.Second {
 		t.Errorf("%v %+v", err, c)
 	}
 	for text, key := range map[string]string{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,10 +48,12 @@
 // standbyCheckInterval is the time between two checks for standby processes.
 const standbyCheckInterval = time.Second
 
-// descriptorLimits divides the file descriptors that remain besides the process's own files and one
-// for each concurrent call, including calls that are still read after their end. Up to a quarter of
-// all may be idle connections to endpoints and up to half client connections. Clients use about a
-// third; the rest is a reserve for many idle clients, so that calls never lack a descriptor.
+// descriptorLimits returns how many client connections and how many idle connections to endpoints
+// the relay may have. It divides the file descriptors that remain besides the process's own files,
+// one for each concurrent call, and connections that are still read after the end of their call.
+// Idle connections get up to a quarter of all descriptors, client connections up to half. Clients
+// use about a third; the rest is a reserve for many silent clients, so that calls never lack a
+// descriptor.
 func descriptorLimits(c *config.Config) (clients, idle int) {
 	reserved := ownDescriptors + wire.MaxLateListeners
 	if c.AdminAddr != "" {
@@ -423,7 +425,8 @@
 // adminCalls returns the handlers of the admin address. A drain request before the relay serves is
 // refused.
 func (r *relay) adminCalls() admin.Handlers {
-	return admin.Handlers{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices, Sites: r.sites, SetSite: r.site,
+	return admin.Handlers{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices,
+		Sites: r.sites, SetSite: r.site,
 		Serving: func() bool {
 			server := r.server.Load()
 			return server != nil && server.Serving() || server == nil && r.standingBy.Load()
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			given, text, err := journal.DecodeTransfer(raw, clock.Scale{})
+			transferred, text, err := journal.DecodeTransfer(raw, clock.Scale{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -90,7 +90,7 @@
 			for _, m := range update.PendingOrdered {
 				pending = append(pending, m.ID)
 			}
-			messages += len(given)
+			messages += len(transferred)
 		}
 		return pending, messages
 	}
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -58,7 +58,7 @@
 
 func startLoad(t *testing.T, w *testdouble.Environment, addr string) *clientLoad {
 	l := &clientLoad{w: w, results: map[string]client.Result{}}
-	for lane := range 6 {
+	for first := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
@@ -66,9 +66,9 @@
 		t.Cleanup(func() { c.Close() })
 		l.clients.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
-				class := testdouble.DefaultClasses[(lane+n)%3].Name
-				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
-				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2,
+				class := testdouble.DefaultClasses[(first+n)%3].Name
+				name := fmt.Sprintf("%s/%d-%d", class, first, n)
+				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (first+n)%2,
 					TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
 				l.mu.Lock()
 				l.results[name] = res
@@ -99,8 +99,8 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, log())
 	}
-	if doubles := l.w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
-		t.Errorf("charges were executed twice: %v", doubles)
+	if duplicates := l.w.EffectLog.Duplicates("fee-charge"); len(duplicates) > 0 {
+		t.Errorf("charges were executed twice: %v", duplicates)
 	}
 	counts := map[client.Outcome]int{}
 	for name, res := range l.results {
@@ -170,9 +170,9 @@
 		t.Errorf("planned stop without a standby: %v", err)
 	}
 	entries, _ := os.ReadDir(r.StateDir)
-	lives := slices.DeleteFunc(entries, func(e os.DirEntry) bool { return !strings.HasPrefix(e.Name(), "life-") })
-	if len(lives) > 1 {
-		t.Errorf("unused process directories left: %v", lives)
+	runDirs := slices.DeleteFunc(entries, func(e os.DirEntry) bool { return !strings.HasPrefix(e.Name(), "life-") })
+	if len(runDirs) > 1 {
+		t.Errorf("unused process directories left: %v", runDirs)
 	}
 }
 
@@ -370,16 +370,16 @@
 	}
 	rejected, submitted := map[string]int{}, 0
 	send := func(n int) {
-		var lanes sync.WaitGroup
+		var clients sync.WaitGroup
 		var mu sync.Mutex
-		for lane := range 8 {
-			lanes.Go(func() {
+		for first := range 8 {
+			clients.Go(func() {
 				c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				for i := lane; i < n; i += 8 {
+				for i := first; i < n; i += 8 {
 					class := testdouble.DefaultClasses[i%3].Name
 					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3,
 						TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
@@ -394,7 +394,7 @@
 				c.Close()
 			})
 		}
-		lanes.Wait()
+		clients.Wait()
 	}
 	check := func(what string, completed, rejected, attempts int, before map[string]int) {
 		t.Helper()
@@ -418,7 +418,8 @@
 		}
 		if sum["passed"]+sum["dropped"]+sum["bad_gateway"] != completed+rejected || sum["in_progress"] != 0 ||
 			sum["known_endpoints"] != 3 || sum["upstream_tries"] != attempts {
-			t.Errorf("%s: %v; %d completed, %d rejected, %d attempts\n%s", what, sum, completed, rejected, attempts, r.LogTail())
+			t.Errorf("%s: %v; %d completed, %d rejected, %d attempts\n%s",
+				what, sum, completed, rejected, attempts, r.LogTail())
 		}
 	}
 	waitCompleted := func(completed int) {
@@ -568,7 +569,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		class := []string{"fee-charge", "order-relay"}[n%2] // a charge is never the first call to a destination that was down
+		class := []string{"fee-charge", "order-relay"}[n%2] // a charge never probes a destination that was down
 		name := fmt.Sprint(class, "/", n)
 		res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 7, TimeLeft: 59 * time.Second,
 			Body: fmt.Appendf(nil, "%s\n%02000d", name, 0)})
@@ -611,8 +612,8 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
-	if d := w.EffectLog.Duplicates("fee-charge"); len(d) > 0 || len(accepted) < 10 || w.EffectLog.Len() < len(accepted)/2 {
-		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.EffectLog.Len(), d, next.LogTail())
+	if duplicates := w.EffectLog.Duplicates("fee-charge"); len(duplicates) > 0 || len(accepted) < 10 || w.EffectLog.Len() < len(accepted)/2 {
+		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.EffectLog.Len(), duplicates, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("at the end the folder contains %d bytes", n)
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -60,28 +60,28 @@
 		submittedAt, repliedAt time.Time
 	}
 	results := make([]submission, messages)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for first := range clients {
 		c, err := client.New(client.Config{Relays: []string{r.Addr}, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		all.Go(func() {
+		running.Go(func() {
 			for n := first; n < messages; n += clients {
-				h := submission{submittedAt: time.Now()}
+				s := submission{submittedAt: time.Now()}
 				class := "price-alert"
 				if n%10 == 0 {
 					class = "fee-charge"
 				}
-				h.Result, _ = c.Send(context.Background(), client.Message{Class: class, Dest: 1 + n/clients%2, TimeLeft: timeLeft,
-					Body: fmt.Appendf(nil, "%s/%d\n", class, n)})
-				h.repliedAt = time.Now()
-				results[n] = h
+				s.Result, _ = c.Send(context.Background(), client.Message{Class: class, Dest: 1 + n/clients%2,
+					TimeLeft: timeLeft, Body: fmt.Appendf(nil, "%s/%d\n", class, n)})
+				s.repliedAt = time.Now()
+				results[n] = s
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	for run := range 2 {
 		if err := w.WaitUntil("calls of this run", func() bool { return w.EffectLog.Len() >= 10*(run+1) }); err != nil {
 			t.Fatal(err)
@@ -95,9 +95,9 @@
 		effects := w.EffectLog.CountByName()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		for n, h := range results {
-			_, notified := p.notified[h.ID]
-			if h.Outcome == client.Taken && !notified &&
+		for n, s := range results {
+			_, notified := p.notified[s.ID]
+			if s.Outcome == client.Taken && !notified &&
 				effects[fmt.Sprintf("price-alert/%d", n)]+effects[fmt.Sprintf("fee-charge/%d", n)] == 0 {
 				return false
 			}
@@ -109,24 +109,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	accepted, attempted, early, late, cutOff, repliedLate := 0, 0, 0, 0, 0, 0
-	for n, h := range results {
-		if h.Outcome != client.Taken {
+	for n, s := range results {
+		if s.Outcome != client.Taken {
 			continue
 		}
 		accepted++
-		deliveredAt, ok := p.delivered[h.ID]
-		if ok && deliveredAt.Before(h.repliedAt) {
+		deliveredAt, ok := p.delivered[s.ID]
+		if ok && deliveredAt.Before(s.repliedAt) {
 			repliedLate++
 		}
-		_, attempt := p.firstCalls[h.ID]
-		switch notifiedAt, notified := p.notified[h.ID]; {
+		_, attempt := p.firstCalls[s.ID]
+		switch notifiedAt, notified := p.notified[s.ID]; {
 		case attempt:
 			attempted++
 		case notified && n%10 == 0:
 			cutOff++ // killed between a charge's record and its call: it may have been executed
-		case notified && notifiedAt.Before(h.submittedAt.Add(timeLeft*7/10)):
+		case notified && notifiedAt.Before(s.submittedAt.Add(timeLeft*7/10)):
 			early++
-			t.Errorf("%d was given up %v after its submission, without a call", n, notifiedAt.Sub(h.submittedAt))
+			t.Errorf("%d was given up %v after its submission, without a call", n, notifiedAt.Sub(s.submittedAt))
 		case notified:
 			late++
 		}
@@ -141,7 +141,7 @@
 	if p.maxInFlight > 2*concurrency { // calls of the previous run are still executed
 		t.Errorf("%d concurrent calls with a limit of %d", p.maxInFlight, concurrency)
 	}
-	if doubles := w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
-		t.Errorf("charges were executed twice: %v", doubles)
+	if duplicates := w.EffectLog.Duplicates("fee-charge"); len(duplicates) > 0 {
+		t.Errorf("charges were executed twice: %v", duplicates)
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -32,7 +32,8 @@
 }
 
 // loadPlugins loads the operator's file and its plug-ins in the background.
-func (s ConfigSources) loadPlugins(ctx context.Context, c *config.Config, log *slog.Logger) <-chan pluginLoadResult {
+func (s ConfigSources) loadPlugins(ctx context.Context, c *config.Config,
+	log *slog.Logger) <-chan pluginLoadResult {
 	done := make(chan pluginLoadResult, 1)
 	if s.LoadOperator == nil {
 		done <- pluginLoadResult{}
--- a/internal/daemon/retry.go
+++ b/internal/daemon/retry.go
@@ -18,7 +18,8 @@
 
 // retryTransient calls step until it succeeds, fails with an error that is not transient, the limit
 // has passed, or giveUp returns true. It returns the last error. what names the failure in the log.
-func retryTransient(what string, limit time.Duration, giveUp func() bool, log *slog.Logger, step func() error) error {
+func retryTransient(what string, limit time.Duration, giveUp func() bool, log *slog.Logger,
+	step func() error) error {
 	for startedAt, logged := time.Now(), false; ; {
 		err := step()
 		if err == nil || !transient.Is(err) || time.Since(startedAt) >= limit || giveUp() {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -12,9 +12,9 @@
 
 // Phases of a planned stop, counted from SIGTERM. SIGKILL follows after 3.7 s at the earliest.
 const (
-	stopRiskyAttemptsAfter = 2500 * time.Millisecond // then no attempt starts that must not be repeated if it is cut off
-	stopAttemptsAfter      = 3100 * time.Millisecond // then no attempt starts at all
-	stopReadsAfter         = 3200 * time.Millisecond // then no client request is read
+	stopRiskyAttemptsAfter = 2500 * time.Millisecond // no attempt starts then that must not be repeated
+	stopAttemptsAfter      = 3100 * time.Millisecond // no attempt starts then at all
+	stopReadsAfter         = 3200 * time.Millisecond // no client request is read then
 	exitAfter              = 3450 * time.Millisecond // calls still in flight may have been executed
 	stopCheckInterval      = 20 * time.Millisecond
 )
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,7 +22,7 @@
 	EndpointList  *EndpointList          `json:"list,omitempty"`
 	Drained       bool                   `json:"drained,omitempty"` // operators have drained the relay
 
-	PendingOrdered []sequence.Message      `json:"owes,omitempty"`    // pending messages of ordered classes that stay for now
+	PendingOrdered []sequence.Message      `json:"owes,omitempty"`    // pending messages of ordered classes
 	Numbering      *memory.SharedNumbering `json:"numbers,omitempty"` // how both processes number messages from now on
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,16 +16,18 @@
 		progress Progress
 		want     Action
 	}{
-		"just stopped":                             {Progress{Listening: true, ClientConns: 3, CallsInFlight: 1, Pending: 1}, Continue},
-		"nothing left, no successor serves":        {Progress{Elapsed: 400 * ms, Listening: true}, Continue},
-		"successor serves":                         {Progress{Elapsed: 2 * ms, Listening: true, SuccessorServing: true, ClientConns: 3}, StopListening},
+		"just stopped":                      {Progress{Listening: true, ClientConns: 3, CallsInFlight: 1, Pending: 1}, Continue},
+		"nothing left, no successor serves": {Progress{Elapsed: 400 * ms, Listening: true}, Continue},
+		"successor serves": {
+			Progress{Elapsed: 2 * ms, Listening: true, SuccessorServing: true, ClientConns: 3}, StopListening},
 		"no successor serves in time":              {Progress{Elapsed: StopListeningAfter, Listening: true}, StopListening},
 		"clients still connected":                  {Progress{Elapsed: time.Second, ClientConns: 1}, Continue},
 		"a call in flight":                         {Progress{Elapsed: time.Second, CallsInFlight: 1, Pending: 1}, Continue},
 		"a notification not sent":                  {Progress{Elapsed: time.Second, Pending: 3, NotTransferable: 2}, Continue},
 		"only messages that stay in its directory": {Progress{Elapsed: time.Second, Pending: 2, NotTransferable: 2}, Exit},
 		"nothing left":                             {Progress{Elapsed: 30 * ms}, Exit},
-		"exit time reached":                        {Progress{Elapsed: ExitAfter, Listening: true, ClientConns: 9, CallsInFlight: 4, Pending: 9}, Exit},
+		"exit time reached": {
+			Progress{Elapsed: ExitAfter, Listening: true, ClientConns: 9, CallsInFlight: 4, Pending: 9}, Exit},
 	} {
 		if got := NextAction(c.progress); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/internal/handover/sequence/sequence_test.go
+++ b/internal/handover/sequence/sequence_test.go
@@ -92,8 +92,8 @@
 		var s Sequencer
 		s.BeginScan()
 		pending, held, released := map[uint32]Message{}, map[uint32]Message{}, map[uint32]bool{}
-		release := func(how string, nums []uint32) {
-			for _, num := range nums {
+		release := func(how string, numbers []uint32) {
+			for _, num := range numbers {
 				if _, there := held[num]; !there || released[num] {
 					t.Fatalf("%s: %d is not held", how, num)
 				}
@@ -124,11 +124,11 @@
 			case 5:
 				release("expired", s.Expired(time.Duration(num)))
 			}
-			var list []Message
+			var messages []Message
 			for _, o := range pending {
-				list = append(list, o)
+				messages = append(messages, o)
 			}
-			s.SetPending("old", list)
+			s.SetPending("old", messages)
 			ready := s.Ready()
 			for _, n := range ready {
 				for _, o := range pending {
