--- /dev/null
+++ b/internal/daemon/handover.go
@@ -0,0 +1,246 @@
+package daemon
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"oatfold/internal/drain"
+	"oatfold/internal/handover"
+	"oatfold/internal/handover/processdir"
+	"oatfold/internal/memory"
+	"oatfold/internal/memory/journal"
+	"oatfold/internal/wire"
+)
+
+const (
+	takeOverInterval    = 10 * time.Millisecond // between two scans for transfers of the previous process
+	handOverInterval    = 5 * time.Millisecond  // between two checks in the leaving process
+	maxPendingTransfers = 4                     // files in the spool that the successor has not read yet
+)
+
+// successor takes over what other processes of this relay leave. It waits for the disk, so it runs
+// on a goroutine that nothing waits for.
+type successor struct {
+	*relay
+	ctx        context.Context
+	unreadable map[string]bool // files of the spool that can't be read; they stay for an operator
+	// By process: its last file. It stays in the spool without its messages, for a successor that is restarted.
+	latestTransfer map[string]string
+}
+
+// takeOverRetryLimit is how long reading is retried before what can't be read is left alone.
+const takeOverRetryLimit = 5 * time.Second
+
+// retry calls step until it succeeds, fails permanently, or this process is told to stop.
+func (s *successor) retry(what string, step func() error) error {
+	return retryTransient(what, takeOverRetryLimit, func() bool {
+		return s.ctx.Err() != nil || len(s.terminate) > 0
+	}, s.log, step)
+}
+
+// takeOver adopts what is there now, and reports whether a process is still leaving.
+func (s *successor) takeOver() (leaving bool) {
+	s.host.BeginTransferScan()
+	var running []string
+	var abandoned []*processdir.Dir
+	err := s.retry("directories of other processes can't be listed", func() (err error) {
+		for _, dir := range abandoned {
+			s.stateDir.Release(dir, false) // locked by an attempt that failed
+		}
+		running, abandoned, err = s.stateDir.Others(s.dir)
+		return err
+	})
+	if err != nil {
+		s.log.Error("directories of other processes not listed", "err", err)
+	}
+	for _, name := range running {
+		leaving = leaving || s.stateDir.Status(name) == processdir.StatusServing
+	}
+	// A message may be both in a directory and in a transfer: the transfer is read first. All
+	// transfers of the process of an abandoned directory are there by now.
+	s.adoptTransfers(leaving)
+	s.adoptAll(s.openJournals(abandoned))
+	if s.ctx.Err() != nil {
+		return leaving // not complete: later messages of an ordering key must not overtake what is left
+	}
+	if !leaving {
+		for _, name := range s.latestTransfer {
+			s.removeTransfer(name)
+		}
+		clear(s.latestTransfer)
+		s.stateDir.RemovePartialTransfers()
+		s.waitCommitted(s.host.Adopt(wire.Transfer{LastProcess: true}))
+	} else if s.ctx.Err() == nil {
+		s.host.EndTransferScan()
+	}
+	s.host.SetJournalShare(s.diskBytes(), s.stateDir.UsedBytes(s.dir), !leaving)
+	return leaving
+}
+
+// takeOverUntilLast repeats takeOver until no other process is leaving.
+func (s *successor) takeOverUntilLast() {
+	_, idle := descriptorLimits(s.config)
+	s.host.SetMaxIdleConns(idle / 2)
+	if s.listenGossip(); s.gossip != nil {
+		s.host.StartGossip(s.gossip, fleetIdentity(s.config))
+	}
+	for s.takeOver() {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-time.After(takeOverInterval):
+		}
+	}
+	if s.ctx.Err() != nil {
+		return
+	}
+	clients, idle := descriptorLimits(s.config)
+	s.host.SetMaxIdleConns(idle)
+	s.server.Load().Configure(&s.config.Settings, clients)
+	s.takingOver.Store(false)
+	s.log.Info("the process before has left, all is taken over")
+}
+
+// waitCommitted waits until adopted messages are in the journal, and reports whether they are. When
+// this process has to stop it still waits, unless the journal can't be written: a message must not
+// be sent from here while its old directory says that it was never attempted.
+func (s *successor) waitCommitted(done <-chan struct{}) bool {
+	select {
+	case <-done:
+		return true
+	case <-s.ctx.Done():
+	}
+	for {
+		writable := s.host.JournalWritable()
+		select {
+		case <-done:
+			return true
+		default:
+		}
+		if !writable {
+			return false
+		}
+	}
+}
+
+// adoptTransfers adopts the files of the spool.
+func (s *successor) adoptTransfers(leaving bool) {
+	for _, name := range s.stateDir.Transfers() {
+		sender := processdir.TransferSender(name)
+		if s.unreadable[name] || s.latestTransfer[sender] == name || s.ctx.Err() != nil {
+			continue
+		}
+		var messages []*memory.Message
+		var update *handover.Update
+		var raw []byte
+		err := s.retry("a transfer can't be read", func() (err error) {
+			raw, err = s.stateDir.ReadTransfer(name)
+			return err
+		})
+		if err == nil {
+			var text []byte
+			if messages, text, err = journal.DecodeTransfer(raw, s.stateDir.TimeScale()); err == nil {
+				update, err = handover.Decode(text)
+			}
+		}
+		if err != nil {
+			s.unreadable[name] = true
+			s.log.Error("transfer not adopted", "file", name, "err", err)
+			continue
+		}
+		if !leaving {
+			update = &handover.Update{Numbering: update.Numbering} // its sender has ended, perhaps long ago
+		}
+		if s.waitCommitted(s.host.Adopt(wire.Transfer{Sender: sender, Messages: messages, Update: update})) {
+			s.keepLatestTransfer(name, sender, update, len(messages) > 0)
+		}
+	}
+}
+
+// keepLatestTransfer removes a transfer that has been adopted. The latest one of each process stays
+// without its messages: if this process is killed, the next one has to know what is still pending
+// at the sender.
+func (s *successor) keepLatestTransfer(name, sender string, update *handover.Update, hadMessages bool) {
+	if previous, ok := s.latestTransfer[sender]; ok {
+		s.removeTransfer(previous)
+	}
+	s.latestTransfer[sender] = name
+	if !hadMessages {
+		return
+	}
+	if err := s.stateDir.ReplaceTransfer(name,
+		journal.EncodeTransfer(nil, update.Encode(), s.stateDir.TimeScale())); err != nil {
+		s.log.Warn("update of the previous process can't be kept for a restart", "file", name, "err", err)
+		s.removeTransfer(name)
+		delete(s.latestTransfer, sender)
+	}
+}
+
+// removeTransfer removes a file of the spool.
+func (s *successor) removeTransfer(name string) {
+	if err := s.stateDir.RemoveTransfer(name); err != nil {
+		s.unreadable[name] = true
+		s.log.Error("adopted transfer can't be removed", "file", name, "err", err)
+	}
+}
+
+// freeBytes returns the free part of the disk limit, over all processes.
+func (r *relay) freeBytes() int64 { return r.config.DiskBytes - r.stateDir.UsedBytes(nil) }
+
+// handOver hands the relay over to a standby process, and reports whether there was one that could
+// take it.
+func (r *relay) handOver() bool {
+	running, abandoned, err := r.stateDir.Others(r.dir)
+	for _, dir := range abandoned {
+		r.stateDir.Release(dir, false)
+	}
+	running = slices.DeleteFunc(running, func(name string) bool {
+		return r.stateDir.Status(name) != processdir.StatusReady
+	})
+	if err != nil || len(running) == 0 {
+		return false
+	}
+	began, server := time.Now(), r.server.Load()
+	r.host.SetJournalShare(r.diskBytes(), r.stateDir.UsedBytes(r.dir), false)
+	if r.host.HandOver(r.stateDir.WriteTransfer, server.Drained(), handover.MaxTransferBytes(r.freeBytes())) != nil {
+		return false
+	}
+	r.log.Info("handing over", "standing_by", running)
+	if r.gossip != nil {
+		r.gossip.Close()
+		r.gossip = nil
+	}
+	if err := r.stateDir.ReleaseLeaderLock(); err != nil {
+		r.log.Error("leader lock not released until this process ends", "err", err)
+	}
+	server.HandleDrainEvent(drain.HandOver)
+	progress, listenerClosed, readsStopped := handover.Progress{}, false, false
+	for {
+		if len(r.stateDir.Transfers()) < maxPendingTransfers {
+			r.host.TransferRemaining(handover.MaxTransferBytes(r.freeBytes()))
+		}
+		// Read in this order: once the listener is closed, no connection is added.
+		progress.Listening = server.Accepting()
+		progress.Elapsed, progress.ClientConns = time.Since(began), server.OpenConnections()
+		if !readsStopped && progress.Elapsed >= stopReadsAfter {
+			server.StopReads()
+			readsStopped = true
+		}
+		progress.Pending, progress.CallsInFlight, progress.NotTransferable = r.host.Remaining()
+		progress.SuccessorServing = progress.SuccessorServing || slices.ContainsFunc(running, func(name string) bool {
+			return r.stateDir.Status(name) == processdir.StatusServing
+		})
+		switch handover.NextAction(progress) {
+		case handover.Exit:
+			r.log.Info("handed over", "left_in_room", progress.Pending, "calls_out", progress.CallsInFlight)
+			return true
+		case handover.StopListening:
+			if !listenerClosed {
+				server.StopListening()
+			}
+			listenerClosed = true
+		}
+		time.Sleep(handOverInterval)
+	}
+}
