--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -16,12 +16,12 @@
 func TestRedToo(t *testing.T) { t.Run("sub", func(t *testing.T) { t.Error("red") }) }
 `
 
-// play writes a small module with that file, and runs its tests.
-func play(t *testing.T, known, a, b string) (string, error) {
+// runModule writes a small module with that file, and runs its tests.
+func runModule(t *testing.T, known, a, b string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module m\n\ngo 1.24\n", "a/a_test.go": a, "b/b_test.go": b, file: known} {
-		if name == file && known == "absent" {
+	for name, text := range map[string]string{"go.mod": "module m\n\ngo 1.24\n", "a/a_test.go": a, "b/b_test.go": b, listFile: known} {
+		if name == listFile && known == "absent" {
 			continue
 		}
 		os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o700)
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			out, err := play(t, c.known, c.a, c.b)
+			out, err := runModule(t, c.known, c.a, c.b)
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 				t.Errorf("%v, want %q\n%s", err, c.want, out)
 			}
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	file = "KNOWN-RED.txt"
-	most = 3 // lines
+	listFile   = "KNOWN-RED.txt"
+	maxEntries = 3 // lines
 )
 
 // entry is one line: a package, a test in it, why it fails, and the issue that is to mend it.
 type entry struct{ pkg, test, cause, issue string }
 
-var line = regexp.MustCompile(`^(\./[\w./-]+) (Test\w*(?:/\S+)?) \| ([^|]*\S) \| issue (\S.*)$`)
+var entryPattern = regexp.MustCompile(`^(\./[\w./-]+) (Test\w*(?:/\S+)?) \| ([^|]*\S) \| issue (\S.*)$`)
 
 // parse reads the file's text. Each line has the form `./internal/wire TestName | cause | issue 31`.
 func parse(text string) (all []entry, err error) {
@@ -32,24 +32,24 @@
 		if text == "" {
 			break
 		}
-		m := line.FindStringSubmatch(s)
+		m := entryPattern.FindStringSubmatch(s)
 		if m == nil {
-			return nil, fmt.Errorf("%s:%d: %q is not `./package TestName | cause | issue N`", file, n+1, s)
+			return nil, fmt.Errorf("%s:%d: %q is not `./package TestName | cause | issue N`", listFile, n+1, s)
 		}
 		e := entry{m[1], m[2], m[3], m[4]}
 		if slices.ContainsFunc(all, func(o entry) bool { return o.pkg == e.pkg && o.test == e.test }) {
-			return nil, fmt.Errorf("%s:%d: %s is named twice", file, n+1, e.test)
+			return nil, fmt.Errorf("%s:%d: %s is named twice", listFile, n+1, e.test)
 		}
 		all = append(all, e)
 	}
-	if len(all) > most {
-		return nil, fmt.Errorf("%s: %d lines, %d at most", file, len(all), most)
+	if len(all) > maxEntries {
+		return nil, fmt.Errorf("%s: %d lines, %d at most", listFile, len(all), maxEntries)
 	}
 	return all, nil
 }
 
-// pattern matches the test alone, each part of its name whole.
-func (e entry) pattern() string {
+// runPattern matches the test alone, each part of its name whole.
+func (e entry) runPattern() string {
 	parts := strings.Split(e.test, "/")
 	for i, p := range parts {
 		parts[i] = "^" + regexp.QuoteMeta(p) + "$"
@@ -73,7 +73,7 @@
 
 // run runs all tests, and returns why the verdict is no.
 func (r runner) run() error {
-	raw, err := os.ReadFile(filepath.Join(r.dir, file))
+	raw, err := os.ReadFile(filepath.Join(r.dir, listFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 	skip := map[string][]string{}
 	for _, e := range red {
-		skip[e.pkg] = append(skip[e.pkg], e.pattern())
+		skip[e.pkg] = append(skip[e.pkg], e.runPattern())
 	}
 	names, err := r.command(io.Discard, "list", "./...")
 	if err != nil {
@@ -98,7 +98,7 @@
 	for _, pkg := range slices.Sorted(maps.Keys(skip)) {
 		name, err := r.command(io.Discard, "list", pkg)
 		if err != nil {
-			return fmt.Errorf("%s: no package %s: %s", file, pkg, name)
+			return fmt.Errorf("%s: no package %s: %s", listFile, pkg, name)
 		}
 		packages = slices.DeleteFunc(packages, func(p string) bool { return p == strings.TrimSpace(name) })
 		if _, err := r.command(r.out, "test", "-count=1", "-skip", strings.Join(skip[pkg], "|"), pkg); err != nil {
@@ -112,12 +112,12 @@
 	}
 	for _, e := range red {
 		fmt.Fprintf(r.out, "known red: %s %s: %s (issue %s)\n", e.pkg, e.test, e.cause, e.issue)
-		out, err := r.command(io.Discard, "test", "-count=1", "-v", "-run", e.pattern(), e.pkg)
+		out, err := r.command(io.Discard, "test", "-count=1", "-v", "-run", e.runPattern(), e.pkg)
 		switch {
 		case !strings.Contains(out, "=== RUN   "+e.test+"\n"):
-			bad = append(bad, fmt.Errorf("%s: %s has no test %s: %s", file, e.pkg, e.test, out))
+			bad = append(bad, fmt.Errorf("%s: %s has no test %s: %s", listFile, e.pkg, e.test, out))
 		case err == nil:
-			bad = append(bad, fmt.Errorf("%s: %s %s fails no more: take its line out", file, e.pkg, e.test))
+			bad = append(bad, fmt.Errorf("%s: %s %s fails no more: take its line out", listFile, e.pkg, e.test))
 		}
 	}
 	return errors.Join(bad...)
--- a/internal/testdouble/ledger.go
+++ b/internal/testdouble/effectlog.go
@@ -21,13 +21,13 @@
 type EffectLog struct {
 	mu      sync.Mutex
 	classes map[string]Class
-	effects []Effect
-	last    map[string]time.Time // by key, of keyed classes
-	news    *news
+	entries []Effect
+	lastRun map[string]time.Time // by key, of keyed classes
+	changes *changeSignal
 }
 
-func newLedger(classes []Class, n *news) *EffectLog {
-	l := &EffectLog{classes: map[string]Class{}, last: map[string]time.Time{}, news: n}
+func newEffectLog(classes []Class, n *changeSignal) *EffectLog {
+	l := &EffectLog{classes: map[string]Class{}, lastRun: map[string]time.Time{}, changes: n}
 	for _, c := range classes {
 		l.classes[c.Name] = c
 	}
@@ -40,38 +40,38 @@
 	return name
 }
 
-func classOf(name string) string {
+func className(name string) string {
 	class, _, _ := strings.Cut(name, "/")
 	return class
 }
 
-// book notes that a message ran. A keyed one takes effect once in its window.
-func (l *EffectLog) book(dest int, id, key, form string, body []byte, now time.Time) {
+// record notes that a message ran. A keyed one takes effect once in its window.
+func (l *EffectLog) record(dest int, id, key, form string, body []byte, now time.Time) {
 	e := Effect{Name: MessageName(body), ID: id, Key: key, Form: form, Dest: dest, Size: len(body), At: now}
 	l.mu.Lock()
-	if c := l.classes[classOf(e.Name)]; c.Effect == "keyed" {
-		at, known := l.last[key]
+	if c := l.classes[className(e.Name)]; c.Effect == "keyed" {
+		at, known := l.lastRun[key]
 		if e.Deduplicated = known && now.Sub(at) < c.RepeatWindow; !e.Deduplicated {
-			l.last[key] = now
+			l.lastRun[key] = now
 		}
 	}
-	l.effects = append(l.effects, e)
+	l.entries = append(l.entries, e)
 	l.mu.Unlock()
-	l.news.tell()
+	l.changes.notify()
 }
 
 // Entries returns what took effect so far, repeats that were dropped among it.
 func (l *EffectLog) Entries() []Effect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.effects)
+	return slices.Clone(l.entries)
 }
 
 // Len counts what took effect so far, repeats that were dropped among it.
 func (l *EffectLog) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.effects)
+	return len(l.entries)
 }
 
 // CountByName returns how often each message took effect.
@@ -88,7 +88,7 @@
 // Duplicates names the messages of a class that took effect more than once.
 func (l *EffectLog) Duplicates(class string) (names []string) {
 	for name, n := range l.CountByName() {
-		if n > 1 && classOf(name) == class {
+		if n > 1 && className(name) == class {
 			names = append(names, fmt.Sprintf("%s (%d times)", name, n))
 		}
 	}
--- a/internal/testdouble/world.go
+++ b/internal/testdouble/environment.go
@@ -54,9 +54,9 @@
 	Partners  map[int]*Partner // by destination
 	EffectLog *EffectLog
 
-	set     Config
+	config  Config
 	dir     string
-	news    *news
+	changes *changeSignal
 	mu      sync.Mutex
 	relays  []*Relay
 	closers []func()
@@ -79,8 +79,8 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Environment{set: set, dir: dir, news: newNews(), Partners: map[int]*Partner{}}
-	w.EffectLog = newLedger(set.Classes, w.news)
+	w := &Environment{config: set, dir: dir, changes: newChangeSignal(), Partners: map[int]*Partner{}}
+	w.EffectLog = newEffectLog(set.Classes, w.changes)
 	for i, p := range set.Partners {
 		one, err := newPartner(p, set.Seed+uint64(i), w.EffectLog)
 		if err != nil {
@@ -90,7 +90,7 @@
 		w.Partners[p.Dest] = one
 		w.closers = append(w.closers, one.close)
 	}
-	if w.Platform, err = newPlatform(w.Partners, w.news); err != nil {
+	if w.Platform, err = newPlatform(w.Partners, w.changes); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -99,49 +99,51 @@
 }
 
 // Close kills the relays and ends all stand-ins.
-func (w *Environment) Close() {
-	w.mu.Lock()
-	relays := w.relays
-	w.mu.Unlock()
+func (env *Environment) Close() {
+	env.mu.Lock()
+	relays := env.relays
+	env.mu.Unlock()
 	for _, r := range relays {
 		r.Kill()
 	}
-	for _, f := range w.closers {
+	for _, f := range env.closers {
 		f()
 	}
-	os.RemoveAll(w.dir)
+	os.RemoveAll(env.dir)
 }
 
 // WaitUntil waits for cond, which is looked at after each thing that happens. The bound is there for a hang, not as a measure.
-func (w *Environment) WaitUntil(what string, cond func() bool) error { return w.news.until(what, cond) }
+func (env *Environment) WaitUntil(what string, cond func() bool) error {
+	return env.changes.waitUntil(what, cond)
+}
 
 // Notify makes Until look again, after something that the world can't see.
-func (w *Environment) Notify() { w.news.tell() }
+func (env *Environment) Notify() { env.changes.notify() }
 
-const hang = 60 * time.Second
+const maxWait = 60 * time.Second
 
-// news wakes those who wait for something to happen.
-type news struct {
-	mu sync.Mutex
-	ch chan struct{}
+// changeSignal wakes those who wait for something to happen.
+type changeSignal struct {
+	mu      sync.Mutex
+	changed chan struct{}
 }
 
-func newNews() *news { return &news{ch: make(chan struct{})} }
+func newChangeSignal() *changeSignal { return &changeSignal{changed: make(chan struct{})} }
 
-func (n *news) tell() {
-	n.mu.Lock()
-	close(n.ch)
-	n.ch = make(chan struct{})
-	n.mu.Unlock()
+func (s *changeSignal) notify() {
+	s.mu.Lock()
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.mu.Unlock()
 }
 
-func (n *news) until(what string, cond func() bool) error {
-	bound := time.NewTimer(hang)
+func (s *changeSignal) waitUntil(what string, cond func() bool) error {
+	bound := time.NewTimer(maxWait)
 	defer bound.Stop()
 	for {
-		n.mu.Lock()
-		ch := n.ch
-		n.mu.Unlock()
+		s.mu.Lock()
+		ch := s.changed
+		s.mu.Unlock()
 		if cond() {
 			return nil
 		}
@@ -153,12 +155,12 @@
 	}
 }
 
-var hosts atomic.Uint32
+var hostCount atomic.Uint32
 
 // listen opens a listener at a loopback address of its own. Guards against strangers: who asks again at a port of
 // 127.0.0.1 that has passed to a listener here, from any process, would be answered by a test's script.
 func listen() (net.Listener, error) {
-	n := int(hosts.Add(1)) // the next hundreds have a net of their own: an address comes again after 62,500
+	n := int(hostCount.Add(1)) // the next hundreds have a net of their own: an address comes again after 62,500
 	return net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, (os.Getpid()/64+n/250)%250, 1+n%250))
 }
 
--- a/internal/testdouble/faultnet/link.go
+++ b/internal/testdouble/faultnet/network.go
@@ -31,8 +31,8 @@
 	OnSend        func(from, to int, note []byte) // not nil: told of each note that is sent
 }
 
-// carries tells whether anything gets from one relay to another.
-func (w *Faults) carries(from, to int) bool {
+// allows tells whether anything gets from one relay to another.
+func (w *Faults) allows(from, to int) bool {
 	for _, group := range w.Partitions {
 		if group[from] != group[to] {
 			return false
@@ -43,38 +43,38 @@
 
 // Network is the ways between the relays of one fleet. Close ends it.
 type Network struct {
-	real  []netip.AddrPort
-	ends  [][]*net.UDPConn // [i][j]: where relay i reaches j, and hears it from
-	ways  atomic.Pointer[Faults]
-	group sync.WaitGroup
-
-	second atomic.Pointer[map[int]netip.AddrPort]
-
-	mu      sync.Mutex
-	closed  bool
-	rng     *rand.Rand
-	sent    int
-	carried int
-	bytes   int
-	tooLong int
-	timers  map[*time.Timer]struct{}
+	relayAddrs []netip.AddrPort
+	sockets    [][]*net.UDPConn // [i][j]: where relay i reaches j, and hears it from
+	faults     atomic.Pointer[Faults]
+	forwarders sync.WaitGroup
+
+	alias atomic.Pointer[map[int]netip.AddrPort]
+
+	mu        sync.Mutex
+	closed    bool
+	rng       *rand.Rand
+	sent      int
+	delivered int
+	bytes     int
+	oversized int
+	timers    map[*time.Timer]struct{}
 }
 
 // New opens the ways between relays that listen at these addresses.
 func New(listen []string, seed uint64) (*Network, error) {
 	n := &Network{rng: rand.New(rand.NewPCG(seed, 0x11e4)), timers: map[*time.Timer]struct{}{}}
-	n.ways.Store(&Faults{})
+	n.faults.Store(&Faults{})
 	for _, a := range listen {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
 			return nil, err
 		}
-		n.real = append(n.real, at)
+		n.relayAddrs = append(n.relayAddrs, at)
 	}
-	for i := range n.real {
-		row := make([]*net.UDPConn, len(n.real))
-		n.ends = append(n.ends, row)
-		for j := range n.real {
+	for i := range n.relayAddrs {
+		row := make([]*net.UDPConn, len(n.relayAddrs))
+		n.sockets = append(n.sockets, row)
+		for j := range n.relayAddrs {
 			if i == j {
 				continue
 			}
@@ -86,10 +86,10 @@
 			row[j] = sock
 		}
 	}
-	for i := range n.ends {
-		for j, sock := range n.ends[i] {
+	for i := range n.sockets {
+		for j, sock := range n.sockets[i] {
 			if sock != nil {
-				n.group.Go(func() { n.carry(i, j, sock) })
+				n.forwarders.Go(func() { n.forward(i, j, sock) })
 			}
 		}
 	}
@@ -98,9 +98,9 @@
 
 // PeerAddrs are the addresses that relay i is told, by number: its own, and a link's for each other.
 func (n *Network) PeerAddrs(i int) (all []string) {
-	for j, sock := range n.ends[i] {
+	for j, sock := range n.sockets[i] {
 		if j == i {
-			all = append(all, n.real[i].String())
+			all = append(all, n.relayAddrs[i].String())
 			continue
 		}
 		all = append(all, sock.LocalAddr().String())
@@ -114,29 +114,29 @@
 	if err != nil {
 		return err
 	}
-	n.second.Store(&map[int]netip.AddrPort{i: at})
+	n.alias.Store(&map[int]netip.AddrPort{i: at})
 	return nil
 }
 
-// also is the second address of a relay, if there is one.
-func (n *Network) also(i int) (at netip.AddrPort, ok bool) {
-	if all := n.second.Load(); all != nil {
+// aliasOf is the second address of a relay, if there is one.
+func (n *Network) aliasOf(i int) (at netip.AddrPort, ok bool) {
+	if all := n.alias.Load(); all != nil {
 		at, ok = (*all)[i]
 	}
 	return at, ok
 }
 
 // SetFaults puts ways in force. What is late already still comes.
-func (n *Network) SetFaults(w Faults) { n.ways.Store(&w) }
+func (n *Network) SetFaults(w Faults) { n.faults.Store(&w) }
 
 // Faults are those in force.
-func (n *Network) Faults() Faults { return *n.ways.Load() }
+func (n *Network) Faults() Faults { return *n.faults.Load() }
 
 // Counts tells how many notes were sent, how many of them arrived, how many bytes were sent and how many notes were longer than may be.
 func (n *Network) Counts() (sent, carried, bytes, tooLong int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.sent, n.carried, n.bytes, n.tooLong
+	return n.sent, n.delivered, n.bytes, n.oversized
 }
 
 // Close ends all ways; what is late is lost.
@@ -147,53 +147,53 @@
 		t.Stop()
 	}
 	n.mu.Unlock()
-	for _, row := range n.ends {
+	for _, row := range n.sockets {
 		for _, sock := range row {
 			if sock != nil {
 				sock.Close()
 			}
 		}
 	}
-	n.group.Wait()
+	n.forwarders.Wait()
 }
 
-// carry passes on what relay i sends to j, until the way is closed. A stranger's note is not passed on.
-func (n *Network) carry(i, j int, sock *net.UDPConn) {
+// forward passes on what relay i sends to j, until the way is closed. A stranger's note is not passed on.
+func (n *Network) forward(i, j int, sock *net.UDPConn) {
 	buf := make([]byte, 4*MaxMessageBytes)
 	for {
 		size, from, err := sock.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if also, ok := n.also(i); from != n.real[i] && !(ok && from == also) {
+		if also, ok := n.aliasOf(i); from != n.relayAddrs[i] && !(ok && from == also) {
 			continue
 		}
-		w := n.ways.Load()
+		w := n.faults.Load()
 		if w.OnSend != nil {
 			w.OnSend(i, j, buf[:size])
 		}
-		for _, late := range n.fate(w, i, j, size) {
+		for _, late := range n.drawDelays(w, i, j, size) {
 			note := append([]byte(nil), buf[:size]...)
 			if late == 0 {
 				n.deliver(i, j, note)
 				continue
 			}
-			n.later(late, func() { n.deliver(i, j, note) })
+			n.runAfter(late, func() { n.deliver(i, j, note) })
 		}
 	}
 }
 
-// fate draws how often a note arrives, and how late each time.
-func (n *Network) fate(w *Faults, i, j, size int) (arrivals []time.Duration) {
+// drawDelays draws how often a note arrives, and how late each time.
+func (n *Network) drawDelays(w *Faults, i, j, size int) (arrivals []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent++
 	n.bytes += size
 	if size > MaxMessageBytes {
-		n.tooLong++
+		n.oversized++
 		return nil
 	}
-	if !w.carries(i, j) || w.LossRate > 0 && n.rng.Float64() < w.LossRate {
+	if !w.allows(i, j) || w.LossRate > 0 && n.rng.Float64() < w.LossRate {
 		return nil
 	}
 	times := 1
@@ -210,7 +210,7 @@
 	return arrivals
 }
 
-func (n *Network) later(after time.Duration, do func()) {
+func (n *Network) runAfter(after time.Duration, do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -228,12 +228,12 @@
 
 // deliver writes a note to relay j, as from where it knows i.
 func (n *Network) deliver(i, j int, note []byte) {
-	if also, ok := n.also(j); ok {
-		n.ends[j][i].WriteToUDPAddrPort(note, also)
+	if also, ok := n.aliasOf(j); ok {
+		n.sockets[j][i].WriteToUDPAddrPort(note, also)
 	}
-	if _, err := n.ends[j][i].WriteToUDPAddrPort(note, n.real[j]); err == nil {
+	if _, err := n.sockets[j][i].WriteToUDPAddrPort(note, n.relayAddrs[j]); err == nil {
 		n.mu.Lock()
-		n.carried++
+		n.delivered++
 		n.mu.Unlock()
 	}
 }
--- a/internal/testdouble/faultnet/link_test.go
+++ b/internal/testdouble/faultnet/network_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// end is a relay's own socket.
-func end(t *testing.T) *net.UDPConn {
+// openSocket is a relay's own socket.
+func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -20,11 +20,11 @@
 
 // Each way carries what its relay sends, as from the address under which the receiver knows it; a cut takes one direction, a group, a pair; a stranger and a note
 // of 257 bytes go nowhere.
-func TestWays(t *testing.T) {
+func TestNetwork(t *testing.T) {
 	var socks []*net.UDPConn
 	var listen []string
 	for range 3 {
-		socks = append(socks, end(t))
+		socks = append(socks, openSocket(t))
 		listen = append(listen, socks[len(socks)-1].LocalAddr().String())
 	}
 	n, err := New(listen, 1)
@@ -86,7 +86,7 @@
 	if _, _, _, long := n.Counts(); long != 1 {
 		t.Errorf("%d too long", long)
 	}
-	stranger := end(t)
+	stranger := openSocket(t)
 	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.PeerAddrs(0)[1]))
 	send(2, 1, []byte("two"))
 	if text, from := read(1); text != "two" || from != n.PeerAddrs(1)[2] {
--- a/internal/testdouble/faultnet/stream.go
+++ b/internal/testdouble/faultnet/tcpproxy.go
@@ -21,16 +21,16 @@
 type TCPProxy struct {
 	Addr string
 
-	to     string
-	ln     net.Listener
-	course atomic.Pointer[StreamFaults]
-	group  sync.WaitGroup
+	target     string
+	ln         net.Listener
+	faults     atomic.Pointer[StreamFaults]
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	changed chan struct{} // closed as another course comes into force
-	conns   map[net.Conn]struct{}
-	opened  int
+	mu              sync.Mutex
+	closed          bool
+	changed         chan struct{} // closed as another course comes into force
+	conns           map[net.Conn]struct{}
+	connectionCount int
 }
 
 // NewTCPProxy opens a way to an address.
@@ -39,26 +39,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("way to %s: %w", to, err)
 	}
-	s := &TCPProxy{Addr: ln.Addr().String(), to: to, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	s.course.Store(&StreamFaults{})
-	s.group.Go(s.accept)
+	s := &TCPProxy{Addr: ln.Addr().String(), target: to, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	s.faults.Store(&StreamFaults{})
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
 // SetFaults puts a course in force, also for connections that are open.
 func (s *TCPProxy) SetFaults(c StreamFaults) {
-	s.course.Store(&c)
+	s.faults.Store(&c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if c.Refuse {
-		s.reset()
+		s.resetAll()
 	}
 }
 
 // ConnectionCount counts the connections that came.
-func (s *TCPProxy) ConnectionCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.opened }
+func (s *TCPProxy) ConnectionCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.connectionCount }
 
 // Close ends the way and all its connections.
 func (s *TCPProxy) Close() {
@@ -67,14 +67,14 @@
 	if !s.closed {
 		s.closed = true
 		close(s.changed)
-		s.reset()
+		s.resetAll()
 	}
 	s.mu.Unlock()
-	s.group.Wait()
+	s.goroutines.Wait()
 }
 
-// reset breaks all connections. The caller holds mu.
-func (s *TCPProxy) reset() {
+// resetAll breaks all connections. The caller holds mu.
+func (s *TCPProxy) resetAll() {
 	for c := range s.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -90,8 +90,8 @@
 			return
 		}
 		s.mu.Lock()
-		s.opened++
-		if s.closed || s.course.Load().Refuse {
+		s.connectionCount++
+		if s.closed || s.faults.Load().Refuse {
 			near.(*net.TCPConn).SetLinger(0)
 			near.Close()
 			s.mu.Unlock()
@@ -99,17 +99,17 @@
 		}
 		s.conns[near] = struct{}{}
 		s.mu.Unlock()
-		s.group.Go(func() { s.join(near) })
+		s.goroutines.Go(func() { s.proxy(near) })
 	}
 }
 
-// join carries one connection until either side ends it.
-func (s *TCPProxy) join(near net.Conn) {
-	defer s.drop(near)
-	if !s.passes(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
+// proxy carries one connection until either side ends it.
+func (s *TCPProxy) proxy(near net.Conn) {
+	defer s.closeConn(near)
+	if !s.waitUntilOpen(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
 		return
 	}
-	far, err := net.Dial("tcp", s.to)
+	far, err := net.Dial("tcp", s.target)
 	if err != nil {
 		near.(*net.TCPConn).SetLinger(0)
 		return
@@ -122,7 +122,7 @@
 	}
 	s.conns[far] = struct{}{}
 	s.mu.Unlock()
-	defer s.drop(far)
+	defer s.closeConn(far)
 	var back sync.WaitGroup
 	back.Go(func() {
 		s.copy(near, far, func(c *StreamFaults) bool { return !c.BlockInbound })
@@ -133,15 +133,15 @@
 	back.Wait()
 }
 
-func (s *TCPProxy) drop(c net.Conn) {
+func (s *TCPProxy) closeConn(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// passes waits until the course lets something through; false: the way is closed.
-func (s *TCPProxy) passes(open func(*StreamFaults) bool) bool {
+// waitUntilOpen waits until the course lets something through; false: the way is closed.
+func (s *TCPProxy) waitUntilOpen(open func(*StreamFaults) bool) bool {
 	for {
 		s.mu.Lock()
 		changed, closed := s.changed, s.closed
@@ -149,7 +149,7 @@
 		if closed {
 			return false
 		}
-		if open(s.course.Load()) {
+		if open(s.faults.Load()) {
 			return true
 		}
 		<-changed
@@ -161,10 +161,10 @@
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !s.passes(open) {
+			if !s.waitUntilOpen(open) {
 				return
 			}
-			if d := s.course.Load().Delay; d > 0 {
+			if d := s.faults.Load().Delay; d > 0 {
 				time.Sleep(d)
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -172,7 +172,7 @@
 			}
 		}
 		if err != nil {
-			s.passes(open) // the end of a connection is held back as well
+			s.waitUntilOpen(open) // the end of a connection is held back as well
 			return
 		}
 	}
--- a/internal/testdouble/faultnet/stream_test.go
+++ b/internal/testdouble/faultnet/tcpproxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// echo answers each line with the same line.
-func echo(t *testing.T) string {
+// startEchoServer answers each line with the same line.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,8 +29,8 @@
 }
 
 // A stream passes, holds back what a cut of either direction stops and lets it go behind it, delays, refuses and breaks what is open; closing it ends all.
-func TestStream(t *testing.T) {
-	s, err := NewTCPProxy(echo(t))
+func TestTCPProxy(t *testing.T) {
+	s, err := NewTCPProxy(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testdouble/gate.go
+++ b/internal/testdouble/faultproxy.go
@@ -44,21 +44,21 @@
 type FaultProxy struct {
 	Addr string
 
-	to     string
-	script func(n int, path string) Fault
-	news   *news
-	ln     net.Listener
+	target  string
+	script  func(n int, path string) Fault
+	changes *changeSignal
+	ln      net.Listener
 
-	mu      sync.Mutex
-	seen    []RecordedRequest
-	opened  []time.Time
-	conns   map[net.Conn]struct{}
-	release chan struct{}
+	mu              sync.Mutex
+	requests        []RecordedRequest
+	connectionTimes []time.Time
+	conns           map[net.Conn]struct{}
+	released        chan struct{}
 }
 
 // StartFaultProxy opens a gate to a relay's address. Script is asked for each POST, of which n came before; nil passes all. To may
 // be empty where the script answers all itself.
-func (w *Environment) StartFaultProxy(to string, script func(n int, path string) Fault) (*FaultProxy, error) {
+func (env *Environment) StartFaultProxy(to string, script func(n int, path string) Fault) (*FaultProxy, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, err
@@ -66,10 +66,10 @@
 	if script == nil {
 		script = func(int, string) Fault { return Fault{} }
 	}
-	g := &FaultProxy{Addr: ln.Addr().String(), to: to, script: script, news: w.news, ln: ln, conns: map[net.Conn]struct{}{}, release: make(chan struct{})}
-	w.mu.Lock()
-	w.closers = append(w.closers, g.close)
-	w.mu.Unlock()
+	g := &FaultProxy{Addr: ln.Addr().String(), target: to, script: script, changes: env.changes, ln: ln, conns: map[net.Conn]struct{}{}, released: make(chan struct{})}
+	env.mu.Lock()
+	env.closers = append(env.closers, g.close)
+	env.mu.Unlock()
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -77,7 +77,7 @@
 				return
 			}
 			g.mu.Lock()
-			g.opened = append(g.opened, time.Now())
+			g.connectionTimes = append(g.connectionTimes, time.Now())
 			g.conns[c] = struct{}{}
 			g.mu.Unlock()
 			go g.serve(c)
@@ -86,45 +86,45 @@
 	return g, nil
 }
 
-func (g *FaultProxy) close() {
-	g.ln.Close()
-	g.mu.Lock()
-	for c := range g.conns {
+func (p *FaultProxy) close() {
+	p.ln.Close()
+	p.mu.Lock()
+	for c := range p.conns {
 		c.Close()
 	}
-	g.mu.Unlock()
-	g.ReleaseResponses()
+	p.mu.Unlock()
+	p.ReleaseResponses()
 }
 
 // ReleaseResponses lets held answers go.
-func (g *FaultProxy) ReleaseResponses() {
-	g.mu.Lock()
-	close(g.release)
-	g.release = make(chan struct{})
-	g.mu.Unlock()
+func (p *FaultProxy) ReleaseResponses() {
+	p.mu.Lock()
+	close(p.released)
+	p.released = make(chan struct{})
+	p.mu.Unlock()
 }
 
 // Requests returns the requests that came, GET /ready left out.
-func (g *FaultProxy) Requests() []RecordedRequest {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return slices.Clone(g.seen)
+func (p *FaultProxy) Requests() []RecordedRequest {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.requests)
 }
 
 // ConnectionTimes returns when each connection was opened.
-func (g *FaultProxy) ConnectionTimes() []time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return slices.Clone(g.opened)
+func (p *FaultProxy) ConnectionTimes() []time.Time {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.connectionTimes)
 }
 
-func (g *FaultProxy) serve(c net.Conn) {
+func (p *FaultProxy) serve(c net.Conn) {
 	defer func() {
 		c.Close()
-		g.mu.Lock()
-		delete(g.conns, c)
-		g.mu.Unlock()
-		g.news.tell()
+		p.mu.Lock()
+		delete(p.conns, c)
+		p.mu.Unlock()
+		p.changes.notify()
 	}()
 	r := bufio.NewReader(c)
 	var up net.Conn
@@ -141,14 +141,14 @@
 		}
 		fault, at := Fault{}, -1
 		if req.Method == "POST" {
-			g.mu.Lock()
-			at = len(g.seen)
+			p.mu.Lock()
+			at = len(p.requests)
 			h := req.Header
-			g.seen = append(g.seen, RecordedRequest{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
+			p.requests = append(p.requests, RecordedRequest{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
 				RepeatMark: h.Get("X-Repeat"), TimeLeft: h.Get("X-Time-Left-Ms"), At: time.Now()})
-			g.mu.Unlock()
-			fault = g.script(at, req.URL.Path)
-			g.news.tell()
+			p.mu.Unlock()
+			fault = p.script(at, req.URL.Path)
+			p.changes.notify()
 		}
 		if fault.Kind == ResetConnection {
 			c.(*net.TCPConn).SetLinger(0)
@@ -159,17 +159,17 @@
 			return
 		}
 		if at >= 0 {
-			g.mu.Lock()
-			g.seen[at].Name = MessageName(body)
-			g.mu.Unlock()
-			g.news.tell()
+			p.mu.Lock()
+			p.requests[at].Name = MessageName(body)
+			p.mu.Unlock()
+			p.changes.notify()
 		}
 		switch {
 		case fault.Kind == IgnoreRequest:
 			r.Peek(1) // until the client closes
 			return
-		case fault.Kind == Respond || g.to == "":
-			if g.to == "" && fault.Status == 0 {
+		case fault.Kind == Respond || p.target == "":
+			if p.target == "" && fault.Status == 0 {
 				fault.Status = 200
 			}
 			fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n", fault.Status, http.StatusText(fault.Status))
@@ -178,15 +178,15 @@
 			continue
 		}
 		if up == nil {
-			if up, err = net.Dial("tcp", g.to); err != nil {
+			if up, err = net.Dial("tcp", p.target); err != nil {
 				return
 			}
 			upR = bufio.NewReader(up)
 		}
-		g.mu.Lock()
-		release := g.release
-		g.mu.Unlock()
-		fmt.Fprintf(up, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.URL.Path, g.to)
+		p.mu.Lock()
+		release := p.released
+		p.mu.Unlock()
+		fmt.Fprintf(up, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.URL.Path, p.target)
 		req.Header.Write(up)
 		fmt.Fprintf(up, "Content-Length: %d\r\n\r\n%s", len(body), body)
 		res, err := http.ReadResponse(upR, req)
@@ -195,10 +195,10 @@
 		}
 		io.Copy(io.Discard, res.Body)
 		if at >= 0 {
-			g.mu.Lock()
-			g.seen[at].Status = res.StatusCode
-			g.mu.Unlock()
-			g.news.tell()
+			p.mu.Lock()
+			p.requests[at].Status = res.StatusCode
+			p.mu.Unlock()
+			p.changes.notify()
 		}
 		switch fault.Kind {
 		case DropResponse:
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -58,33 +58,33 @@
 
 // Partner is a destination with its endpoints.
 type Partner struct {
-	set    PartnerConfig
-	ledger *EffectLog
-	ends   []*endpoint
+	config    PartnerConfig
+	effectLog *EffectLog
+	endpoints []*endpoint
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	mode     Mode
-	lowered  float64 // part of the rate that it takes
-	share    float64 // of the calls that the mode is for
-	tokens   float64
-	filled   time.Time
-	warmAt   time.Time
-	recent   []time.Time // calls of the last second, while cold
-	out      int
-	release  chan struct{} // closed when silence ends
-	early    int           // calls while a told wait ran
-	waitTil  time.Time
-	rejected int
-	fell     bool
+	mu              sync.Mutex
+	random          *rand.Rand
+	mode            Mode
+	rateShare       float64 // part of the rate that it takes
+	modeShare       float64 // of the calls that the mode is for
+	tokens          float64
+	refilledAt      time.Time
+	warmAt          time.Time
+	recentCalls     []time.Time // calls of the last second, while cold
+	inFlight        int
+	released        chan struct{} // closed when silence ends
+	earlyCalls      int           // calls while a told wait ran
+	retryAfterUntil time.Time
+	rejectedCalls   int
+	collapsed       bool
 }
 
-// zone is where an endpoint lies.
-func (p *Partner) zone(i int) string {
-	if i < len(p.set.EndpointZones) && p.set.EndpointZones[i] != "" {
-		return p.set.EndpointZones[i]
+// endpointZone is where an endpoint lies.
+func (p *Partner) endpointZone(i int) string {
+	if i < len(p.config.EndpointZones) && p.config.EndpointZones[i] != "" {
+		return p.config.EndpointZones[i]
 	}
-	return p.set.Zone
+	return p.config.Zone
 }
 
 type endpoint struct {
@@ -103,7 +103,7 @@
 		set.Now = time.Now
 	}
 	set.Endpoints, set.Burst = max(1, set.Endpoints), max(1, set.Burst)
-	p := &Partner{set: set, ledger: l, random: rand.New(rand.NewPCG(seed, uint64(set.Dest))), release: make(chan struct{}), tokens: set.Burst, lowered: 1}
+	p := &Partner{config: set, effectLog: l, random: rand.New(rand.NewPCG(seed, uint64(set.Dest))), released: make(chan struct{}), tokens: set.Burst, rateShare: 1}
 	for i := range set.Endpoints {
 		e := &endpoint{id: fmt.Sprintf("p%d-%d", set.Dest, i)}
 		for try := 1; ; try++ { // somebody else may take a port before it is listened at
@@ -119,7 +119,7 @@
 				return nil, err
 			}
 		}
-		p.ends = append(p.ends, e)
+		p.endpoints = append(p.endpoints, e)
 	}
 	return p, nil
 }
@@ -136,22 +136,22 @@
 
 func (p *Partner) close() {
 	p.mu.Lock()
-	p.end()
+	p.releaseHeldCalls()
 	p.mu.Unlock()
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		e.server.Close()
 	}
 }
 
-// end lets calls that were kept silent go. The caller holds mu.
-func (p *Partner) end() {
-	close(p.release)
-	p.release = make(chan struct{})
+// releaseHeldCalls lets calls that were kept silent go. The caller holds mu.
+func (p *Partner) releaseHeldCalls() {
+	close(p.released)
+	p.released = make(chan struct{})
 }
 
 // EndpointIDs names the endpoints as discovery does.
 func (p *Partner) EndpointIDs() (ids []string) {
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		ids = append(ids, e.id)
 	}
 	return ids
@@ -159,7 +159,7 @@
 
 // Addresses are where the endpoints listen.
 func (p *Partner) Addresses() (all []string) {
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		all = append(all, e.addr)
 	}
 	return all
@@ -170,15 +170,15 @@
 func (p *Partner) SetMode(m Mode, share float64) error {
 	p.mu.Lock()
 	was := p.mode
-	if p.mode, p.share = m, share; m == Healthy && was != Healthy && p.set.ColdRateShare > 0 {
-		p.warmAt, p.recent = p.set.Now().Add(p.set.WarmUpTime), nil
+	if p.mode, p.modeShare = m, share; m == Healthy && was != Healthy && p.config.ColdRateShare > 0 {
+		p.warmAt, p.recentCalls = p.config.Now().Add(p.config.WarmUpTime), nil
 	}
-	p.end()
+	p.releaseHeldCalls()
 	p.mu.Unlock()
 	if (m == RefusingConnections) == (was == RefusingConnections) {
 		return nil
 	}
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		if m == RefusingConnections {
 			e.server.Close()
 		} else if err := p.listen(e); err != nil {
@@ -189,84 +189,84 @@
 }
 
 // EarlyCalls counts calls that came while a wait that this partner had told ran, but for the first 100 ms of it.
-func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.early }
+func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.earlyCalls }
 
 // RejectedCalls counts calls turned away above a limit.
-func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejected }
+func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejectedCalls }
 
 // Collapsed tells whether it was pushed over while it was cold.
-func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.fell }
+func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.collapsed }
 
 // SetRateShare has it take that part of its rate from now on; 1: all of it.
 func (p *Partner) SetRateShare(part float64) {
 	p.mu.Lock()
-	p.lowered = part
+	p.rateShare = part
 	p.mu.Unlock()
 }
 
-// rate is what it can take now. The caller holds mu.
-func (p *Partner) rate(now time.Time) float64 {
-	return p.usual(now) * p.lowered
+// currentRate is what it can take now. The caller holds mu.
+func (p *Partner) currentRate(now time.Time) float64 {
+	return p.warmUpRate(now) * p.rateShare
 }
 
-func (p *Partner) usual(now time.Time) float64 {
-	if p.set.Rate == 0 || !now.Before(p.warmAt) || p.set.WarmUpTime == 0 {
-		return p.set.Rate
+func (p *Partner) warmUpRate(now time.Time) float64 {
+	if p.config.Rate == 0 || !now.Before(p.warmAt) || p.config.WarmUpTime == 0 {
+		return p.config.Rate
 	}
-	warm := 1 - p.warmAt.Sub(now).Seconds()/p.set.WarmUpTime.Seconds()
-	return p.set.Rate * (p.set.ColdRateShare + (1-p.set.ColdRateShare)*warm)
+	warm := 1 - p.warmAt.Sub(now).Seconds()/p.config.WarmUpTime.Seconds()
+	return p.config.Rate * (p.config.ColdRateShare + (1-p.config.ColdRateShare)*warm)
 }
 
 // admit says what becomes of a call.
 func (p *Partner) admit() (Mode, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.set.Now()
-	if p.fell {
+	now := p.config.Now()
+	if p.collapsed {
 		return Unresponsive, false
 	}
-	if p.mode != Healthy && p.random.Float64() < p.share {
+	if p.mode != Healthy && p.random.Float64() < p.modeShare {
 		if p.mode == Unavailable {
-			p.told(now)
+			p.startRetryAfter(now)
 		}
 		return p.mode, false
 	}
-	if now.Before(p.waitTil) && now.After(p.waitTil.Add(100*time.Millisecond-p.set.RetryAfter)) {
-		p.early++
+	if now.Before(p.retryAfterUntil) && now.After(p.retryAfterUntil.Add(100*time.Millisecond-p.config.RetryAfter)) {
+		p.earlyCalls++
 	}
-	rate := p.rate(now)
-	if p.set.OverloadFactor > 0 && now.Before(p.warmAt) {
-		for len(p.recent) > 0 && now.Sub(p.recent[0]) > time.Second {
-			p.recent = p.recent[1:]
+	rate := p.currentRate(now)
+	if p.config.OverloadFactor > 0 && now.Before(p.warmAt) {
+		for len(p.recentCalls) > 0 && now.Sub(p.recentCalls[0]) > time.Second {
+			p.recentCalls = p.recentCalls[1:]
 		}
-		if p.recent = append(p.recent, now); float64(len(p.recent)) > max(2, p.set.OverloadFactor*rate) {
-			p.fell = true
+		if p.recentCalls = append(p.recentCalls, now); float64(len(p.recentCalls)) > max(2, p.config.OverloadFactor*rate) {
+			p.collapsed = true
 			return Unresponsive, false
 		}
 	}
 	if rate > 0 {
-		if !p.filled.IsZero() {
-			p.tokens = min(p.set.Burst, p.tokens+rate*now.Sub(p.filled).Seconds())
+		if !p.refilledAt.IsZero() {
+			p.tokens = min(p.config.Burst, p.tokens+rate*now.Sub(p.refilledAt).Seconds())
 		}
-		if p.filled = now; p.tokens < 1 {
-			p.rejected++
-			p.told(now)
+		if p.refilledAt = now; p.tokens < 1 {
+			p.rejectedCalls++
+			p.startRetryAfter(now)
 			return Unavailable, false
 		}
 		p.tokens--
 	}
-	if p.set.MaxConcurrentCalls > 0 && p.out >= p.set.MaxConcurrentCalls {
-		p.rejected++
-		p.told(now)
+	if p.config.MaxConcurrentCalls > 0 && p.inFlight >= p.config.MaxConcurrentCalls {
+		p.rejectedCalls++
+		p.startRetryAfter(now)
 		return Unavailable, false
 	}
-	p.out++
+	p.inFlight++
 	return Healthy, true
 }
 
-func (p *Partner) told(now time.Time) {
-	if p.set.RetryAfter > 0 {
-		p.waitTil = now.Add(p.set.RetryAfter)
+func (p *Partner) startRetryAfter(now time.Time) {
+	if p.config.RetryAfter > 0 {
+		p.retryAfterUntil = now.Add(p.config.RetryAfter)
 	}
 }
 
@@ -289,32 +289,32 @@
 	}
 	run := func() {
 		for i := range items {
-			if p.set.OnMessage != nil {
-				p.set.OnMessage(items[i].Body)
+			if p.config.OnMessage != nil {
+				p.config.OnMessage(items[i].Body)
 				items[i] = entry{ID: items[i].ID, State: "ok"}
 				continue
 			}
-			p.ledger.book(p.set.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body, p.set.Now())
+			p.effectLog.record(p.config.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body, p.config.Now())
 			items[i] = entry{ID: items[i].ID, State: "ok"}
 		}
 	}
-	seen := Call{Dest: p.set.Dest, MayHaveRun: true}
-	if p.set.OnCall != nil {
+	seen := Call{Dest: p.config.Dest, MayHaveRun: true}
+	if p.config.OnCall != nil {
 		for _, it := range items {
 			seen.IDs = append(seen.IDs, it.ID)
 		}
-		p.set.OnCall(seen)
+		p.config.OnCall(seen)
 		seen.Completed = true
-		defer func() { p.set.OnCall(seen) }()
-		w = &watched{w, &seen}
+		defer func() { p.config.OnCall(seen) }()
+		w = &callRecorder{w, &seen}
 	}
 	p.mu.Lock()
-	release := p.release
+	release := p.released
 	p.mu.Unlock()
 	mode, in := p.admit()
-	p.ledger.news.tell()
+	p.effectLog.changes.notify()
 	if in {
-		defer func() { p.mu.Lock(); p.out--; p.mu.Unlock() }()
+		defer func() { p.mu.Lock(); p.inFlight--; p.mu.Unlock() }()
 	}
 	switch mode {
 	case Unresponsive:
@@ -336,16 +336,16 @@
 		w.WriteHeader(500)
 		return
 	case Unavailable:
-		if p.set.RetryAfter > 0 {
-			w.Header().Set("Wait-Ms", strconv.FormatInt(p.set.RetryAfter.Milliseconds(), 10))
+		if p.config.RetryAfter > 0 {
+			w.Header().Set("Wait-Ms", strconv.FormatInt(p.config.RetryAfter.Milliseconds(), 10))
 			w.WriteHeader(429)
 			return
 		}
 		w.WriteHeader(503)
 		return
 	}
-	if p.set.ServiceTime > 0 {
-		time.Sleep(p.set.ServiceTime)
+	if p.config.ServiceTime > 0 {
+		time.Sleep(p.config.ServiceTime)
 	}
 	run()
 	seen.OK = true
@@ -354,20 +354,20 @@
 	}
 }
 
-// watched notes what a call is answered, before the answer goes out: what comes after it is sent in knowledge of it.
-type watched struct {
+// callRecorder notes what a call is answered, before the answer goes out: what comes after it is sent in knowledge of it.
+type callRecorder struct {
 	http.ResponseWriter
-	seen *Call
+	call *Call
 }
 
 // Unwrap is for http.ResponseController.
-func (w *watched) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *callRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *watched) WriteHeader(status int) {
+func (w *callRecorder) WriteHeader(status int) {
 	if status == 429 || status == 503 {
-		w.seen.MayHaveRun = false
+		w.call.MayHaveRun = false
 		if ms, err := strconv.Atoi(w.Header().Get("Wait-Ms")); err == nil {
-			w.seen.RetryAfter = time.Duration(ms) * time.Millisecond
+			w.call.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
--- a/internal/testdouble/platform.go
+++ b/internal/testdouble/platform.go
@@ -37,18 +37,18 @@
 type Platform struct {
 	Addr string
 
-	mu         sync.Mutex
-	generation int
-	list       map[string]*instance
-	changed    chan struct{}
-	notices    []Notification
-	watch      func(Notification)
-	silent     chan struct{} // not nil: nothing is answered until it is closed
-	slow       time.Duration // that a notice takes
-	news       *news
-	server     *http.Server
-	end        chan struct{}
-	views      []*http.Server
+	mu                sync.Mutex
+	generation        int
+	instances         map[string]*instance
+	changed           chan struct{}
+	notifications     []Notification
+	onNotification    func(Notification)
+	suspended         chan struct{} // not nil: nothing is answered until it is closed
+	notificationDelay time.Duration // that a notice takes
+	changes           *changeSignal
+	server            *http.Server
+	closed            chan struct{}
+	extraServers      []*http.Server
 }
 
 // ServeWithAddresses serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
@@ -59,21 +59,21 @@
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.tell(w, r, at) })
-	mux.HandleFunc("POST /v1/notices", p.notice)
+	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.writeEndpoints(w, r, at) })
+	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
 	s := &http.Server{Handler: mux}
 	p.mu.Lock()
-	p.views = append(p.views, s)
+	p.extraServers = append(p.extraServers, s)
 	p.mu.Unlock()
 	go s.Serve(ln)
 	return ln.Addr().String(), nil
 }
 
-func newPlatform(partners map[int]*Partner, n *news) (*Platform, error) {
-	p := &Platform{generation: 1, list: map[string]*instance{}, changed: make(chan struct{}), news: n, end: make(chan struct{})}
+func newPlatform(partners map[int]*Partner, n *changeSignal) (*Platform, error) {
+	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: n, closed: make(chan struct{})}
 	for _, one := range partners {
-		for i, e := range one.ends {
-			p.list[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: one.zone(i), Kind: one.set.Kind, Dest: one.set.Dest,
+		for i, e := range one.endpoints {
+			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: one.endpointZone(i), Kind: one.config.Kind, Dest: one.config.Dest,
 				Lifecycle: "in_service", Weight: 1, changed: 1}
 		}
 	}
@@ -83,19 +83,19 @@
 	}
 	p.Addr = ln.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", p.endpoints)
-	mux.HandleFunc("POST /v1/notices", p.notice)
+	mux.HandleFunc("GET /v1/endpoints", p.serveEndpoints)
+	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
 	p.server = &http.Server{Handler: mux}
 	go p.server.Serve(ln)
 	return p, nil
 }
 
 func (p *Platform) close() {
-	close(p.end)
+	close(p.closed)
 	p.server.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.views {
+	for _, s := range p.extraServers {
 		s.Close()
 	}
 }
@@ -104,24 +104,24 @@
 func (p *Platform) Suspend() (speak func()) {
 	ch := make(chan struct{})
 	p.mu.Lock()
-	p.silent = ch
+	p.suspended = ch
 	p.mu.Unlock()
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
-		p.silent = nil
+		p.suspended = nil
 		p.mu.Unlock()
 		close(ch)
 	})
 }
 
-func (p *Platform) hush() {
+func (p *Platform) waitWhileSuspended() {
 	p.mu.Lock()
-	silent := p.silent
+	silent := p.suspended
 	p.mu.Unlock()
 	if silent != nil {
 		select {
 		case <-silent:
-		case <-p.end:
+		case <-p.closed:
 		}
 	}
 }
@@ -130,16 +130,18 @@
 func (p *Platform) SetLifecycle(id, state string) {
 	p.mu.Lock()
 	p.generation++
-	p.list[id].Lifecycle, p.list[id].changed = state, p.generation
+	p.instances[id].Lifecycle, p.instances[id].changed = state, p.generation
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
 }
 
-func (p *Platform) endpoints(w http.ResponseWriter, r *http.Request) { p.tell(w, r, nil) }
+func (p *Platform) serveEndpoints(w http.ResponseWriter, r *http.Request) {
+	p.writeEndpoints(w, r, nil)
+}
 
-func (p *Platform) tell(w http.ResponseWriter, r *http.Request, at map[string]string) {
-	p.hush()
+func (p *Platform) writeEndpoints(w http.ResponseWriter, r *http.Request, at map[string]string) {
+	p.waitWhileSuspended()
 	from, err := strconv.Atoi(r.FormValue("from"))
 	whole := err != nil
 	if hold, _ := strconv.Atoi(r.FormValue("hold_ms")); !whole {
@@ -157,7 +159,7 @@
 					waiting = false
 				case <-r.Context().Done():
 					return
-				case <-p.end:
+				case <-p.closed:
 					return
 				}
 			}
@@ -169,8 +171,8 @@
 		Reset      bool       `json:"reset"`
 		Instances  []instance `json:"instances"`
 	}{p.generation, whole, []instance{}}
-	for _, id := range slices.Sorted(maps.Keys(p.list)) {
-		if e := p.list[id]; whole && e.Lifecycle != "terminated" || !whole && e.changed > from {
+	for _, id := range slices.Sorted(maps.Keys(p.instances)) {
+		if e := p.instances[id]; whole && e.Lifecycle != "terminated" || !whole && e.changed > from {
 			one := *e
 			if to, ok := at[one.HostPort]; ok {
 				one.HostPort = to
@@ -185,18 +187,18 @@
 // DelayNotifications has the platform take so long for each notice. One whose sender goes away meanwhile is not taken.
 func (p *Platform) DelayNotifications(d time.Duration) {
 	p.mu.Lock()
-	p.slow = d
+	p.notificationDelay = d
 	p.mu.Unlock()
 }
 
-func (p *Platform) notice(w http.ResponseWriter, r *http.Request) {
-	p.hush()
+func (p *Platform) serveNotifications(w http.ResponseWriter, r *http.Request) {
+	p.waitWhileSuspended()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
-	slow := p.slow
+	slow := p.notificationDelay
 	p.mu.Unlock()
 	select {
 	case <-time.After(slow):
@@ -213,8 +215,8 @@
 		got = append(got, n)
 	}
 	p.mu.Lock()
-	p.notices = append(p.notices, got...)
-	watch := p.watch
+	p.notifications = append(p.notifications, got...)
+	watch := p.onNotification
 	p.mu.Unlock()
 	for _, n := range got {
 		if watch != nil {
@@ -222,13 +224,13 @@
 		}
 	}
 	w.WriteHeader(204)
-	p.news.tell()
+	p.changes.notify()
 }
 
 // OnNotification makes f be told of each notice, before it is answered.
 func (p *Platform) OnNotification(f func(Notification)) {
 	p.mu.Lock()
-	p.watch = f
+	p.onNotification = f
 	p.mu.Unlock()
 }
 
@@ -237,7 +239,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := map[string]Notification{}
-	for _, n := range p.notices {
+	for _, n := range p.notifications {
 		all[n.Message] = n
 	}
 	return all
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -31,18 +31,18 @@
 	Addr, StateDir string
 	AdminAddr      string // the operators' address
 
-	world  *Environment
-	seat   *FleetConfig // nil: it is no part of a fleet
+	env    *Environment
+	fleet  *FleetConfig // nil: it is no part of a fleet
 	bin    string
 	args   []string
 	config string
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	log  []string // last lines of all lives
-	life []string // and of this one
-	runs chan struct{}
-	err  error // of the last life
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	allLog     []string // last lines of all lives
+	currentLog []string // and of this one
+	exited     chan struct{}
+	exitErr    error // of the last life
 }
 
 // FleetConfig is a relay's place in a fleet.
@@ -59,13 +59,13 @@
 }
 
 const (
-	logKept  = 50_000 // lines of each relay that are looked through; more than any test makes it log
-	logShown = 400    // of these, the last ones are shown where a test fails
+	maxLogLines  = 50_000 // lines of each relay that are looked through; more than any test makes it log
+	logTailLines = 400    // of these, the last ones are shown where a test fails
 )
 
 // StartRelay starts a relay of the world with these arguments and waits until it is ready.
-func (w *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
-	r, err := w.newRelay(bin, args)
+func (env *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
+	r, err := env.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
@@ -73,24 +73,24 @@
 }
 
 // NewRelay returns a further relay of the world, of the program of the last one, that is not started yet.
-func (w *Environment) NewRelay() (*Relay, error) {
-	w.mu.Lock()
-	last := w.relays[len(w.relays)-1]
-	w.mu.Unlock()
-	return w.newRelay(last.bin, last.args)
+func (env *Environment) NewRelay() (*Relay, error) {
+	env.mu.Lock()
+	last := env.relays[len(env.relays)-1]
+	env.mu.Unlock()
+	return env.newRelay(last.bin, last.args)
 }
 
 // NewFleetRelay returns a relay of a fleet that is not started yet.
-func (w *Environment) NewFleetRelay(bin string, seat *FleetConfig, args ...string) (*Relay, error) {
-	r, err := w.newRelay(bin, args)
+func (env *Environment) NewFleetRelay(bin string, seat *FleetConfig, args ...string) (*Relay, error) {
+	r, err := env.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
-	r.seat = seat
+	r.fleet = seat
 	return r, r.WriteConfig()
 }
 
-func (w *Environment) newRelay(bin string, args []string) (*Relay, error) {
+func (env *Environment) newRelay(bin string, args []string) (*Relay, error) {
 	addr, err := ReserveAddr()
 	if err != nil {
 		return nil, err
@@ -99,12 +99,12 @@
 	if err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	n := len(w.relays)
-	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(w.dir, fmt.Sprintf("state%d", n)), world: w, bin: bin, args: args,
-		config: filepath.Join(w.dir, fmt.Sprintf("config%d.json", n))}
-	w.relays = append(w.relays, r)
-	w.mu.Unlock()
+	env.mu.Lock()
+	n := len(env.relays)
+	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", n)), env: env, bin: bin, args: args,
+		config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", n))}
+	env.relays = append(env.relays, r)
+	env.mu.Unlock()
 	if err := os.Mkdir(r.StateDir, 0o700); err != nil {
 		return nil, err
 	}
@@ -113,26 +113,26 @@
 
 // WriteConfig writes what the platform tells the relay.
 func (r *Relay) WriteConfig() error {
-	return os.WriteFile(r.config, r.world.configuration(filepath.Base(r.StateDir), r.Addr, r.seat), 0o600)
+	return os.WriteFile(r.config, r.env.configJSON(filepath.Base(r.StateDir), r.Addr, r.fleet), 0o600)
 }
 
-// configuration is what the platform tells a relay.
-func (w *Environment) configuration(name, listen string, seat *FleetConfig) []byte {
+// configJSON is what the platform tells a relay.
+func (env *Environment) configJSON(name, listen string, seat *FleetConfig) []byte {
 	type object = map[string]any
 	var grades []object
-	for _, c := range w.set.Classes {
+	for _, c := range env.config.Classes {
 		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all", "promiseUs": c.TargetLatency.Microseconds(),
 			"deadlineUs": c.Deadline.Microseconds(), "repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
 			"inTurn": c.Ordered})
 	}
-	config := object{"name": name, "listen": listen, "discovery": w.Platform.Addr, "seed": fmt.Sprintf("%016x", w.set.Seed),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": w.set.MaxDescriptors, "disk_mb": w.set.DiskMB},
-		"settings": object{"fleetSize": w.set.FleetSize, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
+	config := object{"name": name, "listen": listen, "discovery": env.Platform.Addr, "seed": fmt.Sprintf("%016x", env.config.Seed),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": env.config.MaxDescriptors, "disk_mb": env.config.DiskMB},
+		"settings": object{"fleetSize": env.config.FleetSize, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
 			"kinds": []string{"broker", "small-partner"}, "zones": []string{"here"}, "tenants": []object{},
-			"familyInfo": object{"callSlots": w.set.MaxConcurrentCalls, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
+			"familyInfo": object{"callSlots": env.config.MaxConcurrentCalls, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
 				"feeByZone": []float64{0}, "decay": "linear"},
 			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000, "fallUs": 3_000_000, "overloadFactor": 2},
-			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": w.set.MaxPending,
+			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": env.config.MaxPending,
 				"maxRetryAfterUs": 3_000_000, "retryAfter": true}}}
 	if seat != nil {
 		config["peer_listen"], config["peers"], config["members"] = seat.PeerListen, seat.Peers, seat.Members
@@ -142,7 +142,7 @@
 		if seat.DiscoveryAddr != "" {
 			config["discovery"] = seat.DiscoveryAddr
 		}
-		config["seed"] = fmt.Sprintf("%016x", w.set.Seed+uint64(seat.Number)*7919)
+		config["seed"] = fmt.Sprintf("%016x", env.config.Seed+uint64(seat.Number)*7919)
 		set := config["settings"].(object)
 		set["me"], set["myZone"], set["zones"], set["fleetSize"] = seat.Number, seat.Zone, seat.Zones, len(seat.Peers)
 		set["policyLimits"].(object)["peers"] = true
@@ -168,10 +168,10 @@
 	if err != nil {
 		return nil, err
 	}
-	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, world: r.world, bin: r.bin, args: r.args, config: r.config}
-	r.world.mu.Lock()
-	r.world.relays = append(r.world.relays, next)
-	r.world.mu.Unlock()
+	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, env: r.env, bin: r.bin, args: r.args, config: r.config}
+	r.env.mu.Lock()
+	r.env.relays = append(r.env.relays, next)
+	r.env.mu.Unlock()
 	return next, next.launch()
 }
 
@@ -190,30 +190,30 @@
 	}
 	runs := make(chan struct{})
 	r.mu.Lock()
-	r.cmd, r.runs, r.life = cmd, runs, r.life[:0]
+	r.cmd, r.exited, r.currentLog = cmd, runs, r.currentLog[:0]
 	r.mu.Unlock()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			if r.seat != nil && r.seat.OnLogLine != nil {
-				r.seat.OnLogLine(lines.Text())
+			if r.fleet != nil && r.fleet.OnLogLine != nil {
+				r.fleet.OnLogLine(lines.Text())
 			}
 			r.mu.Lock()
-			r.log, r.life = append(r.log, lines.Text()), append(r.life, lines.Text())
-			if len(r.log) > logKept {
-				r.log = r.log[1:]
+			r.allLog, r.currentLog = append(r.allLog, lines.Text()), append(r.currentLog, lines.Text())
+			if len(r.allLog) > maxLogLines {
+				r.allLog = r.allLog[1:]
 			}
-			if len(r.life) > logKept {
-				r.life = r.life[1:]
+			if len(r.currentLog) > maxLogLines {
+				r.currentLog = r.currentLog[1:]
 			}
 			r.mu.Unlock()
-			r.world.news.tell()
+			r.env.changes.notify()
 		}
 		err := cmd.Wait()
 		r.mu.Lock()
-		r.err = err
+		r.exitErr = err
 		r.mu.Unlock()
 		close(runs)
-		r.world.news.tell()
+		r.env.changes.notify()
 	}()
 	return nil
 }
@@ -221,15 +221,15 @@
 // AwaitLog waits until the process has logged text.
 func (r *Relay) AwaitLog(text string) error {
 	ended := false
-	err := r.world.WaitUntil("the relay to log "+text, func() bool {
+	err := r.env.WaitUntil("the relay to log "+text, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		select {
-		case <-r.runs:
+		case <-r.exited:
 			ended = true
 		default:
 		}
-		return ended || slices.ContainsFunc(r.life, func(line string) bool { return strings.Contains(line, text) })
+		return ended || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
 	})
 	if err == nil && ended {
 		err = errors.New("the relay ended")
@@ -275,7 +275,7 @@
 // Wait waits for the process's end.
 func (r *Relay) Wait() error {
 	r.mu.Lock()
-	runs := r.runs
+	runs := r.exited
 	r.mu.Unlock()
 	if runs == nil {
 		return errors.New("not started")
@@ -283,21 +283,21 @@
 	<-runs
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.err
+	return r.exitErr
 }
 
 // LogTail is the last lines that the relay logged.
 func (r *Relay) LogTail() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return strings.Join(r.log[max(0, len(r.log)-logShown):], "\n")
+	return strings.Join(r.allLog[max(0, len(r.allLog)-logTailLines):], "\n")
 }
 
 // CountLogLines counts the lines of the log that hold text.
 func (r *Relay) CountLogLines(text string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, line := range r.log {
+	for _, line := range r.allLog {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -311,7 +311,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	res, err := (&http.Client{Timeout: hang}).Do(req)
+	res, err := (&http.Client{Timeout: maxWait}).Do(req)
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/testdouble/standin_test.go
+++ b/internal/testdouble/testdouble_test.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// clock is moved by hand.
-type clock struct {
+// manualClock is moved by hand.
+type manualClock struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-func (c *clock) now() time.Time { c.mu.Lock(); defer c.mu.Unlock(); return c.at }
+func (c *manualClock) now() time.Time { c.mu.Lock(); defer c.mu.Unlock(); return c.at }
 
-func (c *clock) move(d time.Duration) { c.mu.Lock(); c.at = c.at.Add(d); c.mu.Unlock() }
+func (c *manualClock) advance(d time.Duration) { c.mu.Lock(); c.at = c.at.Add(d); c.mu.Unlock() }
 
-func startWorld(t *testing.T, set Config) *Environment {
+func startEnvironment(t *testing.T, set Config) *Environment {
 	t.Helper()
 	w, err := NewEnvironment(set)
 	if err != nil {
@@ -33,9 +33,9 @@
 	return w
 }
 
-// call makes one call and returns the status, or 0 where the connection broke.
-func call(p *Partner, name, key string) int {
-	req, _ := http.NewRequest("POST", "http://"+p.ends[0].addr+"/hook", strings.NewReader(name))
+// postMessage makes one call and returns the status, or 0 where the connection broke.
+func postMessage(p *Partner, name, key string) int {
+	req, _ := http.NewRequest("POST", "http://"+p.endpoints[0].addr+"/hook", strings.NewReader(name))
 	req.Header.Set("X-Correlation-Id", "id-"+name)
 	if key != "" {
 		req.Header["idempotency-key"] = []string{key} // in this form the library does not send it again by itself
@@ -51,16 +51,16 @@
 
 // The ledger counts what took effect: repeats of keyed classes within their window are dropped, others are not.
 func TestLedger(t *testing.T) {
-	c := &clock{at: time.Unix(1000, 0)}
-	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7, Now: c.now}}})
+	c := &manualClock{at: time.Unix(1000, 0)}
+	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Now: c.now}}})
 	p := w.Partners[7]
 	for _, name := range []string{"order-relay/1", "order-relay/1", "fee-charge/1", "fee-charge/1", "price-alert/1"} {
-		if got := call(p, name, "key-"+name); got != 200 {
+		if got := postMessage(p, name, "key-"+name); got != 200 {
 			t.Fatalf("%s: %d", name, got)
 		}
 	}
-	c.move(6 * time.Second)
-	call(p, "order-relay/1", "key-order-relay/1") // the window is over
+	c.advance(6 * time.Second)
+	postMessage(p, "order-relay/1", "key-order-relay/1") // the window is over
 	if n := w.EffectLog.CountByName(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
 		t.Errorf("%v", n)
 	}
@@ -71,30 +71,30 @@
 
 // A partner keeps its rate, tells waits, counts calls that come before one is over, and falls if it is pushed while cold.
 func TestPartnerLimits(t *testing.T) {
-	c := &clock{at: time.Unix(1000, 0)}
-	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: c.now,
+	c := &manualClock{at: time.Unix(1000, 0)}
+	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: c.now,
 		ColdRateShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2}}})
 	p := w.Partners[7]
-	got := []int{call(p, "a", ""), call(p, "b", ""), call(p, "c", "")}
+	got := []int{postMessage(p, "a", ""), postMessage(p, "b", ""), postMessage(p, "c", "")}
 	if !slices.Equal(got, []int{200, 200, 429}) || p.RejectedCalls() != 1 || p.EarlyCalls() != 0 {
 		t.Fatalf("%v, rejected %d, early %d", got, p.RejectedCalls(), p.EarlyCalls())
 	}
-	c.move(500 * time.Millisecond)
-	if call(p, "d", ""); p.EarlyCalls() != 1 {
+	c.advance(500 * time.Millisecond)
+	if postMessage(p, "d", ""); p.EarlyCalls() != 1 {
 		t.Errorf("early %d", p.EarlyCalls())
 	}
 	p.SetMode(InternalError, 1)
-	if got := call(p, "e", ""); got != 500 {
+	if got := postMessage(p, "e", ""); got != 500 {
 		t.Errorf("broken: %d", got)
 	}
 	p.SetMode(Healthy, 0)
 	for i := range 4 { // 2 a second is what it can take, and some 4 what it stands
-		c.move(50 * time.Millisecond)
-		if call(p, fmt.Sprint("f", i), ""); p.Collapsed() {
+		c.advance(50 * time.Millisecond)
+		if postMessage(p, fmt.Sprint("f", i), ""); p.Collapsed() {
 			t.Fatalf("it fell at call %d", i)
 		}
 	}
-	go call(p, "one too many", "")
+	go postMessage(p, "one too many", "")
 	if err := w.WaitUntil("the partner to fall", p.Collapsed); err != nil {
 		t.Error(err)
 	}
@@ -102,13 +102,13 @@
 
 // Modes: resets before and after the effect, refusal of connections and the way back, and silence that ends.
 func TestPartnerModes(t *testing.T) {
-	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
+	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
 	p := w.Partners[7]
 	for m, want := range map[Mode]int{ResetBeforeRun: 0, ResetAfterRun: 0, Unavailable: 503, Healthy: 200} {
 		if err := p.SetMode(m, 1); err != nil {
 			t.Fatal(err)
 		}
-		if got := call(p, fmt.Sprint("m", int(m)), ""); got != want {
+		if got := postMessage(p, fmt.Sprint("m", int(m)), ""); got != want {
 			t.Errorf("mode %d: %d", m, got)
 		}
 	}
@@ -116,12 +116,12 @@
 		t.Errorf("%v", n)
 	}
 	p.SetMode(RefusingConnections, 1)
-	if got := call(p, "r", ""); got != 0 {
+	if got := postMessage(p, "r", ""); got != 0 {
 		t.Errorf("refusing: %d", got)
 	}
 	p.SetMode(Unresponsive, 1)
 	done := make(chan int)
-	go func() { done <- call(p, "s", "") }()
+	go func() { done <- postMessage(p, "s", "") }()
 	p.SetMode(Healthy, 0)
 	if got := <-done; got != 0 && got != 200 {
 		t.Errorf("silent: %d", got)
@@ -130,7 +130,7 @@
 
 // Discovery tells the list and wakes watches; notices are kept, and what is none is refused.
 func TestPlatform(t *testing.T) {
-	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7, Endpoints: 2}}})
+	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Endpoints: 2}}})
 	type list struct {
 		Generation int
 		Reset      bool
--- a/internal/testdouble/wasm/wasm.go
+++ b/internal/testdouble/wasm/wasm.go
@@ -21,7 +21,7 @@
 // DataAddress is where Data lies. Input is written from 65536 on.
 const DataAddress = 1024
 
-const input = 65536
+const inputAddress = 65536
 
 // Op codes.
 const (
@@ -31,7 +31,7 @@
 	i32, i64, void                                     = 0x7f, 0x7e, 0x40
 )
 
-func sleb(v int64) (b []byte) {
+func signedLEB128(v int64) (b []byte) {
 	for {
 		c := byte(v & 0x7f)
 		if v >>= 7; v == 0 && c&0x40 == 0 || v == -1 && c&0x40 != 0 {
@@ -41,9 +41,9 @@
 	}
 }
 
-func uleb(v int) []byte { return binary.AppendUvarint(nil, uint64(v)) }
+func unsignedLEB128(v int) []byte { return binary.AppendUvarint(nil, uint64(v)) }
 
-func join(parts ...[]byte) (b []byte) {
+func concat(parts ...[]byte) (b []byte) {
 	for _, p := range parts {
 		b = append(b, p...)
 	}
@@ -52,7 +52,7 @@
 
 // ReturnOutput returns an output of that address and size.
 func ReturnOutput(at, size uint32) []byte {
-	return append([]byte{opConst64}, sleb(int64(abi.Pack(at, size)))...)
+	return append([]byte{opConst64}, signedLEB128(int64(abi.Pack(at, size)))...)
 }
 
 // InfiniteLoop loops without end.
@@ -63,12 +63,12 @@
 
 // WriteThenTrap writes a byte where the output would lie, and traps.
 func WriteThenTrap() []byte {
-	return join([]byte{opConst32}, sleb(DataAddress), []byte{opConst32}, sleb(1), []byte{opStore8, 0, 0, opUnreachable})
+	return concat([]byte{opConst32}, signedLEB128(DataAddress), []byte{opConst32}, signedLEB128(1), []byte{opStore8, 0, 0, opUnreachable})
 }
 
 // GrowUntilTrap takes memory, a page at a time, until there is no more, and traps.
 func GrowUntilTrap() []byte {
-	return join([]byte{opLoop, void, opConst32}, sleb(1), []byte{opGrow, 0, opConst32}, sleb(-1), []byte{opNe, opBrIf, 0, opEnd, opUnreachable})
+	return concat([]byte{opLoop, void, opConst32}, signedLEB128(1), []byte{opGrow, 0, opConst32}, signedLEB128(-1), []byte{opNe, opBrIf, 0, opEnd, opUnreachable})
 }
 
 // Bytes assembles the module.
@@ -84,8 +84,8 @@
 		kind byte // index of its type
 		code []byte
 	}
-	functions := []function{{abi.ExportVersion, 0, append([]byte{opConst32}, sleb(int64(m.Version))...)},
-		{abi.ExportAlloc, 1, append([]byte{opConst32}, sleb(input)...)}}
+	functions := []function{{abi.ExportVersion, 0, append([]byte{opConst32}, signedLEB128(int64(m.Version))...)},
+		{abi.ExportAlloc, 1, append([]byte{opConst32}, signedLEB128(inputAddress)...)}}
 	for _, name := range []string{"on_handin", "shape_request", "read_answer"} {
 		if code, ok := m.Hooks[name]; ok {
 			functions = append(functions, function{name, 2, code})
@@ -94,26 +94,26 @@
 	if m.InitCode != nil {
 		functions = append(functions, function{"_initialize", 3, m.InitCode})
 	}
-	section := func(id byte, body []byte) []byte { return join([]byte{id}, uleb(len(body)), body) }
-	types := join(uleb(4), []byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
-	kinds, exports, code, n := uleb(len(functions)), []byte(nil), uleb(len(functions)), 0
+	section := func(id byte, body []byte) []byte { return concat([]byte{id}, unsignedLEB128(len(body)), body) }
+	types := concat(unsignedLEB128(4), []byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
+	kinds, exports, code, n := unsignedLEB128(len(functions)), []byte(nil), unsignedLEB128(len(functions)), 0
 	for i, f := range functions {
 		kinds = append(kinds, f.kind)
 		if f.name != m.OmitExport {
-			exports = join(exports, uleb(len(f.name)), []byte(f.name), []byte{0}, uleb(i))
+			exports = concat(exports, unsignedLEB128(len(f.name)), []byte(f.name), []byte{0}, unsignedLEB128(i))
 			n++
 		}
-		body := join([]byte{0}, f.code, []byte{opEnd})
-		code = join(code, uleb(len(body)), body)
+		body := concat([]byte{0}, f.code, []byte{opEnd})
+		code = concat(code, unsignedLEB128(len(body)), body)
 	}
 	if m.OmitExport != "memory" {
-		exports = join(exports, uleb(6), []byte("memory"), []byte{2, 0})
+		exports = concat(exports, unsignedLEB128(6), []byte("memory"), []byte{2, 0})
 		n++
 	}
-	out := join([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds), section(5, join([]byte{1, 0}, uleb(int(m.Pages)))),
-		section(7, join(uleb(n), exports)), section(10, code))
+	out := concat([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds), section(5, concat([]byte{1, 0}, unsignedLEB128(int(m.Pages)))),
+		section(7, concat(unsignedLEB128(n), exports)), section(10, code))
 	if len(m.Data) > 0 {
-		out = join(out, section(11, join([]byte{1, 0, opConst32}, sleb(DataAddress), []byte{opEnd}, uleb(len(m.Data)), m.Data)))
+		out = concat(out, section(11, concat([]byte{1, 0, opConst32}, signedLEB128(DataAddress), []byte{opEnd}, unsignedLEB128(len(m.Data)), m.Data)))
 	}
 	return out
 }
