--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -43,7 +43,7 @@
 func (o *observations) recordNotification(n testdouble.Notification) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, there := o.notifiedAt[n.Message]; !there {
+	if _, known := o.notifiedAt[n.Message]; !known {
 		o.notifiedAt[n.Message], o.outcomes[n.Message] = time.Now(), n.Outcome
 	}
 }
@@ -57,26 +57,26 @@
 		}
 		return ids
 	}
-	owed := func() (left []*request) {
-		ran := delivered()
+	unfinished := func() (requests []*request) {
+		effects := delivered()
 		s.observed.mu.Lock()
 		defer s.observed.mu.Unlock()
 		for _, r := range s.clients.sent {
-			if _, told := s.observed.notifiedAt[r.id]; r.outcome == answered && r.status == 202 && !told && !ran[r.id] {
-				left = append(left, r)
+			if _, notified := s.observed.notifiedAt[r.id]; r.outcome == answered && r.status == 202 && !notified && !effects[r.id] {
+				requests = append(requests, r)
 			}
 		}
-		return left
+		return requests
 	}
-	if err := s.env.WaitUntil("all that was taken on to end", func() bool { return len(owed()) == 0 }); err != nil {
-		for _, r := range owed() {
+	if err := s.env.WaitUntil("all that was taken on to end", func() bool { return len(unfinished()) == 0 }); err != nil {
+		for _, r := range unfinished() {
 			s.fail("taken on and never ended: %v", r)
 		}
 	}
 	counts, latest := map[string]int{}, time.Duration(0)
 	s.observed.mu.Lock()
 	for _, r := range s.clients.sent {
-		calls, how := s.observed.calls[r.id], s.observed.outcomes[r.id]
+		calls, outcome := s.observed.calls[r.id], s.observed.outcomes[r.id]
 		switch r.outcome {
 		case answered:
 			counts[statusName(r.status)]++
@@ -87,28 +87,28 @@
 		case unanswered:
 			s.fail("read and never answered: %v", r)
 		}
-		if refused := r.outcome == answered && r.status != 202; refused && len(calls) > 0 {
+		if rejected := r.outcome == answered && r.status != 202; rejected && len(calls) > 0 {
 			s.fail("answered %d and forwarded: %v", r.status, r)
 		}
-		if end, told := s.observed.notifiedAt[r.id]; told && slices.ContainsFunc(calls, func(at time.Time) bool { return at.After(end.Add(*timingSlack)) }) {
-			s.fail("forwarded after its end (%s): %v", how, r)
+		if notifiedAt, notified := s.observed.notifiedAt[r.id]; notified && slices.ContainsFunc(calls, func(at time.Time) bool { return at.After(notifiedAt.Add(*timingSlack)) }) {
+			s.fail("forwarded after its end (%s): %v", outcome, r)
 		}
-		if end, told := s.observed.notifiedAt[r.id]; told && r.outcome == answered && r.status == 202 {
-			due, overdue := r.sentAt.Add(r.timeLeft), maxNotificationDelay+*timingSlack
-			away := s.excused(r.relay, due) || s.excused(r.relay, due.Add(overdue))
-			if late := end.Sub(due); !away {
-				if latest = max(latest, late); late > overdue {
+		if notifiedAt, notified := s.observed.notifiedAt[r.id]; notified && r.outcome == answered && r.status == 202 {
+			deadline, allowed := r.sentAt.Add(r.timeLeft), maxNotificationDelay+*timingSlack
+			excused := s.excused(r.relay, deadline) || s.excused(r.relay, deadline.Add(allowed))
+			if late := notifiedAt.Sub(deadline); !excused {
+				if latest = max(latest, late); late > allowed {
 					s.fail("its notice came %v behind its time: %v", late, r)
 				}
 			}
 		}
-		if r.class == "fee-charge" && how == "handed_back" && len(calls) > 0 && r.outcome == answered && delivered()[r.id] {
+		if r.class == "fee-charge" && outcome == "handed_back" && len(calls) > 0 && r.outcome == answered && delivered()[r.id] {
 			s.fail("handed back and run: %v", r)
 		}
 	}
 	s.observed.mu.Unlock()
-	for _, double := range s.env.EffectLog.Duplicates("fee-charge") {
-		s.fail("a charge ran twice: %s", double)
+	for _, duplicate := range s.env.EffectLog.Duplicates("fee-charge") {
+		s.fail("a charge ran twice: %s", duplicate)
 	}
 	s.t.Logf("%d requests: %v; latest notice %v behind its time; %d planned stops, %d of them killed", len(s.clients.sent), counts, latest.Round(time.Millisecond), s.plannedStops, s.killedStops)
 	if counts["202"] < len(s.clients.sent)/10 {
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -69,11 +69,11 @@
 	return &connection{sock.(*net.TCPConn), bufio.NewReader(sock), relay, c.scenario.incarnation(relay)}
 }
 
-func (c *clients) record(how string, relay int, class string, left time.Duration) *request {
+func (c *clients) record(pattern string, relay int, class string, timeLeft time.Duration) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID++
-	r := &request{id: fmt.Sprintf("m%d", c.lastID), class: class, timeLeft: left, sentAt: time.Now(), relay: relay, pattern: how}
+	r := &request{id: fmt.Sprintf("m%d", c.lastID), class: class, timeLeft: timeLeft, sentAt: time.Now(), relay: relay, pattern: pattern}
 	c.sent = append(c.sent, r)
 	return r
 }
@@ -124,7 +124,7 @@
 	if err != nil {
 		return false
 	}
-	for by := time.Now().Add(resetTimeout); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(resetTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		failure := 0
 		raw.Control(func(fd uintptr) { failure, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) })
 		if failure != 0 {
@@ -144,7 +144,7 @@
 func (c *clients) run(random *rand.Rand) {
 	defer c.running.Done()
 	var conn *connection
-	way := usagePatterns[min(random.IntN(6), len(usagePatterns)-1)%len(usagePatterns)]
+	pattern := usagePatterns[min(random.IntN(6), len(usagePatterns)-1)%len(usagePatterns)]
 	for {
 		select {
 		case <-c.stop:
@@ -159,23 +159,23 @@
 				continue
 			}
 		}
-		if !way.use(c, random, conn) {
+		if !pattern.use(c, random, conn) {
 			conn.Close()
 			conn = nil
 		}
 		if random.IntN(40) == 0 {
-			way = usagePatterns[random.IntN(len(usagePatterns))]
+			pattern = usagePatterns[random.IntN(len(usagePatterns))]
 		}
 	}
 }
 
-func (c *clients) newRequest(how string, random *rand.Rand, relay int) (*request, string) {
-	r := c.record(how, relay, []string{"price-alert", "order-relay", "fee-charge"}[random.IntN(3)], time.Duration(400+random.IntN(3000))*time.Millisecond)
+func (c *clients) newRequest(pattern string, random *rand.Rand, relay int) (*request, string) {
+	r := c.record(pattern, relay, []string{"price-alert", "order-relay", "fee-charge"}[random.IntN(3)], time.Duration(400+random.IntN(3000))*time.Millisecond)
 	return r, r.wireText(1 + random.IntN(destinationCount))
 }
 
 // send writes text on which r is due an answer, and reads that.
-func (c *clients) send(conn *connection, r *request, text string) (goesOn bool) {
+func (c *clients) send(conn *connection, r *request, text string) (keepOpen bool) {
 	if _, err := io.WriteString(conn, text); err != nil {
 		c.classifyFailure(conn, r, err)
 		return false
@@ -204,22 +204,22 @@
 
 // pipelined sends two requests at once.
 func (c *clients) pipelined(random *rand.Rand, conn *connection) bool {
-	one, first := c.newRequest("one packet, first", random, conn.relay)
-	two, second := c.newRequest("one packet, second", random, conn.relay)
-	if !c.send(conn, one, first+second) {
-		if one.outcome == answered {
+	first, firstText := c.newRequest("one packet, first", random, conn.relay)
+	second, secondText := c.newRequest("one packet, second", random, conn.relay)
+	if !c.send(conn, first, firstText+secondText) {
+		if first.outcome == answered {
 			_, err := conn.r.Peek(1)
 			if err == nil { // said to close, and yet it answers
-				c.readResponse(conn, two)
+				c.readResponse(conn, second)
 				return false
 			}
-			c.classifyFailure(conn, two, err)
+			c.classifyFailure(conn, second, err)
 			return false
 		}
-		two.outcome, two.failure = one.outcome, one.failure
+		second.outcome, second.failure = first.outcome, first.failure
 		return false
 	}
-	return !c.readResponse(conn, two)
+	return !c.readResponse(conn, second)
 }
 
 // sendPartial stops in the middle of a request and stays: it is owed an error or a close within 3 s.
@@ -229,24 +229,24 @@
 	c.sent = c.sent[:len(c.sent)-1] // it is no request
 	c.mu.Unlock()
 	io.WriteString(conn, text[:1+random.IntN(len(text)-1)])
-	began := time.Now()
-	conn.SetReadDeadline(began.Add(responseTimeout))
+	startedAt := time.Now()
+	conn.SetReadDeadline(startedAt.Add(responseTimeout))
 	if _, err := io.Copy(io.Discard, conn.r); errors.Is(err, os.ErrDeadlineExceeded) && !c.scenario.killed(conn.relay, conn.incarnation) {
-		c.scenario.fail("half a request was kept for %v", time.Since(began))
+		c.scenario.fail("half a request was kept for %v", time.Since(startedAt))
 	}
 	return false
 }
 
 // holdIdleConnections connects, says nothing and stays for a while.
-func (c *clients) holdIdleConnections(relay, size int, stay time.Duration) {
-	var all []net.Conn
-	for range size {
+func (c *clients) holdIdleConnections(relay, count int, duration time.Duration) {
+	var conns []net.Conn
+	for range count {
 		if conn, err := net.DialTimeout("tcp", c.scenario.relays[relay].Addr, time.Second); err == nil {
-			all = append(all, conn)
+			conns = append(conns, conn)
 		}
 	}
-	time.Sleep(stay)
-	for _, conn := range all {
+	time.Sleep(duration)
+	for _, conn := range conns {
 		conn.Close()
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -81,10 +81,10 @@
 }
 
 // killed tells whether that life of a relay was killed outright.
-func (s *scenario) killed(relay, life int) bool {
+func (s *scenario) killed(relay, incarnation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.killedIncarnations[relay] >= life
+	return s.killedIncarnations[relay] >= incarnation
 }
 
 func (s *scenario) fail(format string, args ...any) {
@@ -105,77 +105,77 @@
 	if _, err := relayBinary(); err != nil {
 		t.Fatal(err)
 	}
-	turns := make(chan struct{}, *maxParallel)
+	slots := make(chan struct{}, *maxParallel)
 	for n := range *seedCount {
 		seed := *firstSeed + n
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			runScenario(t, uint64(seed))
 		})
 	}
 }
 
 func runScenario(t *testing.T, seed uint64) {
-	d := &scenario{t: t, incarnations: make([]int, relayCount), excusedSpans: make([][]span, relayCount), killedIncarnations: make([]int, relayCount), startedAt: time.Now(), observed: newObservations()}
+	s := &scenario{t: t, incarnations: make([]int, relayCount), excusedSpans: make([][]span, relayCount), killedIncarnations: make([]int, relayCount), startedAt: time.Now(), observed: newObservations()}
 	random := rand.New(rand.NewPCG(seed, 41))
-	set := testdouble.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: relayCount}
+	config := testdouble.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: relayCount}
 	for n := range destinationCount {
-		set.Partners = append(set.Partners, testdouble.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
-			RetryAfter: 150 * time.Millisecond, OnCall: d.observed.recordCall})
+		config.Partners = append(config.Partners, testdouble.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
+			RetryAfter: 150 * time.Millisecond, OnCall: s.observed.recordCall})
 	}
 	var err error
-	if d.env, err = testdouble.NewEnvironment(set); err != nil {
+	if s.env, err = testdouble.NewEnvironment(config); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.env.Close)
-	d.env.Platform.OnNotification(d.observed.recordNotification)
+	t.Cleanup(s.env.Close)
+	s.env.Platform.OnNotification(s.observed.recordNotification)
 	bin, _ := relayBinary()
 	for range relayCount {
-		r, err := d.env.StartRelay(bin)
+		r, err := s.env.StartRelay(bin)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.relays = append(d.relays, r)
-		d.incarnations[len(d.relays)-1] = 1
+		s.relays = append(s.relays, r)
+		s.incarnations[len(s.relays)-1] = 1
 	}
-	d.clients = &clients{scenario: d, stop: make(chan struct{})}
+	s.clients = &clients{scenario: s, stop: make(chan struct{})}
 	for n := range clientCount {
-		d.clients.running.Add(1)
-		go d.clients.run(rand.New(rand.NewPCG(seed, uint64(100+n))))
+		s.clients.running.Add(1)
+		go s.clients.run(rand.New(rand.NewPCG(seed, uint64(100+n))))
 	}
-	var troubles sync.WaitGroup
+	var faults sync.WaitGroup
 	for relay := range relayCount {
-		own := rand.New(rand.NewPCG(seed, uint64(1000+relay)))
-		troubles.Go(func() { d.injectRelayFaults(own, relay) })
+		random := rand.New(rand.NewPCG(seed, uint64(1000+relay)))
+		faults.Go(func() { s.injectRelayFaults(random, relay) })
 	}
-	troubles.Go(func() { d.injectPartnerFaults(rand.New(rand.NewPCG(seed, 2000))) })
-	troubles.Go(func() { d.injectPlatformFaults(rand.New(rand.NewPCG(seed, 4000))) })
-	troubles.Go(func() { d.injectIdleConnections(rand.New(rand.NewPCG(seed, 3000))) })
-	troubles.Wait()
-	for _, p := range d.env.Partners {
+	faults.Go(func() { s.injectPartnerFaults(rand.New(rand.NewPCG(seed, 2000))) })
+	faults.Go(func() { s.injectPlatformFaults(rand.New(rand.NewPCG(seed, 4000))) })
+	faults.Go(func() { s.injectIdleConnections(rand.New(rand.NewPCG(seed, 3000))) })
+	faults.Wait()
+	for _, p := range s.env.Partners {
 		if err := p.SetMode(testdouble.Healthy, 1); err != nil {
 			t.Error(err)
 		}
 	}
-	close(d.clients.stop)
-	d.clients.running.Wait()
-	d.check()
+	close(s.clients.stop)
+	s.clients.running.Wait()
+	s.check()
 }
 
 // excuse notes that since then, and for some time from now on, no notice of a relay is overdue.
-func (s *scenario) excuse(relay int, since time.Time, more time.Duration) {
+func (s *scenario) excuse(relay int, since time.Time, grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.excusedSpans[relay] = append(s.excusedSpans[relay], span{since, time.Now().Add(more)})
+	s.excusedSpans[relay] = append(s.excusedSpans[relay], span{since, time.Now().Add(grace)})
 }
 
 // excused tells whether a relay was away at that time.
-func (s *scenario) excused(relay int, at time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.excusedSpans[relay], func(s span) bool { return !at.Before(s.from) && at.Before(s.to) })
+func (excused *scenario) excused(relay int, at time.Time) bool {
+	excused.mu.Lock()
+	defer excused.mu.Unlock()
+	return slices.ContainsFunc(excused.excusedSpans[relay], func(s span) bool { return !at.Before(s.from) && at.Before(s.to) })
 }
 
 func (s *scenario) over() bool { return time.Since(s.startedAt) > scenarioLength }
@@ -218,29 +218,29 @@
 func (s *scenario) injectPlatformFaults(random *rand.Rand) {
 	for !s.over() {
 		time.Sleep(time.Duration(300+random.IntN(2000)) * time.Millisecond)
-		slow := time.Duration(random.IntN(200)) * time.Millisecond
-		s.logEvent("notices take %v", slow)
-		s.env.Platform.DelayNotifications(slow)
+		delay := time.Duration(random.IntN(200)) * time.Millisecond
+		s.logEvent("notices take %v", delay)
+		s.env.Platform.DelayNotifications(delay)
 		time.Sleep(time.Duration(300+random.IntN(1500)) * time.Millisecond)
 		s.env.Platform.DelayNotifications(0)
 	}
 }
 
 // limitResource has system calls of a relay fail for a while: writes to its folder, or whatever takes a descriptor.
-func (s *scenario) limitResource(relay int, what string, resource int, to uint64, long time.Duration) {
+func (s *scenario) limitResource(relay int, name string, resource int, limit uint64, duration time.Duration) {
 	r, began := s.relays[relay], time.Now()
 	defer func() { s.excuse(relay, began, notificationGrace) }()
-	var was unix.Rlimit
-	if err := unix.Prlimit(r.PID(), resource, nil, &was); err != nil {
+	var previous unix.Rlimit
+	if err := unix.Prlimit(r.PID(), resource, nil, &previous); err != nil {
 		s.t.Error(err)
 		return
 	}
-	s.logEvent("%s: %s bound to %d for %v", r.Addr, what, to, long)
-	low := was
-	low.Cur = to
-	unix.Prlimit(r.PID(), resource, &low, nil)
-	time.Sleep(long)
-	unix.Prlimit(r.PID(), resource, &was, nil)
+	s.logEvent("%s: %s bound to %d for %v", r.Addr, name, limit, duration)
+	lowered := previous
+	lowered.Cur = limit
+	unix.Prlimit(r.PID(), resource, &lowered, nil)
+	time.Sleep(duration)
+	unix.Prlimit(r.PID(), resource, &previous, nil)
 }
 
 // stopSignals are the signals of a planned stop.
@@ -255,8 +255,8 @@
 	if !outright {
 		signals := stopSignals[random.IntN(len(stopSignals))]
 		s.logEvent("relay %d: %v", relay, signals)
-		for _, s := range signals {
-			r.Signal(s)
+		for _, signal := range signals {
+			r.Signal(signal)
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- r.Wait() }()
@@ -278,14 +278,14 @@
 	} else {
 		s.killRelay(relay)
 	}
-	for again := random.IntN(3) == 0; ; again = false {
+	for killAgain := random.IntN(3) == 0; ; killAgain = false {
 		time.Sleep(restartDelay)
 		s.countStart(relay)
 		if err := r.Launch(); err != nil {
 			s.t.Error(err)
 			return
 		}
-		if !again {
+		if !killAgain {
 			break
 		}
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond) // killed in its start
--- a/internal/testdouble/effectlog.go
+++ b/internal/testdouble/effectlog.go
@@ -26,8 +26,8 @@
 	changes *changeSignal
 }
 
-func newEffectLog(classes []Class, n *changeSignal) *EffectLog {
-	l := &EffectLog{classes: map[string]Class{}, lastRun: map[string]time.Time{}, changes: n}
+func newEffectLog(classes []Class, changes *changeSignal) *EffectLog {
+	l := &EffectLog{classes: map[string]Class{}, lastRun: map[string]time.Time{}, changes: changes}
 	for _, c := range classes {
 		l.classes[c.Name] = c
 	}
@@ -76,13 +76,13 @@
 
 // CountByName returns how often each message took effect.
 func (l *EffectLog) CountByName() map[string]int {
-	n := map[string]int{}
+	counts := map[string]int{}
 	for _, e := range l.Entries() {
 		if !e.Deduplicated {
-			n[e.Name]++
+			counts[e.Name]++
 		}
 	}
-	return n
+	return counts
 }
 
 // Duplicates names the messages of a class that took effect more than once.
--- a/internal/testdouble/environment.go
+++ b/internal/testdouble/environment.go
@@ -63,39 +63,39 @@
 }
 
 // NewEnvironment starts the platform and the partners.
-func NewEnvironment(set Config) (*Environment, error) {
-	if set.Classes == nil {
-		set.Classes = DefaultClasses
+func NewEnvironment(config Config) (*Environment, error) {
+	if config.Classes == nil {
+		config.Classes = DefaultClasses
 	}
-	for v, fallback := range map[*int]int{&set.MaxConcurrentCalls: 32, &set.MaxPending: 1000, &set.MaxDescriptors: 1024, &set.FleetSize: 1} {
-		if *v == 0 {
-			*v = fallback
+	for field, fallback := range map[*int]int{&config.MaxConcurrentCalls: 32, &config.MaxPending: 1000, &config.MaxDescriptors: 1024, &config.FleetSize: 1} {
+		if *field == 0 {
+			*field = fallback
 		}
 	}
-	if set.DiskMB == 0 {
-		set.DiskMB = 16
+	if config.DiskMB == 0 {
+		config.DiskMB = 16
 	}
 	dir, err := os.MkdirTemp("", "standin")
 	if err != nil {
 		return nil, err
 	}
-	w := &Environment{config: set, dir: dir, changes: newChangeSignal(), Partners: map[int]*Partner{}}
-	w.EffectLog = newEffectLog(set.Classes, w.changes)
-	for i, p := range set.Partners {
-		one, err := newPartner(p, set.Seed+uint64(i), w.EffectLog)
+	env := &Environment{config: config, dir: dir, changes: newChangeSignal(), Partners: map[int]*Partner{}}
+	env.EffectLog = newEffectLog(config.Classes, env.changes)
+	for i, partnerConfig := range config.Partners {
+		partner, err := newPartner(partnerConfig, config.Seed+uint64(i), env.EffectLog)
 		if err != nil {
-			w.Close()
+			env.Close()
 			return nil, err
 		}
-		w.Partners[p.Dest] = one
-		w.closers = append(w.closers, one.close)
+		env.Partners[partnerConfig.Dest] = partner
+		env.closers = append(env.closers, partner.close)
 	}
-	if w.Platform, err = newPlatform(w.Partners, w.changes); err != nil {
-		w.Close()
+	if env.Platform, err = newPlatform(env.Partners, env.changes); err != nil {
+		env.Close()
 		return nil, err
 	}
-	w.closers = append(w.closers, w.Platform.close)
-	return w, nil
+	env.closers = append(env.closers, env.Platform.close)
+	return env, nil
 }
 
 // Close kills the relays and ends all stand-ins.
@@ -138,18 +138,18 @@
 }
 
 func (s *changeSignal) waitUntil(what string, cond func() bool) error {
-	bound := time.NewTimer(maxWait)
-	defer bound.Stop()
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		ch := s.changed
+		changed := s.changed
 		s.mu.Unlock()
 		if cond() {
 			return nil
 		}
 		select {
-		case <-ch:
-		case <-bound.C:
+		case <-changed:
+		case <-timer.C:
 			return fmt.Errorf("waited in vain for %s", what)
 		}
 	}
--- a/internal/testdouble/faultfs/faultfs.go
+++ b/internal/testdouble/faultfs/faultfs.go
@@ -89,7 +89,7 @@
 }
 
 // nextFault counts an operation that changes something and returns its fault. The caller holds mu.
-func (fs *FS) nextFault(what string) Fault {
+func (fs *FS) nextFault(operation string) Fault {
 	if fs.killed {
 		return Kill
 	}
@@ -98,7 +98,7 @@
 	if f == Kill || f == Torn {
 		fs.killed = true
 	}
-	fs.operations = append(fs.operations, fmt.Sprint(fs.operationCount, " ", what, " ", f))
+	fs.operations = append(fs.operations, fmt.Sprint(fs.operationCount, " ", operation, " ", f))
 	return f
 }
 
@@ -138,10 +138,10 @@
 }
 
 // run runs an operation that is done or not done.
-func (fs *FS) run(what string, f func() error) error {
+func (fs *FS) run(operation string, f func() error) error {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	switch fs.nextFault(what) {
+	switch fs.nextFault(operation) {
 	case Kill:
 		return ErrKilled
 	case Torn:
@@ -211,31 +211,31 @@
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	fault := f.fs.nextFault(fmt.Sprint("write ", *f.name, " ", len(b)))
-	put := func(n int) { f.fs.files[*f.name] = append(f.fs.files[*f.name], b[:n]...) }
+	write := func(n int) { f.fs.files[*f.name] = append(f.fs.files[*f.name], b[:n]...) }
 	switch fault {
 	case Kill:
 		return 0, ErrKilled
 	case Torn:
-		put(len(b) / 2)
+		write(len(b) / 2)
 		return 0, ErrKilled
 	case Error:
 		return 0, syscall.EIO
 	case Short:
-		put(len(b) / 2)
+		write(len(b) / 2)
 		return len(b) / 2, nil
 	}
 	if free := f.fs.maxFileSize - int64(len(f.fs.files[*f.name])); f.fs.maxFileSize > 0 && int64(len(b)) > free {
-		put(int(free))
+		write(int(free))
 		return int(free), syscall.EFBIG
 	}
 	if f.fs.capacity > 0 {
 		if free := f.fs.capacity - f.fs.usedBytes() + 511; int64(len(b)) > free { // its last block may have room
 			n := int(max(0, free-511))
-			put(min(n, len(b)))
+			write(min(n, len(b)))
 			return min(n, len(b)), syscall.ENOSPC
 		}
 	}
-	put(len(b))
+	write(len(b))
 	return len(b), nil
 }
 
--- a/internal/testdouble/faultnet/network.go
+++ b/internal/testdouble/faultnet/network.go
@@ -32,13 +32,13 @@
 }
 
 // allows tells whether anything gets from one relay to another.
-func (w *Faults) allows(from, to int) bool {
-	for _, group := range w.Partitions {
+func (f *Faults) allows(from, to int) bool {
+	for _, group := range f.Partitions {
 		if group[from] != group[to] {
 			return false
 		}
 	}
-	return !w.NoReceive[to] && !w.NoSend[from] && !w.BlockedPairs[[2]int{from, to}]
+	return !f.NoReceive[to] && !f.NoSend[from] && !f.BlockedPairs[[2]int{from, to}]
 }
 
 // Network is the ways between the relays of one fleet. Close ends it.
@@ -97,10 +97,10 @@
 }
 
 // PeerAddrs are the addresses that relay i is told, by number: its own, and a link's for each other.
-func (n *Network) PeerAddrs(i int) (all []string) {
-	for j, sock := range n.sockets[i] {
-		if j == i {
-			all = append(all, n.relayAddrs[i].String())
+func (n *Network) PeerAddrs(relay int) (all []string) {
+	for j, sock := range n.sockets[relay] {
+		if j == relay {
+			all = append(all, n.relayAddrs[relay].String())
 			continue
 		}
 		all = append(all, sock.LocalAddr().String())
@@ -109,31 +109,31 @@
 }
 
 // AddAlias has a further address stand for relay i, as if two processes had one number: it is heard as i, and hears what i hears.
-func (n *Network) AddAlias(i int, listen string) error {
+func (n *Network) AddAlias(relay int, listen string) error {
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return err
 	}
-	n.alias.Store(&map[int]netip.AddrPort{i: at})
+	n.alias.Store(&map[int]netip.AddrPort{relay: at})
 	return nil
 }
 
 // aliasOf is the second address of a relay, if there is one.
-func (n *Network) aliasOf(i int) (at netip.AddrPort, ok bool) {
+func (n *Network) aliasOf(relay int) (at netip.AddrPort, ok bool) {
 	if all := n.alias.Load(); all != nil {
-		at, ok = (*all)[i]
+		at, ok = (*all)[relay]
 	}
 	return at, ok
 }
 
 // SetFaults puts ways in force. What is late already still comes.
-func (n *Network) SetFaults(w Faults) { n.faults.Store(&w) }
+func (n *Network) SetFaults(f Faults) { n.faults.Store(&f) }
 
 // Faults are those in force.
 func (n *Network) Faults() Faults { return *n.faults.Load() }
 
 // Counts tells how many notes were sent, how many of them arrived, how many bytes were sent and how many notes were longer than may be.
-func (n *Network) Counts() (sent, carried, bytes, tooLong int) {
+func (n *Network) Counts() (sent, delivered, bytes, oversized int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent, n.delivered, n.bytes, n.oversized
@@ -158,33 +158,33 @@
 }
 
 // forward passes on what relay i sends to j, until the way is closed. A stranger's note is not passed on.
-func (n *Network) forward(i, j int, sock *net.UDPConn) {
+func (n *Network) forward(from, to int, sock *net.UDPConn) {
 	buf := make([]byte, 4*MaxMessageBytes)
 	for {
-		size, from, err := sock.ReadFromUDPAddrPort(buf)
+		size, source, err := sock.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if also, ok := n.aliasOf(i); from != n.relayAddrs[i] && !(ok && from == also) {
+		if alias, ok := n.aliasOf(from); source != n.relayAddrs[from] && !(ok && source == alias) {
 			continue
 		}
-		w := n.faults.Load()
-		if w.OnSend != nil {
-			w.OnSend(i, j, buf[:size])
+		faults := n.faults.Load()
+		if faults.OnSend != nil {
+			faults.OnSend(from, to, buf[:size])
 		}
-		for _, late := range n.drawDelays(w, i, j, size) {
-			note := append([]byte(nil), buf[:size]...)
-			if late == 0 {
-				n.deliver(i, j, note)
+		for _, delay := range n.drawDelays(faults, from, to, size) {
+			message := append([]byte(nil), buf[:size]...)
+			if delay == 0 {
+				n.deliver(from, to, message)
 				continue
 			}
-			n.runAfter(late, func() { n.deliver(i, j, note) })
+			n.runAfter(delay, func() { n.deliver(from, to, message) })
 		}
 	}
 }
 
 // drawDelays draws how often a note arrives, and how late each time.
-func (n *Network) drawDelays(w *Faults, i, j, size int) (arrivals []time.Duration) {
+func (n *Network) drawDelays(faults *Faults, from, to, size int) (delays []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent++
@@ -193,45 +193,45 @@
 		n.oversized++
 		return nil
 	}
-	if !w.allows(i, j) || w.LossRate > 0 && n.rng.Float64() < w.LossRate {
+	if !faults.allows(from, to) || faults.LossRate > 0 && n.rng.Float64() < faults.LossRate {
 		return nil
 	}
-	times := 1
-	if w.DuplicateRate > 0 && n.rng.Float64() < w.DuplicateRate {
-		times = 2
+	copies := 1
+	if faults.DuplicateRate > 0 && n.rng.Float64() < faults.DuplicateRate {
+		copies = 2
 	}
-	for range times {
-		late := time.Duration(0)
-		if w.MaxDelay > 0 {
-			late = time.Duration(n.rng.Int64N(int64(w.MaxDelay) + 1))
+	for range copies {
+		delay := time.Duration(0)
+		if faults.MaxDelay > 0 {
+			delay = time.Duration(n.rng.Int64N(int64(faults.MaxDelay) + 1))
 		}
-		arrivals = append(arrivals, late)
+		delays = append(delays, delay)
 	}
-	return arrivals
+	return delays
 }
 
-func (n *Network) runAfter(after time.Duration, do func()) {
+func (n *Network) runAfter(delay time.Duration, callback func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return
 	}
 	var t *time.Timer
-	t = time.AfterFunc(after, func() {
+	t = time.AfterFunc(delay, func() {
 		n.mu.Lock()
 		delete(n.timers, t)
 		n.mu.Unlock()
-		do()
+		callback()
 	})
 	n.timers[t] = struct{}{}
 }
 
 // deliver writes a note to relay j, as from where it knows i.
-func (n *Network) deliver(i, j int, note []byte) {
-	if also, ok := n.aliasOf(j); ok {
-		n.sockets[j][i].WriteToUDPAddrPort(note, also)
+func (n *Network) deliver(from, to int, message []byte) {
+	if alias, ok := n.aliasOf(to); ok {
+		n.sockets[to][from].WriteToUDPAddrPort(message, alias)
 	}
-	if _, err := n.sockets[j][i].WriteToUDPAddrPort(note, n.relayAddrs[j]); err == nil {
+	if _, err := n.sockets[to][from].WriteToUDPAddrPort(message, n.relayAddrs[to]); err == nil {
 		n.mu.Lock()
 		n.delivered++
 		n.mu.Unlock()
--- a/internal/testdouble/faultnet/network_test.go
+++ b/internal/testdouble/faultnet/network_test.go
@@ -21,36 +21,36 @@
 // Each way carries what its relay sends, as from the address under which the receiver knows it; a cut takes one direction, a group, a pair; a stranger and a note
 // of 257 bytes go nowhere.
 func TestNetwork(t *testing.T) {
-	var socks []*net.UDPConn
+	var sockets []*net.UDPConn
 	var listen []string
 	for range 3 {
-		socks = append(socks, openSocket(t))
-		listen = append(listen, socks[len(socks)-1].LocalAddr().String())
+		sockets = append(sockets, openSocket(t))
+		listen = append(listen, sockets[len(sockets)-1].LocalAddr().String())
 	}
 	n, err := New(listen, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	send := func(i, j int, note []byte) {
-		if _, err := socks[i].WriteToUDPAddrPort(note, netip.MustParseAddrPort(n.PeerAddrs(i)[j])); err != nil {
+	send := func(i, j int, message []byte) {
+		if _, err := sockets[i].WriteToUDPAddrPort(message, netip.MustParseAddrPort(n.PeerAddrs(i)[j])); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// heard tells which of the notes sent to j come, up to the mark that is sent behind them where everything passes.
 	buf := make([]byte, 1024)
 	read := func(j int) (string, string) {
-		socks[j].SetReadDeadline(time.Now().Add(20 * time.Second))
-		size, from, err := socks[j].ReadFromUDPAddrPort(buf)
+		sockets[j].SetReadDeadline(time.Now().Add(20 * time.Second))
+		size, from, err := sockets[j].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(buf[:size]), from.String()
 	}
-	heard := func(j int, w Faults, send1 func()) (all []string) {
-		n.SetFaults(w)
+	received := func(j int, faults Faults, transmit func()) (all []string) {
+		n.SetFaults(faults)
 		before, _, _, _ := n.Counts()
-		send1()
+		transmit()
 		for sent := before; sent < before+1; sent, _, _, _ = n.Counts() {
 			time.Sleep(time.Millisecond)
 		}
@@ -65,26 +65,26 @@
 		}
 	}
 	for _, c := range []struct {
-		name string
-		ways Faults
-		want bool
+		name   string
+		faults Faults
+		want   bool
 	}{{"all", Faults{}, true}, {"deaf", Faults{NoReceive: map[int]bool{1: true}}, false}, {"deaf sender", Faults{NoReceive: map[int]bool{0: true}}, true},
 		{"mute", Faults{NoSend: map[int]bool{0: true}}, false}, {"mute receiver", Faults{NoSend: map[int]bool{1: true}}, true}, {"apart", Faults{Partitions: []map[int]bool{{0: true}}}, false},
 		{"together apart", Faults{Partitions: []map[int]bool{{0: true, 1: true}}}, true}, {"this way", Faults{BlockedPairs: map[[2]int]bool{{0, 1}: true}}, false},
 		{"that way", Faults{BlockedPairs: map[[2]int]bool{{1, 0}: true}}, true}, {"lost", Faults{LossRate: 1}, false}} {
-		got := heard(1, c.ways, func() { send(0, 1, []byte(c.name)) })
+		got := received(1, c.faults, func() { send(0, 1, []byte(c.name)) })
 		if (len(got) == 1) != c.want {
 			t.Errorf("%s: heard %q", c.name, got)
 		}
 	}
-	if got := heard(1, Faults{DuplicateRate: 1}, func() { send(0, 1, []byte("x")) }); len(got) != 2 {
+	if got := received(1, Faults{DuplicateRate: 1}, func() { send(0, 1, []byte("x")) }); len(got) != 2 {
 		t.Errorf("twice: heard %q", got)
 	}
-	if got := heard(1, Faults{}, func() { send(0, 1, make([]byte, MaxMessageBytes+1)) }); len(got) != 0 {
+	if got := received(1, Faults{}, func() { send(0, 1, make([]byte, MaxMessageBytes+1)) }); len(got) != 0 {
 		t.Errorf("257 bytes came: %d", len(got))
 	}
-	if _, _, _, long := n.Counts(); long != 1 {
-		t.Errorf("%d too long", long)
+	if _, _, _, oversized := n.Counts(); oversized != 1 {
+		t.Errorf("%d too long", oversized)
 	}
 	stranger := openSocket(t)
 	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.PeerAddrs(0)[1]))
--- a/internal/testdouble/faultnet/tcpproxy.go
+++ b/internal/testdouble/faultnet/tcpproxy.go
@@ -34,137 +34,137 @@
 }
 
 // NewTCPProxy opens a way to an address.
-func NewTCPProxy(to string) (*TCPProxy, error) {
+func NewTCPProxy(target string) (*TCPProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("way to %s: %w", to, err)
+		return nil, fmt.Errorf("way to %s: %w", target, err)
 	}
-	s := &TCPProxy{Addr: ln.Addr().String(), target: to, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	s.faults.Store(&StreamFaults{})
-	s.goroutines.Go(s.accept)
-	return s, nil
+	p := &TCPProxy{Addr: ln.Addr().String(), target: target, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	p.faults.Store(&StreamFaults{})
+	p.goroutines.Go(p.accept)
+	return p, nil
 }
 
 // SetFaults puts a course in force, also for connections that are open.
-func (s *TCPProxy) SetFaults(c StreamFaults) {
-	s.faults.Store(&c)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	close(s.changed)
-	s.changed = make(chan struct{})
-	if c.Refuse {
-		s.resetAll()
+func (p *TCPProxy) SetFaults(faults StreamFaults) {
+	p.faults.Store(&faults)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	close(p.changed)
+	p.changed = make(chan struct{})
+	if faults.Refuse {
+		p.resetAll()
 	}
 }
 
 // ConnectionCount counts the connections that came.
-func (s *TCPProxy) ConnectionCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.connectionCount }
+func (p *TCPProxy) ConnectionCount() int { p.mu.Lock(); defer p.mu.Unlock(); return p.connectionCount }
 
 // Close ends the way and all its connections.
-func (s *TCPProxy) Close() {
-	s.ln.Close()
-	s.mu.Lock()
-	if !s.closed {
-		s.closed = true
-		close(s.changed)
-		s.resetAll()
+func (p *TCPProxy) Close() {
+	p.ln.Close()
+	p.mu.Lock()
+	if !p.closed {
+		p.closed = true
+		close(p.changed)
+		p.resetAll()
 	}
-	s.mu.Unlock()
-	s.goroutines.Wait()
+	p.mu.Unlock()
+	p.goroutines.Wait()
 }
 
 // resetAll breaks all connections. The caller holds mu.
-func (s *TCPProxy) resetAll() {
-	for c := range s.conns {
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
+func (p *TCPProxy) resetAll() {
+	for c := range p.conns {
+		if tcpConn, ok := c.(*net.TCPConn); ok {
+			tcpConn.SetLinger(0)
 		}
 		c.Close()
 	}
 }
 
-func (s *TCPProxy) accept() {
+func (p *TCPProxy) accept() {
 	for {
-		near, err := s.ln.Accept()
+		client, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.connectionCount++
-		if s.closed || s.faults.Load().Refuse {
-			near.(*net.TCPConn).SetLinger(0)
-			near.Close()
-			s.mu.Unlock()
+		p.mu.Lock()
+		p.connectionCount++
+		if p.closed || p.faults.Load().Refuse {
+			client.(*net.TCPConn).SetLinger(0)
+			client.Close()
+			p.mu.Unlock()
 			continue
 		}
-		s.conns[near] = struct{}{}
-		s.mu.Unlock()
-		s.goroutines.Go(func() { s.proxy(near) })
+		p.conns[client] = struct{}{}
+		p.mu.Unlock()
+		p.goroutines.Go(func() { p.proxy(client) })
 	}
 }
 
 // proxy carries one connection until either side ends it.
-func (s *TCPProxy) proxy(near net.Conn) {
-	defer s.closeConn(near)
-	if !s.waitUntilOpen(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
+func (p *TCPProxy) proxy(client net.Conn) {
+	defer p.closeConn(client)
+	if !p.waitUntilOpen(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
 		return
 	}
-	far, err := net.Dial("tcp", s.target)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		near.(*net.TCPConn).SetLinger(0)
+		client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
-		far.Close()
+	p.mu.Lock()
+	if p.closed {
+		p.mu.Unlock()
+		server.Close()
 		return
 	}
-	s.conns[far] = struct{}{}
-	s.mu.Unlock()
-	defer s.closeConn(far)
-	var back sync.WaitGroup
-	back.Go(func() {
-		s.copy(near, far, func(c *StreamFaults) bool { return !c.BlockInbound })
-		near.Close()
+	p.conns[server] = struct{}{}
+	p.mu.Unlock()
+	defer p.closeConn(server)
+	var replies sync.WaitGroup
+	replies.Go(func() {
+		p.copy(client, server, func(c *StreamFaults) bool { return !c.BlockInbound })
+		client.Close()
 	})
-	s.copy(far, near, func(c *StreamFaults) bool { return !c.BlockOutbound })
-	far.Close()
-	back.Wait()
+	p.copy(server, client, func(c *StreamFaults) bool { return !c.BlockOutbound })
+	server.Close()
+	replies.Wait()
 }
 
-func (s *TCPProxy) closeConn(c net.Conn) {
+func (p *TCPProxy) closeConn(c net.Conn) {
 	c.Close()
-	s.mu.Lock()
-	delete(s.conns, c)
-	s.mu.Unlock()
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 }
 
 // waitUntilOpen waits until the course lets something through; false: the way is closed.
-func (s *TCPProxy) waitUntilOpen(open func(*StreamFaults) bool) bool {
+func (p *TCPProxy) waitUntilOpen(open func(*StreamFaults) bool) bool {
 	for {
-		s.mu.Lock()
-		changed, closed := s.changed, s.closed
-		s.mu.Unlock()
+		p.mu.Lock()
+		changed, closed := p.changed, p.closed
+		p.mu.Unlock()
 		if closed {
 			return false
 		}
-		if open(s.faults.Load()) {
+		if open(p.faults.Load()) {
 			return true
 		}
 		<-changed
 	}
 }
 
-func (s *TCPProxy) copy(to, from net.Conn, open func(*StreamFaults) bool) {
+func (p *TCPProxy) copy(to, from net.Conn, open func(*StreamFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !s.waitUntilOpen(open) {
+			if !p.waitUntilOpen(open) {
 				return
 			}
-			if d := s.faults.Load().Delay; d > 0 {
+			if d := p.faults.Load().Delay; d > 0 {
 				time.Sleep(d)
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -172,7 +172,7 @@
 			}
 		}
 		if err != nil {
-			s.waitUntilOpen(open) // the end of a connection is held back as well
+			p.waitUntilOpen(open) // the end of a connection is held back as well
 			return
 		}
 	}
--- a/internal/testdouble/faultproxy.go
+++ b/internal/testdouble/faultproxy.go
@@ -58,7 +58,7 @@
 
 // StartFaultProxy opens a gate to a relay's address. Script is asked for each POST, of which n came before; nil passes all. To may
 // be empty where the script answers all itself.
-func (env *Environment) StartFaultProxy(to string, script func(n int, path string) Fault) (*FaultProxy, error) {
+func (env *Environment) StartFaultProxy(target string, script func(n int, path string) Fault) (*FaultProxy, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, err
@@ -66,9 +66,9 @@
 	if script == nil {
 		script = func(int, string) Fault { return Fault{} }
 	}
-	g := &FaultProxy{Addr: ln.Addr().String(), target: to, script: script, changes: env.changes, ln: ln, conns: map[net.Conn]struct{}{}, released: make(chan struct{})}
+	p := &FaultProxy{Addr: ln.Addr().String(), target: target, script: script, changes: env.changes, ln: ln, conns: map[net.Conn]struct{}{}, released: make(chan struct{})}
 	env.mu.Lock()
-	env.closers = append(env.closers, g.close)
+	env.closers = append(env.closers, p.close)
 	env.mu.Unlock()
 	go func() {
 		for {
@@ -76,14 +76,14 @@
 			if err != nil {
 				return
 			}
-			g.mu.Lock()
-			g.connectionTimes = append(g.connectionTimes, time.Now())
-			g.conns[c] = struct{}{}
-			g.mu.Unlock()
-			go g.serve(c)
+			p.mu.Lock()
+			p.connectionTimes = append(p.connectionTimes, time.Now())
+			p.conns[c] = struct{}{}
+			p.mu.Unlock()
+			go p.serve(c)
 		}
 	}()
-	return g, nil
+	return p, nil
 }
 
 func (p *FaultProxy) close() {
@@ -118,20 +118,20 @@
 	return slices.Clone(p.connectionTimes)
 }
 
-func (p *FaultProxy) serve(c net.Conn) {
+func (p *FaultProxy) serve(conn net.Conn) {
 	defer func() {
-		c.Close()
+		conn.Close()
 		p.mu.Lock()
-		delete(p.conns, c)
+		delete(p.conns, conn)
 		p.mu.Unlock()
 		p.changes.notify()
 	}()
-	r := bufio.NewReader(c)
-	var up net.Conn
-	var upR *bufio.Reader
+	r := bufio.NewReader(conn)
+	var upstream net.Conn
+	var upstreamReader *bufio.Reader
 	defer func() {
-		if up != nil {
-			up.Close()
+		if upstream != nil {
+			upstream.Close()
 		}
 	}()
 	for {
@@ -139,28 +139,28 @@
 		if err != nil {
 			return
 		}
-		fault, at := Fault{}, -1
+		fault, index := Fault{}, -1
 		if req.Method == "POST" {
 			p.mu.Lock()
-			at = len(p.requests)
+			index = len(p.requests)
 			h := req.Header
 			p.requests = append(p.requests, RecordedRequest{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
 				RepeatMark: h.Get("X-Repeat"), TimeLeft: h.Get("X-Time-Left-Ms"), At: time.Now()})
 			p.mu.Unlock()
-			fault = p.script(at, req.URL.Path)
+			fault = p.script(index, req.URL.Path)
 			p.changes.notify()
 		}
 		if fault.Kind == ResetConnection {
-			c.(*net.TCPConn).SetLinger(0)
+			conn.(*net.TCPConn).SetLinger(0)
 			return
 		}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		if at >= 0 {
+		if index >= 0 {
 			p.mu.Lock()
-			p.requests[at].Name = MessageName(body)
+			p.requests[index].Name = MessageName(body)
 			p.mu.Unlock()
 			p.changes.notify()
 		}
@@ -172,31 +172,31 @@
 			if p.target == "" && fault.Status == 0 {
 				fault.Status = 200
 			}
-			fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n", fault.Status, http.StatusText(fault.Status))
-			fault.Header.Write(c)
-			io.WriteString(c, "Content-Length: 0\r\n\r\n")
+			fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n", fault.Status, http.StatusText(fault.Status))
+			fault.Header.Write(conn)
+			io.WriteString(conn, "Content-Length: 0\r\n\r\n")
 			continue
 		}
-		if up == nil {
-			if up, err = net.Dial("tcp", p.target); err != nil {
+		if upstream == nil {
+			if upstream, err = net.Dial("tcp", p.target); err != nil {
 				return
 			}
-			upR = bufio.NewReader(up)
+			upstreamReader = bufio.NewReader(upstream)
 		}
 		p.mu.Lock()
-		release := p.released
+		released := p.released
 		p.mu.Unlock()
-		fmt.Fprintf(up, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.URL.Path, p.target)
-		req.Header.Write(up)
-		fmt.Fprintf(up, "Content-Length: %d\r\n\r\n%s", len(body), body)
-		res, err := http.ReadResponse(upR, req)
+		fmt.Fprintf(upstream, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.URL.Path, p.target)
+		req.Header.Write(upstream)
+		fmt.Fprintf(upstream, "Content-Length: %d\r\n\r\n%s", len(body), body)
+		res, err := http.ReadResponse(upstreamReader, req)
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, res.Body)
-		if at >= 0 {
+		if index >= 0 {
 			p.mu.Lock()
-			p.requests[at].Status = res.StatusCode
+			p.requests[index].Status = res.StatusCode
 			p.mu.Unlock()
 			p.changes.notify()
 		}
@@ -204,11 +204,11 @@
 		case DropResponse:
 			return
 		case HoldResponse:
-			<-release
+			<-released
 		}
-		fmt.Fprintf(c, "HTTP/1.1 %s\r\n", res.Status)
+		fmt.Fprintf(conn, "HTTP/1.1 %s\r\n", res.Status)
 		res.Header.Del("Content-Length")
-		res.Header.Write(c)
-		io.WriteString(c, "Content-Length: 0\r\n\r\n")
+		res.Header.Write(conn)
+		io.WriteString(conn, "Content-Length: 0\r\n\r\n")
 	}
 }
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -92,21 +92,21 @@
 	server   *http.Server
 }
 
-func newPartner(set PartnerConfig, seed uint64, l *EffectLog) (*Partner, error) {
-	if set.Kind == "" {
-		set.Kind = "small-partner"
+func newPartner(config PartnerConfig, seed uint64, effectLog *EffectLog) (*Partner, error) {
+	if config.Kind == "" {
+		config.Kind = "small-partner"
 	}
-	if set.Zone == "" {
-		set.Zone = "here"
+	if config.Zone == "" {
+		config.Zone = "here"
 	}
-	if set.Now == nil {
-		set.Now = time.Now
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	set.Endpoints, set.Burst = max(1, set.Endpoints), max(1, set.Burst)
-	p := &Partner{config: set, effectLog: l, random: rand.New(rand.NewPCG(seed, uint64(set.Dest))), released: make(chan struct{}), tokens: set.Burst, rateShare: 1}
-	for i := range set.Endpoints {
-		e := &endpoint{id: fmt.Sprintf("p%d-%d", set.Dest, i)}
-		for try := 1; ; try++ { // somebody else may take a port before it is listened at
+	config.Endpoints, config.Burst = max(1, config.Endpoints), max(1, config.Burst)
+	p := &Partner{config: config, effectLog: effectLog, random: rand.New(rand.NewPCG(seed, uint64(config.Dest))), released: make(chan struct{}), tokens: config.Burst, rateShare: 1}
+	for i := range config.Endpoints {
+		e := &endpoint{id: fmt.Sprintf("p%d-%d", config.Dest, i)}
+		for attempt := 1; ; attempt++ { // somebody else may take a port before it is listened at
 			addr, err := ReserveAddr()
 			if err == nil {
 				e.addr = addr
@@ -115,7 +115,7 @@
 			if err == nil {
 				break
 			}
-			if try == 5 {
+			if attempt == 5 {
 				return nil, err
 			}
 		}
@@ -169,13 +169,13 @@
 // comes back from an outage is cold, if it is set so.
 func (p *Partner) SetMode(m Mode, share float64) error {
 	p.mu.Lock()
-	was := p.mode
-	if p.mode, p.modeShare = m, share; m == Healthy && was != Healthy && p.config.ColdRateShare > 0 {
+	previous := p.mode
+	if p.mode, p.modeShare = m, share; m == Healthy && previous != Healthy && p.config.ColdRateShare > 0 {
 		p.warmAt, p.recentCalls = p.config.Now().Add(p.config.WarmUpTime), nil
 	}
 	p.releaseHeldCalls()
 	p.mu.Unlock()
-	if (m == RefusingConnections) == (was == RefusingConnections) {
+	if (m == RefusingConnections) == (previous == RefusingConnections) {
 		return nil
 	}
 	for _, e := range p.endpoints {
@@ -198,9 +198,9 @@
 func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.collapsed }
 
 // SetRateShare has it take that part of its rate from now on; 1: all of it.
-func (p *Partner) SetRateShare(part float64) {
+func (p *Partner) SetRateShare(share float64) {
 	p.mu.Lock()
-	p.rateShare = part
+	p.rateShare = share
 	p.mu.Unlock()
 }
 
@@ -213,8 +213,8 @@
 	if p.config.Rate == 0 || !now.Before(p.warmAt) || p.config.WarmUpTime == 0 {
 		return p.config.Rate
 	}
-	warm := 1 - p.warmAt.Sub(now).Seconds()/p.config.WarmUpTime.Seconds()
-	return p.config.Rate * (p.config.ColdRateShare + (1-p.config.ColdRateShare)*warm)
+	warmUpProgress := 1 - p.warmAt.Sub(now).Seconds()/p.config.WarmUpTime.Seconds()
+	return p.config.Rate * (p.config.ColdRateShare + (1-p.config.ColdRateShare)*warmUpProgress)
 }
 
 // admit says what becomes of a call.
@@ -298,28 +298,28 @@
 			items[i] = entry{ID: items[i].ID, State: "ok"}
 		}
 	}
-	seen := Call{Dest: p.config.Dest, MayHaveRun: true}
+	call := Call{Dest: p.config.Dest, MayHaveRun: true}
 	if p.config.OnCall != nil {
 		for _, it := range items {
-			seen.IDs = append(seen.IDs, it.ID)
+			call.IDs = append(call.IDs, it.ID)
 		}
-		p.config.OnCall(seen)
-		seen.Completed = true
-		defer func() { p.config.OnCall(seen) }()
-		w = &callRecorder{w, &seen}
+		p.config.OnCall(call)
+		call.Completed = true
+		defer func() { p.config.OnCall(call) }()
+		w = &callRecorder{w, &call}
 	}
 	p.mu.Lock()
-	release := p.released
+	released := p.released
 	p.mu.Unlock()
-	mode, in := p.admit()
+	mode, admitted := p.admit()
 	p.effectLog.changes.notify()
-	if in {
+	if admitted {
 		defer func() { p.mu.Lock(); p.inFlight--; p.mu.Unlock() }()
 	}
 	switch mode {
 	case Unresponsive:
 		select {
-		case <-release:
+		case <-released:
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
@@ -327,9 +327,9 @@
 		if mode == ResetAfterRun {
 			run()
 		}
-		if sock, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			sock.(*net.TCPConn).SetLinger(0)
-			sock.Close()
+		if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
+			conn.(*net.TCPConn).SetLinger(0)
+			conn.Close()
 		}
 		return
 	case InternalError:
@@ -348,7 +348,7 @@
 		time.Sleep(p.config.ServiceTime)
 	}
 	run()
-	seen.OK = true
+	call.OK = true
 	if r.URL.Path == "/hook/batch" {
 		json.NewEncoder(w).Encode(items)
 	}
--- a/internal/testdouble/platform.go
+++ b/internal/testdouble/platform.go
@@ -53,27 +53,27 @@
 
 // ServeWithAddresses serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
 // its own. at maps an endpoint's address; one that it leaves out stays.
-func (p *Platform) ServeWithAddresses(at map[string]string) (string, error) {
+func (p *Platform) ServeWithAddresses(addresses map[string]string) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.writeEndpoints(w, r, at) })
+	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.writeEndpoints(w, r, addresses) })
 	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
-	s := &http.Server{Handler: mux}
+	server := &http.Server{Handler: mux}
 	p.mu.Lock()
-	p.extraServers = append(p.extraServers, s)
+	p.extraServers = append(p.extraServers, server)
 	p.mu.Unlock()
-	go s.Serve(ln)
+	go server.Serve(ln)
 	return ln.Addr().String(), nil
 }
 
-func newPlatform(partners map[int]*Partner, n *changeSignal) (*Platform, error) {
-	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: n, closed: make(chan struct{})}
-	for _, one := range partners {
-		for i, e := range one.endpoints {
-			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: one.endpointZone(i), Kind: one.config.Kind, Dest: one.config.Dest,
+func newPlatform(partners map[int]*Partner, changes *changeSignal) (*Platform, error) {
+	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: changes, closed: make(chan struct{})}
+	for _, partner := range partners {
+		for i, e := range partner.endpoints {
+			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: partner.endpointZone(i), Kind: partner.config.Kind, Dest: partner.config.Dest,
 				Lifecycle: "in_service", Weight: 1, changed: 1}
 		}
 	}
@@ -101,26 +101,26 @@
 }
 
 // Suspend makes the platform answer nothing until the returned function is called.
-func (p *Platform) Suspend() (speak func()) {
-	ch := make(chan struct{})
+func (p *Platform) Suspend() (resume func()) {
+	suspended := make(chan struct{})
 	p.mu.Lock()
-	p.suspended = ch
+	p.suspended = suspended
 	p.mu.Unlock()
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
 		p.suspended = nil
 		p.mu.Unlock()
-		close(ch)
+		close(suspended)
 	})
 }
 
 func (p *Platform) waitWhileSuspended() {
 	p.mu.Lock()
-	silent := p.suspended
+	suspended := p.suspended
 	p.mu.Unlock()
-	if silent != nil {
+	if suspended != nil {
 		select {
-		case <-silent:
+		case <-suspended:
 		case <-p.closed:
 		}
 	}
@@ -140,21 +140,21 @@
 	p.writeEndpoints(w, r, nil)
 }
 
-func (p *Platform) writeEndpoints(w http.ResponseWriter, r *http.Request, at map[string]string) {
+func (p *Platform) writeEndpoints(w http.ResponseWriter, r *http.Request, addresses map[string]string) {
 	p.waitWhileSuspended()
 	from, err := strconv.Atoi(r.FormValue("from"))
-	whole := err != nil
-	if hold, _ := strconv.Atoi(r.FormValue("hold_ms")); !whole {
-		timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	full := err != nil
+	if holdMs, _ := strconv.Atoi(r.FormValue("hold_ms")); !full {
+		timer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 		defer timer.Stop()
 		for waiting := true; waiting; {
 			p.mu.Lock()
-			ch := p.changed
+			changed := p.changed
 			waiting = p.generation <= from
 			p.mu.Unlock()
 			if waiting {
 				select {
-				case <-ch:
+				case <-changed:
 				case <-timer.C:
 					waiting = false
 				case <-r.Context().Done():
@@ -170,14 +170,14 @@
 		Generation int        `json:"generation"`
 		Reset      bool       `json:"reset"`
 		Instances  []instance `json:"instances"`
-	}{p.generation, whole, []instance{}}
+	}{p.generation, full, []instance{}}
 	for _, id := range slices.Sorted(maps.Keys(p.instances)) {
-		if e := p.instances[id]; whole && e.Lifecycle != "terminated" || !whole && e.changed > from {
-			one := *e
-			if to, ok := at[one.HostPort]; ok {
-				one.HostPort = to
+		if e := p.instances[id]; full && e.Lifecycle != "terminated" || !full && e.changed > from {
+			listed := *e
+			if to, ok := addresses[listed.HostPort]; ok {
+				listed.HostPort = to
 			}
-			out.Instances = append(out.Instances, one)
+			out.Instances = append(out.Instances, listed)
 		}
 	}
 	p.mu.Unlock()
@@ -198,29 +198,29 @@
 		return
 	}
 	p.mu.Lock()
-	slow := p.notificationDelay
+	delay := p.notificationDelay
 	p.mu.Unlock()
 	select {
-	case <-time.After(slow):
+	case <-time.After(delay):
 	case <-r.Context().Done():
 		return
 	}
-	var got []Notification
+	var received []Notification
 	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
 		var n Notification
 		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" || n.Outcome != "given_up" && n.Outcome != "handed_back" {
 			w.WriteHeader(400)
 			return
 		}
-		got = append(got, n)
+		received = append(received, n)
 	}
 	p.mu.Lock()
-	p.notifications = append(p.notifications, got...)
-	watch := p.onNotification
+	p.notifications = append(p.notifications, received...)
+	onNotification := p.onNotification
 	p.mu.Unlock()
-	for _, n := range got {
-		if watch != nil {
-			watch(n)
+	for _, n := range received {
+		if onNotification != nil {
+			onNotification(n)
 		}
 	}
 	w.WriteHeader(204)
@@ -238,9 +238,9 @@
 func (p *Platform) Notifications() map[string]Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := map[string]Notification{}
+	byMessage := map[string]Notification{}
 	for _, n := range p.notifications {
-		all[n.Message] = n
+		byMessage[n.Message] = n
 	}
-	return all
+	return byMessage
 }
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -81,12 +81,12 @@
 }
 
 // NewFleetRelay returns a relay of a fleet that is not started yet.
-func (env *Environment) NewFleetRelay(bin string, seat *FleetConfig, args ...string) (*Relay, error) {
+func (env *Environment) NewFleetRelay(bin string, fleet *FleetConfig, args ...string) (*Relay, error) {
 	r, err := env.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
-	r.fleet = seat
+	r.fleet = fleet
 	return r, r.WriteConfig()
 }
 
@@ -100,9 +100,9 @@
 		return nil, err
 	}
 	env.mu.Lock()
-	n := len(env.relays)
-	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", n)), env: env, bin: bin, args: args,
-		config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", n))}
+	index := len(env.relays)
+	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", index)), env: env, bin: bin, args: args,
+		config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", index))}
 	env.relays = append(env.relays, r)
 	env.mu.Unlock()
 	if err := os.Mkdir(r.StateDir, 0o700); err != nil {
@@ -117,7 +117,7 @@
 }
 
 // configJSON is what the platform tells a relay.
-func (env *Environment) configJSON(name, listen string, seat *FleetConfig) []byte {
+func (env *Environment) configJSON(name, listen string, fleet *FleetConfig) []byte {
 	type object = map[string]any
 	var grades []object
 	for _, c := range env.config.Classes {
@@ -134,18 +134,18 @@
 			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000, "fallUs": 3_000_000, "overloadFactor": 2},
 			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": env.config.MaxPending,
 				"maxRetryAfterUs": 3_000_000, "retryAfter": true}}}
-	if seat != nil {
-		config["peer_listen"], config["peers"], config["members"] = seat.PeerListen, seat.Peers, seat.Members
-		if seat.Choices != "" {
-			config["choices"] = seat.Choices
+	if fleet != nil {
+		config["peer_listen"], config["peers"], config["members"] = fleet.PeerListen, fleet.Peers, fleet.Members
+		if fleet.Choices != "" {
+			config["choices"] = fleet.Choices
 		}
-		if seat.DiscoveryAddr != "" {
-			config["discovery"] = seat.DiscoveryAddr
+		if fleet.DiscoveryAddr != "" {
+			config["discovery"] = fleet.DiscoveryAddr
 		}
-		config["seed"] = fmt.Sprintf("%016x", env.config.Seed+uint64(seat.Number)*7919)
-		set := config["settings"].(object)
-		set["me"], set["myZone"], set["zones"], set["fleetSize"] = seat.Number, seat.Zone, seat.Zones, len(seat.Peers)
-		set["policyLimits"].(object)["peers"] = true
+		config["seed"] = fmt.Sprintf("%016x", env.config.Seed+uint64(fleet.Number)*7919)
+		settings := config["settings"].(object)
+		settings["me"], settings["myZone"], settings["zones"], settings["fleetSize"] = fleet.Number, fleet.Zone, fleet.Zones, len(fleet.Peers)
+		settings["policyLimits"].(object)["peers"] = true
 	}
 	b, err := json.Marshal(config)
 	if err != nil {
@@ -188,9 +188,9 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	runs := make(chan struct{})
+	exited := make(chan struct{})
 	r.mu.Lock()
-	r.cmd, r.exited, r.currentLog = cmd, runs, r.currentLog[:0]
+	r.cmd, r.exited, r.currentLog = cmd, exited, r.currentLog[:0]
 	r.mu.Unlock()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
@@ -212,7 +212,7 @@
 		r.mu.Lock()
 		r.exitErr = err
 		r.mu.Unlock()
-		close(runs)
+		close(exited)
 		r.env.changes.notify()
 	}()
 	return nil
@@ -220,18 +220,18 @@
 
 // AwaitLog waits until the process has logged text.
 func (r *Relay) AwaitLog(text string) error {
-	ended := false
+	exited := false
 	err := r.env.WaitUntil("the relay to log "+text, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		select {
 		case <-r.exited:
-			ended = true
+			exited = true
 		default:
 		}
-		return ended || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
+		return exited || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
 	})
-	if err == nil && ended {
+	if err == nil && exited {
 		err = errors.New("the relay ended")
 	}
 	if err != nil {
@@ -275,12 +275,12 @@
 // Wait waits for the process's end.
 func (r *Relay) Wait() error {
 	r.mu.Lock()
-	runs := r.exited
+	exited := r.exited
 	r.mu.Unlock()
-	if runs == nil {
+	if exited == nil {
 		return errors.New("not started")
 	}
-	<-runs
+	<-exited
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.exitErr
@@ -326,14 +326,14 @@
 	if err != nil || status != 200 {
 		return nil, fmt.Errorf("figures: status %d: %w", status, err)
 	}
-	all := map[string]int{}
+	metrics := map[string]int{}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
 		n, err := strconv.Atoi(value)
 		if err != nil {
 			return nil, fmt.Errorf("figures: %q: %w", line, err)
 		}
-		all[strings.TrimPrefix(name, "edge_router_")] = n
+		metrics[strings.TrimPrefix(name, "edge_router_")] = n
 	}
-	return all, nil
+	return metrics, nil
 }
--- a/internal/testdouble/testdouble_test.go
+++ b/internal/testdouble/testdouble_test.go
@@ -25,12 +25,12 @@
 
 func startEnvironment(t *testing.T, set Config) *Environment {
 	t.Helper()
-	w, err := NewEnvironment(set)
+	env, err := NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(env.Close)
+	return env
 }
 
 // postMessage makes one call and returns the status, or 0 where the connection broke.
@@ -51,35 +51,35 @@
 
 // The ledger counts what took effect: repeats of keyed classes within their window are dropped, others are not.
 func TestLedger(t *testing.T) {
-	c := &manualClock{at: time.Unix(1000, 0)}
-	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Now: c.now}}})
-	p := w.Partners[7]
+	clock := &manualClock{at: time.Unix(1000, 0)}
+	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Now: clock.now}}})
+	p := env.Partners[7]
 	for _, name := range []string{"order-relay/1", "order-relay/1", "fee-charge/1", "fee-charge/1", "price-alert/1"} {
 		if got := postMessage(p, name, "key-"+name); got != 200 {
 			t.Fatalf("%s: %d", name, got)
 		}
 	}
-	c.advance(6 * time.Second)
+	clock.advance(6 * time.Second)
 	postMessage(p, "order-relay/1", "key-order-relay/1") // the window is over
-	if n := w.EffectLog.CountByName(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
+	if n := env.EffectLog.CountByName(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
 		t.Errorf("%v", n)
 	}
-	if d := w.EffectLog.Duplicates("fee-charge"); len(d) != 1 || !strings.Contains(d[0], "2 times") {
+	if d := env.EffectLog.Duplicates("fee-charge"); len(d) != 1 || !strings.Contains(d[0], "2 times") {
 		t.Errorf("doubles %v", d)
 	}
 }
 
 // A partner keeps its rate, tells waits, counts calls that come before one is over, and falls if it is pushed while cold.
 func TestPartnerLimits(t *testing.T) {
-	c := &manualClock{at: time.Unix(1000, 0)}
-	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: c.now,
+	clock := &manualClock{at: time.Unix(1000, 0)}
+	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: clock.now,
 		ColdRateShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2}}})
-	p := w.Partners[7]
+	p := env.Partners[7]
 	got := []int{postMessage(p, "a", ""), postMessage(p, "b", ""), postMessage(p, "c", "")}
 	if !slices.Equal(got, []int{200, 200, 429}) || p.RejectedCalls() != 1 || p.EarlyCalls() != 0 {
 		t.Fatalf("%v, rejected %d, early %d", got, p.RejectedCalls(), p.EarlyCalls())
 	}
-	c.advance(500 * time.Millisecond)
+	clock.advance(500 * time.Millisecond)
 	if postMessage(p, "d", ""); p.EarlyCalls() != 1 {
 		t.Errorf("early %d", p.EarlyCalls())
 	}
@@ -89,21 +89,21 @@
 	}
 	p.SetMode(Healthy, 0)
 	for i := range 4 { // 2 a second is what it can take, and some 4 what it stands
-		c.advance(50 * time.Millisecond)
+		clock.advance(50 * time.Millisecond)
 		if postMessage(p, fmt.Sprint("f", i), ""); p.Collapsed() {
 			t.Fatalf("it fell at call %d", i)
 		}
 	}
 	go postMessage(p, "one too many", "")
-	if err := w.WaitUntil("the partner to fall", p.Collapsed); err != nil {
+	if err := env.WaitUntil("the partner to fall", p.Collapsed); err != nil {
 		t.Error(err)
 	}
 }
 
 // Modes: resets before and after the effect, refusal of connections and the way back, and silence that ends.
 func TestPartnerModes(t *testing.T) {
-	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
-	p := w.Partners[7]
+	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
+	p := env.Partners[7]
 	for m, want := range map[Mode]int{ResetBeforeRun: 0, ResetAfterRun: 0, Unavailable: 503, Healthy: 200} {
 		if err := p.SetMode(m, 1); err != nil {
 			t.Fatal(err)
@@ -112,7 +112,7 @@
 			t.Errorf("mode %d: %d", m, got)
 		}
 	}
-	if n := w.EffectLog.CountByName(); n["m3"] != 1 || n["m2"] != 0 || len(n) != 2 {
+	if n := env.EffectLog.CountByName(); n["m3"] != 1 || n["m2"] != 0 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
 	p.SetMode(RefusingConnections, 1)
@@ -130,14 +130,14 @@
 
 // Discovery tells the list and wakes watches; notices are kept, and what is none is refused.
 func TestPlatform(t *testing.T) {
-	w := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Endpoints: 2}}})
-	type list struct {
+	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Endpoints: 2}}})
+	type endpointList struct {
 		Generation int
 		Reset      bool
 		Instances  []instance
 	}
-	get := func(query string) (l list) {
-		res, err := http.Get("http://" + w.Platform.Addr + "/v1/endpoints" + query)
+	get := func(query string) (l endpointList) {
+		res, err := http.Get("http://" + env.Platform.Addr + "/v1/endpoints" + query)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,20 +150,20 @@
 	if l := get(""); l.Generation != 1 || !l.Reset || len(l.Instances) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	got := make(chan list)
+	got := make(chan endpointList)
 	go func() { got <- get("?from=1&hold_ms=60000") }()
-	w.Platform.SetLifecycle(w.Partners[7].EndpointIDs()[1], "terminating")
+	env.Platform.SetLifecycle(env.Partners[7].EndpointIDs()[1], "terminating")
 	if l := <-got; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "terminating" {
 		t.Errorf("%+v", l)
 	}
 	for body, want := range map[string]int{`{"message":"m","outcome":"given_up"}` + "\n": 204, `{"message":"m","outcome":"lost"}` + "\n": 400, "x\n": 400} {
-		res, err := http.Post("http://"+w.Platform.Addr+"/v1/notices", "", bytes.NewReader([]byte(body)))
+		res, err := http.Post("http://"+env.Platform.Addr+"/v1/notices", "", bytes.NewReader([]byte(body)))
 		if err != nil || res.StatusCode != want {
 			t.Errorf("%s: %v, %v", body, res, err)
 		}
 		res.Body.Close()
 	}
-	if n := w.Platform.Notifications(); len(n) != 1 || n["m"].Outcome != "given_up" {
+	if n := env.Platform.Notifications(); len(n) != 1 || n["m"].Outcome != "given_up" {
 		t.Errorf("%v", n)
 	}
 }
