--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -16,11 +16,13 @@
 func TestRedToo(t *testing.T) { t.Run("sub", func(t *testing.T) { t.Error("red") }) }
 `
 
-// runModule writes a small module with that file, and runs its tests.
+// runModule writes a small module with that list and two test files, and runs its tests.
 func runModule(t *testing.T, known, a, b string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module m\n\ngo 1.24\n", "a/a_test.go": a, "b/b_test.go": b, listFile: known} {
+	for name, text := range map[string]string{
+		"go.mod": "module m\n\ngo 1.24\n", "a/a_test.go": a, "b/b_test.go": b, listFile: known,
+	} {
 		if name == listFile && known == "absent" {
 			continue
 		}
@@ -34,23 +36,24 @@
 	return out.String(), err
 }
 
-// Listed tests alone are left out of the verdict, and are run apart; all else fails the run as ever.
+// Only listed tests may fail; any other failure, and any wrong entry of the list, fails the run.
 func TestKnownRed(t *testing.T) {
 	green := "package b\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) {}\n"
 	red := strings.Replace(green, "{}", "{ t.Fail() }", 1)
 	one, two := "./a TestRed | it is | issue 31\n", "./a TestRedToo/sub | it is, too | issue A\n"
 	for name, c := range map[string]struct{ known, a, b, want string }{
-		"absent, all green":        {"absent", strings.Replace(green, "package b", "package a", 1), green, ""},
-		"absent, one red":          {"absent", module, green, "exit status 1"},
-		"empty, one red":           {"", module, green, "exit status 1"},
-		"all red ones listed":      {one + two, module, green, ""},
-		"one of two listed":        {one, module, green, "exit status 1"},
-		"the same name elsewhere":  {one + two, module, red, "exit status 1"},
-		"a listed one passes":      {one + two + "./a TestGreen | x | issue 1\n", module, green, "fails no more"},
-		"no such test":             {one + two + "./a TestRe | x | issue 1\n", module, green, "has no test"},
-		"no such sub-test":         {one + two + "./a TestRedToo/su | x | issue 1\n", module, green, "has no test"},
-		"no such package":          {"./c TestRed | x | issue 1\n", module, green, "no package"},
-		"a fourth line":            {one + two + "./a TestX | x | issue 1\n./a TestY | x | issue 1\n", module, green, "3 at most"},
+		"absent, all green":       {"absent", strings.Replace(green, "package b", "package a", 1), green, ""},
+		"absent, one red":         {"absent", module, green, "exit status 1"},
+		"empty, one red":          {"", module, green, "exit status 1"},
+		"all red ones listed":     {one + two, module, green, ""},
+		"one of two listed":       {one, module, green, "exit status 1"},
+		"the same name elsewhere": {one + two, module, red, "exit status 1"},
+		"a listed one passes":     {one + two + "./a TestGreen | x | issue 1\n", module, green, "fails no more"},
+		"no such test":            {one + two + "./a TestRe | x | issue 1\n", module, green, "has no test"},
+		"no such sub-test":        {one + two + "./a TestRedToo/su | x | issue 1\n", module, green, "has no test"},
+		"no such package":         {"./c TestRed | x | issue 1\n", module, green, "no package"},
+		"a fourth line": {one + two + "./a TestX | x | issue 1\n./a TestY | x | issue 1\n", module, green,
+			"3 at most"},
 		"a line without its cause": {"./a TestRed |  | issue 31\n", module, green, "is not"},
 		"a line without its issue": {"./a TestRed | it is\n", module, green, "is not"},
 		"an empty line":            {one + "\n" + two, module, green, "is not"},
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred runs the tests of a module, and passes over those that KNOWN-RED.txt at its root names. These are run apart and have to
-// fail still. It decides nothing else: without the file, or with an empty one, it is `go test -count=1 ./...`.
+// Command knownred runs the tests of a module except those listed in KNOWN-RED.txt at its root as
+// known failures. It runs the listed tests separately and requires that they still fail. Without
+// the file, or with an empty one, it runs `go test -count=1 ./...`.
 package main
 
 import (
@@ -18,15 +19,17 @@
 
 const (
 	listFile   = "KNOWN-RED.txt"
-	maxEntries = 3 // lines
+	maxEntries = 3 // lines of the list
 )
 
-// entry is one line: a package, a test in it, why it fails, and the issue that is to mend it.
+// entry is one line of the list: a package, a test in it, the cause of its failure and the issue
+// that tracks it.
 type entry struct{ pkg, test, cause, issue string }
 
+// entryPattern matches a line of the list.
 var entryPattern = regexp.MustCompile(`^(\./[\w./-]+) (Test\w*(?:/\S+)?) \| ([^|]*\S) \| issue (\S.*)$`)
 
-// parse reads the file's text. Each line has the form `./internal/wire TestName | cause | issue 31`.
+// parse reads the list. Each line has the form `./internal/wire TestName | cause | issue 31`.
 func parse(text string) (all []entry, err error) {
 	for n, s := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if text == "" {
@@ -48,7 +51,7 @@
 	return all, nil
 }
 
-// runPattern matches the test alone, each part of its name whole.
+// runPattern returns the value of -run or -skip that matches this test only.
 func (e entry) runPattern() string {
 	parts := strings.Split(e.test, "/")
 	for i, p := range parts {
@@ -57,12 +60,13 @@
 	return strings.Join(parts, "/")
 }
 
-// runner runs `go` in one folder and shows what it prints.
+// runner runs the go command in a directory and copies what it prints to out.
 type runner struct {
 	dir string
 	out io.Writer
 }
 
+// command runs `go` with these arguments, copies its output to show and returns the output.
 func (r runner) command(show io.Writer, args ...string) (string, error) {
 	var all strings.Builder
 	cmd := exec.Command("go", args...)
@@ -71,7 +75,8 @@
 	return all.String(), err
 }
 
-// run runs all tests, and returns why the verdict is no.
+// run runs all tests. It returns an error if an unlisted test fails or an entry of the list is
+// wrong.
 func (r runner) run() error {
 	raw, err := os.ReadFile(filepath.Join(r.dir, listFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -15,34 +15,35 @@
 	"time"
 )
 
-// outcome is how a request ended for its client.
+// outcome is the result of a request for its client.
 type outcome int
 
 const (
 	answered    outcome = iota
-	unread              // reset: nobody has read it, and it may be sent again
-	relayKilled         // its relay was killed meanwhile
-	unanswered          // read, and its connection closed or kept with no answer
+	unread              // connection reset: the relay has not read it, and the client may retry
+	relayKilled         // the relay was killed meanwhile
+	unanswered          // read, and the connection closed or kept open without a response
 )
 
 const (
-	responseTimeout = 8 * time.Second         // a bound for a hang: clients wait 0.4 s, and give up then
-	resetTimeout    = 1500 * time.Millisecond // behind the end of a connection, for the reset that tells that nobody read the rest
+	responseTimeout = 8 * time.Second         // bounds a hang
+	resetTimeout    = 1500 * time.Millisecond // from a close to the reset that shows unread data
 )
 
-// request is one that a client sent, and what became of it.
+// request is a request of a client and its result.
 type request struct {
 	id, class string
 	timeLeft  time.Duration
 	sentAt    time.Time
 	relay     int
-	pattern   string // of its client
+	pattern   string // name of the usage pattern
 	outcome   outcome
 	status    int
-	failure   string
+	failure   string // error text, if there was no response
 }
 
-// clients hand in at the relays, each in its own way, until they are told to stop. They keep their connections for as long as these stay open.
+// clients submit messages to the relays until stop is closed, each with its own usage pattern. They
+// reuse connections for as long as these stay open.
 type clients struct {
 	scenario *scenario
 	running  sync.WaitGroup
@@ -53,14 +54,15 @@
 	lastID int
 }
 
-// connection is one client's, to one relay.
+// connection is a connection of one client to one relay.
 type connection struct {
 	*net.TCPConn
 	r           *bufio.Reader
 	relay       int
-	incarnation int // of the relay, as it was opened
+	incarnation int // of the relay when the connection was opened
 }
 
+// dial connects to a relay; it returns nil on failure.
 func (c *clients) dial(relay int) *connection {
 	sock, err := net.Dial("tcp", c.scenario.relays[relay].Addr)
 	if err != nil {
@@ -69,22 +71,25 @@
 	return &connection{sock.(*net.TCPConn), bufio.NewReader(sock), relay, c.scenario.incarnation(relay)}
 }
 
+// record adds a request that is about to be sent.
 func (c *clients) record(pattern string, relay int, class string, timeLeft time.Duration) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID++
-	r := &request{id: fmt.Sprintf("m%d", c.lastID), class: class, timeLeft: timeLeft, sentAt: time.Now(), relay: relay, pattern: pattern}
+	r := &request{id: fmt.Sprintf("m%d", c.lastID), class: class, timeLeft: timeLeft, sentAt: time.Now(),
+		relay: relay, pattern: pattern}
 	c.sent = append(c.sent, r)
 	return r
 }
 
+// wireText returns the HTTP request.
 func (r *request) wireText(dest int) string {
 	body := fmt.Sprintf("%s/%s\n", r.class, r.id)
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: relay\r\nX-Correlation-Id: %s\r\nIdempotency-Key: k-%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\nContent-Length: %d\r\n\r\n%s",
 		r.class, r.id, r.id, r.timeLeft.Milliseconds(), dest, len(body), body)
 }
 
-// readResponse reads the answer to r; closes tells that the connection ends with it.
+// readResponse reads the response to r and reports whether the connection closes after it.
 func (c *clients) readResponse(conn *connection, r *request) (closes bool) {
 	conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	res, err := http.ReadResponse(conn.r, nil)
@@ -99,7 +104,7 @@
 	return true
 }
 
-// classifyFailure tells what the end of a connection with no answer means for a request that was sent on it.
+// classifyFailure sets the outcome of a request whose connection ended without a response.
 func (c *clients) classifyFailure(conn *connection, r *request, err error) {
 	r.failure = err.Error()
 	switch {
@@ -118,7 +123,7 @@
 	}
 }
 
-// awaitReset waits for a reset behind the end of a connection.
+// awaitReset reports whether a reset follows the close of a connection within resetTimeout.
 func awaitReset(conn *connection) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -134,13 +139,18 @@
 	return false
 }
 
-// usagePatterns are the ways in which clients use a connection.
+// usagePatterns lists how clients use a connection.
 var usagePatterns = []struct {
 	name string
-	use  func(*clients, *rand.Rand, *connection) bool // tells whether the connection goes on
-}{{"plain", (*clients).sendOne}, {"crossing", (*clients).sendAfterClose}, {"one packet", (*clients).pipelined}, {"half", (*clients).sendPartial}}
+	use  func(*clients, *rand.Rand, *connection) bool // reports whether the connection stays usable
+}{
+	{"plain", (*clients).sendOne},
+	{"crossing", (*clients).sendAfterClose},
+	{"one packet", (*clients).pipelined},
+	{"half", (*clients).sendPartial},
+}
 
-// run is one client, which hands in until the end.
+// run is one client, which sends requests until stop is closed.
 func (c *clients) run(random *rand.Rand) {
 	defer c.running.Done()
 	var conn *connection
@@ -169,12 +179,14 @@
 	}
 }
 
+// newRequest records a random request to a relay and returns it with its HTTP text.
 func (c *clients) newRequest(pattern string, random *rand.Rand, relay int) (*request, string) {
-	r := c.record(pattern, relay, []string{"price-alert", "order-relay", "fee-charge"}[random.IntN(3)], time.Duration(400+random.IntN(3000))*time.Millisecond)
+	r := c.record(pattern, relay, []string{"price-alert", "order-relay", "fee-charge"}[random.IntN(3)],
+		time.Duration(400+random.IntN(3000))*time.Millisecond)
 	return r, r.wireText(1 + random.IntN(destinationCount))
 }
 
-// send writes text on which r is due an answer, and reads that.
+// send writes text, whose first request is r, and reads the response to r.
 func (c *clients) send(conn *connection, r *request, text string) (keepOpen bool) {
 	if _, err := io.WriteString(conn, text); err != nil {
 		c.classifyFailure(conn, r, err)
@@ -183,12 +195,14 @@
 	return !c.readResponse(conn, r)
 }
 
+// sendOne sends one request and reads the response.
 func (c *clients) sendOne(random *rand.Rand, conn *connection) bool {
 	r, text := c.newRequest("plain", random, conn.relay)
 	return c.send(conn, r, text)
 }
 
-// sendAfterClose rests until the relay ends the connection, or for a while, and sends all the same: as one that the end has not reached yet.
+// sendAfterClose waits for a while or until the relay closes the connection and sends a request all
+// the same, like a client that the close has not reached yet.
 func (c *clients) sendAfterClose(random *rand.Rand, conn *connection) bool {
 	if !c.sendOne(random, conn) && random.IntN(2) == 0 {
 		return false
@@ -196,20 +210,20 @@
 	conn.SetReadDeadline(time.Now().Add(time.Duration(random.IntN(2000)) * time.Millisecond))
 	_, err := conn.r.Peek(1)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		return false // reset: this client knows that it is closed
+		return false // reset: the client knows that the connection is closed
 	}
 	r, text := c.newRequest("crossing", random, conn.relay)
 	return c.send(conn, r, text)
 }
 
-// pipelined sends two requests at once.
+// pipelined sends two requests in one write.
 func (c *clients) pipelined(random *rand.Rand, conn *connection) bool {
 	first, firstText := c.newRequest("one packet, first", random, conn.relay)
 	second, secondText := c.newRequest("one packet, second", random, conn.relay)
 	if !c.send(conn, first, firstText+secondText) {
 		if first.outcome == answered {
 			_, err := conn.r.Peek(1)
-			if err == nil { // said to close, and yet it answers
+			if err == nil { // the response announced a close, and yet more data follows
 				c.readResponse(conn, second)
 				return false
 			}
@@ -222,22 +236,24 @@
 	return !c.readResponse(conn, second)
 }
 
-// sendPartial stops in the middle of a request and stays: it is owed an error or a close within 3 s.
+// sendPartial sends part of a request and waits: the relay must respond with an error or close the
+// connection.
 func (c *clients) sendPartial(random *rand.Rand, conn *connection) bool {
 	_, text := c.newRequest("half", random, conn.relay)
 	c.mu.Lock()
-	c.sent = c.sent[:len(c.sent)-1] // it is no request
+	c.sent = c.sent[:len(c.sent)-1] // an incomplete request is owed no response
 	c.mu.Unlock()
 	io.WriteString(conn, text[:1+random.IntN(len(text)-1)])
 	startedAt := time.Now()
 	conn.SetReadDeadline(startedAt.Add(responseTimeout))
-	if _, err := io.Copy(io.Discard, conn.r); errors.Is(err, os.ErrDeadlineExceeded) && !c.scenario.killed(conn.relay, conn.incarnation) {
-		c.scenario.fail("half a request was kept for %v", time.Since(startedAt))
+	if _, err := io.Copy(io.Discard, conn.r); errors.Is(err, os.ErrDeadlineExceeded) &&
+		!c.scenario.killed(conn.relay, conn.incarnation) {
+		c.scenario.fail("the connection of an incomplete request stayed open for %v", time.Since(startedAt))
 	}
 	return false
 }
 
-// holdIdleConnections connects, says nothing and stays for a while.
+// holdIdleConnections opens connections to a relay, sends nothing and closes them after duration.
 func (c *clients) holdIdleConnections(relay, count int, duration time.Duration) {
 	var conns []net.Conn
 	for range count {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,5 +1,6 @@
-// Package soak plays days on which faults come together: real relays, clients that keep their connections, endpoints, a platform, and a
-// seed that draws who is hit by what and when. It has tests only.
+// Package soak runs randomized scenarios with concurrent faults against real relays, clients with
+// persistent connections, endpoints and a platform. A seed determines the faults. It has tests
+// only.
 package soak_test
 
 import (
@@ -19,23 +20,24 @@
 )
 
 var (
-	seedCount   = flag.Int("soak.seeds", 6, "days that are played")
-	firstSeed   = flag.Int("soak.first", 1, "seed of the first")
-	maxParallel = flag.Int("soak.lanes", 3, "days that are played at once")
+	seedCount   = flag.Int("soak.seeds", 6, "number of scenarios")
+	firstSeed   = flag.Int("soak.first", 1, "seed of the first scenario")
+	maxParallel = flag.Int("soak.lanes", 3, "number of scenarios that run concurrently")
 )
 
 const (
 	destinationCount = 4
 	relayCount       = 2
-	clientCount      = 14 // clients
+	clientCount      = 14
 	scenarioLength   = 9 * time.Second
 
-	killDelay         = 3700 * time.Millisecond // SIGTERM: the earliest kill
-	restartDelay      = 600 * time.Millisecond  // the kill: the next start
+	killDelay         = 3700 * time.Millisecond // from SIGTERM to the earliest SIGKILL
+	restartDelay      = 600 * time.Millisecond  // from the exit to the next start
 	maxReadyTime      = 10 * time.Second
-	notificationGrace = 1500 * time.Millisecond // behind which notices are due again
+	notificationGrace = 1500 * time.Millisecond // after a relay is ready again, until notifications are due
 )
 
+// relayBinary builds the relay once and returns the path of the program.
 var relayBinary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -52,10 +54,10 @@
 	os.Exit(code)
 }
 
-// span is a stretch of time.
+// span is a period of time.
 type span struct{ from, to time.Time }
 
-// scenario is one seed's day.
+// scenario is the run of one seed.
 type scenario struct {
 	t        *testing.T
 	env      *testdouble.Environment
@@ -64,43 +66,49 @@
 	observed *observations
 
 	mu                 sync.Mutex
-	incarnations       []int    // of each relay
-	killedIncarnations []int    // of each relay, the last life that was killed
-	violations         []string // broken rules
-	timeline           []string // what was done, in order
+	incarnations       []int    // number of starts of each relay
+	killedIncarnations []int    // of each relay, the last one killed by SIGKILL
+	violations         []string // descriptions of broken rules
+	timeline           []string // injected faults in order
 	startedAt          time.Time
-	excusedSpans       [][]span // of each relay: down or short of descriptors, when no notice is overdue
-	plannedStops       int      // stops
-	killedStops        int      // of these, still there when they were killed
+	excusedSpans       [][]span // of each relay: periods in which notifications may be late
+	plannedStops       int
+	killedStops        int // planned stops that took longer than killDelay
 }
 
+// incarnation returns the number of the present incarnation of a relay.
 func (s *scenario) incarnation(relay int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.incarnations[relay]
 }
 
-// killed tells whether that life of a relay was killed outright.
+// killed reports whether that incarnation of a relay was killed by SIGKILL.
 func (s *scenario) killed(relay, incarnation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killedIncarnations[relay] >= incarnation
 }
 
+// fail records a broken rule.
 func (s *scenario) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.violations = append(s.violations, fmt.Sprintf("%.2f s: ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations,
+		fmt.Sprintf("%.2f s: ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
+// logEvent adds an injected fault to the timeline.
 func (s *scenario) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timeline = append(s.timeline, fmt.Sprintf("%.2f s: ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
+	s.timeline = append(s.timeline,
+		fmt.Sprintf("%.2f s: ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Faults drawn together: no request is read and left without an answer, what was taken on ends once, what was refused is not forwarded, what has
-// ended is not forwarded again, no charge runs twice, and each planned stop ends clean.
+// Under concurrent faults, each request that a relay reads is answered, each accepted message
+// completes once, rejected and completed messages are not forwarded, no charge runs twice and each
+// planned stop exits cleanly.
 func TestFaultsTogether(t *testing.T) {
 	if _, err := relayBinary(); err != nil {
 		t.Fatal(err)
@@ -117,13 +125,17 @@
 	}
 }
 
+// runScenario injects the faults of one seed while clients send, and checks the outcome.
 func runScenario(t *testing.T, seed uint64) {
-	s := &scenario{t: t, incarnations: make([]int, relayCount), excusedSpans: make([][]span, relayCount), killedIncarnations: make([]int, relayCount), startedAt: time.Now(), observed: newObservations()}
+	s := &scenario{t: t, incarnations: make([]int, relayCount), excusedSpans: make([][]span, relayCount),
+		killedIncarnations: make([]int, relayCount), startedAt: time.Now(), observed: newObservations()}
 	random := rand.New(rand.NewPCG(seed, 41))
-	config := testdouble.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: relayCount}
+	config := testdouble.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100),
+		MaxDescriptors: 192, FleetSize: relayCount}
 	for n := range destinationCount {
-		config.Partners = append(config.Partners, testdouble.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
-			RetryAfter: 150 * time.Millisecond, OnCall: s.observed.recordCall})
+		config.Partners = append(config.Partners, testdouble.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2),
+			ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
+			RetryAfter:  150 * time.Millisecond, OnCall: s.observed.recordCall})
 	}
 	var err error
 	if s.env, err = testdouble.NewEnvironment(config); err != nil {
@@ -164,23 +176,26 @@
 	s.check()
 }
 
-// excuse notes that since then, and for some time from now on, no notice of a relay is overdue.
+// excuse allows late notifications of a relay from since until grace from now.
 func (s *scenario) excuse(relay int, since time.Time, grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.excusedSpans[relay] = append(s.excusedSpans[relay], span{since, time.Now().Add(grace)})
 }
 
-// excused tells whether a relay was away at that time.
-func (excused *scenario) excused(relay int, at time.Time) bool {
-	excused.mu.Lock()
-	defer excused.mu.Unlock()
-	return slices.ContainsFunc(excused.excusedSpans[relay], func(s span) bool { return !at.Before(s.from) && at.Before(s.to) })
+// excused reports whether notifications of a relay may be late at that time.
+func (s *scenario) excused(relay int, at time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.ContainsFunc(s.excusedSpans[relay], func(excused span) bool {
+		return !at.Before(excused.from) && at.Before(excused.to)
+	})
 }
 
+// over reports whether scenarioLength has passed.
 func (s *scenario) over() bool { return time.Since(s.startedAt) > scenarioLength }
 
-// injectRelayFaults does to one relay what the seed draws, one thing after another.
+// injectRelayFaults injects one random fault after another into one relay.
 func (s *scenario) injectRelayFaults(random *rand.Rand, relay int) {
 	r := s.relays[relay]
 	for !s.over() {
@@ -191,9 +206,11 @@
 		case 1, 2:
 			s.restartRelay(random, relay, false)
 		case 3:
-			s.limitResource(relay, "file size", unix.RLIMIT_FSIZE, uint64(random.IntN(2)*4096), time.Duration(100+random.IntN(700))*time.Millisecond)
+			s.limitResource(relay, "file size", unix.RLIMIT_FSIZE, uint64(random.IntN(2)*4096),
+				time.Duration(100+random.IntN(700))*time.Millisecond)
 		case 4:
-			s.limitResource(relay, "descriptors", unix.RLIMIT_NOFILE, uint64(3+random.IntN(20)), time.Duration(100+random.IntN(500))*time.Millisecond)
+			s.limitResource(relay, "descriptors", unix.RLIMIT_NOFILE, uint64(3+random.IntN(20)),
+				time.Duration(100+random.IntN(500))*time.Millisecond)
 		case 5:
 			s.logEvent("relay %d: SIGHUP", relay)
 			r.Signal(syscall.SIGHUP)
@@ -203,9 +220,9 @@
 	}
 }
 
-// pauseRelay holds a relay up, for up to 0.15 s each time.
+// pauseRelay suspends a relay several times, for up to 150 ms each.
 func (s *scenario) pauseRelay(random *rand.Rand, relay int) {
-	s.logEvent("relay %d: held up", relay)
+	s.logEvent("relay %d: paused", relay)
 	for range 1 + random.IntN(4) {
 		s.relays[relay].Signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(20+random.IntN(130)) * time.Millisecond)
@@ -214,19 +231,20 @@
 	}
 }
 
-// injectPlatformFaults has the platform take longer for notices at times.
+// injectPlatformFaults delays the acceptance of notifications at random times.
 func (s *scenario) injectPlatformFaults(random *rand.Rand) {
 	for !s.over() {
 		time.Sleep(time.Duration(300+random.IntN(2000)) * time.Millisecond)
 		delay := time.Duration(random.IntN(200)) * time.Millisecond
-		s.logEvent("notices take %v", delay)
+		s.logEvent("notifications delayed by %v", delay)
 		s.env.Platform.DelayNotifications(delay)
 		time.Sleep(time.Duration(300+random.IntN(1500)) * time.Millisecond)
 		s.env.Platform.DelayNotifications(0)
 	}
 }
 
-// limitResource has system calls of a relay fail for a while: writes to its folder, or whatever takes a descriptor.
+// limitResource lowers a resource limit of a relay for a while, so that writes to files or calls
+// that need a descriptor fail.
 func (s *scenario) limitResource(relay int, name string, resource int, limit uint64, duration time.Duration) {
 	r, began := s.relays[relay], time.Now()
 	defer func() { s.excuse(relay, began, notificationGrace) }()
@@ -235,7 +253,7 @@
 		s.t.Error(err)
 		return
 	}
-	s.logEvent("%s: %s bound to %d for %v", r.Addr, name, limit, duration)
+	s.logEvent("%s: %s limited to %d for %v", r.Addr, name, limit, duration)
 	lowered := previous
 	lowered.Cur = limit
 	unix.Prlimit(r.PID(), resource, &lowered, nil)
@@ -243,11 +261,18 @@
 	unix.Prlimit(r.PID(), resource, &previous, nil)
 }
 
-// stopSignals are the signals of a planned stop.
-var stopSignals = [][]syscall.Signal{{syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
-	{syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM}}
+// stopSignals lists the signal sequences of a planned stop.
+var stopSignals = [][]syscall.Signal{
+	{syscall.SIGTERM},
+	{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
+	{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
+	{syscall.SIGTERM, syscall.SIGTERM},
+	{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
+}
 
-// restartRelay ends a relay and starts it again, at the earliest of what is allowed each time; outright: without a word.
+// restartRelay stops a relay and starts it again, with the shortest delays that operators are
+// allowed. With outright set, it uses SIGKILL at once. At random, it kills the new process during
+// its start.
 func (s *scenario) restartRelay(random *rand.Rand, relay int, outright bool) {
 	r := s.relays[relay]
 	began := time.Now()
@@ -263,7 +288,7 @@
 		select {
 		case err := <-ended:
 			if err != nil {
-				s.fail("relay %d: the exit of a planned stop: %v", relay, err)
+				s.fail("relay %d: exit after a planned stop: %v", relay, err)
 			}
 			time.Sleep(killDelay / 8)
 		case <-time.After(killDelay):
@@ -288,7 +313,7 @@
 		if !killAgain {
 			break
 		}
-		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond) // killed in its start
+		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond) // killed during its start
 		s.killRelay(relay)
 	}
 	launched := time.Now()
@@ -297,10 +322,11 @@
 		return
 	}
 	if took := time.Since(launched); took > maxReadyTime {
-		s.fail("relay %d was ready only after %v", relay, took)
+		s.fail("relay %d took %v to become ready", relay, took)
 	}
 }
 
+// countStart counts a new incarnation of a relay.
 func (s *scenario) countStart(relay int) {
 	s.mu.Lock()
 	s.incarnations[relay]++
@@ -308,6 +334,7 @@
 	s.logEvent("relay %d: started", relay)
 }
 
+// killRelay kills a relay with SIGKILL and waits until it has exited.
 func (s *scenario) killRelay(relay int) {
 	s.mu.Lock()
 	s.killedIncarnations[relay] = s.incarnations[relay]
@@ -316,12 +343,15 @@
 	s.relays[relay].Kill()
 }
 
-// injectPartnerFaults has destinations reset, hang, fail and refuse.
+// injectPartnerFaults sets random modes for destinations.
 func (s *scenario) injectPartnerFaults(random *rand.Rand) {
-	modes := []testdouble.Mode{testdouble.Healthy, testdouble.Healthy, testdouble.Unresponsive, testdouble.ResetBeforeRun, testdouble.ResetAfterRun, testdouble.InternalError, testdouble.Unavailable, testdouble.RefusingConnections}
+	modes := []testdouble.Mode{testdouble.Healthy, testdouble.Healthy, testdouble.Unresponsive,
+		testdouble.ResetBeforeRun, testdouble.ResetAfterRun, testdouble.InternalError, testdouble.Unavailable,
+		testdouble.RefusingConnections}
 	for !s.over() {
 		time.Sleep(time.Duration(100+random.IntN(600)) * time.Millisecond)
-		dest, mode, share := 1+random.IntN(destinationCount), modes[random.IntN(len(modes))], []float64{1, 0.3}[random.IntN(2)]
+		dest, mode, share :=
+			1+random.IntN(destinationCount), modes[random.IntN(len(modes))], []float64{1, 0.3}[random.IntN(2)]
 		s.logEvent("destination %d: mode %d for %g of its calls", dest, mode, share)
 		if err := s.env.Partners[dest].SetMode(mode, share); err != nil {
 			s.logEvent("destination %d: %v", dest, err)
@@ -329,12 +359,12 @@
 	}
 }
 
-// injectIdleConnections connect and say nothing.
+// injectIdleConnections opens many connections to a relay that send nothing, at random times.
 func (s *scenario) injectIdleConnections(random *rand.Rand) {
 	for !s.over() {
 		time.Sleep(time.Duration(500+random.IntN(2500)) * time.Millisecond)
 		relay, size := random.IntN(relayCount), 20+random.IntN(120)
-		s.logEvent("relay %d: a crowd of %d", relay, size)
+		s.logEvent("relay %d: %d idle connections", relay, size)
 		s.clients.holdIdleConnections(relay, size, time.Duration(random.IntN(900))*time.Millisecond)
 	}
 }
--- a/internal/testdouble/effectlog.go
+++ b/internal/testdouble/effectlog.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Effect is what a message did at a partner.
+// Effect records one run of a message at a partner.
 type Effect struct {
 	Name, ID, Key string
-	Form          string // X-Form of the call
-	Dest, Size    int    // Size: bytes of the body
+	Form          string // header X-Form of the call
+	Dest, Size    int    // Size is the length of the body in bytes
 	At            time.Time
-	Deduplicated  bool // a repeat that the partner dropped by its key
+	Deduplicated  bool // a repeat that the partner dropped because of its key
 }
 
-// EffectLog books the effects of all partners of a world.
+// EffectLog records the messages that ran at all partners of an environment.
 type EffectLog struct {
 	mu      sync.Mutex
 	classes map[string]Class
 	entries []Effect
-	lastRun map[string]time.Time // by key, of keyed classes
+	lastRun map[string]time.Time // by idempotency key, of keyed classes
 	changes *changeSignal
 }
 
@@ -34,18 +34,20 @@
 	return l
 }
 
-// MessageName is the message's name in a body.
+// MessageName returns the name of a message, the first line of its body.
 func MessageName(body []byte) string {
 	name, _, _ := strings.Cut(string(body), "\n")
 	return name
 }
 
+// className returns the class in a message name CLASS/ANYTHING.
 func className(name string) string {
 	class, _, _ := strings.Cut(name, "/")
 	return class
 }
 
-// record notes that a message ran. A keyed one takes effect once in its window.
+// record adds a run of a message. A message of a keyed class takes effect once in its repeat
+// window.
 func (l *EffectLog) record(dest int, id, key, form string, body []byte, now time.Time) {
 	e := Effect{Name: MessageName(body), ID: id, Key: key, Form: form, Dest: dest, Size: len(body), At: now}
 	l.mu.Lock()
@@ -60,21 +62,21 @@
 	l.changes.notify()
 }
 
-// Entries returns what took effect so far, repeats that were dropped among it.
+// Entries returns all runs so far, deduplicated repeats included.
 func (l *EffectLog) Entries() []Effect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.entries)
 }
 
-// Len counts what took effect so far, repeats that were dropped among it.
+// Len returns the number of runs so far, deduplicated repeats included.
 func (l *EffectLog) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
 }
 
-// CountByName returns how often each message took effect.
+// CountByName returns how often each message took effect; deduplicated repeats do not count.
 func (l *EffectLog) CountByName() map[string]int {
 	counts := map[string]int{}
 	for _, e := range l.Entries() {
@@ -85,7 +87,7 @@
 	return counts
 }
 
-// Duplicates names the messages of a class that took effect more than once.
+// Duplicates describes the messages of a class that took effect more than once, sorted by name.
 func (l *EffectLog) Duplicates(class string) (names []string) {
 	for name, n := range l.CountByName() {
 		if n > 1 && className(name) == class {
--- a/internal/testdouble/environment.go
+++ b/internal/testdouble/environment.go
@@ -1,15 +1,20 @@
-// Package standin holds what lies round a relay, written from the protocol alone and scripted: discovery and notices
-// (Platform), partners' endpoints (Partner), a ledger of what took effect there (Ledger), the relay as a process
-// (Relay) and a gate for faults between clients and relay (Gate). All of it is on loopback.
+// Package testdouble provides scripted test doubles for the systems around a relay, written from
+// the protocol alone: service discovery and outcome notifications (Platform), partners' endpoints
+// (Partner) with a log of the messages that ran there (EffectLog), and a proxy that injects faults
+// between clients and a relay (FaultProxy). It also runs the real relay as a process (Relay).
+// Everything listens on loopback.
 //
-//	w, err := standin.NewWorld(standin.Config{Partners: []standin.PartnerConfig{{Dest: 7}}})
-//	defer w.Close()
-//	relay, err := w.StartRelay(binary)
-//	... hand in at relay.Addr ...
-//	doubles := w.Ledger.Doubles("fee-charge")
+//	env, err := testdouble.NewEnvironment(testdouble.Config{
+//		Partners: []testdouble.PartnerConfig{{Dest: 7}},
+//	})
+//	defer env.Close()
+//	relay, err := env.StartRelay(binary)
+//	... submit messages at relay.Addr ...
+//	duplicates := env.EffectLog.Duplicates("fee-charge")
 //
-// A message's name is the first line of its body, CLASS/ANYTHING; the ledger counts effects by it. Draws come from
-// Config.Seed. Nothing here sleeps to wait for something: Until is woken by what happens.
+// A message's name is the first line of its body, CLASS/ANYTHING; the effect log counts by name.
+// Random numbers come from Config.Seed. Tests wait with WaitUntil, which is woken by events,
+// instead of sleeping.
 package testdouble
 
 import (
@@ -21,34 +26,37 @@
 	"time"
 )
 
-// Class is a class of message as the relay's settings tell it.
+// Class is a message class of the relay's settings.
 type Class struct {
-	Name, Effect                          string // safe, keyed or unsafe
+	Name, Effect                          string // Effect is safe, keyed or unsafe
 	TargetLatency, Deadline, RepeatWindow time.Duration
 	Value, LateValue                      float64
-	Ordered                               bool // messages of one subject go one at a time
+	Ordered                               bool // messages with the same ordering key are sent one at a time
 }
 
-// DefaultClasses are those that a world has if it is not told any.
+// DefaultClasses are the classes of an environment whose Config names none.
 var DefaultClasses = []Class{
-	{Name: "price-alert", Effect: "safe", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, RepeatWindow: 5 * time.Second, Value: 1},
-	{Name: "order-relay", Effect: "keyed", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, RepeatWindow: 5 * time.Second, Value: 2, LateValue: 0.3},
-	{Name: "fee-charge", Effect: "unsafe", TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, RepeatWindow: 5 * time.Second, Value: 5, LateValue: 0.3},
+	{Name: "price-alert", Effect: "safe", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second,
+		RepeatWindow: 5 * time.Second, Value: 1},
+	{Name: "order-relay", Effect: "keyed", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second,
+		RepeatWindow: 5 * time.Second, Value: 2, LateValue: 0.3},
+	{Name: "fee-charge", Effect: "unsafe", TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second,
+		RepeatWindow: 5 * time.Second, Value: 5, LateValue: 0.3},
 }
 
-// Config sets a world.
+// Config configures an environment. Zero values stand for the defaults given.
 type Config struct {
 	Seed               uint64
 	Partners           []PartnerConfig
-	Classes            []Class // nil: Classes
-	MaxConcurrentCalls int     // calls that a relay may have out; 0: 32
-	MaxPending         int     // messages that a relay may hold; 0: 1000
-	MaxDescriptors     int     // descriptors of a relay; 0: 1024
-	DiskMB             float64 // of a relay's folder; 0: 16
-	FleetSize          int     // of the tier, as the settings tell it; 0: 1
+	Classes            []Class // nil: DefaultClasses
+	MaxConcurrentCalls int     // of a relay, to endpoints; 0: 32
+	MaxPending         int     // accepted, uncompleted messages of a relay; 0: 1000
+	MaxDescriptors     int     // file descriptors of a relay; 0: 1024
+	DiskMB             float64 // size limit of a relay's state directory; 0: 16
+	FleetSize          int     // number of relays that the settings name; 0: 1
 }
 
-// Environment is all that lies round the relays of one test. Close ends it.
+// Environment holds the relays of one test and the test doubles around them. Call Close when done.
 type Environment struct {
 	Platform  *Platform
 	Partners  map[int]*Partner // by destination
@@ -62,12 +70,14 @@
 	closers []func()
 }
 
-// NewEnvironment starts the platform and the partners.
+// NewEnvironment starts the platform and the partners. It starts no relay.
 func NewEnvironment(config Config) (*Environment, error) {
 	if config.Classes == nil {
 		config.Classes = DefaultClasses
 	}
-	for field, fallback := range map[*int]int{&config.MaxConcurrentCalls: 32, &config.MaxPending: 1000, &config.MaxDescriptors: 1024, &config.FleetSize: 1} {
+	for field, fallback := range map[*int]int{
+		&config.MaxConcurrentCalls: 32, &config.MaxPending: 1000, &config.MaxDescriptors: 1024, &config.FleetSize: 1,
+	} {
 		if *field == 0 {
 			*field = fallback
 		}
@@ -98,7 +108,7 @@
 	return env, nil
 }
 
-// Close kills the relays and ends all stand-ins.
+// Close kills the relays and stops all test doubles.
 func (env *Environment) Close() {
 	env.mu.Lock()
 	relays := env.relays
@@ -112,17 +122,19 @@
 	os.RemoveAll(env.dir)
 }
 
-// WaitUntil waits for cond, which is looked at after each thing that happens. The bound is there for a hang, not as a measure.
+// WaitUntil waits until cond returns true. It evaluates cond after each event and fails after
+// maxWait, which only bounds a hang; what describes the condition in the error.
 func (env *Environment) WaitUntil(what string, cond func() bool) error {
 	return env.changes.waitUntil(what, cond)
 }
 
-// Notify makes Until look again, after something that the world can't see.
+// Notify makes WaitUntil evaluate its condition again, after an event outside the environment.
 func (env *Environment) Notify() { env.changes.notify() }
 
+// maxWait bounds waits that would otherwise hang a test.
 const maxWait = 60 * time.Second
 
-// changeSignal wakes those who wait for something to happen.
+// changeSignal wakes goroutines that wait for a condition whenever something changes.
 type changeSignal struct {
 	mu      sync.Mutex
 	changed chan struct{}
@@ -150,22 +162,23 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			return fmt.Errorf("waited in vain for %s", what)
+			return fmt.Errorf("timed out waiting for %s", what)
 		}
 	}
 }
 
+// hostCount numbers the loopback addresses of this process.
 var hostCount atomic.Uint32
 
-// listen opens a listener at a loopback address of its own. Guards against strangers: who asks again at a port of
-// 127.0.0.1 that has passed to a listener here, from any process, would be answered by a test's script.
+// listen opens a listener at a loopback address of its own, so that a client of another process
+// which retries at an earlier port of 127.0.0.1 never reaches it.
 func listen() (net.Listener, error) {
-	n := int(hostCount.Add(1)) // the next hundreds have a net of their own: an address comes again after 62,500
+	n := int(hostCount.Add(1)) // 250 hosts in each of 250 networks: an address is reused after 62,500
 	return net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, (os.Getpid()/64+n/250)%250, 1+n%250))
 }
 
-// ReserveAddr reserves a loopback address of its own for a listener that comes and goes. Guards against a port that an outgoing
-// connection takes while the listener is down: those come from 127.0.0.1.
+// ReserveAddr returns a loopback address of its own for a listener that is opened and closed
+// repeatedly. Outgoing connections come from 127.0.0.1 and can't take its port meanwhile.
 func ReserveAddr() (string, error) {
 	ln, err := listen()
 	if err != nil {
--- a/internal/testdouble/faultfs/faultfs.go
+++ b/internal/testdouble/faultfs/faultfs.go
@@ -1,5 +1,6 @@
-// Package disk is a folder in memory that fails as it is told: the nth operation, with half of what was written; all
-// from then on, as when the process is killed; or for want of room. It stands in for the journal's file layer.
+// Package faultfs is an in-memory file system that injects faults into the journal: at the nth
+// operation, a torn or short write, an I/O error or the death of the process; or a write that
+// exceeds the capacity.
 package faultfs
 
 import (
@@ -13,55 +14,56 @@
 	"oatfold/internal/memory/journal"
 )
 
-// ErrKilled is what every operation returns once the process is dead.
+// ErrKilled is returned by every operation once a fault has killed the process.
 var ErrKilled = errors.New("killed")
 
-// Fault is what happens at an operation.
+// Fault selects what happens at an operation.
 type Fault int
 
-// The faults.
+// The faults of an operation.
 const (
 	None  Fault = iota
-	Kill        // the process dies before it; nothing works from then on
-	Torn        // it dies half way: half the bytes are written, or the operation is done and its answer lost
-	Error       // it fails, and the process lives on
-	Short       // a write that takes only half and says so; others fail
+	Kill        // the process dies before the operation; all later ones return ErrKilled
+	Torn        // as Kill, but half of a write, or all of another operation, is done first
+	Error       // the operation fails with EIO and is not done
+	Short       // a write takes half of the bytes and reports it; other operations fail with EIO
 )
 
-// FS is the folder. It is safe for concurrent use.
+// FS is a directory of files in memory. It is safe for concurrent use.
 type FS struct {
 	mu             sync.Mutex
 	files          map[string][]byte
 	operationCount int
-	faults         map[int]Fault // by number of the operation, from 1 on
+	faults         map[int]Fault // by operation number, from 1
 	killed         bool
-	capacity       int64 // bytes that all files may take; 0: any number
-	maxFileSize    int64 // bytes that each file may have; 0: any number
+	capacity       int64 // bytes of all files, in whole blocks; 0: no limit
+	maxFileSize    int64 // bytes; 0: no limit
 	operations     []string
 }
 
-// New returns an empty folder.
+// New returns an empty file system without faults.
 func New() *FS { return &FS{files: map[string][]byte{}, faults: map[int]Fault{}} }
 
-// InjectFault makes the nth operation from the start on fail so.
+// InjectFault sets the fault of the nth operation; operations that change something count, from 1.
 func (fs *FS) InjectFault(n int, f Fault) { fs.mu.Lock(); fs.faults[n] = f; fs.mu.Unlock() }
 
-// SetCapacity bounds what all files may take; 0 is any number.
+// SetCapacity bounds the space of all files in bytes; 0 is no limit.
 func (fs *FS) SetCapacity(bytes int64) { fs.mu.Lock(); fs.capacity = bytes; fs.mu.Unlock() }
 
-// SetMaxFileSize bounds the size of each file; 0 is any.
+// SetMaxFileSize bounds the size of each file in bytes; 0 is no limit.
 func (fs *FS) SetMaxFileSize(bytes int64) { fs.mu.Lock(); fs.maxFileSize = bytes; fs.mu.Unlock() }
 
-// OperationCount counts the operations that change something so far.
+// OperationCount returns the number of operations so far that change something.
 func (fs *FS) OperationCount() int { fs.mu.Lock(); defer fs.mu.Unlock(); return fs.operationCount }
 
-// UsedBytes is what all files take.
+// UsedBytes returns the space of all files, in whole blocks.
 func (fs *FS) UsedBytes() (n int64) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.usedBytes()
 }
 
+// usedBytes is UsedBytes for a caller that holds mu.
 func (fs *FS) usedBytes() (n int64) {
 	for _, b := range fs.files {
 		n += int64(len(b)+511) / 512 * 512
@@ -69,7 +71,7 @@
 	return n
 }
 
-// Restart is the next life of the process: the files as they are, no fault.
+// Restart returns a copy for the next process: the same files and capacity, no faults.
 func (fs *FS) Restart() *FS {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -81,7 +83,7 @@
 	return next
 }
 
-// ModifyFile changes a file behind everybody's back.
+// ModifyFile replaces the contents of a file, as by corruption. It is not an operation.
 func (fs *FS) ModifyFile(name string, f func([]byte) []byte) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -102,14 +104,14 @@
 	return f
 }
 
-// OperationLog tells the operations so far.
+// OperationLog describes the operations so far, one a string: number, operation, fault.
 func (fs *FS) OperationLog() []string {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return slices.Clone(fs.operations)
 }
 
-// List names the files.
+// List returns the names of the files, sorted.
 func (fs *FS) List() (names []string, err error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -123,7 +125,7 @@
 	return names, nil
 }
 
-// Read returns a file.
+// Read returns the contents of a file.
 func (fs *FS) Read(name string) ([]byte, error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -137,7 +139,7 @@
 	return slices.Clone(b), nil
 }
 
-// run runs an operation that is done or not done.
+// run runs an operation that is done as a whole or not at all.
 func (fs *FS) run(operation string, f func() error) error {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -153,7 +155,7 @@
 	return f()
 }
 
-// Create makes an empty file.
+// Create creates an empty file, or empties an existing one.
 func (fs *FS) Create(name string) (journal.File, error) {
 	err := fs.run("create "+name, func() error { fs.files[name] = nil; return nil })
 	if err != nil {
@@ -175,7 +177,7 @@
 	})
 }
 
-// Remove drops a file.
+// Remove removes a file.
 func (fs *FS) Remove(name string) error {
 	return fs.run("remove "+name, func() error {
 		if _, ok := fs.files[name]; !ok {
@@ -186,11 +188,12 @@
 	})
 }
 
-// Truncate cuts a file.
+// Truncate shortens a file to size bytes.
 func (fs *FS) Truncate(name string, size int64) error {
 	return fs.run("truncate "+name, func() error { return fs.truncate(name, size) })
 }
 
+// truncate shortens a file. The caller holds mu.
 func (fs *FS) truncate(name string, size int64) error {
 	b, ok := fs.files[name]
 	if !ok || size > int64(len(b)) {
@@ -200,13 +203,14 @@
 	return nil
 }
 
-// file is an open file, known by its name: nothing here renames one that is open for longer than its making.
+// file is an open file. It refers to its contents by name, so a rename while it is open is not
+// followed.
 type file struct {
 	fs   *FS
 	name *string
 }
 
-// Write appends.
+// Write appends b. It fails with EFBIG or ENOSPC after the bytes that fit.
 func (f *file) Write(b []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
@@ -229,7 +233,8 @@
 		return int(free), syscall.EFBIG
 	}
 	if f.fs.capacity > 0 {
-		if free := f.fs.capacity - f.fs.usedBytes() + 511; int64(len(b)) > free { // its last block may have room
+		// An upper bound: the last block may have space left.
+		if free := f.fs.capacity - f.fs.usedBytes() + 511; int64(len(b)) > free {
 			n := int(max(0, free-511))
 			write(min(n, len(b)))
 			return min(n, len(b)), syscall.ENOSPC
@@ -239,10 +244,10 @@
 	return len(b), nil
 }
 
-// Truncate cuts the file.
+// Truncate shortens the file to size bytes.
 func (f *file) Truncate(size int64) error {
 	return f.fs.run("cut "+*f.name, func() error { return f.fs.truncate(*f.name, size) })
 }
 
-// Close does nothing that could fail.
+// Close does nothing and never fails.
 func (f *file) Close() error { return nil }
--- a/internal/testdouble/faultnet/network.go
+++ b/internal/testdouble/faultnet/network.go
@@ -1,9 +1,11 @@
-// Package link is the ways that notes take between relays on one machine: one for each pair and direction, which loses, delays, repeats or
-// reorders what it carries, or cuts it. It needs no rights: each relay's configuration names a link's address for each other relay.
+// Package faultnet injects network faults between processes on one machine, without privileges:
+// Network carries the gossip datagrams of relays and loses, delays, duplicates, reorders or blocks
+// them; TCPProxy delays, holds back or resets TCP connections. Each relay's configuration names
+// proxy addresses in place of its peers'.
 //
-//	net, err := link.New([]string{listen0, listen1}, seed)
-//	peers of relay 0: net.Peers(0)
-//	net.Set(link.Ways{Deaf: map[int]bool{1: true}})
+//	network, err := faultnet.New([]string{listen0, listen1}, seed)
+//	peers := network.PeerAddrs(0) // for relay 0
+//	network.SetFaults(faultnet.Faults{NoReceive: map[int]bool{1: true}})
 package faultnet
 
 import (
@@ -16,22 +18,23 @@
 	"time"
 )
 
-// MaxMessageBytes is the most bytes of a note that a platform takes; a longer one is counted and goes no further.
+// MaxMessageBytes is the size limit of a gossip message; a larger one is counted and dropped.
 const MaxMessageBytes = 256
 
-// Faults is what holds on all ways. The zero value carries everything at once. One that is in force must not be changed.
+// Faults describes the faults of a Network. The zero value delivers everything at once. A value
+// must not be changed after SetFaults. Rates are probabilities from 0 to 1.
 type Faults struct {
-	Partitions    []map[int]bool                  // groups that don't hear the others, nor are heard by them
-	NoReceive     map[int]bool                    // these hear nobody
-	NoSend        map[int]bool                    // these are heard by nobody
-	BlockedPairs  map[[2]int]bool                 // from, to: this one way is cut
-	LossRate      float64                         // share
-	DuplicateRate float64                         // share
-	MaxDelay      time.Duration                   // up to so much, drawn for each: notes come out of order
-	OnSend        func(from, to int, note []byte) // not nil: told of each note that is sent
+	Partitions    []map[int]bool  // groups that exchange no messages with the other relays
+	NoReceive     map[int]bool    // relays that receive nothing
+	NoSend        map[int]bool    // relays whose messages are all dropped
+	BlockedPairs  map[[2]int]bool // sender and receiver; blocks that direction
+	LossRate      float64
+	DuplicateRate float64
+	MaxDelay      time.Duration                      // each message has a random delay up to it, which reorders messages
+	OnSend        func(from, to int, message []byte) // called with each message sent; may be nil
 }
 
-// allows tells whether anything gets from one relay to another.
+// allows reports whether messages pass from one relay to another.
 func (f *Faults) allows(from, to int) bool {
 	for _, group := range f.Partitions {
 		if group[from] != group[to] {
@@ -41,13 +44,14 @@
 	return !f.NoReceive[to] && !f.NoSend[from] && !f.BlockedPairs[[2]int{from, to}]
 }
 
-// Network is the ways between the relays of one fleet. Close ends it.
+// Network carries the gossip messages between the relays of one fleet. Call Close when done.
 type Network struct {
 	relayAddrs []netip.AddrPort
-	sockets    [][]*net.UDPConn // [i][j]: where relay i reaches j, and hears it from
+	sockets    [][]*net.UDPConn // [i][j]: stands for relay j towards relay i
 	faults     atomic.Pointer[Faults]
 	forwarders sync.WaitGroup
 
+	// alias maps a relay to a second address with the same number.
 	alias atomic.Pointer[map[int]netip.AddrPort]
 
 	mu        sync.Mutex
@@ -60,7 +64,8 @@
 	timers    map[*time.Timer]struct{}
 }
 
-// New opens the ways between relays that listen at these addresses.
+// New opens sockets for each pair of the relays that listen at these addresses, and starts to
+// forward.
 func New(listen []string, seed uint64) (*Network, error) {
 	n := &Network{rng: rand.New(rand.NewPCG(seed, 0x11e4)), timers: map[*time.Timer]struct{}{}}
 	n.faults.Store(&Faults{})
@@ -81,7 +86,7 @@
 			sock, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
 				n.Close()
-				return nil, fmt.Errorf("way from %d to %d: %w", i, j, err)
+				return nil, fmt.Errorf("open socket from relay %d to %d: %w", i, j, err)
 			}
 			row[j] = sock
 		}
@@ -96,7 +101,8 @@
 	return n, nil
 }
 
-// PeerAddrs are the addresses that relay i is told, by number: its own, and a link's for each other.
+// PeerAddrs returns the peer addresses for the configuration of a relay, by number: its own, and a
+// socket of the network for each other relay.
 func (n *Network) PeerAddrs(relay int) (all []string) {
 	for j, sock := range n.sockets[relay] {
 		if j == relay {
@@ -108,7 +114,9 @@
 	return all
 }
 
-// AddAlias has a further address stand for relay i, as if two processes had one number: it is heard as i, and hears what i hears.
+// AddAlias adds a second address for a relay, as if two processes had its number: messages from
+// there count as the relay's, and it receives what the relay receives. A network has one alias at a
+// time.
 func (n *Network) AddAlias(relay int, listen string) error {
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil {
@@ -118,7 +126,7 @@
 	return nil
 }
 
-// aliasOf is the second address of a relay, if there is one.
+// aliasOf returns the second address of a relay, if there is one.
 func (n *Network) aliasOf(relay int) (at netip.AddrPort, ok bool) {
 	if all := n.alias.Load(); all != nil {
 		at, ok = (*all)[relay]
@@ -126,20 +134,21 @@
 	return at, ok
 }
 
-// SetFaults puts ways in force. What is late already still comes.
+// SetFaults replaces the faults. Messages that are delayed already still arrive.
 func (n *Network) SetFaults(f Faults) { n.faults.Store(&f) }
 
-// Faults are those in force.
+// Faults returns the present faults.
 func (n *Network) Faults() Faults { return *n.faults.Load() }
 
-// Counts tells how many notes were sent, how many of them arrived, how many bytes were sent and how many notes were longer than may be.
+// Counts returns the numbers of messages sent, messages delivered, bytes sent and oversized
+// messages.
 func (n *Network) Counts() (sent, delivered, bytes, oversized int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent, n.delivered, n.bytes, n.oversized
 }
 
-// Close ends all ways; what is late is lost.
+// Close closes all sockets and drops delayed messages.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -157,7 +166,8 @@
 	n.forwarders.Wait()
 }
 
-// forward passes on what relay i sends to j, until the way is closed. A stranger's note is not passed on.
+// forward carries messages from one relay to another until the socket is closed. It drops datagrams
+// from other sources.
 func (n *Network) forward(from, to int, sock *net.UDPConn) {
 	buf := make([]byte, 4*MaxMessageBytes)
 	for {
@@ -183,7 +193,7 @@
 	}
 }
 
-// drawDelays draws how often a note arrives, and how late each time.
+// drawDelays returns a random delay for each copy of a message that is to arrive.
 func (n *Network) drawDelays(faults *Faults, from, to, size int) (delays []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -210,6 +220,7 @@
 	return delays
 }
 
+// runAfter calls callback after delay, unless the network is closed first.
 func (n *Network) runAfter(delay time.Duration, callback func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -226,7 +237,7 @@
 	n.timers[t] = struct{}{}
 }
 
-// deliver writes a note to relay j, as from where it knows i.
+// deliver sends a message to a relay, from the address under which it knows the sender.
 func (n *Network) deliver(from, to int, message []byte) {
 	if alias, ok := n.aliasOf(to); ok {
 		n.sockets[to][from].WriteToUDPAddrPort(message, alias)
--- a/internal/testdouble/faultnet/network_test.go
+++ b/internal/testdouble/faultnet/network_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// openSocket is a relay's own socket.
+// openSocket opens the socket of a relay.
 func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -18,8 +18,8 @@
 	return c
 }
 
-// Each way carries what its relay sends, as from the address under which the receiver knows it; a cut takes one direction, a group, a pair; a stranger and a note
-// of 257 bytes go nowhere.
+// The receiver sees messages from the address under which it knows the sender; each fault blocks
+// the directions it names; datagrams of other sources and oversized messages are dropped.
 func TestNetwork(t *testing.T) {
 	var sockets []*net.UDPConn
 	var listen []string
@@ -37,7 +37,8 @@
 			t.Fatal(err)
 		}
 	}
-	// heard tells which of the notes sent to j come, up to the mark that is sent behind them where everything passes.
+	// received returns the messages that arrive at j before the mark, which is sent after them
+	// without faults.
 	buf := make([]byte, 1024)
 	read := func(j int) (string, string) {
 		sockets[j].SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -68,31 +69,39 @@
 		name   string
 		faults Faults
 		want   bool
-	}{{"all", Faults{}, true}, {"deaf", Faults{NoReceive: map[int]bool{1: true}}, false}, {"deaf sender", Faults{NoReceive: map[int]bool{0: true}}, true},
-		{"mute", Faults{NoSend: map[int]bool{0: true}}, false}, {"mute receiver", Faults{NoSend: map[int]bool{1: true}}, true}, {"apart", Faults{Partitions: []map[int]bool{{0: true}}}, false},
-		{"together apart", Faults{Partitions: []map[int]bool{{0: true, 1: true}}}, true}, {"this way", Faults{BlockedPairs: map[[2]int]bool{{0, 1}: true}}, false},
-		{"that way", Faults{BlockedPairs: map[[2]int]bool{{1, 0}: true}}, true}, {"lost", Faults{LossRate: 1}, false}} {
+	}{
+		{"no faults", Faults{}, true},
+		{"receiver receives nothing", Faults{NoReceive: map[int]bool{1: true}}, false},
+		{"sender receives nothing", Faults{NoReceive: map[int]bool{0: true}}, true},
+		{"sender sends nothing", Faults{NoSend: map[int]bool{0: true}}, false},
+		{"receiver sends nothing", Faults{NoSend: map[int]bool{1: true}}, true},
+		{"across a partition", Faults{Partitions: []map[int]bool{{0: true}}}, false},
+		{"within a partition", Faults{Partitions: []map[int]bool{{0: true, 1: true}}}, true},
+		{"this direction blocked", Faults{BlockedPairs: map[[2]int]bool{{0, 1}: true}}, false},
+		{"other direction blocked", Faults{BlockedPairs: map[[2]int]bool{{1, 0}: true}}, true},
+		{"all lost", Faults{LossRate: 1}, false},
+	} {
 		got := received(1, c.faults, func() { send(0, 1, []byte(c.name)) })
 		if (len(got) == 1) != c.want {
-			t.Errorf("%s: heard %q", c.name, got)
+			t.Errorf("%s: received %q", c.name, got)
 		}
 	}
 	if got := received(1, Faults{DuplicateRate: 1}, func() { send(0, 1, []byte("x")) }); len(got) != 2 {
-		t.Errorf("twice: heard %q", got)
+		t.Errorf("duplicated: received %q", got)
 	}
 	if got := received(1, Faults{}, func() { send(0, 1, make([]byte, MaxMessageBytes+1)) }); len(got) != 0 {
-		t.Errorf("257 bytes came: %d", len(got))
+		t.Errorf("an oversized message arrived: %d", len(got))
 	}
 	if _, _, _, oversized := n.Counts(); oversized != 1 {
-		t.Errorf("%d too long", oversized)
+		t.Errorf("%d oversized messages, want 1", oversized)
 	}
 	stranger := openSocket(t)
 	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.PeerAddrs(0)[1]))
 	send(2, 1, []byte("two"))
 	if text, from := read(1); text != "two" || from != n.PeerAddrs(1)[2] {
-		t.Errorf("heard %q from %s, want it from %s", text, from, n.PeerAddrs(1)[2])
+		t.Errorf("received %q from %s, want it from %s", text, from, n.PeerAddrs(1)[2])
 	}
-	// Late ones come out of order, and all of them.
+	// Delayed messages all arrive, in another order.
 	n.SetFaults(Faults{MaxDelay: 50 * time.Millisecond})
 	var order []byte
 	for i := range 40 {
@@ -107,6 +116,6 @@
 		sorted = sorted && order[i] < order[i+1]
 	}
 	if sorted {
-		t.Error("forty late notes came in order")
+		t.Error("40 delayed messages arrived in order")
 	}
 }
--- a/internal/testdouble/faultnet/tcpproxy.go
+++ b/internal/testdouble/faultnet/tcpproxy.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// StreamFaults is what a stream's way does. The zero value passes all at once.
+// StreamFaults describes the faults of a TCPProxy. The zero value passes everything at once.
 type StreamFaults struct {
-	Refuse        bool          // connections that are open are reset, new ones as soon as they come
-	BlockOutbound bool          // nothing gets there: what is written waits for the cut's end
-	BlockInbound  bool          // nothing comes back: answers wait for it
-	Delay         time.Duration // of each piece, on either way
+	Refuse        bool          // resets open connections, and new ones when they are accepted
+	BlockOutbound bool          // holds data to the target back while set
+	BlockInbound  bool          // holds data from the target back while set
+	Delay         time.Duration // of each chunk, in both directions
 }
 
-// TCPProxy is the way from one relay to one other party over TCP: a partner's endpoint or the platform. What a cut holds back comes behind it, as
-// it does where a network heals before either side gives up. Close ends it.
+// TCPProxy forwards TCP connections from a relay to one target, such as a partner's endpoint or the
+// platform, and injects faults. Blocked data is delivered when the block ends, as after a network
+// partition that heals before either side times out. Call Close when done.
 type TCPProxy struct {
-	Addr string
+	Addr string // host:port that it listens at
 
 	target     string
 	ln         net.Listener
@@ -28,24 +29,25 @@
 
 	mu              sync.Mutex
 	closed          bool
-	changed         chan struct{} // closed as another course comes into force
+	changed         chan struct{} // closed and replaced when the faults change
 	conns           map[net.Conn]struct{}
 	connectionCount int
 }
 
-// NewTCPProxy opens a way to an address.
+// NewTCPProxy starts a proxy to the target address.
 func NewTCPProxy(target string) (*TCPProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("way to %s: %w", target, err)
+		return nil, fmt.Errorf("listen for target %s: %w", target, err)
 	}
-	p := &TCPProxy{Addr: ln.Addr().String(), target: target, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	p := &TCPProxy{Addr: ln.Addr().String(), target: target, ln: ln, changed: make(chan struct{}),
+		conns: map[net.Conn]struct{}{}}
 	p.faults.Store(&StreamFaults{})
 	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
-// SetFaults puts a course in force, also for connections that are open.
+// SetFaults replaces the faults, also for open connections.
 func (p *TCPProxy) SetFaults(faults StreamFaults) {
 	p.faults.Store(&faults)
 	p.mu.Lock()
@@ -57,10 +59,10 @@
 	}
 }
 
-// ConnectionCount counts the connections that came.
+// ConnectionCount returns the number of connections accepted so far, reset ones included.
 func (p *TCPProxy) ConnectionCount() int { p.mu.Lock(); defer p.mu.Unlock(); return p.connectionCount }
 
-// Close ends the way and all its connections.
+// Close stops the proxy and resets all its connections.
 func (p *TCPProxy) Close() {
 	p.ln.Close()
 	p.mu.Lock()
@@ -73,7 +75,7 @@
 	p.goroutines.Wait()
 }
 
-// resetAll breaks all connections. The caller holds mu.
+// resetAll resets all connections. The caller holds mu.
 func (p *TCPProxy) resetAll() {
 	for c := range p.conns {
 		if tcpConn, ok := c.(*net.TCPConn); ok {
@@ -83,6 +85,7 @@
 	}
 }
 
+// accept takes connections until the listener is closed.
 func (p *TCPProxy) accept() {
 	for {
 		client, err := p.ln.Accept()
@@ -103,7 +106,7 @@
 	}
 }
 
-// proxy carries one connection until either side ends it.
+// proxy forwards one connection in both directions until it is closed.
 func (p *TCPProxy) proxy(client net.Conn) {
 	defer p.closeConn(client)
 	if !p.waitUntilOpen(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
@@ -133,6 +136,7 @@
 	replies.Wait()
 }
 
+// closeConn closes a connection and forgets it.
 func (p *TCPProxy) closeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
@@ -140,7 +144,8 @@
 	p.mu.Unlock()
 }
 
-// waitUntilOpen waits until the course lets something through; false: the way is closed.
+// waitUntilOpen waits until open returns true for the faults. It returns false once the proxy is
+// closed.
 func (p *TCPProxy) waitUntilOpen(open func(*StreamFaults) bool) bool {
 	for {
 		p.mu.Lock()
@@ -156,6 +161,7 @@
 	}
 }
 
+// copy copies one direction, subject to the faults, until an error or the end of the stream.
 func (p *TCPProxy) copy(to, from net.Conn, open func(*StreamFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -172,7 +178,7 @@
 			}
 		}
 		if err != nil {
-			p.waitUntilOpen(open) // the end of a connection is held back as well
+			p.waitUntilOpen(open) // a close is held back like data
 			return
 		}
 	}
--- a/internal/testdouble/faultnet/tcpproxy_test.go
+++ b/internal/testdouble/faultnet/tcpproxy_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// startEchoServer answers each line with the same line.
+// startEchoServer returns the address of a server that sends back what it receives.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,8 @@
 	return ln.Addr().String()
 }
 
-// A stream passes, holds back what a cut of either direction stops and lets it go behind it, delays, refuses and breaks what is open; closing it ends all.
+// The proxy forwards data, holds blocked data back until the block ends, delays data and resets
+// connections; Close does not wait for blocked data.
 func TestTCPProxy(t *testing.T) {
 	s, err := NewTCPProxy(startEchoServer(t))
 	if err != nil {
@@ -54,15 +55,17 @@
 	if got, err := ask(c, r, 20*time.Second); got != "x\n" {
 		t.Fatal(got, err)
 	}
-	for _, cut := range []StreamFaults{{BlockOutbound: true}, {BlockInbound: true}, {BlockOutbound: true, BlockInbound: true}} {
+	for _, cut := range []StreamFaults{
+		{BlockOutbound: true}, {BlockInbound: true}, {BlockOutbound: true, BlockInbound: true},
+	} {
 		s.SetFaults(cut)
 		if got, err := ask(c, r, 100*time.Millisecond); err == nil {
-			t.Errorf("%+v: %q comes through", cut, got)
+			t.Errorf("%+v: %q passes", cut, got)
 		}
 		s.SetFaults(StreamFaults{})
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		if got, err := r.ReadString('\n'); got != "x\n" {
-			t.Errorf("%+v: %q, %v behind the cut", cut, got, err)
+			t.Errorf("%+v: %q, %v after the block", cut, got, err)
 		}
 	}
 	s.SetFaults(StreamFaults{Delay: 30 * time.Millisecond})
@@ -72,11 +75,11 @@
 	}
 	s.SetFaults(StreamFaults{Refuse: true})
 	if got, err := ask(c, r, 20*time.Second); err == nil {
-		t.Errorf("an open connection still says %q", got)
+		t.Errorf("an open connection still answers %q", got)
 	}
 	if c, err := net.Dial("tcp", s.Addr); err == nil { // the reset may come before the dial has returned
 		if got, err := ask(c, bufio.NewReader(c), 20*time.Second); err == nil {
-			t.Errorf("a new one says %q", got)
+			t.Errorf("a new connection answers %q", got)
 		}
 		c.Close()
 	}
@@ -85,5 +88,5 @@
 	if got, err := ask(c, r, 20*time.Second); got != "x\n" || s.ConnectionCount() != 3 {
 		t.Errorf("%q, %v, %d opened", got, err, s.ConnectionCount())
 	}
-	s.SetFaults(StreamFaults{BlockOutbound: true}) // closing waits for nothing that is held back
+	s.SetFaults(StreamFaults{BlockOutbound: true}) // Close must not wait for blocked data
 }
--- a/internal/testdouble/faultproxy.go
+++ b/internal/testdouble/faultproxy.go
@@ -11,38 +11,38 @@
 	"time"
 )
 
-// Fault is what a gate does with one request.
+// Fault tells a FaultProxy how to treat one request.
 type Fault struct {
 	Kind   FaultKind
-	Status int         // Answer
-	Header http.Header // Answer
+	Status int         // for Respond
+	Header http.Header // for Respond
 }
 
-// FaultKind is a kind of fault.
+// FaultKind selects the treatment of a request.
 type FaultKind int
 
-// The kinds of faults.
+// The treatments of a request.
 const (
-	Forward         FaultKind = iota // to the relay and back
-	Respond                          // answered by the gate itself
-	DropResponse                     // the relay answers, the client's connection ends without
-	HoldResponse                     // the relay answers, the client hears it after Release
-	IgnoreRequest                    // nothing is passed on or said until the client closes
-	ResetConnection                  // the connection is reset after the request's head
+	Forward         FaultKind = iota // forwarded to the relay; the response is returned
+	Respond                          // answered by the proxy with Status and Header
+	DropResponse                     // forwarded; the client's connection is closed without the response
+	HoldResponse                     // forwarded; the response is returned after ReleaseResponses
+	IgnoreRequest                    // neither forwarded nor answered until the client closes
+	ResetConnection                  // the connection is reset after the request's header
 )
 
-// RecordedRequest is a request that came to a gate.
+// RecordedRequest is a POST that a FaultProxy received.
 type RecordedRequest struct {
 	Path, ID, Key, RepeatMark, TimeLeft string
-	Name                                string // of the message; empty where the body was not read
-	Status                              int    // that the relay answered; 0: none
+	Name                                string // of the message; empty if the body was not read
+	Status                              int    // of the relay's response; 0: none
 	At                                  time.Time
 }
 
-// FaultProxy stands between clients and a relay, sees each request and does faults by a script. It counts what is on the wire
-// without help of the client's library.
+// FaultProxy is an HTTP proxy between clients and a relay that records each request and injects
+// faults by a script. It counts requests on the wire, independently of the client library.
 type FaultProxy struct {
-	Addr string
+	Addr string // host:port that clients connect to
 
 	target  string
 	script  func(n int, path string) Fault
@@ -56,8 +56,9 @@
 	released        chan struct{}
 }
 
-// StartFaultProxy opens a gate to a relay's address. Script is asked for each POST, of which n came before; nil passes all. To may
-// be empty where the script answers all itself.
+// StartFaultProxy starts a proxy to the relay at target until Close. The script is called for each
+// POST with the number of earlier ones and the path; a nil script forwards everything. With an
+// empty target, the proxy answers each request itself, with status 200 unless the fault sets one.
 func (env *Environment) StartFaultProxy(target string, script func(n int, path string) Fault) (*FaultProxy, error) {
 	ln, err := listen()
 	if err != nil {
@@ -66,7 +67,8 @@
 	if script == nil {
 		script = func(int, string) Fault { return Fault{} }
 	}
-	p := &FaultProxy{Addr: ln.Addr().String(), target: target, script: script, changes: env.changes, ln: ln, conns: map[net.Conn]struct{}{}, released: make(chan struct{})}
+	p := &FaultProxy{Addr: ln.Addr().String(), target: target, script: script, changes: env.changes, ln: ln,
+		conns: map[net.Conn]struct{}{}, released: make(chan struct{})}
 	env.mu.Lock()
 	env.closers = append(env.closers, p.close)
 	env.mu.Unlock()
@@ -96,7 +98,7 @@
 	p.ReleaseResponses()
 }
 
-// ReleaseResponses lets held answers go.
+// ReleaseResponses returns the responses that HoldResponse has delayed so far.
 func (p *FaultProxy) ReleaseResponses() {
 	p.mu.Lock()
 	close(p.released)
@@ -104,20 +106,21 @@
 	p.mu.Unlock()
 }
 
-// Requests returns the requests that came, GET /ready left out.
+// Requests returns the POST requests received so far, in order.
 func (p *FaultProxy) Requests() []RecordedRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.requests)
 }
 
-// ConnectionTimes returns when each connection was opened.
+// ConnectionTimes returns the time at which each connection was accepted.
 func (p *FaultProxy) ConnectionTimes() []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.connectionTimes)
 }
 
+// serve handles the requests of one client connection in order.
 func (p *FaultProxy) serve(conn net.Conn) {
 	defer func() {
 		conn.Close()
@@ -144,7 +147,8 @@
 			p.mu.Lock()
 			index = len(p.requests)
 			h := req.Header
-			p.requests = append(p.requests, RecordedRequest{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
+			p.requests = append(p.requests, RecordedRequest{Path: req.URL.Path,
+				ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
 				RepeatMark: h.Get("X-Repeat"), TimeLeft: h.Get("X-Time-Left-Ms"), At: time.Now()})
 			p.mu.Unlock()
 			fault = p.script(index, req.URL.Path)
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -12,51 +12,52 @@
 	"time"
 )
 
-// Mode is how a partner behaves.
+// Mode selects how a partner answers calls.
 type Mode int
 
 // The modes of a partner.
 const (
-	Healthy             Mode = iota // runs calls, within its limits
-	Unresponsive                    // reads calls and says nothing, runs nothing
-	ResetBeforeRun                  // resets the connection once the call has come; nothing has run
-	ResetAfterRun                   // the same, but the call has run
-	InternalError                   // 500, nothing has run
-	Unavailable                     // 503 with the wait, if one is told
-	RefusingConnections             // refuses connections, and those that are open break
+	Healthy             Mode = iota // runs calls within its limits
+	Unresponsive                    // reads calls, runs nothing and never responds
+	ResetBeforeRun                  // resets the connection after reading the call, which does not run
+	ResetAfterRun                   // resets the connection after the call has run
+	InternalError                   // responds 500; the call does not run
+	Unavailable                     // responds 429 with Wait-Ms if RetryAfter is set, else 503
+	RefusingConnections             // closes its listeners and all open connections
 )
 
-// PartnerConfig sets a partner.
+// PartnerConfig configures a partner. Zero values stand for the defaults given.
 type PartnerConfig struct {
 	Dest               int
-	Kind               string        // empty: small-partner
-	Zone               string        // empty: here
-	EndpointZones      []string      // of its endpoints, one by one, where they lie in several
-	Endpoints          int           // 0: 1
-	Rate               float64       // calls a second that it takes, over all endpoints; 0: no limit
-	Burst              float64       // calls at once above the rate; 0: 1
-	MaxConcurrentCalls int           // calls served at once; 0: any number
-	RetryAfter         time.Duration // told by refusals; 0: none
-	ServiceTime        time.Duration // how long a call takes
-	ColdRateShare      float64       // share of the rate that it has at once after an outage; 0: it returns warm
-	WarmUpTime         time.Duration // until it is warm
-	OverloadFactor     float64       // sent more than this multiple of the present rate over a second while cold, it falls silent for good; 0: never
-	Now                func() time.Time
-	OnCall             func(Call)        // not nil: told of each call as it comes and as it ends
-	OnMessage          func(body []byte) // not nil: told of each message that runs, in place of the ledger
+	Kind               string            // empty: small-partner
+	Zone               string            // empty: here
+	EndpointZones      []string          // zone of each endpoint by index; missing or empty: Zone
+	Endpoints          int               // number of endpoints; 0: 1
+	Rate               float64           // calls per second over all endpoints; 0: no limit
+	Burst              float64           // size of the token bucket in calls; 0: 1
+	MaxConcurrentCalls int               // over all endpoints; 0: no limit
+	RetryAfter         time.Duration     // sent with rejections; 0: none
+	ServiceTime        time.Duration     // duration of a call
+	ColdRateShare      float64           // share of Rate available right after an outage; 0: no warm-up
+	WarmUpTime         time.Duration     // time after an outage until the full rate is available
+	OverloadFactor     float64           // multiple of the current rate that makes it collapse while warming up; 0: never
+	Now                func() time.Time  // nil: time.Now
+	OnCall             func(Call)        // called when a call arrives and when it completes; may be nil
+	OnMessage          func(body []byte) // called for each message that runs, in place of the effect log; may be nil
 }
 
-// Call is what a partner sees of a call, as it comes and as it ends.
+// Call describes a call that a partner receives, on arrival and on completion. OK, MayHaveRun and
+// RetryAfter hold on completion.
 type Call struct {
 	Dest       int
 	IDs        []string
 	Completed  bool
-	OK         bool          // Ended: it ran, and that was answered
-	MayHaveRun bool          // Ended: it may have run
-	RetryAfter time.Duration // Ended: told
+	OK         bool          // it ran and was answered with success
+	MayHaveRun bool          // false only after a rejection with 429 or 503
+	RetryAfter time.Duration // sent with the response
 }
 
-// Partner is a destination with its endpoints.
+// Partner is a test double of a destination with its endpoints.
 type Partner struct {
 	config    PartnerConfig
 	effectLog *EffectLog
@@ -65,21 +66,21 @@
 	mu              sync.Mutex
 	random          *rand.Rand
 	mode            Mode
-	rateShare       float64 // part of the rate that it takes
-	modeShare       float64 // of the calls that the mode is for
+	rateShare       float64 // factor applied to the rate
+	modeShare       float64 // share of the calls that mode applies to
 	tokens          float64
 	refilledAt      time.Time
 	warmAt          time.Time
-	recentCalls     []time.Time // calls of the last second, while cold
+	recentCalls     []time.Time // calls of the last second during warm-up
 	inFlight        int
-	released        chan struct{} // closed when silence ends
-	earlyCalls      int           // calls while a told wait ran
+	released        chan struct{} // closed to end unresponsive calls
+	earlyCalls      int           // calls before retryAfterUntil
 	retryAfterUntil time.Time
 	rejectedCalls   int
 	collapsed       bool
 }
 
-// endpointZone is where an endpoint lies.
+// endpointZone returns the zone of the endpoint with that index.
 func (p *Partner) endpointZone(i int) string {
 	if i < len(p.config.EndpointZones) && p.config.EndpointZones[i] != "" {
 		return p.config.EndpointZones[i]
@@ -87,6 +88,7 @@
 	return p.config.Zone
 }
 
+// endpoint is one listener of a partner.
 type endpoint struct {
 	id, addr string
 	server   *http.Server
@@ -103,10 +105,11 @@
 		config.Now = time.Now
 	}
 	config.Endpoints, config.Burst = max(1, config.Endpoints), max(1, config.Burst)
-	p := &Partner{config: config, effectLog: effectLog, random: rand.New(rand.NewPCG(seed, uint64(config.Dest))), released: make(chan struct{}), tokens: config.Burst, rateShare: 1}
+	p := &Partner{config: config, effectLog: effectLog, random: rand.New(rand.NewPCG(seed, uint64(config.Dest))),
+		released: make(chan struct{}), tokens: config.Burst, rateShare: 1}
 	for i := range config.Endpoints {
 		e := &endpoint{id: fmt.Sprintf("p%d-%d", config.Dest, i)}
-		for attempt := 1; ; attempt++ { // somebody else may take a port before it is listened at
+		for attempt := 1; ; attempt++ { // another process may take the reserved port first
 			addr, err := ReserveAddr()
 			if err == nil {
 				e.addr = addr
@@ -143,13 +146,13 @@
 	}
 }
 
-// releaseHeldCalls lets calls that were kept silent go. The caller holds mu.
+// releaseHeldCalls ends the calls that wait in mode Unresponsive. The caller holds mu.
 func (p *Partner) releaseHeldCalls() {
 	close(p.released)
 	p.released = make(chan struct{})
 }
 
-// EndpointIDs names the endpoints as discovery does.
+// EndpointIDs returns the instance ids of the endpoints in discovery.
 func (p *Partner) EndpointIDs() (ids []string) {
 	for _, e := range p.endpoints {
 		ids = append(ids, e.id)
@@ -157,7 +160,7 @@
 	return ids
 }
 
-// Addresses are where the endpoints listen.
+// Addresses returns the host:port of each endpoint.
 func (p *Partner) Addresses() (all []string) {
 	for _, e := range p.endpoints {
 		all = append(all, e.addr)
@@ -165,8 +168,9 @@
 	return all
 }
 
-// SetMode puts a mode in force for that share of the calls (1: all). Calls that were kept silent break. A partner that
-// comes back from an outage is cold, if it is set so.
+// SetMode applies a mode to a share of the calls, from 0 to 1. It aborts the calls that wait in
+// mode Unresponsive. A change back to Healthy starts the warm-up, if one is configured. It fails
+// where an endpoint can't listen again after RefusingConnections.
 func (p *Partner) SetMode(m Mode, share float64) error {
 	p.mu.Lock()
 	previous := p.mode
@@ -188,27 +192,30 @@
 	return nil
 }
 
-// EarlyCalls counts calls that came while a wait that this partner had told ran, but for the first 100 ms of it.
+// EarlyCalls counts calls before the end of a Retry-After that this partner sent. Calls in its
+// first 100 ms don't count: they may have been sent before it arrived.
 func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.earlyCalls }
 
-// RejectedCalls counts calls turned away above a limit.
+// RejectedCalls counts calls rejected because of the rate or concurrency limit.
 func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejectedCalls }
 
-// Collapsed tells whether it was pushed over while it was cold.
+// Collapsed reports whether overload during warm-up made the partner unresponsive for good.
 func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.collapsed }
 
-// SetRateShare has it take that part of its rate from now on; 1: all of it.
+// SetRateShare multiplies the rate by share from now on; 1 restores it.
 func (p *Partner) SetRateShare(share float64) {
 	p.mu.Lock()
 	p.rateShare = share
 	p.mu.Unlock()
 }
 
-// currentRate is what it can take now. The caller holds mu.
+// currentRate returns the present rate in calls per second. The caller holds mu.
 func (p *Partner) currentRate(now time.Time) float64 {
 	return p.warmUpRate(now) * p.rateShare
 }
 
+// warmUpRate returns the rate without rateShare: it rises linearly during warm-up. The caller holds
+// mu.
 func (p *Partner) warmUpRate(now time.Time) float64 {
 	if p.config.Rate == 0 || !now.Before(p.warmAt) || p.config.WarmUpTime == 0 {
 		return p.config.Rate
@@ -217,7 +224,7 @@
 	return p.config.Rate * (p.config.ColdRateShare + (1-p.config.ColdRateShare)*warmUpProgress)
 }
 
-// admit says what becomes of a call.
+// admit decides how to answer a call, and whether it counts as in flight.
 func (p *Partner) admit() (Mode, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,13 +271,14 @@
 	return Healthy, true
 }
 
+// startRetryAfter starts the period in which calls count as early. The caller holds mu.
 func (p *Partner) startRetryAfter(now time.Time) {
 	if p.config.RetryAfter > 0 {
 		p.retryAfterUntil = now.Add(p.config.RetryAfter)
 	}
 }
 
-// ServeHTTP answers calls, with one message or with several.
+// ServeHTTP answers calls with one message (/hook) or a batch (/hook/batch).
 func (p *Partner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -354,15 +362,16 @@
 	}
 }
 
-// callRecorder notes what a call is answered, before the answer goes out: what comes after it is sent in knowledge of it.
+// callRecorder stores in call how it is answered, before the response is written.
 type callRecorder struct {
 	http.ResponseWriter
 	call *Call
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *callRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
+// WriteHeader records a rejection and its Retry-After and writes the header.
 func (w *callRecorder) WriteHeader(status int) {
 	if status == 429 || status == 503 {
 		w.call.MayHaveRun = false
--- a/internal/testdouble/platform.go
+++ b/internal/testdouble/platform.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Notification is what a relay told the platform of a message.
+// Notification is an outcome notification: what a relay reports to the platform about a message.
 type Notification struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryIn int    `json:"retry_in_ms"`
 }
 
-// instance is an entry of discovery's list.
+// instance is an endpoint in discovery's list.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -30,12 +30,13 @@
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
 	Started   int64   `json:"startedAtMs"`
-	changed   int
+	changed   int     // generation of the last change
 }
 
-// Platform is discovery and the taker of notices. Its list is versioned; watches wait for what is newer.
+// Platform is a test double of service discovery and of the receiver of outcome notifications. Its
+// endpoint list has a generation; a long poll waits until a newer one exists.
 type Platform struct {
-	Addr string
+	Addr string // host:port
 
 	mu                sync.Mutex
 	generation        int
@@ -43,23 +44,26 @@
 	changed           chan struct{}
 	notifications     []Notification
 	onNotification    func(Notification)
-	suspended         chan struct{} // not nil: nothing is answered until it is closed
-	notificationDelay time.Duration // that a notice takes
+	suspended         chan struct{} // not nil: nothing is answered until it is closed; see Suspend
+	notificationDelay time.Duration // delay before a notification is accepted
 	changes           *changeSignal
 	server            *http.Server
 	closed            chan struct{}
 	extraServers      []*http.Server
 }
 
-// ServeWithAddresses serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
-// its own. at maps an endpoint's address; one that it leaves out stays.
+// ServeWithAddresses serves the same endpoint list at a further address, which it returns, with
+// some endpoint addresses replaced: for a relay that reaches partners through proxies of its own.
+// The keys of addresses are the original host:port; endpoints without a key keep theirs.
 func (p *Platform) ServeWithAddresses(addresses map[string]string) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.writeEndpoints(w, r, addresses) })
+	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
+		p.writeEndpoints(w, r, addresses)
+	})
 	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
 	server := &http.Server{Handler: mux}
 	p.mu.Lock()
@@ -70,11 +74,12 @@
 }
 
 func newPlatform(partners map[int]*Partner, changes *changeSignal) (*Platform, error) {
-	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: changes, closed: make(chan struct{})}
+	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: changes,
+		closed: make(chan struct{})}
 	for _, partner := range partners {
 		for i, e := range partner.endpoints {
-			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: partner.endpointZone(i), Kind: partner.config.Kind, Dest: partner.config.Dest,
-				Lifecycle: "in_service", Weight: 1, changed: 1}
+			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: partner.endpointZone(i),
+				Kind: partner.config.Kind, Dest: partner.config.Dest, Lifecycle: "in_service", Weight: 1, changed: 1}
 		}
 	}
 	ln, err := listen()
@@ -100,7 +105,7 @@
 	}
 }
 
-// Suspend makes the platform answer nothing until the returned function is called.
+// Suspend makes the platform leave all requests unanswered until resume is called.
 func (p *Platform) Suspend() (resume func()) {
 	suspended := make(chan struct{})
 	p.mu.Lock()
@@ -114,6 +119,7 @@
 	})
 }
 
+// waitWhileSuspended blocks a request until the platform is resumed or closed.
 func (p *Platform) waitWhileSuspended() {
 	p.mu.Lock()
 	suspended := p.suspended
@@ -126,7 +132,8 @@
 	}
 }
 
-// SetLifecycle changes the state of an endpoint: in_service, terminating or terminated.
+// SetLifecycle changes the state of an endpoint, to in_service, terminating or terminated, and
+// wakes long polls.
 func (p *Platform) SetLifecycle(id, state string) {
 	p.mu.Lock()
 	p.generation++
@@ -140,6 +147,8 @@
 	p.writeEndpoints(w, r, nil)
 }
 
+// writeEndpoints answers with the full list, or with the changes after generation "from": then it
+// waits for one for up to hold_ms.
 func (p *Platform) writeEndpoints(w http.ResponseWriter, r *http.Request, addresses map[string]string) {
 	p.waitWhileSuspended()
 	from, err := strconv.Atoi(r.FormValue("from"))
@@ -184,13 +193,16 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-// DelayNotifications has the platform take so long for each notice. One whose sender goes away meanwhile is not taken.
+// DelayNotifications delays the acceptance of each notification by d. A notification whose sender
+// disconnects meanwhile is dropped.
 func (p *Platform) DelayNotifications(d time.Duration) {
 	p.mu.Lock()
 	p.notificationDelay = d
 	p.mu.Unlock()
 }
 
+// serveNotifications accepts outcome notifications, one JSON object a line, or rejects all of a
+// request with 400.
 func (p *Platform) serveNotifications(w http.ResponseWriter, r *http.Request) {
 	p.waitWhileSuspended()
 	body, err := io.ReadAll(r.Body)
@@ -208,7 +220,8 @@
 	var received []Notification
 	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
 		var n Notification
-		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" || n.Outcome != "given_up" && n.Outcome != "handed_back" {
+		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" ||
+			n.Outcome != "given_up" && n.Outcome != "handed_back" {
 			w.WriteHeader(400)
 			return
 		}
@@ -227,14 +240,15 @@
 	p.changes.notify()
 }
 
-// OnNotification makes f be told of each notice, before it is answered.
+// OnNotification sets a function that is called with each accepted notification, before the
+// response.
 func (p *Platform) OnNotification(f func(Notification)) {
 	p.mu.Lock()
 	p.onNotification = f
 	p.mu.Unlock()
 }
 
-// Notifications returns the notices by message.
+// Notifications returns the last notification of each message, by message id.
 func (p *Platform) Notifications() map[string]Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -17,7 +17,7 @@
 	"syscall"
 )
 
-// BuildRelay builds the relay into dir and returns the program's path.
+// BuildRelay compiles the relay into dir and returns the path of the program.
 func BuildRelay(dir string) (string, error) {
 	bin := filepath.Join(dir, "oatfold")
 	if out, err := exec.Command("go", "build", "-o", bin, "oatfold/cmd/oatfold").CombinedOutput(); err != nil {
@@ -26,44 +26,45 @@
 	return bin, nil
 }
 
-// Relay is a real relay in a process of its own, with an address and a folder that last over its lives.
+// Relay runs the real relay as a process. Its addresses and its state directory stay the same when
+// it is restarted.
 type Relay struct {
 	Addr, StateDir string
-	AdminAddr      string // the operators' address
+	AdminAddr      string // host:port of the admin interface
 
 	env    *Environment
-	fleet  *FleetConfig // nil: it is no part of a fleet
+	fleet  *FleetConfig // nil: not part of a fleet
 	bin    string
 	args   []string
-	config string
+	config string // path of the configuration file
 
 	mu         sync.Mutex
 	cmd        *exec.Cmd
-	allLog     []string // last lines of all lives
-	currentLog []string // and of this one
-	exited     chan struct{}
-	exitErr    error // of the last life
+	allLog     []string      // last lines of all processes
+	currentLog []string      // last lines of the current process
+	exited     chan struct{} // closed when the current process has exited
+	exitErr    error         // of the last process
 }
 
-// FleetConfig is a relay's place in a fleet.
+// FleetConfig configures a relay as a member of a fleet.
 type FleetConfig struct {
-	Number        int
-	PeerListen    string   // where notes of others come in
-	Peers         []string // where they go, by number
+	Number        int      // index of this relay in Peers
+	PeerListen    string   // address for gossip messages from other relays
+	Peers         []string // gossip addresses of all relays by number
 	Zone          string
 	Zones         []string
-	DiscoveryAddr string            // its own way to the platform; empty: the platform's address
-	Members       string            // what the relay is told of membership; empty: nothing
-	Choices       string            // and of choices that relays share
-	OnLogLine     func(line string) // not nil: told of each line that the relay logs
+	DiscoveryAddr string            // address of discovery; empty: the platform's
+	Members       string            // value of the setting "members"
+	Choices       string            // value of the setting "choices"; empty: not set
+	OnLogLine     func(line string) // called with each line that the relay logs; may be nil
 }
 
 const (
-	maxLogLines  = 50_000 // lines of each relay that are looked through; more than any test makes it log
-	logTailLines = 400    // of these, the last ones are shown where a test fails
+	maxLogLines  = 50_000 // kept for each relay: more than any test makes it log
+	logTailLines = 400    // shown when a test fails
 )
 
-// StartRelay starts a relay of the world with these arguments and waits until it is ready.
+// StartRelay starts a relay with these arguments and waits until it is ready.
 func (env *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
 	r, err := env.newRelay(bin, args)
 	if err != nil {
@@ -72,7 +73,8 @@
 	return r, r.Start()
 }
 
-// NewRelay returns a further relay of the world, of the program of the last one, that is not started yet.
+// NewRelay returns a further relay with the program and arguments of the last one, without starting
+// it.
 func (env *Environment) NewRelay() (*Relay, error) {
 	env.mu.Lock()
 	last := env.relays[len(env.relays)-1]
@@ -80,7 +82,7 @@
 	return env.newRelay(last.bin, last.args)
 }
 
-// NewFleetRelay returns a relay of a fleet that is not started yet.
+// NewFleetRelay returns a relay that is a member of a fleet, without starting it.
 func (env *Environment) NewFleetRelay(bin string, fleet *FleetConfig, args ...string) (*Relay, error) {
 	r, err := env.newRelay(bin, args)
 	if err != nil {
@@ -90,6 +92,7 @@
 	return r, r.WriteConfig()
 }
 
+// newRelay reserves addresses, creates the state directory and writes the configuration of a relay.
 func (env *Environment) newRelay(bin string, args []string) (*Relay, error) {
 	addr, err := ReserveAddr()
 	if err != nil {
@@ -101,8 +104,8 @@
 	}
 	env.mu.Lock()
 	index := len(env.relays)
-	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", index)), env: env, bin: bin, args: args,
-		config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", index))}
+	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", index)),
+		env: env, bin: bin, args: args, config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", index))}
 	env.relays = append(env.relays, r)
 	env.mu.Unlock()
 	if err := os.Mkdir(r.StateDir, 0o700); err != nil {
@@ -111,28 +114,33 @@
 	return r, r.WriteConfig()
 }
 
-// WriteConfig writes what the platform tells the relay.
+// WriteConfig writes the configuration file of the relay.
 func (r *Relay) WriteConfig() error {
 	return os.WriteFile(r.config, r.env.configJSON(filepath.Base(r.StateDir), r.Addr, r.fleet), 0o600)
 }
 
-// configJSON is what the platform tells a relay.
+// configJSON returns the contents of the configuration file of a relay; fleet may be nil.
 func (env *Environment) configJSON(name, listen string, fleet *FleetConfig) []byte {
 	type object = map[string]any
 	var grades []object
 	for _, c := range env.config.Classes {
-		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all", "promiseUs": c.TargetLatency.Microseconds(),
-			"deadlineUs": c.Deadline.Microseconds(), "repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
+		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all",
+			"promiseUs": c.TargetLatency.Microseconds(), "deadlineUs": c.Deadline.Microseconds(),
+			"repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
 			"inTurn": c.Ordered})
 	}
-	config := object{"name": name, "listen": listen, "discovery": env.Platform.Addr, "seed": fmt.Sprintf("%016x", env.config.Seed),
+	config := object{"name": name, "listen": listen, "discovery": env.Platform.Addr,
+		"seed":   fmt.Sprintf("%016x", env.config.Seed),
 		"limits": object{"cores": 1, "memory_mb": 192, "sockets": env.config.MaxDescriptors, "disk_mb": env.config.DiskMB},
-		"settings": object{"fleetSize": env.config.FleetSize, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
+		"settings": object{"fleetSize": env.config.FleetSize, "tickUs": 5000, "discovery": "push",
+			"weightSource": "off", "grades": grades,
 			"kinds": []string{"broker", "small-partner"}, "zones": []string{"here"}, "tenants": []object{},
-			"familyInfo": object{"callSlots": env.config.MaxConcurrentCalls, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
-				"feeByZone": []float64{0}, "decay": "linear"},
-			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000, "fallUs": 3_000_000, "overloadFactor": 2},
-			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": env.config.MaxPending,
+			"familyInfo": object{"callSlots": env.config.MaxConcurrentCalls, "batchByKind": []int{5, 1},
+				"separateRoutes": []bool{false, false}, "feeByZone": []float64{0}, "decay": "linear"},
+			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000,
+				"fallUs": 3_000_000, "overloadFactor": 2},
+			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000,
+				"maxAttempts": 6, "maxOpen": env.config.MaxPending,
 				"maxRetryAfterUs": 3_000_000, "retryAfter": true}}}
 	if fleet != nil {
 		config["peer_listen"], config["peers"], config["members"] = fleet.PeerListen, fleet.Peers, fleet.Members
@@ -144,17 +152,19 @@
 		}
 		config["seed"] = fmt.Sprintf("%016x", env.config.Seed+uint64(fleet.Number)*7919)
 		settings := config["settings"].(object)
-		settings["me"], settings["myZone"], settings["zones"], settings["fleetSize"] = fleet.Number, fleet.Zone, fleet.Zones, len(fleet.Peers)
+		settings["me"], settings["myZone"], settings["zones"], settings["fleetSize"] =
+			fleet.Number, fleet.Zone, fleet.Zones, len(fleet.Peers)
 		settings["policyLimits"].(object)["peers"] = true
 	}
 	b, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // plain maps of plain values
+		panic(err) // maps of plain values always encode
 	}
 	return b
 }
 
-// Start starts a relay that has ended, under its address and with its folder, and waits until it is ready.
+// Start starts a relay that is not running, with its addresses and state directory, and waits until
+// it is ready.
 func (r *Relay) Start() error {
 	if err := r.launch(); err != nil {
 		return err
@@ -162,22 +172,25 @@
 	return r.AwaitLog("msg=ready")
 }
 
-// StartNextProcess starts a further process of the same relay, with an operators' address of its own, and does not wait for it.
+// StartNextProcess starts another process of the same relay, to take over from this one, with an
+// admin address of its own. It does not wait until the process is ready.
 func (r *Relay) StartNextProcess() (*Relay, error) {
 	admin, err := ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
-	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, env: r.env, bin: r.bin, args: r.args, config: r.config}
+	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, env: r.env, bin: r.bin, args: r.args,
+		config: r.config}
 	r.env.mu.Lock()
 	r.env.relays = append(r.env.relays, next)
 	r.env.mu.Unlock()
 	return next, next.launch()
 }
 
-// Launch starts it likewise and waits for nothing.
+// Launch starts the relay like Start, without waiting until it is ready.
 func (r *Relay) Launch() error { return r.launch() }
 
+// launch starts the process and a goroutine that collects its log.
 func (r *Relay) launch() error {
 	cmd := exec.Command(r.bin, r.args...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config, "ROUTER_STATE="+r.StateDir, "ROUTER_ADMIN="+r.AdminAddr)
@@ -218,7 +231,8 @@
 	return nil
 }
 
-// AwaitLog waits until the process has logged text.
+// AwaitLog waits until the current process has logged a line with text. It fails if the process
+// exits first.
 func (r *Relay) AwaitLog(text string) error {
 	exited := false
 	err := r.env.WaitUntil("the relay to log "+text, func() bool {
@@ -232,7 +246,7 @@
 		return exited || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
 	})
 	if err == nil && exited {
-		err = errors.New("the relay ended")
+		err = errors.New("the relay exited")
 	}
 	if err != nil {
 		return fmt.Errorf("%w before it logged %s: %s", err, text, r.LogTail())
@@ -240,7 +254,7 @@
 	return nil
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the current process.
 func (r *Relay) Signal(s syscall.Signal) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,21 +264,21 @@
 	return r.cmd.Process.Signal(s)
 }
 
-// PID is the process's number.
+// PID returns the process id. The relay must have been started.
 func (r *Relay) PID() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cmd.Process.Pid
 }
 
-// Kill ends the process with SIGKILL and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has exited.
 func (r *Relay) Kill() {
 	if r.Signal(syscall.SIGKILL) == nil {
 		r.Wait()
 	}
 }
 
-// Stop ends the process with SIGTERM and returns the error of its exit.
+// Stop sends SIGTERM, waits until the process has exited and returns its exit error.
 func (r *Relay) Stop() error {
 	if err := r.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -272,7 +286,7 @@
 	return r.Wait()
 }
 
-// Wait waits for the process's end.
+// Wait waits until the process has exited and returns its exit error.
 func (r *Relay) Wait() error {
 	r.mu.Lock()
 	exited := r.exited
@@ -286,14 +300,14 @@
 	return r.exitErr
 }
 
-// LogTail is the last lines that the relay logged.
+// LogTail returns the last lines that all processes of the relay logged.
 func (r *Relay) LogTail() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.allLog[max(0, len(r.allLog)-logTailLines):], "\n")
 }
 
-// CountLogLines counts the lines of the log that hold text.
+// CountLogLines counts the log lines of all processes that contain text.
 func (r *Relay) CountLogLines(text string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -305,7 +319,7 @@
 	return n
 }
 
-// CallAdmin makes one call at the operators' address and returns its status and body.
+// CallAdmin sends a request to the admin interface and returns the status and body of the response.
 func (r *Relay) CallAdmin(method, path string) (int, string, error) {
 	req, err := http.NewRequest(method, "http://"+r.AdminAddr+path, nil)
 	if err != nil {
@@ -320,18 +334,18 @@
 	return res.StatusCode, string(b), err
 }
 
-// Metrics reads the relay's figures, by name with label.
+// Metrics reads the relay's metrics, by name with labels and without the prefix "edge_router_".
 func (r *Relay) Metrics() (map[string]int, error) {
 	status, text, err := r.CallAdmin("GET", "/stats")
 	if err != nil || status != 200 {
-		return nil, fmt.Errorf("figures: status %d: %w", status, err)
+		return nil, fmt.Errorf("metrics: status %d: %w", status, err)
 	}
 	metrics := map[string]int{}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			return nil, fmt.Errorf("figures: %q: %w", line, err)
+			return nil, fmt.Errorf("metrics: %q: %w", line, err)
 		}
 		metrics[strings.TrimPrefix(name, "edge_router_")] = n
 	}
--- a/internal/testdouble/runtests.go
+++ b/internal/testdouble/runtests.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// RunTests runs the tests of a package with the real relay, built once, at *bin, and returns the exit code.
+// RunTests builds the relay once, stores the path of the program in *bin, runs the tests of a
+// package and returns the exit code for os.Exit. It is meant for TestMain.
 func RunTests(tests interface{ Run() int }, bin *string) int {
 	dir, err := os.MkdirTemp("", "relay")
 	if err == nil {
--- a/internal/testdouble/testdouble_test.go
+++ b/internal/testdouble/testdouble_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// manualClock is moved by hand.
+// manualClock is a clock that the test advances.
 type manualClock struct {
 	mu sync.Mutex
 	at time.Time
@@ -33,12 +33,12 @@
 	return env
 }
 
-// postMessage makes one call and returns the status, or 0 where the connection broke.
+// postMessage makes one call and returns the status, or 0 if the connection broke.
 func postMessage(p *Partner, name, key string) int {
 	req, _ := http.NewRequest("POST", "http://"+p.endpoints[0].addr+"/hook", strings.NewReader(name))
 	req.Header.Set("X-Correlation-Id", "id-"+name)
 	if key != "" {
-		req.Header["idempotency-key"] = []string{key} // in this form the library does not send it again by itself
+		req.Header["idempotency-key"] = []string{key} // a non-canonical header name: net/http does not retry the request
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return res.StatusCode
 }
 
-// The ledger counts what took effect: repeats of keyed classes within their window are dropped, others are not.
-func TestLedger(t *testing.T) {
+// The effect log deduplicates repeats of keyed classes within their window, and no others.
+func TestEffectLog(t *testing.T) {
 	clock := &manualClock{at: time.Unix(1000, 0)}
 	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Now: clock.now}}})
 	p := env.Partners[7]
@@ -60,20 +60,21 @@
 		}
 	}
 	clock.advance(6 * time.Second)
-	postMessage(p, "order-relay/1", "key-order-relay/1") // the window is over
+	postMessage(p, "order-relay/1", "key-order-relay/1") // the repeat window has passed
 	if n := env.EffectLog.CountByName(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
 		t.Errorf("%v", n)
 	}
 	if d := env.EffectLog.Duplicates("fee-charge"); len(d) != 1 || !strings.Contains(d[0], "2 times") {
-		t.Errorf("doubles %v", d)
+		t.Errorf("duplicates %v", d)
 	}
 }
 
-// A partner keeps its rate, tells waits, counts calls that come before one is over, and falls if it is pushed while cold.
+// A partner keeps its rate limit, sends Retry-After, counts calls that don't respect it, and
+// collapses under overload during warm-up.
 func TestPartnerLimits(t *testing.T) {
 	clock := &manualClock{at: time.Unix(1000, 0)}
-	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: clock.now,
-		ColdRateShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2}}})
+	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2,
+		RetryAfter: time.Second, Now: clock.now, ColdRateShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2}}})
 	p := env.Partners[7]
 	got := []int{postMessage(p, "a", ""), postMessage(p, "b", ""), postMessage(p, "c", "")}
 	if !slices.Equal(got, []int{200, 200, 429}) || p.RejectedCalls() != 1 || p.EarlyCalls() != 0 {
@@ -85,22 +86,23 @@
 	}
 	p.SetMode(InternalError, 1)
 	if got := postMessage(p, "e", ""); got != 500 {
-		t.Errorf("broken: %d", got)
+		t.Errorf("internal error: %d", got)
 	}
 	p.SetMode(Healthy, 0)
-	for i := range 4 { // 2 a second is what it can take, and some 4 what it stands
+	for i := range 4 { // the current rate is 2 per second; it collapses above about 4
 		clock.advance(50 * time.Millisecond)
 		if postMessage(p, fmt.Sprint("f", i), ""); p.Collapsed() {
-			t.Fatalf("it fell at call %d", i)
+			t.Fatalf("it collapsed at call %d", i)
 		}
 	}
 	go postMessage(p, "one too many", "")
-	if err := env.WaitUntil("the partner to fall", p.Collapsed); err != nil {
+	if err := env.WaitUntil("the partner to collapse", p.Collapsed); err != nil {
 		t.Error(err)
 	}
 }
 
-// Modes: resets before and after the effect, refusal of connections and the way back, and silence that ends.
+// Resets before and after a run differ in effect, and a partner recovers from RefusingConnections
+// and Unresponsive.
 func TestPartnerModes(t *testing.T) {
 	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
 	p := env.Partners[7]
@@ -117,18 +119,19 @@
 	}
 	p.SetMode(RefusingConnections, 1)
 	if got := postMessage(p, "r", ""); got != 0 {
-		t.Errorf("refusing: %d", got)
+		t.Errorf("refusing connections: %d", got)
 	}
 	p.SetMode(Unresponsive, 1)
 	done := make(chan int)
 	go func() { done <- postMessage(p, "s", "") }()
 	p.SetMode(Healthy, 0)
 	if got := <-done; got != 0 && got != 200 {
-		t.Errorf("silent: %d", got)
+		t.Errorf("unresponsive: %d", got)
 	}
 }
 
-// Discovery tells the list and wakes watches; notices are kept, and what is none is refused.
+// Discovery serves the list and wakes long polls; valid notifications are kept and invalid ones
+// rejected.
 func TestPlatform(t *testing.T) {
 	env := startEnvironment(t, Config{Partners: []PartnerConfig{{Dest: 7, Endpoints: 2}}})
 	type endpointList struct {
@@ -156,7 +159,9 @@
 	if l := <-got; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "terminating" {
 		t.Errorf("%+v", l)
 	}
-	for body, want := range map[string]int{`{"message":"m","outcome":"given_up"}` + "\n": 204, `{"message":"m","outcome":"lost"}` + "\n": 400, "x\n": 400} {
+	for body, want := range map[string]int{
+		`{"message":"m","outcome":"given_up"}` + "\n": 204, `{"message":"m","outcome":"lost"}` + "\n": 400, "x\n": 400,
+	} {
 		res, err := http.Post("http://"+env.Platform.Addr+"/v1/notices", "", bytes.NewReader([]byte(body)))
 		if err != nil || res.StatusCode != want {
 			t.Errorf("%s: %v, %v", body, res, err)
--- a/internal/testdouble/wasm/wasm.go
+++ b/internal/testdouble/wasm/wasm.go
@@ -1,5 +1,5 @@
-// Package wasm assembles small plug-ins for tests, most of them faulty: modules of the ABI (oatfold/plugin/abi) whose hooks
-// loop, trap, grow, or return what no plug-in may.
+// Package wasm assembles small WebAssembly plug-ins for tests, most of them faulty: modules of the
+// ABI oatfold/plugin/abi whose hooks loop, trap, exhaust memory or return invalid output.
 package wasm
 
 import (
@@ -8,22 +8,23 @@
 	"oatfold/plugin/abi"
 )
 
-// Module is a plug-in to be assembled. The zero value has the ABI's exports and no hook.
+// Module describes a plug-in to assemble. The zero value has the exports of the ABI and no hook.
 type Module struct {
-	Version    int32             // that it says it is for; 0: the right one
-	Pages      uint32            // of memory at the start; 0: 4
-	Data       []byte            // at address At
+	Version    int32             // ABI version that it reports; 0: the supported one
+	Pages      uint32            // initial memory in pages of 64 KiB; 0: 4
+	Data       []byte            // stored at DataAddress
 	Hooks      map[string][]byte // code by export name: (i32 at, i32 size) -> i64
 	InitCode   []byte            // code of _initialize; nil: none
-	OmitExport string            // an export that is left out
+	OmitExport string            // name of an export to leave out
 }
 
-// DataAddress is where Data lies. Input is written from 65536 on.
+// DataAddress is the address of Module.Data.
 const DataAddress = 1024
 
+// inputAddress is where the host writes the input of a hook.
 const inputAddress = 65536
 
-// Op codes.
+// Opcodes and types.
 const (
 	opUnreachable, opLoop, opBr, opBrIf, opDrop, opEnd = 0x00, 0x03, 0x0c, 0x0d, 0x1a, 0x0b
 	opConst32, opConst64, opStore8, opGrow, opNe       = 0x41, 0x42, 0x3a, 0x40, 0x47
@@ -31,6 +32,7 @@
 	i32, i64, void                                     = 0x7f, 0x7e, 0x40
 )
 
+// signedLEB128 encodes an integer as signed LEB128.
 func signedLEB128(v int64) (b []byte) {
 	for {
 		c := byte(v & 0x7f)
@@ -41,6 +43,7 @@
 	}
 }
 
+// unsignedLEB128 encodes a non-negative integer as unsigned LEB128.
 func unsignedLEB128(v int) []byte { return binary.AppendUvarint(nil, uint64(v)) }
 
 func concat(parts ...[]byte) (b []byte) {
@@ -50,28 +53,30 @@
 	return b
 }
 
-// ReturnOutput returns an output of that address and size.
+// ReturnOutput returns code that returns an output with that address and size in bytes.
 func ReturnOutput(at, size uint32) []byte {
 	return append([]byte{opConst64}, signedLEB128(int64(abi.Pack(at, size)))...)
 }
 
-// InfiniteLoop loops without end.
+// InfiniteLoop returns code that never ends.
 func InfiniteLoop() []byte { return []byte{opLoop, void, opBr, 0, opEnd, opUnreachable} }
 
-// Trap ends a call by a trap.
+// Trap returns code that traps.
 func Trap() []byte { return []byte{opUnreachable} }
 
-// WriteThenTrap writes a byte where the output would lie, and traps.
+// WriteThenTrap returns code that writes a byte at DataAddress and traps.
 func WriteThenTrap() []byte {
-	return concat([]byte{opConst32}, signedLEB128(DataAddress), []byte{opConst32}, signedLEB128(1), []byte{opStore8, 0, 0, opUnreachable})
+	return concat([]byte{opConst32}, signedLEB128(DataAddress), []byte{opConst32}, signedLEB128(1),
+		[]byte{opStore8, 0, 0, opUnreachable})
 }
 
-// GrowUntilTrap takes memory, a page at a time, until there is no more, and traps.
+// GrowUntilTrap returns code that grows the memory page by page until that fails, and traps.
 func GrowUntilTrap() []byte {
-	return concat([]byte{opLoop, void, opConst32}, signedLEB128(1), []byte{opGrow, 0, opConst32}, signedLEB128(-1), []byte{opNe, opBrIf, 0, opEnd, opUnreachable})
+	return concat([]byte{opLoop, void, opConst32}, signedLEB128(1), []byte{opGrow, 0, opConst32}, signedLEB128(-1),
+		[]byte{opNe, opBrIf, 0, opEnd, opUnreachable})
 }
 
-// Bytes assembles the module.
+// Bytes returns the module in the WebAssembly binary format.
 func (m Module) Bytes() []byte {
 	if m.Version == 0 {
 		m.Version = abi.Version
@@ -81,7 +86,7 @@
 	}
 	type function struct {
 		name string
-		kind byte // index of its type
+		kind byte // index of its type in the type section
 		code []byte
 	}
 	functions := []function{{abi.ExportVersion, 0, append([]byte{opConst32}, signedLEB128(int64(m.Version))...)},
@@ -95,7 +100,8 @@
 		functions = append(functions, function{"_initialize", 3, m.InitCode})
 	}
 	section := func(id byte, body []byte) []byte { return concat([]byte{id}, unsignedLEB128(len(body)), body) }
-	types := concat(unsignedLEB128(4), []byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
+	types := concat(unsignedLEB128(4),
+		[]byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
 	kinds, exports, code, n := unsignedLEB128(len(functions)), []byte(nil), unsignedLEB128(len(functions)), 0
 	for i, f := range functions {
 		kinds = append(kinds, f.kind)
@@ -110,28 +116,32 @@
 		exports = concat(exports, unsignedLEB128(6), []byte("memory"), []byte{2, 0})
 		n++
 	}
-	out := concat([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds), section(5, concat([]byte{1, 0}, unsignedLEB128(int(m.Pages)))),
+	out := concat([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds),
+		section(5, concat([]byte{1, 0}, unsignedLEB128(int(m.Pages)))),
 		section(7, concat(unsignedLEB128(n), exports)), section(10, code))
 	if len(m.Data) > 0 {
-		out = concat(out, section(11, concat([]byte{1, 0, opConst32}, signedLEB128(DataAddress), []byte{opEnd}, unsignedLEB128(len(m.Data)), m.Data)))
+		out = concat(out, section(11, concat([]byte{1, 0, opConst32}, signedLEB128(DataAddress), []byte{opEnd},
+			unsignedLEB128(len(m.Data)), m.Data)))
 	}
 	return out
 }
 
-// Returning is a plug-in whose hook always returns these fields.
+// Returning returns a plug-in whose hook always returns these encoded fields.
 func Returning(hook string, output []byte) Module {
 	return Module{Data: output, Hooks: map[string][]byte{hook: ReturnOutput(DataAddress, uint32(len(output)))}}
 }
 
-// WithCode is a plug-in whose hook has that code.
+// WithCode returns a plug-in whose hook runs that code.
 func WithCode(hook string, code []byte) Module { return Module{Hooks: map[string][]byte{hook: code}} }
 
-// Noop is a plug-in whose hooks change nothing.
+// Noop returns a plug-in whose hooks change nothing.
 func Noop() Module {
-	return Module{Hooks: map[string][]byte{"on_handin": ReturnOutput(0, 0), "shape_request": ReturnOutput(0, 0), "read_answer": ReturnOutput(0, 0)}}
+	return Module{Hooks: map[string][]byte{"on_handin": ReturnOutput(0, 0), "shape_request": ReturnOutput(0, 0),
+		"read_answer": ReturnOutput(0, 0)}}
 }
 
-// FaultyPlugins are faulty plug-ins by name, each with that hook: all of them must fail every call, or not load.
+// FaultyPlugins returns plug-ins with that hook, by the name of their fault. Each must fail every
+// call or not load.
 func FaultyPlugins(hook string) map[string]Module {
 	body := make([]byte, 5)
 	body[0] = byte(abi.Body)
@@ -156,7 +166,7 @@
 	}
 }
 
-// UnloadableModules are modules that must not load with that hook.
+// UnloadableModules returns modules, by the name of their fault, that must not load with that hook.
 func UnloadableModules(hook string) map[string][]byte {
 	with := func(f func(*Module)) []byte {
 		m := WithCode(hook, ReturnOutput(0, 0))
