--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// module is the test file of a package with a passing test and two failing ones.
 const module = `package a
 
 import "testing"
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -17,6 +17,7 @@
 	"strings"
 )
 
+// The list of known failures.
 const (
 	listFile   = "KNOWN-RED.txt"
 	maxEntries = 3 // lines of the list
@@ -30,7 +31,7 @@
 var entryPattern = regexp.MustCompile(`^(\./[\w./-]+) (Test\w*(?:/\S+)?) \| ([^|]*\S) \| issue (\S.*)$`)
 
 // parse reads the list. Each line has the form `./internal/wire TestName | cause | issue 31`.
-func parse(text string) (all []entry, err error) {
+func parse(text string) (entries []entry, err error) {
 	for n, s := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if text == "" {
 			break
@@ -40,15 +41,15 @@
 			return nil, fmt.Errorf("%s:%d: %q is not `./package TestName | cause | issue N`", listFile, n+1, s)
 		}
 		e := entry{m[1], m[2], m[3], m[4]}
-		if slices.ContainsFunc(all, func(o entry) bool { return o.pkg == e.pkg && o.test == e.test }) {
+		if slices.ContainsFunc(entries, func(o entry) bool { return o.pkg == e.pkg && o.test == e.test }) {
 			return nil, fmt.Errorf("%s:%d: %s is named twice", listFile, n+1, e.test)
 		}
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	if len(all) > maxEntries {
-		return nil, fmt.Errorf("%s: %d lines, %d at most", listFile, len(all), maxEntries)
+	if len(entries) > maxEntries {
+		return nil, fmt.Errorf("%s: %d lines, %d at most", listFile, len(entries), maxEntries)
 	}
-	return all, nil
+	return entries, nil
 }
 
 // runPattern returns the value of -run or -skip that matches this test only.
@@ -68,11 +69,11 @@
 
 // command runs `go` with these arguments, copies its output to show and returns the output.
 func (r runner) command(show io.Writer, args ...string) (string, error) {
-	var all strings.Builder
+	var output strings.Builder
 	cmd := exec.Command("go", args...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = r.dir, io.MultiWriter(show, &all), io.MultiWriter(show, &all)
+	cmd.Dir, cmd.Stdout, cmd.Stderr = r.dir, io.MultiWriter(show, &output), io.MultiWriter(show, &output)
 	err := cmd.Run()
-	return all.String(), err
+	return output.String(), err
 }
 
 // run runs all tests. It returns an error if an unlisted test fails or an entry of the list is
@@ -82,24 +83,24 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	red, err := parse(string(raw))
+	knownRed, err := parse(string(raw))
 	if err != nil {
 		return err
 	}
-	if len(red) == 0 {
+	if len(knownRed) == 0 {
 		_, err := r.command(r.out, "test", "-count=1", "./...")
 		return err
 	}
 	skip := map[string][]string{}
-	for _, e := range red {
+	for _, e := range knownRed {
 		skip[e.pkg] = append(skip[e.pkg], e.runPattern())
 	}
-	names, err := r.command(io.Discard, "list", "./...")
+	output, err := r.command(io.Discard, "list", "./...")
 	if err != nil {
-		return fmt.Errorf("go list: %w: %s", err, names)
+		return fmt.Errorf("go list: %w: %s", err, output)
 	}
-	var bad []error
-	packages := strings.Fields(names)
+	var failures []error
+	packages := strings.Fields(output)
 	for _, pkg := range slices.Sorted(maps.Keys(skip)) {
 		name, err := r.command(io.Discard, "list", pkg)
 		if err != nil {
@@ -107,25 +108,25 @@
 		}
 		packages = slices.DeleteFunc(packages, func(p string) bool { return p == strings.TrimSpace(name) })
 		if _, err := r.command(r.out, "test", "-count=1", "-skip", strings.Join(skip[pkg], "|"), pkg); err != nil {
-			bad = append(bad, fmt.Errorf("%s: %w", pkg, err))
+			failures = append(failures, fmt.Errorf("%s: %w", pkg, err))
 		}
 	}
 	if len(packages) > 0 {
 		if _, err := r.command(r.out, append([]string{"test", "-count=1"}, packages...)...); err != nil {
-			bad = append(bad, err)
+			failures = append(failures, err)
 		}
 	}
-	for _, e := range red {
+	for _, e := range knownRed {
 		fmt.Fprintf(r.out, "known red: %s %s: %s (issue %s)\n", e.pkg, e.test, e.cause, e.issue)
 		out, err := r.command(io.Discard, "test", "-count=1", "-v", "-run", e.runPattern(), e.pkg)
 		switch {
 		case !strings.Contains(out, "=== RUN   "+e.test+"\n"):
-			bad = append(bad, fmt.Errorf("%s: %s has no test %s: %s", listFile, e.pkg, e.test, out))
+			failures = append(failures, fmt.Errorf("%s: %s has no test %s: %s", listFile, e.pkg, e.test, out))
 		case err == nil:
-			bad = append(bad, fmt.Errorf("%s: %s %s fails no more: take its line out", listFile, e.pkg, e.test))
+			failures = append(failures, fmt.Errorf("%s: %s %s fails no more: take its line out", listFile, e.pkg, e.test))
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(failures...)
 }
 
 func main() {
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -18,6 +18,7 @@
 // outcome is the result of a request for its client.
 type outcome int
 
+// The outcomes of a request.
 const (
 	answered    outcome = iota
 	unread              // connection reset: the relay has not read it, and the client may retry
@@ -25,6 +26,7 @@
 	unanswered          // read, and the connection closed or kept open without a response
 )
 
+// The timeouts of clients.
 const (
 	responseTimeout = 8 * time.Second         // bounds a hang
 	resetTimeout    = 1500 * time.Millisecond // from a close to the reset that shows unread data
@@ -186,7 +188,8 @@
 	return r, r.wireText(1 + random.IntN(destinationCount))
 }
 
-// send writes text, whose first request is r, and reads the response to r.
+// send writes text, whose first request is r, and reads the response to r. It reports whether the
+// connection stays usable.
 func (c *clients) send(conn *connection, r *request, text string) (keepOpen bool) {
 	if _, err := io.WriteString(conn, text); err != nil {
 		c.classifyFailure(conn, r, err)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -25,6 +25,7 @@
 	maxParallel = flag.Int("soak.lanes", 3, "number of scenarios that run concurrently")
 )
 
+// The size and the timing of a scenario.
 const (
 	destinationCount = 4
 	relayCount       = 2
@@ -46,6 +47,7 @@
 	return testdouble.BuildRelay(dir)
 })
 
+// TestMain removes the program after the tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if bin, err := relayBinary(); err == nil {
--- a/internal/testdouble/effectlog.go
+++ b/internal/testdouble/effectlog.go
@@ -26,6 +26,7 @@
 	changes *changeSignal
 }
 
+// newEffectLog returns an empty log that signals changes.
 func newEffectLog(classes []Class, changes *changeSignal) *EffectLog {
 	l := &EffectLog{classes: map[string]Class{}, lastRun: map[string]time.Time{}, changes: changes}
 	for _, c := range classes {
--- a/internal/testdouble/environment.go
+++ b/internal/testdouble/environment.go
@@ -140,8 +140,10 @@
 	changed chan struct{}
 }
 
+// newChangeSignal returns a signal that nobody waits for yet.
 func newChangeSignal() *changeSignal { return &changeSignal{changed: make(chan struct{})} }
 
+// notify wakes all waiters, which evaluate their conditions again.
 func (s *changeSignal) notify() {
 	s.mu.Lock()
 	close(s.changed)
@@ -149,6 +151,7 @@
 	s.mu.Unlock()
 }
 
+// waitUntil waits until cond returns true, for maxWait at most.
 func (s *changeSignal) waitUntil(what string, cond func() bool) error {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
--- a/internal/testdouble/faultnet/network_test.go
+++ b/internal/testdouble/faultnet/network_test.go
@@ -27,13 +27,13 @@
 		sockets = append(sockets, openSocket(t))
 		listen = append(listen, sockets[len(sockets)-1].LocalAddr().String())
 	}
-	n, err := New(listen, 1)
+	network, err := New(listen, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Close()
+	defer network.Close()
 	send := func(i, j int, message []byte) {
-		if _, err := sockets[i].WriteToUDPAddrPort(message, netip.MustParseAddrPort(n.PeerAddrs(i)[j])); err != nil {
+		if _, err := sockets[i].WriteToUDPAddrPort(message, netip.MustParseAddrPort(network.PeerAddrs(i)[j])); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -49,13 +49,13 @@
 		return string(buf[:size]), from.String()
 	}
 	received := func(j int, faults Faults, transmit func()) (all []string) {
-		n.SetFaults(faults)
-		before, _, _, _ := n.Counts()
+		network.SetFaults(faults)
+		before, _, _, _ := network.Counts()
 		transmit()
-		for sent := before; sent < before+1; sent, _, _, _ = n.Counts() {
+		for sent := before; sent < before+1; sent, _, _, _ = network.Counts() {
 			time.Sleep(time.Millisecond)
 		}
-		n.SetFaults(Faults{})
+		network.SetFaults(Faults{})
 		send((j+1)%3, j, []byte("mark"))
 		for {
 			text, _ := read(j)
@@ -92,17 +92,17 @@
 	if got := received(1, Faults{}, func() { send(0, 1, make([]byte, MaxMessageBytes+1)) }); len(got) != 0 {
 		t.Errorf("an oversized message arrived: %d", len(got))
 	}
-	if _, _, _, oversized := n.Counts(); oversized != 1 {
+	if _, _, _, oversized := network.Counts(); oversized != 1 {
 		t.Errorf("%d oversized messages, want 1", oversized)
 	}
 	stranger := openSocket(t)
-	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.PeerAddrs(0)[1]))
+	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(network.PeerAddrs(0)[1]))
 	send(2, 1, []byte("two"))
-	if text, from := read(1); text != "two" || from != n.PeerAddrs(1)[2] {
-		t.Errorf("received %q from %s, want it from %s", text, from, n.PeerAddrs(1)[2])
+	if text, from := read(1); text != "two" || from != network.PeerAddrs(1)[2] {
+		t.Errorf("received %q from %s, want it from %s", text, from, network.PeerAddrs(1)[2])
 	}
 	// Delayed messages all arrive, in another order.
-	n.SetFaults(Faults{MaxDelay: 50 * time.Millisecond})
+	network.SetFaults(Faults{MaxDelay: 50 * time.Millisecond})
 	var order []byte
 	for i := range 40 {
 		send(0, 2, []byte{byte(i)})
--- a/internal/testdouble/faultnet/tcpproxy_test.go
+++ b/internal/testdouble/faultnet/tcpproxy_test.go
@@ -31,13 +31,13 @@
 // The proxy forwards data, holds blocked data back until the block ends, delays data and resets
 // connections; Close does not wait for blocked data.
 func TestTCPProxy(t *testing.T) {
-	s, err := NewTCPProxy(startEchoServer(t))
+	proxy, err := NewTCPProxy(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer proxy.Close()
 	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", s.Addr)
+		c, err := net.Dial("tcp", proxy.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,38 +55,38 @@
 	if got, err := ask(c, r, 20*time.Second); got != "x\n" {
 		t.Fatal(got, err)
 	}
-	for _, cut := range []StreamFaults{
+	for _, faults := range []StreamFaults{
 		{BlockOutbound: true}, {BlockInbound: true}, {BlockOutbound: true, BlockInbound: true},
 	} {
-		s.SetFaults(cut)
+		proxy.SetFaults(faults)
 		if got, err := ask(c, r, 100*time.Millisecond); err == nil {
-			t.Errorf("%+v: %q passes", cut, got)
+			t.Errorf("%+v: %q passes", faults, got)
 		}
-		s.SetFaults(StreamFaults{})
+		proxy.SetFaults(StreamFaults{})
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		if got, err := r.ReadString('\n'); got != "x\n" {
-			t.Errorf("%+v: %q, %v after the block", cut, got, err)
+			t.Errorf("%+v: %q, %v after the block", faults, got, err)
 		}
 	}
-	s.SetFaults(StreamFaults{Delay: 30 * time.Millisecond})
-	began := time.Now()
-	if got, err := ask(c, r, 20*time.Second); got != "x\n" || time.Since(began) < 60*time.Millisecond {
-		t.Errorf("%q, %v after %v", got, err, time.Since(began))
+	proxy.SetFaults(StreamFaults{Delay: 30 * time.Millisecond})
+	startedAt := time.Now()
+	if got, err := ask(c, r, 20*time.Second); got != "x\n" || time.Since(startedAt) < 60*time.Millisecond {
+		t.Errorf("%q, %v after %v", got, err, time.Since(startedAt))
 	}
-	s.SetFaults(StreamFaults{Refuse: true})
+	proxy.SetFaults(StreamFaults{Refuse: true})
 	if got, err := ask(c, r, 20*time.Second); err == nil {
 		t.Errorf("an open connection still answers %q", got)
 	}
-	if c, err := net.Dial("tcp", s.Addr); err == nil { // the reset may come before the dial has returned
+	if c, err := net.Dial("tcp", proxy.Addr); err == nil { // the reset may come before the dial has returned
 		if got, err := ask(c, bufio.NewReader(c), 20*time.Second); err == nil {
 			t.Errorf("a new connection answers %q", got)
 		}
 		c.Close()
 	}
-	s.SetFaults(StreamFaults{})
+	proxy.SetFaults(StreamFaults{})
 	c, r = dial()
-	if got, err := ask(c, r, 20*time.Second); got != "x\n" || s.ConnectionCount() != 3 {
-		t.Errorf("%q, %v, %d opened", got, err, s.ConnectionCount())
+	if got, err := ask(c, r, 20*time.Second); got != "x\n" || proxy.ConnectionCount() != 3 {
+		t.Errorf("%q, %v, %d opened", got, err, proxy.ConnectionCount())
 	}
-	s.SetFaults(StreamFaults{BlockOutbound: true}) // Close must not wait for blocked data
+	proxy.SetFaults(StreamFaults{BlockOutbound: true}) // Close must not wait for blocked data
 }
--- a/internal/testdouble/faultproxy.go
+++ b/internal/testdouble/faultproxy.go
@@ -21,7 +21,7 @@
 // FaultKind selects the treatment of a request.
 type FaultKind int
 
-// The treatments of a request.
+// The kinds of faults.
 const (
 	Forward         FaultKind = iota // forwarded to the relay; the response is returned
 	Respond                          // answered by the proxy with Status and Header
@@ -88,6 +88,7 @@
 	return p, nil
 }
 
+// close stops the proxy, closes its connections and ends waiting responses.
 func (p *FaultProxy) close() {
 	p.ln.Close()
 	p.mu.Lock()
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -94,6 +94,7 @@
 	server   *http.Server
 }
 
+// newPartner fills in the defaults of config and starts the endpoints.
 func newPartner(config PartnerConfig, seed uint64, effectLog *EffectLog) (*Partner, error) {
 	if config.Kind == "" {
 		config.Kind = "small-partner"
@@ -127,6 +128,7 @@
 	return p, nil
 }
 
+// listen starts to serve at the address of an endpoint.
 func (p *Partner) listen(e *endpoint) error {
 	ln, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -137,6 +139,7 @@
 	return nil
 }
 
+// close ends waiting calls and stops the endpoints.
 func (p *Partner) close() {
 	p.mu.Lock()
 	p.releaseHeldCalls()
--- a/internal/testdouble/platform.go
+++ b/internal/testdouble/platform.go
@@ -73,6 +73,7 @@
 	return ln.Addr().String(), nil
 }
 
+// newPlatform starts a platform that lists the endpoints of the partners as in service.
 func newPlatform(partners map[int]*Partner, changes *changeSignal) (*Platform, error) {
 	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: changes,
 		closed: make(chan struct{})}
@@ -95,6 +96,7 @@
 	return p, nil
 }
 
+// close stops all servers and ends waiting requests.
 func (p *Platform) close() {
 	close(p.closed)
 	p.server.Close()
@@ -143,6 +145,7 @@
 	p.mu.Unlock()
 }
 
+// serveEndpoints serves the list with the original addresses.
 func (p *Platform) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	p.writeEndpoints(w, r, nil)
 }
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -54,11 +54,12 @@
 	Zone          string
 	Zones         []string
 	DiscoveryAddr string            // address of discovery; empty: the platform's
-	Members       string            // value of the setting "members"
-	Choices       string            // value of the setting "choices"; empty: not set
+	Members       string            // configuration value "members"
+	Choices       string            // configuration value "choices"; empty: not set
 	OnLogLine     func(line string) // called with each line that the relay logs; may be nil
 }
 
+// Numbers of log lines of a relay.
 const (
 	maxLogLines  = 50_000 // kept for each relay: more than any test makes it log
 	logTailLines = 400    // shown when a test fails
--- a/internal/testdouble/testdouble_test.go
+++ b/internal/testdouble/testdouble_test.go
@@ -23,6 +23,7 @@
 
 func (c *manualClock) advance(d time.Duration) { c.mu.Lock(); c.at = c.at.Add(d); c.mu.Unlock() }
 
+// startEnvironment starts an environment that is closed when the test ends.
 func startEnvironment(t *testing.T, set Config) *Environment {
 	t.Helper()
 	env, err := NewEnvironment(set)
--- a/internal/testdouble/wasm/wasm.go
+++ b/internal/testdouble/wasm/wasm.go
@@ -46,6 +46,7 @@
 // unsignedLEB128 encodes a non-negative integer as unsigned LEB128.
 func unsignedLEB128(v int) []byte { return binary.AppendUvarint(nil, uint64(v)) }
 
+// concat joins byte slices.
 func concat(parts ...[]byte) (b []byte) {
 	for _, p := range parts {
 		b = append(b, p...)
@@ -85,9 +86,9 @@
 		m.Pages = 4
 	}
 	type function struct {
-		name string
-		kind byte // index of its type in the type section
-		code []byte
+		name      string
+		typeIndex byte // index of its type in the type section
+		code      []byte
 	}
 	functions := []function{{abi.ExportVersion, 0, append([]byte{opConst32}, signedLEB128(int64(m.Version))...)},
 		{abi.ExportAlloc, 1, append([]byte{opConst32}, signedLEB128(inputAddress)...)}}
@@ -102,23 +103,23 @@
 	section := func(id byte, body []byte) []byte { return concat([]byte{id}, unsignedLEB128(len(body)), body) }
 	types := concat(unsignedLEB128(4),
 		[]byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
-	kinds, exports, code, n := unsignedLEB128(len(functions)), []byte(nil), unsignedLEB128(len(functions)), 0
+	typeIndexes, exports, codes, n := unsignedLEB128(len(functions)), []byte(nil), unsignedLEB128(len(functions)), 0
 	for i, f := range functions {
-		kinds = append(kinds, f.kind)
+		typeIndexes = append(typeIndexes, f.typeIndex)
 		if f.name != m.OmitExport {
 			exports = concat(exports, unsignedLEB128(len(f.name)), []byte(f.name), []byte{0}, unsignedLEB128(i))
 			n++
 		}
 		body := concat([]byte{0}, f.code, []byte{opEnd})
-		code = concat(code, unsignedLEB128(len(body)), body)
+		codes = concat(codes, unsignedLEB128(len(body)), body)
 	}
 	if m.OmitExport != "memory" {
 		exports = concat(exports, unsignedLEB128(6), []byte("memory"), []byte{2, 0})
 		n++
 	}
-	out := concat([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds),
+	out := concat([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, typeIndexes),
 		section(5, concat([]byte{1, 0}, unsignedLEB128(int(m.Pages)))),
-		section(7, concat(unsignedLEB128(n), exports)), section(10, code))
+		section(7, concat(unsignedLEB128(n), exports)), section(10, codes))
 	if len(m.Data) > 0 {
 		out = concat(out, section(11, concat([]byte{1, 0, opConst32}, signedLEB128(DataAddress), []byte{opEnd},
 			unsignedLEB128(len(m.Data)), m.Data)))
@@ -146,14 +147,14 @@
 	body := make([]byte, 5)
 	body[0] = byte(abi.Body)
 	binary.LittleEndian.PutUint32(body[1:], 64<<10+1)
-	big := Returning(hook, body)
-	big.Hooks[hook] = ReturnOutput(DataAddress, 5+64<<10+1)
+	oversized := Returning(hook, body)
+	oversized.Hooks[hook] = ReturnOutput(DataAddress, 5+64<<10+1)
 	return map[string]Module{
 		"loops":            WithCode(hook, InfiniteLoop()),
 		"traps":            WithCode(hook, Trap()),
 		"traps halfway":    WithCode(hook, WriteThenTrap()),
 		"grows":            WithCode(hook, GrowUntilTrap()),
-		"body too long":    big,
+		"body too long":    oversized,
 		"output too long":  WithCode(hook, ReturnOutput(DataAddress, 1<<17)),
 		"output outside":   WithCode(hook, ReturnOutput(4<<16-2, 8)),
 		"output cut short": Returning(hook, []byte{byte(abi.Reason), 9, 0, 0, 0, 'x'}),
@@ -168,7 +169,7 @@
 
 // UnloadableModules returns modules, by the name of their fault, that must not load with that hook.
 func UnloadableModules(hook string) map[string][]byte {
-	with := func(f func(*Module)) []byte {
+	build := func(f func(*Module)) []byte {
 		m := WithCode(hook, ReturnOutput(0, 0))
 		f(&m)
 		return m.Bytes()
@@ -177,13 +178,13 @@
 		"no WebAssembly": []byte("plug-in"),
 		"empty":          {},
 		"cut":            Noop().Bytes()[:40],
-		"no hook":        with(func(m *Module) { m.OmitExport = hook }),
-		"no alloc":       with(func(m *Module) { m.OmitExport = abi.ExportAlloc }),
-		"no version":     with(func(m *Module) { m.OmitExport = abi.ExportVersion }),
-		"no memory":      with(func(m *Module) { m.OmitExport = "memory" }),
-		"other version":  with(func(m *Module) { m.Version = 2 }),
-		"loops at start": with(func(m *Module) { m.InitCode = []byte{opLoop, void, opBr, 0, opEnd} }),
-		"traps at start": with(func(m *Module) { m.InitCode = Trap() }),
-		"needs too much": with(func(m *Module) { m.Pages = 60000 }),
+		"no hook":        build(func(m *Module) { m.OmitExport = hook }),
+		"no alloc":       build(func(m *Module) { m.OmitExport = abi.ExportAlloc }),
+		"no version":     build(func(m *Module) { m.OmitExport = abi.ExportVersion }),
+		"no memory":      build(func(m *Module) { m.OmitExport = "memory" }),
+		"other version":  build(func(m *Module) { m.Version = 2 }),
+		"loops at start": build(func(m *Module) { m.InitCode = []byte{opLoop, void, opBr, 0, opEnd} }),
+		"traps at start": build(func(m *Module) { m.InitCode = Trap() }),
+		"needs too much": build(func(m *Module) { m.Pages = 60000 }),
 	}
 }
