--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -10,116 +10,127 @@
 	"oatfold/internal/testdouble"
 )
 
-// slack is for the test's own goroutines, which see calls and notices late on a busy machine: what crosses within it is not told apart.
-// The latest notice is printed as measured.
-var slack = flag.Duration("soak.slack", 2*time.Second, "allowed beside what the rules allow")
+// timingSlack allows for the delay with which the test's own goroutines observe calls and
+// notifications on a busy machine. Events within it count as simultaneous.
+var timingSlack = flag.Duration("soak.slack", 2*time.Second, "tolerance for the timing of observed events")
 
-// dueIn is what a notice may come behind its message's time.
-const dueIn = 350 * time.Millisecond
+// maxNotificationDelay bounds the time from a message's deadline to its outcome notification.
+const maxNotificationDelay = 350 * time.Millisecond
 
-// events are what the outside saw of messages, by id.
-type events struct {
-	mu     sync.Mutex
-	called map[string][]time.Time
-	ended  map[string]time.Time // first notices
-	how    map[string]string
+// observations records what endpoints and the platform saw of messages, by message id.
+type observations struct {
+	mu         sync.Mutex
+	calls      map[string][]time.Time
+	notifiedAt map[string]time.Time // of the first notification
+	outcomes   map[string]string
 }
 
-func newEvents() *events {
-	return &events{called: map[string][]time.Time{}, ended: map[string]time.Time{}, how: map[string]string{}}
+func newObservations() *observations {
+	return &observations{calls: map[string][]time.Time{}, notifiedAt: map[string]time.Time{},
+		outcomes: map[string]string{}}
 }
 
-func (e *events) call(c testdouble.Call) {
+// recordCall records the arrival of a call.
+func (o *observations) recordCall(c testdouble.Call) {
 	if c.Completed {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, id := range c.IDs {
-		e.called[id] = append(e.called[id], time.Now())
+		o.calls[id] = append(o.calls[id], time.Now())
 	}
 }
 
-func (e *events) notice(n testdouble.Notification) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if _, there := e.ended[n.Message]; !there {
-		e.ended[n.Message], e.how[n.Message] = time.Now(), n.Outcome
+// recordNotification records the first outcome notification of a message.
+func (o *observations) recordNotification(n testdouble.Notification) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if _, known := o.notifiedAt[n.Message]; !known {
+		o.notifiedAt[n.Message], o.outcomes[n.Message] = time.Now(), n.Outcome
 	}
 }
 
-// audit holds what clients heard against what the outside saw.
-func (d *day) audit() {
+// check compares the responses to clients with what endpoints and the platform saw, and fails the
+// test if a rule is broken.
+func (s *scenario) check() {
 	delivered := func() map[string]bool {
 		ids := map[string]bool{}
-		for _, e := range d.world.EffectLog.Entries() {
+		for _, e := range s.env.EffectLog.Entries() {
 			ids[e.ID] = true
 		}
 		return ids
 	}
-	owed := func() (left []*request) {
-		ran := delivered()
-		d.events.mu.Lock()
-		defer d.events.mu.Unlock()
-		for _, r := range d.clients.sent {
-			if _, told := d.events.ended[r.id]; r.end == answered && r.status == 202 && !told && !ran[r.id] {
-				left = append(left, r)
+	unfinished := func() (requests []*request) {
+		effects := delivered()
+		s.observed.mu.Lock()
+		defer s.observed.mu.Unlock()
+		for _, r := range s.clients.sent {
+			if _, notified := s.observed.notifiedAt[r.id]; r.outcome == answered && r.status == 202 &&
+				!notified && !effects[r.id] {
+				requests = append(requests, r)
 			}
 		}
-		return left
+		return requests
 	}
-	if err := d.world.WaitUntil("all that was taken on to end", func() bool { return len(owed()) == 0 }); err != nil {
-		for _, r := range owed() {
-			d.fail("taken on and never ended: %v", r)
+	if err := s.env.WaitUntil("all accepted messages to complete", func() bool {
+		return len(unfinished()) == 0
+	}); err != nil {
+		for _, r := range unfinished() {
+			s.fail("accepted and never completed: %v", r)
 		}
 	}
 	counts, latest := map[string]int{}, time.Duration(0)
-	d.events.mu.Lock()
-	for _, r := range d.clients.sent {
-		calls, how := d.events.called[r.id], d.events.how[r.id]
-		switch r.end {
+	s.observed.mu.Lock()
+	for _, r := range s.clients.sent {
+		calls, outcome := s.observed.calls[r.id], s.observed.outcomes[r.id]
+		switch r.outcome {
 		case answered:
 			counts[statusName(r.status)]++
 		case unread:
 			counts["unread"]++
-		case cutByKill:
-			counts["cut by a kill"]++
-		case unheard:
-			d.fail("read and never answered: %v", r)
+		case relayKilled:
+			counts["relay killed"]++
+		case unanswered:
+			s.fail("read and never answered: %v", r)
 		}
-		if refused := r.end == answered && r.status != 202; refused && len(calls) > 0 {
-			d.fail("answered %d and forwarded: %v", r.status, r)
+		if rejected := r.outcome == answered && r.status != 202; rejected && len(calls) > 0 {
+			s.fail("rejected with %d and yet forwarded: %v", r.status, r)
 		}
-		if end, told := d.events.ended[r.id]; told && slices.ContainsFunc(calls, func(at time.Time) bool { return at.After(end.Add(*slack)) }) {
-			d.fail("forwarded after its end (%s): %v", how, r)
+		if notifiedAt, notified := s.observed.notifiedAt[r.id]; notified &&
+			slices.ContainsFunc(calls, func(at time.Time) bool { return at.After(notifiedAt.Add(*timingSlack)) }) {
+			s.fail("forwarded after its completion (%s): %v", outcome, r)
 		}
-		if end, told := d.events.ended[r.id]; told && r.end == answered && r.status == 202 {
-			due, overdue := r.at.Add(r.left), dueIn+*slack
-			away := d.excused(r.relay, due) || d.excused(r.relay, due.Add(overdue))
-			if late := end.Sub(due); !away {
-				if latest = max(latest, late); late > overdue {
-					d.fail("its notice came %v behind its time: %v", late, r)
+		if notifiedAt, notified := s.observed.notifiedAt[r.id]; notified && r.outcome == answered && r.status == 202 {
+			deadline, allowed := r.sentAt.Add(r.timeLeft), maxNotificationDelay+*timingSlack
+			excused := s.excused(r.relay, deadline) || s.excused(r.relay, deadline.Add(allowed))
+			if late := notifiedAt.Sub(deadline); !excused {
+				if latest = max(latest, late); late > allowed {
+					s.fail("notification %v after the deadline: %v", late, r)
 				}
 			}
 		}
-		if r.class == "fee-charge" && how == "handed_back" && len(calls) > 0 && r.end == answered && delivered()[r.id] {
-			d.fail("handed back and run: %v", r)
+		if r.class == "fee-charge" && outcome == "handed_back" && len(calls) > 0 &&
+			r.outcome == answered && delivered()[r.id] {
+			s.fail("returned to the client and yet run: %v", r)
 		}
 	}
-	d.events.mu.Unlock()
-	for _, double := range d.world.EffectLog.Duplicates("fee-charge") {
-		d.fail("a charge ran twice: %s", double)
+	s.observed.mu.Unlock()
+	for _, duplicate := range s.env.EffectLog.Duplicates("fee-charge") {
+		s.fail("a charge ran more than once: %s", duplicate)
 	}
-	d.t.Logf("%d requests: %v; latest notice %v behind its time; %d planned stops, %d of them killed", len(d.clients.sent), counts, latest.Round(time.Millisecond), d.planned, d.late)
-	if counts["202"] < len(d.clients.sent)/10 {
-		d.fail("only %d of %d were taken on", counts["202"], len(d.clients.sent))
+	s.t.Logf("%d requests: %v; latest notification %v after its deadline; %d planned stops, %d of them killed",
+		len(s.clients.sent), counts, latest.Round(time.Millisecond), s.plannedStops, s.killedStops)
+	if counts["202"] < len(s.clients.sent)/10 {
+		s.fail("only %d of %d requests were accepted", counts["202"], len(s.clients.sent))
 	}
-	if len(d.faults) > 0 {
-		slices.Sort(d.faults)
-		d.t.Errorf("broken:\n%s\nday:\n%s", strings.Join(d.faults, "\n"), strings.Join(d.told, "\n"))
+	if len(s.violations) > 0 {
+		slices.Sort(s.violations)
+		s.t.Errorf("broken rules:\n%s\ntimeline:\n%s", strings.Join(s.violations, "\n"), strings.Join(s.timeline, "\n"))
 	}
 }
 
+// statusName groups response statuses for the summary.
 func statusName(status int) string {
 	switch {
 	case status == 202:
--- a/internal/testdouble/platform.go
+++ b/internal/testdouble/platform.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Notification is what a relay told the platform of a message.
+// Notification is an outcome notification: what a relay reports to the platform about a message.
 type Notification struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryIn int    `json:"retry_in_ms"`
 }
 
-// instance is an entry of discovery's list.
+// instance is an endpoint in discovery's list.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -30,51 +30,57 @@
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
 	Started   int64   `json:"startedAtMs"`
-	changed   int
+	changed   int     // generation of the last change
 }
 
-// Platform is discovery and the taker of notices. Its list is versioned; watches wait for what is newer.
+// Platform is a test double of service discovery and of the receiver of outcome notifications. Its
+// endpoint list has a generation; a long poll waits until a newer one exists.
 type Platform struct {
-	Addr string
-
-	mu         sync.Mutex
-	generation int
-	list       map[string]*instance
-	changed    chan struct{}
-	notices    []Notification
-	watch      func(Notification)
-	silent     chan struct{} // not nil: nothing is answered until it is closed
-	slow       time.Duration // that a notice takes
-	news       *news
-	server     *http.Server
-	end        chan struct{}
-	views      []*http.Server
+	Addr string // host:port
+
+	mu                sync.Mutex
+	generation        int
+	instances         map[string]*instance
+	changed           chan struct{}
+	notifications     []Notification
+	onNotification    func(Notification)
+	suspended         chan struct{} // not nil: nothing is answered until it is closed; see Suspend
+	notificationDelay time.Duration // delay before a notification is accepted
+	changes           *changeSignal
+	server            *http.Server
+	closed            chan struct{}
+	extraServers      []*http.Server
 }
 
-// ServeWithAddresses serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
-// its own. at maps an endpoint's address; one that it leaves out stays.
-func (p *Platform) ServeWithAddresses(at map[string]string) (string, error) {
+// ServeWithAddresses serves the same endpoint list at a further address, which it returns, with
+// some endpoint addresses replaced: for a relay that reaches partners through proxies of its own.
+// The keys of addresses are the original host:port; endpoints without a key keep theirs.
+func (p *Platform) ServeWithAddresses(addresses map[string]string) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { p.tell(w, r, at) })
-	mux.HandleFunc("POST /v1/notices", p.notice)
-	s := &http.Server{Handler: mux}
+	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
+		p.writeEndpoints(w, r, addresses)
+	})
+	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
+	server := &http.Server{Handler: mux}
 	p.mu.Lock()
-	p.views = append(p.views, s)
+	p.extraServers = append(p.extraServers, server)
 	p.mu.Unlock()
-	go s.Serve(ln)
+	go server.Serve(ln)
 	return ln.Addr().String(), nil
 }
 
-func newPlatform(partners map[int]*Partner, n *news) (*Platform, error) {
-	p := &Platform{generation: 1, list: map[string]*instance{}, changed: make(chan struct{}), news: n, end: make(chan struct{})}
-	for _, one := range partners {
-		for i, e := range one.ends {
-			p.list[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: one.zone(i), Kind: one.set.Kind, Dest: one.set.Dest,
-				Lifecycle: "in_service", Weight: 1, changed: 1}
+// newPlatform starts a platform that lists the endpoints of the partners as in service.
+func newPlatform(partners map[int]*Partner, changes *changeSignal) (*Platform, error) {
+	p := &Platform{generation: 1, instances: map[string]*instance{}, changed: make(chan struct{}), changes: changes,
+		closed: make(chan struct{})}
+	for _, partner := range partners {
+		for i, e := range partner.endpoints {
+			p.instances[e.id] = &instance{ID: e.id, HostPort: e.addr, Zone: partner.endpointZone(i),
+				Kind: partner.config.Kind, Dest: partner.config.Dest, Lifecycle: "in_service", Weight: 1, changed: 1}
 		}
 	}
 	ln, err := listen()
@@ -83,81 +89,89 @@
 	}
 	p.Addr = ln.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", p.endpoints)
-	mux.HandleFunc("POST /v1/notices", p.notice)
+	mux.HandleFunc("GET /v1/endpoints", p.serveEndpoints)
+	mux.HandleFunc("POST /v1/notices", p.serveNotifications)
 	p.server = &http.Server{Handler: mux}
 	go p.server.Serve(ln)
 	return p, nil
 }
 
+// close stops all servers and ends waiting requests.
 func (p *Platform) close() {
-	close(p.end)
+	close(p.closed)
 	p.server.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.views {
+	for _, s := range p.extraServers {
 		s.Close()
 	}
 }
 
-// Suspend makes the platform answer nothing until the returned function is called.
-func (p *Platform) Suspend() (speak func()) {
-	ch := make(chan struct{})
+// Suspend makes the platform leave all requests unanswered until resume is called.
+func (p *Platform) Suspend() (resume func()) {
+	suspended := make(chan struct{})
 	p.mu.Lock()
-	p.silent = ch
+	p.suspended = suspended
 	p.mu.Unlock()
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
-		p.silent = nil
+		p.suspended = nil
 		p.mu.Unlock()
-		close(ch)
+		close(suspended)
 	})
 }
 
-func (p *Platform) hush() {
+// waitWhileSuspended blocks a request until the platform is resumed or closed.
+func (p *Platform) waitWhileSuspended() {
 	p.mu.Lock()
-	silent := p.silent
+	suspended := p.suspended
 	p.mu.Unlock()
-	if silent != nil {
+	if suspended != nil {
 		select {
-		case <-silent:
-		case <-p.end:
+		case <-suspended:
+		case <-p.closed:
 		}
 	}
 }
 
-// SetLifecycle changes the state of an endpoint: in_service, terminating or terminated.
+// SetLifecycle changes the state of an endpoint, to in_service, terminating or terminated, and
+// wakes long polls.
 func (p *Platform) SetLifecycle(id, state string) {
 	p.mu.Lock()
 	p.generation++
-	p.list[id].Lifecycle, p.list[id].changed = state, p.generation
+	p.instances[id].Lifecycle, p.instances[id].changed = state, p.generation
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
 }
 
-func (p *Platform) endpoints(w http.ResponseWriter, r *http.Request) { p.tell(w, r, nil) }
+// serveEndpoints serves the list with the original addresses.
+func (p *Platform) serveEndpoints(w http.ResponseWriter, r *http.Request) {
+	p.writeEndpoints(w, r, nil)
+}
 
-func (p *Platform) tell(w http.ResponseWriter, r *http.Request, at map[string]string) {
-	p.hush()
+// writeEndpoints answers with the full list, or with the changes after generation "from": then it
+// waits for one for up to hold_ms.
+func (p *Platform) writeEndpoints(w http.ResponseWriter, r *http.Request, addresses map[string]string) {
+	p.waitWhileSuspended()
 	from, err := strconv.Atoi(r.FormValue("from"))
-	whole := err != nil
-	if hold, _ := strconv.Atoi(r.FormValue("hold_ms")); !whole {
-		timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	full := err != nil
+	if holdMs, _ := strconv.Atoi(r.FormValue("hold_ms")); !full {
+		timer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 		defer timer.Stop()
 		for waiting := true; waiting; {
 			p.mu.Lock()
-			ch := p.changed
+			changed := p.changed
 			waiting = p.generation <= from
 			p.mu.Unlock()
 			if waiting {
 				select {
-				case <-ch:
+				case <-changed:
 				case <-timer.C:
 					waiting = false
 				case <-r.Context().Done():
 					return
-				case <-p.end:
+				case <-p.closed:
 					return
 				}
 			}
@@ -168,77 +182,82 @@
 		Generation int        `json:"generation"`
 		Reset      bool       `json:"reset"`
 		Instances  []instance `json:"instances"`
-	}{p.generation, whole, []instance{}}
-	for _, id := range slices.Sorted(maps.Keys(p.list)) {
-		if e := p.list[id]; whole && e.Lifecycle != "terminated" || !whole && e.changed > from {
-			one := *e
-			if to, ok := at[one.HostPort]; ok {
-				one.HostPort = to
+	}{p.generation, full, []instance{}}
+	for _, id := range slices.Sorted(maps.Keys(p.instances)) {
+		if e := p.instances[id]; full && e.Lifecycle != "terminated" || !full && e.changed > from {
+			listed := *e
+			if to, ok := addresses[listed.HostPort]; ok {
+				listed.HostPort = to
 			}
-			out.Instances = append(out.Instances, one)
+			out.Instances = append(out.Instances, listed)
 		}
 	}
 	p.mu.Unlock()
 	json.NewEncoder(w).Encode(out)
 }
 
-// DelayNotifications has the platform take so long for each notice. One whose sender goes away meanwhile is not taken.
+// DelayNotifications delays the acceptance of each notification by d. A notification whose sender
+// disconnects meanwhile is dropped.
 func (p *Platform) DelayNotifications(d time.Duration) {
 	p.mu.Lock()
-	p.slow = d
+	p.notificationDelay = d
 	p.mu.Unlock()
 }
 
-func (p *Platform) notice(w http.ResponseWriter, r *http.Request) {
-	p.hush()
+// serveNotifications accepts outcome notifications, one JSON object a line, or rejects all of a
+// request with 400.
+func (p *Platform) serveNotifications(w http.ResponseWriter, r *http.Request) {
+	p.waitWhileSuspended()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
-	slow := p.slow
+	delay := p.notificationDelay
 	p.mu.Unlock()
 	select {
-	case <-time.After(slow):
+	case <-time.After(delay):
 	case <-r.Context().Done():
 		return
 	}
-	var got []Notification
+	var received []Notification
 	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
 		var n Notification
-		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" || n.Outcome != "given_up" && n.Outcome != "handed_back" {
+		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" ||
+			n.Outcome != "given_up" && n.Outcome != "handed_back" {
 			w.WriteHeader(400)
 			return
 		}
-		got = append(got, n)
+		received = append(received, n)
 	}
 	p.mu.Lock()
-	p.notices = append(p.notices, got...)
-	watch := p.watch
+	p.notifications = append(p.notifications, received...)
+	onNotification := p.onNotification
 	p.mu.Unlock()
-	for _, n := range got {
-		if watch != nil {
-			watch(n)
+	for _, n := range received {
+		if onNotification != nil {
+			onNotification(n)
 		}
 	}
 	w.WriteHeader(204)
-	p.news.tell()
+	p.changes.notify()
 }
 
-// OnNotification makes f be told of each notice, before it is answered.
+// OnNotification sets a function that is called with each accepted notification, before the
+// response.
 func (p *Platform) OnNotification(f func(Notification)) {
 	p.mu.Lock()
-	p.watch = f
+	p.onNotification = f
 	p.mu.Unlock()
 }
 
-// Notifications returns the notices by message.
+// Notifications returns the last notification of each message, by message id.
 func (p *Platform) Notifications() map[string]Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := map[string]Notification{}
-	for _, n := range p.notices {
-		all[n.Message] = n
+	byMessage := map[string]Notification{}
+	for _, n := range p.notifications {
+		byMessage[n.Message] = n
 	}
-	return all
+	return byMessage
 }
