--- a/internal/plugin/set.go
+++ b/internal/plugin/set.go
@@ -15,9 +15,9 @@
 
 // Set is the plug-ins of one configuration, asked in its order. Whoever asks holds it by Holder.Use.
 type Set struct {
-	all  []*Plugin
-	log  *slog.Logger
-	refs atomic.Int64 // one of the holder, and one of each user
+	plugins []*Plugin
+	log     *slog.Logger
+	refs    atomic.Int64 // one of the holder, and one of each user
 }
 
 // LoadSet loads plug-ins. Those that fail are part of the set, and fail each message; the error names them.
@@ -30,18 +30,18 @@
 		if err != nil {
 			errs = errors.Join(errs, fmt.Errorf("plug-in %s: %w", spec.Name, err))
 		}
-		s.all = append(s.all, p)
+		s.plugins = append(s.plugins, p)
 	}
 	return s, errs
 }
 
 // Plugins returns the plug-ins of the set in order.
-func (s *Set) Plugins() []*Plugin { return s.all }
+func (s *Set) Plugins() []*Plugin { return s.plugins }
 
 // Release lets the set go; the last one out closes it.
 func (s *Set) Release() {
 	if s != nil && s.refs.Add(-1) == 0 {
-		for _, p := range s.all {
+		for _, p := range s.plugins {
 			p.Close()
 		}
 	}
@@ -79,14 +79,14 @@
 	Body                 []byte
 }
 
-func (p *Plugin) asked(h abi.Hook, m *Message) bool {
+func (p *Plugin) matches(h abi.Hook, m *Message) bool {
 	return slices.Contains(p.Hooks, h) && (len(p.Classes) == 0 || slices.Contains(p.Classes, m.Class)) &&
 		(len(p.Dests) == 0 || slices.Contains(p.Dests, m.Dest)) && (len(p.Kinds) == 0 || slices.Contains(p.Kinds, m.Kind))
 }
 
-// input writes the fields of a message, with room for more of that size.
-func (p *Plugin) input(m *Message, body []byte, more int) []byte {
-	b := make([]byte, 0, 160+len(m.Class)+len(m.Kind)+len(m.ID)+len(m.Key)+len(m.Notes)+len(p.Setting)+len(body)+more)
+// encodeMessage writes the fields of a message, with room for more of that size.
+func (p *Plugin) encodeMessage(m *Message, body []byte, extra int) []byte {
+	b := make([]byte, 0, 160+len(m.Class)+len(m.Kind)+len(m.ID)+len(m.Key)+len(m.Notes)+len(p.Setting)+len(body)+extra)
 	b = abi.Append(b, abi.Class, m.Class)
 	b = abi.AppendNumber(b, abi.Dest, int64(m.Dest))
 	b = abi.Append(b, abi.ID, m.ID)
@@ -106,9 +106,9 @@
 	return abi.Append(append(b, m.Notes...), abi.Body, body)
 }
 
-// answerInput writes the fields of a message and of the answer to its route step.
-func (p *Plugin) answerInput(m *Message, a Answer) []byte {
-	b := p.input(m, a.Body, 256)
+// encodeAnswer writes the fields of a message and of the answer to its route step.
+func (p *Plugin) encodeAnswer(m *Message, a Answer) []byte {
+	b := p.encodeMessage(m, a.Body, 256)
 	b = abi.AppendNumber(abi.AppendNumber(b, abi.Status, int64(a.Status)), abi.Outcome, int64(a.Outcome))
 	b = abi.AppendNumber(b, abi.WaitMs, a.Wait.Milliseconds())
 	for _, h := range a.Headers {
@@ -128,18 +128,18 @@
 
 func (e *CallError) Unwrap() error { return e.Err }
 
-// failed logs a failure; nil where the message goes on all the same.
-func (s *Set) failed(p *Plugin, h abi.Hook, m *Message, err error) *CallError {
-	then := p.FailureAction(m.Class)
+// handleFailure logs a failure; nil where the message goes on all the same.
+func (s *Set) handleFailure(p *Plugin, h abi.Hook, m *Message, err error) *CallError {
+	action := p.FailureAction(m.Class)
 	level := slog.LevelWarn
 	if errors.Is(err, ErrDisabled) || errors.Is(err, ErrNotLoaded) {
 		level = slog.LevelDebug // that was said when it was taken out, or not loaded
 	}
-	s.log.Log(context.Background(), level, "plug-in failed", "plugin", p.Name, "hook", h.String(), "message", m.ID, "class", m.Class, "then", then.String(), "err", err)
-	if then == limits.Pass {
+	s.log.Log(context.Background(), level, "plug-in failed", "plugin", p.Name, "hook", h.String(), "message", m.ID, "class", m.Class, "then", action.String(), "err", err)
+	if action == limits.Pass {
 		return nil
 	}
-	return &CallError{p.Name, then, err}
+	return &CallError{p.Name, action, err}
 }
 
 // HandInDecision is what plug-ins say to a message that comes in.
@@ -153,13 +153,13 @@
 // OnHandIn asks about a message that comes in.
 func (s *Set) OnHandIn(m *Message) HandInDecision {
 	a := HandInDecision{Verdict: abi.Take}
-	for _, p := range s.all {
-		if !p.asked(abi.OnHandIn, m) {
+	for _, p := range s.plugins {
+		if !p.matches(abi.OnHandIn, m) {
 			continue
 		}
-		out, err := p.Call(abi.OnHandIn, p.input(m, m.Body, 0))
+		out, err := p.Call(abi.OnHandIn, p.encodeMessage(m, m.Body, 0))
 		if err != nil {
-			if f := s.failed(p, abi.OnHandIn, m, err); f != nil {
+			if f := s.handleFailure(p, abi.OnHandIn, m, err); f != nil {
 				return HandInDecision{Verdict: map[limits.FailureAction]int{limits.Refuse: abi.Refuse, limits.Fail: abi.Reject}[f.Action], Reason: "plug-in " + p.Name + " failed"}
 			}
 			continue
@@ -181,13 +181,13 @@
 // ShapeRequest asks for the body and the headers of a route step.
 func (s *Set) ShapeRequest(m *Message) (body []byte, headers [][2]string, failed *CallError) {
 	body = m.Body
-	for _, p := range s.all {
-		if !p.asked(abi.ShapeRequest, m) {
+	for _, p := range s.plugins {
+		if !p.matches(abi.ShapeRequest, m) {
 			continue
 		}
-		out, err := p.Call(abi.ShapeRequest, p.input(m, body, 0))
+		out, err := p.Call(abi.ShapeRequest, p.encodeMessage(m, body, 0))
 		if err != nil {
-			if f := s.failed(p, abi.ShapeRequest, m, err); f != nil {
+			if f := s.handleFailure(p, abi.ShapeRequest, m, err); f != nil {
 				return nil, nil, f
 			}
 			continue
@@ -212,18 +212,18 @@
 // ReadAnswer asks what an answer means. A plug-in that fails changes nothing, whatever the operator's rule says of it: what has
 // run has run.
 func (s *Set) ReadAnswer(m *Message, a Answer) (outcome int, wait time.Duration) {
-	for _, p := range s.all {
-		if !p.asked(abi.ReadAnswer, m) {
+	for _, p := range s.plugins {
+		if !p.matches(abi.ReadAnswer, m) {
 			continue
 		}
-		out, err := p.Call(abi.ReadAnswer, p.answerInput(m, a))
+		out, err := p.Call(abi.ReadAnswer, p.encodeAnswer(m, a))
 		if err != nil {
-			s.failed(p, abi.ReadAnswer, m, err)
+			s.handleFailure(p, abi.ReadAnswer, m, err)
 			continue
 		}
-		was := a.Outcome
+		before := a.Outcome
 		a.Outcome, a.Wait = limits.MergeOutcome(a.Outcome, out.Outcome), limits.MergeWait(a.Wait, out.Wait)
-		if a.Outcome != was {
+		if a.Outcome != before {
 			s.log.Info("plug-in read an answer otherwise", "plugin", p.Name, "message", m.ID, "status", a.Status, "reason", out.Reason)
 		}
 	}
@@ -232,5 +232,5 @@
 
 // HasHook tells whether any plug-in has that hook.
 func (s *Set) HasHook(h abi.Hook) bool {
-	return slices.ContainsFunc(s.all, func(p *Plugin) bool { return slices.Contains(p.Hooks, h) })
+	return slices.ContainsFunc(s.plugins, func(p *Plugin) bool { return slices.Contains(p.Hooks, h) })
 }
--- a/internal/plugin/watch_linux.go
+++ b/internal/plugin/watch_linux.go
@@ -14,7 +14,7 @@
 // one thread).
 func threadClock(tid int) int32 { return int32(^tid<<3 | 6) }
 
-func threadTime(clock int32) time.Duration {
+func threadCPUTime(clock int32) time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(clock, &ts) != nil {
 		return 0
@@ -22,20 +22,20 @@
 	return time.Duration(ts.Nano())
 }
 
-// watch returns a context that ends when a call on this goroutine has spent its wall time or its CPU time. The goroutine
+// limitTime returns a context that ends when a call on this goroutine has spent its wall time or its CPU time. The goroutine
 // keeps its thread until end is called, which also books the CPU time to spent.
-func watch(b Budget, spent *atomic.Int64) (ctx context.Context, end func()) {
+func limitTime(b Budget, cpuUsed *atomic.Int64) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	ctx, cancelWall := context.WithTimeoutCause(ctx, b.Wall, fmt.Errorf("%v of wall time", b.Wall))
 	runtime.LockOSThread()
 	clock := threadClock(unix.Gettid())
-	began := threadTime(clock)
+	usedBefore := threadCPUTime(clock)
 	var timer *time.Timer
 	if b.CPU < b.Wall {
 		// A call can't spend more CPU time than wall time, so that the first look comes when it could have spent its all.
 		timer = time.AfterFunc(time.Hour, func() {
-			if rest := b.CPU - (threadTime(clock) - began); rest > 0 {
-				timer.Reset(max(rest, time.Millisecond))
+			if remaining := b.CPU - (threadCPUTime(clock) - usedBefore); remaining > 0 {
+				timer.Reset(max(remaining, time.Millisecond))
 			} else {
 				cancel(fmt.Errorf("%v of CPU time", b.CPU))
 			}
@@ -46,7 +46,7 @@
 		if timer != nil {
 			timer.Stop()
 		}
-		spent.Add(int64(threadTime(clock) - began))
+		cpuUsed.Add(int64(threadCPUTime(clock) - usedBefore))
 		runtime.UnlockOSThread()
 		cancelWall()
 		cancel(nil)
--- a/internal/plugin/watch_other.go
+++ b/internal/plugin/watch_other.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// watch bounds the wall time only: a thread's CPU time can't be read here.
-func watch(b Budget, spent *atomic.Int64) (ctx context.Context, end func()) {
-	began := time.Now()
+// limitTime bounds the wall time only: a thread's CPU time can't be read here.
+func limitTime(b Budget, cpuUsed *atomic.Int64) (ctx context.Context, end func()) {
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeoutCause(context.Background(), b.Wall, fmt.Errorf("%v of wall time", b.Wall))
 	return ctx, func() {
-		spent.Add(int64(time.Since(began)))
+		cpuUsed.Add(int64(time.Since(startedAt)))
 		cancel()
 	}
 }
--- a/plugin/examples/brokerform/main.go
+++ b/plugin/examples/brokerform/main.go
@@ -11,11 +11,11 @@
 	"oatfold/plugin"
 )
 
-func init() { plugin.Serve(plugin.Handlers{ShapeRequest: shape}) }
+func init() { plugin.Serve(plugin.Handlers{ShapeRequest: shapeRequest}) }
 
 func main() {}
 
-func shape(m *plugin.Message) (plugin.Shape, error) {
+func shapeRequest(m *plugin.Message) (plugin.Shape, error) {
 	var order map[string]json.RawMessage
 	if err := json.Unmarshal(m.Body, &order); err != nil {
 		return plugin.Shape{}, fmt.Errorf("the order is no JSON object: %w", err)
--- a/plugin/examples/gatekeeper/main.go
+++ b/plugin/examples/gatekeeper/main.go
@@ -9,11 +9,11 @@
 	"oatfold/plugin"
 )
 
-func init() { plugin.Serve(plugin.Handlers{OnHandIn: check}) }
+func init() { plugin.Serve(plugin.Handlers{OnHandIn: checkFields}) }
 
 func main() {}
 
-func check(m *plugin.Message) (plugin.HandIn, error) {
+func checkFields(m *plugin.Message) (plugin.HandIn, error) {
 	var body map[string]any
 	if json.Unmarshal(m.Body, &body) != nil {
 		return plugin.HandIn{Reject: true, Reason: "the body is no JSON object"}, nil
--- a/plugin/examples/softreject/main.go
+++ b/plugin/examples/softreject/main.go
@@ -9,21 +9,21 @@
 	"oatfold/plugin"
 )
 
-func init() { plugin.Serve(plugin.Handlers{ReadAnswer: read}) }
+func init() { plugin.Serve(plugin.Handlers{ReadAnswer: readAnswer}) }
 
 func main() {}
 
-func read(_ *plugin.Message, a *plugin.Answer) (plugin.Reading, error) {
-	var said struct {
+func readAnswer(_ *plugin.Message, a *plugin.Answer) (plugin.Reading, error) {
+	var partner struct {
 		Status  string `json:"status"`
 		RetryMs int64  `json:"retry_ms"`
 	}
-	if a.Status != 200 || json.Unmarshal(a.Body, &said) != nil {
+	if a.Status != 200 || json.Unmarshal(a.Body, &partner) != nil {
 		return plugin.Reading{}, nil
 	}
-	switch said.Status {
+	switch partner.Status {
 	case "busy", "rejected":
-		return plugin.Reading{Unsure: true, Wait: time.Duration(said.RetryMs) * time.Millisecond, Reason: "partner says " + said.Status}, nil
+		return plugin.Reading{Unsure: true, Wait: time.Duration(partner.RetryMs) * time.Millisecond, Reason: "partner says " + partner.Status}, nil
 	}
 	return plugin.Reading{}, nil
 }
--- a/plugin/export_wasip1.go
+++ b/plugin/export_wasip1.go
@@ -24,16 +24,16 @@
 func address(b []byte) uint32 { return uint32(uintptr(unsafe.Pointer(unsafe.SliceData(b)))) }
 
 //go:wasmexport on_handin
-func exportOnHandIn(at, size uint32) uint64 { return run(abi.OnHandIn, size) }
+func exportOnHandIn(at, size uint32) uint64 { return runExport(abi.OnHandIn, size) }
 
 //go:wasmexport shape_request
-func exportShapeRequest(at, size uint32) uint64 { return run(abi.ShapeRequest, size) }
+func exportShapeRequest(at, size uint32) uint64 { return runExport(abi.ShapeRequest, size) }
 
 //go:wasmexport read_answer
-func exportReadAnswer(at, size uint32) uint64 { return run(abi.ReadAnswer, size) }
+func exportReadAnswer(at, size uint32) uint64 { return runExport(abi.ReadAnswer, size) }
 
-func run(h abi.Hook, size uint32) uint64 {
-	out, err := answer(h, input[:size])
+func runExport(h abi.Hook, size uint32) uint64 {
+	out, err := runHook(h, input[:size])
 	if err != nil {
 		panic(err) // ends the instance; the host counts the call as failed
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -86,69 +86,69 @@
 	ReadAnswer   func(*Message, *Answer) (Reading, error)
 }
 
-var serving Handlers
+var handlers Handlers
 
 // Serve sets the hooks. It is called from an init function.
-func Serve(h Handlers) { serving = h }
+func Serve(h Handlers) { handlers = h }
 
-// read takes an input apart.
-func read(input []byte) (*Message, *Answer, error) {
-	m, a := &Message{Attempt: -1, Notes: map[string]string{}}, &Answer{}
+// decodeInput takes an input apart.
+func decodeInput(input []byte) (*Message, *Answer, error) {
+	message, answer := &Message{Attempt: -1, Notes: map[string]string{}}, &Answer{}
 	err := abi.Each(input, func(f abi.Field, v []byte) error {
-		n := int64(0)
+		number := int64(0)
 		switch f {
 		case abi.Dest, abi.Attempt, abi.TimeLeft, abi.Status, abi.Outcome, abi.WaitMs:
 			var err error
-			if n, err = abi.Number(v); err != nil {
+			if number, err = abi.Number(v); err != nil {
 				return err
 			}
 		}
 		switch f {
 		case abi.Class:
-			m.Class = string(v)
+			message.Class = string(v)
 		case abi.Kind:
-			m.Kind = string(v)
+			message.Kind = string(v)
 		case abi.ID:
-			m.ID = string(v)
+			message.ID = string(v)
 		case abi.Key:
-			m.Key = string(v)
+			message.Key = string(v)
 		case abi.Dest:
-			m.Dest = int(n)
+			message.Dest = int(number)
 		case abi.Attempt:
-			m.Attempt = int(n)
+			message.Attempt = int(number)
 		case abi.TimeLeft:
-			m.TimeLeft = time.Duration(n) * time.Millisecond
+			message.TimeLeft = time.Duration(number) * time.Millisecond
 		case abi.Note:
 			name, value, _ := strings.Cut(string(v), "=")
-			m.Notes[name] = value
+			message.Notes[name] = value
 		case abi.Setting:
-			m.Setting = string(v)
+			message.Setting = string(v)
 		case abi.Body:
-			m.Body, a.Body = v, v
+			message.Body, answer.Body = v, v
 		case abi.Header:
-			a.Headers = append(a.Headers, string(v))
+			answer.Headers = append(answer.Headers, string(v))
 		case abi.Status:
-			a.Status = int(n)
+			answer.Status = int(number)
 		case abi.Outcome:
-			a.Outcome = Outcome(n)
+			answer.Outcome = Outcome(number)
 		case abi.WaitMs:
-			a.Wait = time.Duration(n) * time.Millisecond
+			answer.Wait = time.Duration(number) * time.Millisecond
 		}
 		return nil // fields that are not known here are of a later host
 	})
-	return m, a, err
+	return message, answer, err
 }
 
-// answer runs a hook on its input and returns its output.
-func answer(h abi.Hook, input []byte) ([]byte, error) {
-	m, a, err := read(input)
+// runHook runs a hook on its input and returns its output.
+func runHook(h abi.Hook, input []byte) ([]byte, error) {
+	m, a, err := decodeInput(input)
 	if err != nil {
 		return nil, err
 	}
 	var out []byte
 	switch {
-	case h == abi.OnHandIn && serving.OnHandIn != nil:
-		v, err := serving.OnHandIn(m)
+	case h == abi.OnHandIn && handlers.OnHandIn != nil:
+		v, err := handlers.OnHandIn(m)
 		if err != nil {
 			return nil, err
 		}
@@ -164,8 +164,8 @@
 		if v.Reason != "" {
 			out = abi.Append(out, abi.Reason, v.Reason)
 		}
-	case h == abi.ShapeRequest && serving.ShapeRequest != nil:
-		v, err := serving.ShapeRequest(m)
+	case h == abi.ShapeRequest && handlers.ShapeRequest != nil:
+		v, err := handlers.ShapeRequest(m)
 		if err != nil {
 			return nil, err
 		}
@@ -175,8 +175,8 @@
 		for _, line := range v.Headers {
 			out = abi.Append(out, abi.Header, line)
 		}
-	case h == abi.ReadAnswer && serving.ReadAnswer != nil:
-		v, err := serving.ReadAnswer(m, a)
+	case h == abi.ReadAnswer && handlers.ReadAnswer != nil:
+		v, err := handlers.ReadAnswer(m, a)
 		if err != nil {
 			return nil, err
 		}
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -18,43 +18,43 @@
 	in = abi.Append(abi.Append(in, abi.Note, "account=12"), abi.Setting, "form=2")
 	in = abi.Append(abi.Append(in, abi.Body, "body"), 99, "of a later host")
 	in = abi.AppendNumber(abi.Append(in, abi.Header, "X-A: b"), abi.Status, 503)
-	var got Message
-	var came Answer
-	fail := errors.New("no")
+	var gotMessage Message
+	var gotAnswer Answer
+	errHandler := errors.New("no")
 	Serve(Handlers{
 		ShapeRequest: func(m *Message) (Shape, error) {
-			got = *m
+			gotMessage = *m
 			return Shape{Body: []byte{}, Headers: []string{"X-Form: 2"}}, nil
 		},
 		ReadAnswer: func(m *Message, a *Answer) (Reading, error) {
-			came = *a
+			gotAnswer = *a
 			return Reading{Unsure: true, Wait: time.Second}, nil
 		},
-		OnHandIn: func(m *Message) (HandIn, error) { return HandIn{}, fail },
+		OnHandIn: func(m *Message) (HandIn, error) { return HandIn{}, errHandler },
 	})
-	out, err := answer(abi.ShapeRequest, in)
+	out, err := runHook(abi.ShapeRequest, in)
 	if want := abi.Append(abi.Append(nil, abi.Body, ""), abi.Header, "X-Form: 2"); err != nil || string(out) != string(want) {
 		t.Errorf("%q, %v", out, err)
 	}
-	if got.Class != "order-relay" || got.Dest != 7 || got.TimeLeft != 1500*time.Millisecond || got.Attempt != 2 || got.Notes["account"] != "12" ||
-		got.Setting != "form=2" || string(got.Body) != "body" {
-		t.Errorf("%+v", got)
+	if gotMessage.Class != "order-relay" || gotMessage.Dest != 7 || gotMessage.TimeLeft != 1500*time.Millisecond || gotMessage.Attempt != 2 || gotMessage.Notes["account"] != "12" ||
+		gotMessage.Setting != "form=2" || string(gotMessage.Body) != "body" {
+		t.Errorf("%+v", gotMessage)
 	}
-	out, err = answer(abi.ReadAnswer, in)
+	out, err = runHook(abi.ReadAnswer, in)
 	if want := abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 1000); err != nil || string(out) != string(want) {
 		t.Errorf("%q, %v", out, err)
 	}
-	if came.Status != 503 || len(came.Headers) != 1 {
-		t.Errorf("%+v", came)
+	if gotAnswer.Status != 503 || len(gotAnswer.Headers) != 1 {
+		t.Errorf("%+v", gotAnswer)
 	}
-	if _, err := answer(abi.OnHandIn, in); !errors.Is(err, fail) {
+	if _, err := runHook(abi.OnHandIn, in); !errors.Is(err, errHandler) {
 		t.Errorf("a handler that fails: %v", err)
 	}
-	if _, err := answer(abi.ShapeRequest, in[:len(in)-3]); err == nil {
+	if _, err := runHook(abi.ShapeRequest, in[:len(in)-3]); err == nil {
 		t.Error("an input cut short was taken")
 	}
 	Serve(Handlers{})
-	if _, err := answer(abi.ShapeRequest, in); err == nil {
+	if _, err := runHook(abi.ShapeRequest, in); err == nil {
 		t.Error("a hook that is not there answered")
 	}
 }
