--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -13,7 +13,7 @@
 	"oatfold/client"
 )
 
-// acceptingServer takes everything on at once.
+// acceptingServer starts a server that accepts every request, and returns its address.
 func acceptingServer(b *testing.B) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -25,18 +25,20 @@
 
 var benchBody = bytes.Repeat([]byte("x"), 212)
 
-// One hand-in after the other by the library.
+// BenchmarkHandIn measures sequential messages sent by the library.
 func BenchmarkHandIn(b *testing.B) {
 	c := newClient(b, client.Config{Relays: []string{acceptingServer(b)}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := c.Send(context.Background(), client.Message{Class: "fee-charge", Dest: 7, Key: "k", TimeLeft: 15 * time.Second, Body: benchBody}); err != nil {
+		if _, err := c.Send(context.Background(), client.Message{Class: "fee-charge", Dest: 7, Key: "k",
+			TimeLeft: 15 * time.Second, Body: benchBody}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// The same requests as a bare POST of net/http, which may send one twice unseen.
+// BenchmarkBarePost measures the same requests sent by net/http, which may resend one without
+// telling.
 func BenchmarkBarePost(b *testing.B) {
 	url := "http://" + acceptingServer(b) + "/fee-charge"
 	n := 0
--- a/client/client.go
+++ b/client/client.go
@@ -18,17 +18,17 @@
 	"oatfold/client/decide"
 )
 
-// Effect says what it does to hand a message in twice. The zero value is Unsafe.
+// Effect says what happens if a message is delivered twice. The zero value is Unsafe.
 type Effect = decide.Effect
 
-// The effects of a repeat.
+// The effects of delivering a message twice.
 const (
 	Unsafe = decide.Unsafe // must never take effect twice, like a fee charge
-	Keyed  = decide.Keyed  // partners drop a repeat within Message.Window by its key, like an order
-	Safe   = decide.Safe   // may be repeated freely, like a price alert
+	Keyed  = decide.Keyed  // partners drop a repeat by its key within Message.Window, like an order
+	Safe   = decide.Safe   // may take effect any number of times, like a price alert
 )
 
-// Outcome is how a message ended; Stage is how far its last hand-in came.
+// Outcome is the final result of a message; Stage is how far an attempt came.
 type (
 	Outcome = decide.Outcome
 	Stage   = decide.Stage
@@ -36,52 +36,52 @@
 
 // The outcomes of a message.
 const (
-	Taken     = decide.Taken     // a relay has taken it on and owes it its end
-	Refused   = decide.Refused   // refused by every hand-in that the rules allow
-	Failed    = decide.Failed    // not taken on, and a further hand-in would not help
-	GivenUp   = decide.GivenUp   // what has to be waited for is longer than the time left
-	Uncertain = decide.Uncertain // it may have been taken on, and may not be handed in again
+	Taken     = decide.Taken     // a relay accepted it and is responsible for it
+	Refused   = decide.Refused   // every allowed attempt was rejected
+	Failed    = decide.Failed    // not accepted, and a retry would not help
+	GivenUp   = decide.GivenUp   // the required wait is longer than the time left
+	Uncertain = decide.Uncertain // it may have been accepted, and must not be retried
 )
 
-// The stages of a hand-in.
+// The stages of an attempt.
 const (
-	NotConnected = decide.NotConnected // no byte went out
-	WrittenPart  = decide.WrittenPart  // the last byte did not go out: it was not taken on
-	WrittenWhole = decide.WrittenWhole // it may have been taken on
-	Answered     = decide.Answered
+	NotConnected = decide.NotConnected // no byte was sent
+	WrittenPart  = decide.WrittenPart  // the last byte was not sent: it was not accepted
+	WrittenWhole = decide.WrittenWhole // no answer was read: it may have been accepted
+	Answered     = decide.Answered     // the relay's status was read
 )
 
-// Message is what is handed in.
+// Message is one message to submit.
 type Message struct {
 	Class    string        // the first part of the path
 	Dest     int           // number of the destination
-	Key      string        // idempotency key for all hand-ins; made up if empty, but for Safe
-	Effect   Effect        // of a repeat
+	Key      string        // idempotency key of all attempts; generated if empty, except for Safe
+	Effect   Effect        // of a second delivery
 	Window   time.Duration // Keyed: how long partners drop repeats; 0: DefaultWindow
-	Deadline time.Time     // until when it may be delivered; zero: see TimeLeft
-	TimeLeft time.Duration // the same, counted from Send; the deadline of ctx binds as well
-	Body     []byte        // read until the result is there; 64 KiB at most
+	Deadline time.Time     // latest time of delivery; zero: see TimeLeft
+	TimeLeft time.Duration // until the deadline, counted from Send; the deadline of ctx applies as well
+	Body     []byte        // must not change before the result; 64 KiB at most
 }
 
-// Result is what became of a message.
+// Result is the final result of a message.
 type Result struct {
 	Outcome  Outcome
-	HandIns  int             // requests of which at least one byte went out
-	Waits    []time.Duration // after refusals, as told or of our own
-	Key      string          // idempotency key of all hand-ins
-	ID       string          // correlation id of the last hand-in
-	Relay    string          // of the last hand-in
-	Took     time.Duration
-	Attempts []Attempt // each hand-in in turn, also those of which no byte went out
+	HandIns  int             // attempts that sent at least one byte
+	Waits    []time.Duration // after rejections: Retry-After, or the library's own
+	Key      string          // idempotency key of all attempts
+	ID       string          // correlation id of the last attempt
+	Relay    string          // address of the last attempt's relay
+	Took     time.Duration   // from Send to the result
+	Attempts []Attempt       // in order, including those that sent no byte
 }
 
-// Attempt is one try to hand in.
+// Attempt is one attempt to submit a message to one relay.
 type Attempt struct {
-	ID, Relay, Mark string
+	ID, Relay, Mark string // correlation id, address, value of X-Repeat
 	Stage           Stage
-	Status          int
-	Stated          time.Duration // X-Time-Left-Ms
-	Err             error
+	Status          int           // HTTP status; 0 unless Stage is Answered
+	Stated          time.Duration // value of X-Time-Left-Ms
+	Err             error         // why there is no answer
 }
 
 // Defaults and bounds of Config.
@@ -97,37 +97,38 @@
 	DefaultNewBurst       = 16
 	DefaultWindow         = 5 * time.Second
 
-	// NoSpread as Config.Spread opens connections as they are needed. It is there to measure against.
+	// NoSpread as Config.Spread disables the delay and the rate limit of reconnects. It serves as
+	// the baseline in measurements.
 	NoSpread = -1
 
 	maxBodyBytes = 64 << 10
 	maxTextBytes = 256 // bytes of a class or key
 )
 
-// Config sets a client. Only Relays is needed.
+// Config configures a client. Only Relays is required; zero values select the defaults.
 type Config struct {
 	Relays         []string      // host:port of each
-	AnswerTimeout  time.Duration // for a relay's answer, from the last byte of the request on
-	ConnectTimeout time.Duration
-	IdleAfter      time.Duration // a connection is let go when idle for so long; relays close theirs after 6 s
+	AnswerTimeout  time.Duration // for a relay's answer, counted from the last byte of the request
+	ConnectTimeout time.Duration // for a new connection
+	IdleAfter      time.Duration // idle connections are closed after this; relays close theirs after 6 s
 	MaxConns       int           // connections to one relay
-	MaxInFlight    int           // messages handed in by HandIn that have no result yet
-	Repeats        int           // further hand-ins after lost answers; negative: none
-	NoRefusals     bool          // no further hand-in after a refusal, where two are allowed
-	Strict         bool          // Keyed: no repeat after a lost answer unless the stated time ends within the window
-	Spread         time.Duration // over which reconnects after a loss are spread
-	NewPerSecond   float64       // new connections a second; halved with each loss, growing back with answers
+	MaxInFlight    int           // messages of HandIn without a result
+	Repeats        int           // retries after lost answers; negative: none
+	NoRefusals     bool          // no retry after a rejection; otherwise two are allowed
+	Strict         bool          // Keyed: retry after a lost answer only if the first attempt expires within the window
+	Spread         time.Duration // reconnects after a loss are spread over this span
+	NewPerSecond   float64       // new connections per second; halved with each loss, grows back with answers
 	NewBurst       float64       // new connections at once
-	Observer       Observer      // told of all that happens; nil: nobody
-	Log            *slog.Logger  // nil: silent
+	Observer       Observer      // receives events; nil: none
+	Log            *slog.Logger  // nil: no logging
 }
 
-// Client hands messages in. It is safe for concurrent use.
+// Client submits messages to relays. It is safe for concurrent use.
 type Client struct {
 	config     Config
 	rules      decide.Rules
 	log        *slog.Logger
-	inFlight   chan struct{} // a place for each message of HandIn
+	inFlight   chan struct{} // semaphore: one entry for each message of HandIn without a result
 	flushMu    sync.Mutex
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -135,27 +136,30 @@
 
 	mu      sync.Mutex
 	fleet   *decide.Fleet
-	idle    [][]*conn // by relay, last used last
-	waiters int
-	changed chan struct{} // closed when there may be something to choose for those who wait
+	idle    [][]*conn     // by relay, most recently used last
+	waiters int           // messages that wait for a connection
+	changed chan struct{} // closed to wake the waiters
 	reaper  *time.Timer
 	closed  bool
 }
 
-// New returns a client of these relays. It opens no connection before one is needed. Errors name the field at fault.
+// New returns a client of config.Relays. Connections are opened on demand. An error names the
+// invalid field.
 func New(config Config) (*Client, error) {
 	if len(config.Relays) == 0 {
 		return nil, errors.New("client: Relays is empty")
 	}
 	for _, relay := range config.Relays {
-		if host, port, err := net.SplitHostPort(relay); err != nil || host == "" || port == "" || !isVisibleASCII(relay, maxTextBytes) {
+		if host, port, err := net.SplitHostPort(relay); err != nil || host == "" || port == "" ||
+			!isVisibleASCII(relay, maxTextBytes) {
 			return nil, fmt.Errorf("client: Relays: %q is not host:port", relay)
 		}
 	}
 	if config.Spread < 0 && config.Spread != NoSpread {
 		return nil, errors.New("client: Spread is negative")
 	}
-	for name, d := range map[string]time.Duration{"AnswerTimeout": config.AnswerTimeout, "ConnectTimeout": config.ConnectTimeout, "IdleAfter": config.IdleAfter} {
+	for name, d := range map[string]time.Duration{"AnswerTimeout": config.AnswerTimeout,
+		"ConnectTimeout": config.ConnectTimeout, "IdleAfter": config.IdleAfter} {
 		if d < 0 {
 			return nil, fmt.Errorf("client: %s is negative", name)
 		}
@@ -172,7 +176,8 @@
 	if config.MaxConns < 1 || config.MaxInFlight < 1 || !(config.NewPerSecond >= 1) || !(config.NewBurst >= 1) {
 		return nil, errors.New("client: MaxConns, MaxInFlight, NewPerSecond and NewBurst must be at least 1")
 	}
-	c := &Client{config: config, log: config.Log, inFlight: make(chan struct{}, config.MaxInFlight), idle: make([][]*conn, len(config.Relays)),
+	c := &Client{config: config, log: config.Log, inFlight: make(chan struct{}, config.MaxInFlight),
+		idle:    make([][]*conn, len(config.Relays)),
 		rules:   decide.Rules{Refusals: decide.MaxRefusals, Repeats: max(0, config.Repeats), Strict: config.Strict},
 		changed: make(chan struct{})}
 	if config.NoRefusals {
@@ -185,21 +190,23 @@
 		c.config.Observer = noopObserver{}
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	// The draws of two processes must differ, also of two that start together.
+	// Two processes must draw different numbers, even if they start at the same moment.
 	var seed [16]byte
 	crand.Read(seed[:])
 	random := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
-	c.fleet = decide.NewFleet(len(config.Relays), decide.Spread{Span: max(0, config.Spread), Rate: config.NewPerSecond, Burst: config.NewBurst}, random.Float64)
+	c.fleet = decide.NewFleet(len(config.Relays), decide.Spread{Span: max(0, config.Spread),
+		Rate: config.NewPerSecond, Burst: config.NewBurst}, random.Float64)
 	return c, nil
 }
 
+// setDefault sets *v to value if it is zero.
 func setDefault[T int | float64 | time.Duration](v *T, value T) {
 	if *v == 0 {
 		*v = value
 	}
 }
 
-// validate says what of m no relay could take, and completes it.
+// validate reports what no relay would accept in m, and fills in its defaults.
 func (m *Message) validate(now time.Time, ctx context.Context) (deadline time.Time, err error) {
 	switch {
 	case m.Class == "" || !isVisibleASCII(m.Class, maxTextBytes) || strings.ContainsAny(m.Class, "/?#%"):
@@ -233,7 +240,7 @@
 	return deadline, nil
 }
 
-// randomHex is so many random bytes in hexadecimal.
+// randomHex returns up to 16 random bytes in hexadecimal.
 func randomHex(bytes int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], rand.Uint64())
@@ -241,9 +248,10 @@
 	return hex.EncodeToString(b[:bytes])
 }
 
-// Send hands m in until a relay has taken it on or the rules allow no more, and returns its one result. The error is nil
-// for Taken and an *Error else, but for a message that could not go out at all (ErrMessage, ErrClosed).
-// Once ctx ends Send returns: with Uncertain if a hand-in may have been taken on, with Failed if not.
+// Send submits m until a relay accepts it or the rules allow no further attempt, and returns its
+// result. The error is nil for Taken and an *Error otherwise; an invalid message yields an error
+// that wraps ErrMessage. When ctx is cancelled, Send returns at once: with Uncertain if an attempt
+// may have been accepted, else with Failed.
 func (c *Client) Send(ctx context.Context, m Message) (Result, error) {
 	startedAt := time.Now()
 	deadline, err := m.validate(startedAt, ctx)
@@ -265,13 +273,13 @@
 	if n := len(s.result.Waits); n > 0 {
 		sendErr.Wait = s.result.Waits[n-1]
 	}
-	c.log.Debug("message not taken on", "class", m.Class, "dest", m.Dest, "hand_ins", s.result.HandIns, "err", sendErr)
+	c.log.Debug("message not accepted", "class", m.Class, "dest", m.Dest, "hand_ins", s.result.HandIns, "err", sendErr)
 	return s.result, sendErr
 }
 
-// HandIn hands m in without waiting for its result, which goes to done on another goroutine. While MaxInFlight
-// messages have no result it waits for room, until ctx ends: so it pushes back. ctx bounds the message as it does in
-// Send. An error means that done is never called.
+// HandIn submits m in the background and passes the result to done on another goroutine. While
+// MaxInFlight messages have no result it blocks until one completes or ctx ends. ctx also bounds
+// the message, as in Send. If HandIn returns an error, done is never called.
 func (c *Client) HandIn(ctx context.Context, m Message, done func(Result, error)) error {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -283,7 +291,7 @@
 	}
 }
 
-// TryHandIn is HandIn that returns ErrFull where HandIn would wait.
+// TryHandIn is like HandIn but returns ErrFull instead of blocking.
 func (c *Client) TryHandIn(ctx context.Context, m Message, done func(Result, error)) error {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -293,6 +301,7 @@
 	}
 }
 
+// startAsync sends m on a new goroutine. The caller has acquired an entry of inFlight.
 func (c *Client) startAsync(ctx context.Context, m Message, done func(Result, error)) error {
 	c.mu.Lock()
 	closed := c.closed
@@ -315,9 +324,10 @@
 	return nil
 }
 
-// Flush waits until every message of HandIn has its result, or until ctx ends. HandIn waits meanwhile.
+// Flush waits until every message of HandIn has its result, or until ctx ends. HandIn blocks
+// meanwhile.
 func (c *Client) Flush(ctx context.Context) error {
-	c.flushMu.Lock() // Guards against two that each hold a part of the room
+	c.flushMu.Lock() // two concurrent calls would deadlock, each with a part of inFlight
 	defer c.flushMu.Unlock()
 	for n := range cap(c.inFlight) {
 		select {
@@ -330,8 +340,9 @@
 	return nil
 }
 
-// Close lets go of all connections. Messages that wait end at once, hand-ins that are out get their answer first; it
-// returns when all of HandIn have their result. Flush comes before it where none shall be cut short.
+// Close closes all connections. Waiting messages fail at once, attempts in flight still get their
+// answer. Close returns when all messages of HandIn have their result. Call Flush first to let
+// waiting messages complete.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -351,17 +362,17 @@
 	return nil
 }
 
-// submission is one message on its way; one goroutine owns it.
+// submission is the state of one message while it is sent. One goroutine owns it.
 type submission struct {
 	client    *Client
 	message   *Message
 	course    *decide.Course
 	result    Result
-	notBefore time.Time
-	lastErr   error
+	notBefore time.Time // of the next attempt
+	lastErr   error     // cause of the last attempt's failure
 }
 
-// run makes hand-ins until the message is over. The error is the last cause.
+// run makes attempts until the message has its outcome. The error is the cause of the last failure.
 func (s *submission) run(ctx context.Context) (decide.Verdict, error) {
 	for {
 		now := time.Now()
@@ -399,7 +410,8 @@
 	}
 }
 
-// expire ends a message whose time is up: given up if it was ever refused, failed if no relay could be reached.
+// expire ends a message whose deadline has passed: Failed if no relay could be reached, else
+// GivenUp.
 func (s *submission) expire() (decide.Verdict, error) {
 	if s.lastErr == nil {
 		s.lastErr = errTimeUp
@@ -417,7 +429,7 @@
 	return b
 }
 
-// attempt makes one hand-in on cn, or on a new connection if it is nil.
+// attempt sends the message once, on cn or on a new connection if cn is nil.
 func (s *submission) attempt(ctx context.Context, choice decide.Choice, cn *conn) decide.Verdict {
 	c, relayAddr := s.client, s.client.config.Relays[choice.Relay]
 	attempt := Attempt{ID: randomHex(8), Relay: relayAddr, Mark: s.course.Mark}
@@ -459,9 +471,11 @@
 	return v
 }
 
-// chooseConn takes the connection for the next hand-in: an idle one, or none where a new one is booked. It starts a look
-// at relays that are down. Where nothing can be chosen the caller counts as waiting until unwait.
-func (c *Client) chooseConn(now time.Time, dest, avoid int, left time.Duration) (decide.Choice, *conn, <-chan struct{}) {
+// chooseConn picks the connection of the next attempt: an idle one, or nil if a new one is to be
+// opened. It also starts due probes of relays that are down. If nothing can be chosen, the caller
+// counts as a waiter and has to call removeWaiter.
+func (c *Client) chooseConn(now time.Time, dest, avoid int, left time.Duration) (decide.Choice, *conn,
+	<-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := c.fleet.Probe(now, left); i >= 0 && !c.closed; i = c.fleet.Probe(now, left) {
@@ -488,13 +502,14 @@
 	}
 }
 
+// removeWaiter ends the waiting that chooseConn began.
 func (c *Client) removeWaiter() {
 	c.mu.Lock()
 	c.waiters--
 	c.mu.Unlock()
 }
 
-// signalWaiters wakes whoever waits for something to choose. The caller holds mu.
+// signalWaiters wakes all messages that wait for a connection. The caller holds mu.
 func (c *Client) signalWaiters() {
 	if c.waiters > 0 {
 		close(c.changed)
@@ -502,7 +517,7 @@
 	}
 }
 
-// waitUntil waits until at, or until changed, ctx or the client ends.
+// waitUntil waits until at, or until changed is closed or ctx or the client ends.
 func (c *Client) waitUntil(ctx context.Context, at time.Time, changed <-chan struct{}) {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -514,8 +529,8 @@
 	}
 }
 
-// recordAttempt books the end of a hand-in and keeps its connection if it is of use. A hand-in that its caller has cut short
-// says nothing against the relay.
+// recordAttempt records the result of an attempt and keeps its connection if it is reusable. An
+// attempt that its caller has cancelled does not count as a failure of the relay.
 func (c *Client) recordAttempt(now time.Time, relay, dest int, cn *conn, rep reply, cancelled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -527,7 +542,8 @@
 		c.fleet.Ended(now, relay, dest, end, reusable, rep.stopping)
 	}
 	if up := c.fleet.Up(relay); wasUp && !up {
-		c.log.Info("relay is left", "relay", c.config.Relays[relay], "stopping", rep.stopping, "err", rep.err)
+		c.log.Info("relay is down or stopping; no message is sent to it", "relay", c.config.Relays[relay], "stopping",
+			rep.stopping, "err", rep.err)
 	}
 	if rep.stopping {
 		c.closeIdle(relay)
@@ -540,7 +556,8 @@
 	c.signalWaiters()
 }
 
-// addIdle puts a connection to the idle ones, whose number the fleet has booked. The caller holds mu.
+// addIdle adds a connection to the idle ones. The fleet has already counted it. The caller holds
+// mu.
 func (c *Client) addIdle(cn *conn) {
 	c.idle[cn.relay] = append(c.idle[cn.relay], cn)
 	if c.reaper == nil {
@@ -548,7 +565,7 @@
 	}
 }
 
-// closeIdle closes the idle connections to a relay that stops. The caller holds mu.
+// closeIdle closes the idle connections to a stopping relay. The caller holds mu.
 func (c *Client) closeIdle(relay int) {
 	for _, cn := range c.idle[relay] {
 		cn.sock.Close()
@@ -557,7 +574,8 @@
 	c.idle[relay] = nil
 }
 
-// closeExpiredIdle closes what has been idle for long, before the relay does: a close of its own could cross a hand-in.
+// closeExpiredIdle closes connections that were idle for IdleAfter. The client closes them before
+// the relay does, since a close by the relay could coincide with a request.
 func (c *Client) closeExpiredIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -585,7 +603,7 @@
 	}
 }
 
-// probe looks whether a relay that was down serves again; the connection is kept for the next hand-in.
+// probe checks whether a relay that was down is ready. Its connection is kept for the next attempt.
 func (c *Client) probe(relay int) {
 	defer c.background.Done()
 	addr := c.config.Relays[relay]
@@ -607,7 +625,7 @@
 		cn.sock.Close()
 	}
 	if ready {
-		c.log.Info("relay serves again", "relay", addr)
+		c.log.Info("relay is ready again", "relay", addr)
 	}
 	c.signalWaiters()
 }
--- a/client/conn.go
+++ b/client/conn.go
@@ -16,31 +16,37 @@
 )
 
 const (
-	maxAnswerBytes    = 64 << 10 // bytes of an answer's body that are read to keep its connection
-	maxHeadBytes      = 32 << 10 // bytes of the heads of an answer and of the interim ones ahead
-	maxInterimAnswers = 8        // 1xx answers ahead of one
-	readBufferSize    = 2 << 10
-	lastByteDelay     = 4 * time.Millisecond // before the last byte of an unsafe message on a connection that stood idle
-	minIdleForDelay   = time.Second          // idle for that long
+	maxAnswerBytes    = 64 << 10 // of a body that is skipped to reuse the connection
+	maxHeadBytes      = 32 << 10 // of the headers of an answer, including the interim answers before it
+	maxInterimAnswers = 8        // 1xx answers before the final one
+	readBufferSize    = 2 << 10  // bytes
+
+	// On a connection that was idle for minIdleForDelay, the last byte of an unsafe message is sent
+	// lastByteDelay after the others, which leaves time to notice that the relay has closed it.
+	lastByteDelay   = 4 * time.Millisecond
+	minIdleForDelay = time.Second
 )
 
-// errConnEnded is the cause of a connection that ended where an answer was due.
-var errConnEnded = errors.New("connection ended before an answer")
+// errConnEnded says that the connection ended instead of carrying an answer.
+var errConnEnded = errors.New("connection closed before an answer")
 
-// errConnCut is the cause of a connection that ended, or spoke, before the last byte of a request.
-var errConnCut = errors.New("connection cut before the last byte")
+// errConnCut says that the relay closed the connection, or sent data, before the last byte of a
+// request.
+var errConnCut = errors.New("connection closed before the last byte was sent")
 
-// conn is a connection to a relay. It carries one request at a time and never repeats one: each byte that goes out
-// belongs to a hand-in that its caller counts. Whoever has taken it from the client's idle ones owns it.
+// conn is a connection to a relay. It carries one request at a time and never resends one: each
+// byte sent belongs to an attempt that the caller counts. The goroutine that took it from the idle
+// connections owns it.
 type conn struct {
 	relay    int
 	sock     net.Conn
-	limited  io.LimitedReader // sock, up to the bound of an answer
-	reader   *bufio.Reader
+	limited  io.LimitedReader // reads sock, up to the maximum size of an answer
+	reader   *bufio.Reader    // reads limited
 	lastUsed time.Time
-	buf      []byte
+	buf      []byte // of the request
 }
 
+// dial connects to a relay within timeout.
 func dial(ctx context.Context, relay int, addr string, timeout time.Duration) (*conn, error) {
 	sock, err := (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -51,27 +57,28 @@
 	return c, nil
 }
 
-// reply is what came back for a request.
+// reply is the result of a request.
 type reply struct {
 	end      decide.End
 	err      error // why there is no answer
-	stopping bool  // the relay says that it stops
+	stopping bool  // the relay announced that it is stopping
 	reusable bool  // the connection can carry another request
 }
 
-// roundTrip writes a request and reads its answer within limit. Careful holds the last byte back for a moment: until it
-// is written the message can't have been taken on.
+// roundTrip writes a request and reads its answer within timeout. With delayLastByte it first
+// checks for lastByteDelay that the relay has not closed the connection: until the last byte is
+// sent, the message can't have been accepted.
 func (c *conn) roundTrip(ctx context.Context, request []byte, timeout time.Duration, delayLastByte bool) (rep reply) {
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, func() { c.sock.SetDeadline(time.Unix(1, 0)) })
 		defer func() {
-			if !stop() { // its deadline is spoilt
+			if !stop() { // the connection's deadline has been overwritten
 				rep.reusable = false
 			}
 		}()
 	}
 	c.sock.SetDeadline(time.Now().Add(timeout))
-	if ctx.Err() != nil { // Guards against a deadline set over that of a ctx that ended meanwhile
+	if ctx.Err() != nil { // the deadline above may have replaced the one set on cancellation
 		return reply{err: ctx.Err()}
 	}
 	sent := 0
@@ -105,10 +112,10 @@
 	return rep
 }
 
-// readAnswer reads one answer. Interim ones are passed over; what can't be read is no answer. The body means nothing: it is
-// skipped where its length is told, else the connection is not kept.
+// readAnswer reads one answer into rep and skips interim ones. A malformed answer counts as none.
+// The body is skipped if its length is known; otherwise the connection can't be reused.
 func (c *conn) readAnswer(rep *reply) {
-	c.limited.N = maxHeadBytes // Guards against a head without end
+	c.limited.N = maxHeadBytes
 	status, head := 0, textproto.MIMEHeader(nil)
 	for n := 0; status < 200; n++ {
 		var err error
@@ -136,10 +143,10 @@
 	c.lastUsed = time.Now()
 }
 
-// errMalformedAnswer is the cause of an answer that is none of HTTP/1.
-var errMalformedAnswer = errors.New("answer can't be read")
+// errMalformedAnswer says that an answer is not HTTP/1.
+var errMalformedAnswer = errors.New("malformed answer")
 
-// readHead reads a first line and the fields below it.
+// readHead reads a status line and the header fields below it.
 func (c *conn) readHead() (status int, fields textproto.MIMEHeader, err error) {
 	r := textproto.Reader{R: c.reader}
 	line, err := r.ReadLine()
@@ -156,13 +163,14 @@
 	return status, fields, err
 }
 
-// A relay that stops says so on its answers while it still serves.
+// The header field by which a relay announces that it is stopping.
 const (
 	stateField    = "X-Relay-State"
 	stateStopping = "stopping"
 )
 
-// checkReady asks whether the relay takes messages. A peer that does not know the question is taken for ready.
+// checkReady asks the relay whether it accepts messages. A server without GET /ready counts as
+// ready.
 func (c *conn) checkReady(host string, timeout time.Duration) (ready, reusable bool) {
 	c.sock.SetDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c.sock, "GET /ready HTTP/1.1\r\nHost: "+host+"\r\n\r\n"); err != nil {
@@ -174,7 +182,8 @@
 	return ready, ready && rep.reusable
 }
 
-// appendRequest writes one hand-in. Its fields were checked to hold no line end.
+// appendRequest appends the request of one attempt. The caller has checked that no field contains a
+// line end.
 func appendRequest(b []byte, host, id, mark string, m *Message, timeLeft time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), '\r', '\n')
@@ -194,7 +203,8 @@
 	return append(b, m.Body...)
 }
 
-// isVisibleASCII tells whether s is visible ASCII of at most so many bytes: what a field or a path may hold.
+// isVisibleASCII reports whether s is visible ASCII of at most maxBytes bytes, as a header field or
+// a path allows.
 func isVisibleASCII(s string, maxBytes int) bool {
 	return len(s) <= maxBytes && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/client/decide/course_test.go
+++ b/client/decide/course_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// The same verdict each time; -rapid.seed=N searches on.
+// A fixed seed makes each run draw the same values; -rapid.seed=N draws others.
 func init() { flag.Set("rapid.seed", "20261201") }
 
 var epoch = time.Unix(1_000_000, 0)
 
-// The table of the package doc of client: what follows from how far a hand-in came.
+// The table in the package documentation of client.
 func TestVerdictByStageAndEffect(t *testing.T) {
 	const retry = Outcome(0)
 	rules := Rules{Refusals: 2, Repeats: 2}
@@ -23,8 +23,8 @@
 		safe, keyed, never Outcome
 		mark               string
 	}{
-		{"nothing went out", End{}, retry, retry, retry, MarkNone},
-		{"half went out", End{Stage: WrittenPart}, retry, retry, retry, MarkLost},
+		{"no byte sent", End{}, retry, retry, retry, MarkNone},
+		{"sent in part", End{Stage: WrittenPart}, retry, retry, retry, MarkLost},
 		{"no answer", End{Stage: WrittenWhole}, retry, retry, Uncertain, MarkLost},
 		{"202", End{Stage: Answered, Status: 202}, Taken, Taken, Taken, MarkNone},
 		{"200", End{Stage: Answered, Status: 200}, Taken, Taken, Taken, MarkNone},
@@ -40,18 +40,19 @@
 			if v.Outcome != want || v.Over != (want != retry) || !v.Over && m.Mark != c.mark {
 				t.Errorf("%s, %v: %+v, mark %q", c.what, effect, v, m.Mark)
 			}
-			if told := v.NotBefore; (c.end.Status == 429) != !told.IsZero() {
-				t.Errorf("%s, %v: not before %v", c.what, effect, told)
+			if notBefore := v.NotBefore; (c.end.Status == 429) != !notBefore.IsZero() {
+				t.Errorf("%s, %v: not before %v", c.what, effect, notBefore)
 			}
 		}
 	}
 }
 
-// Random ends of random messages: what must hold of every course.
+// Random sequences of attempt results keep the invariants of a Course.
 func TestCourseInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := rapid.SampledFrom([]Effect{Safe, Keyed, Unsafe}).Draw(t, "effect")
-		rules := Rules{Refusals: rapid.IntRange(0, 5).Draw(t, "refusals"), Repeats: rapid.IntRange(0, 3).Draw(t, "repeats"), Strict: rapid.Bool().Draw(t, "strict")}
+		rules := Rules{Refusals: rapid.IntRange(0, 5).Draw(t, "refusals"), Repeats: rapid.IntRange(0, 3).Draw(t,
+			"repeats"), Strict: rapid.Bool().Draw(t, "strict")}
 		window := time.Duration(rapid.IntRange(1, 8000).Draw(t, "window")) * time.Millisecond
 		deadline := epoch.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "left")) * time.Millisecond)
 		c := NewCourse(rules, effect, window, deadline)
@@ -59,24 +60,26 @@
 		mayHaveRunSince, firstExpiry := time.Time{}, time.Time{}
 		for step := 0; ; step++ {
 			if step > 200 {
-				t.Fatal("no end")
+				t.Fatal("no verdict after 200 attempts")
 			}
 			timeLeft := c.Left(now)
 			if timeLeft < time.Millisecond {
 				if o := c.End(GivenUp).Outcome; (o == Uncertain) != !mayHaveRunSince.IsZero() {
-					t.Fatalf("out of time: %v, risk %v", o, mayHaveRunSince)
+					t.Fatalf("out of time: %v, may have run since %v", o, mayHaveRunSince)
 				}
 				return
 			}
 			if !mayHaveRunSince.IsZero() && effect == Unsafe {
-				t.Fatal("an unsafe message goes out after a lost answer")
+				t.Fatal("an unsafe message is retried after a lost answer")
 			}
 			stated := c.Begin(now)
-			if end := now.Add(stated); end.After(deadline) || effect == Keyed && !mayHaveRunSince.IsZero() && end.After(mayHaveRunSince.Add(window)) {
+			if end := now.Add(stated); end.After(deadline) || effect == Keyed && !mayHaveRunSince.IsZero() &&
+				end.After(mayHaveRunSince.Add(window)) {
 				t.Fatalf("states %v at %v", stated, now.Sub(epoch))
 			}
-			if rules.Strict && effect == Keyed && !mayHaveRunSince.IsZero() && firstExpiry.After(mayHaveRunSince.Add(window)) {
-				t.Fatal("a strict repeat although the first may run after the window")
+			if rules.Strict && effect == Keyed && !mayHaveRunSince.IsZero() &&
+				firstExpiry.After(mayHaveRunSince.Add(window)) {
+				t.Fatal("a strict retry although the first attempt may run after the window")
 			}
 			began := now
 			e := End{Stage: Stage(rapid.IntRange(0, 3).Draw(t, "stage"))}
@@ -102,17 +105,18 @@
 				lost++
 			}
 			if c.HandIns != requests || refused > 1+min(rules.Refusals, MaxRefusals) || lost > 1+rules.Repeats {
-				t.Fatalf("%d hand-ins (%d), %d refused, %d lost", c.HandIns, requests, refused, lost)
+				t.Fatalf("%d attempts, want %d; %d rejected, %d lost", c.HandIns, requests, refused, lost)
 			}
 			if v.Over {
-				if taken := v.Outcome == Taken; taken != (e.Status == 202) || !taken && (v.Outcome == Uncertain) != !mayHaveRunSince.IsZero() {
-					t.Fatalf("%v after %+v, risk %v", v.Outcome, e, mayHaveRunSince)
+				if taken := v.Outcome == Taken; taken != (e.Status == 202) || !taken &&
+					(v.Outcome == Uncertain) != !mayHaveRunSince.IsZero() {
+					t.Fatalf("%v after %+v, may have run since %v", v.Outcome, e, mayHaveRunSince)
 				}
 				return
 			}
 			if !v.NotBefore.IsZero() {
 				if v.NotBefore.Sub(now) < e.Wait || !v.NotBefore.Before(deadline) {
-					t.Fatalf("waits %v where %v was told", v.NotBefore.Sub(now), e.Wait)
+					t.Fatalf("waits %v, Retry-After was %v", v.NotBefore.Sub(now), e.Wait)
 				}
 				now = v.NotBefore
 			}
@@ -121,8 +125,9 @@
 }
 
 func TestRetryAfter(t *testing.T) {
-	for s, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0, "99999999999999999999": MaxTold,
-		"": -1, "-1": -1, "+1": -1, "1e3": -1, "NaN": -1, "Inf": -1, "0x10": -1, "1.2.3": -1, ".": -1, " 1": -1, "1,5": -1} {
+	for s, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0,
+		"99999999999999999999": MaxTold,
+		"":                     -1, "-1": -1, "+1": -1, "1e3": -1, "NaN": -1, "Inf": -1, "0x10": -1, "1.2.3": -1, ".": -1, " 1": -1, "1,5": -1} {
 		got, told := RetryAfter(s)
 		if told != (want >= 0) || told && got != want {
 			t.Errorf("%q: %v, %v", s, got, told)
--- a/client/decide/fleet.go
+++ b/client/decide/fleet.go
@@ -2,50 +2,53 @@
 
 import "time"
 
-// Bounds of the spreading.
+// Bounds of reconnects and waits.
 const (
-	maxSpreadDoublings = 3                     // the spread is doubled so many times at most
-	connectWaitDivisor = 4                     // a message waits no more than one part in so many of its time for a connection
-	minReconnectDelay  = 50 * time.Millisecond // between two tries to connect to a relay that is down
-	lossesUntilDown    = 2                     // lost answers in a row after which a relay counts as down
-	maxRelayWait       = 10 * time.Minute      // the longest wait that binds messages which it was not told for
-	maxBlockedDests    = 1024                  // told waits of destinations that are kept
-	minConnectRate     = 1.0                   // new connections a second, however many fail
+	maxSpreadDoublings = 3                     // of Spread.Span
+	connectWaitDivisor = 4                     // a message waits at most its time left divided by this to connect
+	minReconnectDelay  = 50 * time.Millisecond // between two attempts to connect to a relay that is down
+	lossesUntilDown    = 2                     // consecutive lost answers after which a relay counts as down
+	maxRelayWait       = 10 * time.Minute      // Retry-After of one message that other messages honour
+	maxBlockedDests    = 1024                  // destinations whose Retry-After is remembered
+	minConnectRate     = 1.0                   // new connections per second, however many fail
 )
 
-// Spread sets how connections are spread.
+// Spread configures the delay and the rate limit of new connections.
 type Spread struct {
-	Span  time.Duration // over which a client waits at random before the first new connection after a loss; 0: no spreading
-	Rate  float64       // new connections a second at most
-	Burst float64       // new connections at once at most
+	Span  time.Duration // a client waits a random part of it before reconnecting after a loss; 0: no delay and no rate limit
+	Rate  float64       // new connections per second, at most
+	Burst float64       // new connections at once, at most
 }
 
-// Fleet is what one client knows of its relays, and its budget of new connections.
+// Fleet is what one client knows about its relays, and its token bucket for new connections.
 type Fleet struct {
 	spread       Spread
 	random       func() float64
 	relays       []relay
-	blockedDests map[int]time.Time // until when a destination's refusals told to wait
+	blockedDests map[int]time.Time // by destination: end of the Retry-After of its 429
 
 	connectRate, tokens float64
 	refilledAt          time.Time
 }
 
+// relay is the state of one relay.
 type relay struct {
-	down         bool // no message goes there before a connection and GET /ready have succeeded
+	down         bool // no message goes there until a probe succeeds
 	probing      bool
-	lostAnswers  int // answers lost in a row
-	failureLevel int // failures to connect in a row, up to maxLevel
+	lostAnswers  int // consecutive
+	failureLevel int // consecutive failures to connect, up to maxSpreadDoublings
 	lostAt       time.Time
-	jitter       float64   // of this loss: which part of the span this client waits
-	blockedUntil time.Time // until when it told to wait
-	inFlight     int       // hand-ins out
-	idleConns    int       // connections that stand idle
+	jitter       float64   // part of the span to wait after the last loss, in [0,1)
+	blockedUntil time.Time // end of its Retry-After
+	inFlight     int       // attempts
+	idleConns    int
 }
 
-// NewFleet returns the knowledge of n relays, of which nothing is known. Random returns values in [0,1).
+// NewFleet returns the state of n relays, all up and without connections. random returns values in
+// [0,1).
 func NewFleet(n int, s Spread, random func() float64) *Fleet {
-	return &Fleet{spread: s, random: random, relays: make([]relay, n), blockedDests: map[int]time.Time{}, connectRate: s.Rate, tokens: s.Burst}
+	return &Fleet{spread: s, random: random, relays: make([]relay, n), blockedDests: map[int]time.Time{},
+		connectRate: s.Rate, tokens: s.Burst}
 }
 
 // Why a message has to wait.
@@ -53,23 +56,24 @@
 
 // The reasons to wait.
 const (
-	Nothing  Why = iota // it need not
-	ToldWait            // a relay or the destination told to wait
-	Down                // no relay is up, or none takes a new connection yet
-	Budget              // the budget of new connections is spent
-	Busy                // all connections are busy
+	Nothing  Why = iota // it does not have to wait
+	ToldWait            // Retry-After of the relays or of the destination
+	Down                // no relay is up, or a new connection has to wait
+	Budget              // the rate limit on new connections is reached
+	Busy                // all connections are in use
 )
 
-// Choice is where the next hand-in goes.
+// Choice says where the next attempt goes.
 type Choice struct {
-	Relay int       // -1: none now
-	New   bool      // on a new connection, which is booked
-	Why   Why       // if none
-	At    time.Time // when to look again, if none
+	Relay int       // index; -1: none now
+	New   bool      // on a new connection, which is already counted
+	Why   Why       // without a relay: why
+	At    time.Time // without a relay: when to choose again
 }
 
-// Choose picks the relay of the next hand-in of a message to dest, of which left remains: one with an idle connection
-// that it does not avoid if there is one, of two drawn the one with fewer hand-ins out. most bounds connections to a relay.
+// Choose picks the relay of the next attempt of a message to dest that has timeLeft: the one with
+// the fewest attempts in flight and lost answers, preferring other relays to avoid and idle
+// connections to new ones. maxConns bounds the connections to one relay.
 func (f *Fleet) Choose(now time.Time, dest, avoid, maxConns int, timeLeft time.Duration) Choice {
 	none := Choice{Relay: -1}
 	waitFor := func(at time.Time, why Why) {
@@ -88,7 +92,7 @@
 			waitFor(r.blockedUntil, ToldWait)
 			continue
 		case r.down && r.probing:
-			waitFor(now.Add(timeLeft), Down) // the look's end wakes whoever waits
+			waitFor(now.Add(timeLeft), Down) // the end of the probe wakes the waiters
 			continue
 		case r.down:
 			if at := f.connectAt(r, timeLeft); now.Before(at) {
@@ -107,7 +111,7 @@
 		if r.idleConns > 0 && (bestIdle < 0 || bestIdle == avoid) {
 			bestIdle = i
 		}
-		// A draw breaks ties, so that clients that start alike do not all go to the first.
+		// A random number breaks ties, so that identical clients don't all choose the first relay.
 		score := float64(r.inFlight+4*r.lostAnswers) + f.random()
 		if i == avoid {
 			score += 1000
@@ -137,7 +141,7 @@
 	return Choice{Relay: best}
 }
 
-// nextToken says when the budget allows a new connection: now, or later.
+// nextToken returns when the rate limit allows a new connection: now or later.
 func (f *Fleet) nextToken(now time.Time) time.Time {
 	if f.spread.Span == 0 {
 		return now
@@ -151,7 +155,8 @@
 	return now.Add(time.Duration((1-f.tokens)/f.connectRate*float64(time.Second)) + time.Microsecond)
 }
 
-// takeToken takes one new connection from the budget, or says when there will be one.
+// takeToken takes one token for a new connection if it returns now; otherwise it returns when there
+// will be one.
 func (f *Fleet) takeToken(now time.Time) time.Time {
 	at := f.nextToken(now)
 	if !at.After(now) && f.spread.Span > 0 {
@@ -160,8 +165,9 @@
 	return at
 }
 
-// connectAt is when a new connection to r may be opened for a message of which left remains. Guards against all clients
-// of a relay that restarts connecting at once: each waits its own part of the span, which doubles with each failure.
+// connectAt returns when a new connection to r may be opened for a message that has timeLeft. Each
+// client waits its own random part of the span, which doubles with each failure, so that the
+// clients of a restarted relay don't all connect at once.
 func (f *Fleet) connectAt(r *relay, timeLeft time.Duration) time.Time {
 	if r.lostAt.IsZero() {
 		return time.Time{}
@@ -174,8 +180,8 @@
 	return r.lostAt.Add(pause)
 }
 
-// Probe returns a relay that is down and due to be looked at for a message of which left remains, and books that it
-// is looked at; -1 if there is none.
+// Probe returns the index of a relay that is down and due to be probed for a message that has
+// timeLeft, and records the probe; -1 if there is none.
 func (f *Fleet) Probe(now time.Time, timeLeft time.Duration) int {
 	for i := range f.relays {
 		r := &f.relays[i]
@@ -187,7 +193,7 @@
 	return -1
 }
 
-// Probed books what a look at the relay found; a connection that is kept is idle from now on.
+// Probed records the result of a probe. If kept, its connection is now idle.
 func (f *Fleet) Probed(now time.Time, index int, ready, kept bool) {
 	r := &f.relays[index]
 	r.probing = false
@@ -202,14 +208,15 @@
 	}
 }
 
-// recordLoss notes trouble with connections to r: this client draws its part of the span anew.
+// recordLoss records the loss of a connection to r, or a failure to connect: it draws a new jitter
+// and halves the rate of new connections.
 func (f *Fleet) recordLoss(now time.Time, r *relay) {
 	r.lostAt, r.jitter = now, f.random()
 	f.connectRate = max(minConnectRate, f.connectRate/2)
 }
 
-// Ended books the end of a hand-in at relay i; kept: its connection is idle now; fresh: it was opened for this
-// hand-in; leaving: the relay says that it stops.
+// Ended records the end of an attempt at the relay. If kept, its connection is now idle; if
+// leaving, the relay announced that it is stopping.
 func (f *Fleet) Ended(now time.Time, index, dest int, e End, kept, leaving bool) {
 	r := &f.relays[index]
 	if r.inFlight--; kept {
@@ -229,8 +236,9 @@
 		f.connectRate = min(f.spread.Rate, f.connectRate+1)
 		if wait := min(e.Wait, maxRelayWait); e.Status == 429 && wait > 0 {
 			f.blockDest(now, dest, wait)
-		} else if at := now.Add(addJitter(wait, 2*wait, f.random())); e.Status == 503 && wait > 0 && at.After(r.blockedUntil) {
-			r.blockedUntil = at // Guards against a short wait that ends a longer one
+		} else if at := now.Add(addJitter(wait, 2*wait, f.random())); e.Status == 503 && wait > 0 &&
+			at.After(r.blockedUntil) {
+			r.blockedUntil = at
 		}
 	}
 	if leaving && !r.down {
@@ -239,6 +247,7 @@
 	}
 }
 
+// blockDest records that 429 asked to wait for dest. It never shortens an earlier wait.
 func (f *Fleet) blockDest(now time.Time, dest int, wait time.Duration) {
 	if len(f.blockedDests) >= maxBlockedDests {
 		for d, at := range f.blockedDests {
@@ -252,12 +261,12 @@
 	}
 }
 
-// Retired books that an idle connection of relay i was closed because it had been idle for long.
+// Retired records that the client closed an idle connection of the relay.
 func (f *Fleet) Retired(index int) { f.relays[index].idleConns-- }
 
-// Stale books that the connection of relay i which a hand-in had chosen was closed by the relay. Guards against a rush
-// of all clients whose connections a relay's end has cut: a client lets go of what is idle before its relay does, so
-// that this tells of a restart or of a relay short of room.
+// Stale records that the connection which Choose had picked was already closed by the relay.
+// Clients close idle connections before relays do, so this is the sign of a restart or of a relay
+// out of capacity: if no idle connection is left, the next one waits like after a loss.
 func (f *Fleet) Stale(now time.Time, index int) {
 	r := &f.relays[index]
 	r.inFlight--
@@ -266,8 +275,9 @@
 	}
 }
 
-// Cut books a hand-in that its caller cut short: it says nothing of the relay.
+// Cut records the end of an attempt that its caller cancelled: it does not count as a failure of
+// the relay.
 func (f *Fleet) Cut(index int) { f.relays[index].inFlight-- }
 
-// Up tells whether relay i counts as up.
+// Up reports whether the relay counts as up.
 func (f *Fleet) Up(index int) bool { return !f.relays[index].down }
--- a/client/decide/fleet_test.go
+++ b/client/decide/fleet_test.go
@@ -8,14 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// simulateReconnect lets n clients, each with one kept connection, lose the relay at 0 and find it again from back on; each has a
-// message to hand in at once. It returns the connections that the relay gets in each tenth of a second since it is
-// back, and all tries.
+// simulateReconnect simulates n clients with one idle connection each. They lose their relay at
+// time 0, it is back after backAfter, and each client has a message to send at once. It returns the
+// connections that the relay receives in each 100 ms since it is back, and the number of all
+// attempts to connect.
 func simulateReconnect(n int, spread Spread, backAfter time.Duration) (perTenth []int, attempts int) {
 	type simClient struct {
 		fleet   *Fleet
 		at      time.Time
-		cutSeen bool // the kept connection was found broken
+		cutSeen bool // the idle connection was found closed
 	}
 	const left = 20 * time.Second
 	var queue []*simClient
@@ -23,7 +24,7 @@
 		random := rand.New(rand.NewPCG(7, uint64(i)))
 		f := NewFleet(1, spread, random.Float64)
 		if ch := f.Choose(epoch.Add(-time.Second), 7, -1, 8, left); !ch.New {
-			panic("no connection at the start")
+			panic("no connection before the loss")
 		}
 		f.Ended(epoch.Add(-time.Second), 0, 7, End{Stage: Answered, Status: 202}, true, false)
 		queue = append(queue, &simClient{fleet: f, at: epoch})
@@ -59,7 +60,7 @@
 			connect()
 			c.fleet.Ended(now, 0, 7, End{}, false, false)
 		case c.cutSeen:
-			connected = true // on the connection of the look
+			connected = true // on the connection of the probe
 		default:
 			c.cutSeen = true
 			c.fleet.Stale(now, 0)
@@ -74,7 +75,8 @@
 	return perTenth, attempts
 }
 
-// A thousand clients lose their relay together and reconnect: no tenth of a second gets a surge, all are back soon.
+// A thousand clients lose their relay at once: the reconnects of each 100 ms are bounded, and all
+// connect within 10 s.
 func TestNoReconnectSurge(t *testing.T) {
 	highest := func(bins []int) (m, last int) {
 		for i, n := range bins {
@@ -90,20 +92,22 @@
 		spread, attempts := simulateReconnect(1000, Spread{Span: time.Second, Rate: 50, Burst: 16}, backAfter)
 		plainPeak, _ := highest(plain)
 		spreadPeak, last := highest(spread)
-		t.Logf("back after %v: at most %d connections in 100 ms without spreading (%d tries), %d with it (%d tries), the last after %d00 ms",
+		t.Logf("back after %v: at most %d connections in 100 ms without spreading (%d attempts), %d with it (%d attempts), the last after %d00 ms",
 			backAfter, plainPeak, plainAttempts, spreadPeak, attempts, last+1)
 		if plainPeak < 900 || spreadPeak > 200 || last >= 100 || attempts > plainAttempts {
-			t.Errorf("back after %v: %d without, %d with, the last in tenth %d, tries %d and %d", backAfter, plainPeak, spreadPeak, last, plainAttempts, attempts)
+			t.Errorf("back after %v: peak %d without and %d with spreading, the last in interval %d, attempts %d and %d", backAfter, plainPeak, spreadPeak, last, plainAttempts, attempts)
 		}
 	}
 }
 
-// Random events at random times: told waits are heeded, the budget is kept, and counts match what was chosen.
+// Random events keep the invariants of a Fleet: waits are honoured, the rate limit holds, and
+// counters match choices.
 func TestFleetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "relays")
 		const maxConns, burst, rate = 4, 5.0, 10.0
-		f := NewFleet(n, Spread{Span: time.Second, Rate: rate, Burst: burst}, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "luck") })
+		f := NewFleet(n, Spread{Span: time.Second, Rate: rate, Burst: burst},
+			func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "luck") })
 		now := epoch
 		relayBlocked, destBlocked := make([]time.Time, n), map[int]time.Time{}
 		inFlight, idle := make([]int, n), make([]int, n)
@@ -124,7 +128,8 @@
 		var flights []flight
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			left, dest := time.Duration(rapid.IntRange(1, 20000).Draw(t, "left"))*time.Millisecond, rapid.IntRange(0, 2).Draw(t, "dest")
+			left, dest := time.Duration(rapid.IntRange(1, 20000).Draw(t, "left"))*time.Millisecond, rapid.IntRange(0,
+				2).Draw(t, "dest")
 			for i := f.Probe(now, left); i >= 0; i = f.Probe(now, left) {
 				recordConnect()
 				ready := rapid.Bool().Draw(t, "ready")
@@ -132,7 +137,7 @@
 					idle[i]++
 				}
 				if f.Up(i) != ready {
-					t.Fatalf("relay %d is up: %v after a look that found %v", i, f.Up(i), ready)
+					t.Fatalf("relay %d is up: %v after a probe that returned %v", i, f.Up(i), ready)
 				}
 			}
 			if len(flights) > 0 && rapid.Bool().Draw(t, "end") {
@@ -162,17 +167,17 @@
 			ch := f.Choose(now, dest, rapid.IntRange(-1, n-1).Draw(t, "avoid"), maxConns, left)
 			if ch.Relay < 0 {
 				if ch.Why == Nothing || !ch.At.After(now) {
-					t.Fatalf("nothing to choose and no time to look again: %+v at %v", ch, now)
+					t.Fatalf("no choice and no time to choose again: %+v at %v", ch, now)
 				}
 				continue
 			}
 			if !f.Up(ch.Relay) || now.Before(relayBlocked[ch.Relay]) || now.Before(destBlocked[dest]) {
-				t.Fatalf("chose relay %d against a wait, or down", ch.Relay)
+				t.Fatalf("chose relay %d although it is blocked or down", ch.Relay)
 			}
 			if ch.New {
 				recordConnect()
 			} else if idle[ch.Relay]--; idle[ch.Relay] < 0 {
-				t.Fatal("an idle connection that is not there")
+				t.Fatal("chose an idle connection that does not exist")
 			}
 			if inFlight[ch.Relay]++; ch.New && inFlight[ch.Relay]+idle[ch.Relay] > maxConns+idle[ch.Relay] {
 				t.Fatal("more connections than allowed")
--- a/client/decide/message.go
+++ b/client/decide/message.go
@@ -1,6 +1,7 @@
-// Package decide holds every decision of the client library: what becomes of a message after a hand-in, which relay
-// gets the next one, and when a new connection may be opened. It does no I/O, reads no clock and starts no goroutine:
-// times come in as arguments, and the caller guards each value by a lock of its own.
+// Package decide makes the decisions of the client library: what follows from the end of an
+// attempt, which relay gets the next one, and when a new connection may be opened. It does no I/O,
+// reads no clock and starts no goroutine: times are arguments, and callers synchronise access to
+// each value.
 package decide
 
 import (
@@ -10,24 +11,25 @@
 	"time"
 )
 
-// Effect says what it does to hand a message in twice.
+// Effect says what happens if a message is delivered twice.
 type Effect int
 
-// The effects of a repeat. The zero value is the cautious one.
+// The effects of delivering a message twice. The zero value is the most cautious one.
 const (
 	Unsafe Effect = iota // must never take effect twice
-	Keyed                // a repeat within the window is dropped by its idempotency key
-	Safe                 // may be repeated freely
+	Keyed                // partners drop a repeat within the window by its idempotency key
+	Safe                 // may take effect any number of times
 )
 
 var effectNames = [...]string{"unsafe", "keyed", "safe"}
 
+// String returns the name of the effect.
 func (e Effect) String() string { return effectNames[e] }
 
-// MarshalText writes the effect as String does.
+// MarshalText returns the name of the effect.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// UnmarshalText reads what String writes.
+// UnmarshalText parses the name of an effect.
 func (e *Effect) UnmarshalText(b []byte) error {
 	for i, name := range effectNames {
 		if name == string(b) {
@@ -38,54 +40,56 @@
 	return fmt.Errorf("effect %q is none of safe, keyed, unsafe", b)
 }
 
-// Stage is how far a hand-in came.
+// Stage is how far an attempt came.
 type Stage int
 
-// The stages of a hand-in.
+// The stages of an attempt.
 const (
-	NotConnected Stage = iota // no byte went out
-	WrittenPart               // the last byte did not go out: no relay takes on half a request
-	WrittenWhole              // the last byte went out and no answer could be read: it may have been taken on
+	NotConnected Stage = iota // no byte was sent
+	WrittenPart               // the last byte was not sent: no relay accepts a partial request
+	WrittenWhole              // the last byte was sent and no answer was read: it may have been accepted
 	Answered                  // the relay's status was read
 )
 
+// String returns the name of the stage.
 func (s Stage) String() string {
 	return [...]string{"not connected", "written in part", "written whole", "answered"}[s]
 }
 
-// Outcome is how a message ended for the one who hands it in.
+// Outcome is the final result of a message for the caller of the library.
 type Outcome int
 
 // The outcomes of a message.
 const (
-	Taken     Outcome = iota + 1 // a relay owes it its end
-	Refused                      // by all hand-ins that the rules allow; it was not taken on
-	Failed                       // it was not taken on, and no further hand-in would help
-	GivenUp                      // the time that is left is shorter than what has to be waited for
-	Uncertain                    // it may have been taken on, and may not be handed in again
+	Taken     Outcome = iota + 1 // a relay accepted it and is responsible for it
+	Refused                      // every allowed attempt was rejected: it was not accepted
+	Failed                       // it was not accepted, and a retry would not help
+	GivenUp                      // the time left is shorter than the required wait
+	Uncertain                    // it may have been accepted, and must not be retried
 )
 
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"none", "taken", "refused", "failed", "given_up", "uncertain"}[o]
 }
 
-// Marks of a repeated hand-in, as X-Repeat carries them.
+// Marks of a retry: the values of X-Repeat.
 const (
 	MarkNone    = ""
-	MarkRefused = "1"     // after a refusal
-	MarkLost    = "again" // after a relay that died or did not answer
+	MarkRefused = "1"     // after a rejection
+	MarkLost    = "again" // after an attempt without an answer
 )
 
-// End is how one hand-in ended.
+// End is the result of one attempt.
 type End struct {
 	Stage  Stage
-	Status int           // Answered only
-	Wait   time.Duration // that a refusal told, or our own; see Waiting
-	Told   bool          // Wait was told
+	Status int           // HTTP status; only with Answered
+	Wait   time.Duration // after a rejection: Retry-After, or the client's own; see Waiting
+	Told   bool          // Wait comes from Retry-After
 }
 
-// Waiting returns the end of a hand-in with a wait of our own if it is a refusal that told none: 100 to 200 ms,
-// doubled with each of the message's earlier ones. Jitter in [0,1) spreads it.
+// Waiting returns e with a wait of the client's own if e is a rejection without Retry-After: 100 to
+// 200 ms, doubled with each earlier rejection of the message. jitter is in [0,1).
 func (e End) Waiting(earlier int, jitter float64) End {
 	if e.isRefusal() && !e.Told {
 		e.Wait = time.Duration((1 + jitter) * float64(100*time.Millisecond<<min(earlier, 8)))
@@ -93,58 +97,58 @@
 	return e
 }
 
-// addJitter adds up to a tenth to a wait, a quarter of a second at most, within what is left. Guards against all
-// that were told one wait coming back at once.
+// addJitter adds up to a tenth of wait, at most 250 ms and at most half of what is left after it.
+// It prevents clients that were sent the same Retry-After from retrying all at once.
 func addJitter(wait, left time.Duration, jitter float64) time.Duration {
 	extra := time.Duration(jitter * float64(min(wait/10, 250*time.Millisecond)))
 	return wait + min(extra, max(0, (left-wait)/2))
 }
 
-// isRefusal tells whether the answer says that handing in again is harmless.
+// isRefusal reports whether the answer is a rejection, after which a retry is harmless.
 func (e End) isRefusal() bool { return e.Stage == Answered && (e.Status == 429 || e.Status == 503) }
 
-// Rules bound the further hand-ins of a message.
+// Rules bound the retries of a message.
 type Rules struct {
-	Refusals int  // further hand-ins after refusals; 2 at most are allowed to a client
-	Repeats  int  // further hand-ins after lost answers, over all relays
-	Strict   bool // Keyed: repeat only if the first hand-in's stated time ends within the window as well
+	Refusals int  // retries after rejections; MaxRefusals at most
+	Repeats  int  // retries after lost answers, over all relays
+	Strict   bool // Keyed: retry only if the time stated by the first attempt ends within the window as well
 }
 
-// MaxRefusals is how many further hand-ins a client may make after refusals.
+// MaxRefusals is the maximum number of retries after rejections.
 const MaxRefusals = 2
 
-// Course is what is known of one message while it is handed in. One goroutine owns it.
+// Course is the state of one message while it is sent. One goroutine owns it.
 type Course struct {
 	rules    Rules
 	effect   Effect
 	window   time.Duration
 	deadline time.Time
 
-	HandIns         int             // of which at least one byte went out
-	Waits           []time.Duration // told by refusals, or our own where none was told
-	Mark            string          // of the next hand-in
-	Avoid           int             // relay that the next hand-in should not go to if another is there; -1: none
-	refusals        int
-	repeats         int
-	mayHaveRunSince time.Time     // when the first hand-in began that may have been taken on; zero: none may
-	firstExpiry     time.Time     // when the time stated by that hand-in is up
-	startedAt       time.Time     // of the hand-in that is out
-	statedTimeLeft  time.Duration // by it
+	HandIns         int             // attempts that sent at least one byte
+	Waits           []time.Duration // after rejections: Retry-After, or the client's own
+	Mark            string          // of the next attempt
+	Avoid           int             // relay that the next attempt should avoid if there is another; -1: none
+	refusals        int             // retries after rejections so far
+	repeats         int             // retries after lost answers so far
+	mayHaveRunSince time.Time       // start of the first attempt that may have been accepted; zero: none
+	firstExpiry     time.Time       // end of the time that this attempt stated
+	startedAt       time.Time       // of the attempt in flight
+	statedTimeLeft  time.Duration   // by the attempt in flight
 }
 
-// NewCourse returns the course of a message that may be delivered until deadline.
+// NewCourse returns the state of a message that may be delivered until deadline.
 func NewCourse(r Rules, e Effect, window time.Duration, deadline time.Time) *Course {
 	return &Course{rules: r, effect: e, window: window, deadline: deadline, Avoid: -1}
 }
 
-// Deadline is until when the message may be delivered.
+// Deadline returns the latest time of delivery.
 func (c *Course) Deadline() time.Time { return c.deadline }
 
-// Risky tells whether an earlier hand-in may have been taken on.
+// Risky reports whether an earlier attempt may have been accepted.
 func (c *Course) Risky() bool { return !c.mayHaveRunSince.IsZero() }
 
-// Left is the time that a hand-in at now may state. After a lost answer of a keyed message it ends with the window.
-// Guards against a repeat that a partner gets when it no longer drops it.
+// Left returns the time left that an attempt at now may state. For a keyed message with a lost
+// answer it ends with the window, so that no partner receives a repeat that it no longer drops.
 func (c *Course) Left(now time.Time) time.Duration {
 	left := c.deadline.Sub(now)
 	if c.Risky() && c.effect == Keyed {
@@ -153,20 +157,22 @@
 	return left
 }
 
-// Begin books a hand-in that goes out now and returns the time that it states, in whole milliseconds.
+// Begin records the start of an attempt and returns the time left that it states, in whole
+// milliseconds.
 func (c *Course) Begin(now time.Time) time.Duration {
 	c.startedAt, c.statedTimeLeft = now, c.Left(now).Truncate(time.Millisecond)
 	return c.statedTimeLeft
 }
 
-// Verdict is what follows from the end of a hand-in.
+// Verdict is what follows from the end of an attempt.
 type Verdict struct {
-	Over      bool
-	Outcome   Outcome
-	NotBefore time.Time // of the next hand-in, at any relay; zero: at once
+	Over      bool      // no further attempt
+	Outcome   Outcome   // if Over
+	NotBefore time.Time // earliest time of the next attempt, at any relay; zero: at once
 }
 
-// Ended books the end of the hand-in at that relay, and says what follows. Jitter in [0,1) spreads waits.
+// Ended records the end of an attempt at relay and decides what follows. jitter in [0,1) spreads
+// waits.
 func (c *Course) Ended(now time.Time, relay int, e End, jitter float64) Verdict {
 	if e.Stage > NotConnected {
 		c.HandIns++
@@ -174,7 +180,7 @@
 	c.Avoid = relay
 	switch {
 	case e.Stage == NotConnected:
-		return Verdict{} // nothing went out: its mark stays as it is
+		return Verdict{} // nothing was sent: the mark stays
 	case e.Stage == WrittenPart:
 		c.Mark = MarkLost
 		return c.afterLostAnswer(now)
@@ -191,8 +197,8 @@
 	return c.End(Failed)
 }
 
-// End is the outcome of a message for which nothing more is tried. Guards against calling refused or failed what an
-// earlier hand-in may have left with a relay.
+// End returns the final verdict with outcome o. It becomes Uncertain if an earlier attempt may have
+// been accepted.
 func (c *Course) End(o Outcome) Verdict {
 	if c.Risky() && o != Taken {
 		o = Uncertain
@@ -200,14 +206,14 @@
 	return Verdict{Over: true, Outcome: o}
 }
 
-// afterLostAnswer decides after a hand-in without an answer.
+// afterLostAnswer decides what follows an attempt without an answer.
 func (c *Course) afterLostAnswer(now time.Time) Verdict {
 	if c.Risky() {
 		switch {
 		case c.effect == Unsafe:
 			return c.End(Uncertain)
 		case c.effect == Keyed && c.rules.Strict && c.firstExpiry.After(c.mayHaveRunSince.Add(c.window)):
-			return c.End(Uncertain) // the first may yet run when the partner has forgotten the second
+			return c.End(Uncertain) // the first attempt may still run after the partner has forgotten the retry
 		}
 	}
 	if c.repeats >= c.rules.Repeats {
@@ -220,7 +226,7 @@
 	return Verdict{}
 }
 
-// afterRefusal decides after 429 or 503.
+// afterRefusal decides what follows 429 or 503.
 func (c *Course) afterRefusal(now time.Time, e End, jitter float64) Verdict {
 	c.Waits = append(c.Waits, e.Wait)
 	if c.refusals >= min(c.rules.Refusals, MaxRefusals) {
@@ -232,11 +238,12 @@
 		return c.End(GivenUp)
 	}
 	if e.Status == 503 {
-		// The relay has no room: its hold or its disk is full, which says nothing of other relays. Fleet keeps the
-		// wait for that relay; another may take the message at once.
+		// The relay is out of memory or disk space, which says nothing about other relays. Fleet
+		// keeps the wait for that relay; another may accept the message at once.
 		return Verdict{}
 	}
-	// 429 is the destination's limit, which all relays share: the wait binds the message wherever it goes.
+	// 429 comes from the destination's limit, which all relays share: the wait applies at every
+	// relay.
 	left := c.Left(now)
 	if left <= e.Wait {
 		return c.End(GivenUp)
@@ -244,11 +251,12 @@
 	return Verdict{NotBefore: now.Add(addJitter(e.Wait, left, jitter))}
 }
 
-// MaxTold is the longest wait that is kept as told; anything above it counts as it.
+// MaxTold is the longest Retry-After that is honoured; longer ones are cut to it.
 const MaxTold = 24 * time.Hour
 
-// RetryAfter reads the field of that name: seconds, whole or decimal. What is negative, empty or no plain number was
-// not told. Guards against figures that overflow, and against words that a float parser would take (Inf, NaN, 0x1p3).
+// RetryAfter parses a Retry-After field: seconds, with or without a fraction. told is false for a
+// value that is empty, negative or not a plain decimal number, including what strconv.ParseFloat
+// would accept (Inf, NaN, 0x1p3). Large values yield MaxTold.
 func RetryAfter(s string) (wait time.Duration, told bool) {
 	for i := 0; i < len(s); i++ {
 		if (s[i] < '0' || s[i] > '9') && s[i] != '.' {
--- a/client/errors.go
+++ b/client/errors.go
@@ -6,43 +6,46 @@
 	"time"
 )
 
-// What errors.Is finds in an error of this package.
+// Errors that errors.Is finds in an error of this package. The first five match an *Error by its
+// outcome.
 var (
-	ErrRefused      = errors.New("refused by relays")
-	ErrFailed       = errors.New("not taken on")
+	ErrRefused      = errors.New("rejected by relays")
+	ErrFailed       = errors.New("not accepted")
 	ErrGivenUp      = errors.New("given up: no time left")
-	ErrUncertain    = errors.New("may have been taken on")
+	ErrUncertain    = errors.New("may have been accepted")
 	ErrNotConnected = errors.New("no relay could be reached")
 
-	ErrMessage = errors.New("client: message can't be handed in")  // the message itself is at fault
-	ErrFull    = errors.New("client: too many messages in flight") // of TryHandIn
-	ErrClosed  = errors.New("client: closed")
+	ErrMessage = errors.New("client: invalid message")             // the message itself is at fault
+	ErrFull    = errors.New("client: too many messages in flight") // returned by TryHandIn
+	ErrClosed  = errors.New("client: closed")                      // Close was called
 )
 
 var (
 	errNoAnswer          = errors.New("no answer in time")
-	errTimeUp            = errors.New("time is up")
-	errRetryAfterTooLong = errors.New("the wait that was told is longer than the time left")
+	errTimeUp            = errors.New("deadline exceeded")
+	errRetryAfterTooLong = errors.New("Retry-After is longer than the time left")
 )
 
-// statusError is the cause of an answer that did not take the message on.
+// statusError is the status of an answer that did not accept the message.
 type statusError int
 
 func (e statusError) Error() string {
 	return fmt.Sprintf("status %d", int(e))
 }
 
-// Error is the end of a message that no relay is known to have taken on. Stage is how far its last hand-in came;
-// Uncertain may also stem from an earlier one.
+// Error describes a message that no relay is known to have accepted. Stage is how far its last
+// attempt came; the outcome Uncertain may also be due to an earlier attempt.
 type Error struct {
 	Outcome Outcome
 	Stage   Stage
-	Status  int           // that the relay answered, if it did
-	Relay   string        // of the last hand-in
-	Wait    time.Duration // that the last refusal told
-	Err     error         // the last cause
+	Status  int           // HTTP status of the last attempt; 0 without an answer
+	Relay   string        // address of the last attempt's relay
+	Wait    time.Duration // after the last rejection
+	Err     error         // the cause
 }
 
+// Error returns the outcome, the stage, the relay and the cause.
+
 func (e *Error) Error() string {
 	s := fmt.Sprintf("client: %s, %s", e.Outcome, e.Stage)
 	if e.Relay != "" {
@@ -54,10 +57,11 @@
 	return s
 }
 
-// Unwrap returns the last cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is matches the sentinel of the outcome, and ErrNotConnected where no byte of the last hand-in went out.
+// Is matches the sentinel error of the outcome, and ErrNotConnected if the last attempt sent no
+// byte.
 func (e *Error) Is(target error) bool {
 	switch target {
 	case ErrRefused:
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,7 +11,7 @@
 	"oatfold/client"
 )
 
-// A charge is handed in once, and what became of it is told.
+// Send submits a charge that must not run twice, and returns its result.
 func ExampleClient_Send() {
 	relay := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(202) }))
 	defer relay.Close()
@@ -26,7 +26,7 @@
 	// Output: taken 1 <nil>
 }
 
-// A wait that is longer than the time left ends the message at once.
+// A Retry-After that is longer than the time left ends the message at once.
 func ExampleError() {
 	relay := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Retry-After", "30")
@@ -38,7 +38,8 @@
 		panic(err)
 	}
 	defer c.Close()
-	_, err = c.Send(context.Background(), client.Message{Class: "price-alert", Dest: 7, Effect: client.Safe, TimeLeft: time.Second})
+	_, err = c.Send(context.Background(), client.Message{Class: "price-alert", Dest: 7, Effect: client.Safe,
+		TimeLeft: time.Second})
 	var e *client.Error
 	if errors.As(err, &e) {
 		fmt.Println(e.Outcome, e.Status, e.Wait, errors.Is(err, client.ErrGivenUp))
@@ -46,7 +47,8 @@
 	// Output: given_up 503 30s true
 }
 
-// Many messages without a goroutine of one's own for each: HandIn waits while too many have no result yet.
+// HandIn submits many messages without a goroutine for each in the caller; it blocks while too many
+// have no result.
 func ExampleClient_HandIn() {
 	relay := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(202) }))
 	defer relay.Close()
@@ -56,7 +58,8 @@
 	}
 	taken := make(chan bool, 3)
 	for n := range 3 {
-		err := c.HandIn(context.Background(), client.Message{Class: "price-alert", Dest: n, Effect: client.Safe, TimeLeft: 5 * time.Second},
+		err := c.HandIn(context.Background(), client.Message{Class: "price-alert", Dest: n, Effect: client.Safe,
+			TimeLeft: 5 * time.Second},
 			func(r client.Result, err error) { taken <- err == nil })
 		if err != nil {
 			panic(err)
--- a/client/observer.go
+++ b/client/observer.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Observer is told of what a client does, on the goroutine that does it: it must not block and must be safe for
-// concurrent use. The package prom has one for Prometheus.
+// Observer receives the events of a client, on the goroutine where they happen: it must not block
+// and must be safe for concurrent use. Package prom has one for Prometheus.
 type Observer interface {
-	HandIn(a Attempt, took time.Duration)   // a hand-in of which at least one byte went out has ended
+	HandIn(a Attempt, took time.Duration)   // an attempt that sent at least one byte has ended
 	Done(r Result)                          // a message has its result
-	Connection(relay string, failure error) // a new connection was tried
+	Connection(relay string, failure error) // a new connection was opened, or failed
 }
 
+// noopObserver ignores all events.
 type noopObserver struct{}
 
 func (noopObserver) HandIn(Attempt, time.Duration) {}
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -1,4 +1,4 @@
-// Package prom counts what clients do for Prometheus. One Collector may serve several clients:
+// Package prom exports Prometheus metrics of clients. One Collector may serve several clients:
 //
 //	m := prom.New("billing")
 //	prometheus.MustRegister(m)
@@ -28,32 +28,36 @@
 	_ prometheus.Collector = (*Collector)(nil)
 )
 
-// buckets in seconds, from half a millisecond on; 400 ms is the usual bound of an answer.
+// buckets of the histograms, in seconds. 400 ms is client.DefaultAnswerTimeout.
 var buckets = []float64{.0005, .001, .002, .005, .01, .02, .05, .1, .2, .4, .8, 2, 5, 10, 20}
 
-// New returns a collector whose metrics begin with namespace, if that is not empty.
+// New returns a collector whose metric names begin with namespace, unless that is empty.
 func New(namespace string) *Collector {
 	opts := func(name, help string) prometheus.Opts {
 		return prometheus.Opts{Namespace: namespace, Subsystem: "relay_client", Name: name, Help: help}
 	}
 	histogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
-		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Subsystem: "relay_client", Name: name, Help: help,
+		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Subsystem: "relay_client",
+			Name: name, Help: help,
 			Buckets: buckets, NativeHistogramBucketFactor: 1.1}, labels)
 	}
 	c := &Collector{
 		handIns: prometheus.NewCounterVec(prometheus.CounterOpts(opts("hand_ins_total",
 			"Requests of which a byte went out, by relay, X-Repeat mark and end: a status, or how far it came.")), []string{"relay", "mark", "end"}),
-		results:     prometheus.NewCounterVec(prometheus.CounterOpts(opts("messages_total", "Messages by result.")), []string{"result"}),
-		connections: prometheus.NewCounterVec(prometheus.CounterOpts(opts("connections_total", "New connections that were tried.")), []string{"relay", "result"}),
-		waits:       prometheus.NewCounter(prometheus.CounterOpts(opts("refusal_wait_seconds_total", "Seconds of all waits after refusals."))),
-		handIn:      histogram("hand_in_seconds", "From the first byte of a hand-in to its end.", "relay"),
-		message:     histogram("message_seconds", "From Send to the result.", "result"),
+		results: prometheus.NewCounterVec(prometheus.CounterOpts(opts("messages_total", "Messages by result.")),
+			[]string{"result"}),
+		connections: prometheus.NewCounterVec(prometheus.CounterOpts(opts("connections_total",
+			"New connections that were tried.")), []string{"relay", "result"}),
+		waits: prometheus.NewCounter(prometheus.CounterOpts(opts("refusal_wait_seconds_total",
+			"Seconds of all waits after refusals."))),
+		handIn:  histogram("hand_in_seconds", "From the first byte of a hand-in to its end.", "relay"),
+		message: histogram("message_seconds", "From Send to the result.", "result"),
 	}
 	c.collectors = []prometheus.Collector{c.handIns, c.results, c.connections, c.waits, c.handIn, c.message}
 	return c
 }
 
-// HandIn counts a hand-in.
+// HandIn counts an attempt by relay, mark and result, and records its duration.
 func (c *Collector) HandIn(a client.Attempt, took time.Duration) {
 	result := a.Stage.String()
 	if a.Stage == client.Answered {
@@ -63,7 +67,7 @@
 	c.handIn.WithLabelValues(a.Relay).Observe(took.Seconds())
 }
 
-// Done counts a result.
+// Done counts a message by result, and records its duration and waits.
 func (c *Collector) Done(r client.Result) {
 	c.results.WithLabelValues(r.Outcome.String()).Inc()
 	c.message.WithLabelValues(r.Outcome.String()).Observe(r.Took.Seconds())
@@ -72,7 +76,7 @@
 	}
 }
 
-// Connection counts a new connection.
+// Connection counts an attempt to connect.
 func (c *Collector) Connection(relay string, failure error) {
 	result := "made"
 	if failure != nil {
@@ -81,14 +85,14 @@
 	c.connections.WithLabelValues(relay, result).Inc()
 }
 
-// Describe tells of all metrics.
+// Describe sends the descriptors of all metrics.
 func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, one := range c.collectors {
 		one.Describe(ch)
 	}
 }
 
-// Collect gathers all metrics.
+// Collect sends all metrics.
 func (c *Collector) Collect(ch chan<- prometheus.Metric) {
 	for _, one := range c.collectors {
 		one.Collect(ch)
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -14,7 +14,7 @@
 	"oatfold/internal/standin"
 )
 
-// What is counted is what was on the wire.
+// The metrics match the requests that the relay received.
 func TestCounts(t *testing.T) {
 	w, err := standin.NewWorld(standin.Config{})
 	if err != nil {
@@ -22,7 +22,8 @@
 	}
 	defer w.Close()
 	g, err := w.Gate("", func(n int, _ string) standin.Fault {
-		return standin.Fault{Kind: standin.Answer, Status: []int{202, 503, 202, 400}[n], Header: map[string][]string{"Retry-After": {"0.01"}}}
+		return standin.Fault{Kind: standin.Answer, Status: []int{202, 503, 202, 400}[n],
+			Header: map[string][]string{"Retry-After": {"0.01"}}}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +57,8 @@
 # TYPE billing_relay_client_refusal_wait_seconds_total counter
 billing_relay_client_refusal_wait_seconds_total 0.01
 `, "ADDR", g.Addr)
-	if err := testutil.GatherAndCompare(reg, strings.NewReader(want), "billing_relay_client_connections_total", "billing_relay_client_hand_ins_total",
+	if err := testutil.GatherAndCompare(reg, strings.NewReader(want), "billing_relay_client_connections_total",
+		"billing_relay_client_hand_ins_total",
 		"billing_relay_client_messages_total", "billing_relay_client_refusal_wait_seconds_total"); err != nil {
 		t.Error(err)
 	}
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -18,12 +18,13 @@
 	"oatfold/internal/standin"
 )
 
-// relayBinary is the real relay, built once.
+// relayBinary is the path of the relay program, built once.
 var relayBinary string
 
 func TestMain(m *testing.M) { os.Exit(standin.Main(m, &relayBinary)) }
 
-// startEnv starts what lies round the relays. At the test's end neither it nor a client has left a goroutine behind.
+// startEnv starts the test doubles around the relays. At the end of the test it checks that no
+// goroutine is left.
 func startEnv(t testing.TB, config standin.Config) *standin.World {
 	t.Helper()
 	if config.Partners == nil {
@@ -37,7 +38,7 @@
 	t.Cleanup(func() {
 		w.Close()
 		err := goleak.Find(before)
-		for n := 0; err != nil && n < 20; n++ { // a slow machine needs its time to close what was open
+		for n := 0; err != nil && n < 20; n++ { // closing takes time on a slow machine
 			err = goleak.Find(before)
 		}
 		if err != nil {
@@ -56,7 +57,8 @@
 	return r
 }
 
-func startProxy(t testing.TB, w *standin.World, backend string, script func(n int, path string) standin.Fault) *standin.Gate {
+func startProxy(t testing.TB, w *standin.World, backend string,
+	script func(n int, path string) standin.Fault) *standin.Gate {
 	t.Helper()
 	g, err := w.Gate(backend, script)
 	if err != nil {
@@ -65,13 +67,13 @@
 	return g
 }
 
-// recorder is told what a client does.
+// recorder counts the events of a client.
 type recorder struct {
 	world          *standin.World
 	mu             sync.Mutex
 	requests       int
-	connectedAt    []time.Time // connections tried
-	failedConnects int         // of these, to a relay that did not listen
+	connectedAt    []time.Time // attempts to connect
+	failedConnects int         // of connectedAt
 }
 
 func (s *recorder) HandIn(client.Attempt, time.Duration) {
@@ -108,20 +110,23 @@
 	}
 }
 
-var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed, "fee-charge": client.Unsafe}
+var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed,
+	"fee-charge": client.Unsafe}
 
 func newMessage(class string, n int, timeLeft time.Duration) client.Message {
-	return client.Message{Class: class, Dest: 7, Effect: effectByClass[class], TimeLeft: timeLeft, Body: fmt.Appendf(nil, "%s/%d\nsome body", class, n)}
+	return client.Message{Class: class, Dest: 7, Effect: effectByClass[class], TimeLeft: timeLeft,
+		Body: fmt.Appendf(nil, "%s/%d\nsome body", class, n)}
 }
 
 func expectResult(t testing.TB, what string, result client.Result, err error, outcome client.Outcome, handIns int) {
 	t.Helper()
 	if result.Outcome != outcome || result.HandIns != handIns || (err == nil) != (outcome == client.Taken) {
-		t.Errorf("%s: %v after %d hand-ins (%v), want %v after %d: %+v", what, result.Outcome, result.HandIns, err, outcome, handIns, result.Attempts)
+		t.Errorf("%s: %v after %d attempts (%v), want %v after %d: %+v", what, result.Outcome, result.HandIns, err,
+			outcome, handIns, result.Attempts)
 	}
 }
 
-// faultFirst answers the first n requests so and passes the rest.
+// faultFirst applies f to the first n requests and passes the others on.
 func faultFirst(n int, f standin.Fault) func(int, string) standin.Fault {
 	return func(i int, _ string) standin.Fault {
 		if i < n {
@@ -139,7 +144,8 @@
 	return f
 }
 
-// A relay whose disk is full refuses an alert, and tells a wait that is longer than the time left: the message is given up at once.
+// A relay with a full disk rejects an alert with a Retry-After longer than its time left: the
+// client gives up at once.
 func TestWaitLongerThanTimeLeft(t *testing.T) {
 	w := startEnv(t, standin.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
@@ -151,35 +157,40 @@
 		return m
 	}
 	res, err := c.Send(context.Background(), large("order-relay", 1, 15*time.Second))
-	expectResult(t, "with room", res, err, client.Taken, 1)
+	expectResult(t, "with disk space", res, err, client.Taken, 1)
 	res, err = c.Send(context.Background(), large("price-alert", 3, 1500*time.Millisecond))
-	expectResult(t, "without room", res, err, client.GivenUp, 1)
+	expectResult(t, "without disk space", res, err, client.GivenUp, 1)
 	var e *client.Error
-	if !errors.Is(err, client.ErrGivenUp) || !errors.As(err, &e) || e.Status != 503 || e.Wait < 1500*time.Millisecond || e.Stage != client.Answered {
+	if !errors.Is(err, client.ErrGivenUp) || !errors.As(err, &e) || e.Status != 503 ||
+		e.Wait < 1500*time.Millisecond || e.Stage != client.Answered {
 		t.Errorf("error %#v", err)
 	}
-	// The wait binds what comes after it as well: nothing goes out.
+	// Retry-After applies to later messages as well: nothing is sent.
 	res, err = c.Send(context.Background(), newMessage("fee-charge", 4, 1500*time.Millisecond))
-	expectResult(t, "while the wait runs", res, err, client.GivenUp, 0)
+	expectResult(t, "during the wait", res, err, client.GivenUp, 0)
 }
 
-// Waits, marks, keys and times of further hand-ins, and no more than two of them, at one relay and at two.
+// Retries after rejections carry the right wait, mark, key and time left, and there are two at
+// most.
 func TestRefusals(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(503, "0.05") })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 5*time.Second))
-	expectResult(t, "refused for good", res, err, client.Refused, 3)
+	expectResult(t, "always rejected", res, err, client.Refused, 3)
 	seen := g.Seen()
 	if len(seen) != 3 || len(res.Waits) != 3 || !errors.Is(err, client.ErrRefused) {
 		t.Fatalf("%d requests, waits %v, %v", len(seen), res.Waits, err)
 	}
 	for i, s := range seen {
-		if mark := []string{"", "1", "1"}[i]; s.Mark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 && s.ID == seen[i-1].ID {
+		if mark := []string{"", "1", "1"}[i]; s.Mark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 &&
+			s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
-		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.Left >= seen[i-1].Left && len(s.Left) == len(seen[i-1].Left)) {
-			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.Left, seen[i-1].Left)
+		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.Left >= seen[i-1].Left &&
+			len(s.Left) == len(seen[i-1].Left)) {
+			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.Left,
+				seen[i-1].Left)
 		}
 	}
 	full := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(503, "60") })
@@ -187,25 +198,26 @@
 	c = newClient(t, client.Config{Relays: []string{full.Addr, room.Addr}})
 	for n := range 20 {
 		res, err := c.Send(context.Background(), newMessage("fee-charge", n, 5*time.Second))
-		if expectResult(t, "another relay has room", res, err, client.Taken, res.HandIns); res.HandIns > 2 {
-			t.Errorf("%d hand-ins", res.HandIns)
+		if expectResult(t, "another relay accepts", res, err, client.Taken, res.HandIns); res.HandIns > 2 {
+			t.Errorf("%d attempts", res.HandIns)
 		}
 	}
 	if n := len(full.Seen()); n > 1 {
-		t.Errorf("the relay that told to wait was asked %d times", n)
+		t.Errorf("the relay that sent Retry-After received %d requests", n)
 	}
 	limited := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "60") })
 	other := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "60") })
 	c = newClient(t, client.Config{Relays: []string{limited.Addr, other.Addr}})
 	res, err = c.Send(context.Background(), newMessage("order-relay", 1, 5*time.Second))
-	expectResult(t, "a destination's limit binds at every relay", res, err, client.GivenUp, 1)
+	expectResult(t, "a destination's limit applies at every relay", res, err, client.GivenUp, 1)
 	res, err = c.Send(context.Background(), newMessage("order-relay", 2, 5*time.Second))
-	expectResult(t, "and binds the next message", res, err, client.GivenUp, 0)
+	expectResult(t, "a destination's limit applies to the next message", res, err, client.GivenUp, 0)
 }
 
-// Waits that are no wait are not told; absurd ones end the message.
+// An invalid Retry-After is ignored; one longer than the time left ends the message.
 func TestInvalidRetryAfter(t *testing.T) {
-	for after, o := range map[string]client.Outcome{"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken, "soon": client.Taken, "": client.Taken,
+	for after, o := range map[string]client.Outcome{"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken,
+		"soon": client.Taken, "": client.Taken,
 		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken, "9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
 		"Tue, 01 Dec 2099 00:00:00 GMT": client.Taken} {
 		w := startEnv(t, standin.Config{})
@@ -225,9 +237,11 @@
 	}
 }
 
-// The relay has taken the message on and its answer is lost: what may run twice goes again, a charge does not.
+// The relay accepted the message and its answer is lost: keyed and safe messages are retried, a
+// charge is not.
 func TestAnswerLost(t *testing.T) {
-	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken, "fee-charge": client.Uncertain} {
+	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken,
+		"fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
 			w := startEnv(t, standin.Config{})
 			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.LoseAnswer}))
@@ -239,10 +253,11 @@
 			}
 			expectResult(t, class, res, err, o, hands)
 			seen := g.Seen()
-			if len(seen) != hands || hands == 2 && (seen[1].Mark != "again" || seen[1].Key != seen[0].Key || seen[1].ID == seen[0].ID) {
+			if len(seen) != hands || hands == 2 && (seen[1].Mark != "again" || seen[1].Key != seen[0].Key ||
+				seen[1].ID == seen[0].ID) {
 				t.Fatalf("on the wire: %+v", seen)
 			}
-			waitUntil(t, w, "all that ran", func() bool { return len(w.Ledger.Effects()) == hands })
+			waitUntil(t, w, "all effects", func() bool { return len(w.Ledger.Effects()) == hands })
 			if n := w.Ledger.Count()[class+"/1"]; n != 1 && class != "price-alert" {
 				t.Errorf("took effect %d times", n)
 			}
@@ -250,7 +265,7 @@
 	}
 }
 
-// A keyed message is not repeated once its window is over, nor with a stated time past it.
+// A keyed message is not retried after its window, and no retry states a time past it.
 func TestKeyedWindow(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
@@ -265,7 +280,7 @@
 	res, err := c.Send(context.Background(), m)
 	expectResult(t, "within the window", res, err, client.Taken, 2)
 	if s := res.Attempts[1].Stated; s > m.Window {
-		t.Errorf("the repeat states %v, past the window", s)
+		t.Errorf("the retry states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
 	g2 := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
@@ -278,7 +293,7 @@
 	expectResult(t, "strict", res, err, client.Uncertain, 1)
 }
 
-// The 202 comes after the time-out: it counts for nothing, and does not answer a later hand-in.
+// A 202 after the timeout is ignored and does not answer a later request.
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
 		w := startEnv(t, standin.Config{})
@@ -292,7 +307,7 @@
 		expectResult(t, class, res, err, o, hands)
 		g.Release()
 		res, err = c.Send(context.Background(), newMessage(class, 2, 5*time.Second))
-		expectResult(t, class+" after it", res, err, client.Taken, 1)
+		expectResult(t, class+" after the late answer", res, err, client.Taken, 1)
 		waitUntil(t, w, "the first to run", func() bool { return w.Ledger.Count()[class+"/1"] >= 1 })
 		if d := w.Ledger.Doubles("fee-charge"); d != nil {
 			t.Error("doubles:", d)
@@ -300,14 +315,16 @@
 	}
 }
 
-// A relay that accepts and says nothing is left for another one; where there is none a message ends uncertain.
+// A client avoids a relay that accepts connections and never answers; without another relay the
+// message is uncertain.
 func TestUnresponsiveRelay(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	mute := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
 	fine := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(202, "") })
 	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), newMessage("price-alert", 1, 1500*time.Millisecond))
-	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Seen()) || res.HandIns > 3 || !errors.Is(err, client.ErrUncertain) {
+	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Seen()) || res.HandIns > 3 ||
+		!errors.Is(err, client.ErrUncertain) {
 		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Seen()))
 	}
 	c = newClient(t, client.Config{Relays: []string{mute.Addr, fine.Addr}, AnswerTimeout: 50 * time.Millisecond})
@@ -317,12 +334,12 @@
 		expectResult(t, "with another relay", res, err, client.Taken, res.HandIns)
 	}
 	if n := len(mute.Seen()) - before; n > 2 {
-		t.Errorf("the mute relay was given %d messages", n)
+		t.Errorf("the unresponsive relay received %d messages", n)
 	}
 }
 
-// The connection is cut while the request is on its way: each message is on the wire as often as the library counts,
-// also on a kept connection, with a key and a body that could be sent again.
+// The connection is closed during the request: no layer below the library resends it, even on a
+// reused connection and with a key.
 func TestNoUncountedResend(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
@@ -337,16 +354,17 @@
 		m := newMessage("fee-charge", n, 5*time.Second)
 		m.Key = fmt.Sprint("key-", n)
 		res, err := c.Send(context.Background(), m)
-		if hands += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain || err == nil && res.Outcome != client.Taken {
+		if hands += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain || err == nil &&
+			res.Outcome != client.Taken {
 			t.Errorf("%+v, %v", res, err)
 		}
 	}
 	if n := len(g.Seen()); n != hands {
-		t.Errorf("%d requests on the wire, %d hand-ins counted", n, hands)
+		t.Errorf("%d requests on the wire, %d attempts counted", n, hands)
 	}
 }
 
-// Every relay is down: nothing goes out, and the message fails within its time.
+// Every relay is down: nothing is sent, and the message fails before its deadline.
 func TestEveryRelayDown(t *testing.T) {
 	a, _ := standin.Addr()
 	b, err := standin.Addr()
@@ -356,14 +374,16 @@
 	c := newClient(t, client.Config{Relays: []string{a, b}})
 	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 400*time.Millisecond))
 	expectResult(t, "down", res, err, client.Failed, 0)
-	if !errors.Is(err, client.ErrNotConnected) || !errors.Is(err, client.ErrFailed) || !errors.Is(err, syscall.ECONNREFUSED) || len(res.Attempts) == 0 {
+	if !errors.Is(err, client.ErrNotConnected) || !errors.Is(err, client.ErrFailed) ||
+		!errors.Is(err, syscall.ECONNREFUSED) || len(res.Attempts) == 0 {
 		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A relay gets SIGTERM while hand-ins go on over kept connections: all go on at the other one, none is lost or doubled.
+// A relay receives SIGTERM while clients send over reused connections: the other relay takes over,
+// and no message is lost or delivered twice.
 func TestPlannedStop(t *testing.T) {
-	w := startEnv(t, standin.Config{Relays: 2, Hold: 2000}) // a busy relay may come to hold all of them
+	w := startEnv(t, standin.Config{Relays: 2, Hold: 2000}) // one relay may have all messages pending
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
@@ -395,7 +415,7 @@
 	}
 }
 
-// The caller gives up at each stage; what is reported is true, and nothing is left behind.
+// A cancelled context ends Send at each stage with the true outcome and leaves no goroutine behind.
 func TestCancelled(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	down, _ := standin.Addr()
@@ -413,7 +433,8 @@
 		{"before", held.Addr, nil, client.Failed, 0},
 		{"connecting", down, func() bool { return true }, client.Failed, 0},
 		{"waiting for the answer", held.Addr, func() bool { return len(held.Seen()) == 1 }, client.Uncertain, 1},
-		{"waiting after a refusal", waits.Addr, func() bool { return len(waits.Seen()) == 1 && completed(1) }, client.Failed, 1},
+		{"waiting after a rejection", waits.Addr, func() bool { return len(waits.Seen()) == 1 && completed(1) },
+			client.Failed, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -439,10 +460,11 @@
 	}
 }
 
-// HandIn bounds what is in flight and pushes back; Close ends what waits.
+// HandIn bounds the messages in flight; after Close nothing is accepted.
 func TestHandInBackpressure(t *testing.T) {
 	w := startEnv(t, standin.Config{})
-	g := startProxy(t, w, startRelay(t, w).Addr, func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldAnswer} })
+	g := startProxy(t, w, startRelay(t, w).Addr,
+		func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldAnswer} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
@@ -451,13 +473,14 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 3, 15*time.Second), done); !errors.Is(err, client.ErrFull) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 3, 15*time.Second), done); !errors.Is(err,
+		client.ErrFull) {
 		t.Errorf("a fourth: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := c.HandIn(ctx, newMessage("fee-charge", 3, 15*time.Second), done); !errors.Is(err, context.Canceled) {
-		t.Errorf("a fourth that waits: %v", err)
+		t.Errorf("a fourth that blocks: %v", err)
 	}
 	waitUntil(t, w, "all answered by the relay", func() bool {
 		n := 0
@@ -469,7 +492,7 @@
 		return n == 3
 	})
 	if err := c.Flush(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("Flush while three are out: %v", err)
+		t.Errorf("Flush while three are in flight: %v", err)
 	}
 	g.Release()
 	if err := c.Flush(context.Background()); err != nil {
@@ -481,27 +504,29 @@
 		}
 	}
 	c.Close()
-	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 9, time.Second), done); !errors.Is(err, client.ErrClosed) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 9, time.Second), done); !errors.Is(err,
+		client.ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
-	if res, err := c.Send(context.Background(), newMessage("fee-charge", 9, time.Second)); !errors.Is(err, client.ErrClosed) || res.HandIns != 0 {
+	if res, err := c.Send(context.Background(), newMessage("fee-charge", 9, time.Second)); !errors.Is(err,
+		client.ErrClosed) || res.HandIns != 0 {
 		t.Errorf("after Close: %+v, %v", res, err)
 	}
 }
 
-// Messages that no relay could take never go out.
+// Invalid messages are never sent.
 func TestBadMessages(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", nil)
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	for what, m := range map[string]client.Message{
-		"no class":       {Dest: 7, TimeLeft: time.Second},
-		"class with end": {Class: "fee\r\nX: y", Dest: 7, TimeLeft: time.Second},
-		"class of two":   {Class: "fee/charge", Dest: 7, TimeLeft: time.Second},
-		"dest":           {Class: "fee-charge", Dest: -1, TimeLeft: time.Second},
-		"key":            {Class: "fee-charge", Dest: 7, Key: "a\nb", TimeLeft: time.Second},
-		"body":           {Class: "fee-charge", Dest: 7, TimeLeft: time.Second, Body: make([]byte, 64<<10+1)},
-		"no time":        {Class: "fee-charge", Dest: 7},
+		"no class":            {Dest: 7, TimeLeft: time.Second},
+		"class with line end": {Class: "fee\r\nX: y", Dest: 7, TimeLeft: time.Second},
+		"class with slash":    {Class: "fee/charge", Dest: 7, TimeLeft: time.Second},
+		"dest":                {Class: "fee-charge", Dest: -1, TimeLeft: time.Second},
+		"key":                 {Class: "fee-charge", Dest: 7, Key: "a\nb", TimeLeft: time.Second},
+		"body":                {Class: "fee-charge", Dest: 7, TimeLeft: time.Second, Body: make([]byte, 64<<10+1)},
+		"no time":             {Class: "fee-charge", Dest: 7},
 	} {
 		if res, err := c.Send(context.Background(), m); !errors.Is(err, client.ErrMessage) || res.HandIns != 0 {
 			t.Errorf("%s: %+v, %v", what, res, err)
@@ -512,8 +537,8 @@
 	}
 }
 
-// Relays are killed outright again and again while messages of all classes come in. Each has one result and it is
-// true; no charge runs twice; there are no more than two hand-ins after refusals.
+// Relays are killed repeatedly while messages of all classes are sent. Each message has one true
+// result, no charge runs twice, and there are at most two retries after rejections.
 func TestSoakWithKills(t *testing.T) {
 	const messages, workers = 1800, 12
 	w := startEnv(t, standin.Config{Seed: 5, Relays: 2, Hold: 300,
@@ -524,7 +549,7 @@
 	results := make([]client.Result, messages)
 	kills := make(chan struct{}, messages)
 	var all, killer sync.WaitGroup
-	killer.Go(func() { // every 300th message a relay dies and comes back
+	killer.Go(func() { // every 300th message kills and restarts a relay
 		random := rand.New(rand.NewPCG(5, 0))
 		for range kills {
 			r := relays[random.IntN(2)]
@@ -540,7 +565,8 @@
 				if n%300 == 150 {
 					kills <- struct{}{}
 				}
-				results[n], _ = c.Send(context.Background(), newMessage(classes[n%3], n, []time.Duration{5, 18, 18}[n%3]*time.Second))
+				results[n], _ = c.Send(context.Background(), newMessage(classes[n%3], n,
+					[]time.Duration{5, 18, 18}[n%3]*time.Second))
 			}
 		})
 	}
@@ -566,11 +592,12 @@
 				afterLoss++
 			}
 		}
-		if afterRefusal > 2 || classes[n%3] == "fee-charge" && afterLoss > 0 && r.Attempts[0].Stage == client.WrittenWhole {
+		if afterRefusal > 2 || classes[n%3] == "fee-charge" && afterLoss > 0 &&
+			r.Attempts[0].Stage == client.WrittenWhole {
 			t.Errorf("%d: %+v", n, r)
 		}
 	}
-	waitUntil(t, w, "all that was taken on to end", func() bool {
+	waitUntil(t, w, "all accepted messages to complete", func() bool {
 		for n, r := range results {
 			if r.Outcome == client.Taken && !ended(n) {
 				return false
@@ -581,7 +608,8 @@
 	effects := w.Ledger.Count()
 	for n, r := range results {
 		name := fmt.Sprintf("%s/%d", classes[n%3], n)
-		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not && effects[name] > 0 {
+		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not &&
+			effects[name] > 0 {
 			t.Errorf("%s took effect %d times: %+v", name, effects[name], r)
 		}
 	}
--- a/client/stale_other.go
+++ b/client/stale_other.go
@@ -2,5 +2,6 @@
 
 package client
 
-// closedByRelay can't be told here without waiting: a hand-in on a connection that the relay has closed counts as lost.
+// closedByRelay always returns false: this system has no check that does not block. An attempt on a
+// connection that the relay has closed counts as lost.
 func (c *conn) closedByRelay() bool { return false }
--- a/client/stale_unix.go
+++ b/client/stale_unix.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// closedByRelay tells, without waiting, whether the relay has closed the connection or written what nobody asked for. Guards
-// against a hand-in that is lost on a connection of which it could be known.
+// closedByRelay reports, without blocking, whether the relay has closed the connection or sent
+// unexpected data.
 func (c *conn) closedByRelay() bool {
 	sock, ok := c.sock.(syscall.Conn)
 	if !ok {
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -11,9 +11,9 @@
 	"oatfold/internal/standin"
 )
 
-// A thousand clients reconnect to a real relay that was killed and comes back: each gets its charge taken on, with one
-// hand-in more at most than it needs, and each charge runs once. The connections per 100 ms are logged with and without the spreading;
-// that they bear no surge is shown with a clock of its own in decide.
+// A thousand clients reconnect to a relay process that was killed and restarted: each charge is
+// accepted on the first attempt and runs once. Logs the connections per 100 ms with and without
+// spreading; decide.TestNoReconnectSurge bounds them in simulated time.
 func TestThousandClientsReconnect(t *testing.T) {
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
@@ -23,24 +23,25 @@
 			observer := &recorder{world: w}
 			var all []*client.Client
 			for range clients {
-				all = append(all, newClient(t, client.Config{Relays: []string{r.Addr}, Spread: spread, Observer: observer, AnswerTimeout: 5 * time.Second}))
+				all = append(all, newClient(t, client.Config{Relays: []string{r.Addr}, Spread: spread,
+					Observer: observer, AnswerTimeout: 5 * time.Second}))
 			}
 			round := func(n int, during func()) {
 				var wg sync.WaitGroup
 				for i, c := range all {
 					wg.Go(func() {
 						res, err := c.Send(context.Background(), newMessage("fee-charge", n*clients+i, 19*time.Second))
-						expectResult(t, "a client of a thousand", res, err, client.Taken, 1)
+						expectResult(t, "one of a thousand clients", res, err, client.Taken, 1)
 					})
 				}
 				during()
 				wg.Wait()
 			}
 			round(0, func() {})
-			waitUntil(t, w, "the first thousand to run", func() bool { return len(w.Ledger.Count()) == clients })
+			waitUntil(t, w, "the first round to run", func() bool { return len(w.Ledger.Count()) == clients })
 			r.Kill()
 			observer.mu.Lock()
-			before, refusedBefore := len(observer.connectedAt), observer.failedConnects // under load dials of the first round fail, too
+			before, refusedBefore := len(observer.connectedAt), observer.failedConnects // under load, connections of the first round fail as well
 			observer.mu.Unlock()
 			var backAt time.Time
 			round(1, func() {
@@ -59,9 +60,10 @@
 			refused := observer.failedConnects - refusedBefore
 			observer.mu.Unlock()
 			if attempts-refused != clients {
-				t.Errorf("%d tries, %d refused: not one connection a client", attempts, refused)
+				t.Errorf("%d connection attempts, %d failed: want one connection per client", attempts, refused)
 			}
-			t.Logf("%d tries, %d of them refused; connections per 100 ms since the relay is back: %v", attempts, refused, bins)
+			t.Logf("%d connection attempts, %d of them failed; connections per 100 ms since the restart: %v",
+				attempts, refused, bins)
 			waitUntil(t, w, "all to run", func() bool { return len(w.Ledger.Count()) == 2*clients })
 			if d := w.Ledger.Doubles("fee-charge"); d != nil {
 				t.Error("doubles:", fmt.Sprint(d))
