--- a/internal/plugin/limits/limits.go
+++ b/internal/plugin/limits/limits.go
@@ -1,5 +1,6 @@
-// Package limits decides what a plug-in may do: whether it is called now, what its output may change, what becomes of a
-// message that it fails. It does no I/O and reads no clock; callers guard its values by a lock of their own.
+// Package limits decides what a plug-in may do: whether it may be called (a circuit breaker), what
+// its output may change, and what happens to a message if a call fails. It does no I/O and reads no
+// clock; callers synchronise access to its values.
 package limits
 
 import (
@@ -12,10 +13,10 @@
 	"oatfold/plugin/abi"
 )
 
-// MaxBodyBytes is how long a body may be, like any body that the relay passes on.
+// MaxBodyBytes bounds a body, as for any body that the relay forwards.
 const MaxBodyBytes = 64 << 10
 
-// Bounds of an output beside its body.
+// Bounds of the other parts of an output.
 const (
 	maxHeaders     = 16
 	maxHeaderBytes = 4 << 10
@@ -24,37 +25,39 @@
 	maxWait        = 10 * time.Minute
 )
 
-// ErrOutput is the cause of an output that breaks a bound or wants to change what no plug-in may.
+// ErrOutput says that an output exceeds a bound or would change what no plug-in may change.
 var ErrOutput = errors.New("output not allowed")
 
+// outputError returns an error that wraps ErrOutput.
 func outputError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrOutput, fmt.Sprintf(format, args...))
 }
 
-// Output is what a plug-in's output may change.
+// Output is the checked output of a hook.
 type Output struct {
 	Verdict int           // on_handin
-	Notes   []byte        // on_handin: note fields as they came, for later hooks
-	Body    []byte        // shape_request; nil: as it was
-	Headers [][2]string   // shape_request
-	Outcome int           // read_answer; -1: as it was
-	Wait    time.Duration // read_answer: a longer one; on_handin: with Refuse
-	Reason  string
+	Notes   []byte        // on_handin: encoded note fields for the later hooks
+	Body    []byte        // shape_request; nil: no change
+	Headers [][2]string   // shape_request: name and value
+	Outcome int           // read_answer; -1: no change
+	Wait    time.Duration // read_answer: a longer Retry-After; on_handin: Retry-After of a rejection
+	Reason  string        // for the log
 }
 
-// CheckOutput reads the output of a hook. What is not allowed makes all of it void.
+// CheckOutput decodes and checks the output of a hook. If any part is not allowed, it returns an
+// error that wraps ErrOutput and no part of the output.
 func CheckOutput(h abi.Hook, raw []byte) (Output, error) {
 	o := Output{Outcome: -1}
 	headerBytes, seen := 0, map[abi.Field]bool{}
 	err := abi.Each(raw, func(f abi.Field, v []byte) error {
 		if seen[f] && f != abi.Header && f != abi.Note {
-			return outputError("field %d comes twice", f)
+			return outputError("duplicate field %d", f)
 		}
 		seen[f] = true
 		readNumber := func(least, most int64) (int64, error) {
 			n, err := abi.Number(v)
 			if err != nil || n < least || n > most {
-				return 0, outputError("field %d is no number from %d to %d", f, least, most)
+				return 0, outputError("field %d is not a number from %d to %d", f, least, most)
 			}
 			return n, nil
 		}
@@ -71,11 +74,11 @@
 				return outputError("note %q is not NAME=VALUE", printable(v))
 			}
 			if o.Notes = abi.Append(o.Notes, abi.Note, v); len(o.Notes) > maxNotesBytes {
-				return outputError("notes of more than %d bytes", maxNotesBytes)
+				return outputError("more than %d bytes of notes", maxNotesBytes)
 			}
 		case f == abi.Body && h == abi.ShapeRequest:
 			if len(v) > MaxBodyBytes {
-				return outputError("body of %d bytes, over %d", len(v), MaxBodyBytes)
+				return outputError("body has %d bytes, more than %d", len(v), MaxBodyBytes)
 			}
 			o.Body = append([]byte{}, v...)
 		case f == abi.Header && h == abi.ShapeRequest:
@@ -95,8 +98,8 @@
 			o.Wait = time.Duration(min(n, maxWait.Milliseconds())) * time.Millisecond
 			return err
 		default:
-			// Guards against ids, keys, destinations, times or attempts that a plug-in would change.
-			return outputError("field %d is none of %s", f, h)
+			// No plug-in may change ids, keys, destinations, times or attempts.
+			return outputError("field %d is not an output of %s", f, h)
 		}
 		return nil
 	})
@@ -109,7 +112,8 @@
 	return o, nil
 }
 
-// printable makes text of a plug-in fit for a line of the log.
+// printable returns the first maxReasonBytes of a plug-in's text with control characters replaced,
+// for the log.
 func printable(v []byte) string {
 	v = v[:min(len(v), maxReasonBytes)]
 	return strings.Map(func(r rune) rune {
@@ -120,12 +124,15 @@
 	}, string(v))
 }
 
-// The headers that are the relay's own: framing, the connection, and what identifies the message.
-var reservedHeaders = map[string]bool{"host": true, "content-length": true, "transfer-encoding": true, "connection": true, "keep-alive": true,
+// reservedHeaders are the headers that only the relay sets, in lower case: framing, the connection,
+// and those that identify the message.
+var reservedHeaders = map[string]bool{"host": true, "content-length": true, "transfer-encoding": true,
+	"connection": true, "keep-alive": true,
 	"te": true, "trailer": true, "upgrade": true, "expect": true, "x-correlation-id": true, "idempotency-key": true, "x-time-left-ms": true,
 	"envelope": true, "x-repeat": true}
 
-// parseHeader reads NAME: VALUE. Guards against line ends that would start a header, or a request, of their own.
+// parseHeader parses NAME: VALUE. It rejects control characters, since a line end would start
+// another header or request.
 func parseHeader(v []byte) (name, value string, err error) {
 	name, value, ok := strings.Cut(string(v), ":")
 	lower := strings.ToLower(name)
@@ -133,16 +140,17 @@
 	case !ok || !isToken(name):
 		return "", "", outputError("header %q is not NAME: VALUE", printable(v))
 	case reservedHeaders[lower] || strings.HasPrefix(lower, "proxy-"):
-		return "", "", outputError("header %s is the relay's own", name)
+		return "", "", outputError("header %s is reserved for the relay", name)
 	}
 	for i := 0; i < len(value); i++ {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return "", "", outputError("header %s holds a control character", name)
+			return "", "", outputError("header %s contains a control character", name)
 		}
 	}
 	return name, strings.Trim(value, " \t"), nil
 }
 
+// isToken reports whether s is a token as HTTP defines it.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
@@ -152,15 +160,16 @@
 	return s != ""
 }
 
-// MergeOutcome is the outcome of a route step after a plug-in read its answer. It moves in the cautious direction only:
+// MergeOutcome returns the outcome of an attempt after a plug-in asked for another one. A plug-in
+// can only make it more cautious:
 //
-//	was          may become
-//	delivered    may have run
-//	never ran    may have run
-//	may have run nothing else
+//	before         may become
+//	delivered      may have run
+//	never ran      may have run
+//	may have run   nothing else
 //
-// Never ran is the only outcome after which a charge goes out again, and delivered the only one after which nothing is
-// owed: neither can be won from a plug-in. Asked for anything else, it stays as it was.
+// After "never ran" a charge is sent again, and after "delivered" the message is complete, so a
+// plug-in can produce neither. Other requests are ignored.
 func MergeOutcome(before, asked int) int {
 	if asked == abi.MayHave {
 		return abi.MayHave
@@ -168,46 +177,50 @@
 	return before
 }
 
-// MergeWait is the wait that binds after a plug-in read an answer: a told one may be longer, never shorter.
+// MergeWait returns the Retry-After that applies after a plug-in asked for another one: it can only
+// become longer.
 func MergeWait(told, asked time.Duration) time.Duration { return max(told, min(asked, maxWait)) }
 
-// FailureAction says what becomes of a message that a plug-in failed.
+// FailureAction says what happens to a message if the call of a plug-in fails.
 type FailureAction int
 
-// What may become of it.
+// The failure actions.
 const (
-	Refuse FailureAction = iota // it is handed back: it never ran, and may come again
-	Fail                        // it is given up for good
-	Pass                        // it goes on as if there were no plug-in
+	Refuse FailureAction = iota // return it to the client: it did not run, and the client may retry
+	Fail                        // give it up
+	Pass                        // process it without the plug-in
 )
 
+// String returns the name of the action.
 func (t FailureAction) String() string { return [...]string{"refuse", "fail", "pass"}[t] }
 
-// BreakerConfig sets when a plug-in that fails is taken out, and how it comes back.
+// BreakerConfig configures the circuit breaker of a plug-in.
 type BreakerConfig struct {
-	FailureThreshold int           // in a row after which it is out
-	OpenTime         time.Duration // until it is tried again; doubled each time it fails its trial
-	MaxOpenTime      time.Duration
-	RequiredTrials   int // calls in a row that must succeed, one at a time, until it is back
+	FailureThreshold int           // consecutive failures that open the breaker
+	OpenTime         time.Duration // until the first trial call; doubled by each failed trial
+	MaxOpenTime      time.Duration // bounds the doubled OpenTime
+	RequiredTrials   int           // consecutive successful trials, one at a time, that close the breaker
 }
 
-// Breaker is what is known of a plug-in from its calls.
+// Breaker is the circuit breaker of a plug-in. After consecutive failures it opens and rejects all
+// calls. After a pause it is half-open and allows one trial call at a time.
 type Breaker struct {
 	config          BreakerConfig
 	failures        int
-	succeededTrials int // that succeeded since it is on trial
+	succeededTrials int // since the breaker is half-open
 	openTime        time.Duration
-	openUntil       time.Time // it is out or on trial if this is set
-	trialInFlight   bool      // a call of the trial is out
+	openUntil       time.Time // set while the breaker is open or half-open
+	trialInFlight   bool
 }
 
-// NewBreaker returns the health of a plug-in that has not been called.
+// NewBreaker returns a closed breaker.
 func NewBreaker(p BreakerConfig) *Breaker { return &Breaker{config: p} }
 
-// Permit is what an admitted call was: an ordinary one or one of a trial.
+// Permit identifies an allowed call: true for a trial.
 type Permit bool
 
-// Allow says whether a call may be made now. Each that is admitted gets one Done with its ticket.
+// Allow reports whether a call may be made now. Each allowed call is followed by one Record or
+// Cancel with its permit.
 func (h *Breaker) Allow(now time.Time) (trial Permit, ok bool) {
 	if h.openUntil.IsZero() {
 		return false, true
@@ -219,17 +232,18 @@
 	return true, true
 }
 
-// Transition is what a call's end changed.
+// Transition is the change of state that a call caused.
 type Transition int
 
-// The changes.
+// The transitions.
 const (
 	Unchanged Transition = iota
-	Opened               // it is out from now on
-	Closed               // it serves again
+	Opened               // the breaker opened
+	Closed               // the breaker closed
 )
 
-// Record books the end of a call. An ordinary one from before the plug-in was taken out changes nothing.
+// Record records the result of a call. Calls that were allowed before the breaker opened change
+// nothing.
 func (h *Breaker) Record(now time.Time, trial Permit, ok bool) Transition {
 	switch {
 	case !bool(trial) && !h.openUntil.IsZero():
@@ -256,12 +270,12 @@
 	return Opened
 }
 
-// Cancel books that an admitted call was not made.
+// Cancel records that an allowed call was not made.
 func (h *Breaker) Cancel(trial Permit) {
 	if trial {
 		h.trialInFlight = false
 	}
 }
 
-// IsOpen tells whether the plug-in is out or on trial.
+// IsOpen reports whether the breaker is open or half-open.
 func (h *Breaker) IsOpen() bool { return !h.openUntil.IsZero() }
--- a/internal/plugin/limits/limits_test.go
+++ b/internal/plugin/limits/limits_test.go
@@ -12,7 +12,7 @@
 	"oatfold/plugin/abi"
 )
 
-// The same verdict each time; -rapid.seed=N searches on.
+// A fixed seed makes each run draw the same values; -rapid.seed=N draws others.
 func init() { flag.Set("rapid.seed", "20261201") }
 
 func text(f abi.Field, v string) []byte { return abi.Append(nil, f, v) }
@@ -26,7 +26,7 @@
 	return b
 }
 
-// What an output may hold, hook by hook, and what makes it void.
+// CheckOutput accepts the fields of each hook within their bounds and nothing else.
 func TestCheck(t *testing.T) {
 	const h, s, r = abi.OnHandIn, abi.ShapeRequest, abi.ReadAnswer
 	for _, c := range []struct {
@@ -37,8 +37,8 @@
 	}{
 		{"nothing", s, nil, true},
 		{"verdict", h, number(abi.Verdict, abi.Reject), true},
-		{"no verdict", h, number(abi.Verdict, 3), false},
-		{"verdict of another hook", s, number(abi.Verdict, abi.Take), false},
+		{"invalid verdict", h, number(abi.Verdict, 3), false},
+		{"verdict in another hook", s, number(abi.Verdict, abi.Take), false},
 		{"short number", h, text(abi.Verdict, "1"), false},
 		{"note", h, text(abi.Note, "a=b"), true},
 		{"notes", h, join(text(abi.Note, "a=b"), text(abi.Note, "c=")), true},
@@ -48,7 +48,7 @@
 		{"empty body", s, text(abi.Body, ""), true},
 		{"long body", s, text(abi.Body, strings.Repeat("x", MaxBodyBytes+1)), false},
 		{"two bodies", s, join(text(abi.Body, "a"), text(abi.Body, "b")), false},
-		{"body of a hand-in", h, text(abi.Body, "x"), false},
+		{"body in on_handin", h, text(abi.Body, "x"), false},
 		{"header", s, text(abi.Header, "X-Form: 2"), true},
 		{"header without a name", s, text(abi.Header, ": 2"), false},
 		{"name with a blank", s, text(abi.Header, "X Form: 2"), false},
@@ -63,7 +63,7 @@
 		{"many headers", s, []byte(strings.Repeat(string(text(abi.Header, "a: b")), maxHeaders+1)), false},
 		{"long header", s, text(abi.Header, "a: "+strings.Repeat("x", maxHeaderBytes)), false},
 		{"outcome", r, number(abi.Outcome, abi.MayHave), true},
-		{"no outcome", r, number(abi.Outcome, 7), false},
+		{"invalid outcome", r, number(abi.Outcome, 7), false},
 		{"wait", r, number(abi.WaitMs, 1<<60), true},
 		{"negative wait", r, number(abi.WaitMs, -1), false},
 		{"key", s, text(abi.Key, "k"), false},
@@ -73,19 +73,20 @@
 		{"stray byte", s, []byte{9}, false},
 	} {
 		o, err := CheckOutput(c.hook, c.raw)
-		if (err == nil) != c.ok || err != nil && (!errors.Is(err, ErrOutput) || o.Body != nil || o.Headers != nil || o.Outcome != -1) {
+		if (err == nil) != c.ok || err != nil && (!errors.Is(err, ErrOutput) || o.Body != nil || o.Headers != nil ||
+			o.Outcome != -1) {
 			t.Errorf("%s: %+v, %v", c.what, o, err)
 		}
 	}
 	if o, _ := CheckOutput(r, number(abi.WaitMs, 1<<60)); o.Wait != maxWait {
-		t.Errorf("a wait without end: %v", o.Wait)
+		t.Errorf("an excessive wait: %v", o.Wait)
 	}
 	if o, _ := CheckOutput(r, text(abi.Reason, "a\r\nlevel=ERROR\x1b[0m")); strings.ContainsAny(o.Reason, "\r\n\x1b") {
-		t.Errorf("a reason for the log: %q", o.Reason)
+		t.Errorf("control characters in a reason: %q", o.Reason)
 	}
 }
 
-// Whatever plug-ins ask for, an outcome moves in the cautious direction only and a wait never gets shorter.
+// Whatever plug-ins ask for, an outcome only becomes more cautious and a wait never gets shorter.
 func TestMergeIsCautious(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		was := rapid.IntRange(abi.Delivered, abi.MayHave).Draw(t, "was")
@@ -97,18 +98,21 @@
 				t.Fatalf("%d became %d", before, is)
 			}
 		}
-		told, asked := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "told")), time.Duration(rapid.Int64Range(-1e12, 1<<62).Draw(t, "asked wait"))
+		told, asked := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "told")), time.Duration(rapid.Int64Range(-1e12,
+			1<<62).Draw(t, "asked wait"))
 		if w := MergeWait(told, asked); w < told || w > max(told, maxWait) {
 			t.Fatalf("%v became %v", told, w)
 		}
 	})
 }
 
-// The model of a plug-in's health: out after so many failures in a row and no call is admitted until the pause is over, then one at
-// a time; each failed trial doubles the pause, enough good ones bring it back. Calls from before change nothing.
+// The breaker behaves like a model: it opens after consecutive failures, allows one trial at a time
+// after the pause, doubles the pause with each failed trial, closes after enough successful ones,
+// and ignores earlier calls.
 func TestBreaker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := BreakerConfig{FailureThreshold: rapid.IntRange(1, 4).Draw(t, "failures"), OpenTime: 100 * time.Millisecond, MaxOpenTime: 300 * time.Millisecond,
+		p := BreakerConfig{FailureThreshold: rapid.IntRange(1, 4).Draw(t, "failures"),
+			OpenTime: 100 * time.Millisecond, MaxOpenTime: 300 * time.Millisecond,
 			RequiredTrials: rapid.IntRange(1, 3).Draw(t, "trials")}
 		h, now := NewBreaker(p), time.Unix(1000, 0)
 		failures, succeeded, openTime, openUntil, isOpen, trialInFlight := 0, 0, time.Duration(0), time.Time{}, false, false
@@ -119,7 +123,8 @@
 				ticket, ok := h.Allow(now)
 				want := !isOpen || !now.Before(openUntil) && !trialInFlight
 				if ok != want || ok && bool(ticket) != isOpen {
-					t.Fatalf("admitted %v as %v; out %v until %v, trial %v", ok, ticket, isOpen, openUntil.Sub(now), trialInFlight)
+					t.Fatalf("allowed %v with permit %v; open %v until %v, trial %v", ok, ticket, isOpen,
+						openUntil.Sub(now), trialInFlight)
 				}
 				if ok {
 					admitted = append(admitted, ticket)
@@ -156,7 +161,7 @@
 				openUntil = now.Add(openTime)
 			}
 			if got := h.Record(now, ticket, ok); got != want || h.IsOpen() != isOpen {
-				t.Fatalf("change %v, want %v; out %v, want %v", got, want, h.IsOpen(), isOpen)
+				t.Fatalf("transition %v, want %v; open %v, want %v", got, want, h.IsOpen(), isOpen)
 			}
 		}
 	})
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -18,14 +18,15 @@
 	"oatfold/plugin/abi"
 )
 
-// relayBinary is the real relay, built once.
+// relayBinary is the path of the relay program, built once.
 var relayBinary string
 
 func TestMain(m *testing.M) { os.Exit(standin.Main(m, &relayBinary)) }
 
-var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed, "fee-charge": client.Unsafe}
+var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed,
+	"fee-charge": client.Unsafe}
 
-// testRelay is a relay with an operator's file.
+// testRelay is a relay process with an operator's file.
 type testRelay struct {
 	*standin.World
 	t             *testing.T
@@ -34,7 +35,7 @@
 	defaultClient *client.Client
 }
 
-// newClient returns a further client of the relay.
+// newClient returns another client of the relay.
 func (s *testRelay) newClient() *client.Client {
 	c, err := client.New(client.Config{Relays: []string{s.relay.Addr}, AnswerTimeout: 20 * time.Second})
 	if err != nil {
@@ -44,7 +45,8 @@
 	return c
 }
 
-// startTestRelay starts partners for these destinations and a relay with that operator's file.
+// startTestRelay starts partners for destinations 0 to dests-1 and a relay with the operator's file
+// and modules.
 func startTestRelay(t *testing.T, dests int, file string, modules map[string][]byte) *testRelay {
 	t.Helper()
 	var partners []standin.PartnerConfig
@@ -87,8 +89,9 @@
 }
 
 func send(c *client.Client, class string, dest, n int) client.Result {
-	res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: dest, Effect: effectByClass[class], TimeLeft: 2500 * time.Millisecond,
-		Body: fmt.Appendf(nil, "%s/%d-%d\nbody", class, dest, n)})
+	res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: dest, Effect: effectByClass[class],
+		TimeLeft: 2500 * time.Millisecond,
+		Body:     fmt.Appendf(nil, "%s/%d-%d\nbody", class, dest, n)})
 	return res
 }
 
@@ -99,8 +102,8 @@
 		name, name, strings.ToUpper(hook), dest, failureRules)
 }
 
-// Every fault at every hook, for every class, and modules that can't load: each message gets exactly one final answer,
-// takes effect once at most, and goes out once at most.
+// Each fault of a plug-in at each hook, for each class, and modules that can't be loaded: each
+// message gets exactly one final answer and is sent to its destination at most once.
 func TestFaultyPluginsOnLoopback(t *testing.T) {
 	type faultSite struct{ hook, fault string }
 	var faultSites []faultSite
@@ -131,7 +134,7 @@
 	for dest := range faultSites {
 		workers.Go(func() {
 			for _, class := range []string{"fee-charge", "order-relay", "price-alert"} {
-				c := s.newClient() // a told wait binds the client's other messages to that destination
+				c := s.newClient() // Retry-After applies to the client's other messages to that destination
 				for n := range each {
 					r := send(c, class, dest, n)
 					mu.Lock()
@@ -142,7 +145,7 @@
 		})
 	}
 	workers.Wait()
-	s.waitUntil("all that was taken on to end", func() bool {
+	s.waitUntil("all accepted messages to complete", func() bool {
 		effects, notifications := s.Ledger.Count(), s.Platform.Notices()
 		for name, m := range all {
 			if _, ended := notifications[m.ID]; m.Outcome == client.Taken && effects[name] == 0 && !ended {
@@ -162,7 +165,7 @@
 		switch {
 		case site.hook == "read_answer" || m.class == "price-alert": // delivered stays delivered; alerts pass
 		case site.hook == "on_handin" && m.class == "order-relay":
-			want, wantCalls = client.GivenUp, 0 // 429 with a wait that is longer than the time left
+			want, wantCalls = client.GivenUp, 0 // 429 with a Retry-After longer than the time left
 		case site.hook == "on_handin":
 			want, wantCalls = client.Failed, 0
 		case m.class == "order-relay":
@@ -171,21 +174,23 @@
 			wantCalls, wantNotified = 0, "given_up"
 		}
 		if m.class == "price-alert" && calls[name] > 1 {
-			calls[name] = 1 // a slow machine: what may be repeated freely was
+			calls[name] = 1 // alerts may be retried on a slow machine
 		}
 		if m.Outcome != want || calls[name] != wantCalls || notified != wantNotified {
-			t.Errorf("%s, %s: %s: result %v, %d calls, notice %q; want %v, %d, %q", site.hook, site.fault, name, m.Outcome, calls[name], notified, want, wantCalls, wantNotified)
+			t.Errorf("%s, %s: %s: result %v, %d calls, notification %q; want %v, %d, %q", site.hook, site.fault, name,
+				m.Outcome, calls[name], notified, want, wantCalls, wantNotified)
 		}
 	}
 	if n := s.relay.Logged(`msg="plug-ins not loaded"`); n != 1 {
-		t.Errorf("%d lines say that modules were not loaded", n)
+		t.Errorf("%d log lines about modules that were not loaded, want 1", n)
 	}
 	if err := s.relay.Stop(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-// Plug-ins are replaced under load: each charge runs once and in one form; a bad file and a bad module change nothing.
+// Plug-ins are replaced under load: each charge runs once, shaped by one of them. An invalid file
+// or module changes nothing.
 func TestReplacedUnderLoad(t *testing.T) {
 	form := func(v string) []byte {
 		return wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-Form: "+v)).Bytes()
@@ -193,7 +198,8 @@
 	file := func(module string) []byte {
 		return fmt.Appendf(nil, "plugins { plugin { name: \"form\" module: %q hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 wait_ms: 1000 } } }", module)
 	}
-	s := startTestRelay(t, 1, string(file("a")), map[string][]byte{"a": form("a"), "b": form("b"), "broken": []byte("x")})
+	s := startTestRelay(t, 1, string(file("a")), map[string][]byte{"a": form("a"), "b": form("b"),
+		"broken": []byte("x")})
 	stop := make(chan struct{})
 	var lanes sync.WaitGroup
 	sentCount := make([]int, 4)
@@ -210,7 +216,7 @@
 					return
 				}
 				sentCount[worker]++
-				s.waitUntil("what was taken on to run", func() bool { return s.Ledger.Len() >= 4*sentCount[worker]-400 })
+				s.waitUntil("accepted charges to run", func() bool { return s.Ledger.Len() >= 4*sentCount[worker]-400 })
 			}
 		})
 	}
@@ -222,30 +228,34 @@
 		}
 		return n
 	}
-	s.waitUntil("charges in the first form", func() bool { return countForm("a") > 20 })
-	for n, bad := range []string{"plugins { plug", "plugins { plugin { name: \"form\" module: \"broken\" hook: SHAPE_REQUEST } }"} {
+	s.waitUntil("charges shaped by the first plug-in", func() bool { return countForm("a") > 20 })
+	for n, bad := range []string{"plugins { plug",
+		"plugins { plugin { name: \"form\" module: \"broken\" hook: SHAPE_REQUEST } }"} {
 		s.write("operator.textproto", []byte(bad))
 		s.relay.Signal(syscall.SIGHUP)
-		s.waitUntil("the bad file to be refused", func() bool { return s.relay.Logged(`msg="plug-ins not reloaded`) == n+1 })
+		s.waitUntil("the invalid file to be rejected",
+			func() bool { return s.relay.Logged(`msg="plug-ins not reloaded`) == n+1 })
 	}
 	if n := countForm("b"); n != 0 {
-		t.Errorf("%d charges in a form that is not in force", n)
+		t.Errorf("%d charges shaped by a plug-in that is not configured", n)
 	}
 	s.write("operator.textproto", file("b"))
 	s.relay.Signal(syscall.SIGHUP)
-	s.waitUntil("charges in the second form", func() bool { return countForm("b") > 20 })
+	s.waitUntil("charges shaped by the second plug-in", func() bool { return countForm("b") > 20 })
 	before := countForm("a")
-	s.waitUntil("more of them", func() bool { return countForm("b") > 60 })
+	s.waitUntil("more charges shaped by the second plug-in", func() bool { return countForm("b") > 60 })
 	close(stop)
 	lanes.Wait()
 	sum := sentCount[0] + sentCount[1] + sentCount[2] + sentCount[3]
 	s.waitUntil("all to run", func() bool { return len(s.Ledger.Count()) == sum })
 	if d := s.Ledger.Doubles("fee-charge"); d != nil || countForm("") != 0 || countForm("a")+countForm("b") != sum {
-		t.Errorf("doubles %v; %d without a form, %d+%d of %d; %d in the first form when the second came", d, countForm(""), countForm("a"), countForm("b"), sum, before)
+		t.Errorf("doubles %v; %d unshaped, %d+%d of %d; %d shaped by the first plug-in when the second was seen", d,
+			countForm(""), countForm("a"), countForm("b"), sum, before)
 	}
 }
 
-// SIGTERM while a plug-in loops for a charge: the exit is clean and in time, and the charge ends truthfully, having never run.
+// SIGTERM while a plug-in loops: the relay exits cleanly and in time, and the charge is given up
+// without having run.
 func TestStopWhileAPluginLoops(t *testing.T) {
 	s := startTestRelay(t, 1, `plugins { plugin { name: "loops" module: "loops" hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 } on_failure { then: FAIL } } }`,
 		map[string][]byte{"loops": wasm.Does("shape_request", wasm.Forever()).Bytes()})
@@ -259,25 +269,27 @@
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.waitUntil("the charge to end", func() bool { return s.Platform.Notices()[r.ID].Outcome != "" })
+	s.waitUntil("the charge to complete", func() bool { return s.Platform.Notices()[r.ID].Outcome != "" })
 	if n := s.Platform.Notices()[r.ID]; n.Outcome != "given_up" || len(s.Ledger.Effects()) != 0 {
 		t.Errorf("%+v, %v", n, s.Ledger.Effects())
 	}
 }
 
-// What a plug-in notes as a message comes in is there after a restart.
+// The notes that a plug-in attaches to a submitted message survive a restart.
 func TestNotesSurviveRestart(t *testing.T) {
 	s := startTestRelay(t, 1, `plugins { plugin { name: "note" module: "note" hook: ON_HANDIN } }`,
 		map[string][]byte{"note": wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
 	s.Partners[0].Set(standin.Refusing, 1)
-	// An order, since the kill may fall between the record of a step and its end: a charge that may have run is given up, as it has to be.
+	// An order, since a kill between the record of an attempt and its end makes a charge uncertain,
+	// and it is given up.
 	if r := s.send("order-relay", 0, 1); r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
 	}
 	s.relay.Kill()
 	in, err := journal.Inspect(journal.Dir(s.relay.State), nil)
-	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note, "a=b")) {
-		t.Errorf("the journal lacks the note: %+v, %v", in, err)
+	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note,
+		"a=b")) {
+		t.Errorf("the note is missing in the journal: %+v, %v", in, err)
 	}
 	s.Partners[0].Set(standin.Well, 1)
 	if err := s.relay.Start(); err != nil {
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -1,6 +1,7 @@
-// Package plugin hosts plug-ins: WebAssembly modules that are asked at three hooks about messages on their way (package
-// abi has the words). A call runs on the goroutine that makes it, never on the host's, is bounded in time and memory, and
-// ends in an output that limits has checked or in an error. A plug-in has no file, network, environment or clock.
+// Package plugin hosts plug-ins: WebAssembly modules that are called at three hooks in the
+// processing of a message. Package abi defines the interface. A call runs on the caller's
+// goroutine, is bounded in time and memory, and returns an output checked by package limits, or an
+// error. A plug-in has no files, network, environment variables or clock.
 package plugin
 
 import (
@@ -22,33 +23,33 @@
 	"oatfold/plugin/abi"
 )
 
-// Budget bounds one call, and all calls of a plug-in at once.
+// Budget bounds the resources of a plug-in.
 type Budget struct {
-	Wall, CPU       time.Duration // of one call
-	MemoryPages     uint32        // memory of an instance, 64 KiB each
-	MaxOutputBytes  int           // bytes
-	Instances       int           // calls at once
-	InstanceTimeout time.Duration // for an instance that is free
-	LoadTimeout     time.Duration // to compile and to set up an instance
+	Wall, CPU       time.Duration // time of one call
+	MemoryPages     uint32        // memory of an instance, in units of PageSize
+	MaxOutputBytes  int           // output of one call
+	Instances       int           // concurrent calls
+	InstanceTimeout time.Duration // maximum wait for a free instance
+	LoadTimeout     time.Duration // to compile the module and create its first instance
 }
 
-// PageSize is the size of a page of memory.
+// PageSize is the size of a WebAssembly memory page, in bytes.
 const PageSize = 64 << 10
 
-// Spec is what the operator says of one plug-in.
+// Spec is the configuration of one plug-in.
 type Spec struct {
 	Name, Path string
 	Hooks      []abi.Hook
-	Classes    []string // of the messages for which it is asked; empty: all
+	Classes    []string // messages for which it is called, by class, destination and destination type; empty: all
 	Dests      []int
 	Kinds      []string
 	Budget     Budget
-	OnFailure  map[string]limits.FailureAction // by class; "" is for all others
+	OnFailure  map[string]limits.FailureAction // by class; "" stands for all others
 	Breaker    limits.BreakerConfig
 	Setting    string
 }
 
-// FailureAction is what becomes of a message of class that the plug-in fails.
+// FailureAction returns what happens to a message of class if a call fails.
 func (s *Spec) FailureAction(class string) limits.FailureAction {
 	if t, ok := s.OnFailure[class]; ok {
 		return t
@@ -56,16 +57,16 @@
 	return s.OnFailure[""]
 }
 
-// maxSetupTime bounds the set-up of a further instance, which a message waits for.
+// maxSetupTime bounds the creation of an instance during a call, for which a message waits.
 const maxSetupTime = 250 * time.Millisecond
 
-// What ends a call without an output, besides limits.ErrOutput. A trap comes as wazero words it.
+// Errors of calls, besides limits.ErrOutput and the errors that wazero returns for traps.
 var (
 	ErrTimeBudget = errors.New("time budget exceeded")
 	ErrBusy       = errors.New("no instance was free in time")
-	ErrDisabled   = errors.New("taken out after failures")
+	ErrDisabled   = errors.New("disabled after failed calls")
 	ErrNotLoaded  = errors.New("not loaded")
-	ErrABI        = errors.New("no plug-in of this ABI")
+	ErrABI        = errors.New("the module does not implement the plug-in ABI")
 )
 
 // Plugin is one loaded plug-in. It is safe for concurrent use.
@@ -74,28 +75,31 @@
 	log       *slog.Logger
 	runtime   wazero.Runtime
 	compiled  wazero.CompiledModule
-	instances chan *instance // one for each instance; nil where it is not set up yet
+	instances chan *instance // the free ones; nil stands for one that is not created yet
 	now       func() time.Time
 
 	mu      sync.Mutex
 	breaker *limits.Breaker
 
-	// Counters, by hook where it matters.
+	// Counters since the plug-in was loaded.
 	calls, failures [abi.Hooks]atomic.Int64
-	cpuNanos        atomic.Int64 // nanoseconds
-	loadErr         error        // why it could not be loaded
+	cpuNanos        atomic.Int64 // CPU time of all calls
+	loadErr         error        // why it could not be loaded; nil if it was
 }
 
+// instance is an instantiated module. It makes one call at a time.
 type instance struct {
 	module api.Module
 	alloc  api.Function
 	hooks  [abi.Hooks]api.Function
 }
 
-// Load compiles a plug-in and sets up its first instance. Where that fails, the plug-in is returned all the same beside the error:
-// every call fails, so that what becomes of its messages follows from the operator's rule.
+// Load compiles a plug-in and creates its first instance. If that fails, it returns the error
+// together with a plug-in whose calls all fail, so that the operator's rule decides about its
+// messages.
 func Load(ctx context.Context, s Spec, log *slog.Logger) (*Plugin, error) {
-	p := &Plugin{Spec: s, log: log, now: time.Now, breaker: limits.NewBreaker(s.Breaker), instances: make(chan *instance, s.Budget.Instances)}
+	p := &Plugin{Spec: s, log: log, now: time.Now, breaker: limits.NewBreaker(s.Breaker),
+		instances: make(chan *instance, s.Budget.Instances)}
 	ctx, cancel := context.WithTimeout(ctx, s.Budget.LoadTimeout)
 	defer cancel()
 	if err := p.load(ctx); err != nil {
@@ -106,12 +110,14 @@
 	return p, nil
 }
 
+// load compiles the module, checks its exports and creates the first instance.
 func (p *Plugin) load(ctx context.Context) error {
 	code, err := os.ReadFile(p.Path)
 	if err != nil {
 		return err
 	}
-	p.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().WithCloseOnContextDone(true).WithMemoryLimitPages(p.Budget.MemoryPages))
+	p.runtime = wazero.NewRuntimeWithConfig(ctx,
+		wazero.NewRuntimeConfig().WithCloseOnContextDone(true).WithMemoryLimitPages(p.Budget.MemoryPages))
 	if _, err := wasi_snapshot_preview1.Instantiate(ctx, p.runtime); err != nil {
 		return err
 	}
@@ -132,7 +138,8 @@
 	return nil
 }
 
-// checkExports checks that the module has what the ABI asks for.
+// checkExports checks that the module has the exports that the ABI and the configured hooks
+// require.
 func (p *Plugin) checkExports() error {
 	functions, i32, i64 := p.compiled.ExportedFunctions(), api.ValueTypeI32, api.ValueTypeI64
 	need := func(name string, params []api.ValueType, result api.ValueType) error {
@@ -141,7 +148,7 @@
 			return fmt.Errorf("%w: export %s is missing", ErrABI, name)
 		}
 		if !slices.Equal(f.ParamTypes(), params) || !slices.Equal(f.ResultTypes(), []api.ValueType{result}) {
-			return fmt.Errorf("%w: export %s has another type", ErrABI, name)
+			return fmt.Errorf("%w: export %s has the wrong type", ErrABI, name)
 		}
 		return nil
 	}
@@ -155,9 +162,10 @@
 	return err
 }
 
-// instantiate sets up an instance within what is left of ctx.
+// instantiate creates an instance before ctx ends.
 func (p *Plugin) instantiate(ctx context.Context) (*instance, error) {
-	m, err := p.runtime.InstantiateModule(ctx, p.compiled, wazero.NewModuleConfig().WithName("").WithStartFunctions("_initialize", "_start"))
+	m, err := p.runtime.InstantiateModule(ctx, p.compiled,
+		wazero.NewModuleConfig().WithName("").WithStartFunctions("_initialize", "_start"))
 	if err != nil {
 		return nil, budgetError(ctx, err)
 	}
@@ -167,7 +175,7 @@
 	}
 	v, err := m.ExportedFunction(abi.ExportVersion).Call(ctx)
 	if err == nil && uint32(v[0]) != abi.Version {
-		err = fmt.Errorf("%w: it is for version %d, this is %d", ErrABI, uint32(v[0]), abi.Version)
+		err = fmt.Errorf("%w: it is built for version %d, not %d", ErrABI, uint32(v[0]), abi.Version)
 	}
 	if err != nil {
 		m.Close(context.Background())
@@ -176,7 +184,7 @@
 	return i, nil
 }
 
-// budgetError says that time was the cause where it was.
+// budgetError returns ErrTimeBudget with its cause if ctx has ended, else err.
 func budgetError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", ErrTimeBudget, context.Cause(ctx))
@@ -184,8 +192,8 @@
 	return err
 }
 
-// Call asks the plug-in at a hook. An error means that the output changes nothing; it has been counted and may have taken
-// the plug-in out.
+// Call calls a hook. On an error the output changes nothing. Call counts the failure, which may
+// disable the plug-in.
 func (p *Plugin) Call(h abi.Hook, input []byte) (limits.Output, error) {
 	p.calls[h].Add(1)
 	out, err := p.call(h, input)
@@ -195,6 +203,7 @@
 	return out, err
 }
 
+// call makes one call if the circuit breaker allows it, and records its result there.
 func (p *Plugin) call(h abi.Hook, input []byte) (limits.Output, error) {
 	none := limits.Output{Outcome: -1}
 	if p.loadErr != nil {
@@ -208,7 +217,7 @@
 	}
 	i, err := p.acquireInstance()
 	if err != nil {
-		// Guards against taking a plug-in out because many ask it at once: that says nothing of its calls.
+		// A lack of free instances is no failure of the plug-in.
 		p.mu.Lock()
 		p.breaker.Cancel(permit)
 		p.mu.Unlock()
@@ -221,14 +230,15 @@
 	p.mu.Unlock()
 	switch transition {
 	case limits.Opened:
-		p.log.Error("plug-in taken out", "plugin", p.Name, "hook", h.String(), "err", err)
+		p.log.Error("plug-in disabled after failed calls", "plugin", p.Name, "hook", h.String(), "err", err)
 	case limits.Closed:
-		p.log.Info("plug-in serves again", "plugin", p.Name)
+		p.log.Info("plug-in enabled again after successful trial calls", "plugin", p.Name)
 	}
 	return out, err
 }
 
-// acquireInstance waits for a free instance; nil is a place for one that is not set up.
+// acquireInstance waits for a free instance, up to Budget.InstanceTimeout. nil stands for one that
+// is not created yet.
 func (p *Plugin) acquireInstance() (*instance, error) {
 	select {
 	case i := <-p.instances:
@@ -245,10 +255,11 @@
 	}
 }
 
-// runOn makes one call on i and returns the instance for the next one: nil after a failure, since its memory may be in any state.
+// runOn makes one call on i and returns the instance for the next call: nil after a failure, since
+// its memory may be in any state.
 func (p *Plugin) runOn(i *instance, h abi.Hook, input []byte) (out limits.Output, next *instance, err error) {
 	defer func() {
-		// Guards against a defect of the engine: it ends this call only.
+		// A panic in the WebAssembly engine fails this call only.
 		if r := recover(); r != nil {
 			err = fmt.Errorf("panic: %v", r)
 		}
@@ -260,7 +271,8 @@
 		}
 	}()
 	if i == nil {
-		// A set-up has a bound of its own: it comes after a failure, or with the first calls that come at once.
+		// The creation of an instance does not count against the call's budget. It follows a failed
+		// call or the first concurrent calls.
 		ctx, cancel := context.WithTimeout(context.Background(), min(p.Budget.LoadTimeout, maxSetupTime))
 		defer cancel()
 		if i, err = p.instantiate(ctx); err != nil {
@@ -274,7 +286,7 @@
 		return out, nil, budgetError(ctx, err)
 	}
 	if !i.module.Memory().Write(uint32(at[0]), input) {
-		return out, nil, fmt.Errorf("%w: %s gave room outside the memory", ErrABI, abi.ExportAlloc)
+		return out, nil, fmt.Errorf("%w: %s returned an address outside the memory", ErrABI, abi.ExportAlloc)
 	}
 	res, err := i.hooks[h].Call(ctx, at[0], uint64(len(input)))
 	if err != nil {
@@ -282,23 +294,24 @@
 	}
 	from, size := abi.Unpack(res[0])
 	if int64(size) > int64(p.Budget.MaxOutputBytes) {
-		return out, nil, fmt.Errorf("%w: %d bytes, over %d", limits.ErrOutput, size, p.Budget.MaxOutputBytes)
+		return out, nil, fmt.Errorf("%w: %d bytes, more than %d", limits.ErrOutput, size, p.Budget.MaxOutputBytes)
 	}
 	raw, ok := i.module.Memory().Read(from, size)
 	if !ok {
-		return out, nil, fmt.Errorf("%w: it lies outside the memory", limits.ErrOutput)
+		return out, nil, fmt.Errorf("%w: its position is outside the memory", limits.ErrOutput)
 	}
 	out, err = limits.CheckOutput(h, raw) // copies what it keeps
 	return out, i, err
 }
 
-// Counts are the calls and failures of a plug-in since it was loaded, and the CPU time that its calls took.
+// Counts are the calls and failures by hook since the plug-in was loaded, and the CPU time of all
+// calls.
 type Counts struct {
 	Calls, Failures [abi.Hooks]int64
 	CPU             time.Duration
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (p *Plugin) Counts() (c Counts) {
 	for h := range abi.Hooks {
 		c.Calls[h], c.Failures[h] = p.calls[h].Load(), p.failures[h].Load()
@@ -307,29 +320,31 @@
 	return c
 }
 
-// Disabled tells whether it is taken out or on trial.
+// Disabled reports whether the circuit breaker is open or half-open.
 func (p *Plugin) Disabled() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.breaker.IsOpen() }
 
-// ExportedHooks returns the hooks that the module exports.
+// ExportedHooks returns the hooks that the module exports with the right types.
 func (p *Plugin) ExportedHooks() (hooks []abi.Hook) {
 	for h := abi.Hook(0); h < abi.Hooks; h++ {
 		if f, ok := p.compiled.ExportedFunctions()[h.String()]; ok &&
-			slices.Equal(f.ParamTypes(), []api.ValueType{api.ValueTypeI32, api.ValueTypeI32}) && slices.Equal(f.ResultTypes(), []api.ValueType{api.ValueTypeI64}) {
+			slices.Equal(f.ParamTypes(), []api.ValueType{api.ValueTypeI32, api.ValueTypeI32}) &&
+			slices.Equal(f.ResultTypes(), []api.ValueType{api.ValueTypeI64}) {
 			hooks = append(hooks, h)
 		}
 	}
 	return hooks
 }
 
-// Cost is what calls took.
+// Cost is the cost of calls.
 type Cost struct {
-	Wall, CPU time.Duration // of one call, in the mean
+	Wall, CPU time.Duration // mean of one call
 	Memory    uint32        // of the instance, in bytes
 }
 
-// Measure makes so many calls for a plug-in's author, the first one not counted in the cost if there are more. It returns the
-// last output.
-func (p *Plugin) Measure(h abi.Hook, message *Message, answer Answer, times int) (out limits.Output, cost Cost, err error) {
+// Measure makes several calls and returns the last output and the cost. The cost excludes the first
+// call if there are more. It serves the command line tools for plug-in authors.
+func (p *Plugin) Measure(h abi.Hook, message *Message, answer Answer, times int) (out limits.Output, cost Cost,
+	err error) {
 	input := p.encodeMessage(message, message.Body, 0)
 	if h == abi.ReadAnswer {
 		input = p.encodeAnswer(message, answer)
@@ -351,7 +366,7 @@
 	return out, cost, nil
 }
 
-// StatusOutcome is what a status means without a plug-in.
+// StatusOutcome returns the outcome that the relay infers from a status.
 func StatusOutcome(status int) int {
 	switch status {
 	case 200:
@@ -362,7 +377,7 @@
 	return abi.MayHave
 }
 
-// Close lets go of all instances and the code. No call may be out.
+// Close releases all instances and the compiled module. No call may be in flight.
 func (p *Plugin) Close() {
 	if p.runtime != nil {
 		p.runtime.Close(context.Background())
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -25,9 +25,13 @@
 	if err := os.WriteFile(path, code, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Spec{Name: "m", Path: path, Hooks: hooks, OnFailure: map[string]limits.FailureAction{"price-alert": limits.Pass, "order-relay": limits.Refuse, "fee-charge": limits.Fail},
-		Breaker: limits.BreakerConfig{FailureThreshold: 3, OpenTime: time.Minute, MaxOpenTime: time.Hour, RequiredTrials: 2},
-		Budget:  Budget{Wall: time.Second, CPU: 20 * time.Millisecond, MemoryPages: 8, MaxOutputBytes: 72 << 10, Instances: 1, InstanceTimeout: time.Millisecond, LoadTimeout: 10 * time.Second}}
+	return Spec{Name: "m", Path: path, Hooks: hooks,
+		OnFailure: map[string]limits.FailureAction{"price-alert": limits.Pass, "order-relay": limits.Refuse,
+			"fee-charge": limits.Fail},
+		Breaker: limits.BreakerConfig{FailureThreshold: 3, OpenTime: time.Minute, MaxOpenTime: time.Hour,
+			RequiredTrials: 2},
+		Budget: Budget{Wall: time.Second, CPU: 20 * time.Millisecond, MemoryPages: 8, MaxOutputBytes: 72 << 10,
+			Instances: 1, InstanceTimeout: time.Millisecond, LoadTimeout: 10 * time.Second}}
 }
 
 func loadPlugin(t testing.TB, s Spec) *Plugin {
@@ -46,8 +50,8 @@
 
 var allHooks = []abi.Hook{abi.OnHandIn, abi.ShapeRequest, abi.ReadAnswer}
 
-// Every fault at every hook ends the call with an error and nothing else; the plug-in is taken out after three, asked once more
-// after its pause, and taken out again.
+// Each fault at each hook fails the call and changes nothing. The plug-in is disabled after three
+// failures, tried once after the pause, and disabled again.
 func TestFaults(t *testing.T) {
 	for _, h := range allHooks {
 		for name, m := range wasm.Faults(h.String()) {
@@ -57,7 +61,8 @@
 			input := p.encodeMessage(testMessage("fee-charge"), []byte("a body"), 0)
 			for n := range 3 {
 				out, err := p.Call(h, input)
-				if err == nil || errors.Is(err, ErrDisabled) || out.Body != nil || out.Headers != nil || out.Outcome != -1 || out.Verdict != abi.Take {
+				if err == nil || errors.Is(err, ErrDisabled) || out.Body != nil || out.Headers != nil ||
+					out.Outcome != -1 || out.Verdict != abi.Take {
 					t.Errorf("%s, %s, call %d: %+v, %v", h, name, n, out, err)
 				}
 				if name == "loops" && !errors.Is(err, ErrTimeBudget) {
@@ -65,14 +70,14 @@
 				}
 			}
 			if _, err := p.Call(h, input); !errors.Is(err, ErrDisabled) || !p.Disabled() {
-				t.Errorf("%s, %s: not taken out: %v", h, name, err)
+				t.Errorf("%s, %s: not disabled: %v", h, name, err)
 			}
 			now = now.Add(time.Minute)
 			if _, err := p.Call(h, input); err == nil || errors.Is(err, ErrDisabled) {
 				t.Errorf("%s, %s: no trial after the pause: %v", h, name, err)
 			}
 			if _, err := p.Call(h, input); !errors.Is(err, ErrDisabled) {
-				t.Errorf("%s, %s: served on after a failed trial: %v", h, name, err)
+				t.Errorf("%s, %s: still enabled after a failed trial: %v", h, name, err)
 			}
 			if c := p.Counts(); c.Calls[h] != 6 || c.Failures[h] != 6 {
 				t.Errorf("%s, %s: counts %+v", h, name, c)
@@ -81,7 +86,7 @@
 	}
 }
 
-// What can't load is named, and fails each message by its rule.
+// A module that can't be loaded is named in the error, and the failure rules apply to its messages.
 func TestBrokenModules(t *testing.T) {
 	for name, code := range wasm.Broken("shape_request") {
 		s := testSpec(t, code, abi.ShapeRequest)
@@ -106,7 +111,7 @@
 	}
 }
 
-// A plug-in that loops is stopped by its CPU time, long before its wall time.
+// A plug-in that loops is stopped by its CPU budget, or by its wall time budget.
 func TestCPUBudget(t *testing.T) {
 	s := testSpec(t, wasm.Does("shape_request", wasm.Forever()).Bytes(), abi.ShapeRequest)
 	s.Budget.Wall = time.Hour
@@ -118,14 +123,16 @@
 	if c := p.Counts(); c.CPU < s.Budget.CPU {
 		t.Errorf("%v of CPU time counted", c.CPU)
 	}
-	s.Budget = Budget{Wall: 20 * time.Millisecond, CPU: time.Hour, MemoryPages: 8, MaxOutputBytes: 100, Instances: 1, InstanceTimeout: time.Millisecond, LoadTimeout: time.Second}
+	s.Budget = Budget{Wall: 20 * time.Millisecond, CPU: time.Hour, MemoryPages: 8, MaxOutputBytes: 100, Instances: 1,
+		InstanceTimeout: time.Millisecond, LoadTimeout: time.Second}
 	p = loadPlugin(t, s)
-	if _, err := p.Call(abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil, 0)); !errors.Is(err, ErrTimeBudget) || !strings.Contains(err.Error(), "wall") {
+	if _, err := p.Call(abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil, 0)); !errors.Is(err,
+		ErrTimeBudget) || !strings.Contains(err.Error(), "wall") {
 		t.Error(err)
 	}
 }
 
-// While its one instance is taken, further calls are pushed back, which does not take the plug-in out.
+// Calls without a free instance are rejected, which does not disable the plug-in.
 func TestOverload(t *testing.T) {
 	p := loadPlugin(t, testSpec(t, wasm.Noop().Bytes(), abi.ShapeRequest))
 	input := p.encodeMessage(testMessage("fee-charge"), nil, 0)
@@ -137,11 +144,12 @@
 	}
 	p.instances <- taken
 	if _, err := p.Call(abi.ShapeRequest, input); err != nil || p.Disabled() {
-		t.Errorf("%v, out %v", err, p.Disabled())
+		t.Errorf("%v, disabled %v", err, p.Disabled())
 	}
 }
 
-// Ten plug-ins that each take all the memory they can get stay within their bounds, and others go on.
+// Ten plug-ins that allocate as much memory as they can stay within their limits, and other
+// plug-ins keep working.
 func TestMemoryLimit(t *testing.T) {
 	var specs []Spec
 	for n := range 10 {
@@ -169,8 +177,9 @@
 				}
 			}
 			m := i.module.Memory()
-			if _, _, err := p.runOn(i, abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil, 0)); err == nil {
-				t.Error("it did not fail")
+			if _, _, err := p.runOn(i, abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil,
+				0)); err == nil {
+				t.Error("the call did not fail")
 			}
 			if size := m.Size(); size > 16*PageSize {
 				t.Errorf("%d bytes", size)
@@ -186,14 +195,16 @@
 	all.Wait()
 }
 
-// What one hook notes reaches the next; plug-ins are asked in order, and only for what they match.
+// Notes reach the later hooks; plug-ins are called in order, and only for messages that they match.
 func TestChain(t *testing.T) {
 	note := testSpec(t, wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
-	one := testSpec(t, wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body, "one")).Bytes(), abi.ShapeRequest)
+	one := testSpec(t, wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body,
+		"one")).Bytes(), abi.ShapeRequest)
 	two := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
 	other := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
 	other.Dests = []int{8}
-	late := testSpec(t, wasm.Says("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
+	late := testSpec(t, wasm.Says("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave),
+		abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
 	set, err := LoadSet(context.Background(), []Spec{note, one, other, two, late}, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -208,18 +219,20 @@
 	if failed != nil || string(body) != "one" || fmt.Sprint(headers) != "[[X-A 1] [X-A 2]]" {
 		t.Errorf("%q, %v, %v", body, headers, failed)
 	}
-	for was, want := range map[int]int{abi.Delivered: abi.MayHave, abi.NeverRan: abi.MayHave, abi.MayHave: abi.MayHave} {
-		if o, w := set.ReadAnswer(m, Answer{Status: 200, Outcome: was, Wait: 300 * time.Millisecond}); o != want || w != 500*time.Millisecond {
+	for was, want := range map[int]int{abi.Delivered: abi.MayHave, abi.NeverRan: abi.MayHave,
+		abi.MayHave: abi.MayHave} {
+		if o, w := set.ReadAnswer(m, Answer{Status: 200, Outcome: was, Wait: 300 * time.Millisecond}); o != want ||
+			w != 500*time.Millisecond {
 			t.Errorf("%d became %d, wait %v", was, o, w)
 		}
 	}
 }
 
-// A set that is replaced stays whole for those who use it, and goes with the last of them.
+// A replaced set stays usable until its last user releases it.
 func TestReplacedWhileUsed(t *testing.T) {
 	h := &Holder{}
 	if h.Acquire() != nil {
-		t.Fatal("a set from nowhere")
+		t.Fatal("an empty holder returned a set")
 	}
 	loadBody := func(body string) *Set {
 		one := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, body)).Bytes(), abi.ShapeRequest)
@@ -248,7 +261,7 @@
 			for range 50 {
 				if s := h.Acquire(); s != nil {
 					if got := shapedBody(s); got == "" {
-						t.Error("a set that is gone was used")
+						t.Error("a closed set was returned")
 					}
 					s.Release()
 				}
@@ -262,10 +275,12 @@
 	h.Replace(nil)
 }
 
-// The cost of a message at the hook of a route step: no plug-in, one that changes nothing, one that writes a body.
+// BenchmarkShape measures shape_request: without a plug-in, with one that changes nothing, with one
+// that sets a body.
 func BenchmarkShape(b *testing.B) {
 	for name, m := range map[string]*wasm.Module{"none": nil, "noop": ptr(wasm.Noop()),
-		"rewrite": ptr(wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)), abi.Header, "X-Form: 2")))} {
+		"rewrite": ptr(wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)),
+			abi.Header, "X-Form: 2")))} {
 		b.Run(name, func(b *testing.B) {
 			h := &Holder{}
 			if m != nil {
--- a/internal/plugin/set.go
+++ b/internal/plugin/set.go
@@ -13,14 +13,16 @@
 	"oatfold/plugin/abi"
 )
 
-// Set is the plug-ins of one configuration, asked in its order. Whoever asks holds it by Holder.Use.
+// Set is the plug-ins of one configuration, called in its order. It is reference-counted: see
+// Holder.Acquire.
 type Set struct {
 	plugins []*Plugin
 	log     *slog.Logger
-	refs    atomic.Int64 // one of the holder, and one of each user
+	refs    atomic.Int64 // one of the holder and one of each user
 }
 
-// LoadSet loads plug-ins. Those that fail are part of the set, and fail each message; the error names them.
+// LoadSet loads plug-ins. Those that can't be loaded are part of the set and fail all their calls;
+// the error names them.
 func LoadSet(ctx context.Context, specs []Spec, log *slog.Logger) (*Set, error) {
 	s := &Set{log: log}
 	s.refs.Store(1)
@@ -38,7 +40,7 @@
 // Plugins returns the plug-ins of the set in order.
 func (s *Set) Plugins() []*Plugin { return s.plugins }
 
-// Release lets the set go; the last one out closes it.
+// Release drops a reference. The last one closes the plug-ins.
 func (s *Set) Release() {
 	if s != nil && s.refs.Add(-1) == 0 {
 		for _, p := range s.plugins {
@@ -47,10 +49,11 @@
 	}
 }
 
-// Holder has the set in force.
+// Holder holds the current set. Its methods are safe for concurrent use.
 type Holder struct{ set atomic.Pointer[Set] }
 
-// Acquire returns the set in force, nil if there is none. It stays whole until Done, also where another one comes into force.
+// Acquire returns the current set, or nil if there is none. The set stays usable until Release,
+// even if it is replaced.
 func (h *Holder) Acquire() *Set {
 	for h != nil {
 		s := h.set.Load()
@@ -62,29 +65,32 @@
 				return s
 			}
 		}
-		// It was replaced and closed between the two loads.
+		// The set was replaced and closed between the two loads.
 	}
 	return nil
 }
 
-// Replace brings a set into force; nil is none. The one before goes once its last user has let it go.
+// Replace makes s the current set; nil stands for none. The previous set is closed when its last
+// user releases it.
 func (h *Holder) Replace(s *Set) { h.set.Swap(s).Release() }
 
-// Message is what plug-ins are told of a message.
+// Message is the part of a message that plug-ins receive.
 type Message struct {
 	Class, Kind, ID, Key string
-	Dest, Attempt        int // Attempt: -1 with HandIn
+	Dest, Attempt        int // Attempt: number of the attempt, from 0; -1 in on_handin
 	TimeLeft             time.Duration
-	Notes                []byte // fields, as earlier hooks left them
+	Notes                []byte // encoded fields, set by earlier hooks
 	Body                 []byte
 }
 
+// matches reports whether the plug-in is to be called at the hook for m.
 func (p *Plugin) matches(h abi.Hook, m *Message) bool {
 	return slices.Contains(p.Hooks, h) && (len(p.Classes) == 0 || slices.Contains(p.Classes, m.Class)) &&
-		(len(p.Dests) == 0 || slices.Contains(p.Dests, m.Dest)) && (len(p.Kinds) == 0 || slices.Contains(p.Kinds, m.Kind))
+		(len(p.Dests) == 0 || slices.Contains(p.Dests, m.Dest)) &&
+		(len(p.Kinds) == 0 || slices.Contains(p.Kinds, m.Kind))
 }
 
-// encodeMessage writes the fields of a message, with room for more of that size.
+// encodeMessage returns the fields of m with this body, with capacity for extra more bytes.
 func (p *Plugin) encodeMessage(m *Message, body []byte, extra int) []byte {
 	b := make([]byte, 0, 160+len(m.Class)+len(m.Kind)+len(m.ID)+len(m.Key)+len(m.Notes)+len(p.Setting)+len(body)+extra)
 	b = abi.Append(b, abi.Class, m.Class)
@@ -106,7 +112,7 @@
 	return abi.Append(append(b, m.Notes...), abi.Body, body)
 }
 
-// encodeAnswer writes the fields of a message and of the answer to its route step.
+// encodeAnswer returns the fields of a message and of the answer to its attempt.
 func (p *Plugin) encodeAnswer(m *Message, a Answer) []byte {
 	b := p.encodeMessage(m, a.Body, 256)
 	b = abi.AppendNumber(abi.AppendNumber(b, abi.Status, int64(a.Status)), abi.Outcome, int64(a.Outcome))
@@ -117,7 +123,7 @@
 	return b
 }
 
-// CallError says that a plug-in failed a message, and what the operator wants then.
+// CallError is a failed call and the action that the operator has configured for it.
 type CallError struct {
 	Plugin string
 	Action limits.FailureAction
@@ -128,29 +134,31 @@
 
 func (e *CallError) Unwrap() error { return e.Err }
 
-// handleFailure logs a failure; nil where the message goes on all the same.
+// handleFailure logs a failed call. It returns nil if the message is to be processed without the
+// plug-in.
 func (s *Set) handleFailure(p *Plugin, h abi.Hook, m *Message, err error) *CallError {
 	action := p.FailureAction(m.Class)
 	level := slog.LevelWarn
 	if errors.Is(err, ErrDisabled) || errors.Is(err, ErrNotLoaded) {
-		level = slog.LevelDebug // that was said when it was taken out, or not loaded
+		level = slog.LevelDebug // already logged when the plug-in was disabled or not loaded
 	}
-	s.log.Log(context.Background(), level, "plug-in failed", "plugin", p.Name, "hook", h.String(), "message", m.ID, "class", m.Class, "then", action.String(), "err", err)
+	s.log.Log(context.Background(), level, "plug-in call failed", "plugin", p.Name, "hook", h.String(), "message",
+		m.ID, "class", m.Class, "then", action.String(), "err", err)
 	if action == limits.Pass {
 		return nil
 	}
 	return &CallError{p.Name, action, err}
 }
 
-// HandInDecision is what plug-ins say to a message that comes in.
+// HandInDecision is the decision of the plug-ins about a submitted message.
 type HandInDecision struct {
-	Verdict int
-	Wait    time.Duration // Refuse: until it may come again; 0: as the settings say
-	Reason  string
-	Notes   []byte
+	Verdict int           // one of package abi
+	Wait    time.Duration // with abi.Refuse: Retry-After; 0: by the settings
+	Reason  string        // of a rejection
+	Notes   []byte        // encoded fields for the later hooks
 }
 
-// OnHandIn asks about a message that comes in.
+// OnHandIn calls the on_handin hooks for a submitted message. The first rejection is final.
 func (s *Set) OnHandIn(m *Message) HandInDecision {
 	a := HandInDecision{Verdict: abi.Take}
 	for _, p := range s.plugins {
@@ -160,7 +168,8 @@
 		out, err := p.Call(abi.OnHandIn, p.encodeMessage(m, m.Body, 0))
 		if err != nil {
 			if f := s.handleFailure(p, abi.OnHandIn, m, err); f != nil {
-				return HandInDecision{Verdict: map[limits.FailureAction]int{limits.Refuse: abi.Refuse, limits.Fail: abi.Reject}[f.Action], Reason: "plug-in " + p.Name + " failed"}
+				return HandInDecision{Verdict: map[limits.FailureAction]int{limits.Refuse: abi.Refuse,
+					limits.Fail: abi.Reject}[f.Action], Reason: "plug-in " + p.Name + " failed"}
 			}
 			continue
 		}
@@ -168,17 +177,19 @@
 			return HandInDecision{Verdict: out.Verdict, Wait: out.Wait, Reason: out.Reason}
 		}
 		if m.Notes = append(m.Notes, out.Notes...); len(m.Notes) > MaxNotesBytes {
-			return HandInDecision{Verdict: abi.Reject, Reason: fmt.Sprintf("notes of more than %d bytes", MaxNotesBytes)}
+			return HandInDecision{Verdict: abi.Reject, Reason: fmt.Sprintf("notes of more than %d bytes",
+				MaxNotesBytes)}
 		}
 	}
 	a.Notes = m.Notes
 	return a
 }
 
-// MaxNotesBytes bounds the notes of a message, in bytes.
+// MaxNotesBytes bounds the encoded notes of a message.
 const MaxNotesBytes = 2 << 10
 
-// ShapeRequest asks for the body and the headers of a route step.
+// ShapeRequest calls the shape_request hooks for an attempt and returns its body and additional
+// headers.
 func (s *Set) ShapeRequest(m *Message) (body []byte, headers [][2]string, failed *CallError) {
 	body = m.Body
 	for _, p := range s.plugins {
@@ -200,17 +211,17 @@
 	return body, headers, nil
 }
 
-// Answer is what came back for a route step.
+// Answer is the destination's answer to an attempt.
 type Answer struct {
 	Status  int
-	Headers [][2]string
+	Headers [][2]string // name and value
 	Body    []byte
-	Outcome int // of abi
-	Wait    time.Duration
+	Outcome int           // one of package abi
+	Wait    time.Duration // Retry-After
 }
 
-// ReadAnswer asks what an answer means. A plug-in that fails changes nothing, whatever the operator's rule says of it: what has
-// run has run.
+// ReadAnswer calls the read_answer hooks and returns the resulting outcome and Retry-After. A
+// failed call changes nothing, whatever the operator's rule: the message has already been sent.
 func (s *Set) ReadAnswer(m *Message, a Answer) (outcome int, wait time.Duration) {
 	for _, p := range s.plugins {
 		if !p.matches(abi.ReadAnswer, m) {
@@ -224,13 +235,14 @@
 		before := a.Outcome
 		a.Outcome, a.Wait = limits.MergeOutcome(a.Outcome, out.Outcome), limits.MergeWait(a.Wait, out.Wait)
 		if a.Outcome != before {
-			s.log.Info("plug-in read an answer otherwise", "plugin", p.Name, "message", m.ID, "status", a.Status, "reason", out.Reason)
+			s.log.Info("plug-in changed the outcome of an answer", "plugin", p.Name, "message", m.ID, "status",
+				a.Status, "reason", out.Reason)
 		}
 	}
 	return a.Outcome, a.Wait
 }
 
-// HasHook tells whether any plug-in has that hook.
+// HasHook reports whether any plug-in is configured for the hook.
 func (s *Set) HasHook(h abi.Hook) bool {
 	return slices.ContainsFunc(s.plugins, func(p *Plugin) bool { return slices.Contains(p.Hooks, h) })
 }
--- a/internal/plugin/watch_linux.go
+++ b/internal/plugin/watch_linux.go
@@ -10,10 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// threadClock is the clock of the CPU time of a thread of this process, as clock_gettime(2) takes it (CPUCLOCK_SCHED of
-// one thread).
+// threadClock returns the id of the CPU time clock of a thread of this process for
+// clock_gettime(2): CPUCLOCK_SCHED of one thread.
 func threadClock(tid int) int32 { return int32(^tid<<3 | 6) }
 
+// threadCPUTime returns the CPU time of a thread so far.
 func threadCPUTime(clock int32) time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(clock, &ts) != nil {
@@ -22,8 +23,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// limitTime returns a context that ends when a call on this goroutine has spent its wall time or its CPU time. The goroutine
-// keeps its thread until end is called, which also books the CPU time to spent.
+// limitTime returns a context that ends when a call on this goroutine has used up its wall time or
+// its CPU time. The goroutine is locked to its thread until it calls end, which also adds the CPU
+// time to cpuUsed.
 func limitTime(b Budget, cpuUsed *atomic.Int64) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	ctx, cancelWall := context.WithTimeoutCause(ctx, b.Wall, fmt.Errorf("%v of wall time", b.Wall))
@@ -32,7 +34,7 @@
 	usedBefore := threadCPUTime(clock)
 	var timer *time.Timer
 	if b.CPU < b.Wall {
-		// A call can't spend more CPU time than wall time, so that the first look comes when it could have spent its all.
+		// A call can't use more CPU time than wall time, so the first check is due after b.CPU.
 		timer = time.AfterFunc(time.Hour, func() {
 			if remaining := b.CPU - (threadCPUTime(clock) - usedBefore); remaining > 0 {
 				timer.Reset(max(remaining, time.Millisecond))
@@ -40,7 +42,7 @@
 				cancel(fmt.Errorf("%v of CPU time", b.CPU))
 			}
 		})
-		timer.Reset(b.CPU) // only now, that the function finds timer set
+		timer.Reset(b.CPU) // not in AfterFunc, since the function uses timer
 	}
 	return ctx, func() {
 		if timer != nil {
--- a/internal/plugin/watch_other.go
+++ b/internal/plugin/watch_other.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// limitTime bounds the wall time only: a thread's CPU time can't be read here.
+// limitTime bounds the wall time only, which it also counts as CPU time: this system has no CPU
+// clock of a thread.
 func limitTime(b Budget, cpuUsed *atomic.Int64) (ctx context.Context, end func()) {
 	startedAt := time.Now()
 	ctx, cancel := context.WithTimeoutCause(context.Background(), b.Wall, fmt.Errorf("%v of wall time", b.Wall))
--- a/plugin/examples/brokerform/main.go
+++ b/plugin/examples/brokerform/main.go
@@ -1,6 +1,7 @@
-// Command brokerform is a plug-in that puts an order into the form of one broker: the body, a JSON object, goes into an
-// envelope with a reference and the broker's own names. The operator's setting holds them, as OURS=THEIRS with commas
-// between: "amount=qty,account=acct".
+// Command brokerform is a plug-in that converts an order to the format of a broker: it renames
+// members of the JSON object in the body and wraps it in an envelope with a reference. The
+// operator's setting lists the names as OURS=THEIRS, separated by commas:
+// "amount=qty,account=acct".
 package main
 
 import (
@@ -18,7 +19,7 @@
 func shapeRequest(m *plugin.Message) (plugin.Shape, error) {
 	var order map[string]json.RawMessage
 	if err := json.Unmarshal(m.Body, &order); err != nil {
-		return plugin.Shape{}, fmt.Errorf("the order is no JSON object: %w", err)
+		return plugin.Shape{}, fmt.Errorf("the order is not a JSON object: %w", err)
 	}
 	for _, pair := range strings.Split(m.Setting, ",") {
 		ours, theirs, ok := strings.Cut(pair, "=")
--- a/plugin/examples/gatekeeper/main.go
+++ b/plugin/examples/gatekeeper/main.go
@@ -1,5 +1,6 @@
-// Command gatekeeper is a plug-in that rejects what lacks a field: the body must be a JSON object with all that the
-// operator's setting names ("account,amount"). The first of them is noted for the later hooks.
+// Command gatekeeper is a plug-in that rejects messages with missing fields: the body must be a
+// JSON object with all members that the operator's setting names ("account,amount"). The first of
+// them becomes a note for the later hooks.
 package main
 
 import (
--- a/plugin/examples/softreject/main.go
+++ b/plugin/examples/softreject/main.go
@@ -1,5 +1,6 @@
-// Command softreject is a plug-in for partners that answer 200 to what they did not do: {"status":"busy","retry_ms":800}.
-// What they answer so may have run; the wait binds as a told one.
+// Command softreject is a plug-in for partners that reject requests with status 200 and a body like
+// {"status":"busy","retry_ms":800}. It reports that the message may have run, and the wait as
+// Retry-After.
 package main
 
 import (
@@ -23,7 +24,8 @@
 	}
 	switch partner.Status {
 	case "busy", "rejected":
-		return plugin.Reading{Unsure: true, Wait: time.Duration(partner.RetryMs) * time.Millisecond, Reason: "partner says " + partner.Status}, nil
+		return plugin.Reading{Unsure: true, Wait: time.Duration(partner.RetryMs) * time.Millisecond,
+			Reason: "partner says " + partner.Status}, nil
 	}
 	return plugin.Reading{}, nil
 }
--- a/plugin/export_wasip1.go
+++ b/plugin/export_wasip1.go
@@ -6,7 +6,8 @@
 	"oatfold/plugin/abi"
 )
 
-// input and output are kept here so that they stay where the host was told. The host makes one call at a time.
+// input and output are package variables so that the garbage collector keeps them while the host
+// reads or writes them. The host makes one call at a time.
 var input, output []byte
 
 //go:wasmexport oatfold_abi
@@ -21,6 +22,7 @@
 	return address(input)
 }
 
+// address returns where b lies in the memory of the module.
 func address(b []byte) uint32 { return uint32(uintptr(unsafe.Pointer(unsafe.SliceData(b)))) }
 
 //go:wasmexport on_handin
@@ -32,6 +34,8 @@
 //go:wasmexport read_answer
 func exportReadAnswer(at, size uint32) uint64 { return runExport(abi.ReadAnswer, size) }
 
+// runExport runs a hook on the first size bytes of input and returns the packed position of its
+// output.
 func runExport(h abi.Hook, size uint32) uint64 {
 	out, err := runHook(h, input[:size])
 	if err != nil {
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -1,4 +1,4 @@
-// Package plugin is what authors of plug-ins write against in Go. A plug-in is a program of this form:
+// Package plugin is the Go SDK for plug-ins. A plug-in is a program of this form:
 //
 //	package main
 //
@@ -12,10 +12,12 @@
 //
 //	func main() {}
 //
-// built with GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o form.wasm. Other languages target package abi.
+// It is built with GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o form.wasm. Other languages implement the
+// ABI of package abi.
 //
-// Handlers are called one at a time. What they keep in variables may be gone with the next call: there are several
-// instances, and one that failed is thrown away. There is no clock that moves, no file, network or environment.
+// An instance makes one call at a time. Handlers must not rely on variables that an earlier call set: a plug-in has
+// several instances, and one that failed is discarded. Clocks stand still, and there are no files, network or
+// environment variables.
 package plugin
 
 import (
@@ -26,33 +28,33 @@
 	"oatfold/plugin/abi"
 )
 
-// Message is a message on its way.
+// Message is the message for which a hook is called.
 type Message struct {
-	Class, Kind, ID, Key string
-	Dest                 int
-	Attempt              int // number of the route step, from 0 on; -1 at OnHandIn
-	TimeLeft             time.Duration
-	Notes                map[string]string // that OnHandIn of this or another plug-in left
+	Class, Kind, ID, Key string            // Kind is the type of the destination, ID the correlation id, Key the idempotency key
+	Dest                 int               // number of the destination
+	Attempt              int               // number of the attempt, from 0; -1 in OnHandIn
+	TimeLeft             time.Duration     // until the deadline
+	Notes                map[string]string // set by OnHandIn of this or another plug-in
 	Setting              string            // the operator's text for this plug-in
 	Body                 []byte
 }
 
-// HandIn is what OnHandIn says: nothing of it takes the message.
+// HandIn is the decision of OnHandIn. The zero value accepts the message.
 type HandIn struct {
-	Refuse bool              // turned away for now: it may be handed in again
-	Reject bool              // never to be taken
-	Wait   time.Duration     // with Refuse: when to come again, if the relay tells that
-	Reason string            // for the log; told to the client with Reject
-	Notes  map[string]string // for the later hooks
+	Refuse bool              // reject for now: the client may retry
+	Reject bool              // reject for good
+	Wait   time.Duration     // with Refuse: Retry-After, if the relay sends it
+	Reason string            // for the log; with Reject also sent to the client
+	Notes  map[string]string // passed to the later hooks
 }
 
-// Shape is what ShapeRequest changes.
+// Shape is what ShapeRequest changes in the request to the destination.
 type Shape struct {
-	Body    []byte   // nil: as it is
-	Headers []string // NAME: VALUE
+	Body    []byte   // replaces the body; nil: no change
+	Headers []string // added, each as NAME: VALUE
 }
 
-// Outcome is what an answer means.
+// Outcome says whether the message took effect at the destination.
 type Outcome int
 
 // The outcomes.
@@ -62,24 +64,24 @@
 	MayHave   Outcome = abi.MayHave // it may have run
 )
 
-// Answer is what came back for a route step.
+// Answer is the destination's answer to an attempt.
 type Answer struct {
 	Status  int
-	Headers []string // NAME: VALUE
+	Headers []string // each as NAME: VALUE
 	Body    []byte
-	Outcome Outcome       // without plug-ins
-	Wait    time.Duration // that was told
+	Outcome Outcome       // as the relay reads the answer
+	Wait    time.Duration // Retry-After
 }
 
-// Reading is what ReadAnswer says: nothing of it leaves the answer as it is.
+// Reading is how ReadAnswer interprets an answer. The zero value changes nothing.
 type Reading struct {
-	Unsure bool          // it may have run, whatever the answer says; the only way an outcome can change
-	Wait   time.Duration // a longer one than was told
-	Reason string
+	Unsure bool          // the message may have run, whatever the answer says; the only possible change of the outcome
+	Wait   time.Duration // replaces a shorter Retry-After
+	Reason string        // for the log
 }
 
-// Handlers are the hooks of a plug-in; those that it does not have are nil. An error or a panic fails the call: the
-// message then goes by the operator's rule, and the instance is thrown away.
+// Handlers are the hooks of a plug-in; nil for those it does not have. An error or a panic fails the call: the
+// operator's rule then decides about the message, and the instance is discarded.
 type Handlers struct {
 	OnHandIn     func(*Message) (HandIn, error)
 	ShapeRequest func(*Message) (Shape, error)
@@ -88,10 +90,10 @@
 
 var handlers Handlers
 
-// Serve sets the hooks. It is called from an init function.
+// Serve sets the hooks. Call it from an init function.
 func Serve(h Handlers) { handlers = h }
 
-// decodeInput takes an input apart.
+// decodeInput decodes the input of a hook. The answer is empty except for ReadAnswer.
 func decodeInput(input []byte) (*Message, *Answer, error) {
 	message, answer := &Message{Attempt: -1, Notes: map[string]string{}}, &Answer{}
 	err := abi.Each(input, func(f abi.Field, v []byte) error {
@@ -134,7 +136,7 @@
 		case abi.WaitMs:
 			answer.Wait = time.Duration(number) * time.Millisecond
 		}
-		return nil // fields that are not known here are of a later host
+		return nil // unknown fields come from a newer host
 	})
 	return message, answer, err
 }
@@ -190,7 +192,7 @@
 			out = abi.Append(out, abi.Reason, v.Reason)
 		}
 	default:
-		return nil, fmt.Errorf("this plug-in has no %s", h)
+		return nil, fmt.Errorf("this plug-in has no hook %s", h)
 	}
 	return out, nil
 }
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -8,7 +8,7 @@
 	"oatfold/plugin/abi"
 )
 
-// An author's handlers see all that the host tells, and what they say comes out as the ABI has it.
+// Handlers receive all fields of the input, and their results are encoded as the ABI defines.
 func TestHandlers(t *testing.T) {
 	defer Serve(Handlers{})
 	in := abi.Append(nil, abi.Class, "order-relay")
@@ -33,15 +33,18 @@
 		OnHandIn: func(m *Message) (HandIn, error) { return HandIn{}, errHandler },
 	})
 	out, err := runHook(abi.ShapeRequest, in)
-	if want := abi.Append(abi.Append(nil, abi.Body, ""), abi.Header, "X-Form: 2"); err != nil || string(out) != string(want) {
+	if want := abi.Append(abi.Append(nil, abi.Body, ""), abi.Header, "X-Form: 2"); err != nil ||
+		string(out) != string(want) {
 		t.Errorf("%q, %v", out, err)
 	}
-	if gotMessage.Class != "order-relay" || gotMessage.Dest != 7 || gotMessage.TimeLeft != 1500*time.Millisecond || gotMessage.Attempt != 2 || gotMessage.Notes["account"] != "12" ||
+	if gotMessage.Class != "order-relay" || gotMessage.Dest != 7 || gotMessage.TimeLeft != 1500*time.Millisecond ||
+		gotMessage.Attempt != 2 || gotMessage.Notes["account"] != "12" ||
 		gotMessage.Setting != "form=2" || string(gotMessage.Body) != "body" {
 		t.Errorf("%+v", gotMessage)
 	}
 	out, err = runHook(abi.ReadAnswer, in)
-	if want := abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 1000); err != nil || string(out) != string(want) {
+	if want := abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 1000); err != nil ||
+		string(out) != string(want) {
 		t.Errorf("%q, %v", out, err)
 	}
 	if gotAnswer.Status != 503 || len(gotAnswer.Headers) != 1 {
@@ -51,10 +54,10 @@
 		t.Errorf("a handler that fails: %v", err)
 	}
 	if _, err := runHook(abi.ShapeRequest, in[:len(in)-3]); err == nil {
-		t.Error("an input cut short was taken")
+		t.Error("a truncated input was accepted")
 	}
 	Serve(Handlers{})
 	if _, err := runHook(abi.ShapeRequest, in); err == nil {
-		t.Error("a hook that is not there answered")
+		t.Error("a missing hook answered")
 	}
 }
