--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -16,13 +16,13 @@
 
 // The metrics match the requests that the relay received.
 func TestCounts(t *testing.T) {
-	w, err := standin.NewWorld(standin.Config{})
+	w, err := standin.NewEnvironment(standin.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	g, err := w.Gate("", func(n int, _ string) standin.Fault {
-		return standin.Fault{Kind: standin.Answer, Status: []int{202, 503, 202, 400}[n],
+	g, err := w.StartFaultProxy("", func(n int, _ string) standin.Fault {
+		return standin.Fault{Kind: standin.Respond, Status: []int{202, 503, 202, 400}[n],
 			Header: map[string][]string{"Retry-After": {"0.01"}}}
 	})
 	if err != nil {
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -21,17 +21,17 @@
 // relayBinary is the path of the relay program, built once.
 var relayBinary string
 
-func TestMain(m *testing.M) { os.Exit(standin.Main(m, &relayBinary)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &relayBinary)) }
 
 // startEnv starts the test doubles around the relays. At the end of the test it checks that no
 // goroutine is left.
-func startEnv(t testing.TB, config standin.Config) *standin.World {
+func startEnv(t testing.TB, config standin.Config) *standin.Environment {
 	t.Helper()
 	if config.Partners == nil {
 		config.Partners = []standin.PartnerConfig{{Dest: 7}}
 	}
 	before := goleak.IgnoreCurrent()
-	w, err := standin.NewWorld(config)
+	w, err := standin.NewEnvironment(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	return w
 }
 
-func startRelay(t testing.TB, w *standin.World) *standin.Relay {
+func startRelay(t testing.TB, w *standin.Environment) *standin.Relay {
 	t.Helper()
 	r, err := w.StartRelay(relayBinary)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return r
 }
 
-func startProxy(t testing.TB, w *standin.World, backend string,
-	script func(n int, path string) standin.Fault) *standin.Gate {
+func startProxy(t testing.TB, w *standin.Environment, backend string,
+	script func(n int, path string) standin.Fault) *standin.FaultProxy {
 	t.Helper()
-	g, err := w.Gate(backend, script)
+	g, err := w.StartFaultProxy(backend, script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 
 // recorder counts the events of a client.
 type recorder struct {
-	world          *standin.World
+	world          *standin.Environment
 	mu             sync.Mutex
 	requests       int
 	connectedAt    []time.Time // attempts to connect
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
-	s.world.Changed()
+	s.world.Notify()
 }
 
 func (s *recorder) Done(client.Result) {}
@@ -103,9 +103,9 @@
 	return c
 }
 
-func waitUntil(t testing.TB, w *standin.World, what string, cond func() bool) {
+func waitUntil(t testing.TB, w *standin.Environment, what string, cond func() bool) {
 	t.Helper()
-	if err := w.Until(what, cond); err != nil {
+	if err := w.WaitUntil(what, cond); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -137,7 +137,7 @@
 }
 
 func answerFault(status int, retryAfter string) standin.Fault {
-	f := standin.Fault{Kind: standin.Answer, Status: status, Header: http.Header{}}
+	f := standin.Fault{Kind: standin.Respond, Status: status, Header: http.Header{}}
 	if retryAfter != "" {
 		f.Header.Set("Retry-After", retryAfter)
 	}
@@ -149,7 +149,7 @@
 func TestWaitLongerThanTimeLeft(t *testing.T) {
 	w := startEnv(t, standin.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
-	w.Partners[7].Set(standin.Silent, 1)
+	w.Partners[7].SetMode(standin.Unresponsive, 1)
 	c := newClient(t, client.Config{Relays: []string{r.Addr}})
 	large := func(class string, n int, left time.Duration) client.Message {
 		m := newMessage(class, n, left)
@@ -178,19 +178,19 @@
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 5*time.Second))
 	expectResult(t, "always rejected", res, err, client.Refused, 3)
-	seen := g.Seen()
+	seen := g.Requests()
 	if len(seen) != 3 || len(res.Waits) != 3 || !errors.Is(err, client.ErrRefused) {
 		t.Fatalf("%d requests, waits %v, %v", len(seen), res.Waits, err)
 	}
 	for i, s := range seen {
-		if mark := []string{"", "1", "1"}[i]; s.Mark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 &&
+		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 &&
 			s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
-		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.Left >= seen[i-1].Left &&
-			len(s.Left) == len(seen[i-1].Left)) {
-			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.Left,
-				seen[i-1].Left)
+		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.TimeLeft >= seen[i-1].TimeLeft &&
+			len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
+			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.TimeLeft,
+				seen[i-1].TimeLeft)
 		}
 	}
 	full := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(503, "60") })
@@ -202,7 +202,7 @@
 			t.Errorf("%d attempts", res.HandIns)
 		}
 	}
-	if n := len(full.Seen()); n > 1 {
+	if n := len(full.Requests()); n > 1 {
 		t.Errorf("the relay that sent Retry-After received %d requests", n)
 	}
 	limited := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "60") })
@@ -244,7 +244,7 @@
 		"fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
 			w := startEnv(t, standin.Config{})
-			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.LoseAnswer}))
+			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
 			res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
 			hands := 2
@@ -252,13 +252,13 @@
 				hands = 1
 			}
 			expectResult(t, class, res, err, o, hands)
-			seen := g.Seen()
-			if len(seen) != hands || hands == 2 && (seen[1].Mark != "again" || seen[1].Key != seen[0].Key ||
+			seen := g.Requests()
+			if len(seen) != hands || hands == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key ||
 				seen[1].ID == seen[0].ID) {
 				t.Fatalf("on the wire: %+v", seen)
 			}
-			waitUntil(t, w, "all effects", func() bool { return len(w.Ledger.Effects()) == hands })
-			if n := w.Ledger.Count()[class+"/1"]; n != 1 && class != "price-alert" {
+			waitUntil(t, w, "all effects", func() bool { return len(w.EffectLog.Entries()) == hands })
+			if n := w.EffectLog.CountByName()[class+"/1"]; n != 1 && class != "price-alert" {
 				t.Errorf("took effect %d times", n)
 			}
 		})
@@ -270,7 +270,7 @@
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
 		if n == 0 {
-			return standin.Fault{Kind: standin.Mute}
+			return standin.Fault{Kind: standin.IgnoreRequest}
 		}
 		return answerFault(202, "")
 	})
@@ -283,7 +283,7 @@
 		t.Errorf("the retry states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	g2 := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
 	expectResult(t, "past the window", res, err, client.Uncertain, 1)
@@ -297,7 +297,7 @@
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
 		w := startEnv(t, standin.Config{})
-		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.HoldAnswer}))
+		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
 		res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
 		hands := 2
@@ -305,11 +305,11 @@
 			hands = 1
 		}
 		expectResult(t, class, res, err, o, hands)
-		g.Release()
+		g.ReleaseResponses()
 		res, err = c.Send(context.Background(), newMessage(class, 2, 5*time.Second))
 		expectResult(t, class+" after the late answer", res, err, client.Taken, 1)
-		waitUntil(t, w, "the first to run", func() bool { return w.Ledger.Count()[class+"/1"] >= 1 })
-		if d := w.Ledger.Doubles("fee-charge"); d != nil {
+		waitUntil(t, w, "the first to run", func() bool { return w.EffectLog.CountByName()[class+"/1"] >= 1 })
+		if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 			t.Error("doubles:", d)
 		}
 	}
@@ -319,21 +319,21 @@
 // message is uncertain.
 func TestUnresponsiveRelay(t *testing.T) {
 	w := startEnv(t, standin.Config{})
-	mute := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	mute := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	fine := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(202, "") })
 	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), newMessage("price-alert", 1, 1500*time.Millisecond))
-	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Seen()) || res.HandIns > 3 ||
+	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 ||
 		!errors.Is(err, client.ErrUncertain) {
-		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Seen()))
+		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Requests()))
 	}
 	c = newClient(t, client.Config{Relays: []string{mute.Addr, fine.Addr}, AnswerTimeout: 50 * time.Millisecond})
-	before := len(mute.Seen())
+	before := len(mute.Requests())
 	for n := range 20 {
 		res, err := c.Send(context.Background(), newMessage("price-alert", n, 5*time.Second))
 		expectResult(t, "with another relay", res, err, client.Taken, res.HandIns)
 	}
-	if n := len(mute.Seen()) - before; n > 2 {
+	if n := len(mute.Requests()) - before; n > 2 {
 		t.Errorf("the unresponsive relay received %d messages", n)
 	}
 }
@@ -344,7 +344,7 @@
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
 		if n%2 == 1 {
-			return standin.Fault{Kind: standin.Cut}
+			return standin.Fault{Kind: standin.ResetConnection}
 		}
 		return answerFault(202, "")
 	})
@@ -359,15 +359,15 @@
 			t.Errorf("%+v, %v", res, err)
 		}
 	}
-	if n := len(g.Seen()); n != hands {
+	if n := len(g.Requests()); n != hands {
 		t.Errorf("%d requests on the wire, %d attempts counted", n, hands)
 	}
 }
 
 // Every relay is down: nothing is sent, and the message fails before its deadline.
 func TestEveryRelayDown(t *testing.T) {
-	a, _ := standin.Addr()
-	b, err := standin.Addr()
+	a, _ := standin.ReserveAddr()
+	b, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,7 +383,7 @@
 // A relay receives SIGTERM while clients send over reused connections: the other relay takes over,
 // and no message is lost or delivered twice.
 func TestPlannedStop(t *testing.T) {
-	w := startEnv(t, standin.Config{Relays: 2, Hold: 2000}) // one relay may have all messages pending
+	w := startEnv(t, standin.Config{FleetSize: 2, MaxPending: 2000}) // one relay may have all messages pending
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
@@ -409,8 +409,8 @@
 	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all to run", func() bool { return len(w.Ledger.Count()) == 8*120 })
-	if d := w.Ledger.Doubles("fee-charge"); d != nil {
+	waitUntil(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 8*120 })
+	if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 		t.Error("doubles:", d)
 	}
 }
@@ -418,8 +418,8 @@
 // A cancelled context ends Send at each stage with the true outcome and leaves no goroutine behind.
 func TestCancelled(t *testing.T) {
 	w := startEnv(t, standin.Config{})
-	down, _ := standin.Addr()
-	held := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.Mute} })
+	down, _ := standin.ReserveAddr()
+	held := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
 	waits := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "10") })
 	var observer *recorder
 	completed := func(n int) bool { observer.mu.Lock(); defer observer.mu.Unlock(); return observer.requests == n }
@@ -432,8 +432,8 @@
 	}{
 		{"before", held.Addr, nil, client.Failed, 0},
 		{"connecting", down, func() bool { return true }, client.Failed, 0},
-		{"waiting for the answer", held.Addr, func() bool { return len(held.Seen()) == 1 }, client.Uncertain, 1},
-		{"waiting after a rejection", waits.Addr, func() bool { return len(waits.Seen()) == 1 && completed(1) },
+		{"waiting for the answer", held.Addr, func() bool { return len(held.Requests()) == 1 }, client.Uncertain, 1},
+		{"waiting after a rejection", waits.Addr, func() bool { return len(waits.Requests()) == 1 && completed(1) },
 			client.Failed, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -464,7 +464,7 @@
 func TestHandInBackpressure(t *testing.T) {
 	w := startEnv(t, standin.Config{})
 	g := startProxy(t, w, startRelay(t, w).Addr,
-		func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldAnswer} })
+		func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldResponse} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
@@ -484,7 +484,7 @@
 	}
 	waitUntil(t, w, "all answered by the relay", func() bool {
 		n := 0
-		for _, s := range g.Seen() {
+		for _, s := range g.Requests() {
 			if s.Status == 202 {
 				n++
 			}
@@ -494,7 +494,7 @@
 	if err := c.Flush(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("Flush while three are in flight: %v", err)
 	}
-	g.Release()
+	g.ReleaseResponses()
 	if err := c.Flush(context.Background()); err != nil {
 		t.Error(err)
 	}
@@ -532,7 +532,7 @@
 			t.Errorf("%s: %+v, %v", what, res, err)
 		}
 	}
-	if n := len(g.Opened()); n != 0 {
+	if n := len(g.ConnectionTimes()); n != 0 {
 		t.Errorf("%d connections", n)
 	}
 }
@@ -541,8 +541,8 @@
 // result, no charge runs twice, and there are at most two retries after rejections.
 func TestSoakWithKills(t *testing.T) {
 	const messages, workers = 1800, 12
-	w := startEnv(t, standin.Config{Seed: 5, Relays: 2, Hold: 300,
-		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", Serve: 5 * time.Millisecond}}})
+	w := startEnv(t, standin.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
+		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
 	relays := []*standin.Relay{startRelay(t, w), startRelay(t, w)}
 	c := newClient(t, client.Config{Relays: []string{relays[0].Addr, relays[1].Addr}, Spread: 100 * time.Millisecond})
 	classes := []string{"price-alert", "order-relay", "fee-charge"}
@@ -575,10 +575,10 @@
 	killer.Wait()
 	ended := func(n int) bool {
 		r := results[n]
-		if w.Ledger.Count()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
+		if w.EffectLog.CountByName()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
 			return true
 		}
-		_, notified := w.Platform.Notices()[r.ID]
+		_, notified := w.Platform.Notifications()[r.ID]
 		return notified
 	}
 	counts := map[client.Outcome]int{}
@@ -605,7 +605,7 @@
 		}
 		return true
 	})
-	effects := w.Ledger.Count()
+	effects := w.EffectLog.CountByName()
 	for n, r := range results {
 		name := fmt.Sprintf("%s/%d", classes[n%3], n)
 		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not &&
@@ -613,7 +613,7 @@
 			t.Errorf("%s took effect %d times: %+v", name, effects[name], r)
 		}
 	}
-	if d := append(w.Ledger.Doubles("fee-charge"), w.Ledger.Doubles("order-relay")...); d != nil {
+	if d := append(w.EffectLog.Duplicates("fee-charge"), w.EffectLog.Duplicates("order-relay")...); d != nil {
 		t.Error("doubles:", d)
 	}
 	t.Logf("%v", counts)
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -18,7 +18,7 @@
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
 			const clients = 1000
-			w := startEnv(t, standin.Config{Relays: 1, Sockets: 8192, Hold: 3 * clients, Slots: 64})
+			w := startEnv(t, standin.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
 			r := startRelay(t, w)
 			observer := &recorder{world: w}
 			var all []*client.Client
@@ -38,7 +38,7 @@
 				wg.Wait()
 			}
 			round(0, func() {})
-			waitUntil(t, w, "the first round to run", func() bool { return len(w.Ledger.Count()) == clients })
+			waitUntil(t, w, "the first round to run", func() bool { return len(w.EffectLog.CountByName()) == clients })
 			r.Kill()
 			observer.mu.Lock()
 			before, refusedBefore := len(observer.connectedAt), observer.failedConnects // under load, connections of the first round fail as well
@@ -64,8 +64,8 @@
 			}
 			t.Logf("%d connection attempts, %d of them failed; connections per 100 ms since the restart: %v",
 				attempts, refused, bins)
-			waitUntil(t, w, "all to run", func() bool { return len(w.Ledger.Count()) == 2*clients })
-			if d := w.Ledger.Doubles("fee-charge"); d != nil {
+			waitUntil(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 2*clients })
+			if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 				t.Error("doubles:", fmt.Sprint(d))
 			}
 		})
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -40,14 +40,14 @@
 		!strings.Contains(out, "shape_request") {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	shape := write(t, "m.wasm", wasm.Does("shape_request", wasm.Trap()).Bytes())
+	shape := write(t, "m.wasm", wasm.WithCode("shape_request", wasm.Trap()).Bytes())
 	if code, _ := runCommand(t, "", "plugin", "check", shape, "--hook", "read_answer"); code != exitFault {
 		t.Errorf("a missing hook: exit %d", code)
 	}
 	if code, _ := runCommand(t, "", "plugin", "check", write(t, "m.wasm", wasm.Module{}.Bytes())); code != exitFault {
 		t.Errorf("no hook at all: exit %d", code)
 	}
-	for what, code := range wasm.Broken("shape_request") {
+	for what, code := range wasm.UnloadableModules("shape_request") {
 		if what == "loops at start" {
 			continue // takes the whole load timeout
 		}
@@ -66,7 +66,7 @@
 
 // plugin run prints the output of a hook, or fails if the hook fails.
 func TestPluginRun(t *testing.T) {
-	path := write(t, "m.wasm", wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header,
+	path := write(t, "m.wasm", wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header,
 		"X-Form: 2")).Bytes())
 	code, out := runCommand(t, "a body", "plugin", "run", path, "--hook", "shape_request", "--times", "3")
 	var got struct {
@@ -78,7 +78,7 @@
 		len(got.Headers) != 1 || got.Memory != 4<<16 {
 		t.Errorf("exit %d, %s, %v", code, out, err)
 	}
-	for what, m := range wasm.Faults("read_answer") {
+	for what, m := range wasm.FaultyPlugins("read_answer") {
 		if code, out := runCommand(t, "x", "plugin", "run", write(t, "m.wasm", m.Bytes()), "--hook",
 			"read_answer"); code != exitFault || out != "" {
 			t.Errorf("%s: exit %d, %s", what, code, out)
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -31,14 +31,14 @@
 	return code, all
 }
 
-func startProxy(t *testing.T, script func(n int, path string) standin.Fault) *standin.Gate {
+func startProxy(t *testing.T, script func(n int, path string) standin.Fault) *standin.FaultProxy {
 	t.Helper()
-	w, err := standin.NewWorld(standin.Config{})
+	w, err := standin.NewEnvironment(standin.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	g, err := w.Gate("", script)
+	g, err := w.StartFaultProxy("", script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 func answerFault(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Answer, Status: status, Header: map[string][]string{}}
+	f := standin.Fault{Kind: standin.Respond, Status: status, Header: map[string][]string{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -55,7 +55,7 @@
 
 // For one message, send reports its result and attempts and returns the right exit code.
 func TestSendOne(t *testing.T) {
-	accepted, mute := answerFault(202, ""), standin.Fault{Kind: standin.Mute}
+	accepted, mute := answerFault(202, ""), standin.Fault{Kind: standin.IgnoreRequest}
 	for _, c := range []struct {
 		what    string
 		effect  string
@@ -78,14 +78,14 @@
 			"--time-left", "1500ms",
 			"--effect", c.effect, "--answer-timeout", "100ms")
 		if code != c.code || len(out) != 1 || out[0].Result != c.result || out[0].HandIns != c.handIns ||
-			len(g.Seen()) != c.handIns {
-			t.Errorf("%s: exit %d, %+v, %d on the wire", c.what, code, out, len(g.Seen()))
+			len(g.Requests()) != c.handIns {
+			t.Errorf("%s: exit %d, %+v, %d on the wire", c.what, code, out, len(g.Requests()))
 		}
-		if s := g.Seen()[0]; s.Path != "/some-class" || s.Left == "" || s.Left > "1500" {
+		if s := g.Requests()[0]; s.Path != "/some-class" || s.TimeLeft == "" || s.TimeLeft > "1500" {
 			t.Errorf("%s: %+v", c.what, s)
 		}
 	}
-	down, err := standin.Addr()
+	down, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 			t.Errorf("line %d: %+v", want.line, o)
 		}
 	}
-	if s := g.Seen(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" || s[0].Key != "" ||
+	if s := g.Requests(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" || s[0].Key != "" ||
 		s[2].Key == "" {
 		t.Errorf("on the wire: %+v", s)
 	}
@@ -153,7 +153,7 @@
 			t.Errorf("%v: exit %d, %+v", args, code, out)
 		}
 	}
-	if n := len(g.Opened()); n > 0 {
+	if n := len(g.ConnectionTimes()); n > 0 {
 		t.Errorf("%d connections", n)
 	}
 	if code, _ := runJSON(t, "", append(good, "--file", "/nonexistent")...); code != exitFault {
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -25,16 +25,16 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.Build(dir)
+	return standin.BuildRelay(dir)
 })
 
-func world(t *testing.T, set standin.Config) (*standin.World, *standin.Relay) {
+func world(t *testing.T, set standin.Config) (*standin.Environment, *standin.Relay) {
 	t.Helper()
 	program, err := bin()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewWorld(set)
+	w, err := standin.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // load is clients that hand in all classes, until they are told to stop.
 type load struct {
-	w    *standin.World
+	w    *standin.Environment
 	all  sync.WaitGroup
 	stop atomic.Bool
 
@@ -56,7 +56,7 @@
 	results map[string]client.Result // by the message's name
 }
 
-func start(t *testing.T, w *standin.World, addr string) *load {
+func start(t *testing.T, w *standin.Environment, addr string) *load {
 	l := &load{w: w, results: map[string]client.Result{}}
 	for lane := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
@@ -66,7 +66,7 @@
 		t.Cleanup(func() { c.Close() })
 		l.all.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
-				class := standin.Classes[(lane+n)%3].Name
+				class := standin.DefaultClasses[(lane+n)%3].Name
 				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
 				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2, TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
 				l.mu.Lock()
@@ -85,9 +85,9 @@
 	l.stop.Store(true)
 	l.all.Wait()
 	did := map[string]int{}
-	if err := l.w.Until("all that was taken on to end", func() bool {
-		did = l.w.Ledger.Count()
-		told := l.w.Platform.Notices()
+	if err := l.w.WaitUntil("all that was taken on to end", func() bool {
+		did = l.w.EffectLog.CountByName()
+		told := l.w.Platform.Notifications()
 		for name, res := range l.results {
 			if _, ended := told[res.ID]; res.Outcome == client.Taken && did[name] == 0 && !ended {
 				return false
@@ -97,7 +97,7 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, log())
 	}
-	if doubles := l.w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
+	if doubles := l.w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
 		t.Errorf("charges ran twice: %v", doubles)
 	}
 	counts := map[client.Outcome]int{}
@@ -109,7 +109,7 @@
 	return counts
 }
 
-var partners = []standin.PartnerConfig{{Dest: 1, Serve: 5 * time.Millisecond}, {Dest: 2, Kind: "broker", Serve: 40 * time.Millisecond}}
+var partners = []standin.PartnerConfig{{Dest: 1, ServiceTime: 5 * time.Millisecond}, {Dest: 2, Kind: "broker", ServiceTime: 40 * time.Millisecond}}
 
 // Upgrades in a row under load: the old process exits with 0 once the new one serves, nobody is turned away unheard, each message ends
 // once, no charge runs twice; a drain goes on in the new process.
@@ -118,52 +118,52 @@
 	l := start(t, w, r.Addr)
 	const upgrades = 4
 	for range upgrades {
-		next, err := r.Beside()
+		next, err := r.StartNextProcess()
 		if err == nil {
-			err = next.Await("standing by")
+			err = next.AwaitLog("standing by")
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status, _, err := next.Call("GET", "/healthcheck"); status != 200 {
+		if status, _, err := next.CallAdmin("GET", "/healthcheck"); status != 200 {
 			t.Fatalf("standing by: %d, %v", status, err)
 		}
 		if err := r.Stop(); err != nil {
-			t.Fatalf("old process: %v\n%s", err, r.Log())
+			t.Fatalf("old process: %v\n%s", err, r.LogTail())
 		}
-		if r.Logged("handed over") != 1 {
-			t.Fatalf("not handed over\n%s", r.Log())
+		if r.CountLogLines("handed over") != 1 {
+			t.Fatalf("not handed over\n%s", r.LogTail())
 		}
-		if r = next; r.Await("all is taken over") != nil {
-			t.Fatal(r.Log())
+		if r = next; r.AwaitLog("all is taken over") != nil {
+			t.Fatal(r.LogTail())
 		}
 	}
-	counts := l.end(t, r.Log)
+	counts := l.end(t, r.LogTail)
 	if counts[client.Taken] < 100 || counts[client.Taken] < len(l.results) {
-		t.Errorf("%v\n%s", counts, r.Log())
+		t.Errorf("%v\n%s", counts, r.LogTail())
 	}
 	t.Logf("%d upgrades: %v", upgrades, counts)
 
-	if status, _, err := r.Call("PUT", "/healthcheck/fail"); status != 200 {
+	if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 		t.Fatalf("drain: %d, %v", status, err)
 	}
-	next, err := r.Beside()
+	next, err := r.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
-	if err != nil || r.Stop() != nil || next.Await("all is taken over") != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+	if err != nil || r.Stop() != nil || next.AwaitLog("all is taken over") != nil {
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
 	for _, want := range []int{503, 200} {
 		if got := ready(next.Addr); got != want {
 			t.Errorf("GET /ready: %d, want %d", got, want)
 		}
-		next.Call("PUT", "/healthcheck/ok")
+		next.CallAdmin("PUT", "/healthcheck/ok")
 	}
-	if err := next.Stop(); err != nil || next.Logged("handed over") != 0 {
+	if err := next.Stop(); err != nil || next.CountLogLines("handed over") != 0 {
 		t.Errorf("planned stop with nobody beside: %v", err)
 	}
-	entries, _ := os.ReadDir(r.State)
+	entries, _ := os.ReadDir(r.StateDir)
 	lives := slices.DeleteFunc(entries, func(e os.DirEntry) bool { return !strings.HasPrefix(e.Name(), "life-") })
 	if len(lives) > 1 {
 		t.Errorf("rooms that nobody needs stay: %v", lives)
@@ -190,13 +190,13 @@
 	random := rand.New(rand.NewPCG(20, 26))
 	soon := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
 	for round := range 10 {
-		next, err := r.Beside()
+		next, err := r.StartNextProcess()
 		if err != nil {
 			t.Fatal(err)
 		}
 		kind := round % 5
 		if kind > 0 {
-			if err := next.Await("standing by"); err != nil {
+			if err := next.AwaitLog("standing by"); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -212,29 +212,29 @@
 			r.Signal(syscall.SIGTERM)
 			soon()
 			r.Kill()
-			err = next.Await("msg=ready")
+			err = next.AwaitLog("msg=ready")
 		case 3: // the new one as it takes over
 			r.Signal(syscall.SIGTERM)
 			soon()
 			next.Kill()
 			if e := r.Wait(); e != nil {
-				t.Errorf("old process: %v\n%s", e, r.Log())
+				t.Errorf("old process: %v\n%s", e, r.LogTail())
 			}
 			err = next.Start()
 		case 4: // the old one without a word
 			r.Kill()
-			err = next.Await("msg=ready")
+			err = next.AwaitLog("msg=ready")
 		}
 		if err != nil {
-			t.Fatalf("round %d: %v\n%s", round, err, next.Log())
+			t.Fatalf("round %d: %v\n%s", round, err, next.LogTail())
 		}
 		if r = next; ready(r.Addr) != 200 {
-			t.Fatalf("round %d: nobody serves\n%s", round, r.Log())
+			t.Fatalf("round %d: nobody serves\n%s", round, r.LogTail())
 		}
 	}
-	counts := l.end(t, r.Log)
+	counts := l.end(t, r.LogTail)
 	if counts[client.Taken] < 100 {
-		t.Errorf("%v\n%s", counts, r.Log())
+		t.Errorf("%v\n%s", counts, r.LogTail())
 	}
 	t.Logf("%v", counts)
 }
@@ -256,14 +256,14 @@
 // A successor that is killed while it holds messages back behind a call of the old process, and starts again, still holds them back, and those of a subject
 // go in the order of hand-in over all three.
 func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
-	classes := slices.Clone(standin.Classes)
+	classes := slices.Clone(standin.DefaultClasses)
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
 	came, held := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(held) })
-	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, Watch: func(c standin.Call) {
-		if c.Ended {
+	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, OnCall: func(c standin.Call) {
+		if c.Completed {
 			return
 		}
 		mu.Lock()
@@ -301,17 +301,17 @@
 		}
 	}
 	take("id-a", "s")
-	await("id-a", old.Log)
+	await("id-a", old.LogTail)
 	take("id-b", "s")
-	next, err := old.Beside()
+	next, err := old.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
 	if err == nil {
 		err = old.Signal(syscall.SIGTERM)
 	}
 	if err == nil {
-		err = next.Await("msg=ready")
+		err = next.AwaitLog("msg=ready")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -324,15 +324,15 @@
 	take("id-d", "s")
 	for _, id := range []string{"mark-1", "mark-2"} { // what may go out has gone when the second one goes
 		take(id, id)
-		await(id, next.Log)
+		await(id, next.LogTail)
 	}
 	mu.Lock()
-	if _, over := w.Platform.Notices()["id-a"]; !over && len(calls) != 3 {
+	if _, over := w.Platform.Notifications()["id-a"]; !over && len(calls) != 3 {
 		t.Errorf("called %v while the first one is out", calls)
 	}
 	mu.Unlock()
 	release()
-	await("id-d", next.Log)
+	await("id-d", next.LogTail)
 	mu.Lock()
 	defer mu.Unlock()
 	if got := slices.DeleteFunc(calls, func(id string) bool { return strings.HasPrefix(id, "mark") }); !slices.Equal(got, []string{"id-a", "id-b", "id-c", "id-d"}) {
@@ -344,15 +344,15 @@
 func TestFiguresMatchTheLedger(t *testing.T) {
 	var tried atomic.Int64
 	watch := func(c standin.Call) {
-		if !c.Ended {
+		if !c.Completed {
 			tried.Add(int64(len(c.IDs)))
 		}
 	}
-	w, r := world(t, standin.Config{Hold: 30, Slots: 8, Partners: []standin.PartnerConfig{{Dest: 1, Serve: time.Millisecond, Watch: watch},
-		{Dest: 2, Kind: "broker", Serve: 20 * time.Millisecond, Watch: watch}, {Dest: 3, Watch: watch}}})
-	w.Partners[1].Set(standin.Broken, 0.2)
-	w.Partners[3].Set(standin.Refusing, 1)
-	if all, err := r.Figures(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
+	w, r := world(t, standin.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []standin.PartnerConfig{{Dest: 1, ServiceTime: time.Millisecond, OnCall: watch},
+		{Dest: 2, Kind: "broker", ServiceTime: 20 * time.Millisecond, OnCall: watch}, {Dest: 3, OnCall: watch}}})
+	w.Partners[1].SetMode(standin.InternalError, 0.2)
+	w.Partners[3].SetMode(standin.RefusingConnections, 1)
+	if all, err := r.Metrics(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
 		t.Fatalf("at the start: %v, %v", all, err)
 	}
 	refused, handedIn := map[string]int{}, 0
@@ -367,7 +367,7 @@
 					return
 				}
 				for i := lane; i < n; i += 8 {
-					class := standin.Classes[i%3].Name
+					class := standin.DefaultClasses[i%3].Name
 					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3, TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
 					mu.Lock()
 					if handedIn++; res.Outcome == client.Refused {
@@ -384,7 +384,7 @@
 	}
 	check := func(what string, ended, refused, tried int, before map[string]int) {
 		t.Helper()
-		all, err := r.Figures()
+		all, err := r.Metrics()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -394,23 +394,23 @@
 			sum[figure] += n
 		}
 		did := map[string]int{}
-		for _, e := range w.Ledger.Effects() {
+		for _, e := range w.EffectLog.Entries() {
 			did[strings.Split(e.Name, "/")[0]]++
 		}
-		for _, c := range standin.Classes {
+		for _, c := range standin.DefaultClasses {
 			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], did[c.Name]-before[c.Name]; got != want {
 				t.Errorf("%s: %d passed of %s, the ledger has %d", what, got, c.Name, want)
 			}
 		}
 		if sum["passed"]+sum["dropped"]+sum["bad_gateway"] != ended+refused || sum["in_progress"] != 0 || sum["known_endpoints"] != 3 || sum["upstream_tries"] != tried {
-			t.Errorf("%s: %v; %d ended, %d refused, %d tried\n%s", what, sum, ended, refused, tried, r.Log())
+			t.Errorf("%s: %v; %d ended, %d refused, %d tried\n%s", what, sum, ended, refused, tried, r.LogTail())
 		}
 	}
 	settled := func(ended int) {
 		t.Helper()
-		if err := w.Until("all to end", func() bool {
-			all, err := r.Figures()
-			return err == nil && all["in_progress"] == 0 && w.Ledger.Len()+len(w.Platform.Notices()) >= ended
+		if err := w.WaitUntil("all to end", func() bool {
+			all, err := r.Metrics()
+			return err == nil && all["in_progress"] == 0 && w.EffectLog.Len()+len(w.Platform.Notifications()) >= ended
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -424,23 +424,23 @@
 	}
 	settled(handedIn - total())
 	check("first life", handedIn-total(), total(), int(tried.Load()), map[string]int{})
-	if total() == 0 || len(w.Platform.Notices()) == 0 {
-		t.Errorf("%d refused, %d notices: nothing was tested", total(), len(w.Platform.Notices()))
+	if total() == 0 || len(w.Platform.Notifications()) == 0 {
+		t.Errorf("%d refused, %d notices: nothing was tested", total(), len(w.Platform.Notifications()))
 	}
 
 	// What an earlier life left is counted by the one that ends it.
-	w.Partners[1].Set(standin.Refusing, 1)
-	w.Partners[2].Set(standin.Refusing, 1)
+	w.Partners[1].SetMode(standin.RefusingConnections, 1)
+	w.Partners[2].SetMode(standin.RefusingConnections, 1)
 	wasIn, wasRefused := handedIn, total()
 	before := map[string]int{}
-	for _, e := range w.Ledger.Effects() {
+	for _, e := range w.EffectLog.Entries() {
 		before[strings.Split(e.Name, "/")[0]]++
 	}
 	send(15)
 	left := handedIn - wasIn - (total() - wasRefused)
 	r.Kill()
 	triedBefore := int(tried.Load())
-	w.Partners[2].Set(standin.Well, 1)
+	w.Partners[2].SetMode(standin.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -460,20 +460,20 @@
 	}
 	defer ln.Close()
 	taken := ln.Addr().String()
-	for key, set := range map[string]func(*standin.Relay){"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.Admin = taken }, "listen:": func(n *standin.Relay) { n.Addr = taken }} {
+	for key, set := range map[string]func(*standin.Relay){"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.AdminAddr = taken }, "listen:": func(n *standin.Relay) { n.Addr = taken }} {
 		n, err := w.NewRelay()
 		if err != nil {
 			t.Fatal(err)
 		}
 		set(n)
-		if err := n.Configure(); err != nil {
+		if err := n.WriteConfig(); err != nil {
 			t.Fatal(err)
 		}
 		err = n.Start()
-		if text := n.Log(); err == nil || strings.Count(text, "\n") > 0 || !strings.Contains(text, key) {
+		if text := n.LogTail(); err == nil || strings.Count(text, "\n") > 0 || !strings.Contains(text, key) {
 			t.Errorf("%s: %v: %q", key, err, text)
 		}
-		if entries, _ := os.ReadDir(n.State); len(entries) > 0 {
+		if entries, _ := os.ReadDir(n.StateDir); len(entries) > 0 {
 			t.Errorf("%s: the folder holds %v", key, entries)
 		}
 	}
@@ -488,30 +488,30 @@
 	l := start(t, w, r.Addr)
 	procs := []*standin.Relay{r}
 	for range 2 {
-		n, err := r.Beside()
+		n, err := r.StartNextProcess()
 		if err == nil {
-			err = n.Await("standing by")
+			err = n.AwaitLog("standing by")
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		procs = append(procs, n)
 	}
-	if err := r.Stop(); err != nil || r.Logged("handed over") != 1 {
-		t.Fatalf("%v\n%s", err, r.Log())
+	if err := r.Stop(); err != nil || r.CountLogLines("handed over") != 1 {
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
-	if err := w.Until("a successor", func() bool { return procs[1].Logged("msg=ready")+procs[2].Logged("msg=ready") == 1 }); err != nil {
+	if err := w.WaitUntil("a successor", func() bool { return procs[1].CountLogLines("msg=ready")+procs[2].CountLogLines("msg=ready") == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	first, second := procs[1], procs[2]
-	if second.Logged("msg=ready") == 1 {
+	if second.CountLogLines("msg=ready") == 1 {
 		first, second = second, first
 	}
 	first.Kill()
-	if err := second.Await("msg=ready"); err != nil {
+	if err := second.AwaitLog("msg=ready"); err != nil {
 		t.Fatal(err)
 	}
-	if counts := l.end(t, second.Log); counts[client.Taken] < 20 {
+	if counts := l.end(t, second.LogTail); counts[client.Taken] < 20 {
 		t.Errorf("%v", counts)
 	}
 	if err := second.Stop(); err != nil {
@@ -529,12 +529,12 @@
 func upgradeFull(t *testing.T, leave func(*standin.Relay) error) {
 	const budget = 300_000
 	// A destination that refused connections is tried again some 11 s later, on a busy machine 17 s: messages outlast that.
-	classes := slices.Clone(standin.Classes)
+	classes := slices.Clone(standin.DefaultClasses)
 	for i := range classes {
 		classes[i].Deadline = time.Minute
 	}
-	w, r := world(t, standin.Config{DiskMB: budget / 1e6, Hold: 400, Classes: classes, Partners: []standin.PartnerConfig{{Dest: 7}}})
-	w.Partners[7].Set(standin.Refusing, 1)
+	w, r := world(t, standin.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w.Partners[7].SetMode(standin.RefusingConnections, 1)
 	taken := map[string]client.Result{}
 	refused := false
 	for n := 0; !refused; n++ {
@@ -551,7 +551,7 @@
 		refused = res.Outcome == client.Refused
 	}
 	size := func() (n int64) {
-		filepath.WalkDir(r.State, func(_ string, e os.DirEntry, _ error) error {
+		filepath.WalkDir(r.StateDir, func(_ string, e os.DirEntry, _ error) error {
 			if info, err := e.Info(); err == nil && !e.IsDir() {
 				n += (info.Size() + 511) / 512 * 512
 			}
@@ -559,22 +559,22 @@
 		})
 		return n
 	}
-	next, err := r.Beside()
+	next, err := r.StartNextProcess()
 	if err == nil {
-		err = next.Await("standing by")
+		err = next.AwaitLog("standing by")
 	}
 	if n := size(); n > budget {
 		t.Errorf("beside one that stands by the folder holds %d bytes", n)
 	}
-	if err != nil || leave(r) != nil || next.Await("msg=ready") != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+	if err != nil || leave(r) != nil || next.AwaitLog("msg=ready") != nil {
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("after the hand-over the folder holds %d bytes", n)
 	}
-	w.Partners[7].Set(standin.Well, 1)
-	if err := w.Until("all to end", func() bool {
-		did, told := w.Ledger.Count(), w.Platform.Notices()
+	w.Partners[7].SetMode(standin.Healthy, 1)
+	if err := w.WaitUntil("all to end", func() bool {
+		did, told := w.EffectLog.CountByName(), w.Platform.Notifications()
 		for name, res := range taken {
 			if did[name] == 0 && told[res.ID].Outcome == "" {
 				return false
@@ -582,35 +582,35 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, next.Log())
+		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
-	if d := w.Ledger.Doubles("fee-charge"); len(d) > 0 || len(taken) < 10 || w.Ledger.Len() < len(taken)/2 {
-		t.Errorf("%d taken, %d ran, doubles %v\n%s", len(taken), w.Ledger.Len(), d, next.Log())
+	if d := w.EffectLog.Duplicates("fee-charge"); len(d) > 0 || len(taken) < 10 || w.EffectLog.Len() < len(taken)/2 {
+		t.Errorf("%d taken, %d ran, doubles %v\n%s", len(taken), w.EffectLog.Len(), d, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("at the end the folder holds %d bytes", n)
 	}
-	t.Logf("%d held over the upgrade, %d ran, folder %d bytes after it", len(taken), w.Ledger.Len(), size())
+	t.Logf("%d held over the upgrade, %d ran, folder %d bytes after it", len(taken), w.EffectLog.Len(), size())
 }
 
 // A drain outlasts a reload, and a planned stop during a drain ends with 0; told twice it is one drain.
 func TestDrainThenReloadThenStop(t *testing.T) {
 	_, r := world(t, standin.Config{Partners: partners})
 	for range 2 {
-		if status, _, err := r.Call("PUT", "/healthcheck/fail"); status != 200 {
+		if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	r.Signal(syscall.SIGHUP)
-	if err := r.Await("msg=reloaded"); err != nil {
+	if err := r.AwaitLog("msg=reloaded"); err != nil {
 		t.Fatal(err)
 	}
-	health, _, _ := r.Call("GET", "/healthcheck")
+	health, _, _ := r.CallAdmin("GET", "/healthcheck")
 	if got := ready(r.Addr); got != 503 || health != 200 {
 		t.Errorf("drained and reloaded: GET /ready %d, health %d", got, health)
 	}
-	if err := r.Stop(); err != nil || r.Logged("msg=stopped") != 1 {
-		t.Errorf("%v\n%s", err, r.Log())
+	if err := r.Stop(); err != nil || r.CountLogLines("msg=stopped") != 1 {
+		t.Errorf("%v\n%s", err, r.LogTail())
 	}
 }
 
@@ -619,14 +619,14 @@
 	_, r := world(t, standin.Config{Partners: partners})
 	call := func(path string) {
 		t.Helper()
-		if status, _, err := r.Call("PUT", path); status != 200 {
+		if status, _, err := r.CallAdmin("PUT", path); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	marked := func(want bool) {
 		t.Helper()
 		for n := 0; n < 2000; n++ { // the mark follows the answer
-			if _, err := os.Stat(filepath.Join(r.State, "drained")); (err == nil) == want {
+			if _, err := os.Stat(filepath.Join(r.StateDir, "drained")); (err == nil) == want {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -24,7 +24,7 @@
 func (p *promises) call(c standin.Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.Ended {
+	if c.Completed {
 		p.out--
 	} else {
 		p.out++
@@ -34,7 +34,7 @@
 		if _, there := p.called[id]; !there {
 			p.called[id] = len(p.called)
 		}
-		if c.Ended && c.OK {
+		if c.Completed && c.OK {
 			p.ran[id] = time.Now()
 		}
 	}
@@ -46,9 +46,9 @@
 func TestTakenOnIsTried(t *testing.T) {
 	const messages, lanes, slots, left = 280, 8, 4, 6 * time.Second
 	p := &promises{called: map[string]int{}, ran: map[string]time.Time{}, given: map[string]time.Time{}}
-	w, r := world(t, standin.Config{Seed: 5, Slots: slots, Partners: []standin.PartnerConfig{
-		{Dest: 1, Serve: 60 * time.Millisecond, Watch: p.call}, {Dest: 2, Serve: 60 * time.Millisecond, Watch: p.call}}})
-	w.Platform.Watch(func(n standin.Notice) {
+	w, r := world(t, standin.Config{Seed: 5, MaxConcurrentCalls: slots, Partners: []standin.PartnerConfig{
+		{Dest: 1, ServiceTime: 60 * time.Millisecond, OnCall: p.call}, {Dest: 2, ServiceTime: 60 * time.Millisecond, OnCall: p.call}}})
+	w.Platform.OnNotification(func(n standin.Notification) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.given[n.Message] = time.Now()
@@ -80,7 +80,7 @@
 	}
 	all.Wait()
 	for life := range 2 {
-		if err := w.Until("calls of this life", func() bool { return w.Ledger.Len() >= 10*(life+1) }); err != nil {
+		if err := w.WaitUntil("calls of this life", func() bool { return w.EffectLog.Len() >= 10*(life+1) }); err != nil {
 			t.Fatal(err)
 		}
 		r.Kill()
@@ -88,8 +88,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Until("all that was taken on to end", func() bool {
-		did := w.Ledger.Count()
+	if err := w.WaitUntil("all that was taken on to end", func() bool {
+		did := w.EffectLog.CountByName()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for n, h := range results {
@@ -100,7 +100,7 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, r.Log())
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	if p.most > 2*slots { // those of the life before are still being run
 		t.Errorf("%d calls at once with %d slots", p.most, slots)
 	}
-	if doubles := w.Ledger.Doubles("fee-charge"); len(doubles) > 0 {
+	if doubles := w.EffectLog.Duplicates("fee-charge"); len(doubles) > 0 {
 		t.Errorf("charges ran twice: %v", doubles)
 	}
 }
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -156,9 +156,9 @@
 type Books struct {
 	Hands   []Hand
 	Effects []standin.Effect
-	Notices map[string]standin.Notice // by id
-	Early   int                       // calls within told waits
-	TooLong int                       // notes of over 256 bytes
+	Notices map[string]standin.Notification // by id
+	Early   int                             // calls within told waits
+	TooLong int                             // notes of over 256 bytes
 }
 
 const noEnd = " was taken on and had no end"
@@ -170,7 +170,7 @@
 func judgeMessages(b *Books) (rules []string) {
 	ran, dropped := map[string]int{}, map[string]int{}
 	for _, e := range b.Effects {
-		if e.Dropped {
+		if e.Deduplicated {
 			dropped[e.Name]++
 			continue
 		}
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -26,7 +26,7 @@
 
 // chosen asks a relay for its choices.
 func (r *run) chosen(n int) (*Chosen, error) {
-	status, body, err := r.relays[n].Call("GET", "/choices")
+	status, body, err := r.relays[n].CallAdmin("GET", "/choices")
 	if err != nil || status != 200 {
 		return nil, fmt.Errorf("relay %d: status %d: %w", n, status, err)
 	}
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -87,10 +87,10 @@
 		}
 	}()
 	defer func() { cancel(); <-done }()
-	if err := w.Until("the first to be delivered", func() bool { return w.Ledger.Len() > 50 }); err != nil {
+	if err := w.WaitUntil("the first to be delivered", func() bool { return w.EffectLog.Len() > 50 }); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Partners[1].Set(standin.Refusing, 1); err != nil {
+	if err := w.Partners[1].SetMode(standin.RefusingConnections, 1); err != nil {
 		t.Fatal(err)
 	}
 	holder := -1
@@ -112,18 +112,18 @@
 	if err := relays[holder].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	was := w.Ledger.Len()
-	if err := w.Partners[1].Set(standin.Well, 1); err != nil {
+	was := w.EffectLog.Len()
+	if err := w.Partners[1].SetMode(standin.Healthy, 1); err != nil {
 		t.Fatal(err)
 	}
-	err := w.Until("the others to deliver in the place of the stopped one", func() bool { return w.Ledger.Len() >= was+100 })
+	err := w.WaitUntil("the others to deliver in the place of the stopped one", func() bool { return w.EffectLog.Len() >= was+100 })
 	if cerr := relays[holder].Signal(syscall.SIGCONT); err != nil || cerr != nil {
 		t.Fatal(err, cerr)
 	}
-	if err := w.Until("all to deliver", func() bool { return w.Ledger.Len() >= was+200 }); err != nil {
+	if err := w.WaitUntil("all to deliver", func() bool { return w.EffectLog.Len() >= was+200 }); err != nil {
 		t.Fatal(err)
 	}
-	if twice := w.Ledger.Doubles("fee-charge"); len(twice) > 0 {
+	if twice := w.EffectLog.Duplicates("fee-charge"); len(twice) > 0 {
 		t.Errorf("ran twice: %v", twice)
 	}
 }
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for i, d := range r.day.Dests {
-		if d.OnlyZone() != "" && r.world.Partners[1+i].Fell() {
+		if d.OnlyZone() != "" && r.world.Partners[1+i].Collapsed() {
 			r.fault("destination %d was pushed over as it returned", 1+i)
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	res.Sent, _, res.Bytes, _ = r.net.Counts()
 	for _, p := range r.world.Partners {
-		res.Refused += p.Rejected()
+		res.Refused += p.RejectedCalls()
 	}
 	for i, t := range r.day.Troubles {
 		res.Troubles = append(res.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, t.Kind, r.day.RelaysOf(&t), t.Zone, t.At, t.Len))
@@ -99,9 +99,9 @@
 	r.mu.Lock()
 	b.Hands = slices.Clone(r.hands)
 	r.mu.Unlock()
-	b.Effects, b.Notices = r.world.Ledger.Effects(), r.world.Platform.Notices()
+	b.Effects, b.Notices = r.world.EffectLog.Entries(), r.world.Platform.Notifications()
 	for _, p := range r.world.Partners {
-		b.Early += p.Early()
+		b.Early += p.EarlyCalls()
 	}
 	_, _, _, b.TooLong = r.net.Counts()
 	return b
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/peers/members"
 	"oatfold/internal/standin"
-	"oatfold/internal/standin/link"
+	"oatfold/internal/standin/faultnet"
 )
 
 // Bounds of a day that processes can play.
@@ -96,8 +96,8 @@
 type run struct {
 	set    Config
 	day    *emu.Day
-	world  *standin.World
-	net    *link.Net
+	world  *standin.Environment
+	net    *faultnet.Network
 	relays []*standin.Relay
 	routes [][]route // of each relay
 	logs   []*os.File
@@ -145,20 +145,20 @@
 func (r *run) partners() (all []standin.PartnerConfig) {
 	for i, d := range r.day.Dests {
 		k := r.day.Kinds[d.Kind]
-		p := standin.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), Serve: 3 * time.Millisecond, Zone: d.Zone}
+		p := standin.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: d.Zone}
 		if k.Batch > 1 {
 			p.Kind = "broker"
 		}
 		if d.Endpoints[0].Zone != "" {
 			for _, e := range d.Endpoints {
-				p.Zones = append(p.Zones, e.Zone)
+				p.EndpointZones = append(p.EndpointZones, e.Zone)
 			}
 		}
 		if one := d.OnlyZone(); one != "" {
-			p.Rate, p.Burst, p.ColdFrom, p.ColdFor, p.FallAfter = coldRate, coldRate, k.ColdFrom, coldFor, r.day.FallMultiple
+			p.Rate, p.Burst, p.ColdRateShare, p.WarmUpTime, p.OverloadFactor = coldRate, coldRate, k.ColdFrom, coldFor, r.day.FallMultiple
 		}
 		if k.Limit == emu.RateLimit {
-			p.Rate, p.Burst, p.Wait = d.Limit, max(1, d.Limit/2), k.Wait
+			p.Rate, p.Burst, p.RetryAfter = d.Limit, max(1, d.Limit/2), k.Wait
 		}
 		all = append(all, p)
 	}
@@ -167,26 +167,26 @@
 
 func (r *run) classes() (all []standin.Class) {
 	for _, c := range r.day.Classes {
-		all = append(all, standin.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], Aim: c.TargetLatency, Deadline: c.Deadline, Window: max(c.RepeatWindow, time.Second),
-			Worth: c.Value, LateWorth: c.LateValue})
+		all = append(all, standin.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], TargetLatency: c.TargetLatency, Deadline: c.Deadline, RepeatWindow: max(c.RepeatWindow, time.Second),
+			Value: c.Value, LateValue: c.LateValue})
 	}
 	return all
 }
 
 // start starts the world and its relays, side by side.
 func (r *run) start() (err error) {
-	if r.world, err = standin.NewWorld(standin.Config{Seed: r.set.Seed, Partners: r.partners(), Classes: r.classes(), Relays: r.day.Relays, Hold: 500}); err != nil {
+	if r.world, err = standin.NewEnvironment(standin.Config{Seed: r.set.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.day.Relays, MaxPending: 500}); err != nil {
 		return err
 	}
 	var listen []string
 	for range r.day.Relays {
-		addr, err := standin.Addr() // of an address of its own: the ways' sockets take ports of 127.0.0.1
+		addr, err := standin.ReserveAddr() // of an address of its own: the ways' sockets take ports of 127.0.0.1
 		if err != nil {
 			return err
 		}
 		listen = append(listen, addr)
 	}
-	if r.net, err = link.New(listen, r.set.Seed); err != nil {
+	if r.net, err = faultnet.New(listen, r.set.Seed); err != nil {
 		return err
 	}
 	var zones []string
@@ -201,22 +201,22 @@
 		if err != nil {
 			return err
 		}
-		seat := &standin.Seat{Number: n, Listen: listen[n], Peers: r.net.Peers(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), Discovery: discovery}
+		seat := &standin.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.net.PeerAddrs(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), DiscoveryAddr: discovery}
 		if r.set.Out != "" {
 			f, err := os.Create(filepath.Join(r.set.Out, fmt.Sprintf("relay-%02d.log", n)))
 			if err != nil {
 				return err
 			}
 			r.logs = append(r.logs, f)
-			seat.Tap = func(line string) { fmt.Fprintln(f, line); r.tap(n, line) }
+			seat.OnLogLine = func(line string) { fmt.Fprintln(f, line); r.tap(n, line) }
 		} else {
-			seat.Tap = func(line string) { r.tap(n, line) }
+			seat.OnLogLine = func(line string) { r.tap(n, line) }
 		}
 		args := []string{"--log", "debug"}
 		if r.set.Operator != "" {
 			args = append(args, "--operator", r.set.Operator)
 		}
-		relay, err := r.world.Seated(r.set.Bin, seat, args...)
+		relay, err := r.world.NewFleetRelay(r.set.Bin, seat, args...)
 		if err != nil {
 			return err
 		}
@@ -250,7 +250,7 @@
 // route is a relay's own way to an endpoint of a destination.
 type route struct {
 	dest, end int // their places in the day
-	way       *link.Stream
+	way       *faultnet.TCPProxy
 }
 
 // reach opens a relay's own ways to all partners and to the platform, and returns the platform's address for it.
@@ -258,7 +258,7 @@
 	at := map[string]string{}
 	for i := range r.day.Dests {
 		for e, addr := range r.world.Partners[1+i].Addresses() {
-			way, err := link.NewStream(addr)
+			way, err := faultnet.NewTCPProxy(addr)
 			if err != nil {
 				return "", err
 			}
@@ -266,5 +266,5 @@
 			at[addr] = way.Addr
 		}
 	}
-	return r.world.Platform.View(at)
+	return r.world.Platform.ServeWithAddresses(at)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -20,14 +20,14 @@
 	"oatfold/internal/lab/site"
 	"oatfold/internal/peers/members"
 	"oatfold/internal/standin"
-	"oatfold/internal/standin/link"
+	"oatfold/internal/standin/faultnet"
 	"oatfold/policy"
 )
 
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.Main(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
 
 const library = "../../../lab/fleet"
 
@@ -187,9 +187,9 @@
 		{"delivered", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran}}, ""},
 		{"a charge runs twice", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran, ran}}, "ran 2 times"},
 		{"no end", Books{Hands: []Hand{hand("fee-charge", client.Taken)}}, "no end"},
-		{"given up", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Notices: map[string]standin.Notice{"id": {Outcome: "given_up"}}}, ""},
+		{"given up", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Notices: map[string]standin.Notification{"id": {Outcome: "given_up"}}}, ""},
 		{"refused and ran", Books{Hands: []Hand{hand("fee-charge", client.Refused)}, Effects: []standin.Effect{ran}}, "refused and ran"},
-		{"handed back and ran", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran}, Notices: map[string]standin.Notice{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
+		{"handed back and ran", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran}, Notices: map[string]standin.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
 		{"within a wait", Books{Early: 1}, "told wait"}, {"a long note", Books{TooLong: 1}, "256 bytes"},
 	} {
 		if got := strings.Join(judgeMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
@@ -235,34 +235,34 @@
 }
 
 // seats starts the first few relays of a fleet of n that ask one another who lives. At the other addresses nobody listens.
-func seats(t *testing.T, n, start int) (*standin.World, *link.Net, []*standin.Relay, []string) {
+func seats(t *testing.T, n, start int) (*standin.Environment, *faultnet.Network, []*standin.Relay, []string) {
 	return seated(t, n, start, "")
 }
 
 // seated has them share choices besides.
-func seated(t *testing.T, n, start int, choices string) (*standin.World, *link.Net, []*standin.Relay, []string) {
+func seated(t *testing.T, n, start int, choices string) (*standin.Environment, *faultnet.Network, []*standin.Relay, []string) {
 	t.Helper()
-	w, err := standin.NewWorld(standin.Config{Partners: []standin.PartnerConfig{{Dest: 1}}, Relays: n})
+	w, err := standin.NewEnvironment(standin.Config{Partners: []standin.PartnerConfig{{Dest: 1}}, FleetSize: n})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	var listen []string
 	for range n {
-		addr, err := standin.Addr()
+		addr, err := standin.ReserveAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
 		listen = append(listen, addr)
 	}
-	ways, err := link.New(listen, 1)
+	ways, err := faultnet.New(listen, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(ways.Close)
 	var relays []*standin.Relay
 	for i := range start {
-		r, err := w.Seated(bin, &standin.Seat{Number: i, Listen: listen[i], Peers: ways.Peers(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
+		r, err := w.NewFleetRelay(bin, &standin.FleetConfig{Number: i, PeerListen: listen[i], Peers: ways.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
 		if err == nil {
 			err = r.Start()
 		}
@@ -276,7 +276,7 @@
 
 func awaits(t *testing.T, r *standin.Relay, text string) {
 	t.Helper()
-	if err := r.Await(text); err != nil {
+	if err := r.AwaitLog(text); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -290,7 +290,7 @@
 	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
 		t.Fatalf("%v: %s", err, r.disagreement())
 	}
-	next, err := relays[1].Beside()
+	next, err := relays[1].StartNextProcess()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,20 +304,20 @@
 		v, err := r.view(0)
 		return err == nil && v.Members[1].Incarnation > 1
 	}); err != nil {
-		t.Fatalf("%v\n%s\n%s", err, relays[0].Log(), next.Log())
+		t.Fatalf("%v\n%s\n%s", err, relays[0].LogTail(), next.LogTail())
 	}
 	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
 		t.Fatalf("%v: %s", err, r.disagreement())
 	}
 	for _, i := range []int{0, 2} {
 		for _, state := range []string{"away", "left"} {
-			if relays[i].Logged("member number=1 state="+state) > 0 {
+			if relays[i].CountLogLines("member number=1 state="+state) > 0 {
 				t.Errorf("relay %d took the one that was upgraded for %s", i, state)
 			}
 		}
 	}
 	drain := func(path string) {
-		if status, _, err := relays[2].Call("PUT", path); status != 200 {
+		if status, _, err := relays[2].CallAdmin("PUT", path); status != 200 {
 			t.Fatal(status, err)
 		}
 	}
@@ -331,11 +331,11 @@
 	awaits(t, relays[1], "member number=2 state=left")
 	relays[1].Kill()
 	awaits(t, relays[0], "member number=1 state=away")
-	status, body, err := relays[0].Call("GET", "/members")
+	status, body, err := relays[0].CallAdmin("GET", "/members")
 	if err != nil || status != 200 || !strings.Contains(body, `"number":1,"state":"away","zone":"a"`) || !strings.Contains(body, `"number":2,"state":"left"`) {
 		t.Errorf("%d, %v: %s", status, err, body)
 	}
-	figures, err := relays[0].Figures()
+	figures, err := relays[0].Metrics()
 	if err != nil || figures[`members{state="away"}`] != 1 || figures[`members{state="left"}`] != 1 || figures["members_asked"] == 0 {
 		t.Errorf("%v: %v", err, figures)
 	}
@@ -349,7 +349,7 @@
 	r := run{relays: relays, down: map[int]bool{4: true, 5: true, 6: true, 7: true, 8: true, 9: true}}
 	var mu sync.Mutex
 	var old [][]byte // of relay 3 to relay 0
-	ways.Set(link.Ways{Watch: func(from, to int, note []byte) {
+	ways.SetFaults(faultnet.Faults{OnSend: func(from, to int, note []byte) {
 		if mu.Lock(); from == 3 && to == 0 && len(old) < 100 {
 			old = append(old, slices.Clone(note))
 		}
@@ -384,28 +384,28 @@
 		for to := range 3 {
 			lie := append([]byte{3}, lies.FalseGossip(time.Since(began), k)...)
 			for _, note := range [][]byte{lie, lie, lie[:len(lie)/2], make([]byte, 257)} {
-				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(ways.Peers(9)[to]))
+				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(ways.PeerAddrs(9)[to]))
 			}
 		}
 		mu.Lock()
-		ghost.WriteToUDPAddrPort(old[k%len(old)], netip.MustParseAddrPort(ways.Peers(3)[0]))
+		ghost.WriteToUDPAddrPort(old[k%len(old)], netip.MustParseAddrPort(ways.PeerAddrs(3)[0]))
 		mu.Unlock()
 		time.Sleep(members.Period / 12)
 	}
 	for i := range 3 {
 		for _, n := range []int{0, 1, 2} {
-			if relays[i].Logged(fmt.Sprintf("member number=%d state=away", n)) > 0 {
+			if relays[i].CountLogLines(fmt.Sprintf("member number=%d state=away", n)) > 0 {
 				t.Errorf("relay %d believes the lie about %d", i, n)
 			}
 		}
 	}
-	if relays[0].Logged("member number=3 state=alive was=away") > 0 {
+	if relays[0].CountLogLines("member number=3 state=alive was=away") > 0 {
 		t.Error("replayed notes raised the dead")
 	}
 	if _, _, _, long := ways.Counts(); long == 0 {
 		t.Error("no long note was sent")
 	}
-	figures, err := relays[0].Figures()
+	figures, err := relays[0].Metrics()
 	if err != nil || figures["members_notes_refused"] == 0 {
 		t.Errorf("%v: nothing refused: %v", err, figures)
 	}
@@ -424,16 +424,16 @@
 	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
 		t.Fatalf("%v: %s", err, r.disagreement())
 	}
-	addr, err := standin.Addr()
+	addr, err := standin.ReserveAddr()
 	if err == nil {
-		err = ways.Second(1, addr)
+		err = ways.AddAlias(1, addr)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := ways.Peers(1)
+	peers := ways.PeerAddrs(1)
 	peers[1] = addr
-	rival, err := w.Seated(bin, &standin.Seat{Number: 1, Listen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
+	rival, err := w.NewFleetRelay(bin, &standin.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
 	if err == nil {
 		err = rival.Start()
 	}
@@ -441,13 +441,13 @@
 		t.Fatal(err)
 	}
 	if err := r.until(context.Background(), "one of the two to notice", func() bool {
-		return relays[1].Logged("another process speaks")+rival.Logged("another process speaks") > 0
+		return relays[1].CountLogLines("another process speaks")+rival.CountLogLines("another process speaks") > 0
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, rival.Log())
+		t.Fatalf("%v\n%s", err, rival.LogTail())
 	}
 	for _, i := range []int{0, 2} {
-		if relays[i].Logged("member number=0 state=away")+relays[i].Logged("member number=2 state=away") > 0 {
-			t.Errorf("relay %d misses another: %s", i, relays[i].Log())
+		if relays[i].CountLogLines("member number=0 state=away")+relays[i].CountLogLines("member number=2 state=away") > 0 {
+			t.Errorf("relay %d misses another: %s", i, relays[i].LogTail())
 		}
 	}
 }
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -61,7 +61,7 @@
 
 // siteState is what a relay takes a site for.
 func siteState(r *standin.Relay, zone string) (state string, out bool) {
-	status, body, err := r.Call("GET", "/sites")
+	status, body, err := r.CallAdmin("GET", "/sites")
 	var doc struct {
 		Sites []struct {
 			Zone, State string
@@ -110,13 +110,13 @@
 			d.Name = "site-lost, " + name
 			res, err := Play(context.Background(), Config{Day: d, Seed: 6, Bin: bin, Operator: operatorFile(t), Behind: func(all []*standin.Relay) error {
 				for i, relay := range all {
-					if lost := relay.Logged("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
+					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
 						return fmt.Errorf("relay %d took for lost what answers", i)
-					} else if back := relay.Logged("msg=site zone=zone-1 state=returning") > 0; lost && !back {
+					} else if back := relay.CountLogLines("msg=site zone=zone-1 state=returning") > 0; lost && !back {
 						return fmt.Errorf("relay %d saw no return", i)
 					}
 				}
-				seen := slices.ContainsFunc(all, func(r *standin.Relay) bool { return r.Logged("msg=site zone=zone-1 state=lost") > 0 })
+				seen := slices.ContainsFunc(all, func(r *standin.Relay) bool { return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0 })
 				if seen != c.lost && name != "cut" { // where nothing says no, so few calls have ended by then that some, or all, see a part of it missing only
 					return fmt.Errorf("seen as lost: %v", seen)
 				}
@@ -147,11 +147,11 @@
 		for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405, "PUT /sites/zone-2/away": 404} {
 			var method, path string
 			fmt.Sscan(call, &method, &path)
-			if status, _, err := all[1].Call(method, path); err != nil || status != want {
+			if status, _, err := all[1].CallAdmin(method, path); err != nil || status != want {
 				return fmt.Errorf("%s: %d, %v", call, status, err)
 			}
 		}
-		if status, _, err := all[1].Call("PUT", "/sites/zone-2/out"); err != nil || status != 200 {
+		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/out"); err != nil || status != 200 {
 			return fmt.Errorf("out: %d, %v", status, err)
 		}
 		if err := r.until(context.Background(), "the relay to take the site out", func() bool { state, out := siteState(all[1], "zone-2"); return out && state == "lost" }); err != nil {
@@ -160,7 +160,7 @@
 		if state, out := siteState(all[2], "zone-2"); out || state != "whole" {
 			return fmt.Errorf("another relay has it %s, out %v", state, out)
 		}
-		if status, _, err := all[1].Call("PUT", "/sites/zone-2/in"); err != nil || status != 200 {
+		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/in"); err != nil || status != 200 {
 			return fmt.Errorf("in: %d, %v", status, err)
 		}
 		return r.until(context.Background(), "the relay to let it return", func() bool { state, out := siteState(all[1], "zone-2"); return !out && state != "lost" })
--- a/internal/lab/fleet/troubles.go
+++ b/internal/lab/fleet/troubles.go
@@ -10,7 +10,7 @@
 
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/standin"
-	"oatfold/internal/standin/link"
+	"oatfold/internal/standin/faultnet"
 )
 
 // This file makes a trouble of a day true: of processes, partners, and the ways between them.
@@ -73,17 +73,17 @@
 		for _, ways := range r.routes { // some endpoints of partners, as every relay finds them
 			for _, one := range ways {
 				if slices.Contains(t.Parts, [2]int{one.dest, one.end}) || losesEndpoint(&r.day.Dests[one.dest], one.end, t.Zone) {
-					one.way.Set(link.Course{Refuse: s.begins})
+					one.way.SetFaults(faultnet.StreamFaults{Refuse: s.begins})
 				}
 			}
 		}
-		mode := map[emu.TroubleKind]standin.Mode{emu.Vanish: standin.Silent, emu.Crash: standin.Refusing, emu.Shut: standin.Shut}[t.Kind]
+		mode := map[emu.TroubleKind]standin.Mode{emu.Vanish: standin.Unresponsive, emu.Crash: standin.RefusingConnections, emu.Shut: standin.Unavailable}[t.Kind]
 		if !s.begins {
-			mode = standin.Well
+			mode = standin.Healthy
 		}
 		for i, d := range r.day.Dests {
 			if slices.Contains(t.Dests, i) || losesAll(&d, t.Zone) {
-				if err := r.world.Partners[1+i].Set(mode, 1); err != nil {
+				if err := r.world.Partners[1+i].SetMode(mode, 1); err != nil {
 					return err
 				}
 			}
@@ -95,7 +95,7 @@
 		}
 		for i, d := range r.day.Dests {
 			if slices.Contains(t.Dests, i) || t.Zone != "" && d.Zone == t.Zone {
-				r.world.Partners[1+i].Lower(part)
+				r.world.Partners[1+i].SetRateShare(part)
 			}
 		}
 	case emu.SiteCut:
@@ -103,7 +103,7 @@
 			for _, one := range ways {
 				in := r.day.Dests[one.dest].Endpoints[one.end].Zone == t.Zone
 				if slices.Contains(relays, n) != in {
-					one.way.Set(link.Course{There: s.begins, Back: s.begins})
+					one.way.SetFaults(faultnet.StreamFaults{BlockOutbound: s.begins, BlockInbound: s.begins})
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 		for _, n := range relays {
 			for _, one := range r.routes[n] {
 				if slices.Contains(r.day.DestsOf(t), one.dest) {
-					one.way.Set(link.Course{There: s.begins, Back: s.begins})
+					one.way.SetFaults(faultnet.StreamFaults{BlockOutbound: s.begins, BlockInbound: s.begins})
 				}
 			}
 		}
@@ -139,7 +139,7 @@
 
 // setWays has the links do what all troubles that hold ask for together.
 func (r *run) setWays() {
-	w := link.Ways{Deaf: map[int]bool{}, Mute: map[int]bool{}}
+	w := faultnet.Faults{NoReceive: map[int]bool{}, NoSend: map[int]bool{}}
 	kept := 1.0
 	for i := range r.day.Troubles {
 		t := &r.day.Troubles[i]
@@ -152,23 +152,23 @@
 		}
 		switch t.Kind {
 		case emu.Cut, emu.SiteCut:
-			w.Apart = append(w.Apart, set)
+			w.Partitions = append(w.Partitions, set)
 		case emu.Deaf:
 			for n := range set {
-				w.Deaf[n] = true
+				w.NoReceive[n] = true
 			}
 		case emu.Mute:
 			for n := range set {
-				w.Mute[n] = true
+				w.NoSend[n] = true
 			}
 		case emu.NotesLost:
 			kept *= 1 - t.Size
 		case emu.NotesLate:
-			w.Late += time.Duration(t.Size * float64(time.Second))
+			w.MaxDelay += time.Duration(t.Size * float64(time.Second))
 		case emu.NotesTwice:
-			w.Twice = max(w.Twice, t.Size)
+			w.DuplicateRate = max(w.DuplicateRate, t.Size)
 		}
 	}
-	w.Lost = 1 - kept
-	r.net.Set(w)
+	w.LossRate = 1 - kept
+	r.net.SetFaults(w)
 }
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -22,7 +22,7 @@
 }
 
 func (r *run) view(n int) (*view, error) {
-	status, body, err := r.relays[n].Call("GET", "/members")
+	status, body, err := r.relays[n].CallAdmin("GET", "/members")
 	if err != nil || status != 200 {
 		return nil, fmt.Errorf("relay %d: status %d: %w", n, status, err)
 	}
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -72,7 +72,7 @@
 }
 
 // Noticed is a notice to the platform. One of what is over does no harm.
-func (r *Recorder) Noticed(n standin.Notice) {
+func (r *Recorder) Noticed(n standin.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.msgs[n.Message]
@@ -94,7 +94,7 @@
 func (r *Recorder) Seen(c standin.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !c.Ended {
+	if !c.Completed {
 		// Guards against a second copy that is none: the relay has given the first up, and its partner has not seen it yet.
 		wake := time.AfterFunc(settle, r.moved.Broadcast)
 		for end := time.Now().Add(settle); r.anyLive(c.IDs) && time.Now().Before(end); {
@@ -108,7 +108,7 @@
 		if m == nil {
 			m = &recorded{} // nobody handed it in: number 0 is held by nobody
 		}
-		if !c.Ended {
+		if !c.Completed {
 			m.attempt, m.call, m.live = m.tries, r.calls, m.live+1
 			m.tries++
 			r.log(rules.Event{Kind: rules.Sent, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest})
@@ -117,7 +117,7 @@
 		m.live--
 		ok := c.OK && !m.over
 		m.over = m.over || c.OK
-		r.log(rules.Event{Kind: rules.Ended, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest, Proved: !c.Ran, OK: ok, Wait: c.Wait})
+		r.log(rules.Event{Kind: rules.Ended, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest, Proved: !c.MayHaveRun, OK: ok, Wait: c.RetryAfter})
 	}
 	r.moved.Broadcast()
 }
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -12,21 +12,21 @@
 )
 
 // world is four partners that break calls, refuse them with waits, lose answers after they ran, and one that is well.
-func world(t *testing.T, r *load.Recorder) *standin.World {
+func world(t *testing.T, r *load.Recorder) *standin.Environment {
 	t.Helper()
 	var partners []standin.PartnerConfig
 	for d := range 4 {
-		partners = append(partners, standin.PartnerConfig{Dest: d + 1, Wait: 300 * time.Millisecond, Watch: r.Seen})
+		partners = append(partners, standin.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.Seen})
 	}
 	partners[2].Kind = "broker"
-	w, err := standin.NewWorld(standin.Config{Seed: 1, Partners: partners, Hold: 2000})
+	w, err := standin.NewEnvironment(standin.Config{Seed: 1, Partners: partners, MaxPending: 2000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	w.Platform.Watch(r.Noticed)
-	for d, m := range map[int]standin.Mode{1: standin.Shut, 2: standin.ResetRan, 3: standin.Broken} {
-		if err := w.Partners[d].Set(m, 0.15); err != nil {
+	w.Platform.OnNotification(r.Noticed)
+	for d, m := range map[int]standin.Mode{1: standin.Unavailable, 2: standin.ResetAfterRun, 3: standin.InternalError} {
+		if err := w.Partners[d].SetMode(m, 0.15); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -44,7 +44,7 @@
 
 // The checker on real sockets: the relay keeps the rules under faults, and a forwarder that heeds nothing is found out by the same checker.
 func TestRulesOnSockets(t *testing.T) {
-	bin, err := standin.Build(t.TempDir())
+	bin, err := standin.BuildRelay(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	rep := under(t, relay.Addr, r)
-	if err := w.Until("every message's end", func() bool { return r.Open() == 0 }); err != nil {
+	if err := w.WaitUntil("every message's end", func() bool { return r.Open() == 0 }); err != nil {
 		t.Error(err)
 	}
 	if breaks, _ := r.Finish(); len(breaks) > 0 || rep.Taken < 300 || rep.Failed > 0 {
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -75,9 +75,9 @@
 	load := Config{Rate: rate, For: set.For, Mix: Mix, Conns: set.Conns, Body: set.Body, Seed: set.Seed}
 	for i := range set.Dests {
 		load.Dests = append(load.Dests, i+1)
-		partners = append(partners, standin.PartnerConfig{Dest: i + 1, Ran: meter.Ran})
+		partners = append(partners, standin.PartnerConfig{Dest: i + 1, OnMessage: meter.Ran})
 	}
-	w, err := standin.NewWorld(standin.Config{Seed: set.Seed, Partners: partners, Slots: 256, Hold: 20_000, Sockets: 4096, DiskMB: 256})
+	w, err := standin.NewEnvironment(standin.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000, MaxDescriptors: 4096, DiskMB: 256})
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		load.Addr, pid = r.Addr, r.Pid()
+		load.Addr, pid = r.Addr, r.PID()
 	} else {
 		var to []string
 		for _, p := range w.Partners {
--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -6,7 +6,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // Found by reading, after messages were forwarded that their clients had been refused: a commit of several hand-ins fails half way, the half that was
@@ -18,7 +18,7 @@
 	for _, several := range []int{1, 2, 5} {
 		for failing := 0; failing <= 6; failing++ {
 			t.Run(fmt.Sprintf("%d messages, %d failures", several, failing), func(t *testing.T) {
-				d := disk.New()
+				d := faultfs.New()
 				l, err := start(d, 1<<20)
 				if err != nil {
 					t.Fatal(err)
@@ -31,16 +31,16 @@
 				for n := range several {
 					refused = append(refused, refusable(l, fmt.Sprint("refused", n), 100))
 				}
-				at := d.Ops() + 1
-				d.Fail(at, disk.Short)
+				at := d.OperationCount() + 1
+				d.InjectFault(at, faultfs.Short)
 				for n := range failing {
-					d.Fail(at+1+n, disk.Error)
+					d.InjectFault(at+1+n, faultfs.Error)
 				}
 				taken, _ := l.j.Commit()
 				if failing > 1 && several > 1 && taken == nil { // one failure is made good by a second cut
 					t.Fatal("the commit has passed")
 				}
-				next, table, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 1 << 20, Log: quiet, CompactInline: true})
+				next, table, err := journal.Open(journal.Config{FS: d.Restart(), Budget: 1 << 20, Log: quiet, CompactInline: true})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -5,17 +5,17 @@
 	"testing"
 
 	"oatfold/internal/memory"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // A bound of the system on the size of a file refuses nobody: what the segment does not take goes to a new one, and all is there at the next start.
 func TestBoundedFileSize(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	l, err := start(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.FileRoom(30_000)
+	d.SetMaxFileSize(30_000)
 	const messages, body = 100, 2000
 	for n := range messages {
 		m := &memory.Message{Number: l.t.NextNumber(), ID: fmt.Sprint("id", n), Class: "c", Deadline: wall, Body: make([]byte, body)}
@@ -29,7 +29,7 @@
 	if s := l.j.Stats(); s.Segments < messages*body/30_000 {
 		t.Errorf("%d segments: the bound was not met", s.Segments)
 	}
-	next, err := start(d.Revive(), 4<<20)
+	next, err := start(d.Restart(), 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -15,7 +15,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // The same verdict each time; -rapid.seed=N searches on.
@@ -122,7 +122,7 @@
 		l.tried[m.ID] = f
 	}
 	taken, out := l.j.Commit()
-	if errors.Is(taken, disk.ErrKilled) || errors.Is(out, disk.ErrKilled) {
+	if errors.Is(taken, faultfs.ErrKilled) || errors.Is(out, faultfs.ErrKilled) {
 		return false
 	}
 	for _, m := range fresh {
@@ -208,7 +208,7 @@
 // also where that one is killed at each operation of its start.
 func TestKilledAtEachOperation(t *testing.T) {
 	const turns, seed = 400, 3
-	play := func(d *disk.Disk) *life {
+	play := func(d *faultfs.FS) *life {
 		l, err := start(d, small)
 		if err != nil {
 			return nil
@@ -217,36 +217,36 @@
 		}
 		return l
 	}
-	whole := disk.New()
+	whole := faultfs.New()
 	l := play(whole)
 	if s := l.j.Stats(); s.Compactions < 10 || l.room > turns {
 		t.Fatalf("a life in which little is cleaned: %+v, %d refused", s, l.room)
 	}
 	faults := 0
-	for n := 1; n <= whole.Ops(); n++ {
-		for _, f := range []disk.Fault{disk.Kill, disk.Torn} {
-			d := disk.New()
-			d.Fail(n, f)
+	for n := 1; n <= whole.OperationCount(); n++ {
+		for _, f := range []faultfs.Fault{faultfs.Kill, faultfs.Torn} {
+			d := faultfs.New()
+			d.InjectFault(n, f)
 			l := play(d)
 			if l == nil {
 				l = &life{}
 			}
-			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", f, n, whole.Ops(), d.Log()[n-1])
+			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", f, n, whole.OperationCount(), d.OperationLog()[n-1])
 			faults++
-			next := d.Revive()
+			next := d.Restart()
 			j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 			l.audit(t, what, found)
 			j.Close()
-			for m := 1; m <= next.Ops(); m++ { // killed in recovery, and again
-				for _, g := range []disk.Fault{disk.Kill, disk.Torn} {
-					again := d.Revive()
-					again.Fail(m, g)
+			for m := 1; m <= next.OperationCount(); m++ { // killed in recovery, and again
+				for _, g := range []faultfs.Fault{faultfs.Kill, faultfs.Torn} {
+					again := d.Restart()
+					again.InjectFault(m, g)
 					journal.Open(journal.Config{FS: again, Budget: small, Log: quiet, CompactInline: true})
 					faults++
-					_, found, err := journal.Open(journal.Config{FS: again.Revive(), Budget: small, Log: quiet, CompactInline: true})
+					_, found, err := journal.Open(journal.Config{FS: again.Restart(), Budget: small, Log: quiet, CompactInline: true})
 					if err != nil {
 						t.Fatalf("%s, then %d of recovery: %v", what, m, err)
 					}
@@ -258,13 +258,13 @@
 	if faults < 10_000 {
 		t.Errorf("only %d faults", faults)
 	}
-	t.Logf("%d faults at %d operations", faults, whole.Ops())
+	t.Logf("%d faults at %d operations", faults, whole.OperationCount())
 }
 
 // Random lives with random faults, some that the process survives: what was promised holds over all of them.
 func TestRandomLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := disk.New()
+		d := faultfs.New()
 		var l *life
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for n := range rapid.IntRange(1, 4).Draw(t, "lives") {
@@ -281,14 +281,14 @@
 			}
 			l = next
 			for range rapid.IntRange(0, 6).Draw(t, "faults") {
-				d.Fail(d.Ops()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]disk.Fault{disk.Error, disk.Short, disk.Error, disk.Short, disk.Kill, disk.Torn}).Draw(t, "fault"))
+				d.InjectFault(d.OperationCount()+rapid.IntRange(1, 200).Draw(t, "at"), rapid.SampledFrom([]faultfs.Fault{faultfs.Error, faultfs.Short, faultfs.Error, faultfs.Short, faultfs.Kill, faultfs.Torn}).Draw(t, "fault"))
 			}
 			for turns := rapid.IntRange(1, 80).Draw(t, "turns"); turns > 0 && l.turn(r, 3000); turns-- {
 				if r.IntN(10) == 0 {
 					l.j.Maintain()
 				}
 			}
-			d = d.Revive()
+			d = d.Restart()
 		}
 	})
 }
@@ -296,7 +296,7 @@
 // The disk is full: new work is refused and steps and ends of what is held are recorded all the same; once there is room again
 // service comes back by itself.
 func TestFullDisk(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	l, err := start(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -322,7 +322,7 @@
 		}
 		held = append(held, m)
 	}
-	d.Room(d.Used())
+	d.SetCapacity(d.UsedBytes())
 	refused := 0
 	for range 3 {
 		if _, err := take(); err != nil {
@@ -347,11 +347,11 @@
 			t.Fatalf("end %d of what is held: %v, %v", i, taken, out)
 		}
 	}
-	_, found, err := journal.Open(journal.Config{FS: d.Revive(), Budget: 4 << 20, Log: quiet, CompactInline: true})
+	_, found, err := journal.Open(journal.Config{FS: d.Restart(), Budget: 4 << 20, Log: quiet, CompactInline: true})
 	if err == nil && len(found.All()) > 1 {
 		t.Errorf("%d messages came back", len(found.All()))
 	}
-	d.Room(0)
+	d.SetCapacity(0)
 	l.j.Maintain()
 	if _, err := take(); err != nil {
 		t.Errorf("with room again: %v", err)
@@ -361,12 +361,12 @@
 // A record or a length in the middle of an old segment is spoilt: what lies behind it is read, and the place is named. A body
 // that holds records is no way to smuggle any in.
 func TestCorruptMiddle(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	l, err := start(d, 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := disk.New()
+	other := faultfs.New()
 	smuggler, _ := start(other, 4<<20)
 	smuggled := &memory.Message{Number: 1, ID: "smuggled", Class: "c", Deadline: wall}
 	smuggler.j.AppendAccepted(smuggler.t, smuggled, true)
@@ -386,8 +386,8 @@
 		"a length": func(b []byte) []byte { copy(b[24:], []byte{0xff, 0xff, 0xff, 0xff}); return b },
 		"a hole":   func(b []byte) []byte { return append(b[:40:40], b[60:]...) },
 	} {
-		next := d.Revive()
-		next.Change("000000000001.seg", change)
+		next := d.Restart()
+		next.ModifyFile("000000000001.seg", change)
 		in, err := journal.Inspect(next, nil)
 		if err != nil || len(in.Faults) != 1 || in.Faults[0].File != "000000000001.seg" || in.Faults[0].Offset < 24 {
 			t.Errorf("%s: %+v, %v", what, in, err)
@@ -409,7 +409,7 @@
 
 // Bodies of 64 KiB: how many a budget of 3 MB holds, always within it, and that their room comes back.
 func TestLargeBodies(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	l, err := start(d, 3e6)
 	if err != nil {
 		t.Fatal(err)
@@ -425,8 +425,8 @@
 			if taken, _ := l.j.Commit(); taken != nil {
 				t.Fatal(taken)
 			}
-			if held = append(held, m); d.Used() > 3e6 {
-				t.Fatalf("%d bytes on disk", d.Used())
+			if held = append(held, m); d.UsedBytes() > 3e6 {
+				t.Fatalf("%d bytes on disk", d.UsedBytes())
 			}
 		}
 		most = max(most, len(held))
@@ -444,7 +444,7 @@
 
 // A journal is read in any split of its last segment: what is cut off is what was written last.
 func TestTornTail(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	l, _ := start(d, small)
 	for r, n := rand.New(rand.NewPCG(1, 0)), 0; n < 40; n++ {
 		l.turn(r, 100)
@@ -457,8 +457,8 @@
 	raw, _ := d.Read(last)
 	before := -1
 	for cut := 0; cut <= len(raw); cut++ {
-		next := d.Revive()
-		next.Change(last, func(b []byte) []byte { return b[:cut] })
+		next := d.Restart()
+		next.ModifyFile(last, func(b []byte) []byte { return b[:cut] })
 		j, found, err := journal.Open(journal.Config{FS: next, Budget: small, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
@@ -478,8 +478,8 @@
 // life; one that is spoilt is told of. Without room on the disk a body stays in memory only, and is gone with the process.
 func TestBodiesInTiers(t *testing.T) {
 	const bound = 16 << 10
-	d := disk.New()
-	open := func(d *disk.Disk) (*journal.Journal, *memory.Table) {
+	d := faultfs.New()
+	open := func(d *faultfs.FS) (*journal.Journal, *memory.Table) {
 		j, t2, err := journal.Open(journal.Config{FS: d, Budget: small, MaxBodyBytes: bound, Log: quiet, CompactInline: true})
 		if err != nil {
 			t.Fatal(err)
@@ -534,7 +534,7 @@
 		t.Fatalf("nothing was cleaned: %+v", s)
 	}
 	check("first life", held)
-	j, tab = open(d.Revive())
+	j, tab = open(d.Restart())
 	held = held[:0]
 	for _, m := range tab.All() {
 		held = append(held, m)
@@ -546,11 +546,11 @@
 
 	spilled := held[slices.IndexFunc(held, func(m *memory.Message) bool { return m.SpilledBytes > 0 })]
 	names, _ := d.List()
-	next := d.Revive()
+	next := d.Restart()
 	j, tab = open(next)
 	read := j.BodyLoader(tab.ByID(spilled.ID))
 	for _, name := range names {
-		next.Change(name, func(b []byte) []byte {
+		next.ModifyFile(name, func(b []byte) []byte {
 			if at := strings.Index(string(b), spilled.ID+string([]byte{1, 'c'})); at >= 0 {
 				b[at+40] ^= 1
 			}
@@ -561,7 +561,7 @@
 		t.Errorf("a spoilt body: %v", err)
 	}
 
-	j, tab = open(disk.New())
+	j, tab = open(faultfs.New())
 	unkept := 0
 	for n := range 200 {
 		m := take(n, 8000, n%2 == 0)
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.Build(dir)
+	return standin.BuildRelay(dir)
 })
 
 // The real relay with a disk that fills, by its budget and by a bound of the system on each file, killed at seeded moments while bodies come
@@ -41,7 +41,7 @@
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
 		t.Run(what, func(t *testing.T) {
 			const messages, lanes = 600, 8
-			w, err := standin.NewWorld(standin.Config{Seed: 9, DiskMB: c.diskMB, Hold: 400, Partners: []standin.PartnerConfig{{Dest: 7}}})
+			w, err := standin.NewEnvironment(standin.Config{Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []standin.PartnerConfig{{Dest: 7}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,9 +57,9 @@
 				for n := range events {
 					switch {
 					case n%100 == 20:
-						w.Partners[7].Set(standin.Refusing, 1)
+						w.Partners[7].SetMode(standin.RefusingConnections, 1)
 					case n%100 == 60:
-						w.Partners[7].Set(standin.Well, 1)
+						w.Partners[7].SetMode(standin.Healthy, 1)
 					default:
 						r.Kill()
 						if err := r.Start(); err != nil {
@@ -91,9 +91,9 @@
 			close(events)
 			faults.Wait()
 			counts, did := map[client.Outcome]int{}, map[string]int{}
-			if err := w.Until("all that was taken on to end", func() bool {
-				did = w.Ledger.Count()
-				told := w.Platform.Notices()
+			if err := w.WaitUntil("all that was taken on to end", func() bool {
+				did = w.EffectLog.CountByName()
+				told := w.Platform.Notifications()
 				for n, res := range results {
 					if _, ended := told[res.ID]; res.Outcome == client.Taken && did[fmt.Sprint("fee-charge/", n)] == 0 && !ended {
 						return false
@@ -101,7 +101,7 @@
 				}
 				return true
 			}); err != nil {
-				t.Fatalf("%v\n%s", err, r.Log())
+				t.Fatalf("%v\n%s", err, r.LogTail())
 			}
 			for n, res := range results {
 				counts[res.Outcome]++
@@ -114,7 +114,7 @@
 			}
 			t.Logf("%v", counts)
 			r.Kill()
-			if in, err := journal.Inspect(journal.Dir(r.State), nil); err != nil || len(in.Faults) > 1 {
+			if in, err := journal.Inspect(journal.Dir(r.StateDir), nil); err != nil || len(in.Faults) > 1 {
 				t.Errorf("%+v, %v", in, err) // a torn tail may be there
 			}
 		})
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewWorld(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w, err := standin.NewEnvironment(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Partners[7].Set(standin.Refusing, 1)
+	w.Partners[7].SetMode(standin.RefusingConnections, 1)
 	const size = 20_000
 	counts := map[string]map[client.Outcome]int{}
 	results := map[string]client.Result{}
@@ -161,7 +161,7 @@
 		results[name] = res
 	}
 	r.Kill()
-	in, err := journal.Inspect(journal.Dir(r.State), nil)
+	in, err := journal.Inspect(journal.Dir(r.StateDir), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,14 +169,14 @@
 	for _, m := range in.Messages {
 		unkept[m.ID] = m.MemoryOnly
 	}
-	w.Partners[7].Set(standin.Well, 1)
+	w.Partners[7].SetMode(standin.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
 	did, lost := map[string]int{}, 0
-	if err := w.Until("all that was taken on to end", func() bool {
-		did = w.Ledger.Count()
-		told := w.Platform.Notices()
+	if err := w.WaitUntil("all that was taken on to end", func() bool {
+		did = w.EffectLog.CountByName()
+		told := w.Platform.Notifications()
 		for name, res := range results {
 			if _, ended := told[res.ID]; res.Outcome == client.Taken && did[name] == 0 && !ended {
 				return false
@@ -184,19 +184,19 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%s", err, r.Log())
+		t.Fatalf("%v\n%s", err, r.LogTail())
 	}
 	for name, res := range results {
 		if unkept[res.ID] {
-			if lost++; did[name] != 0 || w.Platform.Notices()[res.ID].Outcome == "" {
-				t.Errorf("%s, whose body was lost: ran %d times, notice %+v", name, did[name], w.Platform.Notices()[res.ID])
+			if lost++; did[name] != 0 || w.Platform.Notifications()[res.ID].Outcome == "" {
+				t.Errorf("%s, whose body was lost: ran %d times, notice %+v", name, did[name], w.Platform.Notifications()[res.ID])
 			}
 		}
 		if res.Outcome != client.Taken && did[name] > 0 || name[0] == 'f' && did[name] > 1 {
 			t.Errorf("%s ran %d times: %+v", name, did[name], res)
 		}
 	}
-	for _, e := range w.Ledger.Effects() {
+	for _, e := range w.EffectLog.Entries() {
 		if e.Size != size {
 			t.Errorf("%s came with %d bytes", e.Name, e.Size)
 		}
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -21,14 +21,14 @@
 // relayBinary is the path of the relay program, built once.
 var relayBinary string
 
-func TestMain(m *testing.M) { os.Exit(standin.Main(m, &relayBinary)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &relayBinary)) }
 
 var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed,
 	"fee-charge": client.Unsafe}
 
 // testRelay is a relay process with an operator's file.
 type testRelay struct {
-	*standin.World
+	*standin.Environment
 	t             *testing.T
 	dir           string
 	relay         *standin.Relay
@@ -53,12 +53,12 @@
 	for d := range dests {
 		partners = append(partners, standin.PartnerConfig{Dest: d})
 	}
-	w, err := standin.NewWorld(standin.Config{Partners: partners})
+	w, err := standin.NewEnvironment(standin.Config{Partners: partners})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	s := &testRelay{World: w, t: t, dir: t.TempDir()}
+	s := &testRelay{Environment: w, t: t, dir: t.TempDir()}
 	for name, code := range modules {
 		s.write(name, code)
 	}
@@ -79,8 +79,8 @@
 
 func (s *testRelay) waitUntil(what string, cond func() bool) {
 	s.t.Helper()
-	if err := s.Until(what, cond); err != nil {
-		s.t.Fatalf("%v\n%s", err, s.relay.Log())
+	if err := s.WaitUntil(what, cond); err != nil {
+		s.t.Fatalf("%v\n%s", err, s.relay.LogTail())
 	}
 }
 
@@ -114,11 +114,11 @@
 		faultSites = append(faultSites, faultSite{hook, fault})
 	}
 	for _, hook := range []string{"on_handin", "shape_request", "read_answer"} {
-		for fault, m := range wasm.Faults(hook) {
+		for fault, m := range wasm.FaultyPlugins(hook) {
 			add(hook, fault, m.Bytes())
 		}
 	}
-	for fault, code := range wasm.Broken("shape_request") {
+	for fault, code := range wasm.UnloadableModules("shape_request") {
 		add("shape_request", fault, code)
 	}
 	s := startTestRelay(t, len(faultSites), file+"}\n", modules)
@@ -146,7 +146,7 @@
 	}
 	workers.Wait()
 	s.waitUntil("all accepted messages to complete", func() bool {
-		effects, notifications := s.Ledger.Count(), s.Platform.Notices()
+		effects, notifications := s.EffectLog.CountByName(), s.Platform.Notifications()
 		for name, m := range all {
 			if _, ended := notifications[m.ID]; m.Outcome == client.Taken && effects[name] == 0 && !ended {
 				return false
@@ -155,10 +155,10 @@
 		return true
 	})
 	calls := map[string]int{}
-	for _, e := range s.Ledger.Effects() {
+	for _, e := range s.EffectLog.Entries() {
 		calls[e.Name]++
 	}
-	notifications := s.Platform.Notices()
+	notifications := s.Platform.Notifications()
 	for name, m := range all {
 		site, notified := faultSites[m.dest], notifications[m.ID].Outcome
 		want, wantCalls, wantNotified := client.Taken, 1, ""
@@ -181,7 +181,7 @@
 				m.Outcome, calls[name], notified, want, wantCalls, wantNotified)
 		}
 	}
-	if n := s.relay.Logged(`msg="plug-ins not loaded"`); n != 1 {
+	if n := s.relay.CountLogLines(`msg="plug-ins not loaded"`); n != 1 {
 		t.Errorf("%d log lines about modules that were not loaded, want 1", n)
 	}
 	if err := s.relay.Stop(); err != nil {
@@ -193,7 +193,7 @@
 // or module changes nothing.
 func TestReplacedUnderLoad(t *testing.T) {
 	form := func(v string) []byte {
-		return wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-Form: "+v)).Bytes()
+		return wasm.Returning("shape_request", abi.Append(nil, abi.Header, "X-Form: "+v)).Bytes()
 	}
 	file := func(module string) []byte {
 		return fmt.Appendf(nil, "plugins { plugin { name: \"form\" module: %q hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 wait_ms: 1000 } } }", module)
@@ -216,12 +216,12 @@
 					return
 				}
 				sentCount[worker]++
-				s.waitUntil("accepted charges to run", func() bool { return s.Ledger.Len() >= 4*sentCount[worker]-400 })
+				s.waitUntil("accepted charges to run", func() bool { return s.EffectLog.Len() >= 4*sentCount[worker]-400 })
 			}
 		})
 	}
 	countForm := func(form string) (n int) {
-		for _, e := range s.Ledger.Effects() {
+		for _, e := range s.EffectLog.Entries() {
 			if e.Form == form {
 				n++
 			}
@@ -234,7 +234,7 @@
 		s.write("operator.textproto", []byte(bad))
 		s.relay.Signal(syscall.SIGHUP)
 		s.waitUntil("the invalid file to be rejected",
-			func() bool { return s.relay.Logged(`msg="plug-ins not reloaded`) == n+1 })
+			func() bool { return s.relay.CountLogLines(`msg="plug-ins not reloaded`) == n+1 })
 	}
 	if n := countForm("b"); n != 0 {
 		t.Errorf("%d charges shaped by a plug-in that is not configured", n)
@@ -247,8 +247,8 @@
 	close(stop)
 	lanes.Wait()
 	sum := sentCount[0] + sentCount[1] + sentCount[2] + sentCount[3]
-	s.waitUntil("all to run", func() bool { return len(s.Ledger.Count()) == sum })
-	if d := s.Ledger.Doubles("fee-charge"); d != nil || countForm("") != 0 || countForm("a")+countForm("b") != sum {
+	s.waitUntil("all to run", func() bool { return len(s.EffectLog.CountByName()) == sum })
+	if d := s.EffectLog.Duplicates("fee-charge"); d != nil || countForm("") != 0 || countForm("a")+countForm("b") != sum {
 		t.Errorf("doubles %v; %d unshaped, %d+%d of %d; %d shaped by the first plug-in when the second was seen", d,
 			countForm(""), countForm("a"), countForm("b"), sum, before)
 	}
@@ -258,42 +258,42 @@
 // without having run.
 func TestStopWhileAPluginLoops(t *testing.T) {
 	s := startTestRelay(t, 1, `plugins { plugin { name: "loops" module: "loops" hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 } on_failure { then: FAIL } } }`,
-		map[string][]byte{"loops": wasm.Does("shape_request", wasm.Forever()).Bytes()})
+		map[string][]byte{"loops": wasm.WithCode("shape_request", wasm.InfiniteLoop()).Bytes()})
 	r := s.send("fee-charge", 0, 1)
 	if r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
 	}
 	if err := s.relay.Stop(); err != nil {
-		t.Fatalf("exit: %v\n%s", err, s.relay.Log())
+		t.Fatalf("exit: %v\n%s", err, s.relay.LogTail())
 	}
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.waitUntil("the charge to complete", func() bool { return s.Platform.Notices()[r.ID].Outcome != "" })
-	if n := s.Platform.Notices()[r.ID]; n.Outcome != "given_up" || len(s.Ledger.Effects()) != 0 {
-		t.Errorf("%+v, %v", n, s.Ledger.Effects())
+	s.waitUntil("the charge to complete", func() bool { return s.Platform.Notifications()[r.ID].Outcome != "" })
+	if n := s.Platform.Notifications()[r.ID]; n.Outcome != "given_up" || len(s.EffectLog.Entries()) != 0 {
+		t.Errorf("%+v, %v", n, s.EffectLog.Entries())
 	}
 }
 
 // The notes that a plug-in attaches to a submitted message survive a restart.
 func TestNotesSurviveRestart(t *testing.T) {
 	s := startTestRelay(t, 1, `plugins { plugin { name: "note" module: "note" hook: ON_HANDIN } }`,
-		map[string][]byte{"note": wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
-	s.Partners[0].Set(standin.Refusing, 1)
+		map[string][]byte{"note": wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
+	s.Partners[0].SetMode(standin.RefusingConnections, 1)
 	// An order, since a kill between the record of an attempt and its end makes a charge uncertain,
 	// and it is given up.
 	if r := s.send("order-relay", 0, 1); r.Outcome != client.Taken {
 		t.Fatalf("%+v", r)
 	}
 	s.relay.Kill()
-	in, err := journal.Inspect(journal.Dir(s.relay.State), nil)
+	in, err := journal.Inspect(journal.Dir(s.relay.StateDir), nil)
 	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note,
 		"a=b")) {
 		t.Errorf("the note is missing in the journal: %+v, %v", in, err)
 	}
-	s.Partners[0].Set(standin.Well, 1)
+	s.Partners[0].SetMode(standin.Healthy, 1)
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.waitUntil("the order to run", func() bool { return s.Ledger.Count()["order-relay/0-1"] == 1 })
+	s.waitUntil("the order to run", func() bool { return s.EffectLog.CountByName()["order-relay/0-1"] == 1 })
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -54,7 +54,7 @@
 // failures, tried once after the pause, and disabled again.
 func TestFaults(t *testing.T) {
 	for _, h := range allHooks {
-		for name, m := range wasm.Faults(h.String()) {
+		for name, m := range wasm.FaultyPlugins(h.String()) {
 			p := loadPlugin(t, testSpec(t, m.Bytes(), h))
 			now := time.Unix(1000, 0)
 			p.now = func() time.Time { return now }
@@ -88,7 +88,7 @@
 
 // A module that can't be loaded is named in the error, and the failure rules apply to its messages.
 func TestBrokenModules(t *testing.T) {
-	for name, code := range wasm.Broken("shape_request") {
+	for name, code := range wasm.UnloadableModules("shape_request") {
 		s := testSpec(t, code, abi.ShapeRequest)
 		if name == "loops at start" {
 			s.Budget.LoadTimeout = 100 * time.Millisecond
@@ -113,7 +113,7 @@
 
 // A plug-in that loops is stopped by its CPU budget, or by its wall time budget.
 func TestCPUBudget(t *testing.T) {
-	s := testSpec(t, wasm.Does("shape_request", wasm.Forever()).Bytes(), abi.ShapeRequest)
+	s := testSpec(t, wasm.WithCode("shape_request", wasm.InfiniteLoop()).Bytes(), abi.ShapeRequest)
 	s.Budget.Wall = time.Hour
 	p := loadPlugin(t, s)
 	_, err := p.Call(abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil, 0))
@@ -153,11 +153,11 @@
 func TestMemoryLimit(t *testing.T) {
 	var specs []Spec
 	for n := range 10 {
-		s := testSpec(t, wasm.Does("shape_request", wasm.Grow()).Bytes(), abi.ShapeRequest)
+		s := testSpec(t, wasm.WithCode("shape_request", wasm.GrowUntilTrap()).Bytes(), abi.ShapeRequest)
 		s.Name, s.Budget.MemoryPages, s.Budget.Instances, s.Classes = fmt.Sprint("m", n), 16, 2, []string{"fee-charge"}
 		specs = append(specs, s)
 	}
-	good := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, "shaped")).Bytes(), abi.ShapeRequest)
+	good := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, "shaped")).Bytes(), abi.ShapeRequest)
 	good.Classes = []string{"price-alert"}
 	set, err := LoadSet(context.Background(), append(specs, good), discardLog)
 	if err != nil {
@@ -197,13 +197,13 @@
 
 // Notes reach the later hooks; plug-ins are called in order, and only for messages that they match.
 func TestChain(t *testing.T) {
-	note := testSpec(t, wasm.Says("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
-	one := testSpec(t, wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body,
+	note := testSpec(t, wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
+	one := testSpec(t, wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body,
 		"one")).Bytes(), abi.ShapeRequest)
-	two := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
-	other := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
+	two := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
+	other := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
 	other.Dests = []int{8}
-	late := testSpec(t, wasm.Says("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave),
+	late := testSpec(t, wasm.Returning("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave),
 		abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
 	set, err := LoadSet(context.Background(), []Spec{note, one, other, two, late}, discardLog)
 	if err != nil {
@@ -235,7 +235,7 @@
 		t.Fatal("an empty holder returned a set")
 	}
 	loadBody := func(body string) *Set {
-		one := testSpec(t, wasm.Says("shape_request", abi.Append(nil, abi.Body, body)).Bytes(), abi.ShapeRequest)
+		one := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, body)).Bytes(), abi.ShapeRequest)
 		one.Budget.Instances, one.Budget.InstanceTimeout = 8, time.Minute
 		s, err := LoadSet(context.Background(), []Spec{one}, discardLog)
 		if err != nil {
@@ -279,7 +279,7 @@
 // that sets a body.
 func BenchmarkShape(b *testing.B) {
 	for name, m := range map[string]*wasm.Module{"none": nil, "noop": ptr(wasm.Noop()),
-		"rewrite": ptr(wasm.Says("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)),
+		"rewrite": ptr(wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)),
 			abi.Header, "X-Form: 2")))} {
 		b.Run(name, func(b *testing.B) {
 			h := &Holder{}
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -30,7 +30,7 @@
 }
 
 func (e *events) call(c standin.Call) {
-	if c.Ended {
+	if c.Completed {
 		return
 	}
 	e.mu.Lock()
@@ -40,7 +40,7 @@
 	}
 }
 
-func (e *events) notice(n standin.Notice) {
+func (e *events) notice(n standin.Notification) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, there := e.ended[n.Message]; !there {
@@ -52,7 +52,7 @@
 func (d *day) audit() {
 	delivered := func() map[string]bool {
 		ids := map[string]bool{}
-		for _, e := range d.world.Ledger.Effects() {
+		for _, e := range d.world.EffectLog.Entries() {
 			ids[e.ID] = true
 		}
 		return ids
@@ -68,7 +68,7 @@
 		}
 		return left
 	}
-	if err := d.world.Until("all that was taken on to end", func() bool { return len(owed()) == 0 }); err != nil {
+	if err := d.world.WaitUntil("all that was taken on to end", func() bool { return len(owed()) == 0 }); err != nil {
 		for _, r := range owed() {
 			d.fail("taken on and never ended: %v", r)
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	d.events.mu.Unlock()
-	for _, double := range d.world.Ledger.Doubles("fee-charge") {
+	for _, double := range d.world.EffectLog.Duplicates("fee-charge") {
 		d.fail("a charge ran twice: %s", double)
 	}
 	d.t.Logf("%d requests: %v; latest notice %v behind its time; %d planned stops, %d of them killed", len(d.clients.sent), counts, latest.Round(time.Millisecond), d.planned, d.late)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.Build(dir)
+	return standin.BuildRelay(dir)
 })
 
 func TestMain(m *testing.M) {
@@ -58,7 +58,7 @@
 // day is one seed's day.
 type day struct {
 	t       *testing.T
-	world   *standin.World
+	world   *standin.Environment
 	relays  []*standin.Relay
 	clients *clients
 	events  *events
@@ -120,17 +120,17 @@
 func play(t *testing.T, seed uint64) {
 	d := &day{t: t, lives: make([]int, fleet), away: make([][]span, fleet), dead: make([]int, fleet), began: time.Now(), events: newEvents()}
 	random := rand.New(rand.NewPCG(seed, 41))
-	set := standin.Config{Seed: seed, Slots: 8, Hold: 60 + random.IntN(100), Sockets: 192, Relays: fleet}
+	set := standin.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: fleet}
 	for n := range dests {
-		set.Partners = append(set.Partners, standin.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), Serve: time.Duration(random.IntN(60)) * time.Millisecond,
-			Wait: 150 * time.Millisecond, Watch: d.events.call})
+		set.Partners = append(set.Partners, standin.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
+			RetryAfter: 150 * time.Millisecond, OnCall: d.events.call})
 	}
 	var err error
-	if d.world, err = standin.NewWorld(set); err != nil {
+	if d.world, err = standin.NewEnvironment(set); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.world.Close)
-	d.world.Platform.Watch(d.events.notice)
+	d.world.Platform.OnNotification(d.events.notice)
 	bin, _ := program()
 	for range fleet {
 		r, err := d.world.StartRelay(bin)
@@ -155,7 +155,7 @@
 	troubles.Go(func() { d.crowds(rand.New(rand.NewPCG(seed, 3000))) })
 	troubles.Wait()
 	for _, p := range d.world.Partners {
-		if err := p.Set(standin.Well, 1); err != nil {
+		if err := p.SetMode(standin.Healthy, 1); err != nil {
 			t.Error(err)
 		}
 	}
@@ -220,9 +220,9 @@
 		time.Sleep(time.Duration(300+random.IntN(2000)) * time.Millisecond)
 		slow := time.Duration(random.IntN(200)) * time.Millisecond
 		d.tell("notices take %v", slow)
-		d.world.Platform.Slow(slow)
+		d.world.Platform.DelayNotifications(slow)
 		time.Sleep(time.Duration(300+random.IntN(1500)) * time.Millisecond)
-		d.world.Platform.Slow(0)
+		d.world.Platform.DelayNotifications(0)
 	}
 }
 
@@ -231,16 +231,16 @@
 	r, began := d.relays[relay], time.Now()
 	defer func() { d.excuse(relay, began, readyGrace) }()
 	var was unix.Rlimit
-	if err := unix.Prlimit(r.Pid(), resource, nil, &was); err != nil {
+	if err := unix.Prlimit(r.PID(), resource, nil, &was); err != nil {
 		d.t.Error(err)
 		return
 	}
 	d.tell("%s: %s bound to %d for %v", r.Addr, what, to, long)
 	low := was
 	low.Cur = to
-	unix.Prlimit(r.Pid(), resource, &low, nil)
+	unix.Prlimit(r.PID(), resource, &low, nil)
 	time.Sleep(long)
-	unix.Prlimit(r.Pid(), resource, &was, nil)
+	unix.Prlimit(r.PID(), resource, &was, nil)
 }
 
 // series are the signals of a planned stop.
@@ -292,7 +292,7 @@
 		d.kill(relay)
 	}
 	launched := time.Now()
-	if err := r.Await("msg=ready"); err != nil {
+	if err := r.AwaitLog("msg=ready"); err != nil {
 		d.fail("relay %d: %v", relay, err)
 		return
 	}
@@ -318,12 +318,12 @@
 
 // partnerTroubles has destinations reset, hang, fail and refuse.
 func (d *day) partnerTroubles(random *rand.Rand) {
-	modes := []standin.Mode{standin.Well, standin.Well, standin.Silent, standin.Reset, standin.ResetRan, standin.Broken, standin.Shut, standin.Refusing}
+	modes := []standin.Mode{standin.Healthy, standin.Healthy, standin.Unresponsive, standin.ResetBeforeRun, standin.ResetAfterRun, standin.InternalError, standin.Unavailable, standin.RefusingConnections}
 	for !d.over() {
 		time.Sleep(time.Duration(100+random.IntN(600)) * time.Millisecond)
 		dest, mode, share := 1+random.IntN(dests), modes[random.IntN(len(modes))], []float64{1, 0.3}[random.IntN(2)]
 		d.tell("destination %d: mode %d for %g of its calls", dest, mode, share)
-		if err := d.world.Partners[dest].Set(mode, share); err != nil {
+		if err := d.world.Partners[dest].SetMode(mode, share); err != nil {
 			d.tell("destination %d: %v", dest, err)
 		}
 	}
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/faultfs/disk.go
@@ -1,6 +1,6 @@
 // Package disk is a folder in memory that fails as it is told: the nth operation, with half of what was written; all
 // from then on, as when the process is killed; or for want of room. It stands in for the journal's file layer.
-package disk
+package faultfs
 
 import (
 	"errors"
@@ -28,8 +28,8 @@
 	Short       // a write that takes only half and says so; others fail
 )
 
-// Disk is the folder. It is safe for concurrent use.
-type Disk struct {
+// FS is the folder. It is safe for concurrent use.
+type FS struct {
 	mu    sync.Mutex
 	files map[string][]byte
 	ops   int
@@ -41,36 +41,36 @@
 }
 
 // New returns an empty folder.
-func New() *Disk { return &Disk{files: map[string][]byte{}, at: map[int]Fault{}} }
+func New() *FS { return &FS{files: map[string][]byte{}, at: map[int]Fault{}} }
 
-// Fail makes the nth operation from the start on fail so.
-func (d *Disk) Fail(n int, f Fault) { d.mu.Lock(); d.at[n] = f; d.mu.Unlock() }
+// InjectFault makes the nth operation from the start on fail so.
+func (d *FS) InjectFault(n int, f Fault) { d.mu.Lock(); d.at[n] = f; d.mu.Unlock() }
 
-// Room bounds what all files may take; 0 is any number.
-func (d *Disk) Room(bytes int64) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
+// SetCapacity bounds what all files may take; 0 is any number.
+func (d *FS) SetCapacity(bytes int64) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
 
-// FileRoom bounds the size of each file; 0 is any.
-func (d *Disk) FileRoom(bytes int64) { d.mu.Lock(); d.file = bytes; d.mu.Unlock() }
+// SetMaxFileSize bounds the size of each file; 0 is any.
+func (d *FS) SetMaxFileSize(bytes int64) { d.mu.Lock(); d.file = bytes; d.mu.Unlock() }
 
-// Ops counts the operations that change something so far.
-func (d *Disk) Ops() int { d.mu.Lock(); defer d.mu.Unlock(); return d.ops }
+// OperationCount counts the operations that change something so far.
+func (d *FS) OperationCount() int { d.mu.Lock(); defer d.mu.Unlock(); return d.ops }
 
-// Used is what all files take.
-func (d *Disk) Used() (n int64) {
+// UsedBytes is what all files take.
+func (d *FS) UsedBytes() (n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.used()
 }
 
-func (d *Disk) used() (n int64) {
+func (d *FS) used() (n int64) {
 	for _, b := range d.files {
 		n += int64(len(b)+511) / 512 * 512
 	}
 	return n
 }
 
-// Revive is the next life of the process: the files as they are, no fault.
-func (d *Disk) Revive() *Disk {
+// Restart is the next life of the process: the files as they are, no fault.
+func (d *FS) Restart() *FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := New()
@@ -81,15 +81,15 @@
 	return next
 }
 
-// Change changes a file behind everybody's back.
-func (d *Disk) Change(name string, f func([]byte) []byte) {
+// ModifyFile changes a file behind everybody's back.
+func (d *FS) ModifyFile(name string, f func([]byte) []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name] = f(slices.Clone(d.files[name]))
 }
 
 // step counts an operation that changes something and returns its fault. The caller holds mu.
-func (d *Disk) step(what string) Fault {
+func (d *FS) step(what string) Fault {
 	if d.dead {
 		return Kill
 	}
@@ -102,11 +102,11 @@
 	return f
 }
 
-// Log tells the operations so far.
-func (d *Disk) Log() []string { d.mu.Lock(); defer d.mu.Unlock(); return slices.Clone(d.log) }
+// OperationLog tells the operations so far.
+func (d *FS) OperationLog() []string { d.mu.Lock(); defer d.mu.Unlock(); return slices.Clone(d.log) }
 
 // List names the files.
-func (d *Disk) List() (names []string, err error) {
+func (d *FS) List() (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.dead {
@@ -120,7 +120,7 @@
 }
 
 // Read returns a file.
-func (d *Disk) Read(name string) ([]byte, error) {
+func (d *FS) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, ok := d.files[name]
@@ -134,7 +134,7 @@
 }
 
 // do runs an operation that is done or not done.
-func (d *Disk) do(what string, f func() error) error {
+func (d *FS) do(what string, f func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch d.step(what) {
@@ -150,7 +150,7 @@
 }
 
 // Create makes an empty file.
-func (d *Disk) Create(name string) (journal.File, error) {
+func (d *FS) Create(name string) (journal.File, error) {
 	err := d.do("create "+name, func() error { d.files[name] = nil; return nil })
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 }
 
 // Rename renames a file.
-func (d *Disk) Rename(from, to string) error {
+func (d *FS) Rename(from, to string) error {
 	return d.do("rename "+from, func() error {
 		b, ok := d.files[from]
 		if !ok {
@@ -172,7 +172,7 @@
 }
 
 // Remove drops a file.
-func (d *Disk) Remove(name string) error {
+func (d *FS) Remove(name string) error {
 	return d.do("remove "+name, func() error {
 		if _, ok := d.files[name]; !ok {
 			return os.ErrNotExist
@@ -183,11 +183,11 @@
 }
 
 // Truncate cuts a file.
-func (d *Disk) Truncate(name string, size int64) error {
+func (d *FS) Truncate(name string, size int64) error {
 	return d.do("truncate "+name, func() error { return d.cut(name, size) })
 }
 
-func (d *Disk) cut(name string, size int64) error {
+func (d *FS) cut(name string, size int64) error {
 	b, ok := d.files[name]
 	if !ok || size > int64(len(b)) {
 		return os.ErrNotExist
@@ -198,7 +198,7 @@
 
 // file is an open file, known by its name: nothing here renames one that is open for longer than its making.
 type file struct {
-	d    *Disk
+	d    *FS
 	name *string
 }
 
--- a/internal/standin/link/link.go
+++ b/internal/standin/faultnet/link.go
@@ -4,7 +4,7 @@
 //	net, err := link.New([]string{listen0, listen1}, seed)
 //	peers of relay 0: net.Peers(0)
 //	net.Set(link.Ways{Deaf: map[int]bool{1: true}})
-package link
+package faultnet
 
 import (
 	"fmt"
@@ -16,36 +16,36 @@
 	"time"
 )
 
-// MaxNote is the most bytes of a note that a platform takes; a longer one is counted and goes no further.
-const MaxNote = 256
-
-// Ways is what holds on all ways. The zero value carries everything at once. One that is in force must not be changed.
-type Ways struct {
-	Apart []map[int]bool                  // groups that don't hear the others, nor are heard by them
-	Deaf  map[int]bool                    // these hear nobody
-	Mute  map[int]bool                    // these are heard by nobody
-	Pairs map[[2]int]bool                 // from, to: this one way is cut
-	Lost  float64                         // share
-	Twice float64                         // share
-	Late  time.Duration                   // up to so much, drawn for each: notes come out of order
-	Watch func(from, to int, note []byte) // not nil: told of each note that is sent
+// MaxMessageBytes is the most bytes of a note that a platform takes; a longer one is counted and goes no further.
+const MaxMessageBytes = 256
+
+// Faults is what holds on all ways. The zero value carries everything at once. One that is in force must not be changed.
+type Faults struct {
+	Partitions    []map[int]bool                  // groups that don't hear the others, nor are heard by them
+	NoReceive     map[int]bool                    // these hear nobody
+	NoSend        map[int]bool                    // these are heard by nobody
+	BlockedPairs  map[[2]int]bool                 // from, to: this one way is cut
+	LossRate      float64                         // share
+	DuplicateRate float64                         // share
+	MaxDelay      time.Duration                   // up to so much, drawn for each: notes come out of order
+	OnSend        func(from, to int, note []byte) // not nil: told of each note that is sent
 }
 
 // carries tells whether anything gets from one relay to another.
-func (w *Ways) carries(from, to int) bool {
-	for _, group := range w.Apart {
+func (w *Faults) carries(from, to int) bool {
+	for _, group := range w.Partitions {
 		if group[from] != group[to] {
 			return false
 		}
 	}
-	return !w.Deaf[to] && !w.Mute[from] && !w.Pairs[[2]int{from, to}]
+	return !w.NoReceive[to] && !w.NoSend[from] && !w.BlockedPairs[[2]int{from, to}]
 }
 
-// Net is the ways between the relays of one fleet. Close ends it.
-type Net struct {
+// Network is the ways between the relays of one fleet. Close ends it.
+type Network struct {
 	real  []netip.AddrPort
 	ends  [][]*net.UDPConn // [i][j]: where relay i reaches j, and hears it from
-	ways  atomic.Pointer[Ways]
+	ways  atomic.Pointer[Faults]
 	group sync.WaitGroup
 
 	second atomic.Pointer[map[int]netip.AddrPort]
@@ -61,9 +61,9 @@
 }
 
 // New opens the ways between relays that listen at these addresses.
-func New(listen []string, seed uint64) (*Net, error) {
-	n := &Net{rng: rand.New(rand.NewPCG(seed, 0x11e4)), timers: map[*time.Timer]struct{}{}}
-	n.ways.Store(&Ways{})
+func New(listen []string, seed uint64) (*Network, error) {
+	n := &Network{rng: rand.New(rand.NewPCG(seed, 0x11e4)), timers: map[*time.Timer]struct{}{}}
+	n.ways.Store(&Faults{})
 	for _, a := range listen {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -96,8 +96,8 @@
 	return n, nil
 }
 
-// Peers are the addresses that relay i is told, by number: its own, and a link's for each other.
-func (n *Net) Peers(i int) (all []string) {
+// PeerAddrs are the addresses that relay i is told, by number: its own, and a link's for each other.
+func (n *Network) PeerAddrs(i int) (all []string) {
 	for j, sock := range n.ends[i] {
 		if j == i {
 			all = append(all, n.real[i].String())
@@ -108,8 +108,8 @@
 	return all
 }
 
-// Second has a further address stand for relay i, as if two processes had one number: it is heard as i, and hears what i hears.
-func (n *Net) Second(i int, listen string) error {
+// AddAlias has a further address stand for relay i, as if two processes had one number: it is heard as i, and hears what i hears.
+func (n *Network) AddAlias(i int, listen string) error {
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return err
@@ -119,28 +119,28 @@
 }
 
 // also is the second address of a relay, if there is one.
-func (n *Net) also(i int) (at netip.AddrPort, ok bool) {
+func (n *Network) also(i int) (at netip.AddrPort, ok bool) {
 	if all := n.second.Load(); all != nil {
 		at, ok = (*all)[i]
 	}
 	return at, ok
 }
 
-// Set puts ways in force. What is late already still comes.
-func (n *Net) Set(w Ways) { n.ways.Store(&w) }
+// SetFaults puts ways in force. What is late already still comes.
+func (n *Network) SetFaults(w Faults) { n.ways.Store(&w) }
 
-// Ways are those in force.
-func (n *Net) Ways() Ways { return *n.ways.Load() }
+// Faults are those in force.
+func (n *Network) Faults() Faults { return *n.ways.Load() }
 
 // Counts tells how many notes were sent, how many of them arrived, how many bytes were sent and how many notes were longer than may be.
-func (n *Net) Counts() (sent, carried, bytes, tooLong int) {
+func (n *Network) Counts() (sent, carried, bytes, tooLong int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent, n.carried, n.bytes, n.tooLong
 }
 
 // Close ends all ways; what is late is lost.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	for t := range n.timers {
@@ -158,8 +158,8 @@
 }
 
 // carry passes on what relay i sends to j, until the way is closed. A stranger's note is not passed on.
-func (n *Net) carry(i, j int, sock *net.UDPConn) {
-	buf := make([]byte, 4*MaxNote)
+func (n *Network) carry(i, j int, sock *net.UDPConn) {
+	buf := make([]byte, 4*MaxMessageBytes)
 	for {
 		size, from, err := sock.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -169,8 +169,8 @@
 			continue
 		}
 		w := n.ways.Load()
-		if w.Watch != nil {
-			w.Watch(i, j, buf[:size])
+		if w.OnSend != nil {
+			w.OnSend(i, j, buf[:size])
 		}
 		for _, late := range n.fate(w, i, j, size) {
 			note := append([]byte(nil), buf[:size]...)
@@ -184,33 +184,33 @@
 }
 
 // fate draws how often a note arrives, and how late each time.
-func (n *Net) fate(w *Ways, i, j, size int) (arrivals []time.Duration) {
+func (n *Network) fate(w *Faults, i, j, size int) (arrivals []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent++
 	n.bytes += size
-	if size > MaxNote {
+	if size > MaxMessageBytes {
 		n.tooLong++
 		return nil
 	}
-	if !w.carries(i, j) || w.Lost > 0 && n.rng.Float64() < w.Lost {
+	if !w.carries(i, j) || w.LossRate > 0 && n.rng.Float64() < w.LossRate {
 		return nil
 	}
 	times := 1
-	if w.Twice > 0 && n.rng.Float64() < w.Twice {
+	if w.DuplicateRate > 0 && n.rng.Float64() < w.DuplicateRate {
 		times = 2
 	}
 	for range times {
 		late := time.Duration(0)
-		if w.Late > 0 {
-			late = time.Duration(n.rng.Int64N(int64(w.Late) + 1))
+		if w.MaxDelay > 0 {
+			late = time.Duration(n.rng.Int64N(int64(w.MaxDelay) + 1))
 		}
 		arrivals = append(arrivals, late)
 	}
 	return arrivals
 }
 
-func (n *Net) later(after time.Duration, do func()) {
+func (n *Network) later(after time.Duration, do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -227,7 +227,7 @@
 }
 
 // deliver writes a note to relay j, as from where it knows i.
-func (n *Net) deliver(i, j int, note []byte) {
+func (n *Network) deliver(i, j int, note []byte) {
 	if also, ok := n.also(j); ok {
 		n.ends[j][i].WriteToUDPAddrPort(note, also)
 	}
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/faultnet/link_test.go
@@ -1,4 +1,4 @@
-package link
+package faultnet
 
 import (
 	"net"
@@ -33,7 +33,7 @@
 	}
 	defer n.Close()
 	send := func(i, j int, note []byte) {
-		if _, err := socks[i].WriteToUDPAddrPort(note, netip.MustParseAddrPort(n.Peers(i)[j])); err != nil {
+		if _, err := socks[i].WriteToUDPAddrPort(note, netip.MustParseAddrPort(n.PeerAddrs(i)[j])); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,14 +47,14 @@
 		}
 		return string(buf[:size]), from.String()
 	}
-	heard := func(j int, w Ways, send1 func()) (all []string) {
-		n.Set(w)
+	heard := func(j int, w Faults, send1 func()) (all []string) {
+		n.SetFaults(w)
 		before, _, _, _ := n.Counts()
 		send1()
 		for sent := before; sent < before+1; sent, _, _, _ = n.Counts() {
 			time.Sleep(time.Millisecond)
 		}
-		n.Set(Ways{})
+		n.SetFaults(Faults{})
 		send((j+1)%3, j, []byte("mark"))
 		for {
 			text, _ := read(j)
@@ -66,34 +66,34 @@
 	}
 	for _, c := range []struct {
 		name string
-		ways Ways
+		ways Faults
 		want bool
-	}{{"all", Ways{}, true}, {"deaf", Ways{Deaf: map[int]bool{1: true}}, false}, {"deaf sender", Ways{Deaf: map[int]bool{0: true}}, true},
-		{"mute", Ways{Mute: map[int]bool{0: true}}, false}, {"mute receiver", Ways{Mute: map[int]bool{1: true}}, true}, {"apart", Ways{Apart: []map[int]bool{{0: true}}}, false},
-		{"together apart", Ways{Apart: []map[int]bool{{0: true, 1: true}}}, true}, {"this way", Ways{Pairs: map[[2]int]bool{{0, 1}: true}}, false},
-		{"that way", Ways{Pairs: map[[2]int]bool{{1, 0}: true}}, true}, {"lost", Ways{Lost: 1}, false}} {
+	}{{"all", Faults{}, true}, {"deaf", Faults{NoReceive: map[int]bool{1: true}}, false}, {"deaf sender", Faults{NoReceive: map[int]bool{0: true}}, true},
+		{"mute", Faults{NoSend: map[int]bool{0: true}}, false}, {"mute receiver", Faults{NoSend: map[int]bool{1: true}}, true}, {"apart", Faults{Partitions: []map[int]bool{{0: true}}}, false},
+		{"together apart", Faults{Partitions: []map[int]bool{{0: true, 1: true}}}, true}, {"this way", Faults{BlockedPairs: map[[2]int]bool{{0, 1}: true}}, false},
+		{"that way", Faults{BlockedPairs: map[[2]int]bool{{1, 0}: true}}, true}, {"lost", Faults{LossRate: 1}, false}} {
 		got := heard(1, c.ways, func() { send(0, 1, []byte(c.name)) })
 		if (len(got) == 1) != c.want {
 			t.Errorf("%s: heard %q", c.name, got)
 		}
 	}
-	if got := heard(1, Ways{Twice: 1}, func() { send(0, 1, []byte("x")) }); len(got) != 2 {
+	if got := heard(1, Faults{DuplicateRate: 1}, func() { send(0, 1, []byte("x")) }); len(got) != 2 {
 		t.Errorf("twice: heard %q", got)
 	}
-	if got := heard(1, Ways{}, func() { send(0, 1, make([]byte, MaxNote+1)) }); len(got) != 0 {
+	if got := heard(1, Faults{}, func() { send(0, 1, make([]byte, MaxMessageBytes+1)) }); len(got) != 0 {
 		t.Errorf("257 bytes came: %d", len(got))
 	}
 	if _, _, _, long := n.Counts(); long != 1 {
 		t.Errorf("%d too long", long)
 	}
 	stranger := end(t)
-	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.Peers(0)[1]))
+	stranger.WriteToUDPAddrPort([]byte("stranger"), netip.MustParseAddrPort(n.PeerAddrs(0)[1]))
 	send(2, 1, []byte("two"))
-	if text, from := read(1); text != "two" || from != n.Peers(1)[2] {
-		t.Errorf("heard %q from %s, want it from %s", text, from, n.Peers(1)[2])
+	if text, from := read(1); text != "two" || from != n.PeerAddrs(1)[2] {
+		t.Errorf("heard %q from %s, want it from %s", text, from, n.PeerAddrs(1)[2])
 	}
 	// Late ones come out of order, and all of them.
-	n.Set(Ways{Late: 50 * time.Millisecond})
+	n.SetFaults(Faults{MaxDelay: 50 * time.Millisecond})
 	var order []byte
 	for i := range 40 {
 		send(0, 2, []byte{byte(i)})
--- a/internal/standin/link/stream.go
+++ b/internal/standin/faultnet/stream.go
@@ -1,4 +1,4 @@
-package link
+package faultnet
 
 import (
 	"fmt"
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Course is what a stream's way does. The zero value passes all at once.
-type Course struct {
-	Refuse bool          // connections that are open are reset, new ones as soon as they come
-	There  bool          // nothing gets there: what is written waits for the cut's end
-	Back   bool          // nothing comes back: answers wait for it
-	Delay  time.Duration // of each piece, on either way
+// StreamFaults is what a stream's way does. The zero value passes all at once.
+type StreamFaults struct {
+	Refuse        bool          // connections that are open are reset, new ones as soon as they come
+	BlockOutbound bool          // nothing gets there: what is written waits for the cut's end
+	BlockInbound  bool          // nothing comes back: answers wait for it
+	Delay         time.Duration // of each piece, on either way
 }
 
-// Stream is the way from one relay to one other party over TCP: a partner's endpoint or the platform. What a cut holds back comes behind it, as
+// TCPProxy is the way from one relay to one other party over TCP: a partner's endpoint or the platform. What a cut holds back comes behind it, as
 // it does where a network heals before either side gives up. Close ends it.
-type Stream struct {
+type TCPProxy struct {
 	Addr string
 
 	to     string
 	ln     net.Listener
-	course atomic.Pointer[Course]
+	course atomic.Pointer[StreamFaults]
 	group  sync.WaitGroup
 
 	mu      sync.Mutex
@@ -33,20 +33,20 @@
 	opened  int
 }
 
-// NewStream opens a way to an address.
-func NewStream(to string) (*Stream, error) {
+// NewTCPProxy opens a way to an address.
+func NewTCPProxy(to string) (*TCPProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("way to %s: %w", to, err)
 	}
-	s := &Stream{Addr: ln.Addr().String(), to: to, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	s.course.Store(&Course{})
+	s := &TCPProxy{Addr: ln.Addr().String(), to: to, ln: ln, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	s.course.Store(&StreamFaults{})
 	s.group.Go(s.accept)
 	return s, nil
 }
 
-// Set puts a course in force, also for connections that are open.
-func (s *Stream) Set(c Course) {
+// SetFaults puts a course in force, also for connections that are open.
+func (s *TCPProxy) SetFaults(c StreamFaults) {
 	s.course.Store(&c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,11 +57,11 @@
 	}
 }
 
-// Opened counts the connections that came.
-func (s *Stream) Opened() int { s.mu.Lock(); defer s.mu.Unlock(); return s.opened }
+// ConnectionCount counts the connections that came.
+func (s *TCPProxy) ConnectionCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.opened }
 
 // Close ends the way and all its connections.
-func (s *Stream) Close() {
+func (s *TCPProxy) Close() {
 	s.ln.Close()
 	s.mu.Lock()
 	if !s.closed {
@@ -74,7 +74,7 @@
 }
 
 // reset breaks all connections. The caller holds mu.
-func (s *Stream) reset() {
+func (s *TCPProxy) reset() {
 	for c := range s.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Stream) accept() {
+func (s *TCPProxy) accept() {
 	for {
 		near, err := s.ln.Accept()
 		if err != nil {
@@ -104,9 +104,9 @@
 }
 
 // join carries one connection until either side ends it.
-func (s *Stream) join(near net.Conn) {
+func (s *TCPProxy) join(near net.Conn) {
 	defer s.drop(near)
-	if !s.passes(func(c *Course) bool { return !c.There }) {
+	if !s.passes(func(c *StreamFaults) bool { return !c.BlockOutbound }) {
 		return
 	}
 	far, err := net.Dial("tcp", s.to)
@@ -125,15 +125,15 @@
 	defer s.drop(far)
 	var back sync.WaitGroup
 	back.Go(func() {
-		s.copy(near, far, func(c *Course) bool { return !c.Back })
+		s.copy(near, far, func(c *StreamFaults) bool { return !c.BlockInbound })
 		near.Close()
 	})
-	s.copy(far, near, func(c *Course) bool { return !c.There })
+	s.copy(far, near, func(c *StreamFaults) bool { return !c.BlockOutbound })
 	far.Close()
 	back.Wait()
 }
 
-func (s *Stream) drop(c net.Conn) {
+func (s *TCPProxy) drop(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -141,7 +141,7 @@
 }
 
 // passes waits until the course lets something through; false: the way is closed.
-func (s *Stream) passes(open func(*Course) bool) bool {
+func (s *TCPProxy) passes(open func(*StreamFaults) bool) bool {
 	for {
 		s.mu.Lock()
 		changed, closed := s.changed, s.closed
@@ -156,7 +156,7 @@
 	}
 }
 
-func (s *Stream) copy(to, from net.Conn, open func(*Course) bool) {
+func (s *TCPProxy) copy(to, from net.Conn, open func(*StreamFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
--- a/internal/standin/link/stream_test.go
+++ b/internal/standin/faultnet/stream_test.go
@@ -1,4 +1,4 @@
-package link
+package faultnet
 
 import (
 	"bufio"
@@ -30,7 +30,7 @@
 
 // A stream passes, holds back what a cut of either direction stops and lets it go behind it, delays, refuses and breaks what is open; closing it ends all.
 func TestStream(t *testing.T) {
-	s, err := NewStream(echo(t))
+	s, err := NewTCPProxy(echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,23 +54,23 @@
 	if got, err := ask(c, r, 20*time.Second); got != "x\n" {
 		t.Fatal(got, err)
 	}
-	for _, cut := range []Course{{There: true}, {Back: true}, {There: true, Back: true}} {
-		s.Set(cut)
+	for _, cut := range []StreamFaults{{BlockOutbound: true}, {BlockInbound: true}, {BlockOutbound: true, BlockInbound: true}} {
+		s.SetFaults(cut)
 		if got, err := ask(c, r, 100*time.Millisecond); err == nil {
 			t.Errorf("%+v: %q comes through", cut, got)
 		}
-		s.Set(Course{})
+		s.SetFaults(StreamFaults{})
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		if got, err := r.ReadString('\n'); got != "x\n" {
 			t.Errorf("%+v: %q, %v behind the cut", cut, got, err)
 		}
 	}
-	s.Set(Course{Delay: 30 * time.Millisecond})
+	s.SetFaults(StreamFaults{Delay: 30 * time.Millisecond})
 	began := time.Now()
 	if got, err := ask(c, r, 20*time.Second); got != "x\n" || time.Since(began) < 60*time.Millisecond {
 		t.Errorf("%q, %v after %v", got, err, time.Since(began))
 	}
-	s.Set(Course{Refuse: true})
+	s.SetFaults(StreamFaults{Refuse: true})
 	if got, err := ask(c, r, 20*time.Second); err == nil {
 		t.Errorf("an open connection still says %q", got)
 	}
@@ -80,10 +80,10 @@
 		}
 		c.Close()
 	}
-	s.Set(Course{})
+	s.SetFaults(StreamFaults{})
 	c, r = dial()
-	if got, err := ask(c, r, 20*time.Second); got != "x\n" || s.Opened() != 3 {
-		t.Errorf("%q, %v, %d opened", got, err, s.Opened())
+	if got, err := ask(c, r, 20*time.Second); got != "x\n" || s.ConnectionCount() != 3 {
+		t.Errorf("%q, %v, %d opened", got, err, s.ConnectionCount())
 	}
-	s.Set(Course{There: true}) // closing waits for nothing that is held back
+	s.SetFaults(StreamFaults{BlockOutbound: true}) // closing waits for nothing that is held back
 }
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -23,25 +23,25 @@
 
 // The kinds of faults.
 const (
-	Pass       FaultKind = iota // to the relay and back
-	Answer                      // answered by the gate itself
-	LoseAnswer                  // the relay answers, the client's connection ends without
-	HoldAnswer                  // the relay answers, the client hears it after Release
-	Mute                        // nothing is passed on or said until the client closes
-	Cut                         // the connection is reset after the request's head
+	Forward         FaultKind = iota // to the relay and back
+	Respond                          // answered by the gate itself
+	DropResponse                     // the relay answers, the client's connection ends without
+	HoldResponse                     // the relay answers, the client hears it after Release
+	IgnoreRequest                    // nothing is passed on or said until the client closes
+	ResetConnection                  // the connection is reset after the request's head
 )
 
-// Seen is a request that came to a gate.
-type Seen struct {
-	Path, ID, Key, Mark, Left string
-	Name                      string // of the message; empty where the body was not read
-	Status                    int    // that the relay answered; 0: none
-	At                        time.Time
+// RecordedRequest is a request that came to a gate.
+type RecordedRequest struct {
+	Path, ID, Key, RepeatMark, TimeLeft string
+	Name                                string // of the message; empty where the body was not read
+	Status                              int    // that the relay answered; 0: none
+	At                                  time.Time
 }
 
-// Gate stands between clients and a relay, sees each request and does faults by a script. It counts what is on the wire
+// FaultProxy stands between clients and a relay, sees each request and does faults by a script. It counts what is on the wire
 // without help of the client's library.
-type Gate struct {
+type FaultProxy struct {
 	Addr string
 
 	to     string
@@ -50,15 +50,15 @@
 	ln     net.Listener
 
 	mu      sync.Mutex
-	seen    []Seen
+	seen    []RecordedRequest
 	opened  []time.Time
 	conns   map[net.Conn]struct{}
 	release chan struct{}
 }
 
-// Gate opens a gate to a relay's address. Script is asked for each POST, of which n came before; nil passes all. To may
+// StartFaultProxy opens a gate to a relay's address. Script is asked for each POST, of which n came before; nil passes all. To may
 // be empty where the script answers all itself.
-func (w *World) Gate(to string, script func(n int, path string) Fault) (*Gate, error) {
+func (w *Environment) StartFaultProxy(to string, script func(n int, path string) Fault) (*FaultProxy, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	if script == nil {
 		script = func(int, string) Fault { return Fault{} }
 	}
-	g := &Gate{Addr: ln.Addr().String(), to: to, script: script, news: w.news, ln: ln, conns: map[net.Conn]struct{}{}, release: make(chan struct{})}
+	g := &FaultProxy{Addr: ln.Addr().String(), to: to, script: script, news: w.news, ln: ln, conns: map[net.Conn]struct{}{}, release: make(chan struct{})}
 	w.mu.Lock()
 	w.closers = append(w.closers, g.close)
 	w.mu.Unlock()
@@ -86,39 +86,39 @@
 	return g, nil
 }
 
-func (g *Gate) close() {
+func (g *FaultProxy) close() {
 	g.ln.Close()
 	g.mu.Lock()
 	for c := range g.conns {
 		c.Close()
 	}
 	g.mu.Unlock()
-	g.Release()
+	g.ReleaseResponses()
 }
 
-// Release lets held answers go.
-func (g *Gate) Release() {
+// ReleaseResponses lets held answers go.
+func (g *FaultProxy) ReleaseResponses() {
 	g.mu.Lock()
 	close(g.release)
 	g.release = make(chan struct{})
 	g.mu.Unlock()
 }
 
-// Seen returns the requests that came, GET /ready left out.
-func (g *Gate) Seen() []Seen {
+// Requests returns the requests that came, GET /ready left out.
+func (g *FaultProxy) Requests() []RecordedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.seen)
 }
 
-// Opened returns when each connection was opened.
-func (g *Gate) Opened() []time.Time {
+// ConnectionTimes returns when each connection was opened.
+func (g *FaultProxy) ConnectionTimes() []time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.opened)
 }
 
-func (g *Gate) serve(c net.Conn) {
+func (g *FaultProxy) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		g.mu.Lock()
@@ -144,13 +144,13 @@
 			g.mu.Lock()
 			at = len(g.seen)
 			h := req.Header
-			g.seen = append(g.seen, Seen{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
-				Mark: h.Get("X-Repeat"), Left: h.Get("X-Time-Left-Ms"), At: time.Now()})
+			g.seen = append(g.seen, RecordedRequest{Path: req.URL.Path, ID: h.Get("X-Correlation-Id"), Key: h.Get("Idempotency-Key"),
+				RepeatMark: h.Get("X-Repeat"), TimeLeft: h.Get("X-Time-Left-Ms"), At: time.Now()})
 			g.mu.Unlock()
 			fault = g.script(at, req.URL.Path)
 			g.news.tell()
 		}
-		if fault.Kind == Cut {
+		if fault.Kind == ResetConnection {
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -160,15 +160,15 @@
 		}
 		if at >= 0 {
 			g.mu.Lock()
-			g.seen[at].Name = Name(body)
+			g.seen[at].Name = MessageName(body)
 			g.mu.Unlock()
 			g.news.tell()
 		}
 		switch {
-		case fault.Kind == Mute:
+		case fault.Kind == IgnoreRequest:
 			r.Peek(1) // until the client closes
 			return
-		case fault.Kind == Answer || g.to == "":
+		case fault.Kind == Respond || g.to == "":
 			if g.to == "" && fault.Status == 0 {
 				fault.Status = 200
 			}
@@ -201,9 +201,9 @@
 			g.news.tell()
 		}
 		switch fault.Kind {
-		case LoseAnswer:
+		case DropResponse:
 			return
-		case HoldAnswer:
+		case HoldResponse:
 			<-release
 		}
 		fmt.Fprintf(c, "HTTP/1.1 %s\r\n", res.Status)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -14,11 +14,11 @@
 	Form          string // X-Form of the call
 	Dest, Size    int    // Size: bytes of the body
 	At            time.Time
-	Dropped       bool // a repeat that the partner dropped by its key
+	Deduplicated  bool // a repeat that the partner dropped by its key
 }
 
-// Ledger books the effects of all partners of a world.
-type Ledger struct {
+// EffectLog books the effects of all partners of a world.
+type EffectLog struct {
 	mu      sync.Mutex
 	classes map[string]Class
 	effects []Effect
@@ -26,16 +26,16 @@
 	news    *news
 }
 
-func newLedger(classes []Class, n *news) *Ledger {
-	l := &Ledger{classes: map[string]Class{}, last: map[string]time.Time{}, news: n}
+func newLedger(classes []Class, n *news) *EffectLog {
+	l := &EffectLog{classes: map[string]Class{}, last: map[string]time.Time{}, news: n}
 	for _, c := range classes {
 		l.classes[c.Name] = c
 	}
 	return l
 }
 
-// Name is the message's name in a body.
-func Name(body []byte) string {
+// MessageName is the message's name in a body.
+func MessageName(body []byte) string {
 	name, _, _ := strings.Cut(string(body), "\n")
 	return name
 }
@@ -46,12 +46,12 @@
 }
 
 // book notes that a message ran. A keyed one takes effect once in its window.
-func (l *Ledger) book(dest int, id, key, form string, body []byte, now time.Time) {
-	e := Effect{Name: Name(body), ID: id, Key: key, Form: form, Dest: dest, Size: len(body), At: now}
+func (l *EffectLog) book(dest int, id, key, form string, body []byte, now time.Time) {
+	e := Effect{Name: MessageName(body), ID: id, Key: key, Form: form, Dest: dest, Size: len(body), At: now}
 	l.mu.Lock()
 	if c := l.classes[classOf(e.Name)]; c.Effect == "keyed" {
 		at, known := l.last[key]
-		if e.Dropped = known && now.Sub(at) < c.Window; !e.Dropped {
+		if e.Deduplicated = known && now.Sub(at) < c.RepeatWindow; !e.Deduplicated {
 			l.last[key] = now
 		}
 	}
@@ -60,34 +60,34 @@
 	l.news.tell()
 }
 
-// Effects returns what took effect so far, repeats that were dropped among it.
-func (l *Ledger) Effects() []Effect {
+// Entries returns what took effect so far, repeats that were dropped among it.
+func (l *EffectLog) Entries() []Effect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.effects)
 }
 
 // Len counts what took effect so far, repeats that were dropped among it.
-func (l *Ledger) Len() int {
+func (l *EffectLog) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.effects)
 }
 
-// Count returns how often each message took effect.
-func (l *Ledger) Count() map[string]int {
+// CountByName returns how often each message took effect.
+func (l *EffectLog) CountByName() map[string]int {
 	n := map[string]int{}
-	for _, e := range l.Effects() {
-		if !e.Dropped {
+	for _, e := range l.Entries() {
+		if !e.Deduplicated {
 			n[e.Name]++
 		}
 	}
 	return n
 }
 
-// Doubles names the messages of a class that took effect more than once.
-func (l *Ledger) Doubles(class string) (names []string) {
-	for name, n := range l.Count() {
+// Duplicates names the messages of a class that took effect more than once.
+func (l *EffectLog) Duplicates(class string) (names []string) {
+	for name, n := range l.CountByName() {
 		if n > 1 && classOf(name) == class {
 			names = append(names, fmt.Sprintf("%s (%d times)", name, n))
 		}
--- a/internal/standin/partner.go
+++ b/internal/standin/partner.go
@@ -17,49 +17,49 @@
 
 // The modes of a partner.
 const (
-	Well     Mode = iota // runs calls, within its limits
-	Silent               // reads calls and says nothing, runs nothing
-	Reset                // resets the connection once the call has come; nothing has run
-	ResetRan             // the same, but the call has run
-	Broken               // 500, nothing has run
-	Shut                 // 503 with the wait, if one is told
-	Refusing             // refuses connections, and those that are open break
+	Healthy             Mode = iota // runs calls, within its limits
+	Unresponsive                    // reads calls and says nothing, runs nothing
+	ResetBeforeRun                  // resets the connection once the call has come; nothing has run
+	ResetAfterRun                   // the same, but the call has run
+	InternalError                   // 500, nothing has run
+	Unavailable                     // 503 with the wait, if one is told
+	RefusingConnections             // refuses connections, and those that are open break
 )
 
 // PartnerConfig sets a partner.
 type PartnerConfig struct {
-	Dest      int
-	Kind      string        // empty: small-partner
-	Zone      string        // empty: here
-	Zones     []string      // of its endpoints, one by one, where they lie in several
-	Endpoints int           // 0: 1
-	Rate      float64       // calls a second that it takes, over all endpoints; 0: no limit
-	Burst     float64       // calls at once above the rate; 0: 1
-	Slots     int           // calls served at once; 0: any number
-	Wait      time.Duration // told by refusals; 0: none
-	Serve     time.Duration // how long a call takes
-	ColdFrom  float64       // share of the rate that it has at once after an outage; 0: it returns warm
-	ColdFor   time.Duration // until it is warm
-	FallAfter float64       // sent more than this multiple of the present rate over a second while cold, it falls silent for good; 0: never
-	Now       func() time.Time
-	Watch     func(Call)        // not nil: told of each call as it comes and as it ends
-	Ran       func(body []byte) // not nil: told of each message that runs, in place of the ledger
+	Dest               int
+	Kind               string        // empty: small-partner
+	Zone               string        // empty: here
+	EndpointZones      []string      // of its endpoints, one by one, where they lie in several
+	Endpoints          int           // 0: 1
+	Rate               float64       // calls a second that it takes, over all endpoints; 0: no limit
+	Burst              float64       // calls at once above the rate; 0: 1
+	MaxConcurrentCalls int           // calls served at once; 0: any number
+	RetryAfter         time.Duration // told by refusals; 0: none
+	ServiceTime        time.Duration // how long a call takes
+	ColdRateShare      float64       // share of the rate that it has at once after an outage; 0: it returns warm
+	WarmUpTime         time.Duration // until it is warm
+	OverloadFactor     float64       // sent more than this multiple of the present rate over a second while cold, it falls silent for good; 0: never
+	Now                func() time.Time
+	OnCall             func(Call)        // not nil: told of each call as it comes and as it ends
+	OnMessage          func(body []byte) // not nil: told of each message that runs, in place of the ledger
 }
 
 // Call is what a partner sees of a call, as it comes and as it ends.
 type Call struct {
-	Dest  int
-	IDs   []string
-	Ended bool
-	OK    bool          // Ended: it ran, and that was answered
-	Ran   bool          // Ended: it may have run
-	Wait  time.Duration // Ended: told
+	Dest       int
+	IDs        []string
+	Completed  bool
+	OK         bool          // Ended: it ran, and that was answered
+	MayHaveRun bool          // Ended: it may have run
+	RetryAfter time.Duration // Ended: told
 }
 
 // Partner is a destination with its endpoints.
 type Partner struct {
 	set    PartnerConfig
-	ledger *Ledger
+	ledger *EffectLog
 	ends   []*endpoint
 
 	mu       sync.Mutex
@@ -81,8 +81,8 @@
 
 // zone is where an endpoint lies.
 func (p *Partner) zone(i int) string {
-	if i < len(p.set.Zones) && p.set.Zones[i] != "" {
-		return p.set.Zones[i]
+	if i < len(p.set.EndpointZones) && p.set.EndpointZones[i] != "" {
+		return p.set.EndpointZones[i]
 	}
 	return p.set.Zone
 }
@@ -92,7 +92,7 @@
 	server   *http.Server
 }
 
-func newPartner(set PartnerConfig, seed uint64, l *Ledger) (*Partner, error) {
+func newPartner(set PartnerConfig, seed uint64, l *EffectLog) (*Partner, error) {
 	if set.Kind == "" {
 		set.Kind = "small-partner"
 	}
@@ -107,7 +107,7 @@
 	for i := range set.Endpoints {
 		e := &endpoint{id: fmt.Sprintf("p%d-%d", set.Dest, i)}
 		for try := 1; ; try++ { // somebody else may take a port before it is listened at
-			addr, err := Addr()
+			addr, err := ReserveAddr()
 			if err == nil {
 				e.addr = addr
 				err = p.listen(e)
@@ -149,8 +149,8 @@
 	p.release = make(chan struct{})
 }
 
-// Endpoints names the endpoints as discovery does.
-func (p *Partner) Endpoints() (ids []string) {
+// EndpointIDs names the endpoints as discovery does.
+func (p *Partner) EndpointIDs() (ids []string) {
 	for _, e := range p.ends {
 		ids = append(ids, e.id)
 	}
@@ -165,21 +165,21 @@
 	return all
 }
 
-// Set puts a mode in force for that share of the calls (1: all). Calls that were kept silent break. A partner that
+// SetMode puts a mode in force for that share of the calls (1: all). Calls that were kept silent break. A partner that
 // comes back from an outage is cold, if it is set so.
-func (p *Partner) Set(m Mode, share float64) error {
+func (p *Partner) SetMode(m Mode, share float64) error {
 	p.mu.Lock()
 	was := p.mode
-	if p.mode, p.share = m, share; m == Well && was != Well && p.set.ColdFrom > 0 {
-		p.warmAt, p.recent = p.set.Now().Add(p.set.ColdFor), nil
+	if p.mode, p.share = m, share; m == Healthy && was != Healthy && p.set.ColdRateShare > 0 {
+		p.warmAt, p.recent = p.set.Now().Add(p.set.WarmUpTime), nil
 	}
 	p.end()
 	p.mu.Unlock()
-	if (m == Refusing) == (was == Refusing) {
+	if (m == RefusingConnections) == (was == RefusingConnections) {
 		return nil
 	}
 	for _, e := range p.ends {
-		if m == Refusing {
+		if m == RefusingConnections {
 			e.server.Close()
 		} else if err := p.listen(e); err != nil {
 			return err
@@ -188,17 +188,17 @@
 	return nil
 }
 
-// Early counts calls that came while a wait that this partner had told ran, but for the first 100 ms of it.
-func (p *Partner) Early() int { p.mu.Lock(); defer p.mu.Unlock(); return p.early }
+// EarlyCalls counts calls that came while a wait that this partner had told ran, but for the first 100 ms of it.
+func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.early }
 
-// Rejected counts calls turned away above a limit.
-func (p *Partner) Rejected() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejected }
+// RejectedCalls counts calls turned away above a limit.
+func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejected }
 
-// Fell tells whether it was pushed over while it was cold.
-func (p *Partner) Fell() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.fell }
+// Collapsed tells whether it was pushed over while it was cold.
+func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.fell }
 
-// Lower has it take that part of its rate from now on; 1: all of it.
-func (p *Partner) Lower(part float64) {
+// SetRateShare has it take that part of its rate from now on; 1: all of it.
+func (p *Partner) SetRateShare(part float64) {
 	p.mu.Lock()
 	p.lowered = part
 	p.mu.Unlock()
@@ -210,11 +210,11 @@
 }
 
 func (p *Partner) usual(now time.Time) float64 {
-	if p.set.Rate == 0 || !now.Before(p.warmAt) || p.set.ColdFor == 0 {
+	if p.set.Rate == 0 || !now.Before(p.warmAt) || p.set.WarmUpTime == 0 {
 		return p.set.Rate
 	}
-	warm := 1 - p.warmAt.Sub(now).Seconds()/p.set.ColdFor.Seconds()
-	return p.set.Rate * (p.set.ColdFrom + (1-p.set.ColdFrom)*warm)
+	warm := 1 - p.warmAt.Sub(now).Seconds()/p.set.WarmUpTime.Seconds()
+	return p.set.Rate * (p.set.ColdRateShare + (1-p.set.ColdRateShare)*warm)
 }
 
 // admit says what becomes of a call.
@@ -223,25 +223,25 @@
 	defer p.mu.Unlock()
 	now := p.set.Now()
 	if p.fell {
-		return Silent, false
+		return Unresponsive, false
 	}
-	if p.mode != Well && p.random.Float64() < p.share {
-		if p.mode == Shut {
+	if p.mode != Healthy && p.random.Float64() < p.share {
+		if p.mode == Unavailable {
 			p.told(now)
 		}
 		return p.mode, false
 	}
-	if now.Before(p.waitTil) && now.After(p.waitTil.Add(100*time.Millisecond-p.set.Wait)) {
+	if now.Before(p.waitTil) && now.After(p.waitTil.Add(100*time.Millisecond-p.set.RetryAfter)) {
 		p.early++
 	}
 	rate := p.rate(now)
-	if p.set.FallAfter > 0 && now.Before(p.warmAt) {
+	if p.set.OverloadFactor > 0 && now.Before(p.warmAt) {
 		for len(p.recent) > 0 && now.Sub(p.recent[0]) > time.Second {
 			p.recent = p.recent[1:]
 		}
-		if p.recent = append(p.recent, now); float64(len(p.recent)) > max(2, p.set.FallAfter*rate) {
+		if p.recent = append(p.recent, now); float64(len(p.recent)) > max(2, p.set.OverloadFactor*rate) {
 			p.fell = true
-			return Silent, false
+			return Unresponsive, false
 		}
 	}
 	if rate > 0 {
@@ -251,22 +251,22 @@
 		if p.filled = now; p.tokens < 1 {
 			p.rejected++
 			p.told(now)
-			return Shut, false
+			return Unavailable, false
 		}
 		p.tokens--
 	}
-	if p.set.Slots > 0 && p.out >= p.set.Slots {
+	if p.set.MaxConcurrentCalls > 0 && p.out >= p.set.MaxConcurrentCalls {
 		p.rejected++
 		p.told(now)
-		return Shut, false
+		return Unavailable, false
 	}
 	p.out++
-	return Well, true
+	return Healthy, true
 }
 
 func (p *Partner) told(now time.Time) {
-	if p.set.Wait > 0 {
-		p.waitTil = now.Add(p.set.Wait)
+	if p.set.RetryAfter > 0 {
+		p.waitTil = now.Add(p.set.RetryAfter)
 	}
 }
 
@@ -289,8 +289,8 @@
 	}
 	run := func() {
 		for i := range items {
-			if p.set.Ran != nil {
-				p.set.Ran(items[i].Body)
+			if p.set.OnMessage != nil {
+				p.set.OnMessage(items[i].Body)
 				items[i] = entry{ID: items[i].ID, State: "ok"}
 				continue
 			}
@@ -298,14 +298,14 @@
 			items[i] = entry{ID: items[i].ID, State: "ok"}
 		}
 	}
-	seen := Call{Dest: p.set.Dest, Ran: true}
-	if p.set.Watch != nil {
+	seen := Call{Dest: p.set.Dest, MayHaveRun: true}
+	if p.set.OnCall != nil {
 		for _, it := range items {
 			seen.IDs = append(seen.IDs, it.ID)
 		}
-		p.set.Watch(seen)
-		seen.Ended = true
-		defer func() { p.set.Watch(seen) }()
+		p.set.OnCall(seen)
+		seen.Completed = true
+		defer func() { p.set.OnCall(seen) }()
 		w = &watched{w, &seen}
 	}
 	p.mu.Lock()
@@ -317,14 +317,14 @@
 		defer func() { p.mu.Lock(); p.out--; p.mu.Unlock() }()
 	}
 	switch mode {
-	case Silent:
+	case Unresponsive:
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
-	case Reset, ResetRan, Refusing:
-		if mode == ResetRan {
+	case ResetBeforeRun, ResetAfterRun, RefusingConnections:
+		if mode == ResetAfterRun {
 			run()
 		}
 		if sock, _, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -332,20 +332,20 @@
 			sock.Close()
 		}
 		return
-	case Broken:
+	case InternalError:
 		w.WriteHeader(500)
 		return
-	case Shut:
-		if p.set.Wait > 0 {
-			w.Header().Set("Wait-Ms", strconv.FormatInt(p.set.Wait.Milliseconds(), 10))
+	case Unavailable:
+		if p.set.RetryAfter > 0 {
+			w.Header().Set("Wait-Ms", strconv.FormatInt(p.set.RetryAfter.Milliseconds(), 10))
 			w.WriteHeader(429)
 			return
 		}
 		w.WriteHeader(503)
 		return
 	}
-	if p.set.Serve > 0 {
-		time.Sleep(p.set.Serve)
+	if p.set.ServiceTime > 0 {
+		time.Sleep(p.set.ServiceTime)
 	}
 	run()
 	seen.OK = true
@@ -365,9 +365,9 @@
 
 func (w *watched) WriteHeader(status int) {
 	if status == 429 || status == 503 {
-		w.seen.Ran = false
+		w.seen.MayHaveRun = false
 		if ms, err := strconv.Atoi(w.Header().Get("Wait-Ms")); err == nil {
-			w.seen.Wait = time.Duration(ms) * time.Millisecond
+			w.seen.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Notice is what a relay told the platform of a message.
-type Notice struct {
+// Notification is what a relay told the platform of a message.
+type Notification struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryIn int    `json:"retry_in_ms"`
@@ -41,8 +41,8 @@
 	generation int
 	list       map[string]*instance
 	changed    chan struct{}
-	notices    []Notice
-	watch      func(Notice)
+	notices    []Notification
+	watch      func(Notification)
 	silent     chan struct{} // not nil: nothing is answered until it is closed
 	slow       time.Duration // that a notice takes
 	news       *news
@@ -51,9 +51,9 @@
 	views      []*http.Server
 }
 
-// View serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
+// ServeWithAddresses serves the same list at an address of its own, with other addresses for the endpoints: what one relay is told that reaches partners by ways of
 // its own. at maps an endpoint's address; one that it leaves out stays.
-func (p *Platform) View(at map[string]string) (string, error) {
+func (p *Platform) ServeWithAddresses(at map[string]string) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
@@ -100,8 +100,8 @@
 	}
 }
 
-// Silence makes the platform answer nothing until the returned function is called.
-func (p *Platform) Silence() (speak func()) {
+// Suspend makes the platform answer nothing until the returned function is called.
+func (p *Platform) Suspend() (speak func()) {
 	ch := make(chan struct{})
 	p.mu.Lock()
 	p.silent = ch
@@ -126,8 +126,8 @@
 	}
 }
 
-// Lifecycle changes the state of an endpoint: in_service, terminating or terminated.
-func (p *Platform) Lifecycle(id, state string) {
+// SetLifecycle changes the state of an endpoint: in_service, terminating or terminated.
+func (p *Platform) SetLifecycle(id, state string) {
 	p.mu.Lock()
 	p.generation++
 	p.list[id].Lifecycle, p.list[id].changed = state, p.generation
@@ -182,8 +182,8 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-// Slow has the platform take so long for each notice. One whose sender goes away meanwhile is not taken.
-func (p *Platform) Slow(d time.Duration) {
+// DelayNotifications has the platform take so long for each notice. One whose sender goes away meanwhile is not taken.
+func (p *Platform) DelayNotifications(d time.Duration) {
 	p.mu.Lock()
 	p.slow = d
 	p.mu.Unlock()
@@ -203,9 +203,9 @@
 	case <-r.Context().Done():
 		return
 	}
-	var got []Notice
+	var got []Notification
 	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
-		var n Notice
+		var n Notification
 		if json.Unmarshal(lines.Bytes(), &n) != nil || n.Message == "" || n.Outcome != "given_up" && n.Outcome != "handed_back" {
 			w.WriteHeader(400)
 			return
@@ -225,18 +225,18 @@
 	p.news.tell()
 }
 
-// Watch makes f be told of each notice, before it is answered.
-func (p *Platform) Watch(f func(Notice)) {
+// OnNotification makes f be told of each notice, before it is answered.
+func (p *Platform) OnNotification(f func(Notification)) {
 	p.mu.Lock()
 	p.watch = f
 	p.mu.Unlock()
 }
 
-// Notices returns the notices by message.
-func (p *Platform) Notices() map[string]Notice {
+// Notifications returns the notices by message.
+func (p *Platform) Notifications() map[string]Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := map[string]Notice{}
+	all := map[string]Notification{}
 	for _, n := range p.notices {
 		all[n.Message] = n
 	}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -17,8 +17,8 @@
 	"syscall"
 )
 
-// Build builds the relay into dir and returns the program's path.
-func Build(dir string) (string, error) {
+// BuildRelay builds the relay into dir and returns the program's path.
+func BuildRelay(dir string) (string, error) {
 	bin := filepath.Join(dir, "oatfold")
 	if out, err := exec.Command("go", "build", "-o", bin, "oatfold/cmd/oatfold").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("go build: %w: %s", err, out)
@@ -28,11 +28,11 @@
 
 // Relay is a real relay in a process of its own, with an address and a folder that last over its lives.
 type Relay struct {
-	Addr, State string
-	Admin       string // the operators' address
+	Addr, StateDir string
+	AdminAddr      string // the operators' address
 
-	world  *World
-	seat   *Seat // nil: it is no part of a fleet
+	world  *Environment
+	seat   *FleetConfig // nil: it is no part of a fleet
 	bin    string
 	args   []string
 	config string
@@ -45,17 +45,17 @@
 	err  error // of the last life
 }
 
-// Seat is a relay's place in a fleet.
-type Seat struct {
-	Number    int
-	Listen    string   // where notes of others come in
-	Peers     []string // where they go, by number
-	Zone      string
-	Zones     []string
-	Discovery string            // its own way to the platform; empty: the platform's address
-	Members   string            // what the relay is told of membership; empty: nothing
-	Choices   string            // and of choices that relays share
-	Tap       func(line string) // not nil: told of each line that the relay logs
+// FleetConfig is a relay's place in a fleet.
+type FleetConfig struct {
+	Number        int
+	PeerListen    string   // where notes of others come in
+	Peers         []string // where they go, by number
+	Zone          string
+	Zones         []string
+	DiscoveryAddr string            // its own way to the platform; empty: the platform's address
+	Members       string            // what the relay is told of membership; empty: nothing
+	Choices       string            // and of choices that relays share
+	OnLogLine     func(line string) // not nil: told of each line that the relay logs
 }
 
 const (
@@ -64,7 +64,7 @@
 )
 
 // StartRelay starts a relay of the world with these arguments and waits until it is ready.
-func (w *World) StartRelay(bin string, args ...string) (*Relay, error) {
+func (w *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
 	r, err := w.newRelay(bin, args)
 	if err != nil {
 		return nil, err
@@ -73,74 +73,74 @@
 }
 
 // NewRelay returns a further relay of the world, of the program of the last one, that is not started yet.
-func (w *World) NewRelay() (*Relay, error) {
+func (w *Environment) NewRelay() (*Relay, error) {
 	w.mu.Lock()
 	last := w.relays[len(w.relays)-1]
 	w.mu.Unlock()
 	return w.newRelay(last.bin, last.args)
 }
 
-// Seated returns a relay of a fleet that is not started yet.
-func (w *World) Seated(bin string, seat *Seat, args ...string) (*Relay, error) {
+// NewFleetRelay returns a relay of a fleet that is not started yet.
+func (w *Environment) NewFleetRelay(bin string, seat *FleetConfig, args ...string) (*Relay, error) {
 	r, err := w.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
 	r.seat = seat
-	return r, r.Configure()
+	return r, r.WriteConfig()
 }
 
-func (w *World) newRelay(bin string, args []string) (*Relay, error) {
-	addr, err := Addr()
+func (w *Environment) newRelay(bin string, args []string) (*Relay, error) {
+	addr, err := ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
-	admin, err := Addr()
+	admin, err := ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
 	w.mu.Lock()
 	n := len(w.relays)
-	r := &Relay{Addr: addr, Admin: admin, State: filepath.Join(w.dir, fmt.Sprintf("state%d", n)), world: w, bin: bin, args: args,
+	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(w.dir, fmt.Sprintf("state%d", n)), world: w, bin: bin, args: args,
 		config: filepath.Join(w.dir, fmt.Sprintf("config%d.json", n))}
 	w.relays = append(w.relays, r)
 	w.mu.Unlock()
-	if err := os.Mkdir(r.State, 0o700); err != nil {
+	if err := os.Mkdir(r.StateDir, 0o700); err != nil {
 		return nil, err
 	}
-	return r, r.Configure()
+	return r, r.WriteConfig()
 }
 
-// Configure writes what the platform tells the relay.
-func (r *Relay) Configure() error {
-	return os.WriteFile(r.config, r.world.configuration(filepath.Base(r.State), r.Addr, r.seat), 0o600)
+// WriteConfig writes what the platform tells the relay.
+func (r *Relay) WriteConfig() error {
+	return os.WriteFile(r.config, r.world.configuration(filepath.Base(r.StateDir), r.Addr, r.seat), 0o600)
 }
 
 // configuration is what the platform tells a relay.
-func (w *World) configuration(name, listen string, seat *Seat) []byte {
+func (w *Environment) configuration(name, listen string, seat *FleetConfig) []byte {
 	type object = map[string]any
 	var grades []object
 	for _, c := range w.set.Classes {
-		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all", "promiseUs": c.Aim.Microseconds(),
-			"deadlineUs": c.Deadline.Microseconds(), "repeatWindowUs": c.Window.Microseconds(), "credit": c.Worth, "lateValue": c.LateWorth,
+		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all", "promiseUs": c.TargetLatency.Microseconds(),
+			"deadlineUs": c.Deadline.Microseconds(), "repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
 			"inTurn": c.Ordered})
 	}
 	config := object{"name": name, "listen": listen, "discovery": w.Platform.Addr, "seed": fmt.Sprintf("%016x", w.set.Seed),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": w.set.Sockets, "disk_mb": w.set.DiskMB},
-		"settings": object{"fleetSize": w.set.Relays, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": w.set.MaxDescriptors, "disk_mb": w.set.DiskMB},
+		"settings": object{"fleetSize": w.set.FleetSize, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
 			"kinds": []string{"broker", "small-partner"}, "zones": []string{"here"}, "tenants": []object{},
-			"familyInfo": object{"callSlots": w.set.Slots, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
+			"familyInfo": object{"callSlots": w.set.MaxConcurrentCalls, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
 				"feeByZone": []float64{0}, "decay": "linear"},
 			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000, "fallUs": 3_000_000, "overloadFactor": 2},
-			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": w.set.Hold,
+			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": w.set.MaxPending,
 				"maxRetryAfterUs": 3_000_000, "retryAfter": true}}}
 	if seat != nil {
-		config["peer_listen"], config["peers"], config["members"] = seat.Listen, seat.Peers, seat.Members
+		config["peer_listen"], config["peers"], config["members"] = seat.PeerListen, seat.Peers, seat.Members
 		if seat.Choices != "" {
 			config["choices"] = seat.Choices
 		}
-		if seat.Discovery != "" {
-			config["discovery"] = seat.Discovery
+		if seat.DiscoveryAddr != "" {
+			config["discovery"] = seat.DiscoveryAddr
 		}
 		config["seed"] = fmt.Sprintf("%016x", w.set.Seed+uint64(seat.Number)*7919)
 		set := config["settings"].(object)
@@ -159,16 +159,16 @@
 	if err := r.launch(); err != nil {
 		return err
 	}
-	return r.Await("msg=ready")
+	return r.AwaitLog("msg=ready")
 }
 
-// Beside starts a further process of the same relay, with an operators' address of its own, and does not wait for it.
-func (r *Relay) Beside() (*Relay, error) {
-	admin, err := Addr()
+// StartNextProcess starts a further process of the same relay, with an operators' address of its own, and does not wait for it.
+func (r *Relay) StartNextProcess() (*Relay, error) {
+	admin, err := ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
-	next := &Relay{Addr: r.Addr, State: r.State, Admin: admin, world: r.world, bin: r.bin, args: r.args, config: r.config}
+	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, world: r.world, bin: r.bin, args: r.args, config: r.config}
 	r.world.mu.Lock()
 	r.world.relays = append(r.world.relays, next)
 	r.world.mu.Unlock()
@@ -180,7 +180,7 @@
 
 func (r *Relay) launch() error {
 	cmd := exec.Command(r.bin, r.args...)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config, "ROUTER_STATE="+r.State, "ROUTER_ADMIN="+r.Admin)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config, "ROUTER_STATE="+r.StateDir, "ROUTER_ADMIN="+r.AdminAddr)
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -194,8 +194,8 @@
 	r.mu.Unlock()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			if r.seat != nil && r.seat.Tap != nil {
-				r.seat.Tap(lines.Text())
+			if r.seat != nil && r.seat.OnLogLine != nil {
+				r.seat.OnLogLine(lines.Text())
 			}
 			r.mu.Lock()
 			r.log, r.life = append(r.log, lines.Text()), append(r.life, lines.Text())
@@ -218,10 +218,10 @@
 	return nil
 }
 
-// Await waits until the process has logged text.
-func (r *Relay) Await(text string) error {
+// AwaitLog waits until the process has logged text.
+func (r *Relay) AwaitLog(text string) error {
 	ended := false
-	err := r.world.Until("the relay to log "+text, func() bool {
+	err := r.world.WaitUntil("the relay to log "+text, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		select {
@@ -235,7 +235,7 @@
 		err = errors.New("the relay ended")
 	}
 	if err != nil {
-		return fmt.Errorf("%w before it logged %s: %s", err, text, r.Log())
+		return fmt.Errorf("%w before it logged %s: %s", err, text, r.LogTail())
 	}
 	return nil
 }
@@ -250,8 +250,8 @@
 	return r.cmd.Process.Signal(s)
 }
 
-// Pid is the process's number.
-func (r *Relay) Pid() int {
+// PID is the process's number.
+func (r *Relay) PID() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cmd.Process.Pid
@@ -286,15 +286,15 @@
 	return r.err
 }
 
-// Log is the last lines that the relay logged.
-func (r *Relay) Log() string {
+// LogTail is the last lines that the relay logged.
+func (r *Relay) LogTail() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.log[max(0, len(r.log)-logShown):], "\n")
 }
 
-// Logged counts the lines of the log that hold text.
-func (r *Relay) Logged(text string) (n int) {
+// CountLogLines counts the lines of the log that hold text.
+func (r *Relay) CountLogLines(text string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, line := range r.log {
@@ -305,9 +305,9 @@
 	return n
 }
 
-// Call makes one call at the operators' address and returns its status and body.
-func (r *Relay) Call(method, path string) (int, string, error) {
-	req, err := http.NewRequest(method, "http://"+r.Admin+path, nil)
+// CallAdmin makes one call at the operators' address and returns its status and body.
+func (r *Relay) CallAdmin(method, path string) (int, string, error) {
+	req, err := http.NewRequest(method, "http://"+r.AdminAddr+path, nil)
 	if err != nil {
 		return 0, "", err
 	}
@@ -320,9 +320,9 @@
 	return res.StatusCode, string(b), err
 }
 
-// Figures reads the relay's figures, by name with label.
-func (r *Relay) Figures() (map[string]int, error) {
-	status, text, err := r.Call("GET", "/stats")
+// Metrics reads the relay's figures, by name with label.
+func (r *Relay) Metrics() (map[string]int, error) {
+	status, text, err := r.CallAdmin("GET", "/stats")
 	if err != nil || status != 200 {
 		return nil, fmt.Errorf("figures: status %d: %w", status, err)
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -23,9 +23,9 @@
 
 func (c *clock) move(d time.Duration) { c.mu.Lock(); c.at = c.at.Add(d); c.mu.Unlock() }
 
-func startWorld(t *testing.T, set Config) *World {
+func startWorld(t *testing.T, set Config) *Environment {
 	t.Helper()
-	w, err := NewWorld(set)
+	w, err := NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,10 +61,10 @@
 	}
 	c.move(6 * time.Second)
 	call(p, "order-relay/1", "key-order-relay/1") // the window is over
-	if n := w.Ledger.Count(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
+	if n := w.EffectLog.CountByName(); n["order-relay/1"] != 2 || n["fee-charge/1"] != 2 || n["price-alert/1"] != 1 {
 		t.Errorf("%v", n)
 	}
-	if d := w.Ledger.Doubles("fee-charge"); len(d) != 1 || !strings.Contains(d[0], "2 times") {
+	if d := w.EffectLog.Duplicates("fee-charge"); len(d) != 1 || !strings.Contains(d[0], "2 times") {
 		t.Errorf("doubles %v", d)
 	}
 }
@@ -72,30 +72,30 @@
 // A partner keeps its rate, tells waits, counts calls that come before one is over, and falls if it is pushed while cold.
 func TestPartnerLimits(t *testing.T) {
 	c := &clock{at: time.Unix(1000, 0)}
-	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, Wait: time.Second, Now: c.now,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallAfter: 2}}})
+	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7, Rate: 10, Burst: 2, RetryAfter: time.Second, Now: c.now,
+		ColdRateShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2}}})
 	p := w.Partners[7]
 	got := []int{call(p, "a", ""), call(p, "b", ""), call(p, "c", "")}
-	if !slices.Equal(got, []int{200, 200, 429}) || p.Rejected() != 1 || p.Early() != 0 {
-		t.Fatalf("%v, rejected %d, early %d", got, p.Rejected(), p.Early())
+	if !slices.Equal(got, []int{200, 200, 429}) || p.RejectedCalls() != 1 || p.EarlyCalls() != 0 {
+		t.Fatalf("%v, rejected %d, early %d", got, p.RejectedCalls(), p.EarlyCalls())
 	}
 	c.move(500 * time.Millisecond)
-	if call(p, "d", ""); p.Early() != 1 {
-		t.Errorf("early %d", p.Early())
+	if call(p, "d", ""); p.EarlyCalls() != 1 {
+		t.Errorf("early %d", p.EarlyCalls())
 	}
-	p.Set(Broken, 1)
+	p.SetMode(InternalError, 1)
 	if got := call(p, "e", ""); got != 500 {
 		t.Errorf("broken: %d", got)
 	}
-	p.Set(Well, 0)
+	p.SetMode(Healthy, 0)
 	for i := range 4 { // 2 a second is what it can take, and some 4 what it stands
 		c.move(50 * time.Millisecond)
-		if call(p, fmt.Sprint("f", i), ""); p.Fell() {
+		if call(p, fmt.Sprint("f", i), ""); p.Collapsed() {
 			t.Fatalf("it fell at call %d", i)
 		}
 	}
 	go call(p, "one too many", "")
-	if err := w.Until("the partner to fall", p.Fell); err != nil {
+	if err := w.WaitUntil("the partner to fall", p.Collapsed); err != nil {
 		t.Error(err)
 	}
 }
@@ -104,25 +104,25 @@
 func TestPartnerModes(t *testing.T) {
 	w := startWorld(t, Config{Partners: []PartnerConfig{{Dest: 7}}})
 	p := w.Partners[7]
-	for m, want := range map[Mode]int{Reset: 0, ResetRan: 0, Shut: 503, Well: 200} {
-		if err := p.Set(m, 1); err != nil {
+	for m, want := range map[Mode]int{ResetBeforeRun: 0, ResetAfterRun: 0, Unavailable: 503, Healthy: 200} {
+		if err := p.SetMode(m, 1); err != nil {
 			t.Fatal(err)
 		}
 		if got := call(p, fmt.Sprint("m", int(m)), ""); got != want {
 			t.Errorf("mode %d: %d", m, got)
 		}
 	}
-	if n := w.Ledger.Count(); n["m3"] != 1 || n["m2"] != 0 || len(n) != 2 {
+	if n := w.EffectLog.CountByName(); n["m3"] != 1 || n["m2"] != 0 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
-	p.Set(Refusing, 1)
+	p.SetMode(RefusingConnections, 1)
 	if got := call(p, "r", ""); got != 0 {
 		t.Errorf("refusing: %d", got)
 	}
-	p.Set(Silent, 1)
+	p.SetMode(Unresponsive, 1)
 	done := make(chan int)
 	go func() { done <- call(p, "s", "") }()
-	p.Set(Well, 0)
+	p.SetMode(Healthy, 0)
 	if got := <-done; got != 0 && got != 200 {
 		t.Errorf("silent: %d", got)
 	}
@@ -152,7 +152,7 @@
 	}
 	got := make(chan list)
 	go func() { got <- get("?from=1&hold_ms=60000") }()
-	w.Platform.Lifecycle(w.Partners[7].Endpoints()[1], "terminating")
+	w.Platform.SetLifecycle(w.Partners[7].EndpointIDs()[1], "terminating")
 	if l := <-got; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "terminating" {
 		t.Errorf("%+v", l)
 	}
@@ -163,7 +163,7 @@
 		}
 		res.Body.Close()
 	}
-	if n := w.Platform.Notices(); len(n) != 1 || n["m"].Outcome != "given_up" {
+	if n := w.Platform.Notifications(); len(n) != 1 || n["m"].Outcome != "given_up" {
 		t.Errorf("%v", n)
 	}
 }
--- a/internal/standin/wasm/wasm.go
+++ b/internal/standin/wasm/wasm.go
@@ -10,16 +10,16 @@
 
 // Module is a plug-in to be assembled. The zero value has the ABI's exports and no hook.
 type Module struct {
-	Version int32             // that it says it is for; 0: the right one
-	Pages   uint32            // of memory at the start; 0: 4
-	Data    []byte            // at address At
-	Hooks   map[string][]byte // code by export name: (i32 at, i32 size) -> i64
-	Init    []byte            // code of _initialize; nil: none
-	Omit    string            // an export that is left out
+	Version    int32             // that it says it is for; 0: the right one
+	Pages      uint32            // of memory at the start; 0: 4
+	Data       []byte            // at address At
+	Hooks      map[string][]byte // code by export name: (i32 at, i32 size) -> i64
+	InitCode   []byte            // code of _initialize; nil: none
+	OmitExport string            // an export that is left out
 }
 
-// At is where Data lies. Input is written from 65536 on.
-const At = 1024
+// DataAddress is where Data lies. Input is written from 65536 on.
+const DataAddress = 1024
 
 const input = 65536
 
@@ -50,24 +50,24 @@
 	return b
 }
 
-// Result returns an output of that address and size.
-func Result(at, size uint32) []byte {
+// ReturnOutput returns an output of that address and size.
+func ReturnOutput(at, size uint32) []byte {
 	return append([]byte{opConst64}, sleb(int64(abi.Pack(at, size)))...)
 }
 
-// Forever loops without end.
-func Forever() []byte { return []byte{opLoop, void, opBr, 0, opEnd, opUnreachable} }
+// InfiniteLoop loops without end.
+func InfiniteLoop() []byte { return []byte{opLoop, void, opBr, 0, opEnd, opUnreachable} }
 
 // Trap ends a call by a trap.
 func Trap() []byte { return []byte{opUnreachable} }
 
-// Half writes a byte where the output would lie, and traps.
-func Half() []byte {
-	return join([]byte{opConst32}, sleb(At), []byte{opConst32}, sleb(1), []byte{opStore8, 0, 0, opUnreachable})
+// WriteThenTrap writes a byte where the output would lie, and traps.
+func WriteThenTrap() []byte {
+	return join([]byte{opConst32}, sleb(DataAddress), []byte{opConst32}, sleb(1), []byte{opStore8, 0, 0, opUnreachable})
 }
 
-// Grow takes memory, a page at a time, until there is no more, and traps.
-func Grow() []byte {
+// GrowUntilTrap takes memory, a page at a time, until there is no more, and traps.
+func GrowUntilTrap() []byte {
 	return join([]byte{opLoop, void, opConst32}, sleb(1), []byte{opGrow, 0, opConst32}, sleb(-1), []byte{opNe, opBrIf, 0, opEnd, opUnreachable})
 }
 
@@ -91,75 +91,75 @@
 			functions = append(functions, function{name, 2, code})
 		}
 	}
-	if m.Init != nil {
-		functions = append(functions, function{"_initialize", 3, m.Init})
+	if m.InitCode != nil {
+		functions = append(functions, function{"_initialize", 3, m.InitCode})
 	}
 	section := func(id byte, body []byte) []byte { return join([]byte{id}, uleb(len(body)), body) }
 	types := join(uleb(4), []byte{0x60, 0, 1, i32, 0x60, 1, i32, 1, i32, 0x60, 2, i32, i32, 1, i64, 0x60, 0, 0})
 	kinds, exports, code, n := uleb(len(functions)), []byte(nil), uleb(len(functions)), 0
 	for i, f := range functions {
 		kinds = append(kinds, f.kind)
-		if f.name != m.Omit {
+		if f.name != m.OmitExport {
 			exports = join(exports, uleb(len(f.name)), []byte(f.name), []byte{0}, uleb(i))
 			n++
 		}
 		body := join([]byte{0}, f.code, []byte{opEnd})
 		code = join(code, uleb(len(body)), body)
 	}
-	if m.Omit != "memory" {
+	if m.OmitExport != "memory" {
 		exports = join(exports, uleb(6), []byte("memory"), []byte{2, 0})
 		n++
 	}
 	out := join([]byte("\x00asm\x01\x00\x00\x00"), section(1, types), section(3, kinds), section(5, join([]byte{1, 0}, uleb(int(m.Pages)))),
 		section(7, join(uleb(n), exports)), section(10, code))
 	if len(m.Data) > 0 {
-		out = join(out, section(11, join([]byte{1, 0, opConst32}, sleb(At), []byte{opEnd}, uleb(len(m.Data)), m.Data)))
+		out = join(out, section(11, join([]byte{1, 0, opConst32}, sleb(DataAddress), []byte{opEnd}, uleb(len(m.Data)), m.Data)))
 	}
 	return out
 }
 
-// Says is a plug-in whose hook always returns these fields.
-func Says(hook string, output []byte) Module {
-	return Module{Data: output, Hooks: map[string][]byte{hook: Result(At, uint32(len(output)))}}
+// Returning is a plug-in whose hook always returns these fields.
+func Returning(hook string, output []byte) Module {
+	return Module{Data: output, Hooks: map[string][]byte{hook: ReturnOutput(DataAddress, uint32(len(output)))}}
 }
 
-// Does is a plug-in whose hook has that code.
-func Does(hook string, code []byte) Module { return Module{Hooks: map[string][]byte{hook: code}} }
+// WithCode is a plug-in whose hook has that code.
+func WithCode(hook string, code []byte) Module { return Module{Hooks: map[string][]byte{hook: code}} }
 
 // Noop is a plug-in whose hooks change nothing.
 func Noop() Module {
-	return Module{Hooks: map[string][]byte{"on_handin": Result(0, 0), "shape_request": Result(0, 0), "read_answer": Result(0, 0)}}
+	return Module{Hooks: map[string][]byte{"on_handin": ReturnOutput(0, 0), "shape_request": ReturnOutput(0, 0), "read_answer": ReturnOutput(0, 0)}}
 }
 
-// Faults are faulty plug-ins by name, each with that hook: all of them must fail every call, or not load.
-func Faults(hook string) map[string]Module {
+// FaultyPlugins are faulty plug-ins by name, each with that hook: all of them must fail every call, or not load.
+func FaultyPlugins(hook string) map[string]Module {
 	body := make([]byte, 5)
 	body[0] = byte(abi.Body)
 	binary.LittleEndian.PutUint32(body[1:], 64<<10+1)
-	big := Says(hook, body)
-	big.Hooks[hook] = Result(At, 5+64<<10+1)
+	big := Returning(hook, body)
+	big.Hooks[hook] = ReturnOutput(DataAddress, 5+64<<10+1)
 	return map[string]Module{
-		"loops":            Does(hook, Forever()),
-		"traps":            Does(hook, Trap()),
-		"traps halfway":    Does(hook, Half()),
-		"grows":            Does(hook, Grow()),
+		"loops":            WithCode(hook, InfiniteLoop()),
+		"traps":            WithCode(hook, Trap()),
+		"traps halfway":    WithCode(hook, WriteThenTrap()),
+		"grows":            WithCode(hook, GrowUntilTrap()),
 		"body too long":    big,
-		"output too long":  Does(hook, Result(At, 1<<17)),
-		"output outside":   Does(hook, Result(4<<16-2, 8)),
-		"output cut short": Says(hook, []byte{byte(abi.Reason), 9, 0, 0, 0, 'x'}),
-		"changes the id":   Says(hook, abi.Append(nil, abi.ID, "another")),
-		"changes the key":  Says(hook, abi.Append(nil, abi.Key, "another")),
-		"changes the dest": Says(hook, abi.AppendNumber(nil, abi.Dest, 8)),
-		"line end":         Says(hook, abi.Append(nil, abi.Header, "X-A: b\r\nX-Correlation-Id: another")),
-		"relay's header":   Says(hook, abi.Append(nil, abi.Header, "Idempotency-Key: another")),
-		"unknown field":    Says(hook, abi.Append(nil, 99, "x")),
+		"output too long":  WithCode(hook, ReturnOutput(DataAddress, 1<<17)),
+		"output outside":   WithCode(hook, ReturnOutput(4<<16-2, 8)),
+		"output cut short": Returning(hook, []byte{byte(abi.Reason), 9, 0, 0, 0, 'x'}),
+		"changes the id":   Returning(hook, abi.Append(nil, abi.ID, "another")),
+		"changes the key":  Returning(hook, abi.Append(nil, abi.Key, "another")),
+		"changes the dest": Returning(hook, abi.AppendNumber(nil, abi.Dest, 8)),
+		"line end":         Returning(hook, abi.Append(nil, abi.Header, "X-A: b\r\nX-Correlation-Id: another")),
+		"relay's header":   Returning(hook, abi.Append(nil, abi.Header, "Idempotency-Key: another")),
+		"unknown field":    Returning(hook, abi.Append(nil, 99, "x")),
 	}
 }
 
-// Broken are modules that must not load with that hook.
-func Broken(hook string) map[string][]byte {
+// UnloadableModules are modules that must not load with that hook.
+func UnloadableModules(hook string) map[string][]byte {
 	with := func(f func(*Module)) []byte {
-		m := Does(hook, Result(0, 0))
+		m := WithCode(hook, ReturnOutput(0, 0))
 		f(&m)
 		return m.Bytes()
 	}
@@ -167,13 +167,13 @@
 		"no WebAssembly": []byte("plug-in"),
 		"empty":          {},
 		"cut":            Noop().Bytes()[:40],
-		"no hook":        with(func(m *Module) { m.Omit = hook }),
-		"no alloc":       with(func(m *Module) { m.Omit = abi.ExportAlloc }),
-		"no version":     with(func(m *Module) { m.Omit = abi.ExportVersion }),
-		"no memory":      with(func(m *Module) { m.Omit = "memory" }),
+		"no hook":        with(func(m *Module) { m.OmitExport = hook }),
+		"no alloc":       with(func(m *Module) { m.OmitExport = abi.ExportAlloc }),
+		"no version":     with(func(m *Module) { m.OmitExport = abi.ExportVersion }),
+		"no memory":      with(func(m *Module) { m.OmitExport = "memory" }),
 		"other version":  with(func(m *Module) { m.Version = 2 }),
-		"loops at start": with(func(m *Module) { m.Init = []byte{opLoop, void, opBr, 0, opEnd} }),
-		"traps at start": with(func(m *Module) { m.Init = Trap() }),
+		"loops at start": with(func(m *Module) { m.InitCode = []byte{opLoop, void, opBr, 0, opEnd} }),
+		"traps at start": with(func(m *Module) { m.InitCode = Trap() }),
 		"needs too much": with(func(m *Module) { m.Pages = 60000 }),
 	}
 }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -23,36 +23,36 @@
 
 // Class is a class of message as the relay's settings tell it.
 type Class struct {
-	Name, Effect          string // safe, keyed or unsafe
-	Aim, Deadline, Window time.Duration
-	Worth, LateWorth      float64
-	Ordered               bool // messages of one subject go one at a time
+	Name, Effect                          string // safe, keyed or unsafe
+	TargetLatency, Deadline, RepeatWindow time.Duration
+	Value, LateValue                      float64
+	Ordered                               bool // messages of one subject go one at a time
 }
 
-// Classes are those that a world has if it is not told any.
-var Classes = []Class{
-	{Name: "price-alert", Effect: "safe", Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Window: 5 * time.Second, Worth: 1},
-	{Name: "order-relay", Effect: "keyed", Aim: 3 * time.Second, Deadline: 20 * time.Second, Window: 5 * time.Second, Worth: 2, LateWorth: 0.3},
-	{Name: "fee-charge", Effect: "unsafe", Aim: 2500 * time.Millisecond, Deadline: 20 * time.Second, Window: 5 * time.Second, Worth: 5, LateWorth: 0.3},
+// DefaultClasses are those that a world has if it is not told any.
+var DefaultClasses = []Class{
+	{Name: "price-alert", Effect: "safe", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, RepeatWindow: 5 * time.Second, Value: 1},
+	{Name: "order-relay", Effect: "keyed", TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, RepeatWindow: 5 * time.Second, Value: 2, LateValue: 0.3},
+	{Name: "fee-charge", Effect: "unsafe", TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, RepeatWindow: 5 * time.Second, Value: 5, LateValue: 0.3},
 }
 
 // Config sets a world.
 type Config struct {
-	Seed     uint64
-	Partners []PartnerConfig
-	Classes  []Class // nil: Classes
-	Slots    int     // calls that a relay may have out; 0: 32
-	Hold     int     // messages that a relay may hold; 0: 1000
-	Sockets  int     // descriptors of a relay; 0: 1024
-	DiskMB   float64 // of a relay's folder; 0: 16
-	Relays   int     // of the tier, as the settings tell it; 0: 1
+	Seed               uint64
+	Partners           []PartnerConfig
+	Classes            []Class // nil: Classes
+	MaxConcurrentCalls int     // calls that a relay may have out; 0: 32
+	MaxPending         int     // messages that a relay may hold; 0: 1000
+	MaxDescriptors     int     // descriptors of a relay; 0: 1024
+	DiskMB             float64 // of a relay's folder; 0: 16
+	FleetSize          int     // of the tier, as the settings tell it; 0: 1
 }
 
-// World is all that lies round the relays of one test. Close ends it.
-type World struct {
-	Platform *Platform
-	Partners map[int]*Partner // by destination
-	Ledger   *Ledger
+// Environment is all that lies round the relays of one test. Close ends it.
+type Environment struct {
+	Platform  *Platform
+	Partners  map[int]*Partner // by destination
+	EffectLog *EffectLog
 
 	set     Config
 	dir     string
@@ -62,12 +62,12 @@
 	closers []func()
 }
 
-// NewWorld starts the platform and the partners.
-func NewWorld(set Config) (*World, error) {
+// NewEnvironment starts the platform and the partners.
+func NewEnvironment(set Config) (*Environment, error) {
 	if set.Classes == nil {
-		set.Classes = Classes
+		set.Classes = DefaultClasses
 	}
-	for v, fallback := range map[*int]int{&set.Slots: 32, &set.Hold: 1000, &set.Sockets: 1024, &set.Relays: 1} {
+	for v, fallback := range map[*int]int{&set.MaxConcurrentCalls: 32, &set.MaxPending: 1000, &set.MaxDescriptors: 1024, &set.FleetSize: 1} {
 		if *v == 0 {
 			*v = fallback
 		}
@@ -79,10 +79,10 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &World{set: set, dir: dir, news: newNews(), Partners: map[int]*Partner{}}
-	w.Ledger = newLedger(set.Classes, w.news)
+	w := &Environment{set: set, dir: dir, news: newNews(), Partners: map[int]*Partner{}}
+	w.EffectLog = newLedger(set.Classes, w.news)
 	for i, p := range set.Partners {
-		one, err := newPartner(p, set.Seed+uint64(i), w.Ledger)
+		one, err := newPartner(p, set.Seed+uint64(i), w.EffectLog)
 		if err != nil {
 			w.Close()
 			return nil, err
@@ -99,7 +99,7 @@
 }
 
 // Close kills the relays and ends all stand-ins.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	w.mu.Lock()
 	relays := w.relays
 	w.mu.Unlock()
@@ -112,11 +112,11 @@
 	os.RemoveAll(w.dir)
 }
 
-// Until waits for cond, which is looked at after each thing that happens. The bound is there for a hang, not as a measure.
-func (w *World) Until(what string, cond func() bool) error { return w.news.until(what, cond) }
+// WaitUntil waits for cond, which is looked at after each thing that happens. The bound is there for a hang, not as a measure.
+func (w *Environment) WaitUntil(what string, cond func() bool) error { return w.news.until(what, cond) }
 
-// Changed makes Until look again, after something that the world can't see.
-func (w *World) Changed() { w.news.tell() }
+// Notify makes Until look again, after something that the world can't see.
+func (w *Environment) Notify() { w.news.tell() }
 
 const hang = 60 * time.Second
 
@@ -162,9 +162,9 @@
 	return net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, (os.Getpid()/64+n/250)%250, 1+n%250))
 }
 
-// Addr reserves a loopback address of its own for a listener that comes and goes. Guards against a port that an outgoing
+// ReserveAddr reserves a loopback address of its own for a listener that comes and goes. Guards against a port that an outgoing
 // connection takes while the listener is down: those come from 127.0.0.1.
-func Addr() (string, error) {
+func ReserveAddr() (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -10,19 +10,19 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/disk"
+	"oatfold/internal/standin/faultfs"
 )
 
 // Found by reading, after messages were forwarded that had ended: while the disk took no records, a message was handed back and the
 // platform told; killed then, the next life found the message untried and forwarded it, while its client had handed it in elsewhere.
 // The notice waits for its record, or until its message's time is up, when no life forwards it any more.
 func TestNoticeWaitsForItsRecord(t *testing.T) {
-	d := disk.New()
+	d := faultfs.New()
 	h := newTestHostOn(t, d)
 	early, late := h.addMessage("early", 7, 1), h.addMessage("late", 7, 1)
 	late.Deadline = time.Now()
 	for n := 1; n < 20; n++ {
-		d.Fail(d.Ops()+n, disk.Error)
+		d.InjectFault(d.OperationCount()+n, faultfs.Error)
 	}
 	h.completeByNotification(early.Number, memory.Notification{Returned: true})
 	h.completeByNotification(late.Number, memory.Notification{})
@@ -44,7 +44,7 @@
 // answered as taken, but not settled and not named in the log.
 func TestHandInsBesideOnesThatAreNotAnnounced(t *testing.T) {
 	var text bytes.Buffer
-	h := newTestHostOn(t, disk.New())
+	h := newTestHostOn(t, faultfs.New())
 	h.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	h.sendToSuccessor = func([]byte) error { return errors.New("no room in the spool") }
 	answers := map[string]chan submitResult{}
