--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -11,18 +11,18 @@
 
 	"oatfold/client"
 	"oatfold/client/prom"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // The metrics match the requests that the relay received.
 func TestCounts(t *testing.T) {
-	w, err := standin.NewEnvironment(standin.Config{})
+	w, err := testdouble.NewEnvironment(testdouble.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	g, err := w.StartFaultProxy("", func(n int, _ string) standin.Fault {
-		return standin.Fault{Kind: standin.Respond, Status: []int{202, 503, 202, 400}[n],
+	g, err := w.StartFaultProxy("", func(n int, _ string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.Respond, Status: []int{202, 503, 202, 400}[n],
 			Header: map[string][]string{"Retry-After": {"0.01"}}}
 	})
 	if err != nil {
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -15,23 +15,23 @@
 	"go.uber.org/goleak"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // relayBinary is the path of the relay program, built once.
 var relayBinary string
 
-func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &relayBinary)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &relayBinary)) }
 
 // startEnv starts the test doubles around the relays. At the end of the test it checks that no
 // goroutine is left.
-func startEnv(t testing.TB, config standin.Config) *standin.Environment {
+func startEnv(t testing.TB, config testdouble.Config) *testdouble.Environment {
 	t.Helper()
 	if config.Partners == nil {
-		config.Partners = []standin.PartnerConfig{{Dest: 7}}
+		config.Partners = []testdouble.PartnerConfig{{Dest: 7}}
 	}
 	before := goleak.IgnoreCurrent()
-	w, err := standin.NewEnvironment(config)
+	w, err := testdouble.NewEnvironment(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	return w
 }
 
-func startRelay(t testing.TB, w *standin.Environment) *standin.Relay {
+func startRelay(t testing.TB, w *testdouble.Environment) *testdouble.Relay {
 	t.Helper()
 	r, err := w.StartRelay(relayBinary)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return r
 }
 
-func startProxy(t testing.TB, w *standin.Environment, backend string,
-	script func(n int, path string) standin.Fault) *standin.FaultProxy {
+func startProxy(t testing.TB, w *testdouble.Environment, backend string,
+	script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
 	t.Helper()
 	g, err := w.StartFaultProxy(backend, script)
 	if err != nil {
@@ -69,7 +69,7 @@
 
 // recorder counts the events of a client.
 type recorder struct {
-	world          *standin.Environment
+	world          *testdouble.Environment
 	mu             sync.Mutex
 	requests       int
 	connectedAt    []time.Time // attempts to connect
@@ -103,7 +103,7 @@
 	return c
 }
 
-func waitUntil(t testing.TB, w *standin.Environment, what string, cond func() bool) {
+func waitUntil(t testing.TB, w *testdouble.Environment, what string, cond func() bool) {
 	t.Helper()
 	if err := w.WaitUntil(what, cond); err != nil {
 		t.Fatal(err)
@@ -127,17 +127,17 @@
 }
 
 // faultFirst applies f to the first n requests and passes the others on.
-func faultFirst(n int, f standin.Fault) func(int, string) standin.Fault {
-	return func(i int, _ string) standin.Fault {
+func faultFirst(n int, f testdouble.Fault) func(int, string) testdouble.Fault {
+	return func(i int, _ string) testdouble.Fault {
 		if i < n {
 			return f
 		}
-		return standin.Fault{}
+		return testdouble.Fault{}
 	}
 }
 
-func answerFault(status int, retryAfter string) standin.Fault {
-	f := standin.Fault{Kind: standin.Respond, Status: status, Header: http.Header{}}
+func answerFault(status int, retryAfter string) testdouble.Fault {
+	f := testdouble.Fault{Kind: testdouble.Respond, Status: status, Header: http.Header{}}
 	if retryAfter != "" {
 		f.Header.Set("Retry-After", retryAfter)
 	}
@@ -147,9 +147,9 @@
 // A relay with a full disk rejects an alert with a Retry-After longer than its time left: the
 // client gives up at once.
 func TestWaitLongerThanTimeLeft(t *testing.T) {
-	w := startEnv(t, standin.Config{DiskMB: 0.15})
+	w := startEnv(t, testdouble.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
-	w.Partners[7].SetMode(standin.Unresponsive, 1)
+	w.Partners[7].SetMode(testdouble.Unresponsive, 1)
 	c := newClient(t, client.Config{Relays: []string{r.Addr}})
 	large := func(class string, n int, left time.Duration) client.Message {
 		m := newMessage(class, n, left)
@@ -173,8 +173,8 @@
 // Retries after rejections carry the right wait, mark, key and time left, and there are two at
 // most.
 func TestRefusals(t *testing.T) {
-	w := startEnv(t, standin.Config{})
-	g := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(503, "0.05") })
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "0.05") })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 5*time.Second))
 	expectResult(t, "always rejected", res, err, client.Refused, 3)
@@ -193,8 +193,8 @@
 				seen[i-1].TimeLeft)
 		}
 	}
-	full := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(503, "60") })
-	room := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(202, "") })
+	full := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "60") })
+	room := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
 	c = newClient(t, client.Config{Relays: []string{full.Addr, room.Addr}})
 	for n := range 20 {
 		res, err := c.Send(context.Background(), newMessage("fee-charge", n, 5*time.Second))
@@ -205,8 +205,8 @@
 	if n := len(full.Requests()); n > 1 {
 		t.Errorf("the relay that sent Retry-After received %d requests", n)
 	}
-	limited := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "60") })
-	other := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "60") })
+	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "60") })
+	other := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "60") })
 	c = newClient(t, client.Config{Relays: []string{limited.Addr, other.Addr}})
 	res, err = c.Send(context.Background(), newMessage("order-relay", 1, 5*time.Second))
 	expectResult(t, "a destination's limit applies at every relay", res, err, client.GivenUp, 1)
@@ -220,8 +220,8 @@
 		"soon": client.Taken, "": client.Taken,
 		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken, "9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
 		"Tue, 01 Dec 2099 00:00:00 GMT": client.Taken} {
-		w := startEnv(t, standin.Config{})
-		g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
+		w := startEnv(t, testdouble.Config{})
+		g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 			if n == 0 {
 				return answerFault(503, after)
 			}
@@ -243,8 +243,8 @@
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken,
 		"fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
-			w := startEnv(t, standin.Config{})
-			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.DropResponse}))
+			w := startEnv(t, testdouble.Config{})
+			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
 			res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
 			hands := 2
@@ -267,10 +267,10 @@
 
 // A keyed message is not retried after its window, and no retry states a time past it.
 func TestKeyedWindow(t *testing.T) {
-	w := startEnv(t, standin.Config{})
-	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n == 0 {
-			return standin.Fault{Kind: standin.IgnoreRequest}
+			return testdouble.Fault{Kind: testdouble.IgnoreRequest}
 		}
 		return answerFault(202, "")
 	})
@@ -283,7 +283,7 @@
 		t.Errorf("the retry states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
+	g2 := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
 	expectResult(t, "past the window", res, err, client.Uncertain, 1)
@@ -296,8 +296,8 @@
 // A 202 after the timeout is ignored and does not answer a later request.
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
-		w := startEnv(t, standin.Config{})
-		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, standin.Fault{Kind: standin.HoldResponse}))
+		w := startEnv(t, testdouble.Config{})
+		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
 		res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
 		hands := 2
@@ -318,9 +318,9 @@
 // A client avoids a relay that accepts connections and never answers; without another relay the
 // message is uncertain.
 func TestUnresponsiveRelay(t *testing.T) {
-	w := startEnv(t, standin.Config{})
-	mute := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
-	fine := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(202, "") })
+	w := startEnv(t, testdouble.Config{})
+	mute := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	fine := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
 	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), newMessage("price-alert", 1, 1500*time.Millisecond))
 	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 ||
@@ -341,10 +341,10 @@
 // The connection is closed during the request: no layer below the library resends it, even on a
 // reused connection and with a key.
 func TestNoUncountedResend(t *testing.T) {
-	w := startEnv(t, standin.Config{})
-	g := startProxy(t, w, "", func(n int, _ string) standin.Fault {
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n%2 == 1 {
-			return standin.Fault{Kind: standin.ResetConnection}
+			return testdouble.Fault{Kind: testdouble.ResetConnection}
 		}
 		return answerFault(202, "")
 	})
@@ -366,8 +366,8 @@
 
 // Every relay is down: nothing is sent, and the message fails before its deadline.
 func TestEveryRelayDown(t *testing.T) {
-	a, _ := standin.ReserveAddr()
-	b, err := standin.ReserveAddr()
+	a, _ := testdouble.ReserveAddr()
+	b, err := testdouble.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,7 +383,7 @@
 // A relay receives SIGTERM while clients send over reused connections: the other relay takes over,
 // and no message is lost or delivered twice.
 func TestPlannedStop(t *testing.T) {
-	w := startEnv(t, standin.Config{FleetSize: 2, MaxPending: 2000}) // one relay may have all messages pending
+	w := startEnv(t, testdouble.Config{FleetSize: 2, MaxPending: 2000}) // one relay may have all messages pending
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
@@ -417,10 +417,10 @@
 
 // A cancelled context ends Send at each stage with the true outcome and leaves no goroutine behind.
 func TestCancelled(t *testing.T) {
-	w := startEnv(t, standin.Config{})
-	down, _ := standin.ReserveAddr()
-	held := startProxy(t, w, "", func(int, string) standin.Fault { return standin.Fault{Kind: standin.IgnoreRequest} })
-	waits := startProxy(t, w, "", func(int, string) standin.Fault { return answerFault(429, "10") })
+	w := startEnv(t, testdouble.Config{})
+	down, _ := testdouble.ReserveAddr()
+	held := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	waits := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "10") })
 	var observer *recorder
 	completed := func(n int) bool { observer.mu.Lock(); defer observer.mu.Unlock(); return observer.requests == n }
 	for _, s := range []struct {
@@ -462,9 +462,9 @@
 
 // HandIn bounds the messages in flight; after Close nothing is accepted.
 func TestHandInBackpressure(t *testing.T) {
-	w := startEnv(t, standin.Config{})
+	w := startEnv(t, testdouble.Config{})
 	g := startProxy(t, w, startRelay(t, w).Addr,
-		func(int, string) standin.Fault { return standin.Fault{Kind: standin.HoldResponse} })
+		func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.HoldResponse} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
@@ -516,7 +516,7 @@
 
 // Invalid messages are never sent.
 func TestBadMessages(t *testing.T) {
-	w := startEnv(t, standin.Config{})
+	w := startEnv(t, testdouble.Config{})
 	g := startProxy(t, w, "", nil)
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	for what, m := range map[string]client.Message{
@@ -541,9 +541,9 @@
 // result, no charge runs twice, and there are at most two retries after rejections.
 func TestSoakWithKills(t *testing.T) {
 	const messages, workers = 1800, 12
-	w := startEnv(t, standin.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
-		Partners: []standin.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
-	relays := []*standin.Relay{startRelay(t, w), startRelay(t, w)}
+	w := startEnv(t, testdouble.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
+		Partners: []testdouble.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
+	relays := []*testdouble.Relay{startRelay(t, w), startRelay(t, w)}
 	c := newClient(t, client.Config{Relays: []string{relays[0].Addr, relays[1].Addr}, Spread: 100 * time.Millisecond})
 	classes := []string{"price-alert", "order-relay", "fee-charge"}
 	results := make([]client.Result, messages)
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // A thousand clients reconnect to a relay process that was killed and restarted: each charge is
@@ -18,7 +18,7 @@
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
 			const clients = 1000
-			w := startEnv(t, standin.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
+			w := startEnv(t, testdouble.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
 			r := startRelay(t, w)
 			observer := &recorder{world: w}
 			var all []*client.Client
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -10,7 +10,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/wasm"
+	"oatfold/internal/testdouble/wasm"
 	"oatfold/plugin/abi"
 )
 
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // runJSON runs a command line with --json and returns its exit code and the printed objects.
@@ -31,9 +31,9 @@
 	return code, all
 }
 
-func startProxy(t *testing.T, script func(n int, path string) standin.Fault) *standin.FaultProxy {
+func startProxy(t *testing.T, script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
 	t.Helper()
-	w, err := standin.NewEnvironment(standin.Config{})
+	w, err := testdouble.NewEnvironment(testdouble.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +45,8 @@
 	return g
 }
 
-func answerFault(status int, after string) standin.Fault {
-	f := standin.Fault{Kind: standin.Respond, Status: status, Header: map[string][]string{}}
+func answerFault(status int, after string) testdouble.Fault {
+	f := testdouble.Fault{Kind: testdouble.Respond, Status: status, Header: map[string][]string{}}
 	if after != "" {
 		f.Header.Set("Retry-After", after)
 	}
@@ -55,25 +55,25 @@
 
 // For one message, send reports its result and attempts and returns the right exit code.
 func TestSendOne(t *testing.T) {
-	accepted, mute := answerFault(202, ""), standin.Fault{Kind: standin.IgnoreRequest}
+	accepted, mute := answerFault(202, ""), testdouble.Fault{Kind: testdouble.IgnoreRequest}
 	for _, c := range []struct {
 		what    string
 		effect  string
-		script  []standin.Fault // the last one is repeated
+		script  []testdouble.Fault // the last one is repeated
 		result  string
 		handIns int
 		code    int
 	}{
-		{"accepted", "unsafe", []standin.Fault{accepted}, "taken", 1, exitOK},
-		{"rejected once", "unsafe", []standin.Fault{answerFault(503, "0.01"), accepted}, "taken", 2, exitOK},
-		{"rejected", "safe", []standin.Fault{answerFault(429, "0.01")}, "refused", 3, exitRefused},
-		{"Retry-After too long", "safe", []standin.Fault{answerFault(503, "5")}, "given_up", 1, exitGivenUp},
-		{"status 400", "safe", []standin.Fault{answerFault(400, "")}, "failed", 1, exitFailed},
-		{"no answer to a charge", "unsafe", []standin.Fault{mute, accepted}, "uncertain", 1, exitUncertain},
-		{"no answer to an order", "keyed", []standin.Fault{mute, accepted}, "taken", 2, exitOK},
-		{"no answer to an alert", "safe", []standin.Fault{mute, accepted}, "taken", 2, exitOK},
+		{"accepted", "unsafe", []testdouble.Fault{accepted}, "taken", 1, exitOK},
+		{"rejected once", "unsafe", []testdouble.Fault{answerFault(503, "0.01"), accepted}, "taken", 2, exitOK},
+		{"rejected", "safe", []testdouble.Fault{answerFault(429, "0.01")}, "refused", 3, exitRefused},
+		{"Retry-After too long", "safe", []testdouble.Fault{answerFault(503, "5")}, "given_up", 1, exitGivenUp},
+		{"status 400", "safe", []testdouble.Fault{answerFault(400, "")}, "failed", 1, exitFailed},
+		{"no answer to a charge", "unsafe", []testdouble.Fault{mute, accepted}, "uncertain", 1, exitUncertain},
+		{"no answer to an order", "keyed", []testdouble.Fault{mute, accepted}, "taken", 2, exitOK},
+		{"no answer to an alert", "safe", []testdouble.Fault{mute, accepted}, "taken", 2, exitOK},
 	} {
-		g := startProxy(t, func(n int, _ string) standin.Fault { return c.script[min(n, len(c.script)-1)] })
+		g := startProxy(t, func(n int, _ string) testdouble.Fault { return c.script[min(n, len(c.script)-1)] })
 		code, out := runJSON(t, "CLASS/1\nbody", "send", "--relay", g.Addr, "--class", "some-class", "--dest", "7",
 			"--time-left", "1500ms",
 			"--effect", c.effect, "--answer-timeout", "100ms")
@@ -85,7 +85,7 @@
 			t.Errorf("%s: %+v", c.what, s)
 		}
 	}
-	down, err := standin.ReserveAddr()
+	down, err := testdouble.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 // For a file, each line has its result, an invalid line fails alone, and the worst result sets the
 // exit code.
 func TestSendFile(t *testing.T) {
-	g := startProxy(t, func(_ int, path string) standin.Fault {
+	g := startProxy(t, func(_ int, path string) testdouble.Fault {
 		if path == "/bad" {
 			return answerFault(400, "")
 		}
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // bin is the real relay, built when it is first needed.
@@ -25,16 +25,16 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.BuildRelay(dir)
+	return testdouble.BuildRelay(dir)
 })
 
-func world(t *testing.T, set standin.Config) (*standin.Environment, *standin.Relay) {
+func world(t *testing.T, set testdouble.Config) (*testdouble.Environment, *testdouble.Relay) {
 	t.Helper()
 	program, err := bin()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewEnvironment(set)
+	w, err := testdouble.NewEnvironment(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // load is clients that hand in all classes, until they are told to stop.
 type load struct {
-	w    *standin.Environment
+	w    *testdouble.Environment
 	all  sync.WaitGroup
 	stop atomic.Bool
 
@@ -56,7 +56,7 @@
 	results map[string]client.Result // by the message's name
 }
 
-func start(t *testing.T, w *standin.Environment, addr string) *load {
+func start(t *testing.T, w *testdouble.Environment, addr string) *load {
 	l := &load{w: w, results: map[string]client.Result{}}
 	for lane := range 6 {
 		c, err := client.New(client.Config{Relays: []string{addr}, Spread: 10 * time.Millisecond, NoRefusals: true})
@@ -66,7 +66,7 @@
 		t.Cleanup(func() { c.Close() })
 		l.all.Go(func() {
 			for n := 0; !l.stop.Load(); n++ {
-				class := standin.DefaultClasses[(lane+n)%3].Name
+				class := testdouble.DefaultClasses[(lane+n)%3].Name
 				name := fmt.Sprintf("%s/%d-%d", class, lane, n)
 				res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + (lane+n)%2, TimeLeft: 5900 * time.Millisecond, Body: []byte(name + "\n")})
 				l.mu.Lock()
@@ -109,12 +109,12 @@
 	return counts
 }
 
-var partners = []standin.PartnerConfig{{Dest: 1, ServiceTime: 5 * time.Millisecond}, {Dest: 2, Kind: "broker", ServiceTime: 40 * time.Millisecond}}
+var partners = []testdouble.PartnerConfig{{Dest: 1, ServiceTime: 5 * time.Millisecond}, {Dest: 2, Kind: "broker", ServiceTime: 40 * time.Millisecond}}
 
 // Upgrades in a row under load: the old process exits with 0 once the new one serves, nobody is turned away unheard, each message ends
 // once, no charge runs twice; a drain goes on in the new process.
 func TestUpgradeUnderLoad(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
+	w, r := world(t, testdouble.Config{Partners: partners})
 	l := start(t, w, r.Addr)
 	const upgrades = 4
 	for range upgrades {
@@ -185,7 +185,7 @@
 
 // Either process is killed at drawn moments of an upgrade: what was told 202 ends, no charge runs twice, and somebody serves again.
 func TestUpgradeKilledAtAnyMoment(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
+	w, r := world(t, testdouble.Config{Partners: partners})
 	l := start(t, w, r.Addr)
 	random := rand.New(rand.NewPCG(20, 26))
 	soon := func() { time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond) }
@@ -256,13 +256,13 @@
 // A successor that is killed while it holds messages back behind a call of the old process, and starts again, still holds them back, and those of a subject
 // go in the order of hand-in over all three.
 func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
-	classes := slices.Clone(standin.DefaultClasses)
+	classes := slices.Clone(testdouble.DefaultClasses)
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
 	came, held := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(held) })
-	set := standin.Config{Classes: classes, Partners: []standin.PartnerConfig{{Dest: 1, OnCall: func(c standin.Call) {
+	set := testdouble.Config{Classes: classes, Partners: []testdouble.PartnerConfig{{Dest: 1, OnCall: func(c testdouble.Call) {
 		if c.Completed {
 			return
 		}
@@ -343,15 +343,15 @@
 // The figures against the ledger: refusals of a full hold, batches, resets, partners that fail and that say nothing, notices, and messages of an earlier life.
 func TestFiguresMatchTheLedger(t *testing.T) {
 	var tried atomic.Int64
-	watch := func(c standin.Call) {
+	watch := func(c testdouble.Call) {
 		if !c.Completed {
 			tried.Add(int64(len(c.IDs)))
 		}
 	}
-	w, r := world(t, standin.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []standin.PartnerConfig{{Dest: 1, ServiceTime: time.Millisecond, OnCall: watch},
+	w, r := world(t, testdouble.Config{MaxPending: 30, MaxConcurrentCalls: 8, Partners: []testdouble.PartnerConfig{{Dest: 1, ServiceTime: time.Millisecond, OnCall: watch},
 		{Dest: 2, Kind: "broker", ServiceTime: 20 * time.Millisecond, OnCall: watch}, {Dest: 3, OnCall: watch}}})
-	w.Partners[1].SetMode(standin.InternalError, 0.2)
-	w.Partners[3].SetMode(standin.RefusingConnections, 1)
+	w.Partners[1].SetMode(testdouble.InternalError, 0.2)
+	w.Partners[3].SetMode(testdouble.RefusingConnections, 1)
 	if all, err := r.Metrics(); err != nil || all[`passed{category="fee-charge"}`] != 0 || len(all) != 13 {
 		t.Fatalf("at the start: %v, %v", all, err)
 	}
@@ -367,7 +367,7 @@
 					return
 				}
 				for i := lane; i < n; i += 8 {
-					class := standin.DefaultClasses[i%3].Name
+					class := testdouble.DefaultClasses[i%3].Name
 					res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: 1 + i%3, TimeLeft: 1500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\n", class, n, i)})
 					mu.Lock()
 					if handedIn++; res.Outcome == client.Refused {
@@ -397,7 +397,7 @@
 		for _, e := range w.EffectLog.Entries() {
 			did[strings.Split(e.Name, "/")[0]]++
 		}
-		for _, c := range standin.DefaultClasses {
+		for _, c := range testdouble.DefaultClasses {
 			if got, want := all[fmt.Sprintf("passed{category=%q}", c.Name)], did[c.Name]-before[c.Name]; got != want {
 				t.Errorf("%s: %d passed of %s, the ledger has %d", what, got, c.Name, want)
 			}
@@ -429,8 +429,8 @@
 	}
 
 	// What an earlier life left is counted by the one that ends it.
-	w.Partners[1].SetMode(standin.RefusingConnections, 1)
-	w.Partners[2].SetMode(standin.RefusingConnections, 1)
+	w.Partners[1].SetMode(testdouble.RefusingConnections, 1)
+	w.Partners[2].SetMode(testdouble.RefusingConnections, 1)
 	wasIn, wasRefused := handedIn, total()
 	before := map[string]int{}
 	for _, e := range w.EffectLog.Entries() {
@@ -440,7 +440,7 @@
 	left := handedIn - wasIn - (total() - wasRefused)
 	r.Kill()
 	triedBefore := int(tried.Load())
-	w.Partners[2].SetMode(standin.Healthy, 1)
+	w.Partners[2].SetMode(testdouble.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -453,14 +453,14 @@
 
 // Addresses that are taken end the start with one line that names the key, and the state folder of whoever serves there is not touched.
 func TestStartRefusedWhereAddressesAreTaken(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
+	w, r := world(t, testdouble.Config{Partners: partners})
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // as an earlier version listens
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	taken := ln.Addr().String()
-	for key, set := range map[string]func(*standin.Relay){"admin (ROUTER_ADMIN)": func(n *standin.Relay) { n.AdminAddr = taken }, "listen:": func(n *standin.Relay) { n.Addr = taken }} {
+	for key, set := range map[string]func(*testdouble.Relay){"admin (ROUTER_ADMIN)": func(n *testdouble.Relay) { n.AdminAddr = taken }, "listen:": func(n *testdouble.Relay) { n.Addr = taken }} {
 		n, err := w.NewRelay()
 		if err != nil {
 			t.Fatal(err)
@@ -484,9 +484,9 @@
 
 // A third process stands by as the second does; whoever is left takes over, each time.
 func TestThirdProcessStandsBy(t *testing.T) {
-	w, r := world(t, standin.Config{Partners: partners})
+	w, r := world(t, testdouble.Config{Partners: partners})
 	l := start(t, w, r.Addr)
-	procs := []*standin.Relay{r}
+	procs := []*testdouble.Relay{r}
 	for range 2 {
 		n, err := r.StartNextProcess()
 		if err == nil {
@@ -521,20 +521,20 @@
 
 // An upgrade while the folder is full, with all that is held in it: nothing is lost, nothing new is promised that can't be kept, the budget holds over both.
 func TestUpgradeWithAFullFolder(t *testing.T) {
-	for name, leave := range map[string]func(*standin.Relay) error{"told": (*standin.Relay).Stop, "killed": func(r *standin.Relay) error { r.Kill(); return nil }} {
+	for name, leave := range map[string]func(*testdouble.Relay) error{"told": (*testdouble.Relay).Stop, "killed": func(r *testdouble.Relay) error { r.Kill(); return nil }} {
 		t.Run(name, func(t *testing.T) { upgradeFull(t, leave) })
 	}
 }
 
-func upgradeFull(t *testing.T, leave func(*standin.Relay) error) {
+func upgradeFull(t *testing.T, leave func(*testdouble.Relay) error) {
 	const budget = 300_000
 	// A destination that refused connections is tried again some 11 s later, on a busy machine 17 s: messages outlast that.
-	classes := slices.Clone(standin.DefaultClasses)
+	classes := slices.Clone(testdouble.DefaultClasses)
 	for i := range classes {
 		classes[i].Deadline = time.Minute
 	}
-	w, r := world(t, standin.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes, Partners: []standin.PartnerConfig{{Dest: 7}}})
-	w.Partners[7].SetMode(standin.RefusingConnections, 1)
+	w, r := world(t, testdouble.Config{DiskMB: budget / 1e6, MaxPending: 400, Classes: classes, Partners: []testdouble.PartnerConfig{{Dest: 7}}})
+	w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 	taken := map[string]client.Result{}
 	refused := false
 	for n := 0; !refused; n++ {
@@ -572,7 +572,7 @@
 	if n := size(); n > budget {
 		t.Errorf("after the hand-over the folder holds %d bytes", n)
 	}
-	w.Partners[7].SetMode(standin.Healthy, 1)
+	w.Partners[7].SetMode(testdouble.Healthy, 1)
 	if err := w.WaitUntil("all to end", func() bool {
 		did, told := w.EffectLog.CountByName(), w.Platform.Notifications()
 		for name, res := range taken {
@@ -595,7 +595,7 @@
 
 // A drain outlasts a reload, and a planned stop during a drain ends with 0; told twice it is one drain.
 func TestDrainThenReloadThenStop(t *testing.T) {
-	_, r := world(t, standin.Config{Partners: partners})
+	_, r := world(t, testdouble.Config{Partners: partners})
 	for range 2 {
 		if status, _, err := r.CallAdmin("PUT", "/healthcheck/fail"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
@@ -616,7 +616,7 @@
 
 // A drain outlasts a crash, and a planned stop ends it; ok ends it too.
 func TestDrainOutlastsACrash(t *testing.T) {
-	_, r := world(t, standin.Config{Partners: partners})
+	_, r := world(t, testdouble.Config{Partners: partners})
 	call := func(path string) {
 		t.Helper()
 		if status, _, err := r.CallAdmin("PUT", path); status != 200 {
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oatfold/client"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // promises is what became of the messages of a day, by their ids.
@@ -21,7 +21,7 @@
 	most   int // calls at once
 }
 
-func (p *promises) call(c standin.Call) {
+func (p *promises) call(c testdouble.Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Completed {
@@ -46,9 +46,9 @@
 func TestTakenOnIsTried(t *testing.T) {
 	const messages, lanes, slots, left = 280, 8, 4, 6 * time.Second
 	p := &promises{called: map[string]int{}, ran: map[string]time.Time{}, given: map[string]time.Time{}}
-	w, r := world(t, standin.Config{Seed: 5, MaxConcurrentCalls: slots, Partners: []standin.PartnerConfig{
+	w, r := world(t, testdouble.Config{Seed: 5, MaxConcurrentCalls: slots, Partners: []testdouble.PartnerConfig{
 		{Dest: 1, ServiceTime: 60 * time.Millisecond, OnCall: p.call}, {Dest: 2, ServiceTime: 60 * time.Millisecond, OnCall: p.call}}})
-	w.Platform.OnNotification(func(n standin.Notification) {
+	w.Platform.OnNotification(func(n testdouble.Notification) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.given[n.Message] = time.Now()
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -9,7 +9,7 @@
 
 	"oatfold/client"
 	"oatfold/internal/lab/emu"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // Seen is one line of a timeline: what one relay came to think of another.
@@ -155,10 +155,10 @@
 // Books is what the stand-ins booked over a day.
 type Books struct {
 	Hands   []Hand
-	Effects []standin.Effect
-	Notices map[string]standin.Notification // by id
-	Early   int                             // calls within told waits
-	TooLong int                             // notes of over 256 bytes
+	Effects []testdouble.Effect
+	Notices map[string]testdouble.Notification // by id
+	Early   int                                // calls within told waits
+	TooLong int                                // notes of over 256 bytes
 }
 
 const noEnd = " was taken on and had no end"
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -11,7 +11,7 @@
 	"oatfold/client"
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/lab/site"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // The judge finds a place that two have, an endpoint that too many share, and a subset of the wrong size.
@@ -90,7 +90,7 @@
 	if err := w.WaitUntil("the first to be delivered", func() bool { return w.EffectLog.Len() > 50 }); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Partners[1].SetMode(standin.RefusingConnections, 1); err != nil {
+	if err := w.Partners[1].SetMode(testdouble.RefusingConnections, 1); err != nil {
 		t.Fatal(err)
 	}
 	holder := -1
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	was := w.EffectLog.Len()
-	if err := w.Partners[1].SetMode(standin.Healthy, 1); err != nil {
+	if err := w.Partners[1].SetMode(testdouble.Healthy, 1); err != nil {
 		t.Fatal(err)
 	}
 	err := w.WaitUntil("the others to deliver in the place of the stopped one", func() bool { return w.EffectLog.Len() >= was+100 })
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -18,8 +18,8 @@
 
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/peers/members"
-	"oatfold/internal/standin"
-	"oatfold/internal/standin/faultnet"
+	"oatfold/internal/testdouble"
+	"oatfold/internal/testdouble/faultnet"
 )
 
 // Bounds of a day that processes can play.
@@ -43,8 +43,8 @@
 	Bin  string // the relay
 	Out  string // folder for logs and results; empty: none are kept
 
-	Operator string                       // file that the relays are started with; empty: none
-	Behind   func([]*standin.Relay) error // asked of the relays when the day's messages have ended; nil: nothing
+	Operator string                          // file that the relays are started with; empty: none
+	Behind   func([]*testdouble.Relay) error // asked of the relays when the day's messages have ended; nil: nothing
 }
 
 // Result is what came of a run.
@@ -96,9 +96,9 @@
 type run struct {
 	set    Config
 	day    *emu.Day
-	world  *standin.Environment
+	world  *testdouble.Environment
 	net    *faultnet.Network
-	relays []*standin.Relay
+	relays []*testdouble.Relay
 	routes [][]route // of each relay
 	logs   []*os.File
 
@@ -142,10 +142,10 @@
 }
 
 // partners are the day's destinations as stand-ins.
-func (r *run) partners() (all []standin.PartnerConfig) {
+func (r *run) partners() (all []testdouble.PartnerConfig) {
 	for i, d := range r.day.Dests {
 		k := r.day.Kinds[d.Kind]
-		p := standin.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: d.Zone}
+		p := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: d.Zone}
 		if k.Batch > 1 {
 			p.Kind = "broker"
 		}
@@ -165,9 +165,9 @@
 	return all
 }
 
-func (r *run) classes() (all []standin.Class) {
+func (r *run) classes() (all []testdouble.Class) {
 	for _, c := range r.day.Classes {
-		all = append(all, standin.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], TargetLatency: c.TargetLatency, Deadline: c.Deadline, RepeatWindow: max(c.RepeatWindow, time.Second),
+		all = append(all, testdouble.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], TargetLatency: c.TargetLatency, Deadline: c.Deadline, RepeatWindow: max(c.RepeatWindow, time.Second),
 			Value: c.Value, LateValue: c.LateValue})
 	}
 	return all
@@ -175,12 +175,12 @@
 
 // start starts the world and its relays, side by side.
 func (r *run) start() (err error) {
-	if r.world, err = standin.NewEnvironment(standin.Config{Seed: r.set.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.day.Relays, MaxPending: 500}); err != nil {
+	if r.world, err = testdouble.NewEnvironment(testdouble.Config{Seed: r.set.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.day.Relays, MaxPending: 500}); err != nil {
 		return err
 	}
 	var listen []string
 	for range r.day.Relays {
-		addr, err := standin.ReserveAddr() // of an address of its own: the ways' sockets take ports of 127.0.0.1
+		addr, err := testdouble.ReserveAddr() // of an address of its own: the ways' sockets take ports of 127.0.0.1
 		if err != nil {
 			return err
 		}
@@ -201,7 +201,7 @@
 		if err != nil {
 			return err
 		}
-		seat := &standin.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.net.PeerAddrs(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), DiscoveryAddr: discovery}
+		seat := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.net.PeerAddrs(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), DiscoveryAddr: discovery}
 		if r.set.Out != "" {
 			f, err := os.Create(filepath.Join(r.set.Out, fmt.Sprintf("relay-%02d.log", n)))
 			if err != nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -19,15 +19,15 @@
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/lab/site"
 	"oatfold/internal/peers/members"
-	"oatfold/internal/standin"
-	"oatfold/internal/standin/faultnet"
+	"oatfold/internal/testdouble"
+	"oatfold/internal/testdouble/faultnet"
 	"oatfold/policy"
 )
 
 // bin is the real relay, built once.
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
 
 const library = "../../../lab/fleet"
 
@@ -178,18 +178,18 @@
 		}
 	}
 	hand := func(class string, o client.Outcome) Hand { return Hand{class + "/1", class, "id", o} }
-	ran := standin.Effect{Name: "fee-charge/1", ID: "id"}
+	ran := testdouble.Effect{Name: "fee-charge/1", ID: "id"}
 	for _, c := range []struct {
 		name  string
 		books Books
 		want  string
 	}{
-		{"delivered", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran}}, ""},
-		{"a charge runs twice", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran, ran}}, "ran 2 times"},
+		{"delivered", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
+		{"a charge runs twice", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
 		{"no end", Books{Hands: []Hand{hand("fee-charge", client.Taken)}}, "no end"},
-		{"given up", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Notices: map[string]standin.Notification{"id": {Outcome: "given_up"}}}, ""},
-		{"refused and ran", Books{Hands: []Hand{hand("fee-charge", client.Refused)}, Effects: []standin.Effect{ran}}, "refused and ran"},
-		{"handed back and ran", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []standin.Effect{ran}, Notices: map[string]standin.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
+		{"given up", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Notices: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
+		{"refused and ran", Books{Hands: []Hand{hand("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
+		{"handed back and ran", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notices: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
 		{"within a wait", Books{Early: 1}, "told wait"}, {"a long note", Books{TooLong: 1}, "256 bytes"},
 	} {
 		if got := strings.Join(judgeMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
@@ -235,21 +235,21 @@
 }
 
 // seats starts the first few relays of a fleet of n that ask one another who lives. At the other addresses nobody listens.
-func seats(t *testing.T, n, start int) (*standin.Environment, *faultnet.Network, []*standin.Relay, []string) {
+func seats(t *testing.T, n, start int) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
 	return seated(t, n, start, "")
 }
 
 // seated has them share choices besides.
-func seated(t *testing.T, n, start int, choices string) (*standin.Environment, *faultnet.Network, []*standin.Relay, []string) {
+func seated(t *testing.T, n, start int, choices string) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
 	t.Helper()
-	w, err := standin.NewEnvironment(standin.Config{Partners: []standin.PartnerConfig{{Dest: 1}}, FleetSize: n})
+	w, err := testdouble.NewEnvironment(testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	var listen []string
 	for range n {
-		addr, err := standin.ReserveAddr()
+		addr, err := testdouble.ReserveAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -260,9 +260,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(ways.Close)
-	var relays []*standin.Relay
+	var relays []*testdouble.Relay
 	for i := range start {
-		r, err := w.NewFleetRelay(bin, &standin.FleetConfig{Number: i, PeerListen: listen[i], Peers: ways.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
+		r, err := w.NewFleetRelay(bin, &testdouble.FleetConfig{Number: i, PeerListen: listen[i], Peers: ways.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
 		if err == nil {
 			err = r.Start()
 		}
@@ -274,7 +274,7 @@
 	return w, ways, relays, listen
 }
 
-func awaits(t *testing.T, r *standin.Relay, text string) {
+func awaits(t *testing.T, r *testdouble.Relay, text string) {
 	t.Helper()
 	if err := r.AwaitLog(text); err != nil {
 		t.Fatal(err)
@@ -424,7 +424,7 @@
 	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
 		t.Fatalf("%v: %s", err, r.disagreement())
 	}
-	addr, err := standin.ReserveAddr()
+	addr, err := testdouble.ReserveAddr()
 	if err == nil {
 		err = ways.AddAlias(1, addr)
 	}
@@ -433,7 +433,7 @@
 	}
 	peers := ways.PeerAddrs(1)
 	peers[1] = addr
-	rival, err := w.NewFleetRelay(bin, &standin.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
+	rival, err := w.NewFleetRelay(bin, &testdouble.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
 	if err == nil {
 		err = rival.Start()
 	}
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -13,7 +13,7 @@
 
 	"oatfold/internal/lab/emu"
 	"oatfold/internal/lab/site"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // threeSites is a day of twelve relays in three sites, with two partners that have two endpoints in each and one that is in the first site alone.
@@ -60,7 +60,7 @@
 }
 
 // siteState is what a relay takes a site for.
-func siteState(r *standin.Relay, zone string) (state string, out bool) {
+func siteState(r *testdouble.Relay, zone string) (state string, out bool) {
 	status, body, err := r.CallAdmin("GET", "/sites")
 	var doc struct {
 		Sites []struct {
@@ -108,7 +108,7 @@
 			defer func() { <-atOnce }()
 			d := threeSites(t, c.troubles...)
 			d.Name = "site-lost, " + name
-			res, err := Play(context.Background(), Config{Day: d, Seed: 6, Bin: bin, Operator: operatorFile(t), Behind: func(all []*standin.Relay) error {
+			res, err := Play(context.Background(), Config{Day: d, Seed: 6, Bin: bin, Operator: operatorFile(t), Behind: func(all []*testdouble.Relay) error {
 				for i, relay := range all {
 					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
 						return fmt.Errorf("relay %d took for lost what answers", i)
@@ -116,7 +116,7 @@
 						return fmt.Errorf("relay %d saw no return", i)
 					}
 				}
-				seen := slices.ContainsFunc(all, func(r *standin.Relay) bool { return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0 })
+				seen := slices.ContainsFunc(all, func(r *testdouble.Relay) bool { return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0 })
 				if seen != c.lost && name != "cut" { // where nothing says no, so few calls have ended by then that some, or all, see a part of it missing only
 					return fmt.Errorf("seen as lost: %v", seen)
 				}
@@ -143,7 +143,7 @@
 	d := threeSites(t)
 	d.Name, d.Length = "site-by-hand", 34*time.Second
 	r := run{}
-	res, err := Play(context.Background(), Config{Day: d, Seed: 7, Bin: bin, Operator: operatorFile(t), Behind: func(all []*standin.Relay) error {
+	res, err := Play(context.Background(), Config{Day: d, Seed: 7, Bin: bin, Operator: operatorFile(t), Behind: func(all []*testdouble.Relay) error {
 		for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405, "PUT /sites/zone-2/away": 404} {
 			var method, path string
 			fmt.Sscan(call, &method, &path)
--- a/internal/lab/fleet/troubles.go
+++ b/internal/lab/fleet/troubles.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"oatfold/internal/lab/emu"
-	"oatfold/internal/standin"
-	"oatfold/internal/standin/faultnet"
+	"oatfold/internal/testdouble"
+	"oatfold/internal/testdouble/faultnet"
 )
 
 // This file makes a trouble of a day true: of processes, partners, and the ways between them.
@@ -77,9 +77,9 @@
 				}
 			}
 		}
-		mode := map[emu.TroubleKind]standin.Mode{emu.Vanish: standin.Unresponsive, emu.Crash: standin.RefusingConnections, emu.Shut: standin.Unavailable}[t.Kind]
+		mode := map[emu.TroubleKind]testdouble.Mode{emu.Vanish: testdouble.Unresponsive, emu.Crash: testdouble.RefusingConnections, emu.Shut: testdouble.Unavailable}[t.Kind]
 		if !s.begins {
-			mode = standin.Healthy
+			mode = testdouble.Healthy
 		}
 		for i, d := range r.day.Dests {
 			if slices.Contains(t.Dests, i) || losesAll(&d, t.Zone) {
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"oatfold/internal/lab/rules"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // Recorder turns what clients, partners and the platform see of one relay on real sockets into the rules' log, and has it checked.
@@ -72,7 +72,7 @@
 }
 
 // Noticed is a notice to the platform. One of what is over does no harm.
-func (r *Recorder) Noticed(n standin.Notification) {
+func (r *Recorder) Noticed(n testdouble.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.msgs[n.Message]
@@ -91,7 +91,7 @@
 const settle = 50 * time.Millisecond
 
 // Seen is a call at a partner, as it comes and as it ends.
-func (r *Recorder) Seen(c standin.Call) {
+func (r *Recorder) Seen(c testdouble.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !c.Completed {
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -8,24 +8,24 @@
 
 	"oatfold/internal/lab/load"
 	"oatfold/internal/lab/rules"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // world is four partners that break calls, refuse them with waits, lose answers after they ran, and one that is well.
-func world(t *testing.T, r *load.Recorder) *standin.Environment {
+func world(t *testing.T, r *load.Recorder) *testdouble.Environment {
 	t.Helper()
-	var partners []standin.PartnerConfig
+	var partners []testdouble.PartnerConfig
 	for d := range 4 {
-		partners = append(partners, standin.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.Seen})
+		partners = append(partners, testdouble.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.Seen})
 	}
 	partners[2].Kind = "broker"
-	w, err := standin.NewEnvironment(standin.Config{Seed: 1, Partners: partners, MaxPending: 2000})
+	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: 1, Partners: partners, MaxPending: 2000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	w.Platform.OnNotification(r.Noticed)
-	for d, m := range map[int]standin.Mode{1: standin.Unavailable, 2: standin.ResetAfterRun, 3: standin.InternalError} {
+	for d, m := range map[int]testdouble.Mode{1: testdouble.Unavailable, 2: testdouble.ResetAfterRun, 3: testdouble.InternalError} {
 		if err := w.Partners[d].SetMode(m, 0.15); err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 
 // The checker on real sockets: the relay keeps the rules under faults, and a forwarder that heeds nothing is found out by the same checker.
 func TestRulesOnSockets(t *testing.T) {
-	bin, err := standin.BuildRelay(t.TempDir())
+	bin, err := testdouble.BuildRelay(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // Step is one rate that a program was put under.
@@ -71,13 +71,13 @@
 
 func (set Saturation) step(ctx context.Context, program string, rate float64) (*Step, error) {
 	meter := NewMeter(Mix)
-	var partners []standin.PartnerConfig
+	var partners []testdouble.PartnerConfig
 	load := Config{Rate: rate, For: set.For, Mix: Mix, Conns: set.Conns, Body: set.Body, Seed: set.Seed}
 	for i := range set.Dests {
 		load.Dests = append(load.Dests, i+1)
-		partners = append(partners, standin.PartnerConfig{Dest: i + 1, OnMessage: meter.Ran})
+		partners = append(partners, testdouble.PartnerConfig{Dest: i + 1, OnMessage: meter.Ran})
 	}
-	w, err := standin.NewEnvironment(standin.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000, MaxDescriptors: 4096, DiskMB: 256})
+	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000, MaxDescriptors: 4096, DiskMB: 256})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/memory/journal/batch_test.go
+++ b/internal/memory/journal/batch_test.go
@@ -6,7 +6,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // Found by reading, after messages were forwarded that their clients had been refused: a commit of several hand-ins fails half way, the half that was
--- a/internal/memory/journal/filesize_test.go
+++ b/internal/memory/journal/filesize_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"oatfold/internal/memory"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // A bound of the system on the size of a file refuses nobody: what the segment does not take goes to a new one, and all is there at the next start.
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -15,7 +15,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // The same verdict each time; -rapid.seed=N searches on.
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -12,7 +12,7 @@
 
 	"oatfold/client"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // bin is the real relay, built when it is first needed.
@@ -21,7 +21,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.BuildRelay(dir)
+	return testdouble.BuildRelay(dir)
 })
 
 // The real relay with a disk that fills, by its budget and by a bound of the system on each file, killed at seeded moments while bodies come
@@ -41,7 +41,7 @@
 	}{"budget": {program, 0.3}, "file size": {limited, 3}} {
 		t.Run(what, func(t *testing.T) {
 			const messages, lanes = 600, 8
-			w, err := standin.NewEnvironment(standin.Config{Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []standin.PartnerConfig{{Dest: 7}}})
+			w, err := testdouble.NewEnvironment(testdouble.Config{Seed: 9, DiskMB: c.diskMB, MaxPending: 400, Partners: []testdouble.PartnerConfig{{Dest: 7}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,9 +57,9 @@
 				for n := range events {
 					switch {
 					case n%100 == 20:
-						w.Partners[7].SetMode(standin.RefusingConnections, 1)
+						w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 					case n%100 == 60:
-						w.Partners[7].SetMode(standin.Healthy, 1)
+						w.Partners[7].SetMode(testdouble.Healthy, 1)
 					default:
 						r.Kill()
 						if err := r.Start(); err != nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := standin.NewEnvironment(standin.Config{DiskMB: 0.5, Partners: []standin.PartnerConfig{{Dest: 7}}})
+	w, err := testdouble.NewEnvironment(testdouble.Config{DiskMB: 0.5, Partners: []testdouble.PartnerConfig{{Dest: 7}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Partners[7].SetMode(standin.RefusingConnections, 1)
+	w.Partners[7].SetMode(testdouble.RefusingConnections, 1)
 	const size = 20_000
 	counts := map[string]map[client.Outcome]int{}
 	results := map[string]client.Result{}
@@ -169,7 +169,7 @@
 	for _, m := range in.Messages {
 		unkept[m.ID] = m.MemoryOnly
 	}
-	w.Partners[7].SetMode(standin.Healthy, 1)
+	w.Partners[7].SetMode(testdouble.Healthy, 1)
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -13,25 +13,25 @@
 
 	"oatfold/client"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin"
-	"oatfold/internal/standin/wasm"
+	"oatfold/internal/testdouble"
+	"oatfold/internal/testdouble/wasm"
 	"oatfold/plugin/abi"
 )
 
 // relayBinary is the path of the relay program, built once.
 var relayBinary string
 
-func TestMain(m *testing.M) { os.Exit(standin.RunTests(m, &relayBinary)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &relayBinary)) }
 
 var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed,
 	"fee-charge": client.Unsafe}
 
 // testRelay is a relay process with an operator's file.
 type testRelay struct {
-	*standin.Environment
+	*testdouble.Environment
 	t             *testing.T
 	dir           string
-	relay         *standin.Relay
+	relay         *testdouble.Relay
 	defaultClient *client.Client
 }
 
@@ -49,11 +49,11 @@
 // and modules.
 func startTestRelay(t *testing.T, dests int, file string, modules map[string][]byte) *testRelay {
 	t.Helper()
-	var partners []standin.PartnerConfig
+	var partners []testdouble.PartnerConfig
 	for d := range dests {
-		partners = append(partners, standin.PartnerConfig{Dest: d})
+		partners = append(partners, testdouble.PartnerConfig{Dest: d})
 	}
-	w, err := standin.NewEnvironment(standin.Config{Partners: partners})
+	w, err := testdouble.NewEnvironment(testdouble.Config{Partners: partners})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 func TestNotesSurviveRestart(t *testing.T) {
 	s := startTestRelay(t, 1, `plugins { plugin { name: "note" module: "note" hook: ON_HANDIN } }`,
 		map[string][]byte{"note": wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes()})
-	s.Partners[0].SetMode(standin.RefusingConnections, 1)
+	s.Partners[0].SetMode(testdouble.RefusingConnections, 1)
 	// An order, since a kill between the record of an attempt and its end makes a charge uncertain,
 	// and it is given up.
 	if r := s.send("order-relay", 0, 1); r.Outcome != client.Taken {
@@ -291,7 +291,7 @@
 		"a=b")) {
 		t.Errorf("the note is missing in the journal: %+v, %v", in, err)
 	}
-	s.Partners[0].SetMode(standin.Healthy, 1)
+	s.Partners[0].SetMode(testdouble.Healthy, 1)
 	if err := s.relay.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"oatfold/internal/plugin/limits"
-	"oatfold/internal/standin/wasm"
+	"oatfold/internal/testdouble/wasm"
 	"oatfold/plugin/abi"
 )
 
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 // slack is for the test's own goroutines, which see calls and notices late on a busy machine: what crosses within it is not told apart.
@@ -29,7 +29,7 @@
 	return &events{called: map[string][]time.Time{}, ended: map[string]time.Time{}, how: map[string]string{}}
 }
 
-func (e *events) call(c standin.Call) {
+func (e *events) call(c testdouble.Call) {
 	if c.Completed {
 		return
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func (e *events) notice(n standin.Notification) {
+func (e *events) notice(n testdouble.Notification) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, there := e.ended[n.Message]; !there {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"oatfold/internal/standin"
+	"oatfold/internal/testdouble"
 )
 
 var (
@@ -41,7 +41,7 @@
 	if err != nil {
 		return "", err
 	}
-	return standin.BuildRelay(dir)
+	return testdouble.BuildRelay(dir)
 })
 
 func TestMain(m *testing.M) {
@@ -58,8 +58,8 @@
 // day is one seed's day.
 type day struct {
 	t       *testing.T
-	world   *standin.Environment
-	relays  []*standin.Relay
+	world   *testdouble.Environment
+	relays  []*testdouble.Relay
 	clients *clients
 	events  *events
 
@@ -120,13 +120,13 @@
 func play(t *testing.T, seed uint64) {
 	d := &day{t: t, lives: make([]int, fleet), away: make([][]span, fleet), dead: make([]int, fleet), began: time.Now(), events: newEvents()}
 	random := rand.New(rand.NewPCG(seed, 41))
-	set := standin.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: fleet}
+	set := testdouble.Config{Seed: seed, MaxConcurrentCalls: 8, MaxPending: 60 + random.IntN(100), MaxDescriptors: 192, FleetSize: fleet}
 	for n := range dests {
-		set.Partners = append(set.Partners, standin.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
+		set.Partners = append(set.Partners, testdouble.PartnerConfig{Dest: 1 + n, Endpoints: 1 + random.IntN(2), ServiceTime: time.Duration(random.IntN(60)) * time.Millisecond,
 			RetryAfter: 150 * time.Millisecond, OnCall: d.events.call})
 	}
 	var err error
-	if d.world, err = standin.NewEnvironment(set); err != nil {
+	if d.world, err = testdouble.NewEnvironment(set); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.world.Close)
@@ -155,7 +155,7 @@
 	troubles.Go(func() { d.crowds(rand.New(rand.NewPCG(seed, 3000))) })
 	troubles.Wait()
 	for _, p := range d.world.Partners {
-		if err := p.SetMode(standin.Healthy, 1); err != nil {
+		if err := p.SetMode(testdouble.Healthy, 1); err != nil {
 			t.Error(err)
 		}
 	}
@@ -318,7 +318,7 @@
 
 // partnerTroubles has destinations reset, hang, fail and refuse.
 func (d *day) partnerTroubles(random *rand.Rand) {
-	modes := []standin.Mode{standin.Healthy, standin.Healthy, standin.Unresponsive, standin.ResetBeforeRun, standin.ResetAfterRun, standin.InternalError, standin.Unavailable, standin.RefusingConnections}
+	modes := []testdouble.Mode{testdouble.Healthy, testdouble.Healthy, testdouble.Unresponsive, testdouble.ResetBeforeRun, testdouble.ResetAfterRun, testdouble.InternalError, testdouble.Unavailable, testdouble.RefusingConnections}
 	for !d.over() {
 		time.Sleep(time.Duration(100+random.IntN(600)) * time.Millisecond)
 		dest, mode, share := 1+random.IntN(dests), modes[random.IntN(len(modes))], []float64{1, 0.3}[random.IntN(2)]
--- a/internal/standin/world.go
+++ b/internal/testdouble/world.go
@@ -10,7 +10,7 @@
 //
 // A message's name is the first line of its body, CLASS/ANYTHING; the ledger counts effects by it. Draws come from
 // Config.Seed. Nothing here sleeps to wait for something: Until is woken by what happens.
-package standin
+package testdouble
 
 import (
 	"fmt"
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -10,7 +10,7 @@
 
 	"oatfold/internal/memory"
 	"oatfold/internal/memory/journal"
-	"oatfold/internal/standin/faultfs"
+	"oatfold/internal/testdouble/faultfs"
 )
 
 // Found by reading, after messages were forwarded that had ended: while the disk took no records, a message was handed back and the
