--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -66,13 +66,13 @@
 }
 
 // readDay reads a script, or a day as the operators' simulator prints it.
-func readDay(file, base string, seed uint64) (*emu.Day, error) {
+func readDay(file, base string, seed uint64) (*emu.Scenario, error) {
 	if strings.HasSuffix(file, ".json") {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			return nil, err
 		}
-		day, err := site.ReadSimDay(raw)
+		day, err := site.ReadSimulatorScenario(raw)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
@@ -89,7 +89,7 @@
 		}
 		s.Site = ""
 	}
-	day, err := s.Day(on, seed)
+	day, err := s.DrawScenario(on, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -107,7 +107,7 @@
 				return err
 			}
 			began := time.Now()
-			res, err := emu.Play(day, emu.Options{})
+			res, err := emu.Run(day, emu.Options{})
 			if err != nil {
 				return err
 			}
@@ -121,7 +121,7 @@
 			} else {
 				printDay(cmd.OutOrStdout(), day, res)
 			}
-			if !res.Good() {
+			if !res.Passed() {
 				return exit(exitBad)
 			}
 			return nil
@@ -132,18 +132,18 @@
 	return cmd
 }
 
-func printDay(out io.Writer, day *emu.Day, r *emu.Result) {
-	fmt.Fprintf(out, "%s, seed %d: %d relays of %d slots, %d destinations, %d messages\n", r.Day, r.Seed, day.Relays, day.Slots, len(day.Dests), r.Requests)
+func printDay(out io.Writer, day *emu.Scenario, r *emu.Result) {
+	fmt.Fprintf(out, "%s, seed %d: %d relays of %d slots, %d destinations, %d messages\n", r.Day, r.Seed, day.Relays, day.MaxConcurrentCalls, len(day.Dests), r.Requests)
 	fmt.Fprintf(out, "G %.4f: worth %.4f, worst 10 s %.4f, worst class %.4f\n", r.G, r.Whole, r.WorstWindow, r.WorstClass)
 	fmt.Fprintf(out, "delivered %d (%d in their aim), handed back %d, given up %d, lost %d; refusals %d, turned away %d\n", r.Delivered, r.InAim, r.HandedBack, r.GivenUp, r.Lost, r.Refusals, r.TurnedAway)
 	fmt.Fprintf(out, "calls %d (%d refused), connections %d; p50 %.3f s, p99 %.3f s\n", r.Calls, r.RefusedCalls, r.Connections,
 		float64(r.Latency.ValueAtPercentile(50))/1e6, float64(r.Latency.ValueAtPercentile(99))/1e6)
 	for _, f := range r.Floors(day) {
 		under := ""
-		if f.Under() {
+		if f.Missed() {
 			under = ", neglected"
 		}
-		fmt.Fprintf(out, "%s: served %.3f, at least %.2f is wanted%s\n", f.Name, f.Served, f.Least, under)
+		fmt.Fprintf(out, "%s: served %.3f, at least %.2f is wanted%s\n", f.Name, f.Served, f.Minimum, under)
 	}
 	for _, b := range r.Breaks {
 		fmt.Fprintln(out, "broken:", b)
@@ -157,9 +157,9 @@
 	var seed uint64
 	cmd := &cobra.Command{Use: "days DIR", Short: "Play every script of a folder and print a line for each", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			files, err := filepath.Glob(filepath.Join(args[0], "*"+site.Ext))
+			files, err := filepath.Glob(filepath.Join(args[0], "*"+site.FileExt))
 			if err == nil && len(files) == 0 {
-				err = fmt.Errorf("%s: no scripts (*%s)", args[0], site.Ext)
+				err = fmt.Errorf("%s: no scripts (*%s)", args[0], site.FileExt)
 			}
 			if err != nil {
 				return err
@@ -173,9 +173,9 @@
 			each(len(files), func(i int) {
 				s, err := site.ReadScript(files[i])
 				if err == nil {
-					var day *emu.Day
-					if day, err = s.Day(nil, seed); err == nil {
-						all[i].res, err = emu.Play(day, emu.Options{})
+					var day *emu.Scenario
+					if day, err = s.DrawScenario(nil, seed); err == nil {
+						all[i].res, err = emu.Run(day, emu.Options{})
 					}
 					all[i].title = s.Title
 				}
@@ -189,7 +189,7 @@
 					return fmt.Errorf("%s: %w", files[i], p.err)
 				}
 				state := "kept"
-				if !p.res.Good() {
+				if !p.res.Passed() {
 					bad, state = true, "BROKEN"
 				}
 				r := p.res
@@ -373,10 +373,10 @@
 				name := strings.TrimSuffix(files[i], ".result.json")
 				raw, err := os.ReadFile(files[i])
 				if err == nil {
-					var day *emu.Day
+					var day *emu.Scenario
 					if day, err = readDay(name+".json", "", 0); err == nil {
 						var res *emu.Result
-						if res, err = emu.Play(day, emu.Options{}); err == nil {
+						if res, err = emu.Run(day, emu.Options{}); err == nil {
 							all[i] = pair{name: filepath.Base(name), sim: gjson.GetBytes(raw, "g").Float(), emu: res.G, broken: len(res.Breaks) + len(res.Faults)}
 						}
 					}
@@ -423,14 +423,14 @@
 				r := max(2, relays*n/sizes[len(sizes)-1])
 				s.Destinations, s.Relays, s.LengthS = &site.Range{From: float64(n)}, &site.Range{From: float64(r)}, &site.Range{From: length}
 				s.Rate, s.Load, s.TailS = &site.Range{From: perDest / 0.8}, &site.Range{From: 0.8}, &site.Range{From: 30}
-				day, err := s.Draw(1)
+				day, err := s.DrawScenario(1)
 				if err != nil {
 					return err
 				}
 				runtime.GC()
 				var peak runtime.MemStats
 				began := time.Now()
-				res, err := emu.Play(day, emu.Options{})
+				res, err := emu.Run(day, emu.Options{})
 				if err != nil {
 					return err
 				}
--- a/internal/lab/command/overload.go
+++ b/internal/lab/command/overload.go
@@ -110,7 +110,7 @@
 // playCells plays all cells side by side; rows are in the order of the cells.
 func playCells(cells []overload.Cell, set overload.Config) ([]overload.Row, error) {
 	rows, errs := make([]overload.Row, len(cells)), make([]error, len(cells))
-	each(len(cells), func(i int) { rows[i], errs[i] = overload.Run(cells[i], set, emu.Service) })
+	each(len(cells), func(i int) { rows[i], errs[i] = overload.Run(cells[i], set, emu.DefaultPolicy) })
 	for i, err := range errs {
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", cells[i], err)
--- a/internal/lab/emu/account_test.go
+++ b/internal/lab/emu/account_test.go
@@ -15,9 +15,9 @@
 		"without an answer":    func(r *Result, _ *rules.Checker) { r.Overdue = 1 },
 		"answer in time":       func(_ *Result, c *rules.Checker) { c.Counts[rules.Answer] = 1 },
 		"ran twice":            func(r *Result, _ *rules.Checker) { r.Doubles = 1 },
-		"rule on returns was ": func(_ *Result, c *rules.Checker) { c.Counts[rules.FailBack] = 1 },
+		"rule on returns was ": func(_ *Result, c *rules.Checker) { c.Counts[rules.RecoveryOverload] = 1 },
 	} {
-		day := &Day{Length: time.Second}
+		day := &Scenario{Length: time.Second}
 		r, check := newResult(day), rules.New(rules.Config{})
 		spoil(r, check)
 		r.finish(&world{day: day, check: check})
--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -16,18 +16,18 @@
 
 // fleetOf is a day of n relays that share choices, with as many slots and as much traffic for all together as the site has. One relay's clients hand in ten
 // times the mean.
-func fleetOf(t *testing.T, n int, seed uint64, troubles ...emu.Trouble) *emu.Day {
+func fleetOf(t *testing.T, n int, seed uint64, troubles ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-site.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.Draw(seed)
+	d, err := base.DrawScenario(seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Slots, d.Hold = max(4, d.Slots*d.Relays/n), max(40, d.Hold*d.Relays/n)
-	d.Relays, d.Choices, d.Busy, d.Troubles, d.Length = n, everything, 10, troubles, 26*time.Second
+	d.MaxConcurrentCalls, d.MaxPending = max(4, d.MaxConcurrentCalls*d.Relays/n), max(40, d.MaxPending*d.Relays/n)
+	d.Relays, d.Choices, d.HotRelayFactor, d.Faults, d.Length = n, everything, 10, troubles, 26*time.Second
 	return d
 }
 
@@ -52,39 +52,39 @@
 // relays that share nothing.
 func TestChoicesHardCases(t *testing.T) {
 	s := time.Second
-	back := emu.Trouble{Kind: emu.Crash, At: 8 * s, Len: 7 * s, Dests: []int{0, 1}}
-	for name, troubles := range map[string]func(n int) []emu.Trouble{
-		"half of the notes lost": func(int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.NotesLost, At: 4 * s, Len: 25 * s, Size: 0.5}}
+	back := emu.Fault{Kind: emu.Crash, At: 8 * s, Duration: 7 * s, Dests: []int{0, 1}}
+	for name, troubles := range map[string]func(n int) []emu.Fault{
+		"half of the notes lost": func(int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.GossipLoss, At: 4 * s, Duration: 25 * s, Intensity: 0.5}}
 		},
-		"restarted in tenths": func(n int) []emu.Trouble { return append(tenths(n), back) },
-		"a third unseen by a third": func(n int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.Deaf, At: 5 * s, Len: 20 * s, Relays: some(n, 0, 3)}}
+		"restarted in tenths": func(n int) []emu.Fault { return append(tenths(n), back) },
+		"a third unseen by a third": func(n int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.GossipReceiveLoss, At: 5 * s, Duration: 20 * s, Relays: some(n, 0, 3)}}
 		},
-		"two halves": func(n int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.Cut, At: 5 * s, Len: 20 * s, Relays: some(n, 0, 2)}}
+		"two halves": func(n int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.Partition, At: 5 * s, Duration: 20 * s, Relays: some(n, 0, 2)}}
 		},
-		"half die": func(n int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.RelayCrash, At: 6 * s, Len: 60 * s, Relays: some(n, 0, 2)}}
+		"half die": func(n int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.RelayCrash, At: 6 * s, Duration: 60 * s, Relays: some(n, 0, 2)}}
 		},
-		"half come": func(n int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.RelayCrash, At: 1 * s, Len: 9 * s, Relays: some(n, 1, 2)}}
+		"half come": func(n int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.RelayCrash, At: 1 * s, Duration: 9 * s, Relays: some(n, 1, 2)}}
 		},
-		"stopped as it returns": func(n int) []emu.Trouble {
-			return []emu.Trouble{back, {Kind: emu.RelayStall, At: 14 * s, Len: 3 * s, Relays: some(n, 0, 4)}}
+		"stopped as it returns": func(n int) []emu.Fault {
+			return []emu.Fault{back, {Kind: emu.RelayStall, At: 14 * s, Duration: 3 * s, Relays: some(n, 0, 4)}}
 		},
-		"lowered to a tenth": func(int) []emu.Trouble {
-			return []emu.Trouble{{Kind: emu.Lowered, At: 8 * s, Len: 9 * s, Size: 0.1, Dests: []int{0, 1, 2}}}
+		"lowered to a tenth": func(int) []emu.Fault {
+			return []emu.Fault{{Kind: emu.LowerLimit, At: 8 * s, Duration: 9 * s, Intensity: 0.1, Dests: []int{0, 1, 2}}}
 		},
-		"waits late and twice": func(int) []emu.Trouble {
-			return []emu.Trouble{{Kind: emu.Shut, At: 8 * s, Len: 8 * s, Dests: []int{0, 1}}, {Kind: emu.NotesLate, At: 5 * s, Len: 20 * s, Size: 3}, {Kind: emu.NotesTwice, At: 5 * s, Len: 20 * s, Size: 0.5}}
+		"waits late and twice": func(int) []emu.Fault {
+			return []emu.Fault{{Kind: emu.RejectAll, At: 8 * s, Duration: 8 * s, Dests: []int{0, 1}}, {Kind: emu.GossipDelay, At: 5 * s, Duration: 20 * s, Intensity: 3}, {Kind: emu.GossipDuplication, At: 5 * s, Duration: 20 * s, Intensity: 0.5}}
 		},
-		"a subset that is down": func(int) []emu.Trouble {
+		"a subset that is down": func(int) []emu.Fault {
 			var parts [][2]int
 			for e := range 12 {
 				parts = append(parts, [2]int{0, e})
 			}
-			return []emu.Trouble{{Kind: emu.Crash, At: 8 * s, Len: 12 * s, Parts: parts}}
+			return []emu.Fault{{Kind: emu.Crash, At: 8 * s, Duration: 12 * s, Endpoints: parts}}
 		},
 	} {
 		for _, n := range append([]int{3, 80, 300}, large()...) {
@@ -92,7 +92,7 @@
 				t.Parallel()
 				d := fleetOf(t, n, 71, troubles(n)...)
 				res := play(t, d, emu.Options{})
-				if !res.Good() || res.Fallen > 0 || res.Delivered == 0 {
+				if !res.Passed() || res.Fallen > 0 || res.Delivered == 0 {
 					t.Fatalf("%v %v, %d fell over", res.Breaks, res.Faults, res.Fallen)
 				}
 				if n >= 300 {
@@ -109,9 +109,9 @@
 }
 
 // tenths restart all relays, a tenth at a time.
-func tenths(n int) (all []emu.Trouble) {
+func tenths(n int) (all []emu.Fault) {
 	for i := range min(n, 10) {
-		all = append(all, emu.Trouble{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Len: time.Second, Relays: some(n, i, 10)})
+		all = append(all, emu.Fault{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: some(n, i, 10)})
 	}
 	return all
 }
@@ -122,8 +122,8 @@
 	for _, seed := range []uint64{72, 73, 85, 86} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := fleetOf(t, 300, seed, append(tenths(300), emu.Trouble{Kind: emu.Crash, At: 8 * time.Second, Len: 7 * time.Second, Dests: []int{0, 1}})...)
-			if res := play(t, d, emu.Options{}); !res.Good() || res.Fallen > 0 || res.Delivered == 0 {
+			d := fleetOf(t, 300, seed, append(tenths(300), emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
+			if res := play(t, d, emu.Options{}); !res.Passed() || res.Fallen > 0 || res.Delivered == 0 {
 				t.Errorf("%v %v, %d fell over", res.Breaks, res.Faults, res.Fallen)
 			}
 		})
@@ -135,12 +135,12 @@
 	d := fleetOf(t, 80, 72)
 	for i := range d.Dests {
 		e := d.Dests[i].Endpoints[0]
-		e.Workers, e.Queue, e.Conns = e.Workers*len(d.Dests[i].Endpoints), e.Queue*len(d.Dests[i].Endpoints), 0
+		e.Workers, e.QueueSize, e.MaxConns = e.Workers*len(d.Dests[i].Endpoints), e.QueueSize*len(d.Dests[i].Endpoints), 0
 		d.Dests[i].Endpoints = []emu.Endpoint{e}
 	}
 	with := play(t, d, emu.Options{})
 	d.Choices.SubsetSize = 0
-	if without := play(t, d, emu.Options{}); !with.Good() || with.Calls != without.Calls || with.G != without.G {
+	if without := play(t, d, emu.Options{}); !with.Passed() || with.Calls != without.Calls || with.G != without.G {
 		t.Errorf("a subset of one endpoint changes something: %d calls and %d, %v", with.Calls, without.Calls, with.Breaks)
 	}
 }
@@ -151,7 +151,7 @@
 	probes := map[int]int{}
 	for _, n := range []int{80, 240} {
 		for arm := range 2 {
-			d := fleetOf(t, n, 81, emu.Trouble{Kind: emu.Crash, At: 6 * time.Second, Len: 16 * time.Second, Dests: []int{0, 1, 2}})
+			d := fleetOf(t, n, 81, emu.Fault{Kind: emu.Crash, At: 6 * time.Second, Duration: 16 * time.Second, Dests: []int{0, 1, 2}})
 			d.Choices = choice.Options{TimeSlots: arm == 1}
 			play(t, d, emu.Options{Log: func(e rules.Event) {
 				if e.Kind == rules.Sent && e.Call > 0 && e.Dest < 3 && e.At > 10*time.Second && e.At < 22*time.Second {
--- a/internal/lab/emu/dest.go
+++ b/internal/lab/emu/dest.go
@@ -51,7 +51,7 @@
 	if now >= p.coldEnd {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*float64(now-p.coldAt)/float64(p.coldEnd-p.coldAt)
+	return k.ColdStartShare + (1-k.ColdStartShare)*float64(now-p.coldAt)/float64(p.coldEnd-p.coldAt)
 }
 
 // reachedSite books work that has come to what is cold in a zone, which falls over if it is too much.
@@ -77,14 +77,14 @@
 // tooMuch books work in what came over the last while, and tells whether that is more than what can do so much a second survives cold.
 func (w *world) tooMuch(budget *[]arrival, weight, can float64) bool {
 	keep, all := 0, weight
-	for keep < len(*budget) && (*budget)[keep].at <= w.now-w.day.FallFor {
+	for keep < len(*budget) && (*budget)[keep].at <= w.now-w.day.OverloadTime {
 		keep++
 	}
 	for _, a := range (*budget)[keep:] {
 		all += a.weight
 	}
 	*budget = append((*budget)[keep:], arrival{w.now, weight})
-	return all > w.day.FallMultiple*can*w.day.FallFor.Seconds()+3
+	return all > w.day.OverloadFactor*can*w.day.OverloadTime.Seconds()+3
 }
 
 // loses and regains count the troubles of what is in a zone.
@@ -92,7 +92,7 @@
 
 func (w *world) regains(d *dest, p *siteOf) {
 	if p.sick--; p.sick == 0 {
-		p.coldAt, p.coldEnd, p.budget = w.now, w.now+d.kind.Cold, nil
+		p.coldAt, p.coldEnd, p.budget = w.now, w.now+d.kind.WarmUpTime, nil
 	}
 }
 
@@ -153,15 +153,15 @@
 	if now >= d.coldEnd || d.kind.SeparateRoutes {
 		return 1
 	}
-	return d.kind.ColdFrom + (1-d.kind.ColdFrom)*float64(now-d.coldAt)/float64(d.coldEnd-d.coldAt)
+	return d.kind.ColdStartShare + (1-d.kind.ColdStartShare)*float64(now-d.coldAt)/float64(d.coldEnd-d.coldAt)
 }
 
 // wait is what a refusal tells, at least so long; 0: nothing.
 func (d *dest) wait(least time.Duration) time.Duration {
-	if d.rng.Float64() >= d.kind.TellsWait {
+	if d.rng.Float64() >= d.kind.RetryAfterShare {
 		return 0
 	}
-	return max(least, part(d.kind.Wait, 0.7+0.6*d.rng.Float64()))
+	return max(least, part(d.kind.RetryAfter, 0.7+0.6*d.rng.Float64()))
 }
 
 // arrive is a call whose last byte has come to its endpoint.
@@ -190,7 +190,7 @@
 		w.after(part(20*time.Millisecond, 0.5+d.rng.Float64()), func() { w.answer(c, policy.Errored, 0) })
 	case !e.limit.admits(now):
 		w.refuse(c, e.limit.opens(now))
-	case e.busy >= e.spec.Workers && len(e.queue) >= e.spec.Queue:
+	case e.busy >= e.spec.Workers && len(e.queue) >= e.spec.QueueSize:
 		w.refuse(c, 0)
 	case e.busy < e.spec.Workers:
 		w.serve(c)
@@ -211,7 +211,7 @@
 		return
 	}
 	can := d.capacity(w.now)
-	w.log(rules.Event{Kind: rules.Reached, Relay: relay.no, Dest: d.no, Weight: weight, Capacity: can})
+	w.log(rules.Event{Kind: rules.WorkArrived, Relay: relay.no, Dest: d.no, Weight: weight, Capacity: can})
 	if w.tooMuch(&d.budget, weight, can) {
 		d.fallen = true
 		w.res.Fallen++
@@ -328,18 +328,18 @@
 	if d.sick--; d.sick > 0 || d.fallen {
 		return
 	}
-	d.coldAt, d.coldEnd, d.budget = w.now, w.now+d.kind.Cold, nil
-	w.log(rules.Event{Kind: rules.Warm, Dest: d.no}) // what an earlier return left
-	w.log(rules.Event{Kind: rules.Back, Dest: d.no})
+	d.coldAt, d.coldEnd, d.budget = w.now, w.now+d.kind.WarmUpTime, nil
+	w.log(rules.Event{Kind: rules.DestWarm, Dest: d.no}) // what an earlier return left
+	w.log(rules.Event{Kind: rules.DestRecovered, Dest: d.no})
 	for _, r := range w.relays {
 		if d.failed[r.no] {
-			w.log(rules.Event{Kind: rules.Learned, Relay: r.no, Dest: d.no})
+			w.log(rules.Event{Kind: rules.FailureSeen, Relay: r.no, Dest: d.no})
 		}
 	}
 	end := d.coldEnd
 	w.at(end, func() {
 		if d.coldEnd == end && d.sick == 0 {
-			w.log(rules.Event{Kind: rules.Warm, Dest: d.no})
+			w.log(rules.Event{Kind: rules.DestWarm, Dest: d.no})
 		}
 	})
 }
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -16,22 +16,22 @@
 
 const lab = "../../../lab"
 
-func day(t testing.TB, script string, seed uint64) *emu.Day {
+func day(t testing.TB, script string, seed uint64) *emu.Scenario {
 	t.Helper()
-	s, err := site.ReadScript(filepath.Join(lab, "days", script+site.Ext))
+	s, err := site.ReadScript(filepath.Join(lab, "days", script+site.FileExt))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := s.Day(nil, seed)
+	d, err := s.DrawScenario(nil, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func play(t testing.TB, d *emu.Day, set emu.Options) *emu.Result {
+func play(t testing.TB, d *emu.Scenario, set emu.Options) *emu.Result {
 	t.Helper()
-	res, err := emu.Play(d, set)
+	res, err := emu.Run(d, set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,24 +41,24 @@
 // Every day of the library keeps all rules under the module in service, and shows its trouble: none serves what a calm day serves but
 // those that are named.
 func TestLibrary(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join(lab, "days", "*"+site.Ext))
+	files, err := filepath.Glob(filepath.Join(lab, "days", "*"+site.FileExt))
 	if err != nil || len(files) < 25 {
 		t.Fatalf("%d days, %v", len(files), err)
 	}
 	for _, f := range files {
-		name := strings.TrimSuffix(filepath.Base(f), site.Ext)
+		name := strings.TrimSuffix(filepath.Base(f), site.FileExt)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := day(t, name, 3)
 			res := play(t, d, emu.Options{})
-			if !res.Good() {
+			if !res.Passed() {
 				t.Errorf("%v %v", res.Breaks, res.Faults)
 			}
 			if n := res.Delivered + res.GivenUp + res.HandedBack + res.Lost; n != res.Requests || n == 0 {
 				t.Errorf("%d ends of %d messages", n, res.Requests)
 			}
-			d.Troubles = nil
-			if calm := play(t, d, emu.Options{}); len(day(t, name, 3).Troubles) > 0 && res.G == calm.G {
+			d.Faults = nil
+			if calm := play(t, d, emu.Options{}); len(day(t, name, 3).Faults) > 0 && res.G == calm.G {
 				t.Error("its trouble changes nothing")
 			}
 		})
@@ -84,36 +84,36 @@
 
 // broken is a module that does something wrong after its first so many steps.
 type broken struct {
-	emu.Module
+	emu.PolicyEngine
 	steps int
 	do    func(acts []policy.Action) []policy.Action
 }
 
 func (b *broken) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := b.Module.Step(now, events)
+	acts := b.PolicyEngine.Step(now, events)
 	if b.steps--; b.steps < 0 {
 		return b.do(acts)
 	}
 	return acts
 }
 
-func spoilt(do func([]policy.Action) []policy.Action) emu.Maker {
-	return func(set policy.Settings, seed int64) (emu.Module, error) {
-		m, err := emu.Service(set, seed)
+func spoilt(do func([]policy.Action) []policy.Action) emu.PolicyFactory {
+	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		m, err := emu.DefaultPolicy(set, seed)
 		return &broken{m, 300, do}, err
 	}
 }
 
 // answersWithdrawn fails each message that is withdrawn: in the step that hears of it, or one step later.
 type answersWithdrawn struct {
-	emu.Module
+	emu.PolicyEngine
 	later    bool
 	answered int
 	owed     []policy.Action
 }
 
 func (m *answersWithdrawn) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := append(m.Module.Step(now, events), m.owed...)
+	acts := append(m.PolicyEngine.Step(now, events), m.owed...)
 	m.owed = nil
 	for _, e := range events {
 		w, ok := e.(policy.Withdrawn)
@@ -135,12 +135,12 @@
 func TestAnswerCrossesAWithdrawal(t *testing.T) {
 	for _, later := range []bool{false, true} {
 		d := day(t, "frozen-relay", 3)
-		d.Troubles = []emu.Trouble{{Kind: emu.RelayStall, At: 6 * time.Second, Len: 15 * time.Second, Relays: []int{0}}}
+		d.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second, Relays: []int{0}}}
 		answered := 0
 		var modules []*answersWithdrawn
-		res := play(t, d, emu.Options{Make: func(set policy.Settings, seed int64) (emu.Module, error) {
-			m, err := emu.Service(set, seed)
-			modules = append(modules, &answersWithdrawn{Module: m, later: later})
+		res := play(t, d, emu.Options{NewPolicy: func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
+			m, err := emu.DefaultPolicy(set, seed)
+			modules = append(modules, &answersWithdrawn{PolicyEngine: m, later: later})
 			return modules[len(modules)-1], err
 		}})
 		for _, m := range modules {
@@ -186,7 +186,7 @@
 			return acts
 		}},
 	} {
-		res := play(t, day(t, "calm", 1), emu.Options{Make: spoilt(c.do)})
+		res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(c.do)})
 		if res.Broken[c.rule] == 0 {
 			t.Errorf("%s: %v", name, res.Broken)
 		}
@@ -195,8 +195,8 @@
 
 // A module that panics ends the life of its relay, is named, and ends neither the day nor another relay.
 func TestPanic(t *testing.T) {
-	res := play(t, day(t, "calm", 1), emu.Options{Make: spoilt(func([]policy.Action) []policy.Action { panic("spoilt") })})
-	if res.Good() || !strings.Contains(res.Faults[0], "panics: spoilt") {
+	res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(func([]policy.Action) []policy.Action { panic("spoilt") })})
+	if res.Passed() || !strings.Contains(res.Faults[0], "panics: spoilt") {
 		t.Errorf("faults %v", res.Faults)
 	}
 	if res.Delivered == 0 || res.Delivered+res.GivenUp+res.HandedBack+res.Lost != res.Requests {
@@ -206,7 +206,7 @@
 
 // A day that runs out of events or of time says so and counts as no good one.
 func TestRunsOut(t *testing.T) {
-	if res := play(t, day(t, "calm", 1), emu.Options{Events: 1000}); len(res.Faults) != 1 || !strings.Contains(res.Faults[0], "cut after 1000 events") {
+	if res := play(t, day(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(res.Faults) != 1 || !strings.Contains(res.Faults[0], "cut after 1000 events") {
 		t.Errorf("events: %v", res.Faults)
 	}
 	d := day(t, "cold-return", 1)
@@ -218,23 +218,23 @@
 
 // A figure that makes no day is named by its key.
 func TestNamesTheKey(t *testing.T) {
-	for key, spoil := range map[string]func(*emu.Day){
-		"rate": func(d *emu.Day) { d.Rate = math.NaN() },
-		"tick": func(d *emu.Day) { d.Tick = 0 },
-		"dests: ": func(d *emu.Day) {
+	for key, spoil := range map[string]func(*emu.Scenario){
+		"rate": func(d *emu.Scenario) { d.Rate = math.NaN() },
+		"tick": func(d *emu.Scenario) { d.Tick = 0 },
+		"dests: ": func(d *emu.Scenario) {
 			for i := range d.Dests {
 				d.Dests[i].Share = 0
 			}
 		},
-		"dests[0].endpoints[0].sp": func(d *emu.Day) { d.Dests[0].Endpoints[0].Speed = 0 },
-		"classes[1].aim":           func(d *emu.Day) { d.Classes[1].TargetLatency = d.Classes[1].Deadline * 2 },
-		"troubles[0].kind":         func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: "flood", Dests: []int{0}}} },
-		"troubles[0].parts":        func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.Crash, Parts: [][2]int{{0, 99}}}} },
-		"troubles[0].relays":       func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.RelayStall, Relays: []int{99}}} },
+		"dests[0].endpoints[0].sp": func(d *emu.Scenario) { d.Dests[0].Endpoints[0].Speed = 0 },
+		"classes[1].aim":           func(d *emu.Scenario) { d.Classes[1].TargetLatency = d.Classes[1].Deadline * 2 },
+		"troubles[0].kind":         func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: "flood", Dests: []int{0}}} },
+		"troubles[0].parts":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}} },
+		"troubles[0].relays":       func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}} },
 	} {
 		d := day(t, "calm", 1)
 		spoil(d)
-		if _, err := emu.Play(d, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := emu.Run(d, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
@@ -255,9 +255,9 @@
 	d := day(t, "lost-relay", 2)
 	unreached := map[time.Duration]int{}
 	for _, notice := range []time.Duration{0, 3 * time.Second, time.Hour} {
-		d.FrontNotice = notice
+		d.BalancerDetectionDelay = notice
 		res := play(t, d, emu.Options{})
-		if unreached[notice] = res.Unreached; !res.Good() {
+		if unreached[notice] = res.Unreached; !res.Passed() {
 			t.Error(res.Breaks, res.Faults)
 		}
 	}
--- a/internal/lab/emu/fleet_test.go
+++ b/internal/lab/emu/fleet_test.go
@@ -18,9 +18,9 @@
 			for seed := range uint64(6) {
 				for arm, loss := range []float64{0, 0, 0.5} {
 					d := day(t, name, seed+101)
-					d.Notes, d.NoteLoss = arm > 0, loss
+					d.Gossip, d.GossipLoss = arm > 0, loss
 					res := play(t, d, emu.Options{})
-					if !res.Good() {
+					if !res.Passed() {
 						t.Errorf("seed %d, arm %d: %v %v", seed, arm, res.Breaks, res.Faults)
 					}
 					g[arm] += res.G / 6
@@ -43,7 +43,7 @@
 	for seed := range uint64(5) {
 		for arm := range 2 {
 			d := day(t, "fleet-zone-loss", seed+201)
-			d.Notes = arm == 1
+			d.Gossip = arm == 1
 			res := play(t, d, emu.Options{Log: func(e rules.Event) {
 				if e.Kind == rules.Sent && e.Call > 0 && d.Dests[e.Dest].Zone == "zone-1" && e.At > 8*time.Second && e.At < 11*time.Second {
 					all[arm]++
@@ -63,10 +63,10 @@
 func TestFleetSizes(t *testing.T) {
 	for _, relays := range []int{3, 200} {
 		d := day(t, "fleet-lowered-limits", 301)
-		d.Slots, d.Hold = max(2, d.Slots*d.Relays/relays), max(12, d.Hold*d.Relays/relays)
+		d.MaxConcurrentCalls, d.MaxPending = max(2, d.MaxConcurrentCalls*d.Relays/relays), max(12, d.MaxPending*d.Relays/relays)
 		d.Relays = relays
 		res := play(t, d, emu.Options{})
-		if !res.Good() || res.Delivered == 0 || (res.NoteBytes > 0) != (relays > 3) {
+		if !res.Passed() || res.Delivered == 0 || (res.NoteBytes > 0) != (relays > 3) {
 			t.Errorf("%d relays: %v %v, %d bytes of notes", relays, res.Breaks, res.Faults, res.NoteBytes)
 		}
 	}
@@ -82,9 +82,9 @@
 			for seed := range uint64(draws) {
 				for arm := range 2 {
 					d := day(t, name, seed+401)
-					d.Notes, d.Members, d.Zones = true, arm == 1, 2
-					d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.RelayStall, At: 6 * time.Second, Len: 3 * time.Second, Relays: []int{70, 71}},
-						emu.Trouble{Kind: emu.NotesLost, At: 4 * time.Second, Len: 20 * time.Second, Size: 0.2})
+					d.Gossip, d.Membership, d.Zones = true, arm == 1, 2
+					d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 3 * time.Second, Relays: []int{70, 71}},
+						emu.Fault{Kind: emu.GossipLoss, At: 4 * time.Second, Duration: 20 * time.Second, Intensity: 0.2})
 					res := play(t, d, emu.Options{})
 					if len(res.Breaks)+len(res.Faults) > 0 {
 						t.Errorf("seed %d, arm %d: %v %v", seed, arm, res.Breaks, res.Faults)
--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -10,12 +10,12 @@
 // The operators ask for parts of what a policy serves that sees the true state late; nobody here plays one, so that Least is of all that was
 // asked for, which such a policy serves at most: what keeps it keeps theirs.
 type Floor struct {
-	Name          string
-	Served, Least float64
+	Name            string
+	Served, Minimum float64
 }
 
-// Under tells whether the part is neglected.
-func (f Floor) Under() bool { return f.Served < f.Least }
+// Missed tells whether the part is neglected.
+func (f Floor) Missed() bool { return f.Served < f.Minimum }
 
 const (
 	floorWhole = 0.5     // of the day, and of each class that counts
@@ -24,7 +24,7 @@
 )
 
 // Floors lists them: the whole day, each class that counts, each third.
-func (r *Result) Floors(d *Day) []Floor {
+func (r *Result) Floors(d *Scenario) []Floor {
 	all := []Floor{{"whole day", r.Whole, floorWhole}}
 	requests, asked := 0, 0.0
 	for _, t := range r.ByClass {
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -57,13 +57,13 @@
 			l.tokens--
 			return true
 		}
-		if l.kind.RefusedCount {
+		if l.kind.CountsRejected {
 			l.tokens = max(0, l.tokens-1)
 		}
 		return false
 	case WindowLimit:
 		taken := l.count+1 <= l.room()
-		if taken || l.kind.RefusedCount {
+		if taken || l.kind.CountsRejected {
 			l.count++
 		}
 		return taken
@@ -84,7 +84,7 @@
 
 // report is what an answer tells of the limit now; nil where the kind tells nothing. The limit is off by up to reportError.
 func (l *limiter) report(now time.Duration, rng *rand.Rand) *policy.LimitReport {
-	if !l.kind.Reports {
+	if !l.kind.ReportsLimit {
 		return nil
 	}
 	l.advance(now)
--- a/internal/lab/emu/limiter_test.go
+++ b/internal/lab/emu/limiter_test.go
@@ -25,7 +25,7 @@
 		calls     float64
 		low, high int
 	}{{false, 8, 480, 480}, {false, 20, 595, 610}, {true, 8, 480, 480}, {true, 9.9, 593, 594}, {true, 20, 1, 20}} {
-		l := newLimiter(&Kind{Limit: RateLimit, RefusedCount: c.counted}, rate, 0)
+		l := newLimiter(&Kind{Limit: RateLimit, CountsRejected: c.counted}, rate, 0)
 		if n := takenOf(l, c.calls); n < c.low || n > c.high {
 			t.Errorf("counted %t, %g calls a second: %d taken, want %d to %d", c.counted, c.calls, n, c.low, c.high)
 		}
@@ -35,7 +35,7 @@
 // A window limit takes as many calls as fit into each window, and refused ones are forgotten with their window.
 func TestWindowLimit(t *testing.T) {
 	for _, counted := range []bool{false, true} {
-		l := newLimiter(&Kind{Limit: WindowLimit, Window: 1500 * time.Millisecond, RefusedCount: counted}, 10, -time.Second)
+		l := newLimiter(&Kind{Limit: WindowLimit, Window: 1500 * time.Millisecond, CountsRejected: counted}, 10, -time.Second)
 		if n := takenOf(l, 40); n < 600 || n > 630 {
 			t.Errorf("counted %t: %d taken, want 15 in each of 40 windows", counted, n)
 		}
@@ -44,7 +44,7 @@
 
 // A lowered limit holds for as long as it is lowered, for rate and window alike.
 func TestLoweredLimit(t *testing.T) {
-	for _, kind := range []Limit{RateLimit, WindowLimit} {
+	for _, kind := range []LimitKind{RateLimit, WindowLimit} {
 		l := newLimiter(&Kind{Limit: kind, Window: time.Second}, 10, 0)
 		l.lowered = 0.3
 		if n := takenOf(l, 10); n < 178 || n > 186 {
@@ -56,8 +56,8 @@
 // Reports tell what is left, and a limit that is a little off; kinds without reports tell nothing.
 func TestLimitReports(t *testing.T) {
 	rng := chance(1, "report")
-	for _, kind := range []Limit{RateLimit, WindowLimit} {
-		l := newLimiter(&Kind{Limit: kind, Window: time.Second, Reports: true}, 10, 0)
+	for _, kind := range []LimitKind{RateLimit, WindowLimit} {
+		l := newLimiter(&Kind{Limit: kind, Window: time.Second, ReportsLimit: true}, 10, 0)
 		full := l.report(0, rng).Remaining
 		for l.admits(0) {
 		}
--- a/internal/lab/emu/notes.go
+++ b/internal/lab/emu/notes.go
@@ -43,10 +43,10 @@
 }
 
 // ZoneOf is the zone of a relay: zones are dealt to them in turn, as they are to destinations.
-func (d *Day) ZoneOf(relay int) int { return relay % max(1, d.Zones) }
+func (d *Scenario) ZoneOf(relay int) int { return relay % max(1, d.Zones) }
 
 // RelaysOf are the relays that a trouble names, or those of its zone.
-func (d *Day) RelaysOf(t *Trouble) (all []int) {
+func (d *Scenario) RelaysOf(t *Fault) (all []int) {
 	if t.Zone == "" || len(t.Relays) > 0 {
 		return t.Relays
 	}
@@ -59,7 +59,7 @@
 }
 
 // DestsOf are the destinations that a trouble of relays names, or all.
-func (d *Day) DestsOf(t *Trouble) (all []int) {
+func (d *Scenario) DestsOf(t *Fault) (all []int) {
 	if len(t.Dests) > 0 {
 		return t.Dests
 	}
@@ -70,11 +70,11 @@
 }
 
 // noteTrouble sets the beginning and the end of a trouble between relays.
-func (w *world) noteTrouble(t *Trouble) {
+func (w *world) noteTrouble(t *Fault) {
 	b, relays := &w.between, w.day.RelaysOf(t)
 	during := func(begin, end func()) {
 		w.at(t.At, begin)
-		w.at(t.At+t.Len, end)
+		w.at(t.At+t.Duration, end)
 	}
 	count := func(m *map[int]int, by int) func() {
 		return func() {
@@ -87,8 +87,8 @@
 		}
 	}
 	switch t.Kind {
-	case Cut, SiteCut:
-		if t.Kind == SiteCut {
+	case Partition, SitePartition:
+		if t.Kind == SitePartition {
 			during(func() {
 				if b.alone == nil {
 					b.alone = map[string]int{}
@@ -112,7 +112,7 @@
 				}
 			}
 		})
-	case PartnersCut:
+	case DestinationPartition:
 		add := func(by int) func() {
 			return func() {
 				if b.off == nil {
@@ -126,16 +126,16 @@
 			}
 		}
 		during(add(1), add(-1))
-	case Deaf:
+	case GossipReceiveLoss:
 		during(count(&b.deaf, 1), count(&b.deaf, -1))
-	case Mute:
+	case GossipSendLoss:
 		during(count(&b.mute, 1), count(&b.mute, -1))
-	case NotesLost:
-		during(func() { b.lost += t.Size }, func() { b.lost -= t.Size })
-	case NotesLate:
-		during(func() { b.late += seconds(t.Size) }, func() { b.late -= seconds(t.Size) })
-	case NotesTwice:
-		during(func() { b.twice += t.Size }, func() { b.twice -= t.Size })
+	case GossipLoss:
+		during(func() { b.lost += t.Intensity }, func() { b.lost -= t.Intensity })
+	case GossipDelay:
+		during(func() { b.late += seconds(t.Intensity) }, func() { b.late -= seconds(t.Intensity) })
+	case GossipDuplication:
+		during(func() { b.twice += t.Intensity }, func() { b.twice -= t.Intensity })
 	}
 }
 
@@ -144,7 +144,7 @@
 	w := r.w
 	for _, o := range out {
 		other := w.relays[o.To]
-		if other.mod == nil || w.notes.Float64() < w.day.NoteLoss || !w.between.carries(r.no, o.To) ||
+		if other.mod == nil || w.notes.Float64() < w.day.GossipLoss || !w.between.carries(r.no, o.To) ||
 			w.between.lost > 0 && w.notes.Float64() < w.between.lost {
 			continue
 		}
@@ -193,7 +193,7 @@
 
 // agreed tells whether all relays that live know who does.
 func (w *world) agreed() bool {
-	if !w.day.Members {
+	if !w.day.Membership {
 		return true
 	}
 	for _, r := range w.relays {
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -13,16 +13,18 @@
 	"oatfold/policy"
 )
 
-// Module is what the emulator drives; policy.Relay in service.
-type Module interface {
+// PolicyEngine is what the emulator drives; policy.Relay in service.
+type PolicyEngine interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
 }
 
-// Maker makes the module of one life of a relay.
-type Maker func(set policy.Settings, seed int64) (Module, error)
+// PolicyFactory makes the module of one life of a relay.
+type PolicyFactory func(set policy.Settings, seed int64) (PolicyEngine, error)
 
-// Service is the module that relays have in service.
-func Service(set policy.Settings, seed int64) (Module, error) { return policy.New(set, seed) }
+// DefaultPolicy is the module that relays have in service.
+func DefaultPolicy(set policy.Settings, seed int64) (PolicyEngine, error) {
+	return policy.New(set, seed)
+}
 
 // relay is one relay at work.
 type relay struct {
@@ -30,7 +32,7 @@
 	no      int
 	life    int
 	diedAt  time.Duration
-	mod     Module // nil: it is down
+	mod     PolicyEngine // nil: it is down
 	inbox   []policy.Event
 	due     bool // a step is on its way
 	stalled time.Duration
@@ -110,7 +112,7 @@
 	r.mod, r.held, r.out, r.idle, r.inbox, r.due = mod, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
 	r.told = map[int]policy.EndpointState{}
 	r.pool = peers.New(r.no, r.w.fleet(), int64(chance(r.w.day.Seed, "notes", uint64(r.no), uint64(r.life)).Uint64()>>1))
-	if r.sharing = 0; r.w.day.Members {
+	if r.sharing = 0; r.w.day.Membership {
 		r.pool.EnableMembership(r.w.day.ZoneOf(r.no), int64(chance(r.w.day.Seed, "members", uint64(r.no), uint64(r.life)).Uint64()>>1))
 		r.w.res.Members = append(r.w.res.Members, MemberChange{At: r.w.now, By: r.no, Number: r.no, To: "started"})
 	}
@@ -258,7 +260,7 @@
 		return
 	}
 	w := r.w
-	w.log(rules.Event{Kind: rules.Died, Relay: r.no})
+	w.log(rules.Event{Kind: rules.RelayDied, Relay: r.no})
 	r.mod, r.diedAt = nil, w.now
 	for id := uint32(0); len(r.held) > 0 && id <= w.lastID; id++ { // in order of their numbers, for the same result each time
 		m := r.held[id]
@@ -271,7 +273,7 @@
 			m.mayHave = true
 		}
 		if !m.mayHave || m.req.class.Effect != policy.Unsafe {
-			w.after(part(w.day.Again, 0.8+0.4*w.clients.Float64()), func() { w.handIn(m.req) })
+			w.after(part(w.day.ResubmitDelay, 0.8+0.4*w.clients.Float64()), func() { w.handIn(m.req) })
 		} else {
 			w.end(m.req, endFailed)
 		}
@@ -324,7 +326,7 @@
 			open = r.send(a, open)
 		case policy.Refuse:
 			if !withdrawn(events, a.ID) {
-				r.final(a.ID, rules.Refused, a.RetryAfter)
+				r.final(a.ID, rules.Returned, a.RetryAfter)
 			}
 		case policy.Fail:
 			if !withdrawn(events, a.ID) {
@@ -384,7 +386,7 @@
 	}
 	var c *call
 	for _, o := range open {
-		if o.ep == e && len(o.items) < e.dest.kind.Batch {
+		if o.ep == e && len(o.items) < e.dest.kind.MaxBatch {
 			c = o
 		}
 	}
@@ -393,7 +395,7 @@
 		w.callNo++
 		c = &call{id: w.callNo, relay: r, rlife: r.life, ep: e, sentAt: w.now}
 	}
-	moot := fresh && r.out >= w.day.Slots || m.over || m.item != nil || m.tries > w.day.MaxAttempts
+	moot := fresh && r.out >= w.day.MaxConcurrentCalls || m.over || m.item != nil || m.tries > w.day.MaxAttempts
 	line := rules.Event{Kind: rules.Sent, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, Endpoint: e.no, Route: e.route()}
 	if moot {
 		line.Call = 0 // no call: nothing is out
@@ -436,7 +438,7 @@
 	for n := len(r.idle[e]); n > 0; n = len(r.idle[e]) {
 		k := r.idle[e][n-1]
 		r.idle[e] = r.idle[e][:n-1]
-		if w.now-k.usedAt >= w.day.Idle || k.life != e.lives && e.health != vanished {
+		if w.now-k.usedAt >= w.day.IdleTimeout || k.life != e.lives && e.health != vanished {
 			if k.life == e.lives {
 				e.conns--
 			}
@@ -450,16 +452,16 @@
 	}
 	w.res.Connections++
 	c.life = e.lives
-	full := e.spec.Conns > 0 && e.conns >= e.spec.Conns
+	full := e.spec.MaxConns > 0 && e.conns >= e.spec.MaxConns
 	switch {
 	case e.gone || e.health == crashed || full:
 		w.after(2*way, func() { w.answerNow(c, policy.ConnectFailed, 0) })
 	case e.health == vanished || !w.reaches(r, e):
-		w.after(w.day.Connect, func() { w.answerNow(c, policy.ConnectFailed, 0) })
+		w.after(w.day.ConnectTimeout, func() { w.answerNow(c, policy.ConnectFailed, 0) })
 	default:
 		e.conns++
 		c.conn = &conn{life: e.lives}
-		w.after(way+part(w.day.RTT, w.day.Handshake), func() { w.arrive(c) })
+		w.after(way+part(w.day.RTT, w.day.HandshakeRTTs), func() { w.arrive(c) })
 	}
 }
 
@@ -490,7 +492,7 @@
 		r.pool.RecordRetryAfter(w.now, target, wait)
 		if r.watch != nil {
 			how := siteEnd(out)
-			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.Connect {
+			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.ConnectTimeout {
 				how = sites.NoResponse
 			}
 			r.watch.RecordCall(w.now, c.sentAt, e.address, how)
@@ -564,7 +566,7 @@
 	if !ok && out != policy.Unsent && (e.dest.sick > 0 || e.dest.fallen) {
 		e.dest.failed[r.no] = true
 	}
-	w.log(rules.Event{Kind: rules.Ended, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, Proved: proved, OK: ok, Wait: wait, Route: e.route()})
+	w.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, NotRun: proved, Delivered: ok, RetryAfter: wait, Route: e.route()})
 	r.hear(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.over, RetryAfter: wait, Report: c.tells(out)})
 }
 
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -39,7 +39,7 @@
 	FairRelays, FairDests          float64                 // Jain's index of the share of their worth that is served
 	Latency                        *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
 	Broken                         map[rules.Name]int
-	Breaks                         []rules.Break
+	Breaks                         []rules.Violation
 	Faults                         []string // of the module, of the day or of the laboratory itself
 	lateFail                       float64
 }
@@ -94,7 +94,7 @@
 	return sum * sum / (float64(len(shares)) * squares)
 }
 
-func newResult(d *Day) *Result {
+func newResult(d *Scenario) *Result {
 	r := &Result{Day: d.Name, Seed: d.Seed, Seconds: make([]Second, int(d.Length/time.Second)+1), Dests: make([]DestTally, len(d.Dests)), Relays: make([]RelayTally, d.Relays),
 		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
 	for _, c := range d.Classes {
@@ -106,7 +106,7 @@
 func (r *Result) asked(w *world, q *request) {
 	worth := q.class.Value
 	r.Seconds[int(q.at/time.Second)].Asked += worth
-	if t := &r.ByClass[q.classNo]; q.at >= w.day.Tallied {
+	if t := &r.ByClass[q.classNo]; q.at >= w.day.TallyFrom {
 		t.Requests++
 		t.Asked += worth
 	}
@@ -117,7 +117,7 @@
 
 func (r *Result) ended(w *world, q *request, how end) {
 	t, after := &r.ByClass[q.classNo], w.now-q.at
-	if q.at < w.day.Tallied {
+	if q.at < w.day.TallyFrom {
 		t = &Tally{}
 	}
 	switch how {
@@ -157,7 +157,7 @@
 // world's own. Where they disagree the laboratory is at fault, and says so.
 func (r *Result) finish(w *world) {
 	r.Events = w.done
-	r.Broken, r.Breaks = w.check.Counts, w.check.Breaks
+	r.Broken, r.Breaks = w.check.Counts, w.check.Violations
 	asked, served := 0.0, 0.0
 	for _, s := range r.Seconds {
 		asked += s.Asked
@@ -187,16 +187,16 @@
 		}
 	}
 	r.FairRelays, r.FairDests = jain(relays), jain(dests)
-	n, p := float64(max(1, r.Requests)), w.day.Prices
-	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.Waste*share0(max(0, r.Work-r.Useful), r.Asked) -
-		p.Handshake*float64(r.Connections)/n - p.LateFail*share0(r.lateFail, asked) - p.Refused*float64(r.RefusedCalls)/n - p.Note*float64(r.NoteBytes)/256/n
+	n, p := float64(max(1, r.Requests)), w.day.Penalties
+	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.WastedWork*share0(max(0, r.Work-r.Useful), r.Asked) -
+		p.Handshake*float64(r.Connections)/n - p.LateFailure*share0(r.lateFail, asked) - p.RejectedCall*float64(r.RefusedCalls)/n - p.Gossip*float64(r.NoteBytes)/256/n
 	if lost := r.Broken[rules.Answer]; (lost > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
 		r.Faults = append(r.Faults, "the two accounts disagree on messages without an answer in time")
 	}
 	if (r.Broken[rules.Repeat] > 0) != (r.Doubles > 0) && r.Doubles > 0 {
 		r.Faults = append(r.Faults, "the two accounts disagree: a message ran twice, and no rule on repeats was broken")
 	}
-	if r.Fallen == 0 && r.Broken[rules.FailBack] > 0 {
+	if r.Fallen == 0 && r.Broken[rules.RecoveryOverload] > 0 {
 		r.Faults = append(r.Faults, "the two accounts disagree: no destination fell over, and the rule on returns was broken")
 	}
 }
@@ -215,5 +215,5 @@
 	return part / of
 }
 
-// Good tells whether no rule was broken and nothing else went wrong.
-func (r *Result) Good() bool { return len(r.Faults) == 0 && len(r.Breaks) == 0 }
+// Passed tells whether no rule was broken and nothing else went wrong.
+func (r *Result) Passed() bool { return len(r.Faults) == 0 && len(r.Breaks) == 0 }
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/world.go
@@ -22,17 +22,17 @@
 
 // Options are what is not part of a day.
 type Options struct {
-	Make   Maker             // nil: Service
-	Log    func(rules.Event) // told of every line of the rules' log
-	Events int               // the most that may happen; 0: 2e9. A day that needs more is cut and says so
+	NewPolicy PolicyFactory     // nil: Service
+	Log       func(rules.Event) // told of every line of the rules' log
+	MaxEvents int               // the most that may happen; 0: 2e9. A day that needs more is cut and says so
 }
 
 // world is a day being played.
 type world struct {
 	engine
-	day       *Day
+	day       *Scenario
 	set       Options
-	make      Maker
+	make      PolicyFactory
 	res       *Result
 	check     *rules.Checker
 	relays    []*relay
@@ -71,30 +71,30 @@
 	over     bool
 }
 
-// Play plays a day to its end.
-func Play(day *Day, set Options) (*Result, error) {
+// Run plays a day to its end.
+func Run(day *Scenario, set Options) (*Result, error) {
 	if err := day.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{day: day, set: set, make: set.Make, byAddress: map[string]*endpoint{}, burst: 1,
+	w := &world{day: day, set: set, make: set.NewPolicy, byAddress: map[string]*endpoint{}, burst: 1,
 		arrivals: chance(day.Seed, "arrivals"), clients: chance(day.Seed, "clients"), net: chance(day.Seed, "net"), notes: chance(day.Seed, "notes")}
 	if w.make == nil {
-		w.make = Service
+		w.make = DefaultPolicy
 	}
-	if w.set.Events == 0 {
-		w.set.Events = 2e9
+	if w.set.MaxEvents == 0 {
+		w.set.MaxEvents = 2e9
 	}
 	w.res = newResult(day)
-	w.check = rules.New(rules.Config{AnswerSlack: day.AnswerSlack, DrainGrace: day.DrainGrace, FallMultiple: day.FallMultiple, FallFor: day.FallFor,
-		Slots: day.Slots, MaxAttempts: day.MaxAttempts})
+	w.check = rules.New(rules.Config{AnswerSlack: day.AnswerSlack, DrainGrace: day.DrainGrace, OverloadFactor: day.OverloadFactor, OverloadTime: day.OverloadTime,
+		MaxConcurrentCalls: day.MaxConcurrentCalls, MaxAttempts: day.MaxAttempts})
 	w.build()
-	for i := range day.Troubles {
-		w.trouble(&day.Troubles[i])
+	for i := range day.Faults {
+		w.trouble(&day.Faults[i])
 	}
 	w.nextArrival()
 	end := day.Length + day.Tail
 	for w.now <= end && (w.open > 0 || w.now < day.Length) {
-		if w.done >= w.set.Events {
+		if w.done >= w.set.MaxEvents {
 			w.fault(fmt.Sprintf("%v: cut after %d events", w.now, w.done))
 			break
 		}
@@ -105,7 +105,7 @@
 	if w.now > end {
 		w.fault(fmt.Sprintf("%d messages had no end %v after the last came in", w.open, day.Tail))
 	}
-	for by := w.now + day.Settle; w.now < by && !w.agreed(); {
+	for by := w.now + day.SettleTime; w.now < by && !w.agreed(); {
 		if !w.engine.next() {
 			break
 		}
@@ -116,14 +116,14 @@
 			w.res.Down = append(w.res.Down, r.no)
 		}
 	}
-	w.log(rules.Event{Kind: rules.Finished})
+	w.log(rules.Event{Kind: rules.LogEnded})
 	w.res.finish(w)
 	return w.res, nil
 }
 
 // fleet is how many relays are told of one another.
 func (w *world) fleet() int {
-	if !w.day.Notes && !w.day.Members {
+	if !w.day.Gossip && !w.day.Membership {
 		return 0
 	}
 	return w.day.Relays
@@ -131,7 +131,7 @@
 
 func (w *world) log(e rules.Event) {
 	e.At = w.now
-	w.check.Event(e)
+	w.check.Check(e)
 	if w.set.Log != nil {
 		w.set.Log(e)
 	}
@@ -209,7 +209,7 @@
 func (w *world) rate(at time.Duration) float64 {
 	v, shape := 1.0, w.day.Shape
 	if n := len(shape); n > 0 {
-		i, _ := slices.BinarySearchFunc(shape, at, func(p Point, at time.Duration) int { return int(p.At - at) })
+		i, _ := slices.BinarySearchFunc(shape, at, func(p LoadPoint, at time.Duration) int { return int(p.At - at) })
 		switch {
 		case i == 0:
 			v = shape[0].Multiple
@@ -241,8 +241,8 @@
 		clump := 1
 		// A clump is as many messages as the destination takes in ClumpFor; it comes as often as its share of all messages asks for, and
 		// there are fewer comings, so that the messages stay as many as Rate says.
-		if share := w.day.Clumps; share > 0 {
-			size := max(2, math.Floor(d.capacity0()*w.day.ClumpFor.Seconds()))
+		if share := w.day.ClumpShare; share > 0 {
+			size := max(2, math.Floor(d.capacity0()*w.day.ClumpDuration.Seconds()))
 			chance := share / ((1-share)*size + share)
 			switch x := w.arrivals.Float64() * (1 + chance*(size-1)); {
 			case x >= 1:
@@ -281,16 +281,16 @@
 	n := w.clients.IntN(len(w.relays))
 	for i := 0; q.zone >= 0 && i < len(w.relays); i++ { // its own zone's, while any of them lives
 		r := w.relays[(n+i)%len(w.relays)]
-		if w.day.ZoneOf(r.no) == q.zone && (r.mod != nil || w.now-r.diedAt < w.day.FrontNotice) {
+		if w.day.ZoneOf(r.no) == q.zone && (r.mod != nil || w.now-r.diedAt < w.day.BalancerDetectionDelay) {
 			return r
 		}
 	}
-	if more := w.day.Busy - 1; more > 0 && w.clients.Float64() < more/(more+float64(len(w.relays))) {
+	if more := w.day.HotRelayFactor - 1; more > 0 && w.clients.Float64() < more/(more+float64(len(w.relays))) {
 		n = 0
 	}
 	for i := range w.relays {
 		r := w.relays[(n+i)%len(w.relays)]
-		if r.mod != nil || w.now-r.diedAt < w.day.FrontNotice {
+		if r.mod != nil || w.now-r.diedAt < w.day.BalancerDetectionDelay {
 			return r
 		}
 	}
@@ -321,7 +321,7 @@
 		}
 	}
 	c := &w.day.Classes[no]
-	q := &request{zone: zone, no: w.res.Requests, class: c, classNo: no, dest: d, at: w.now, deadline: w.now + c.Deadline, work: c.Work.Seconds() * spread(w.arrivals, c.CV, c.Exp)}
+	q := &request{zone: zone, no: w.res.Requests, class: c, classNo: no, dest: d, at: w.now, deadline: w.now + c.Deadline, work: c.Work.Seconds() * spread(w.arrivals, c.CV, c.Exponential)}
 	w.res.Requests++
 	w.open++
 	w.res.asked(w, q)
@@ -338,17 +338,17 @@
 		return
 	}
 	r := w.front(q)
-	w.after(w.way(w.day.Client), func() {
+	w.after(w.way(w.day.ClientDelay), func() {
 		if r.mod == nil { // the front has not noticed, or all are down
 			w.res.Unreached++
-			w.after(part(w.day.Again, 0.8+0.4*w.clients.Float64()), func() { w.handIn(q) })
+			w.after(part(w.day.ResubmitDelay, 0.8+0.4*w.clients.Float64()), func() { w.handIn(q) })
 			return
 		}
 		if w.now < r.stalled { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
 			w.after(min(patience, r.stalled-w.now), func() { w.handIn(q) })
 			return
 		}
-		if len(r.held) >= w.day.Hold {
+		if len(r.held) >= w.day.MaxPending {
 			w.res.TurnedAway++
 			w.again(q, 0)
 			return
@@ -359,7 +359,7 @@
 		w.res.HandIns++
 		w.res.Relays[r.no].Asked += q.class.Value
 		effect := rules.Effect(q.class.Effect)
-		w.log(rules.Event{Kind: rules.Taken, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, Window: q.class.RepeatWindow, Until: q.deadline})
+		w.log(rules.Event{Kind: rules.Accepted, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, RepeatWindow: q.class.RepeatWindow, Deadline: q.deadline})
 		w.targets.EachKey(q.dest.no, r.pool.RecordArrival)
 		r.hear(policy.Submitted{ID: m.id, Class: q.class.Name, Destination: q.dest.no, TimeLeft: q.deadline - w.now})
 		life := r.life
@@ -372,7 +372,7 @@
 			w.end(q, endLost)
 			r.hear(policy.Withdrawn{ID: m.id})
 			if q.deadline < r.stalled { // it stood still when it should have answered: no decision could
-				w.log(rules.Event{Kind: rules.Dropped, Relay: r.no, Msg: m.id})
+				w.log(rules.Event{Kind: rules.Withdrawn, Relay: r.no, Msg: m.id})
 				return
 			}
 			w.res.Overdue++
@@ -382,13 +382,13 @@
 
 // again lets a client come again after a refusal, as often as it does.
 func (w *world) again(q *request, advice time.Duration) {
-	if q.tries++; q.tries > w.day.Retries {
+	if q.tries++; q.tries > w.day.ClientRetries {
 		w.end(q, endRefused)
 		return
 	}
-	wait := part(w.day.Backoff<<(q.tries-1), 0.5+w.clients.Float64())
-	if w.clients.Float64() < w.day.Honour && advice > 0 {
-		wait = max(wait, min(advice, w.day.MaxAdvice))
+	wait := part(w.day.ClientBackoff<<(q.tries-1), 0.5+w.clients.Float64())
+	if w.clients.Float64() < w.day.RetryAfterCompliance && advice > 0 {
+		wait = max(wait, min(advice, w.day.MaxRetryAfter))
 	}
 	w.after(wait, func() { w.handIn(q) })
 }
@@ -426,7 +426,7 @@
 // --- troubles ---
 
 // hit are the endpoints that a trouble is about, and the destinations that it takes whole or in part.
-func (w *world) hit(t *Trouble) (eps []*endpoint, dests []*dest) {
+func (w *world) hit(t *Fault) (eps []*endpoint, dests []*dest) {
 	add := func(d *dest, e *endpoint) {
 		if !slices.Contains(eps, e) {
 			eps = append(eps, e)
@@ -440,7 +440,7 @@
 			add(w.dests[n], e)
 		}
 	}
-	for _, p := range t.Parts {
+	for _, p := range t.Endpoints {
 		add(w.dests[p[0]], w.dests[p[0]].eps[p[1]])
 	}
 	if t.Zone != "" {
@@ -456,9 +456,9 @@
 }
 
 // trouble sets a trouble's beginning and end.
-func (w *world) trouble(t *Trouble) {
+func (w *world) trouble(t *Fault) {
 	eps, dests := w.hit(t)
-	end := t.At + t.Len
+	end := t.At + t.Duration
 	begins := func(do func(*endpoint)) {
 		w.at(t.At, func() {
 			for _, e := range eps {
@@ -503,56 +503,56 @@
 	switch t.Kind {
 	case Crash:
 		outage(crashed)
-	case Vanish:
+	case Blackhole:
 		outage(vanished)
-	case Shut:
+	case RejectAll:
 		outage(shut)
 	case FastErrors:
-		ill := slices.DeleteFunc(dests, func(d *dest) bool { return t.Size <= 0.5 || !whole(d, eps) })
+		ill := slices.DeleteFunc(dests, func(d *dest) bool { return t.Intensity <= 0.5 || !whole(d, eps) })
 		for _, d := range ill {
 			w.at(t.At, func() { w.sicken(d) })
 		}
-		begins(func(e *endpoint) { e.errs = t.Size })
+		begins(func(e *endpoint) { e.errs = t.Intensity })
 		ends(func(e *endpoint) { e.errs = 0 })
 		for _, d := range ill {
 			w.at(end, func() { w.heal(d) })
 		}
-	case AnswersLost:
-		begins(func(e *endpoint) { e.lost = t.Size })
+	case AnswerLoss:
+		begins(func(e *endpoint) { e.lost = t.Intensity })
 		ends(func(e *endpoint) { e.lost = 0 })
-	case Lowered:
+	case LowerLimit:
 		for _, l := range limiters(eps) {
-			w.at(t.At, func() { l.lowered *= t.Size })
-			w.at(end, func() { l.lowered /= t.Size })
+			w.at(t.At, func() { l.lowered *= t.Intensity })
+			w.at(end, func() { l.lowered /= t.Intensity })
 		}
 	case Slow:
-		begins(func(e *endpoint) { e.slow = t.Size })
+		begins(func(e *endpoint) { e.slow = t.Intensity })
 		ends(func(e *endpoint) { e.slow = 1 })
 	case Pauses:
-		for at := t.At; at < end; at += t.Every {
+		for at := t.At; at < end; at += t.Period {
 			w.at(at, func() {
 				for _, e := range eps {
-					e.paused = w.now + seconds(t.Size)
+					e.paused = w.now + seconds(t.Intensity)
 				}
 			})
 		}
 	case Burst:
 		if len(dests) == 0 {
-			w.at(t.At, func() { w.burst *= t.Size })
-			w.at(end, func() { w.burst /= t.Size })
+			w.at(t.At, func() { w.burst *= t.Intensity })
+			w.at(end, func() { w.burst /= t.Intensity })
 			return
 		}
 		total := w.cum[len(w.cum)-1]
 		for _, d := range dests {
-			w.more(d, t.At, end, w.day.Rate*d.spec.Share/total*(t.Size-1))
+			w.more(d, t.At, end, w.day.Rate*d.spec.Share/total*(t.Intensity-1))
 		}
 	case Drain:
 		w.at(t.At, func() {
 			for _, e := range eps {
-				w.drain(e, t.Len)
+				w.drain(e, t.Duration)
 			}
 		})
-	case NewsOutage:
+	case DiscoveryOutage:
 		w.at(t.At, func() { w.newsOut++ })
 		w.at(end, func() {
 			if w.newsOut--; w.newsOut == 0 {
@@ -563,7 +563,7 @@
 				}
 			}
 		})
-	case Cut, SiteCut, Deaf, Mute, PartnersCut, NotesLost, NotesLate, NotesTwice:
+	case Partition, SitePartition, GossipReceiveLoss, GossipSendLoss, DestinationPartition, GossipLoss, GossipDelay, GossipDuplication:
 		w.noteTrouble(t)
 	default:
 		for _, n := range t.Relays {
@@ -591,7 +591,7 @@
 	return true
 }
 
-func (w *world) relayTrouble(r *relay, t *Trouble) {
+func (w *world) relayTrouble(r *relay, t *Fault) {
 	switch t.Kind {
 	case RelayCrash, RelayStop:
 		w.at(t.At, func() {
@@ -602,13 +602,13 @@
 			}
 			r.die()
 		})
-		w.at(t.At+t.Len, func() {
+		w.at(t.At+t.Duration, func() {
 			if r.mod == nil {
 				r.boot()
 			}
 		})
 	case RelayStall:
-		w.at(t.At, func() { r.stalled = t.At + t.Len })
+		w.at(t.At, func() { r.stalled = t.At + t.Duration })
 	}
 }
 
@@ -626,13 +626,13 @@
 // drain announces that an endpoint goes and that another comes in its place.
 func (w *world) drain(e *endpoint, after time.Duration) {
 	e.draining = true
-	w.tell(e, policy.Draining, w.day.Notice)
+	w.tell(e, policy.Draining, w.day.DiscoveryDelay)
 	w.after(after, func() {
 		e.gone = true
-		w.tell(e, policy.Removed, w.day.Notice)
+		w.tell(e, policy.Removed, w.day.DiscoveryDelay)
 	})
 	fresh := w.endpoint(e.dest, e.spec)
-	w.tell(fresh, policy.Listed, w.day.Notice/3)
+	w.tell(fresh, policy.Listed, w.day.DiscoveryDelay/3)
 }
 
 // tell is news of the list, late and not everywhere at once; while discovery is down it waits for its end.
@@ -644,11 +644,11 @@
 				return // a new life has read the list
 			}
 			if state != policy.Listed {
-				w.log(rules.Event{Kind: rules.Leaving, Relay: r.no, Endpoint: e.no})
+				w.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.no, Endpoint: e.no})
 			}
 			r.listed(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.entry(e, state)}})
 		}
-		w.after(late+part(w.day.Spread, w.net.Float64()), func() {
+		w.after(late+part(w.day.DiscoverySpread, w.net.Float64()), func() {
 			if w.newsOut > 0 {
 				w.late = append(w.late, hear)
 			} else {
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -87,7 +87,7 @@
 }
 
 // taken says which relays a trouble takes from which others' sight.
-func taken(day *emu.Day, t *emu.Trouble) (hidden func(by, of int) bool) {
+func taken(day *emu.Scenario, t *emu.Fault) (hidden func(by, of int) bool) {
 	in := map[int]bool{}
 	for _, n := range day.RelaysOf(t) {
 		in[n] = true
@@ -95,18 +95,18 @@
 	switch t.Kind {
 	case emu.RelayCrash, emu.RelayStop, emu.RelayStall:
 		return func(_, of int) bool { return in[of] }
-	case emu.Cut, emu.SiteCut:
+	case emu.Partition, emu.SitePartition:
 		return func(by, of int) bool { return in[by] != in[of] }
-	case emu.Mute:
+	case emu.GossipSendLoss:
 		return func(_, of int) bool { return in[of] }
-	case emu.Deaf:
+	case emu.GossipReceiveLoss:
 		return func(by, _ int) bool { return in[by] } // it hears nobody: in the end it may be right to miss all
 	}
 	return func(int, int) bool { return false }
 }
 
 // judgeMembers holds the timeline against the troubles of the day.
-func judgeMembers(day *emu.Day, seen []Seen) (v Verdict) {
+func judgeMembers(day *emu.Scenario, seen []Seen) (v Verdict) {
 	incarnations := map[[2]int32]int64{}
 	missed := map[int]bool{}
 	for _, s := range seen {
@@ -130,8 +130,8 @@
 			continue
 		}
 		excused := false
-		for i := range day.Troubles {
-			excused = excused || taken(day, &day.Troubles[i])(int(s.By), int(s.Number))
+		for i := range day.Faults {
+			excused = excused || taken(day, &day.Faults[i])(int(s.By), int(s.Number))
 		}
 		if !excused {
 			v.False = append(v.False, fmt.Sprintf("relay %d held %d for %s at %d ms: %s", s.By, s.Number, s.To, s.AtMs, s.Why))
@@ -199,10 +199,10 @@
 }
 
 // Virtual plays the day in virtual time and comes to a verdict of the same form.
-func Virtual(day *emu.Day) (*Verdict, []Seen, error) {
+func Virtual(day *emu.Scenario) (*Verdict, []Seen, error) {
 	d := *day
-	d.Settle = settle
-	res, err := emu.Play(&d, emu.Options{})
+	d.SettleTime = settle
+	res, err := emu.Run(&d, emu.Options{})
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -136,18 +136,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.Draw(3)
+	d, err := base.DrawScenario(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Name, d.Busy, d.Length = "busy-and-lowered", 10, 36*time.Second
+	d.Name, d.HotRelayFactor, d.Length = "busy-and-lowered", 10, 36*time.Second
 	d.Dests[2].Endpoints = d.Dests[2].Endpoints[:1]
 	d.Kinds = append(d.Kinds, d.Kinds[d.Dests[1].Kind])
 	d.Dests[1].Kind, d.Dests[1].Limit = len(d.Kinds)-1, 60
 	// It tells no wait: one that is told to a relay for its limit binds that relay alone, and the partner counts calls of all.
 	limited := &d.Kinds[len(d.Kinds)-1]
-	limited.Limit, limited.Batch, limited.Wait = emu.RateLimit, 1, 0
-	d.Troubles = []emu.Trouble{{Kind: emu.Lowered, At: 14 * time.Second, Len: 9 * time.Second, Size: 0.1, Dests: []int{1}}}
+	limited.Limit, limited.MaxBatch, limited.RetryAfter = emu.RateLimit, 1, 0
+	d.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: 14 * time.Second, Duration: 9 * time.Second, Intensity: 0.1, Dests: []int{1}}}
 	if err := Playable(d); err != nil {
 		t.Fatal(err)
 	}
@@ -171,15 +171,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.Draw(4)
+	d, err := base.DrawScenario(4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	down := emu.Trouble{Kind: emu.Crash, At: 14 * time.Second, Len: 16 * time.Second}
+	down := emu.Fault{Kind: emu.Crash, At: 14 * time.Second, Duration: 16 * time.Second}
 	for e := range 6 {
-		down.Parts = append(down.Parts, [2]int{0, e})
+		down.Endpoints = append(down.Endpoints, [2]int{0, e})
 	}
-	d.Name, d.Length, d.Troubles = "subset-down", 32*time.Second, []emu.Trouble{down}
+	d.Name, d.Length, d.Faults = "subset-down", 32*time.Second, []emu.Fault{down}
 	if err := Playable(d); err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 	if !res.Verdict.Good() || res.Taken != res.Offered || res.Ran < res.Taken*19/20 {
 		t.Errorf("%+v, %d of %d taken on, %d ran", res.Verdict, res.Taken, res.Offered, res.Ran)
 	}
-	d.Troubles[0].Kind = emu.Shut
+	d.Faults[0].Kind = emu.RejectAll
 	if Playable(d) == nil {
 		t.Error("single endpoints that are shut are played by nobody, and that is not said")
 	}
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for i, d := range r.day.Dests {
-		if d.OnlyZone() != "" && r.world.Partners[1+i].Collapsed() {
+		if d.SingleZone() != "" && r.world.Partners[1+i].Collapsed() {
 			r.fault("destination %d was pushed over as it returned", 1+i)
 		}
 	}
@@ -89,8 +89,8 @@
 	for _, p := range r.world.Partners {
 		res.Refused += p.RejectedCalls()
 	}
-	for i, t := range r.day.Troubles {
-		res.Troubles = append(res.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, t.Kind, r.day.RelaysOf(&t), t.Zone, t.At, t.Len))
+	for i, t := range r.day.Faults {
+		res.Troubles = append(res.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, t.Kind, r.day.RelaysOf(&t), t.Zone, t.At, t.Duration))
 	}
 	return res, nil
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -38,7 +38,7 @@
 
 // Config sets a run.
 type Config struct {
-	Day  *emu.Day
+	Day  *emu.Scenario
 	Seed uint64
 	Bin  string // the relay
 	Out  string // folder for logs and results; empty: none are kept
@@ -64,24 +64,24 @@
 }
 
 // Playable names the first thing for which a day can't be played with processes.
-func Playable(d *emu.Day) error {
+func Playable(d *emu.Scenario) error {
 	if d.Relays < leastRelays || d.Relays > mostRelays {
 		return fmt.Errorf("relays: %d does not lie within %d and %d", d.Relays, leastRelays, mostRelays)
 	}
-	if !d.Members {
+	if !d.Membership {
 		return errors.New("members: a fleet's day asks who lives")
 	}
 	if d.Rate <= 0 || d.Rate > mostRate || d.Rate*d.Length.Seconds() > mostMessages {
 		return fmt.Errorf("rate: %.0f messages a second for %v are none, or more than %.0f a second or %d in all", d.Rate, d.Length, mostRate, mostMessages)
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		switch t.Kind {
-		case emu.Vanish, emu.Shut, emu.Crash, emu.Lowered:
-			if len(t.Parts) > 0 && t.Kind != emu.Crash {
+		case emu.Blackhole, emu.RejectAll, emu.Crash, emu.LowerLimit:
+			if len(t.Endpoints) > 0 && t.Kind != emu.Crash {
 				return fmt.Errorf("troubles[%d].parts: single endpoints can crash only", i)
 			}
 		default:
-			if !t.OfRelays() {
+			if !t.AffectsRelays() {
 				return fmt.Errorf("troubles[%d].kind: %q is played in virtual time only", i, t.Kind)
 			}
 		}
@@ -95,7 +95,7 @@
 // run is a day at work.
 type run struct {
 	set    Config
-	day    *emu.Day
+	day    *emu.Scenario
 	world  *testdouble.Environment
 	net    *faultnet.Network
 	relays []*testdouble.Relay
@@ -146,7 +146,7 @@
 	for i, d := range r.day.Dests {
 		k := r.day.Kinds[d.Kind]
 		p := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: d.Zone}
-		if k.Batch > 1 {
+		if k.MaxBatch > 1 {
 			p.Kind = "broker"
 		}
 		if d.Endpoints[0].Zone != "" {
@@ -154,11 +154,11 @@
 				p.EndpointZones = append(p.EndpointZones, e.Zone)
 			}
 		}
-		if one := d.OnlyZone(); one != "" {
-			p.Rate, p.Burst, p.ColdRateShare, p.WarmUpTime, p.OverloadFactor = coldRate, coldRate, k.ColdFrom, coldFor, r.day.FallMultiple
+		if one := d.SingleZone(); one != "" {
+			p.Rate, p.Burst, p.ColdRateShare, p.WarmUpTime, p.OverloadFactor = coldRate, coldRate, k.ColdStartShare, coldFor, r.day.OverloadFactor
 		}
 		if k.Limit == emu.RateLimit {
-			p.Rate, p.Burst, p.RetryAfter = d.Limit, max(1, d.Limit/2), k.Wait
+			p.Rate, p.Burst, p.RetryAfter = d.Limit, max(1, d.Limit/2), k.RetryAfter
 		}
 		all = append(all, p)
 	}
@@ -238,7 +238,7 @@
 	if !ok || r.ending.Load() {
 		return
 	}
-	for i := range r.day.Troubles {
+	for i := range r.day.Faults {
 		if r.holding[i] {
 			s.Troubles += fmt.Sprintf("%d ", i)
 		}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -31,13 +31,13 @@
 
 const library = "../../../lab/fleet"
 
-func day(t *testing.T, name string, seed uint64) *emu.Day {
+func day(t *testing.T, name string, seed uint64) *emu.Scenario {
 	t.Helper()
-	s, err := site.ReadScript(filepath.Join(library, name+site.Ext))
+	s, err := site.ReadScript(filepath.Join(library, name+site.FileExt))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := s.Day(nil, seed)
+	d, err := s.DrawScenario(nil, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,12 +46,12 @@
 
 // Every day of the library can be played both ways, and in virtual time keeps all rules on two seeds; what happens on it is what its name says.
 func TestVirtualDays(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join(library, "*"+site.Ext))
+	files, err := filepath.Glob(filepath.Join(library, "*"+site.FileExt))
 	if err != nil || len(files) < 13 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
 	for _, file := range files {
-		name := strings.TrimSuffix(filepath.Base(file), site.Ext)
+		name := strings.TrimSuffix(filepath.Base(file), site.FileExt)
 		if name == "site" {
 			continue
 		}
@@ -154,7 +154,7 @@
 
 // The checker finds each broken rule, and none where there is none.
 func TestJudges(t *testing.T) {
-	d := &emu.Day{Relays: 4, Zones: 2, Troubles: []emu.Trouble{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Cut, Zone: "zone-2"}}}
+	d := &emu.Scenario{Relays: 4, Zones: 2, Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
 	away := func(by, n int) Seen {
 		return Seen{By: int32(by), Number: int32(n), From: "suspect", To: "away", Incarnation: 1}
 	}
@@ -217,15 +217,15 @@
 
 // What processes can't play is named.
 func TestPlayable(t *testing.T) {
-	whole := func() *emu.Day {
-		return &emu.Day{Relays: 3, Members: true, Rate: 10, Length: 30 * time.Second, Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
+	whole := func() *emu.Scenario {
+		return &emu.Scenario{Relays: 3, Membership: true, Rate: 10, Length: 30 * time.Second, Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
 	}
 	if err := Playable(whole()); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*emu.Day){"relays": func(d *emu.Day) { d.Relays = 41 }, "members": func(d *emu.Day) { d.Members = false }, "rate": func(d *emu.Day) { d.Rate = 1e6 },
-		"kind":        func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.Burst, At: time.Minute}} },
-		"troubles[0]": func(d *emu.Day) { d.Troubles = []emu.Trouble{{Kind: emu.Cut, At: time.Second}} }} {
+	for want, spoil := range map[string]func(*emu.Scenario){"relays": func(d *emu.Scenario) { d.Relays = 41 }, "members": func(d *emu.Scenario) { d.Membership = false }, "rate": func(d *emu.Scenario) { d.Rate = 1e6 },
+		"kind":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Burst, At: time.Minute}} },
+		"troubles[0]": func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Partition, At: time.Second}} }} {
 		d := whole()
 		spoil(d)
 		if err := Playable(d); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/lab/fleet/offer.go
+++ b/internal/lab/fleet/offer.go
@@ -33,8 +33,8 @@
 	total := int(r.day.Rate * (r.day.Length - whole).Seconds())
 	count := func(at time.Duration) int { return int(r.day.Rate * (at - whole).Seconds()) }
 	var steps []step
-	for i, t := range r.day.Troubles {
-		steps = append(steps, step{count(t.At), i, true}, step{max(count(t.At)+1, count(t.At+t.Len)), i, false})
+	for i, t := range r.day.Faults {
+		steps = append(steps, step{count(t.At), i, true}, step{max(count(t.At)+1, count(t.At+t.Duration)), i, false})
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return a.at - b.at })
 	turn := time.NewTicker(time.Duration(float64(time.Second) / r.day.Rate))
@@ -65,7 +65,7 @@
 	}
 	for _, s := range steps {
 		// What lasts beyond the day ends with it, but for what is for good.
-		if t := r.day.Troubles[s.trouble]; !s.begins && t.At < r.day.Length && t.At+t.Len <= r.day.Length+settle {
+		if t := r.day.Faults[s.trouble]; !s.begins && t.At < r.day.Length && t.At+t.Duration <= r.day.Length+settle {
 			if err := r.do(s); err != nil {
 				return err
 			}
@@ -83,7 +83,7 @@
 
 // upFrom is a relay that is neither to be down nor standing still, the nth of all in turn or the next. To the busy one of a day more is handed in.
 func (r *run) upFrom(n int) int {
-	if more := int(r.day.Busy) - 1; more > 0 {
+	if more := int(r.day.HotRelayFactor) - 1; more > 0 {
 		if n %= len(r.relays) + more; n >= len(r.relays) {
 			n = 0
 		}
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -17,13 +17,13 @@
 )
 
 // threeSites is a day of twelve relays in three sites, with two partners that have two endpoints in each and one that is in the first site alone.
-func threeSites(t *testing.T, troubles ...emu.Trouble) *emu.Day {
+func threeSites(t *testing.T, troubles ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-fleet.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.Draw(6)
+	d, err := base.DrawScenario(6)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	d.Choices.SubsetSize, d.Length, d.Troubles = 0, 46*time.Second, troubles
+	d.Choices.SubsetSize, d.Length, d.Faults = 0, 46*time.Second, troubles
 	return d
 }
 
@@ -84,20 +84,20 @@
 // see its return.
 func TestSiteLost(t *testing.T) {
 	s := time.Second
-	relays := emu.Trouble{Kind: emu.RelayCrash, At: 14 * s, Len: 10 * s, Relays: []int{0, 3, 6, 9}}
-	ends := emu.Trouble{Kind: emu.Crash, At: 14 * s, Len: 10 * s, Zone: "zone-1"}
-	again := emu.Trouble{Kind: emu.Crash, At: 26 * s, Len: 5 * s, Zone: "zone-1"}
+	relays := emu.Fault{Kind: emu.RelayCrash, At: 14 * s, Duration: 10 * s, Relays: []int{0, 3, 6, 9}}
+	ends := emu.Fault{Kind: emu.Crash, At: 14 * s, Duration: 10 * s, Zone: "zone-1"}
+	again := emu.Fault{Kind: emu.Crash, At: 26 * s, Duration: 5 * s, Zone: "zone-1"}
 	atOnce := make(chan struct{}, 2)
 	for name, c := range map[string]struct {
-		troubles []emu.Trouble
+		troubles []emu.Fault
 		lost     bool
 	}{
-		"whole": {[]emu.Trouble{relays, ends}, true}, "again": {[]emu.Trouble{relays, ends, again}, true},
-		"endpoints live": {[]emu.Trouble{relays}, false}, "relays live": {[]emu.Trouble{ends}, true},
-		"second": {[]emu.Trouble{relays, ends, {Kind: emu.RelayCrash, At: 18 * s, Len: 5 * s, Relays: []int{1, 4, 7, 10}}, {Kind: emu.Crash, At: 18 * s, Len: 5 * s, Zone: "zone-2"}}, true},
-		"paused": {[]emu.Trouble{relays, ends, {Kind: emu.RelayStall, At: 17 * s, Len: 5 * s, Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
-		"half":   {[]emu.Trouble{relays, ends, {Kind: emu.Deaf, At: 13 * s, Len: 14 * s, Relays: []int{1, 2, 7, 8}}}, true},
-		"cut":    {[]emu.Trouble{{Kind: emu.SiteCut, At: 14 * s, Len: 10 * s, Zone: "zone-1"}}, true},
+		"whole": {[]emu.Fault{relays, ends}, true}, "again": {[]emu.Fault{relays, ends, again}, true},
+		"endpoints live": {[]emu.Fault{relays}, false}, "relays live": {[]emu.Fault{ends}, true},
+		"second": {[]emu.Fault{relays, ends, {Kind: emu.RelayCrash, At: 18 * s, Duration: 5 * s, Relays: []int{1, 4, 7, 10}}, {Kind: emu.Crash, At: 18 * s, Duration: 5 * s, Zone: "zone-2"}}, true},
+		"paused": {[]emu.Fault{relays, ends, {Kind: emu.RelayStall, At: 17 * s, Duration: 5 * s, Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
+		"half":   {[]emu.Fault{relays, ends, {Kind: emu.GossipReceiveLoss, At: 13 * s, Duration: 14 * s, Relays: []int{1, 2, 7, 8}}}, true},
+		"cut":    {[]emu.Fault{{Kind: emu.SitePartition, At: 14 * s, Duration: 10 * s, Zone: "zone-1"}}, true},
 	} {
 		if !*allSites && !slices.Contains([]string{"whole", "again", "cut", "endpoints live"}, name) {
 			continue // a minute for two of them
--- a/internal/lab/fleet/troubles.go
+++ b/internal/lab/fleet/troubles.go
@@ -17,7 +17,7 @@
 
 // do lets a trouble begin or end.
 func (r *run) do(s step) error {
-	t := &r.day.Troubles[s.trouble]
+	t := &r.day.Faults[s.trouble]
 	r.mu.Lock()
 	r.holding[s.trouble] = s.begins
 	r.mu.Unlock()
@@ -69,15 +69,15 @@
 				return err
 			}
 		}
-	case emu.Vanish, emu.Crash, emu.Shut:
+	case emu.Blackhole, emu.Crash, emu.RejectAll:
 		for _, ways := range r.routes { // some endpoints of partners, as every relay finds them
 			for _, one := range ways {
-				if slices.Contains(t.Parts, [2]int{one.dest, one.end}) || losesEndpoint(&r.day.Dests[one.dest], one.end, t.Zone) {
+				if slices.Contains(t.Endpoints, [2]int{one.dest, one.end}) || losesEndpoint(&r.day.Dests[one.dest], one.end, t.Zone) {
 					one.way.SetFaults(faultnet.StreamFaults{Refuse: s.begins})
 				}
 			}
 		}
-		mode := map[emu.TroubleKind]testdouble.Mode{emu.Vanish: testdouble.Unresponsive, emu.Crash: testdouble.RefusingConnections, emu.Shut: testdouble.Unavailable}[t.Kind]
+		mode := map[emu.FaultKind]testdouble.Mode{emu.Blackhole: testdouble.Unresponsive, emu.Crash: testdouble.RefusingConnections, emu.RejectAll: testdouble.Unavailable}[t.Kind]
 		if !s.begins {
 			mode = testdouble.Healthy
 		}
@@ -88,17 +88,17 @@
 				}
 			}
 		}
-	case emu.Lowered:
+	case emu.LowerLimit:
 		part := 1.0
 		if s.begins {
-			part = t.Size
+			part = t.Intensity
 		}
 		for i, d := range r.day.Dests {
 			if slices.Contains(t.Dests, i) || t.Zone != "" && d.Zone == t.Zone {
 				r.world.Partners[1+i].SetRateShare(part)
 			}
 		}
-	case emu.SiteCut:
+	case emu.SitePartition:
 		for n, ways := range r.routes {
 			for _, one := range ways {
 				in := r.day.Dests[one.dest].Endpoints[one.end].Zone == t.Zone
@@ -108,7 +108,7 @@
 			}
 		}
 		r.setWays()
-	case emu.PartnersCut:
+	case emu.DestinationPartition:
 		for _, n := range relays {
 			for _, one := range r.routes[n] {
 				if slices.Contains(r.day.DestsOf(t), one.dest) {
@@ -125,7 +125,7 @@
 // losesAll tells whether the loss of a zone takes a destination with all its endpoints: they all lie there, or they name no zone of their
 // own and the destination does. Risk: one that names a zone and has endpoints in several is taken whole, and relays blame the other zones.
 func losesAll(d *emu.Dest, zone string) bool {
-	return zone != "" && cmp.Or(d.OnlyZone(), d.Zone) == zone && !inSeveralZones(d)
+	return zone != "" && cmp.Or(d.SingleZone(), d.Zone) == zone && !inSeveralZones(d)
 }
 
 // losesEndpoint tells whether the loss of a zone takes that endpoint of a destination that has others elsewhere.
@@ -141,8 +141,8 @@
 func (r *run) setWays() {
 	w := faultnet.Faults{NoReceive: map[int]bool{}, NoSend: map[int]bool{}}
 	kept := 1.0
-	for i := range r.day.Troubles {
-		t := &r.day.Troubles[i]
+	for i := range r.day.Faults {
+		t := &r.day.Faults[i]
 		if !r.holding[i] {
 			continue
 		}
@@ -151,22 +151,22 @@
 			set[n] = true
 		}
 		switch t.Kind {
-		case emu.Cut, emu.SiteCut:
+		case emu.Partition, emu.SitePartition:
 			w.Partitions = append(w.Partitions, set)
-		case emu.Deaf:
+		case emu.GossipReceiveLoss:
 			for n := range set {
 				w.NoReceive[n] = true
 			}
-		case emu.Mute:
+		case emu.GossipSendLoss:
 			for n := range set {
 				w.NoSend[n] = true
 			}
-		case emu.NotesLost:
-			kept *= 1 - t.Size
-		case emu.NotesLate:
-			w.MaxDelay += time.Duration(t.Size * float64(time.Second))
-		case emu.NotesTwice:
-			w.DuplicateRate = max(w.DuplicateRate, t.Size)
+		case emu.GossipLoss:
+			kept *= 1 - t.Intensity
+		case emu.GossipDelay:
+			w.MaxDelay += time.Duration(t.Intensity * float64(time.Second))
+		case emu.GossipDuplication:
+			w.DuplicateRate = max(w.DuplicateRate, t.Intensity)
 		}
 	}
 	w.LossRate = 1 - kept
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -34,15 +34,15 @@
 
 // NewRecorder returns a recorder for a relay with so many slots.
 func NewRecorder(slots int) *Recorder {
-	r := &Recorder{start: time.Now(), msgs: map[string]*recorded{}, check: rules.New(rules.Config{AnswerSlack: 300 * time.Millisecond, Slots: slots, MaxAttempts: 6,
-		WaitGrace: 100 * time.Millisecond, Slack: 50 * time.Millisecond})}
+	r := &Recorder{start: time.Now(), msgs: map[string]*recorded{}, check: rules.New(rules.Config{AnswerSlack: 300 * time.Millisecond, MaxConcurrentCalls: slots, MaxAttempts: 6,
+		RetryAfterGrace: 100 * time.Millisecond, ClockSlack: 50 * time.Millisecond})}
 	r.moved = sync.NewCond(&r.mu)
 	return r
 }
 
 func (r *Recorder) log(e rules.Event) {
 	e.At = time.Since(r.start)
-	r.check.Event(e)
+	r.check.Check(e)
 }
 
 // HandsIn books a message as it is sent: a relay may call a partner before its client has read the answer.
@@ -52,7 +52,7 @@
 	r.last++
 	m := &recorded{num: r.last, dest: dest, class: class, until: time.Since(r.start) + class.Left}
 	r.msgs[id] = m
-	r.log(rules.Event{Kind: rules.Taken, Msg: m.num, Dest: dest, Effect: class.Effect, Window: class.Window, Until: m.until})
+	r.log(rules.Event{Kind: rules.Accepted, Msg: m.num, Dest: dest, Effect: class.Effect, RepeatWindow: class.Window, Deadline: m.until})
 }
 
 // Answered ends what was not taken on.
@@ -64,10 +64,10 @@
 	case status == 200 || status == 202:
 	case status == 429 || status == 503:
 		m.over = true
-		r.log(rules.Event{Kind: rules.Refused, Msg: m.num})
+		r.log(rules.Event{Kind: rules.Returned, Msg: m.num})
 	default:
 		m.over = true
-		r.log(rules.Event{Kind: rules.Dropped, Msg: m.num})
+		r.log(rules.Event{Kind: rules.Withdrawn, Msg: m.num})
 	}
 }
 
@@ -82,7 +82,7 @@
 	m.over = true
 	kind := rules.Failed
 	if n.Outcome == "handed_back" {
-		kind = rules.Refused
+		kind = rules.Returned
 	}
 	r.log(rules.Event{Kind: kind, Msg: m.num})
 }
@@ -117,7 +117,7 @@
 		m.live--
 		ok := c.OK && !m.over
 		m.over = m.over || c.OK
-		r.log(rules.Event{Kind: rules.Ended, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest, Proved: !c.MayHaveRun, OK: ok, Wait: c.RetryAfter})
+		r.log(rules.Event{Kind: rules.AttemptEnded, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest, NotRun: !c.MayHaveRun, Delivered: ok, RetryAfter: c.RetryAfter})
 	}
 	r.moved.Broadcast()
 }
@@ -135,13 +135,13 @@
 func (r *Recorder) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.check.Open()
+	return r.check.PendingCount()
 }
 
 // Finish ends the log and returns what was broken, and how often each rule was.
-func (r *Recorder) Finish() ([]rules.Break, map[rules.Name]int) {
+func (r *Recorder) Finish() ([]rules.Violation, map[rules.Name]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.log(rules.Event{Kind: rules.Finished})
-	return r.check.Breaks, r.check.Counts
+	r.log(rules.Event{Kind: rules.LogEnded})
+	return r.check.Violations, r.check.Counts
 }
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -76,7 +76,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if _, counts := r.Finish(); counts[rules.Wait] == 0 || counts[rules.Place] == 0 {
+	if _, counts := r.Finish(); counts[rules.RetryAfter] == 0 || counts[rules.Bounds] == 0 {
 		t.Errorf("the forwarder breaks waits and places, found %v", counts)
 	}
 	if _, err := load.Use(os.Getpid()); err != nil {
--- a/internal/lab/overload/bounds_test.go
+++ b/internal/lab/overload/bounds_test.go
@@ -10,7 +10,7 @@
 // partner is a kind of limit that fleets meet.
 type partner struct {
 	name                         string
-	limit                        emu.Limit
+	limit                        emu.LimitKind
 	counted, reports, told, note bool
 	routes                       int
 }
--- a/internal/lab/overload/cell.go
+++ b/internal/lab/overload/cell.go
@@ -23,22 +23,22 @@
 
 // Cell is one point of the matrix: the fleet, the load, and the kind of limit.
 type Cell struct {
-	Batch        int       // messages in one call at most
-	Senders      int       // relays
-	Load         float64   // messages offered, as a multiple of what the destination takes
-	Limit        emu.Limit // emu.RateLimit or emu.WindowLimit
-	RefusedCount bool      // refused calls use up the limit
-	Reports      bool      // answers tell of the limit
-	TellsWait    bool      // some refusals tell a wait: Config.WaitShare of them
-	Notes        bool      // relays tell one another what they see
-	Routes       int       // 1: one limit for the destination; more: so many endpoints, each with an even part of it for itself
+	Batch        int           // messages in one call at most
+	Senders      int           // relays
+	Load         float64       // messages offered, as a multiple of what the destination takes
+	Limit        emu.LimitKind // emu.RateLimit or emu.WindowLimit
+	RefusedCount bool          // refused calls use up the limit
+	Reports      bool          // answers tell of the limit
+	TellsWait    bool          // some refusals tell a wait: Config.WaitShare of them
+	Notes        bool          // relays tell one another what they see
+	Routes       int           // 1: one limit for the destination; more: so many endpoints, each with an even part of it for itself
 }
 
 // LimitNames are the names of the limits that a cell may have.
-var LimitNames = map[string]emu.Limit{"rate": emu.RateLimit, "window": emu.WindowLimit}
+var LimitNames = map[string]emu.LimitKind{"rate": emu.RateLimit, "window": emu.WindowLimit}
 
 // LimitName is the name of a limit; empty if a cell can't have it.
-func LimitName(l emu.Limit) string {
+func LimitName(l emu.LimitKind) string {
 	for name, v := range LimitNames {
 		if v == l {
 			return name
@@ -63,7 +63,7 @@
 type Matrix struct {
 	Batches, Senders, Routes           []int
 	Loads                              []float64
-	Limits                             []emu.Limit
+	Limits                             []emu.LimitKind
 	RefusedCount, Reports, Wait, Notes []bool
 }
 
@@ -72,7 +72,7 @@
 	both := []bool{false, true}
 	return Matrix{
 		Batches: []int{1, 5, 20, 50}, Senders: []int{2, 6, 30, 300}, Routes: []int{1}, Loads: []float64{0.7, 1, 1.4, 2},
-		Limits:       []emu.Limit{emu.RateLimit, emu.WindowLimit},
+		Limits:       []emu.LimitKind{emu.RateLimit, emu.WindowLimit},
 		RefusedCount: both, Reports: both, Wait: both, Notes: both,
 	}
 }
@@ -81,7 +81,7 @@
 func Quick() Matrix {
 	return Matrix{
 		Batches: []int{1, 20}, Senders: []int{2, 6, 30}, Routes: []int{1}, Loads: []float64{0.7, 2},
-		Limits:       []emu.Limit{emu.RateLimit, emu.WindowLimit},
+		Limits:       []emu.LimitKind{emu.RateLimit, emu.WindowLimit},
 		RefusedCount: []bool{true}, Reports: []bool{false}, Wait: []bool{true}, Notes: []bool{false},
 	}
 }
@@ -92,7 +92,7 @@
 	cells = cross(cells, m.Batches, func(c *Cell, v int) { c.Batch = v })
 	cells = cross(cells, m.Senders, func(c *Cell, v int) { c.Senders = v })
 	cells = cross(cells, m.Routes, func(c *Cell, v int) { c.Routes = v })
-	cells = cross(cells, m.Limits, func(c *Cell, v emu.Limit) { c.Limit = v })
+	cells = cross(cells, m.Limits, func(c *Cell, v emu.LimitKind) { c.Limit = v })
 	cells = cross(cells, m.RefusedCount, func(c *Cell, v bool) { c.RefusedCount = v })
 	cells = cross(cells, m.Reports, func(c *Cell, v bool) { c.Reports = v })
 	cells = cross(cells, m.Wait, func(c *Cell, v bool) { c.TellsWait = v })
@@ -206,21 +206,21 @@
 }
 
 // day is the day that a cell is played on.
-func (set Config) day(c Cell) *emu.Day {
+func (set Config) day(c Cell) *emu.Scenario {
 	limit, takes := set.limit(c), set.Takes(c)
 	callTime := workTime.Seconds()*(1+itemCost*float64(c.Batch-1)) + roundTrip.Seconds()
 	perSender := 1 / float64(c.Senders)
-	day := &emu.Day{
+	day := &emu.Scenario{
 		Name: c.String(), Seed: set.Seed, Length: set.Length(), Tail: set.Deadline + lastHandIn, Tick: tick,
-		Relays:      c.Senders,
-		Slots:       max(leastSlots, int(math.Ceil(slotRoom*limit*callTime*perSender))),
-		Hold:        max(leastHold, holdBatches*c.Batch, int(holdSeconds*takes*perSender)),
-		MaxAttempts: maxAttempts, Rate: c.Load * takes,
-		RTT: roundTrip, Client: clientTrip, Jitter: 0.2, Handshake: 2, Idle: 15 * time.Second, Connect: 1500 * time.Millisecond,
-		AnswerSlack: 20 * time.Millisecond, Retries: set.Retries, Backoff: 500 * time.Millisecond, Honour: 0.7, MaxAdvice: 3 * time.Second,
-		Again: time.Second, FrontNotice: time.Second, Notice: time.Second, DrainGrace: time.Second,
-		Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2, FallFor: 3 * time.Second,
-		Notes: c.Notes, Alone: !c.Notes, Zones: 1,
+		Relays:             c.Senders,
+		MaxConcurrentCalls: max(leastSlots, int(math.Ceil(slotRoom*limit*callTime*perSender))),
+		MaxPending:         max(leastHold, holdBatches*c.Batch, int(holdSeconds*takes*perSender)),
+		MaxAttempts:        maxAttempts, Rate: c.Load * takes,
+		RTT: roundTrip, ClientDelay: clientTrip, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second, ConnectTimeout: 1500 * time.Millisecond,
+		AnswerSlack: 20 * time.Millisecond, ClientRetries: set.Retries, ClientBackoff: 500 * time.Millisecond, RetryAfterCompliance: 0.7, MaxRetryAfter: 3 * time.Second,
+		ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second, DiscoveryDelay: time.Second, DrainGrace: time.Second,
+		WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second,
+		Gossip: c.Notes, NoGossip: !c.Notes, Zones: 1,
 	}
 	day.Classes = []emu.Class{{
 		Class: policy.Class{Name: "notice", Effect: policy.Safe, TargetLatency: set.Aim, Deadline: set.Deadline, Value: 1, LateValue: 0.5},
@@ -228,18 +228,18 @@
 	}}
 	day.Kinds = []emu.Kind{set.kind(c)}
 	day.Dests = []emu.Dest{set.destination(c, callTime)}
-	day.Troubles = set.overload()
+	day.Faults = set.overload()
 	return day
 }
 
 // kind is the kind of the cell's destination.
 func (set Config) kind(c Cell) emu.Kind {
 	k := emu.Kind{
-		Name: "limited", Batch: c.Batch, ItemCost: itemCost, Limit: c.Limit, Window: set.Window, RefusedCount: c.RefusedCount,
-		Reports: c.Reports, SeparateRoutes: c.Routes > 1, Wait: set.Wait, ColdFrom: 0.25, Cold: 9 * time.Second,
+		Name: "limited", MaxBatch: c.Batch, ItemCost: itemCost, Limit: c.Limit, Window: set.Window, CountsRejected: c.RefusedCount,
+		ReportsLimit: c.Reports, SeparateRoutes: c.Routes > 1, RetryAfter: set.Wait, ColdStartShare: 0.25, WarmUpTime: 9 * time.Second,
 	}
 	if c.TellsWait {
-		k.TellsWait = set.WaitShare
+		k.RetryAfterShare = set.WaitShare
 	}
 	return k
 }
@@ -248,18 +248,18 @@
 func (set Config) destination(c Cell, callTime float64) emu.Dest {
 	limit := set.limit(c)
 	workers := int(math.Ceil(4*limit*callTime/float64(c.Routes))) + 4
-	one := emu.Endpoint{Workers: workers, Speed: 1, Queue: workers}
+	one := emu.Endpoint{Workers: workers, Speed: 1, QueueSize: workers}
 	return emu.Dest{Share: 1, Limit: limit, Zone: "zone-1", Endpoints: slices.Repeat([]emu.Endpoint{one}, c.Routes)}
 }
 
 // overload is what goes wrong in the third phase.
-func (set Config) overload() (all []emu.Trouble) {
+func (set Config) overload() (all []emu.Fault) {
 	at := set.Warmup + set.Steady
 	if set.Lowered < 1 {
-		all = append(all, emu.Trouble{Kind: emu.Lowered, At: at, Len: set.Overload, Size: set.Lowered, Dests: []int{0}})
+		all = append(all, emu.Fault{Kind: emu.LowerLimit, At: at, Duration: set.Overload, Intensity: set.Lowered, Dests: []int{0}})
 	}
 	if set.Surge > 1 {
-		all = append(all, emu.Trouble{Kind: emu.Burst, At: at, Len: set.Overload, Size: set.Surge})
+		all = append(all, emu.Fault{Kind: emu.Burst, At: at, Duration: set.Overload, Intensity: set.Surge})
 	}
 	return all
 }
--- a/internal/lab/overload/measure.go
+++ b/internal/lab/overload/measure.go
@@ -78,9 +78,9 @@
 			s.seen[e.Call] = true
 			s.calls[bin]++
 		}
-	case e.Kind == rules.Ended && e.OK:
+	case e.Kind == rules.AttemptEnded && e.Delivered:
 		s.delivered[bin]++
-	case e.Kind == rules.Ended && e.Proved && s.seen[e.Call] && !s.turnedAway[e.Call]:
+	case e.Kind == rules.AttemptEnded && e.NotRun && s.seen[e.Call] && !s.turnedAway[e.Call]:
 		s.turnedAway[e.Call] = true
 		s.refused[bin]++
 	}
@@ -95,7 +95,7 @@
 }
 
 // Run plays one cell. make is the module of each relay; nil: the one in service.
-func Run(c Cell, set Config, make emu.Maker) (Row, error) {
+func Run(c Cell, set Config, make emu.PolicyFactory) (Row, error) {
 	if err := c.Check(); err != nil {
 		return Row{}, err
 	}
@@ -104,7 +104,7 @@
 	}
 	day := set.day(c)
 	log := newSeries(day.Length)
-	res, err := emu.Play(day, emu.Options{Make: make, Log: log.observe})
+	res, err := emu.Run(day, emu.Options{NewPolicy: make, Log: log.observe})
 	if err != nil {
 		return Row{}, err
 	}
--- a/internal/lab/overload/overload_test.go
+++ b/internal/lab/overload/overload_test.go
@@ -68,7 +68,7 @@
 	set := Default()
 	set.Lowered = 1 // it does not notice that the limit is lowered
 	for _, c := range cells.Cells() {
-		row, err := Run(c, set, func(policy.Settings, int64) (emu.Module, error) {
+		row, err := Run(c, set, func(policy.Settings, int64) (emu.PolicyEngine, error) {
 			return &informed{interval: time.Duration(float64(time.Second) / set.limit(c)), batch: c.Batch}, nil
 		})
 		if err != nil {
@@ -112,9 +112,9 @@
 	s := newSeries(time.Second)
 	for id := range uint32(3) {
 		s.observe(rules.Event{Kind: rules.Sent, Msg: id, Call: 9})
-		s.observe(rules.Event{At: binWidth, Kind: rules.Ended, Msg: id, Call: 9, Proved: true})
+		s.observe(rules.Event{At: binWidth, Kind: rules.AttemptEnded, Msg: id, Call: 9, NotRun: true})
 		s.observe(rules.Event{At: binWidth, Kind: rules.Sent, Msg: id, Call: 10})
-		s.observe(rules.Event{At: 2 * binWidth, Kind: rules.Ended, Msg: id, Call: 10, OK: true})
+		s.observe(rules.Event{At: 2 * binWidth, Kind: rules.AttemptEnded, Msg: id, Call: 10, Delivered: true})
 		s.observe(rules.Event{At: time.Hour, Kind: rules.Sent, Msg: id, Call: 11}) // past the end
 	}
 	for name, c := range map[string]struct {
--- a/internal/lab/overload/reach_test.go
+++ b/internal/lab/overload/reach_test.go
@@ -61,7 +61,7 @@
 			set.Seed, set.Lowered, set.Limit = seed, 1, f.calls // they would not notice that the limit is lowered
 			interval := time.Duration(float64(f.senders) / (pace * f.calls) * float64(time.Second))
 			c := Cell{Batch: 1, Senders: f.senders, Load: 2, Limit: emu.RateLimit, RefusedCount: true, Routes: 1}
-			row, err := Run(c, set, func(_ policy.Settings, seed int64) (emu.Module, error) {
+			row, err := Run(c, set, func(_ policy.Settings, seed int64) (emu.PolicyEngine, error) {
 				return &paced{informed: informed{interval: interval, batch: c.Batch}, rng: rand.New(rand.NewSource(seed))}, nil
 			})
 			if err != nil {
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -79,7 +79,7 @@
 }
 
 // Day builds the day. Zones have the laboratory's names, in the plan's order.
-func Day(set Set) (*emu.Day, error) {
+func Day(set Set) (*emu.Scenario, error) {
 	p, names := renamed(set.Plan)
 	lost, known := names[set.Lost]
 	if !known {
@@ -96,17 +96,17 @@
 	}
 	at, gone, length := orElse(set.At, usualAt), orElse(set.Gone, usualGone), orElse(set.Length, usualLength)
 	zones := len(p.Sites)
-	d := &emu.Day{Name: fmt.Sprintf("%s of %s", set.Case, set.Lost), Seed: set.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
-		Relays: max(1, set.Relays) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, Client: time.Millisecond, Jitter: 0.2, Handshake: 2, Idle: 15 * time.Second,
-		Connect: time.Second, AnswerSlack: 300 * time.Millisecond, Retries: 2, Backoff: time.Second, Honour: 0.8, MaxAdvice: 5 * time.Second, Again: time.Second, FrontNotice: time.Second,
-		Notice: 2 * time.Second, Spread: 300 * time.Millisecond, Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2, FallFor: 3 * time.Second, DrainGrace: time.Second,
-		Notes: true, Members: true, NoteLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Prices: emu.Prices{Waste: 0.042, Handshake: 0.04, LateFail: 0.02, Refused: 0.05, Note: 0.01},
-		Kinds: []emu.Kind{{Name: "partner", Batch: 1, Limit: emu.NoLimit, ColdFrom: 0.2, Cold: 10 * time.Second, CancelsQueued: true}}}
+	d := &emu.Scenario{Name: fmt.Sprintf("%s of %s", set.Case, set.Lost), Seed: set.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
+		Relays: max(1, set.Relays) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
+		ConnectTimeout: time.Second, AnswerSlack: 300 * time.Millisecond, ClientRetries: 2, ClientBackoff: time.Second, RetryAfterCompliance: 0.8, MaxRetryAfter: 5 * time.Second, ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second,
+		DiscoveryDelay: 2 * time.Second, DiscoverySpread: 300 * time.Millisecond, WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second, DrainGrace: time.Second,
+		Gossip: true, Membership: true, GossipLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Penalties: emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01},
+		Kinds: []emu.Kind{{Name: "partner", MaxBatch: 1, Limit: emu.NoLimit, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, CancelsQueued: true}}}
 	if set.Act {
 		d.Sites = p
 	}
 	if set.Stays {
-		d.Tallied = at + 4*time.Second
+		d.TallyFrom = at + 4*time.Second
 		gone = length + d.Tail
 	}
 	if err := traffic(d, p, orElse(set.Load, 1)); err != nil {
@@ -121,10 +121,10 @@
 	zone := zoneName(lost)
 	goes := func(at, long time.Duration, relays []int, zone string) {
 		if relays != nil {
-			d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.RelayCrash, At: at, Len: long, Relays: relays})
+			d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayCrash, At: at, Duration: long, Relays: relays})
 		}
 		if zone != "" {
-			d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.Crash, At: at, Len: long, Zone: zone})
+			d.Faults = append(d.Faults, emu.Fault{Kind: emu.Crash, At: at, Duration: long, Zone: zone})
 		}
 	}
 	switch set.Case {
@@ -133,7 +133,7 @@
 	case Endpoints:
 		goes(at, gone, nil, zone)
 	case Cut:
-		d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.SiteCut, At: at, Len: gone, Zone: zone})
+		d.Faults = append(d.Faults, emu.Fault{Kind: emu.SitePartition, At: at, Duration: gone, Zone: zone})
 	case Half: // those of every second other relay, by a cut of their own ways to all endpoints but for their zone: they go by what others see
 		goes(at, gone, of, zone)
 		var deaf []int
@@ -142,7 +142,7 @@
 				deaf = append(deaf, n)
 			}
 		}
-		d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.Deaf, At: at - 2*time.Second, Len: gone + 4*time.Second, Relays: deaf})
+		d.Faults = append(d.Faults, emu.Fault{Kind: emu.GossipReceiveLoss, At: at - 2*time.Second, Duration: gone + 4*time.Second, Relays: deaf})
 	default:
 		goes(at, gone, of, zone)
 	}
@@ -165,11 +165,11 @@
 				all = append(all, n)
 			}
 		}
-		d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.RelayStall, At: at + 4*time.Second, Len: 5 * time.Second, Relays: all})
+		d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayStall, At: at + 4*time.Second, Duration: 5 * time.Second, Relays: all})
 	case Stale:
-		d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.NewsOutage, At: at - time.Second, Len: gone + 5*time.Second})
+		d.Faults = append(d.Faults, emu.Fault{Kind: emu.DiscoveryOutage, At: at - time.Second, Duration: gone + 5*time.Second})
 	case Burst:
-		d.Troubles = append(d.Troubles, emu.Trouble{Kind: emu.Burst, At: at + gone - 3*time.Second, Len: 7 * time.Second, Size: 1.8})
+		d.Faults = append(d.Faults, emu.Fault{Kind: emu.Burst, At: at + gone - 3*time.Second, Duration: 7 * time.Second, Intensity: 1.8})
 	}
 	return d, d.Check()
 }
@@ -217,7 +217,7 @@
 }
 
 // traffic sets classes, destinations and what comes in. The laboratory's destinations are numbered from nought, in the plan's order.
-func traffic(d *emu.Day, p *sites.Plan, load float64) error {
+func traffic(d *emu.Scenario, p *sites.Plan, load float64) error {
 	classes := map[string]int{}
 	class := func(name string) int {
 		if n, ok := classes[name]; ok {
@@ -243,7 +243,7 @@
 				need := takes * work.Seconds() / float64(n)
 				workers := int(math.Ceil(need))
 				for range n {
-					one.Endpoints = append(one.Endpoints, emu.Endpoint{Workers: workers, Speed: need / float64(workers), Queue: max(2, int(takes/float64(n)/4)), Zone: s.Zone})
+					one.Endpoints = append(one.Endpoints, emu.Endpoint{Workers: workers, Speed: need / float64(workers), QueueSize: max(2, int(takes/float64(n)/4)), Zone: s.Zone})
 				}
 			}
 			var names []string
@@ -253,7 +253,7 @@
 			slices.Sort(names)
 			for _, c := range names {
 				if rate := dest.Demand[s.Zone][c]; rate > 0 {
-					one.Mix = append(one.Mix, emu.Mix{Class: class(c), Zone: z, Share: rate})
+					one.Mix = append(one.Mix, emu.TrafficShare{Class: class(c), Zone: z, Share: rate})
 					one.Share += rate
 				}
 			}
@@ -269,7 +269,7 @@
 	}
 	d.Rate = all * load
 	busy := d.Rate * (work + d.RTT).Seconds() / float64(d.Relays)
-	d.Slots, d.Hold = max(6, int(math.Ceil(2*slotsRoom*busy))), max(40, int(holdFor*d.Rate/float64(d.Relays)))
+	d.MaxConcurrentCalls, d.MaxPending = max(6, int(math.Ceil(2*slotsRoom*busy))), max(40, int(holdFor*d.Rate/float64(d.Relays)))
 	return nil
 }
 
@@ -299,8 +299,8 @@
 		gone = d.Length
 	}
 	down := func(zone string, now time.Duration) bool { // endpoints of the zone are gone then
-		for _, t := range d.Troubles {
-			if t.Kind == emu.Crash && t.Zone == zone && now >= t.At && now < t.At+t.Len {
+		for _, t := range d.Faults {
+			if t.Kind == emu.Crash && t.Zone == zone && now >= t.At && now < t.At+t.Duration {
 				return true
 			}
 		}
@@ -308,7 +308,7 @@
 	}
 	out := &Outcome{Shares: map[string]float64{}, Returned: -1}
 	recent, last := map[string][]time.Duration{}, uint64(0)
-	res, err := emu.Play(d, emu.Options{Log: func(e rules.Event) {
+	res, err := emu.Run(d, emu.Options{Log: func(e rules.Event) {
 		if e.Kind != rules.Sent || e.Call == 0 || e.Call == last {
 			return
 		}
--- a/internal/lab/rehearse/rehearse_test.go
+++ b/internal/lab/rehearse/rehearse_test.go
@@ -46,7 +46,7 @@
 				// Where hundreds of relays share what so few clients hand in, a partner that is in the lost site alone is pushed over with the plan and without: open, see the design note.
 				// A message whose time was up within 0.3 s of the end of a relay's pause is ended by its first step then, up to a step too late: no relay could have done better.
 				late := c == Paused && len(is.Res.Breaks) == is.Res.Broken[rules.Answer]
-				if !is.Res.Good() && !late || is.Res.Fallen > was.Res.Fallen || each == 1 && is.Res.Fallen > 0 || is.Res.Doubles > 0 {
+				if !is.Res.Passed() && !late || is.Res.Fallen > was.Res.Fallen || each == 1 && is.Res.Fallen > 0 || is.Res.Doubles > 0 {
 					t.Errorf("%v %v, %d pushed over", is.Res.Breaks, is.Res.Faults, is.Res.Fallen)
 				}
 				if n := is.Res.Delivered + is.Res.GivenUp + is.Res.HandedBack + is.Res.Lost; n != is.Res.Requests || is.Res.Lost > was.Res.Lost {
@@ -103,7 +103,7 @@
 			t.Run(fmt.Sprintf("%s, %d", lost, seed), func(t *testing.T) {
 				t.Parallel()
 				all, out, err := Against(Set{Plan: p, Lost: lost, Relays: 4, Seed: seed, Act: true})
-				if err != nil || len(all) != 3 || !out.Res.Good() {
+				if err != nil || len(all) != 3 || !out.Res.Passed() {
 					t.Fatalf("%v, %v", err, all)
 				}
 				for _, a := range all { // the aim is 0.05; alerts miss it where the bound of each relay's part tells (docs/design/sites.md)
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -14,17 +14,17 @@
 
 // The rules.
 const (
-	Answer   Name = "answer"    // one final answer, in time, and no attempt after it
-	Repeat   Name = "repeat"    // no repeat and no refusal that the class forbids; one live attempt
-	Drain    Name = "drain"     // nothing new to an endpoint that is told to be going
-	FailBack Name = "fail-back" // no returning destination pushed over by those who saw it fail
-	Wait     Name = "wait"      // told waits are heeded
-	Place    Name = "place"     // only endpoints of the message's destination, only as many calls and attempts as allowed
-	Share    Name = "share"     // calls to one destination keep within three quarters of the slots
+	Answer           Name = "answer"    // one final answer, in time, and no attempt after it
+	Repeat           Name = "repeat"    // no repeat and no refusal that the class forbids; one live attempt
+	Drain            Name = "drain"     // nothing new to an endpoint that is told to be going
+	RecoveryOverload Name = "fail-back" // no returning destination pushed over by those who saw it fail
+	RetryAfter       Name = "wait"      // told waits are heeded
+	Bounds           Name = "place"     // only endpoints of the message's destination, only as many calls and attempts as allowed
+	ConcurrencyShare Name = "share"     // calls to one destination keep within three quarters of the slots
 )
 
 // Names are all of them.
-var Names = []Name{Answer, Repeat, Drain, FailBack, Wait, Place, Share}
+var Names = []Name{Answer, Repeat, Drain, RecoveryOverload, RetryAfter, Bounds, ConcurrencyShare}
 
 // Effect says what a repeat does.
 type Effect int
@@ -38,14 +38,14 @@
 
 // Config holds the figures of the rules.
 type Config struct {
-	AnswerSlack  time.Duration
-	DrainGrace   time.Duration
-	FallMultiple float64
-	FallFor      time.Duration
-	Slots        int
-	MaxAttempts  int
-	WaitGrace    time.Duration // from when a wait was told: what was under way passes
-	Slack        time.Duration // of each limit in time, where clocks and networks are real
+	AnswerSlack        time.Duration
+	DrainGrace         time.Duration
+	OverloadFactor     float64
+	OverloadTime       time.Duration
+	MaxConcurrentCalls int
+	MaxAttempts        int
+	RetryAfterGrace    time.Duration // from when a wait was told: what was under way passes
+	ClockSlack         time.Duration // of each limit in time, where clocks and networks are real
 }
 
 // Kind is the kind of an event.
@@ -53,44 +53,44 @@
 
 // The kinds of event, and the fields that they have beside At.
 const (
-	Taken    Kind = iota // Relay, Msg, Dest, Effect, Window, Until: a relay has taken a message on
-	Sent                 // Relay, Msg, Attempt, Call (0: it can't go out), Dest (of the endpoint), Endpoint, Route
-	Ended                // Relay, Msg, Attempt, Dest, Route, Proved, OK, Wait: how an attempt ended, as its relay learned it
-	Refused              // Relay, Msg: final answer
-	Failed               // Relay, Msg: final answer
-	Dropped              // Relay, Msg: nothing more is owed, by no doing of the relay
-	Died                 // Relay: the process is gone with all that it held
-	Leaving              // Relay, Endpoint: the relay was told that it drains or is gone
-	Back                 // Dest: an outage is over, and the destination cold
-	Warm                 // Dest: it has all of its capacity again
-	Learned              // Relay, Dest: the relay saw a call fail or be refused there while an outage lasted
-	Reached              // Relay, Dest, Weight, Capacity: work reached a cold destination, whose capacity is so many a second now
-	Finished             // the log's end
+	Accepted        Kind = iota // Relay, Msg, Dest, Effect, Window, Until: a relay has taken a message on
+	Sent                        // Relay, Msg, Attempt, Call (0: it can't go out), Dest (of the endpoint), Endpoint, Route
+	AttemptEnded                // Relay, Msg, Attempt, Dest, Route, Proved, OK, Wait: how an attempt ended, as its relay learned it
+	Returned                    // Relay, Msg: final answer
+	Failed                      // Relay, Msg: final answer
+	Withdrawn                   // Relay, Msg: nothing more is owed, by no doing of the relay
+	RelayDied                   // Relay: the process is gone with all that it held
+	EndpointLeaving             // Relay, Endpoint: the relay was told that it drains or is gone
+	DestRecovered               // Dest: an outage is over, and the destination cold
+	DestWarm                    // Dest: it has all of its capacity again
+	FailureSeen                 // Relay, Dest: the relay saw a call fail or be refused there while an outage lasted
+	WorkArrived                 // Relay, Dest, Weight, Capacity: work reached a cold destination, whose capacity is so many a second now
+	LogEnded                    // the log's end
 )
 
 // Event is one line of the log. IDs of messages, calls and endpoints are never used twice.
 type Event struct {
-	At       time.Duration
-	Kind     Kind
-	Relay    int
-	Msg      uint32
-	Attempt  int
-	Call     uint64
-	Dest     int
-	Endpoint int
-	Route    int // of a separate route that told waits are about; 0: they are about the destination
-	Effect   Effect
-	Window   time.Duration
-	Until    time.Duration
-	Wait     time.Duration
-	Proved   bool // the attempt never ran
-	OK       bool // it was delivered: the message is over
-	Weight   float64
-	Capacity float64
+	At           time.Duration
+	Kind         Kind
+	Relay        int
+	Msg          uint32
+	Attempt      int
+	Call         uint64
+	Dest         int
+	Endpoint     int
+	Route        int // of a separate route that told waits are about; 0: they are about the destination
+	Effect       Effect
+	RepeatWindow time.Duration
+	Deadline     time.Duration
+	RetryAfter   time.Duration
+	NotRun       bool // the attempt never ran
+	Delivered    bool // it was delivered: the message is over
+	Weight       float64
+	Capacity     float64
 }
 
-// Break is a broken rule.
-type Break struct {
+// Violation is a broken rule.
+type Violation struct {
 	Rule  Name
 	At    time.Duration
 	Relay int
@@ -98,20 +98,20 @@
 	Why   string
 }
 
-func (b Break) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", b.At, b.Rule, b.Relay, b.Msg, b.Why)
 }
 
 // Checker reads a log. It is not safe for concurrent use.
 type Checker struct {
-	set    Config
-	Breaks []Break
-	Counts map[Name]int
-	msgs   map[uint32]*message
-	calls  map[uint64]*call
-	relays map[int]*relay
-	dests  map[int]*dest
-	last   time.Duration
+	set        Config
+	Violations []Violation
+	Counts     map[Name]int
+	msgs       map[uint32]*message
+	calls      map[uint64]*call
+	relays     map[int]*relay
+	dests      map[int]*dest
+	last       time.Duration
 }
 
 type message struct {
@@ -164,13 +164,13 @@
 
 func (c *Checker) breaks(r Name, e Event, format string, args ...any) {
 	c.Counts[r]++
-	if len(c.Breaks) < most {
-		c.Breaks = append(c.Breaks, Break{r, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
+	if len(c.Violations) < most {
+		c.Violations = append(c.Violations, Violation{r, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Open tells how many messages have had no end yet.
-func (c *Checker) Open() (n int) {
+// PendingCount tells how many messages have had no end yet.
+func (c *Checker) PendingCount() (n int) {
 	for _, m := range c.msgs {
 		if !m.over {
 			n++
@@ -197,40 +197,40 @@
 	return d
 }
 
-// Event takes the next line in. Lines come in order of time.
-func (c *Checker) Event(e Event) {
+// Check takes the next line in. Lines come in order of time.
+func (c *Checker) Check(e Event) {
 	if e.At < c.last {
 		c.breaks(Answer, e, "the log goes back in time, from %v", c.last)
 	}
 	c.last = max(c.last, e.At)
 	switch e.Kind {
-	case Taken:
+	case Accepted:
 		if c.msgs[e.Msg] != nil {
 			c.breaks(Answer, e, "taken on twice")
 			return
 		}
-		c.msgs[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, window: e.Window, until: e.Until, sentAt: map[int]time.Duration{}}
+		c.msgs[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, window: e.RepeatWindow, until: e.Deadline, sentAt: map[int]time.Duration{}}
 	case Sent:
 		c.sent(e)
-	case Ended:
+	case AttemptEnded:
 		c.ended(e)
-	case Refused, Failed, Dropped:
+	case Returned, Failed, Withdrawn:
 		c.final(e)
-	case Died:
+	case RelayDied:
 		c.died(e)
-	case Leaving:
+	case EndpointLeaving:
 		if r := c.relay(e.Relay); r.leaving[e.Endpoint] == 0 {
 			r.leaving[e.Endpoint] = e.At + 1 // an endpoint told of at nought has been told of too
 		}
-	case Back:
+	case DestRecovered:
 		c.dest(e.Dest).cold = true
-	case Learned:
+	case FailureSeen:
 		c.dest(e.Dest).learned[e.Relay] = true
-	case Warm:
+	case DestWarm:
 		*c.dest(e.Dest) = dest{learned: map[int]bool{}}
-	case Reached:
+	case WorkArrived:
 		c.reached(e)
-	case Finished:
+	case LogEnded:
 		for id, m := range c.msgs {
 			if !m.over {
 				e.Msg, e.Relay = id, m.relay
@@ -252,17 +252,17 @@
 		c.breaks(Repeat, e, "two live attempts")
 	case m.risk && m.effect == Unsafe:
 		c.breaks(Repeat, e, "sent again, and may have run")
-	case m.risk && m.effect == Keyed && e.At > m.riskAt+m.window+c.set.Slack:
+	case m.risk && m.effect == Keyed && e.At > m.riskAt+m.window+c.set.ClockSlack:
 		c.breaks(Repeat, e, "sent again %v after it may have run, window %v", e.At-m.riskAt, m.window)
 	}
 	if e.Dest != m.dest {
-		c.breaks(Place, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
+		c.breaks(Bounds, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
 	}
 	if m.sent++; m.sent > c.set.MaxAttempts {
-		c.breaks(Place, e, "attempt %d of %d", m.sent, c.set.MaxAttempts)
+		c.breaks(Bounds, e, "attempt %d of %d", m.sent, c.set.MaxAttempts)
 	}
-	if w, ok := r.waits[e.place()]; ok && e.At < w.until-c.set.Slack && e.At >= w.told+c.set.WaitGrace {
-		c.breaks(Wait, e, "sent %v before the end of a told wait", w.until-e.At)
+	if w, ok := r.waits[e.place()]; ok && e.At < w.until-c.set.ClockSlack && e.At >= w.told+c.set.RetryAfterGrace {
+		c.breaks(RetryAfter, e, "sent %v before the end of a told wait", w.until-e.At)
 	}
 	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.set.DrainGrace {
 		c.breaks(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
@@ -277,11 +277,11 @@
 		out = &call{relay: e.Relay, dest: e.Dest}
 		c.calls[e.Call] = out
 		r.calls++
-		if r.out[e.Dest]++; r.calls > c.set.Slots {
-			c.breaks(Place, e, "%d calls out, %d slots", r.calls, c.set.Slots)
+		if r.out[e.Dest]++; r.calls > c.set.MaxConcurrentCalls {
+			c.breaks(Bounds, e, "%d calls out, %d slots", r.calls, c.set.MaxConcurrentCalls)
 		}
-		if most := max(1, c.set.Slots*3/4); r.out[e.Dest] > most {
-			c.breaks(Share, e, "%d calls out to destination %d, three quarters of the slots are %d", r.out[e.Dest], e.Dest, most)
+		if most := max(1, c.set.MaxConcurrentCalls*3/4); r.out[e.Dest] > most {
+			c.breaks(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.out[e.Dest], e.Dest, most)
 		}
 	}
 	out.left++
@@ -308,18 +308,18 @@
 			r.out[k.dest]--
 		}
 	}
-	if e.Wait > 0 {
+	if e.RetryAfter > 0 {
 		w, ok := r.waits[e.place()]
 		if !ok || e.At >= w.until { // a wait told while one runs makes it longer, and excuses nothing
 			w.told = e.At
 		}
-		w.until = max(w.until, e.At+e.Wait)
+		w.until = max(w.until, e.At+e.RetryAfter)
 		r.waits[e.place()] = w
 	}
-	if !e.Proved && (!m.risk || at < m.riskAt) {
+	if !e.NotRun && (!m.risk || at < m.riskAt) {
 		m.risk, m.riskAt = true, at
 	}
-	if e.OK {
+	if e.Delivered {
 		m.over = true
 	}
 	c.forget(e.Msg, m)
@@ -329,14 +329,14 @@
 	m := c.msgs[e.Msg]
 	switch {
 	case m == nil || m.over:
-		if e.Kind != Dropped {
+		if e.Kind != Withdrawn {
 			c.breaks(Answer, e, "a final answer to what is over or not held")
 		}
 		return
-	case e.Kind == Dropped:
-	case e.At > m.until+c.set.AnswerSlack+c.set.Slack:
+	case e.Kind == Withdrawn:
+	case e.At > m.until+c.set.AnswerSlack+c.set.ClockSlack:
 		c.breaks(Answer, e, "ended %v too late", e.At-m.until)
-	case e.Kind == Refused && m.effect == Unsafe && (m.risk || m.live > 0):
+	case e.Kind == Returned && m.effect == Unsafe && (m.risk || m.live > 0):
 		c.breaks(Repeat, e, "handed back, and may have run")
 	}
 	m.over = true
@@ -376,7 +376,7 @@
 		return
 	}
 	keep := 0
-	for keep < len(d.loads) && d.loads[keep].at <= e.At-c.set.FallFor {
+	for keep < len(d.loads) && d.loads[keep].at <= e.At-c.set.OverloadTime {
 		keep++
 	}
 	d.loads = append(d.loads[keep:], load{e.At, e.Weight, d.learned[e.Relay]})
@@ -386,9 +386,9 @@
 			learned += l.weight
 		}
 	}
-	if all > c.set.FallMultiple*e.Capacity*c.set.FallFor.Seconds()+fallSlack {
+	if all > c.set.OverloadFactor*e.Capacity*c.set.OverloadTime.Seconds()+fallSlack {
 		if learned >= all*2/3 {
-			c.breaks(FailBack, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.set.FallFor, e.Capacity, learned)
+			c.breaks(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.set.OverloadTime, e.Capacity, learned)
 		}
 		d.loads = d.loads[:0] // one fall, one break
 	}
--- a/internal/lab/site/draw.go
+++ b/internal/lab/site/draw.go
@@ -54,11 +54,11 @@
 	return v
 }
 
-// Prices are what the operators take off the result.
-var Prices = emu.Prices{Waste: 0.042, Handshake: 0.04, LateFail: 0.02, Refused: 0.05, Note: 0.01}
+// Penalties are what the operators take off the result.
+var Penalties = emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01}
 
-// Draw draws a day of the site.
-func (s *Site) Draw(seed uint64) (*emu.Day, error) {
+// DrawScenario draws a day of the site.
+func (s *Site) DrawScenario(seed uint64) (*emu.Scenario, error) {
 	d := drawer{seed}
 	net, cl, disc, rules := s.Network, s.Clients, s.Discovery, s.Rules
 	if net == nil {
@@ -73,28 +73,28 @@
 	if rules == nil {
 		rules = &Rules{}
 	}
-	day := &emu.Day{
+	day := &emu.Scenario{
 		Name: s.Name, Seed: seed, Length: secs(d.draw("length_s", s.LengthS, 50)), Tail: secs(d.draw("tail_s", s.TailS, 30)), Tick: ms(d.draw("tick_ms", s.TickMs, 5)),
 		Relays: int(d.draw("relays", s.Relays, 2) + 0.5), MaxAttempts: int(or(float64(s.MaxAttempts), 6)),
-		Clumps: d.draw("clumps", s.Clumps, 0), ClumpFor: secs(d.draw("clump_for_s", s.ClumpForS, 2)),
-		RTT: ms(d.draw("network.rtt_ms", net.RttMs, 30)), Client: ms(d.draw("network.client_ms", net.ClientMs, 1)), Jitter: d.draw("network.jitter", net.Jitter, 0.2),
-		Handshake: d.draw("network.handshake_rtts", net.HandshakeRtts, 2), Idle: secs(d.draw("network.idle_s", net.IdleS, 15)), Connect: secs(d.draw("network.connect_s", net.ConnectS, 1.5)),
-		Retries: int(d.draw("clients.retries", cl.Retries, 2)), Backoff: secs(d.draw("clients.backoff_s", cl.BackoffS, 0.5)), Honour: d.draw("clients.honour", cl.Honour, 0.7),
-		MaxAdvice: secs(d.draw("clients.max_advice_s", cl.MaxAdviceS, 3)), Again: secs(d.draw("clients.again_s", cl.AgainS, 1)), FrontNotice: secs(d.draw("clients.front_notice_s", cl.FrontNoticeS, 3)),
-		Notice: secs(d.draw("discovery.notice_s", disc.NoticeS, 2)), Spread: secs(d.draw("discovery.spread_s", disc.SpreadS, 0.3)),
-		AnswerSlack: ms(or(rules.AnswerSlackMs, 20)), DrainGrace: secs(or(rules.DrainGraceS, 1)), FallMultiple: or(rules.FallMultiple, 2), FallFor: secs(or(rules.FallS, 3)),
-		Members: s.Members, Notes: s.Notes, NoteLoss: d.draw("note_loss", s.NoteLoss, 0), ColdFrom: or(rules.ColdFrom, 0.2), Cold: secs(or(rules.ColdS, 11)), Prices: Prices,
+		ClumpShare: d.draw("clumps", s.Clumps, 0), ClumpDuration: secs(d.draw("clump_for_s", s.ClumpForS, 2)),
+		RTT: ms(d.draw("network.rtt_ms", net.RttMs, 30)), ClientDelay: ms(d.draw("network.client_ms", net.ClientMs, 1)), Jitter: d.draw("network.jitter", net.Jitter, 0.2),
+		HandshakeRTTs: d.draw("network.handshake_rtts", net.HandshakeRtts, 2), IdleTimeout: secs(d.draw("network.idle_s", net.IdleS, 15)), ConnectTimeout: secs(d.draw("network.connect_s", net.ConnectS, 1.5)),
+		ClientRetries: int(d.draw("clients.retries", cl.Retries, 2)), ClientBackoff: secs(d.draw("clients.backoff_s", cl.BackoffS, 0.5)), RetryAfterCompliance: d.draw("clients.honour", cl.Honour, 0.7),
+		MaxRetryAfter: secs(d.draw("clients.max_advice_s", cl.MaxAdviceS, 3)), ResubmitDelay: secs(d.draw("clients.again_s", cl.AgainS, 1)), BalancerDetectionDelay: secs(d.draw("clients.front_notice_s", cl.FrontNoticeS, 3)),
+		DiscoveryDelay: secs(d.draw("discovery.notice_s", disc.NoticeS, 2)), DiscoverySpread: secs(d.draw("discovery.spread_s", disc.SpreadS, 0.3)),
+		AnswerSlack: ms(or(rules.AnswerSlackMs, 20)), DrainGrace: secs(or(rules.DrainGraceS, 1)), OverloadFactor: or(rules.FallMultiple, 2), OverloadTime: secs(or(rules.FallS, 3)),
+		Membership: s.Members, Gossip: s.Notes, GossipLoss: d.draw("note_loss", s.NoteLoss, 0), ColdStartShare: or(rules.ColdFrom, 0.2), WarmUpTime: secs(or(rules.ColdS, 11)), Penalties: Penalties,
 	}
 	var err error
 	if day.Choices, err = choice.Parse(s.Choices); err != nil {
 		return nil, fmt.Errorf("choices: %w", err)
 	}
-	day.Busy = s.Busy
+	day.HotRelayFactor = s.Busy
 	mean, share := 0.0, 0.0
 	for i, c := range s.Class {
 		one := emu.Class{Class: policy.Class{Name: c.Name, Effect: policy.Effect(c.Effect), RepeatWindow: secs(c.WindowS), TargetLatency: secs(c.AimS), Deadline: secs(c.DeadlineS), Value: c.Worth, LateValue: c.LateWorth},
 			Share: d.draw("class.share", c.Share, 1, i), Work: ms(d.draw("class.work_ms", c.WorkMs, 150, i)), CV: d.draw("class.cv", c.Cv, 0.8, i),
-			Noise: d.draw("class.noise", c.Noise, 0.2, i), Exp: c.Exponential}
+			Noise: d.draw("class.noise", c.Noise, 0.2, i), Exponential: c.Exponential}
 		day.Classes = append(day.Classes, one)
 		mean += one.Share * one.Work.Seconds()
 		share += one.Share
@@ -104,10 +104,10 @@
 	}
 	mean /= max(share, 1e-9)
 	for i, k := range s.Kind {
-		day.Kinds = append(day.Kinds, emu.Kind{Name: k.Name, Batch: max(1, int(k.Batch)), ItemCost: d.draw("kind.item_cost", k.ItemCost, 0.1, i), Limit: emu.Limit(k.Limit),
-			Window: secs(d.draw("kind.window_s", k.WindowS, 1, i)), RefusedCount: d.rng("kind.refused", i).Float64() < d.draw("kind.refused_count", k.RefusedCount, 0, i),
-			TellsWait: d.draw("kind.tells_wait", k.TellsWait, 0.5, i), Wait: ms(d.draw("kind.wait_ms", k.WaitMs, 500, i)),
-			ColdFrom: d.draw("kind.cold_from", k.ColdFrom, 0.25, i), Cold: secs(d.draw("kind.cold_s", k.ColdS, 9, i)), ErrorRate: d.draw("kind.error_rate", k.ErrorRate, 0, i),
+		day.Kinds = append(day.Kinds, emu.Kind{Name: k.Name, MaxBatch: max(1, int(k.Batch)), ItemCost: d.draw("kind.item_cost", k.ItemCost, 0.1, i), Limit: emu.LimitKind(k.Limit),
+			Window: secs(d.draw("kind.window_s", k.WindowS, 1, i)), CountsRejected: d.rng("kind.refused", i).Float64() < d.draw("kind.refused_count", k.RefusedCount, 0, i),
+			RetryAfterShare: d.draw("kind.tells_wait", k.TellsWait, 0.5, i), RetryAfter: ms(d.draw("kind.wait_ms", k.WaitMs, 500, i)),
+			ColdStartShare: d.draw("kind.cold_from", k.ColdFrom, 0.25, i), WarmUpTime: secs(d.draw("kind.cold_s", k.ColdS, 9, i)), ErrorRate: d.draw("kind.error_rate", k.ErrorRate, 0, i),
 			CancelsQueued: d.rng("kind.cancels", i).Float64() < d.draw("kind.cancels_queued", k.CancelsQueued, 0, i)})
 	}
 	n := max(1, int(d.draw("destinations", s.Destinations, 22)+0.5))
@@ -147,23 +147,23 @@
 			if e < workers%eps {
 				have++
 			}
-			one := emu.Endpoint{Workers: have, Speed: speed, Queue: max(1, int(d.draw("kind.depth_s", k.DepthS, 0.7, at)*can/float64(eps)))}
+			one := emu.Endpoint{Workers: have, Speed: speed, QueueSize: max(1, int(d.draw("kind.depth_s", k.DepthS, 0.7, at)*can/float64(eps)))}
 			if k.Conns != nil {
-				one.Conns = max(int(k.LeastConns), int(d.draw("kind.conns", k.Conns, 3, at)*float64(have)))
+				one.MaxConns = max(int(k.LeastConns), int(d.draw("kind.conns", k.Conns, 3, at)*float64(have)))
 			}
 			dst.Endpoints = append(dst.Endpoints, one)
 		}
 		busy += calls / float64(max(1, k.Batch)) * (mean/speed + day.RTT.Seconds())
 		day.Dests = append(day.Dests, dst)
 	}
-	day.Slots = max(int(or(float64(s.LeastSlots), 2)), int(d.draw("slots_room", s.SlotsRoom, 2)*busy/float64(day.Relays)))
-	day.Hold = max(int(or(float64(s.LeastHold), 12)), int(d.draw("hold_s", s.HoldS, 8)*full/float64(day.Relays)))
+	day.MaxConcurrentCalls = max(int(or(float64(s.LeastSlots), 2)), int(d.draw("slots_room", s.SlotsRoom, 2)*busy/float64(day.Relays)))
+	day.MaxPending = max(int(or(float64(s.LeastHold), 12)), int(d.draw("hold_s", s.HoldS, 8)*full/float64(day.Relays)))
 	day.Rate = d.draw("load", s.Load, 0.8) * full
 	if swing := d.draw("swing", s.Swing, 0); swing > 0 {
 		phase := 2 * math.Pi * d.rng("phase").Float64()
 		for i := range 49 {
 			x := float64(i) / 48
-			day.Shape = append(day.Shape, emu.Point{At: time.Duration(x * float64(day.Length)), Multiple: 1 + swing*math.Sin(phase+2*math.Pi*x*1.5)})
+			day.Shape = append(day.Shape, emu.LoadPoint{At: time.Duration(x * float64(day.Length)), Multiple: 1 + swing*math.Sin(phase+2*math.Pi*x*1.5)})
 		}
 	}
 	return day, nil
@@ -183,12 +183,12 @@
 	return len(kinds) - 1
 }
 
-// Add draws troubles into a day.
-func Add(day *emu.Day, list []*Trouble, seed uint64) error {
+// AddFaults draws troubles into a day.
+func AddFaults(day *emu.Scenario, list []*Trouble, seed uint64) error {
 	d := drawer{seed}
 	for i, t := range list {
 		at := func(key string) string { return "trouble." + key }
-		one := emu.Trouble{Kind: emu.TroubleKind(t.Kind), Len: secs(d.draw(at("len_s"), t.LenS, 10, i)), Size: d.draw(at("size"), t.Size, 1, i), Every: secs(d.draw(at("every_s"), t.EveryS, 2, i))}
+		one := emu.Fault{Kind: emu.FaultKind(t.Kind), Duration: secs(d.draw(at("len_s"), t.LenS, 10, i)), Intensity: d.draw(at("size"), t.Size, 1, i), Period: secs(d.draw(at("every_s"), t.EveryS, 2, i))}
 		if one.At = secs(d.draw(at("at_s"), t.AtS, 0, i)); t.AtS == nil {
 			one.At = secs(day.Length.Seconds() * (0.1 + 0.6*d.rng(at("at_s"), i).Float64()))
 		}
@@ -206,7 +206,7 @@
 		}
 		if t.Zone > 0 {
 			one.Zone = fmt.Sprintf("zone-%d", t.Zone)
-			if int(t.Zone) > day.Zones || !one.OfRelays() && !slices.ContainsFunc(day.Dests, func(x emu.Dest) bool { return x.Zone == one.Zone }) {
+			if int(t.Zone) > day.Zones || !one.AffectsRelays() && !slices.ContainsFunc(day.Dests, func(x emu.Dest) bool { return x.Zone == one.Zone }) {
 				return fmt.Errorf("trouble[%d].zone: there is no zone %d", i, t.Zone)
 			}
 		}
@@ -242,20 +242,20 @@
 				turn := one
 				turn.At += secs(each * float64(n))
 				turn.Relays = []int{int(r)}
-				day.Troubles = append(day.Troubles, turn)
+				day.Faults = append(day.Faults, turn)
 			}
 			continue
 		}
 		for _, r := range relays {
 			one.Relays = append(one.Relays, int(r))
 		}
-		day.Troubles = append(day.Troubles, one)
+		day.Faults = append(day.Faults, one)
 	}
 	return nil
 }
 
-// Day draws the day of a script. base is the site where the script names none.
-func (s *Script) Day(base *Site, seed uint64) (*emu.Day, error) {
+// DrawScenario draws the day of a script. base is the site where the script names none.
+func (s *Script) DrawScenario(base *Site, seed uint64) (*emu.Scenario, error) {
 	if s.Site != "" {
 		var err error
 		if base, err = ReadSite(s.Site); err != nil {
@@ -271,10 +271,10 @@
 			*o.at = o.own
 		}
 	}
-	day, err := c.Draw(seed)
+	day, err := c.DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
 	day.Name = s.Name
-	return day, Add(day, s.Trouble, seed)
+	return day, AddFaults(day, s.Trouble, seed)
 }
--- a/internal/lab/site/load.go
+++ b/internal/lab/site/load.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Ext is the ending of the laboratory's files.
-const Ext = ".textproto"
+// FileExt is the ending of the laboratory's files.
+const FileExt = ".textproto"
 
 func read(file string, into proto.Message) error {
 	raw, err := os.ReadFile(file)
@@ -81,7 +81,7 @@
 		}
 	}
 	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), Ext)
+		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
 	return s, nil
 }
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), Ext)
+		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
 	if s.Site != "" {
 		s.Site = filepath.Join(filepath.Dir(file), s.Site)
@@ -109,7 +109,7 @@
 	}
 	dir := filepath.Dir(file)
 	if e.Name == "" {
-		e.Name = strings.TrimSuffix(filepath.Base(file), Ext)
+		e.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
 	if e.Site == "" {
 		return nil, fmt.Errorf("%s: site: not given", file)
--- a/internal/lab/site/simday.go
+++ b/internal/lab/site/simday.go
@@ -11,9 +11,9 @@
 	"oatfold/policy"
 )
 
-// ReadSimDay reads a day as the operators' simulator prints it, so that both can be held against each other on the same world.
+// ReadSimulatorScenario reads a day as the operators' simulator prints it, so that both can be held against each other on the same world.
 // What the emulator has no model of (probes, tenants, reports, notes between relays) is passed over.
-func ReadSimDay(raw []byte) (*emu.Day, error) {
+func ReadSimulatorScenario(raw []byte) (*emu.Scenario, error) {
 	if !gjson.ValidBytes(raw) {
 		return nil, fmt.Errorf("not a JSON object")
 	}
@@ -26,37 +26,37 @@
 	}
 	num := func(path string) float64 { return doc.Get(path).Float() }
 	seed := uint64(num("noise"))
-	d := &emu.Day{
+	d := &emu.Scenario{
 		Name: doc.Get("site").Str + "/" + doc.Get("kind").Str, Seed: seed, Length: us("length"), Tail: us("tail") + 5*time.Second, Tick: us("tick"),
-		Relays: int(num("balancers.#")), Slots: int(num("fam.slots")), Hold: int(num("allow.max_open")), MaxAttempts: int(num("allow.max_attempts")),
-		Rate: num("traffic.load") * num("fam.capacity"), Clumps: num("fam.clumps"), ClumpFor: secs(num("fam.clump_s")),
-		RTT: us("net.same"), Client: us("net.client"), Jitter: min(1, num("net.jitter")), Handshake: num("tiers.0.handshake_rtts"), Idle: us("tiers.0.conn_idle"),
-		Connect: us("tiers.0.connect_timeout"), AnswerSlack: 20 * time.Millisecond, Retries: int(num("clients.retries")), Backoff: us("clients.backoff_us"),
-		Honour: num("clients.honour"), MaxAdvice: us("clients.max_retry_after"), Again: us("fam.again"), FrontNotice: us("front_notice"),
-		Notice: us("discovery.notice"), Spread: us("discovery.spread"), Cold: us("tiers.0.stated_cold"), ColdFrom: num("tiers.0.stated_cold_from"),
-		FallMultiple: num("fall_multiple"), FallFor: us("fall_for"), DrainGrace: us("drain_grace"),
-		Prices: emu.Prices{Waste: num("prices.waste"), Handshake: num("prices.handshake"), LateFail: num("prices.late_fail"), Refused: num("fam.refused_price")},
+		Relays: int(num("balancers.#")), MaxConcurrentCalls: int(num("fam.slots")), MaxPending: int(num("allow.max_open")), MaxAttempts: int(num("allow.max_attempts")),
+		Rate: num("traffic.load") * num("fam.capacity"), ClumpShare: num("fam.clumps"), ClumpDuration: secs(num("fam.clump_s")),
+		RTT: us("net.same"), ClientDelay: us("net.client"), Jitter: min(1, num("net.jitter")), HandshakeRTTs: num("tiers.0.handshake_rtts"), IdleTimeout: us("tiers.0.conn_idle"),
+		ConnectTimeout: us("tiers.0.connect_timeout"), AnswerSlack: 20 * time.Millisecond, ClientRetries: int(num("clients.retries")), ClientBackoff: us("clients.backoff_us"),
+		RetryAfterCompliance: num("clients.honour"), MaxRetryAfter: us("clients.max_retry_after"), ResubmitDelay: us("fam.again"), BalancerDetectionDelay: us("front_notice"),
+		DiscoveryDelay: us("discovery.notice"), DiscoverySpread: us("discovery.spread"), WarmUpTime: us("tiers.0.stated_cold"), ColdStartShare: num("tiers.0.stated_cold_from"),
+		OverloadFactor: num("fall_multiple"), OverloadTime: us("fall_for"), DrainGrace: us("drain_grace"),
+		Penalties: emu.Penalties{WastedWork: num("prices.waste"), Handshake: num("prices.handshake"), LateFailure: num("prices.late_fail"), RejectedCall: num("fam.refused_price")},
 	}
 	for _, p := range doc.Get("traffic.shape").Array() {
-		d.Shape = append(d.Shape, emu.Point{At: secs(p.Get("0").Float()), Multiple: p.Get("1").Float()})
+		d.Shape = append(d.Shape, emu.LoadPoint{At: secs(p.Get("0").Float()), Multiple: p.Get("1").Float()})
 	}
 	effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 	micros := func(v gjson.Result) time.Duration { return time.Duration(v.Float() * float64(time.Microsecond)) }
 	for _, c := range doc.Get("classes").Array() {
 		d.Classes = append(d.Classes, emu.Class{Class: policy.Class{Name: c.Get("name").Str, Effect: effects[c.Get("effect").Str], RepeatWindow: micros(c.Get("window")),
 			TargetLatency: micros(c.Get("aim")), Deadline: micros(c.Get("deadline")), Value: c.Get("worth").Float(), LateValue: c.Get("late_worth").Float()},
-			Share: c.Get("share").Float(), Work: micros(c.Get("work")), CV: c.Get("cv").Float(), Noise: c.Get("attempt_noise").Float(), Exp: c.Get("dist").Str == "exp"})
+			Share: c.Get("share").Float(), Work: micros(c.Get("work")), CV: c.Get("cv").Float(), Noise: c.Get("attempt_noise").Float(), Exponential: c.Get("dist").Str == "exp"})
 	}
 	habits := doc.Get("fam.habits").Array()
-	limits := map[string]emu.Limit{"none": emu.NoLimit, "rate": emu.RateLimit, "window": emu.WindowLimit}
+	limits := map[string]emu.LimitKind{"none": emu.NoLimit, "rate": emu.RateLimit, "window": emu.WindowLimit}
 	for i, k := range doc.Get("tiers.0.kinds").Array() {
 		if i >= len(habits) {
 			return nil, fmt.Errorf("fam.habits: none for kind %d", i)
 		}
 		h := habits[i]
-		d.Kinds = append(d.Kinds, emu.Kind{Name: k.Get("name").Str, Batch: max(1, int(h.Get("batch").Int())), ItemCost: h.Get("item_cost").Float(), Limit: limits[h.Get("limit").Str],
-			Window: micros(h.Get("window")), RefusedCount: h.Get("refused_count").Bool(), TellsWait: h.Get("tells_wait").Float(), Wait: micros(h.Get("wait")),
-			ColdFrom: k.Get("cold_from").Float(), Cold: micros(k.Get("cold")), ErrorRate: k.Get("error_rate").Float(), CancelsQueued: k.Get("cancel").Str == "queued"})
+		d.Kinds = append(d.Kinds, emu.Kind{Name: k.Get("name").Str, MaxBatch: max(1, int(h.Get("batch").Int())), ItemCost: h.Get("item_cost").Float(), Limit: limits[h.Get("limit").Str],
+			Window: micros(h.Get("window")), CountsRejected: h.Get("refused_count").Bool(), RetryAfterShare: h.Get("tells_wait").Float(), RetryAfter: micros(h.Get("wait")),
+			ColdStartShare: k.Get("cold_from").Float(), WarmUpTime: micros(k.Get("cold")), ErrorRate: k.Get("error_rate").Float(), CancelsQueued: k.Get("cancel").Str == "queued"})
 	}
 	kinds, share := doc.Get("fam.kind").Array(), doc.Get("fam.share").Array()
 	for i, g := range doc.Get("fam.gates").Array() {
@@ -78,24 +78,24 @@
 		workers, speed := max(1, int(e.Get("workers").Int())), servers[i].Get("speed").Float()
 		depth := habits[dst.Kind].Get("depth_s").Float() * float64(workers) * speed / max(work, 1e-6)
 		places[i] = place{n, len(dst.Endpoints)}
-		dst.Endpoints = append(dst.Endpoints, emu.Endpoint{Workers: workers, Speed: speed, Queue: max(1, int(math.Ceil(depth))), Conns: int(e.Get("conns").Int())})
+		dst.Endpoints = append(dst.Endpoints, emu.Endpoint{Workers: workers, Speed: speed, QueueSize: max(1, int(math.Ceil(depth))), MaxConns: int(e.Get("conns").Int())})
 	}
 	for i, t := range doc.Get("troubles").Array() {
-		one := emu.Trouble{Kind: emu.TroubleKind(t.Get("kind").Str), At: micros(t.Get("at")), Len: micros(t.Get("len")), Size: t.Get("size").Float(), Every: secs(t.Get("extra").Float())}
+		one := emu.Fault{Kind: emu.FaultKind(t.Get("kind").Str), At: micros(t.Get("at")), Duration: micros(t.Get("len")), Intensity: t.Get("size").Float(), Period: secs(t.Get("extra").Float())}
 		if one.Kind == emu.Pauses {
-			one.Size, one.Every = t.Get("size").Float()/1000, max(one.Every, secs(t.Get("size").Float()/1000+0.01))
+			one.Intensity, one.Period = t.Get("size").Float()/1000, max(one.Period, secs(t.Get("size").Float()/1000+0.01))
 		}
 		if one.Kind == emu.FastErrors && t.Get("which").Int() != 0 {
-			one.Kind = emu.Shut
+			one.Kind = emu.RejectAll
 		}
 		for _, n := range t.Get("on").Array() {
 			if n.Int() >= int64(len(places)) {
 				return nil, fmt.Errorf("troubles[%d].on: there is no server %d", i, n.Int())
 			}
 			p := places[n.Int()]
-			one.Parts = append(one.Parts, [2]int{p.dest, p.at})
+			one.Endpoints = append(one.Endpoints, [2]int{p.dest, p.at})
 		}
-		d.Troubles = append(d.Troubles, one)
+		d.Faults = append(d.Faults, one)
 	}
 	return d, d.Check()
 }
--- a/internal/lab/study/study.go
+++ b/internal/lab/study/study.go
@@ -93,16 +93,16 @@
 var ErrBroken = errors.New("rules broken or days at fault")
 
 // Variants are the modules that arms may name.
-var Variants = map[string]emu.Maker{
-	"": emu.Service, "service": emu.Service,
+var Variants = map[string]emu.PolicyFactory{
+	"": emu.DefaultPolicy, "service": emu.DefaultPolicy,
 	"half-share": share(0.5),
 }
 
 // share makes the module in service with another share of the slots for one destination.
-func share(of float64) emu.Maker {
-	return func(set policy.Settings, seed int64) (emu.Module, error) {
+func share(of float64) emu.PolicyFactory {
+	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
 		set.MaxDestinationShare = of
-		return emu.Service(set, seed)
+		return emu.DefaultPolicy(set, seed)
 	}
 }
 
@@ -176,9 +176,9 @@
 			for i := range next {
 				j := jobs[i]
 				if raw, err := os.ReadFile(j.name); err != nil || json.Unmarshal(raw, &units[i]) != nil {
-					var day *emu.Day
+					var day *emu.Scenario
 					if j.day >= 0 {
-						day, err = scripts[j.day].Day(base, j.seed)
+						day, err = scripts[j.day].DrawScenario(base, j.seed)
 					} else {
 						day, err = drawn(ex, base, j.seed)
 					}
@@ -214,8 +214,8 @@
 }
 
 // drawn draws a day of the site with some of the experiment's troubles.
-func drawn(ex *site.Experiment, base *site.Site, seed uint64) (*emu.Day, error) {
-	day, err := base.Draw(seed)
+func drawn(ex *site.Experiment, base *site.Site, seed uint64) (*emu.Scenario, error) {
+	day, err := base.DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -232,14 +232,14 @@
 			list = append(list, ex.Trouble[i])
 		}
 	}
-	return day, site.Add(day, list, seed)
+	return day, site.AddFaults(day, list, seed)
 }
 
-func play(day *emu.Day, arm *site.Arm, u *unit) error {
+func play(day *emu.Scenario, arm *site.Arm, u *unit) error {
 	for _, o := range []struct {
 		times float64
 		at    *int
-	}{{arm.SlotsTimes, &day.Slots}, {arm.HoldTimes, &day.Hold}} {
+	}{{arm.SlotsTimes, &day.MaxConcurrentCalls}, {arm.HoldTimes, &day.MaxPending}} {
 		if o.times > 0 {
 			*o.at = max(1, int(float64(*o.at)*o.times))
 		}
@@ -254,12 +254,12 @@
 		}
 	}
 	if arm.OneSender { // who sees all that the fleet sees, and has its slots
-		day.Slots, day.Hold, day.Relays, day.Busy, day.Members, day.Notes = day.Slots*day.Relays, day.Hold*day.Relays, 1, 0, false, false
-		day.Troubles = slices.DeleteFunc(day.Troubles, func(t emu.Trouble) bool {
-			return len(day.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Parts) == 0 && t.Zone == ""
+		day.MaxConcurrentCalls, day.MaxPending, day.Relays, day.HotRelayFactor, day.Membership, day.Gossip = day.MaxConcurrentCalls*day.Relays, day.MaxPending*day.Relays, 1, 0, false, false
+		day.Faults = slices.DeleteFunc(day.Faults, func(t emu.Fault) bool {
+			return len(day.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
 		})
 	}
-	res, err := emu.Play(day, emu.Options{Make: Variants[arm.Module]})
+	res, err := emu.Run(day, emu.Options{NewPolicy: Variants[arm.Module]})
 	if err != nil {
 		return fmt.Errorf("%s: %w", day.Name, err)
 	}
