--- a/client/conn.go
+++ b/client/conn.go
@@ -81,12 +81,12 @@
 	if ctx.Err() != nil { // the deadline above may have replaced the one set on cancellation
 		return reply{err: ctx.Err()}
 	}
-	sent := 0
+	bytesSent := 0
 	write := func(b []byte) bool {
 		n, err := c.sock.Write(b)
-		if sent += n; err != nil {
+		if bytesSent += n; err != nil {
 			rep.err = err
-			if sent > 0 {
+			if bytesSent > 0 {
 				rep.end.Stage = decide.WrittenPart
 			}
 		}
--- a/client/decide/course_test.go
+++ b/client/decide/course_test.go
@@ -73,8 +73,8 @@
 				t.Fatal("an unsafe message is retried after a lost answer")
 			}
 			stated := c.Begin(now)
-			if end := now.Add(stated); end.After(deadline) || effect == Keyed && !mayHaveRunSince.IsZero() &&
-				end.After(mayHaveRunSince.Add(window)) {
+			if end := now.Add(stated); end.After(deadline) ||
+				effect == Keyed && !mayHaveRunSince.IsZero() && end.After(mayHaveRunSince.Add(window)) {
 				t.Fatalf("states %v at %v", stated, now.Sub(epoch))
 			}
 			if rules.Strict && effect == Keyed && !mayHaveRunSince.IsZero() &&
@@ -108,8 +108,8 @@
 				t.Fatalf("%d attempts, want %d; %d rejected, %d lost", c.HandIns, requests, refused, lost)
 			}
 			if v.Over {
-				if taken := v.Outcome == Taken; taken != (e.Status == 202) || !taken &&
-					(v.Outcome == Uncertain) != !mayHaveRunSince.IsZero() {
+				if taken := v.Outcome == Taken; taken != (e.Status == 202) ||
+					!taken && (v.Outcome == Uncertain) != !mayHaveRunSince.IsZero() {
 					t.Fatalf("%v after %+v, may have run since %v", v.Outcome, e, mayHaveRunSince)
 				}
 				return
--- a/client/decide/message.go
+++ b/client/decide/message.go
@@ -173,26 +173,26 @@
 
 // Ended records the end of an attempt at relay and decides what follows. jitter in [0,1) spreads
 // waits.
-func (c *Course) Ended(now time.Time, relay int, e End, jitter float64) Verdict {
-	if e.Stage > NotConnected {
+func (c *Course) Ended(now time.Time, relay int, end End, jitter float64) Verdict {
+	if end.Stage > NotConnected {
 		c.HandIns++
 	}
 	c.Avoid = relay
 	switch {
-	case e.Stage == NotConnected:
+	case end.Stage == NotConnected:
 		return Verdict{} // nothing was sent: the mark stays
-	case e.Stage == WrittenPart:
+	case end.Stage == WrittenPart:
 		c.Mark = MarkLost
 		return c.afterLostAnswer(now)
-	case e.Stage == WrittenWhole:
+	case end.Stage == WrittenWhole:
 		if c.Mark = MarkLost; !c.Risky() {
 			c.mayHaveRunSince, c.firstExpiry = c.startedAt, c.startedAt.Add(c.statedTimeLeft)
 		}
 		return c.afterLostAnswer(now)
-	case e.Status == 202 || e.Status == 200:
+	case end.Status == 202 || end.Status == 200:
 		return Verdict{Over: true, Outcome: Taken}
-	case e.isRefusal():
-		return c.afterRefusal(now, e, jitter)
+	case end.isRefusal():
+		return c.afterRefusal(now, end, jitter)
 	}
 	return c.End(Failed)
 }
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -69,7 +69,7 @@
 
 // recorder counts the events of a client.
 type recorder struct {
-	world          *testdouble.Environment
+	env            *testdouble.Environment
 	mu             sync.Mutex
 	requests       int
 	connectedAt    []time.Time // attempts to connect
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
-	s.world.Notify()
+	s.env.Notify()
 }
 
 func (s *recorder) Done(client.Result) {}
@@ -118,11 +118,11 @@
 		Body: fmt.Appendf(nil, "%s/%d\nsome body", class, n)}
 }
 
-func expectResult(t testing.TB, what string, result client.Result, err error, outcome client.Outcome, handIns int) {
+func expectResult(t testing.TB, what string, result client.Result, err error, outcome client.Outcome, attempts int) {
 	t.Helper()
-	if result.Outcome != outcome || result.HandIns != handIns || (err == nil) != (outcome == client.Taken) {
+	if result.Outcome != outcome || result.HandIns != attempts || (err == nil) != (outcome == client.Taken) {
 		t.Errorf("%s: %v after %d attempts (%v), want %v after %d: %+v", what, result.Outcome, result.HandIns, err,
-			outcome, handIns, result.Attempts)
+			outcome, attempts, result.Attempts)
 	}
 }
 
@@ -183,26 +183,27 @@
 		t.Fatalf("%d requests, waits %v, %v", len(seen), res.Waits, err)
 	}
 	for i, s := range seen {
-		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 &&
-			s.ID == seen[i-1].ID {
+		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key ||
+			i > 0 && s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
 		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.TimeLeft >= seen[i-1].TimeLeft &&
 			len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
-			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.TimeLeft,
+			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At),
+				s.TimeLeft,
 				seen[i-1].TimeLeft)
 		}
 	}
-	full := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "60") })
-	room := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
-	c = newClient(t, client.Config{Relays: []string{full.Addr, room.Addr}})
+	fullRelay := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "60") })
+	acceptingRelay := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
+	c = newClient(t, client.Config{Relays: []string{fullRelay.Addr, acceptingRelay.Addr}})
 	for n := range 20 {
 		res, err := c.Send(context.Background(), newMessage("fee-charge", n, 5*time.Second))
 		if expectResult(t, "another relay accepts", res, err, client.Taken, res.HandIns); res.HandIns > 2 {
 			t.Errorf("%d attempts", res.HandIns)
 		}
 	}
-	if n := len(full.Requests()); n > 1 {
+	if n := len(fullRelay.Requests()); n > 1 {
 		t.Errorf("the relay that sent Retry-After received %d requests", n)
 	}
 	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "60") })
@@ -229,11 +230,11 @@
 		})
 		c := newClient(t, client.Config{Relays: []string{g.Addr}})
 		res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 2*time.Second))
-		hands := 2
+		wantAttempts := 2
 		if o == client.GivenUp {
-			hands = 1
+			wantAttempts = 1
 		}
-		expectResult(t, "Retry-After: "+after, res, err, o, hands)
+		expectResult(t, "Retry-After: "+after, res, err, o, wantAttempts)
 	}
 }
 
@@ -247,17 +248,18 @@
 			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
 			res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
-			hands := 2
+			wantAttempts := 2
 			if o == client.Uncertain {
-				hands = 1
+				wantAttempts = 1
 			}
-			expectResult(t, class, res, err, o, hands)
+			expectResult(t, class, res, err, o, wantAttempts)
 			seen := g.Requests()
-			if len(seen) != hands || hands == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key ||
-				seen[1].ID == seen[0].ID) {
+			if len(seen) != wantAttempts ||
+				wantAttempts == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key ||
+					seen[1].ID == seen[0].ID) {
 				t.Fatalf("on the wire: %+v", seen)
 			}
-			waitUntil(t, w, "all effects", func() bool { return len(w.EffectLog.Entries()) == hands })
+			waitUntil(t, w, "all effects", func() bool { return len(w.EffectLog.Entries()) == wantAttempts })
 			if n := w.EffectLog.CountByName()[class+"/1"]; n != 1 && class != "price-alert" {
 				t.Errorf("took effect %d times", n)
 			}
@@ -300,11 +302,11 @@
 		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
 		res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
-		hands := 2
+		wantAttempts := 2
 		if o == client.Uncertain {
-			hands = 1
+			wantAttempts = 1
 		}
-		expectResult(t, class, res, err, o, hands)
+		expectResult(t, class, res, err, o, wantAttempts)
 		g.ReleaseResponses()
 		res, err = c.Send(context.Background(), newMessage(class, 2, 5*time.Second))
 		expectResult(t, class+" after the late answer", res, err, client.Taken, 1)
@@ -319,21 +321,25 @@
 // message is uncertain.
 func TestUnresponsiveRelay(t *testing.T) {
 	w := startEnv(t, testdouble.Config{})
-	mute := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
-	fine := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
-	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
+	unresponsive := startProxy(t, w, "", func(int,
+		string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	})
+	accepting := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
+	c := newClient(t, client.Config{Relays: []string{unresponsive.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), newMessage("price-alert", 1, 1500*time.Millisecond))
-	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 ||
+	if res.Outcome != client.Uncertain || res.HandIns != len(unresponsive.Requests()) || res.HandIns > 3 ||
 		!errors.Is(err, client.ErrUncertain) {
-		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Requests()))
+		t.Errorf("%+v, %v; on the wire %d", res, err, len(unresponsive.Requests()))
 	}
-	c = newClient(t, client.Config{Relays: []string{mute.Addr, fine.Addr}, AnswerTimeout: 50 * time.Millisecond})
-	before := len(mute.Requests())
+	c = newClient(t, client.Config{Relays: []string{unresponsive.Addr, accepting.Addr},
+		AnswerTimeout: 50 * time.Millisecond})
+	before := len(unresponsive.Requests())
 	for n := range 20 {
 		res, err := c.Send(context.Background(), newMessage("price-alert", n, 5*time.Second))
 		expectResult(t, "with another relay", res, err, client.Taken, res.HandIns)
 	}
-	if n := len(mute.Requests()) - before; n > 2 {
+	if n := len(unresponsive.Requests()) - before; n > 2 {
 		t.Errorf("the unresponsive relay received %d messages", n)
 	}
 }
@@ -349,18 +355,18 @@
 		return answerFault(202, "")
 	})
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
-	hands := 0
+	wantAttempts := 0
 	for n := range 6 {
 		m := newMessage("fee-charge", n, 5*time.Second)
 		m.Key = fmt.Sprint("key-", n)
 		res, err := c.Send(context.Background(), m)
-		if hands += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain || err == nil &&
-			res.Outcome != client.Taken {
+		if wantAttempts += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain ||
+			err == nil && res.Outcome != client.Taken {
 			t.Errorf("%+v, %v", res, err)
 		}
 	}
-	if n := len(g.Requests()); n != hands {
-		t.Errorf("%d requests on the wire, %d attempts counted", n, hands)
+	if n := len(g.Requests()); n != wantAttempts {
+		t.Errorf("%d requests on the wire, %d attempts counted", n, wantAttempts)
 	}
 }
 
@@ -419,8 +425,11 @@
 func TestCancelled(t *testing.T) {
 	w := startEnv(t, testdouble.Config{})
 	down, _ := testdouble.ReserveAddr()
-	held := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
-	waits := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "10") })
+	unresponsive := startProxy(t, w, "", func(int,
+		string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	})
+	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "10") })
 	var observer *recorder
 	completed := func(n int) bool { observer.mu.Lock(); defer observer.mu.Unlock(); return observer.requests == n }
 	for _, s := range []struct {
@@ -430,15 +439,16 @@
 		outcome client.Outcome
 		handIns int
 	}{
-		{"before", held.Addr, nil, client.Failed, 0},
+		{"before", unresponsive.Addr, nil, client.Failed, 0},
 		{"connecting", down, func() bool { return true }, client.Failed, 0},
-		{"waiting for the answer", held.Addr, func() bool { return len(held.Requests()) == 1 }, client.Uncertain, 1},
-		{"waiting after a rejection", waits.Addr, func() bool { return len(waits.Requests()) == 1 && completed(1) },
+		{"waiting for the answer", unresponsive.Addr, func() bool { return len(unresponsive.Requests()) == 1 },
+			client.Uncertain, 1},
+		{"waiting after a rejection", limited.Addr, func() bool { return len(limited.Requests()) == 1 && completed(1) },
 			client.Failed, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		observer = &recorder{world: w}
+		observer = &recorder{env: w}
 		c := newClient(t, client.Config{Relays: []string{s.relay}, Observer: observer, AnswerTimeout: 30 * time.Second})
 		if s.started == nil {
 			cancel()
@@ -573,7 +583,7 @@
 	all.Wait()
 	close(kills)
 	killer.Wait()
-	ended := func(n int) bool {
+	completed := func(n int) bool {
 		r := results[n]
 		if w.EffectLog.CountByName()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
 			return true
@@ -592,14 +602,14 @@
 				afterLoss++
 			}
 		}
-		if afterRefusal > 2 || classes[n%3] == "fee-charge" && afterLoss > 0 &&
-			r.Attempts[0].Stage == client.WrittenWhole {
+		if afterRefusal > 2 ||
+			classes[n%3] == "fee-charge" && afterLoss > 0 && r.Attempts[0].Stage == client.WrittenWhole {
 			t.Errorf("%d: %+v", n, r)
 		}
 	}
 	waitUntil(t, w, "all accepted messages to complete", func() bool {
 		for n, r := range results {
-			if r.Outcome == client.Taken && !ended(n) {
+			if r.Outcome == client.Taken && !completed(n) {
 				return false
 			}
 		}
@@ -608,8 +618,8 @@
 	effects := w.EffectLog.CountByName()
 	for n, r := range results {
 		name := fmt.Sprintf("%s/%d", classes[n%3], n)
-		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not &&
-			effects[name] > 0 {
+		if notAccepted := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 ||
+			notAccepted && effects[name] > 0 {
 			t.Errorf("%s took effect %d times: %+v", name, effects[name], r)
 		}
 	}
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -18,9 +18,10 @@
 	for name, spread := range map[string]time.Duration{"spread": 0, "plain": client.NoSpread} {
 		t.Run(name, func(t *testing.T) {
 			const clients = 1000
-			w := startEnv(t, testdouble.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients, MaxConcurrentCalls: 64})
+			w := startEnv(t, testdouble.Config{FleetSize: 1, MaxDescriptors: 8192, MaxPending: 3 * clients,
+				MaxConcurrentCalls: 64})
 			r := startRelay(t, w)
-			observer := &recorder{world: w}
+			observer := &recorder{env: w}
 			var all []*client.Client
 			for range clients {
 				all = append(all, newClient(t, client.Config{Relays: []string{r.Addr}, Spread: spread,
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -91,7 +91,7 @@
 		if !gjson.ValidBytes(b) {
 			return fmt.Errorf("%s: the reply is not JSON", args[0])
 		}
-		if raw, _ := cmd.Flags().GetBool("json"); raw {
+		if asJSON, _ := cmd.Flags().GetBool("json"); asJSON {
 			_, err := cmd.OutOrStdout().Write(b)
 			return err
 		}
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -66,7 +66,8 @@
 
 // plugin run prints the output of a hook, or fails if the hook fails.
 func TestPluginRun(t *testing.T) {
-	path := write(t, "m.wasm", wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header,
+	path := write(t, "m.wasm", wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"),
+		abi.Header,
 		"X-Form: 2")).Bytes())
 	code, out := runCommand(t, "a body", "plugin", "run", path, "--hook", "shape_request", "--times", "3")
 	var got struct {
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -86,19 +86,19 @@
 			return send(cmd.Context(), o, f, cmd.InOrStdin(), cmd.OutOrStdout())
 		},
 	}
-	fs := cmd.Flags()
-	fs.StringSliceVar(&f.relays, "relay", nil, "`host:port` of the relays, separated by commas")
-	fs.StringVar(&f.message.Class, "class", "", "class of the message")
-	fs.IntVar(&dest, "dest", -1, "number of the destination")
-	fs.DurationVar(&f.timeLeft, "time-left", 5*time.Second, "time until the message's deadline")
-	fs.StringVar(&f.message.Key, "key", "", "idempotency key (default: generated, except for safe messages)")
-	fs.TextVar(&f.message.Effect, "effect", client.Unsafe, "effect of a second delivery: `safe, keyed or unsafe`")
-	fs.DurationVar(&f.window, "window", client.DefaultWindow, "keyed: how long partners drop repeats")
-	fs.DurationVar(&f.answer, "answer-timeout", client.DefaultAnswerTimeout, "maximum time for a relay's answer")
-	fs.StringVar(&f.file, "file", "", "JSON lines, one message each; - for standard input")
-	fs.IntVar(&f.parallel, "parallel", 16, "messages of a file in flight")
-	fs.StringVar(&f.progress, "progress", "auto", "show the progress of a file on standard error: `auto, on or off`")
-	fs.BoolVar(&f.json, "json", false, "print one JSON object per message")
+	flags := cmd.Flags()
+	flags.StringSliceVar(&f.relays, "relay", nil, "`host:port` of the relays, separated by commas")
+	flags.StringVar(&f.message.Class, "class", "", "class of the message")
+	flags.IntVar(&dest, "dest", -1, "number of the destination")
+	flags.DurationVar(&f.timeLeft, "time-left", 5*time.Second, "time until the message's deadline")
+	flags.StringVar(&f.message.Key, "key", "", "idempotency key (default: generated, except for safe messages)")
+	flags.TextVar(&f.message.Effect, "effect", client.Unsafe, "effect of a second delivery: `safe, keyed or unsafe`")
+	flags.DurationVar(&f.window, "window", client.DefaultWindow, "keyed: how long partners drop repeats")
+	flags.DurationVar(&f.answer, "answer-timeout", client.DefaultAnswerTimeout, "maximum time for a relay's answer")
+	flags.StringVar(&f.file, "file", "", "JSON lines, one message each; - for standard input")
+	flags.IntVar(&f.parallel, "parallel", 16, "messages of a file in flight")
+	flags.StringVar(&f.progress, "progress", "auto", "show the progress of a file on standard error: `auto, on or off`")
+	flags.BoolVar(&f.json, "json", false, "print one JSON object per message")
 	return cmd
 }
 
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -129,7 +129,8 @@
 			t.Errorf("line %d: %+v", want.line, o)
 		}
 	}
-	if s := g.Requests(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" || s[0].Key != "" ||
+	if s := g.Requests(); len(s) != 3 || s[1].Path != "/b" || s[1].Name != "two" || s[1].Key != "k2" ||
+		s[0].Key != "" ||
 		s[2].Key == "" {
 		t.Errorf("on the wire: %+v", s)
 	}
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -20,8 +20,8 @@
 	site := &cobra.Command{Use: "site", Short: "Plan for the loss of a whole site", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Usage() }}
 	var file, lost string
-	var raw bool
-	var from []string
+	var asJSON bool
+	var relayAddrs []string
 	plan := &cobra.Command{Use: "plan --operator FILE --lost ZONE",
 		Short: "Forecast where load moves and what is rejected when a site is lost", Args: cobra.NoArgs,
 		Long: "Forecast, from the sites and rates in an operator's file, where each destination's load moves when a site is lost, how full the others become, and what is rejected. The command changes nothing.",
@@ -36,8 +36,8 @@
 			if c.Sites == nil {
 				return fmt.Errorf("%s: sites: missing", file)
 			}
-			if len(from) > 0 {
-				if err := applyReportedRates(c.Sites, from, get); err != nil {
+			if len(relayAddrs) > 0 {
+				if err := applyReportedRates(c.Sites, relayAddrs, get); err != nil {
 					return err
 				}
 			}
@@ -46,7 +46,7 @@
 				return usageError{fmt.Errorf("--lost: %w", err)}
 			}
 			out := cmd.OutOrStdout()
-			if raw {
+			if asJSON {
 				e := json.NewEncoder(out)
 				e.SetIndent("", " ")
 				return e.Encode(f)
@@ -87,8 +87,8 @@
 		}}
 	plan.Flags().StringVar(&file, "operator", "", "the operator's `FILE`")
 	plan.Flags().StringVar(&lost, "lost", "", "the `ZONE` that is lost")
-	plan.Flags().BoolVar(&raw, "json", false, "print the forecast as JSON")
-	plan.Flags().StringSliceVar(&from, "figures", nil,
+	plan.Flags().BoolVar(&asJSON, "json", false, "print the forecast as JSON")
+	plan.Flags().StringSliceVar(&relayAddrs, "figures", nil,
 		"admin `ADDR`esses of relays, whose measured demand replaces the rates in the file")
 	status := viewCommand("status", "Show the state of each site as a relay sees it, and why",
 		"Ask a relay at its admin address for the state of the plan's sites.", sitesTable)
--- a/internal/plugin/limits/limits_test.go
+++ b/internal/plugin/limits/limits_test.go
@@ -73,8 +73,8 @@
 		{"stray byte", s, []byte{9}, false},
 	} {
 		o, err := CheckOutput(c.hook, c.raw)
-		if (err == nil) != c.ok || err != nil && (!errors.Is(err, ErrOutput) || o.Body != nil || o.Headers != nil ||
-			o.Outcome != -1) {
+		if (err == nil) != c.ok ||
+			err != nil && (!errors.Is(err, ErrOutput) || o.Body != nil || o.Headers != nil || o.Outcome != -1) {
 			t.Errorf("%s: %+v, %v", c.what, o, err)
 		}
 	}
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -201,10 +201,10 @@
 	s := startTestRelay(t, 1, string(file("a")), map[string][]byte{"a": form("a"), "b": form("b"),
 		"broken": []byte("x")})
 	stop := make(chan struct{})
-	var lanes sync.WaitGroup
+	var workers sync.WaitGroup
 	sentCount := make([]int, 4)
 	for worker := range sentCount {
-		lanes.Go(func() {
+		workers.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -216,7 +216,8 @@
 					return
 				}
 				sentCount[worker]++
-				s.waitUntil("accepted charges to run", func() bool { return s.EffectLog.Len() >= 4*sentCount[worker]-400 })
+				s.waitUntil("accepted charges to run",
+					func() bool { return s.EffectLog.Len() >= 4*sentCount[worker]-400 })
 			}
 		})
 	}
@@ -245,10 +246,11 @@
 	before := countForm("a")
 	s.waitUntil("more charges shaped by the second plug-in", func() bool { return countForm("b") > 60 })
 	close(stop)
-	lanes.Wait()
+	workers.Wait()
 	sum := sentCount[0] + sentCount[1] + sentCount[2] + sentCount[3]
 	s.waitUntil("all to run", func() bool { return len(s.EffectLog.CountByName()) == sum })
-	if d := s.EffectLog.Duplicates("fee-charge"); d != nil || countForm("") != 0 || countForm("a")+countForm("b") != sum {
+	if d := s.EffectLog.Duplicates("fee-charge"); d != nil || countForm("") != 0 ||
+		countForm("a")+countForm("b") != sum {
 		t.Errorf("doubles %v; %d unshaped, %d+%d of %d; %d shaped by the first plug-in when the second was seen", d,
 			countForm(""), countForm("a"), countForm("b"), sum, before)
 	}
