--- a/client/client.go
+++ b/client/client.go
@@ -194,8 +194,8 @@
 	var seed [16]byte
 	crand.Read(seed[:])
 	random := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
-	c.fleet = decide.NewFleet(len(config.Relays), decide.Spread{Span: max(0, config.Spread),
-		Rate: config.NewPerSecond, Burst: config.NewBurst}, random.Float64)
+	c.fleet = decide.NewFleet(len(config.Relays),
+		decide.Spread{Span: max(0, config.Spread), Rate: config.NewPerSecond, Burst: config.NewBurst}, random.Float64)
 	return c, nil
 }
 
@@ -385,21 +385,21 @@
 		if s.client.ctx.Err() != nil {
 			return s.course.End(Failed), ErrClosed
 		}
-		left := s.course.Left(now)
-		if left < time.Millisecond {
+		timeLeft := s.course.Left(now)
+		if timeLeft < time.Millisecond {
 			return s.expire()
 		}
 		if now.Before(s.notBefore) {
 			s.client.waitUntil(ctx, s.notBefore, nil)
 			continue
 		}
-		choice, cn, changed := s.client.chooseConn(now, s.message.Dest, s.course.Avoid, left)
+		choice, cn, changed := s.client.chooseConn(now, s.message.Dest, s.course.Avoid, timeLeft)
 		if choice.Relay < 0 {
-			if !choice.At.Before(now.Add(left)) && choice.Why == decide.ToldWait {
+			if !choice.At.Before(now.Add(timeLeft)) && choice.Why == decide.ToldWait {
 				s.client.removeWaiter()
 				return s.course.End(GivenUp), errRetryAfterTooLong
 			}
-			s.client.waitUntil(ctx, earlier(choice.At, now.Add(left)), changed)
+			s.client.waitUntil(ctx, earlier(choice.At, now.Add(timeLeft)), changed)
 			s.client.removeWaiter()
 			continue
 		}
@@ -423,6 +423,7 @@
 	return s.course.End(GivenUp), s.lastErr
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -475,16 +476,16 @@
 // chooseConn picks the connection of the next attempt: an idle one, or nil if a new one is to be
 // opened. It also starts due probes of relays that are down. If nothing can be chosen, the caller
 // counts as a waiter and has to call removeWaiter.
-func (c *Client) chooseConn(now time.Time, dest, avoid int, left time.Duration) (decide.Choice, *conn,
-	<-chan struct{}) {
+func (c *Client) chooseConn(
+	now time.Time, dest, avoid int, timeLeft time.Duration) (decide.Choice, *conn, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := c.fleet.Probe(now, left); i >= 0 && !c.closed; i = c.fleet.Probe(now, left) {
+	for i := c.fleet.Probe(now, timeLeft); i >= 0 && !c.closed; i = c.fleet.Probe(now, timeLeft) {
 		c.background.Add(1)
 		go c.probe(i)
 	}
 	for {
-		ch := c.fleet.Choose(now, dest, avoid, c.config.MaxConns, left)
+		ch := c.fleet.Choose(now, dest, avoid, c.config.MaxConns, timeLeft)
 		if ch.Relay < 0 {
 			c.waiters++
 			return ch, nil, c.changed
--- a/client/conn.go
+++ b/client/conn.go
@@ -15,6 +15,7 @@
 	"oatfold/client/decide"
 )
 
+// Bounds of requests and answers.
 const (
 	maxAnswerBytes    = 64 << 10 // of a body that is skipped to reuse the connection
 	maxHeadBytes      = 32 << 10 // of the headers of an answer, including the interim answers before it
--- a/client/decide/course_test.go
+++ b/client/decide/course_test.go
@@ -51,8 +51,9 @@
 func TestCourseInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := rapid.SampledFrom([]Effect{Safe, Keyed, Unsafe}).Draw(t, "effect")
-		rules := Rules{Refusals: rapid.IntRange(0, 5).Draw(t, "refusals"), Repeats: rapid.IntRange(0, 3).Draw(t,
-			"repeats"), Strict: rapid.Bool().Draw(t, "strict")}
+		rules := Rules{
+			Refusals: rapid.IntRange(0, 5).Draw(t, "refusals"), Repeats: rapid.IntRange(0, 3).Draw(t, "repeats"),
+			Strict: rapid.Bool().Draw(t, "strict")}
 		window := time.Duration(rapid.IntRange(1, 8000).Draw(t, "window")) * time.Millisecond
 		deadline := epoch.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "left")) * time.Millisecond)
 		c := NewCourse(rules, effect, window, deadline)
@@ -125,9 +126,11 @@
 }
 
 func TestRetryAfter(t *testing.T) {
-	for s, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0,
-		"99999999999999999999": MaxTold,
-		"":                     -1, "-1": -1, "+1": -1, "1e3": -1, "NaN": -1, "Inf": -1, "0x10": -1, "1.2.3": -1, ".": -1, " 1": -1, "1,5": -1} {
+	for s, want := range map[string]time.Duration{
+		"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0, "99999999999999999999": MaxTold,
+		"": -1, "-1": -1, "+1": -1, "1e3": -1, "NaN": -1, "Inf": -1, "0x10": -1, "1.2.3": -1, ".": -1, " 1": -1,
+		"1,5": -1,
+	} {
 		got, told := RetryAfter(s)
 		if told != (want >= 0) || told && got != want {
 			t.Errorf("%q: %v, %v", s, got, told)
--- a/client/decide/fleet.go
+++ b/client/decide/fleet.go
@@ -15,7 +15,7 @@
 
 // Spread configures the delay and the rate limit of new connections.
 type Spread struct {
-	Span  time.Duration // a client waits a random part of it before reconnecting after a loss; 0: no delay and no rate limit
+	Span  time.Duration // a random part of it is the delay of reconnects; 0: neither delay nor rate limit
 	Rate  float64       // new connections per second, at most
 	Burst float64       // new connections at once, at most
 }
@@ -23,7 +23,7 @@
 // Fleet is what one client knows about its relays, and its token bucket for new connections.
 type Fleet struct {
 	spread       Spread
-	random       func() float64
+	random       func() float64 // in [0,1)
 	relays       []relay
 	blockedDests map[int]time.Time // by destination: end of the Retry-After of its 429
 
@@ -35,9 +35,9 @@
 type relay struct {
 	down         bool // no message goes there until a probe succeeds
 	probing      bool
-	lostAnswers  int // consecutive
-	failureLevel int // consecutive failures to connect, up to maxSpreadDoublings
-	lostAt       time.Time
+	lostAnswers  int       // consecutive
+	failureLevel int       // consecutive failures to connect, up to maxSpreadDoublings
+	lostAt       time.Time // last loss; zero: none
 	jitter       float64   // part of the span to wait after the last loss, in [0,1)
 	blockedUntil time.Time // end of its Retry-After
 	inFlight     int       // attempts
--- a/client/decide/fleet_test.go
+++ b/client/decide/fleet_test.go
@@ -128,9 +128,9 @@
 		var flights []flight
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			left, dest := time.Duration(rapid.IntRange(1, 20000).Draw(t, "left"))*time.Millisecond, rapid.IntRange(0,
-				2).Draw(t, "dest")
-			for i := f.Probe(now, left); i >= 0; i = f.Probe(now, left) {
+			timeLeft, dest := time.Duration(rapid.IntRange(1, 20000).Draw(t, "left"))*time.Millisecond,
+				rapid.IntRange(0, 2).Draw(t, "dest")
+			for i := f.Probe(now, timeLeft); i >= 0; i = f.Probe(now, timeLeft) {
 				recordConnect()
 				ready := rapid.Bool().Draw(t, "ready")
 				if f.Probed(now, i, ready, ready); ready {
@@ -164,7 +164,7 @@
 				}
 				continue
 			}
-			ch := f.Choose(now, dest, rapid.IntRange(-1, n-1).Draw(t, "avoid"), maxConns, left)
+			ch := f.Choose(now, dest, rapid.IntRange(-1, n-1).Draw(t, "avoid"), maxConns, timeLeft)
 			if ch.Relay < 0 {
 				if ch.Why == Nothing || !ch.At.After(now) {
 					t.Fatalf("no choice and no time to choose again: %+v at %v", ch, now)
--- a/client/errors.go
+++ b/client/errors.go
@@ -20,6 +20,7 @@
 	ErrClosed  = errors.New("client: closed")                      // Close was called
 )
 
+// Causes in the Err field of an Error.
 var (
 	errNoAnswer          = errors.New("no answer in time")
 	errTimeUp            = errors.New("deadline exceeded")
@@ -29,6 +30,7 @@
 // statusError is the status of an answer that did not accept the message.
 type statusError int
 
+// Error returns the text of the status.
 func (e statusError) Error() string {
 	return fmt.Sprintf("status %d", int(e))
 }
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -37,19 +37,22 @@
 		return prometheus.Opts{Namespace: namespace, Subsystem: "relay_client", Name: name, Help: help}
 	}
 	histogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
-		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Subsystem: "relay_client",
-			Name: name, Help: help,
+		return prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Namespace: namespace, Subsystem: "relay_client", Name: name, Help: help,
 			Buckets: buckets, NativeHistogramBucketFactor: 1.1}, labels)
 	}
 	c := &Collector{
-		handIns: prometheus.NewCounterVec(prometheus.CounterOpts(opts("hand_ins_total",
-			"Requests of which a byte went out, by relay, X-Repeat mark and end: a status, or how far it came.")), []string{"relay", "mark", "end"}),
+		handIns: prometheus.NewCounterVec(prometheus.CounterOpts(opts(
+			"hand_ins_total",
+			"Requests of which a byte went out, by relay, X-Repeat mark and end: a status, or how far it came.")),
+			[]string{"relay", "mark", "end"}),
 		results: prometheus.NewCounterVec(prometheus.CounterOpts(opts("messages_total", "Messages by result.")),
 			[]string{"result"}),
-		connections: prometheus.NewCounterVec(prometheus.CounterOpts(opts("connections_total",
-			"New connections that were tried.")), []string{"relay", "result"}),
-		waits: prometheus.NewCounter(prometheus.CounterOpts(opts("refusal_wait_seconds_total",
-			"Seconds of all waits after refusals."))),
+		connections: prometheus.NewCounterVec(
+			prometheus.CounterOpts(opts("connections_total", "New connections that were tried.")),
+			[]string{"relay", "result"}),
+		waits: prometheus.NewCounter(prometheus.CounterOpts(
+			opts("refusal_wait_seconds_total", "Seconds of all waits after refusals."))),
 		handIn:  histogram("hand_in_seconds", "From the first byte of a hand-in to its end.", "relay"),
 		message: histogram("message_seconds", "From Send to the result.", "result"),
 	}
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -187,11 +187,10 @@
 			i > 0 && s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
-		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.TimeLeft >= seen[i-1].TimeLeft &&
-			len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
+		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond ||
+			s.TimeLeft >= seen[i-1].TimeLeft && len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
 			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At),
-				s.TimeLeft,
-				seen[i-1].TimeLeft)
+				s.TimeLeft, seen[i-1].TimeLeft)
 		}
 	}
 	fullRelay := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "60") })
@@ -217,9 +216,10 @@
 
 // An invalid Retry-After is ignored; one longer than the time left ends the message.
 func TestInvalidRetryAfter(t *testing.T) {
-	for after, o := range map[string]client.Outcome{"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken,
-		"soon": client.Taken, "": client.Taken,
-		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken, "9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
+	for after, o := range map[string]client.Outcome{
+		"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken, "soon": client.Taken, "": client.Taken,
+		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken,
+		"9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
 		"Tue, 01 Dec 2099 00:00:00 GMT": client.Taken} {
 		w := startEnv(t, testdouble.Config{})
 		g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
@@ -321,8 +321,7 @@
 // message is uncertain.
 func TestUnresponsiveRelay(t *testing.T) {
 	w := startEnv(t, testdouble.Config{})
-	unresponsive := startProxy(t, w, "", func(int,
-		string) testdouble.Fault {
+	unresponsive := startProxy(t, w, "", func(int, string) testdouble.Fault {
 		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
 	})
 	accepting := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
@@ -425,8 +424,7 @@
 func TestCancelled(t *testing.T) {
 	w := startEnv(t, testdouble.Config{})
 	down, _ := testdouble.ReserveAddr()
-	unresponsive := startProxy(t, w, "", func(int,
-		string) testdouble.Fault {
+	unresponsive := startProxy(t, w, "", func(int, string) testdouble.Fault {
 		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
 	})
 	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "10") })
@@ -483,8 +481,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 3, 15*time.Second), done); !errors.Is(err,
-		client.ErrFull) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 3, 15*time.Second),
+		done); !errors.Is(err, client.ErrFull) {
 		t.Errorf("a fourth: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -514,8 +512,8 @@
 		}
 	}
 	c.Close()
-	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 9, time.Second), done); !errors.Is(err,
-		client.ErrClosed) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 9, time.Second),
+		done); !errors.Is(err, client.ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
 	if res, err := c.Send(context.Background(), newMessage("fee-charge", 9, time.Second)); !errors.Is(err,
@@ -575,8 +573,8 @@
 				if n%300 == 150 {
 					kills <- struct{}{}
 				}
-				results[n], _ = c.Send(context.Background(), newMessage(classes[n%3], n,
-					[]time.Duration{5, 18, 18}[n%3]*time.Second))
+				results[n], _ = c.Send(context.Background(),
+					newMessage(classes[n%3], n, []time.Duration{5, 18, 18}[n%3]*time.Second))
 			}
 		})
 	}
--- a/client/surge_test.go
+++ b/client/surge_test.go
@@ -42,7 +42,8 @@
 			waitUntil(t, w, "the first round to run", func() bool { return len(w.EffectLog.CountByName()) == clients })
 			r.Kill()
 			observer.mu.Lock()
-			before, refusedBefore := len(observer.connectedAt), observer.failedConnects // under load, connections of the first round fail as well
+			// Under load, connections of the first round fail as well.
+			before, failedBefore := len(observer.connectedAt), observer.failedConnects
 			observer.mu.Unlock()
 			var backAt time.Time
 			round(1, func() {
@@ -58,13 +59,13 @@
 					bins[int(at.Sub(backAt)/(100*time.Millisecond))]++
 				}
 			}
-			refused := observer.failedConnects - refusedBefore
+			failed := observer.failedConnects - failedBefore
 			observer.mu.Unlock()
-			if attempts-refused != clients {
-				t.Errorf("%d connection attempts, %d failed: want one connection per client", attempts, refused)
+			if attempts-failed != clients {
+				t.Errorf("%d connection attempts, %d failed: want one connection per client", attempts, failed)
 			}
 			t.Logf("%d connection attempts, %d of them failed; connections per 100 ms since the restart: %v",
-				attempts, refused, bins)
+				attempts, failed, bins)
 			waitUntil(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 2*clients })
 			if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 				t.Error("doubles:", fmt.Sprint(d))
--- a/internal/cli/assignment.go
+++ b/internal/cli/assignment.go
@@ -76,7 +76,8 @@
 	var relay uint16
 	var destination uint64
 	cmd := &cobra.Command{Use: "show MAP --key FILE",
-		Short: "Show the summary of a map, a relay's partitions, or the relays of a destination", Args: cobra.ExactArgs(1)}
+		Short: "Show the summary of a map, a relay's partitions, or the relays of a destination",
+		Args:  cobra.ExactArgs(1)}
 	flags := cmd.Flags()
 	flags.StringVar(&keyFile, "key", "", "`file` with the region's key")
 	flags.Uint16Var(&relay, "relay", 0, "show the partitions of this relay")
--- a/internal/cli/assignment_test.go
+++ b/internal/cli/assignment_test.go
@@ -53,8 +53,8 @@
 	expect(exitFault, "not signed with this region's key", "show", first, "--key", write("other", "another"))
 	expect(exitFault, "not a map or slice", "show", write("no map", strings.Repeat("x", 200)), "--key", key)
 	expect(exitFault, "cut short", "show", write("torn", "OFAS"), "--key", key)
-	expect(exitFault, "another shape", "plan", gone, "--key", key, "--region", "3", "--partitions", "32", "--from",
-		first)
+	expect(exitFault, "another shape", "plan", gone, "--key", key, "--region", "3", "--partitions", "32",
+		"--from", first)
 	expect(exitFault, "fewer relays serve", "plan", write("few", "0,0,0,live\n"), "--key", key)
 	for want, line := range map[string]string{
 		"relay: \"16384\"":     "16384,0,0,live",
--- a/internal/cli/choices.go
+++ b/internal/cli/choices.go
@@ -46,7 +46,8 @@
 		}
 		fmt.Fprintf(w, "%d\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d ms\t%s\n", n.Get("destination").Int(), turn,
 			n.Get("allowed_even").Num, n.Get("slice").Num, n.Get("wanted_here").Num,
-			n.Get("wanted_mean").Num, n.Get("relays_that_saw_failures").Int(), n.Get("wait_heard_ms").Int(), n.Get("why").Str)
+			n.Get("wanted_mean").Num, n.Get("relays_that_saw_failures").Int(), n.Get("wait_heard_ms").Int(),
+			n.Get("why").Str)
 	}
 	return w.Flush()
 }
--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -57,7 +57,8 @@
 func exportCommand() *cobra.Command {
 	var columns string
 	cmd := &cobra.Command{
-		Use: "export DIR", Short: "Print a JSON object for each record, for audits, without bodies", Args: exactArg("DIR"),
+		Use: "export DIR", Short: "Print a JSON object for each record, for audits, without bodies",
+		Args: exactArg("DIR"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if columns != "" { // the Parquet library is linked into the laboratory only
 				return execLab("journal-export", args[0], "--out", columns)
--- a/internal/cli/members_test.go
+++ b/internal/cli/members_test.go
@@ -10,8 +10,8 @@
 )
 
 // startView starts an admin server for one view. call runs the command that requests it.
-func startView(t *testing.T, name string, answer *string, status *int) (addr string, call func(args ...string) (int,
-	string)) {
+func startView(
+	t *testing.T, name string, answer *string, status *int) (addr string, call func(args ...string) (int, string)) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/"+name {
--- a/internal/cli/plugin_test.go
+++ b/internal/cli/plugin_test.go
@@ -66,9 +66,8 @@
 
 // plugin run prints the output of a hook, or fails if the hook fails.
 func TestPluginRun(t *testing.T) {
-	path := write(t, "m.wasm", wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, "shaped"),
-		abi.Header,
-		"X-Form: 2")).Bytes())
+	path := write(t, "m.wasm", wasm.Returning("shape_request",
+		abi.Append(abi.Append(nil, abi.Body, "shaped"), abi.Header, "X-Form: 2")).Bytes())
 	code, out := runCommand(t, "a body", "plugin", "run", path, "--hook", "shape_request", "--times", "3")
 	var got struct {
 		Hook, Body string
@@ -94,9 +93,10 @@
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
 	for name, data := range map[string]string{"good.wasm": string(wasm.Noop().Bytes()), "bad.wasm": "x",
-		"good": `plugins { plugin { name: "a" module: "good.wasm" hook: SHAPE_REQUEST } }`,
-		"bad":  `plugins { plugin { name: "a" module: "bad.wasm" hook: SHAPE_REQUEST } }`,
-		"key":  `plugins { plugin { nome: "a" } }`, "large": `plugins { plugin { name: "a" module: "good.wasm" hook: SHAPE_REQUEST budget { instances: 32 } } }`} {
+		"good":  `plugins { plugin { name: "a" module: "good.wasm" hook: SHAPE_REQUEST } }`,
+		"bad":   `plugins { plugin { name: "a" module: "bad.wasm" hook: SHAPE_REQUEST } }`,
+		"key":   `plugins { plugin { nome: "a" } }`,
+		"large": `plugins { plugin { name: "a" module: "good.wasm" hook: SHAPE_REQUEST budget { instances: 32 } } }`} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(data), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -110,8 +110,8 @@
 	if code, _ := runCommand(t, "", "check", filepath.Join(dir, "large"), "--memory-mb", "2000"); code != exitOK {
 		t.Errorf("with more memory: exit %d", code)
 	}
-	if code, out := runCommand(t, "", "check", filepath.Join("..", "..", "deploy",
-		"oatfold.textproto")); code != exitOK {
+	if code, out := runCommand(t, "", "check",
+		filepath.Join("..", "..", "deploy", "oatfold.textproto")); code != exitOK {
 		t.Errorf("the shipped file: exit %d, %s", code, out)
 	}
 }
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -30,6 +30,7 @@
 // exitError ends the program with an exit code and without a message.
 type exitError int
 
+// Error returns a text for tests and logs; Main prints nothing for an exitError.
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
 // options are the flags of all commands and of serve.
@@ -107,11 +108,9 @@
 		cmd.Flags().StringVar(&o.operator, "operator", "", "the operator's `file`, in protobuf text format")
 	}
 	root.AddCommand(serveCommand, sendCommand(o), checkCommand(o), pluginCommand(o), journalCommand(),
-		membersCommand(), choicesCommand(), siteCommand(), assignmentCommand(), labCommand(), &cobra.Command{Use: "version",
-			Short: "Print the version", Args: noArgs, Run: func(*cobra.Command, []string) {
-				fmt.Println("oatfold",
-					version)
-			}})
+		membersCommand(), choicesCommand(), siteCommand(), assignmentCommand(), labCommand(),
+		&cobra.Command{Use: "version", Short: "Print the version", Args: noArgs,
+			Run: func(*cobra.Command, []string) { fmt.Println("oatfold", version) }})
 	root.SetArgs(longFlags(args))
 	return root
 }
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -210,8 +210,7 @@
 		if err == nil {
 			all.Add(1)
 			if err = c.HandIn(ctx, m, func(r client.Result, err error) {
-				s.record(n, r,
-					err)
+				s.record(n, r, err)
 				all.Done()
 			}); err != nil {
 				all.Done()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,8 +15,7 @@
 	sources := daemon.ConfigSources{LoadPlatform: func() (*config.Config, error) { return config.Load(os.Getenv) }}
 	if o.operator != "" {
 		sources.LoadOperator = func(c *config.Config) (*operator.Config, error) {
-			return operator.Load(o.operator,
-				c.MemoryBytes)
+			return operator.Load(o.operator, c.MemoryBytes)
 		}
 	}
 	if o.profile != "" {
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -41,7 +41,7 @@
 					return err
 				}
 			}
-			f, err := c.Sites.ForecastLoss(lost)
+			forecast, err := c.Sites.ForecastLoss(lost)
 			if err != nil {
 				return usageError{fmt.Errorf("--lost: %w", err)}
 			}
@@ -49,25 +49,25 @@
 			if asJSON {
 				e := json.NewEncoder(out)
 				e.SetIndent("", " ")
-				return e.Encode(f)
+				return e.Encode(forecast)
 			}
 			fmt.Fprintf(out, "%s is lost; messages per second\n\n", lost)
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "zone\ttakes\tserves now\tserves then\tfull")
-			for _, z := range f.Zones {
+			for _, z := range forecast.Zones {
 				if z.Zone == lost {
 					fmt.Fprintf(w, "%s\tlost\t%.1f\t\t\n", z.Zone, z.Before)
 					continue
 				}
 				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.2f\n", z.Zone, z.Capacity, z.Before, z.After, z.Utilization)
 			}
-			fmt.Fprintln(w, "\nclass\twanted\tserved now\tserved then\trefused then")
-			for i, s := range f.After {
-				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", s.Class, s.Demand, f.Before[i].Served, s.Served,
+			fmt.Fprintln(w, "\nclass\tdemand\tserved now\tserved then\trefused then")
+			for i, s := range forecast.After {
+				fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", s.Class, s.Demand, forecast.Before[i].Served, s.Served,
 					s.Refused)
 			}
 			fmt.Fprintln(w, "\ndestination\tclass\tclients of\tgo to\ttier\trate")
-			for _, flow := range append(f.Flows, f.Refused...) {
+			for _, flow := range append(forecast.Flows, forecast.Refused...) {
 				to, tier := flow.To, fmt.Sprint(flow.Tier)
 				if to == "" {
 					to, tier = "refused", ""
@@ -79,8 +79,8 @@
 				return err
 			}
 			fmt.Fprintf(out, "\nreturn: its full share %.0f s after the first call that is served there, at least\n",
-				f.MinReturnSeconds)
-			for _, n := range f.Notes {
+				forecast.MinReturnSeconds)
+			for _, n := range forecast.Notes {
 				fmt.Fprintln(out, "note:", n)
 			}
 			return nil
@@ -130,7 +130,8 @@
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%.2f\t%d of %d\t%d\t%d\t%d\t%d\t%s\n", s.Get("zone").Str, s.Get("tier").Int(),
 			s.Get("state").Str, since, s.Get("level").Float(),
-			s.Get("relays_alive").Int(), s.Get("relays").Int(), s.Get("calls_taken").Int(), s.Get("calls_refused").Int(), s.Get("calls_failed").Int(), s.Get("failed_returns").Int(), why)
+			s.Get("relays_alive").Int(), s.Get("relays").Int(), s.Get("calls_taken").Int(),
+			s.Get("calls_refused").Int(), s.Get("calls_failed").Int(), s.Get("failed_returns").Int(), why)
 	}
 	return w.Flush()
 }
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -25,7 +25,8 @@
 	}
 	code, out, _ := call("--operator", file, "--lost", "porto")
 	for _, want := range []string{"braga  100.0  55.0        97.8         0.98",
-		"price-alert  125.0   125.0       94.8         30.2", "order-relay  braga       refused", "destination 2 has endpoints in porto only"} {
+		"price-alert  125.0   125.0       94.8         30.2", "order-relay  braga       refused",
+		"destination 2 has endpoints in porto only"} {
 		if code != exitOK || !strings.Contains(out, want) {
 			t.Errorf("%d, no %q in %s", code, want, out)
 		}
@@ -57,7 +58,8 @@
 	zone := map[string]string{"one": "porto", "two": "porto", "three": "braga"}
 	ask := func(addr, path string) ([]byte, error) {
 		if path == "/members" {
-			return []byte(`{"self":7,"members":[{"number":3,"zone":"faro"},{"number":7,"zone":"` + zone[addr] + `"}]}`), nil
+			return []byte(`{"self":7,"members":[{"number":3,"zone":"faro"},{"number":7,"zone":"` + zone[addr] + `"}]}`),
+				nil
 		}
 		return []byte(`{"destinations":[{"destination":1,"wanted_here":10},{"destination":9,"wanted_here":4}]}`), nil
 	}
@@ -122,8 +124,9 @@
 	for _, c := range []struct {
 		args []string
 		want int
-	}{{[]string{"out", addr, "porto"}, exitOK}, {[]string{"in", addr, "porto"}, exitOK}, {[]string{"out", addr,
-		"lisboa"}, exitFault}, {[]string{"out", addr, "a/b"}, exitUsage}, {[]string{"out", addr}, exitUsage}} {
+	}{{[]string{"out", addr, "porto"}, exitOK}, {[]string{"in", addr, "porto"}, exitOK},
+		{[]string{"out", addr, "lisboa"}, exitFault}, {[]string{"out", addr, "a/b"}, exitUsage},
+		{[]string{"out", addr}, exitUsage}} {
 		if code, _ := call(c.args...); code != c.want {
 			t.Errorf("%v: %d, want %d", c.args, code, c.want)
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,6 +28,7 @@
 var metricNames = [outcomeCount]string{Delivered: "passed", Returned: "dropped", Rejected: "dropped",
 	GivenUp: "bad_gateway", Failed: "bad_gateway"}
 
+// prefix begins the name of each metric.
 const prefix = "edge_router_"
 
 // classCounters are the counters of one message class, by outcome.
@@ -124,4 +125,5 @@
 	return b
 }
 
+// labelEscaper escapes the value of a label.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
--- a/internal/plugin/guest_test.go
+++ b/internal/plugin/guest_test.go
@@ -77,8 +77,9 @@
 		m := testMessage("fee-charge")
 		m.Body = []byte(body)
 		a := gate.OnHandIn(m)
-		if a.Verdict != want || want == abi.Take && string(a.Notes) != string(abi.Append(nil, abi.Note,
-			`account="x"`)) || want == abi.Reject && a.Reason == "" {
+		if a.Verdict != want ||
+			want == abi.Take && string(a.Notes) != string(abi.Append(nil, abi.Note, `account="x"`)) ||
+			want == abi.Reject && a.Reason == "" {
 			t.Errorf("%s: %+v", body, a)
 		}
 	}
--- a/internal/plugin/limits/limits.go
+++ b/internal/plugin/limits/limits.go
@@ -126,10 +126,11 @@
 
 // reservedHeaders are the headers that only the relay sets, in lower case: framing, the connection,
 // and those that identify the message.
-var reservedHeaders = map[string]bool{"host": true, "content-length": true, "transfer-encoding": true,
-	"connection": true, "keep-alive": true,
-	"te": true, "trailer": true, "upgrade": true, "expect": true, "x-correlation-id": true, "idempotency-key": true, "x-time-left-ms": true,
-	"envelope": true, "x-repeat": true}
+var reservedHeaders = map[string]bool{
+	"host": true, "content-length": true, "transfer-encoding": true, "connection": true, "keep-alive": true,
+	"te": true, "trailer": true, "upgrade": true, "expect": true,
+	"x-correlation-id": true, "idempotency-key": true, "x-time-left-ms": true, "envelope": true, "x-repeat": true,
+}
 
 // parseHeader parses NAME: VALUE. It rejects control characters, since a line end would start
 // another header or request.
@@ -179,7 +180,7 @@
 
 // MergeWait returns the Retry-After that applies after a plug-in asked for another one: it can only
 // become longer.
-func MergeWait(told, asked time.Duration) time.Duration { return max(told, min(asked, maxWait)) }
+func MergeWait(current, asked time.Duration) time.Duration { return max(current, min(asked, maxWait)) }
 
 // FailureAction says what happens to a message if the call of a plug-in fails.
 type FailureAction int
@@ -192,7 +193,7 @@
 )
 
 // String returns the name of the action.
-func (t FailureAction) String() string { return [...]string{"refuse", "fail", "pass"}[t] }
+func (a FailureAction) String() string { return [...]string{"refuse", "fail", "pass"}[a] }
 
 // BreakerConfig configures the circuit breaker of a plug-in.
 type BreakerConfig struct {
@@ -214,21 +215,21 @@
 }
 
 // NewBreaker returns a closed breaker.
-func NewBreaker(p BreakerConfig) *Breaker { return &Breaker{config: p} }
+func NewBreaker(config BreakerConfig) *Breaker { return &Breaker{config: config} }
 
 // Permit identifies an allowed call: true for a trial.
 type Permit bool
 
 // Allow reports whether a call may be made now. Each allowed call is followed by one Record or
 // Cancel with its permit.
-func (h *Breaker) Allow(now time.Time) (trial Permit, ok bool) {
-	if h.openUntil.IsZero() {
+func (b *Breaker) Allow(now time.Time) (trial Permit, ok bool) {
+	if b.openUntil.IsZero() {
 		return false, true
 	}
-	if now.Before(h.openUntil) || h.trialInFlight {
+	if now.Before(b.openUntil) || b.trialInFlight {
 		return false, false
 	}
-	h.trialInFlight = true
+	b.trialInFlight = true
 	return true, true
 }
 
@@ -244,38 +245,38 @@
 
 // Record records the result of a call. Calls that were allowed before the breaker opened change
 // nothing.
-func (h *Breaker) Record(now time.Time, trial Permit, ok bool) Transition {
+func (b *Breaker) Record(now time.Time, trial Permit, ok bool) Transition {
 	switch {
-	case !bool(trial) && !h.openUntil.IsZero():
+	case !bool(trial) && !b.openUntil.IsZero():
 		return Unchanged
 	case !bool(trial) && ok:
-		h.failures = 0
+		b.failures = 0
 		return Unchanged
 	case !bool(trial):
-		if h.failures++; h.failures < h.config.FailureThreshold {
+		if b.failures++; b.failures < b.config.FailureThreshold {
 			return Unchanged
 		}
-		h.openTime = h.config.OpenTime
+		b.openTime = b.config.OpenTime
 	case !ok:
-		h.trialInFlight, h.openTime = false, min(2*h.openTime, h.config.MaxOpenTime)
+		b.trialInFlight, b.openTime = false, min(2*b.openTime, b.config.MaxOpenTime)
 	default:
-		h.trialInFlight = false
-		if h.succeededTrials++; h.succeededTrials < h.config.RequiredTrials {
+		b.trialInFlight = false
+		if b.succeededTrials++; b.succeededTrials < b.config.RequiredTrials {
 			return Unchanged
 		}
-		h.openUntil, h.failures = time.Time{}, 0
+		b.openUntil, b.failures = time.Time{}, 0
 		return Closed
 	}
-	h.openUntil, h.succeededTrials = now.Add(h.openTime), 0
+	b.openUntil, b.succeededTrials = now.Add(b.openTime), 0
 	return Opened
 }
 
 // Cancel records that an allowed call was not made.
-func (h *Breaker) Cancel(trial Permit) {
+func (b *Breaker) Cancel(trial Permit) {
 	if trial {
-		h.trialInFlight = false
+		b.trialInFlight = false
 	}
 }
 
 // IsOpen reports whether the breaker is open or half-open.
-func (h *Breaker) IsOpen() bool { return !h.openUntil.IsZero() }
+func (b *Breaker) IsOpen() bool { return !b.openUntil.IsZero() }
--- a/internal/plugin/limits/limits_test.go
+++ b/internal/plugin/limits/limits_test.go
@@ -98,10 +98,10 @@
 				t.Fatalf("%d became %d", before, is)
 			}
 		}
-		told, asked := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "told")), time.Duration(rapid.Int64Range(-1e12,
-			1<<62).Draw(t, "asked wait"))
-		if w := MergeWait(told, asked); w < told || w > max(told, maxWait) {
-			t.Fatalf("%v became %v", told, w)
+		current, asked := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "told")),
+			time.Duration(rapid.Int64Range(-1e12, 1<<62).Draw(t, "asked wait"))
+		if w := MergeWait(current, asked); w < current || w > max(current, maxWait) {
+			t.Fatalf("%v became %v", current, w)
 		}
 	})
 }
@@ -114,14 +114,14 @@
 		p := BreakerConfig{FailureThreshold: rapid.IntRange(1, 4).Draw(t, "failures"),
 			OpenTime: 100 * time.Millisecond, MaxOpenTime: 300 * time.Millisecond,
 			RequiredTrials: rapid.IntRange(1, 3).Draw(t, "trials")}
-		h, now := NewBreaker(p), time.Unix(1000, 0)
+		breaker, now := NewBreaker(p), time.Unix(1000, 0)
 		failures, succeeded, openTime, openUntil, isOpen, trialInFlight := 0, 0, time.Duration(0), time.Time{}, false,
 			false
 		var admitted []Permit
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "ms")) * time.Millisecond)
 			if len(admitted) == 0 || rapid.Bool().Draw(t, "call") {
-				ticket, ok := h.Allow(now)
+				ticket, ok := breaker.Allow(now)
 				want := !isOpen || !now.Before(openUntil) && !trialInFlight
 				if ok != want || ok && bool(ticket) != isOpen {
 					t.Fatalf("allowed %v with permit %v; open %v until %v, trial %v", ok, ticket, isOpen,
@@ -137,7 +137,7 @@
 			ticket := admitted[i]
 			admitted = append(admitted[:i], admitted[i+1:]...)
 			if rapid.IntRange(0, 9).Draw(t, "withdraw") == 0 {
-				if h.Cancel(ticket); ticket {
+				if breaker.Cancel(ticket); ticket {
 					trialInFlight = false
 				}
 				continue
@@ -161,8 +161,8 @@
 				trialInFlight, succeeded, openTime, want = false, 0, min(2*openTime, p.MaxOpenTime), Opened
 				openUntil = now.Add(openTime)
 			}
-			if got := h.Record(now, ticket, ok); got != want || h.IsOpen() != isOpen {
-				t.Fatalf("transition %v, want %v; open %v, want %v", got, want, h.IsOpen(), isOpen)
+			if got := breaker.Record(now, ticket, ok); got != want || breaker.IsOpen() != isOpen {
+				t.Fatalf("transition %v, want %v; open %v, want %v", got, want, breaker.IsOpen(), isOpen)
 			}
 		}
 	})
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -90,8 +90,7 @@
 
 func send(c *client.Client, class string, dest, n int) client.Result {
 	res, _ := c.Send(context.Background(), client.Message{Class: class, Dest: dest, Effect: effectByClass[class],
-		TimeLeft: 2500 * time.Millisecond,
-		Body:     fmt.Appendf(nil, "%s/%d-%d\nbody", class, dest, n)})
+		TimeLeft: 2500 * time.Millisecond, Body: fmt.Appendf(nil, "%s/%d-%d\nbody", class, dest, n)})
 	return res
 }
 
@@ -198,8 +197,8 @@
 	file := func(module string) []byte {
 		return fmt.Appendf(nil, "plugins { plugin { name: \"form\" module: %q hook: SHAPE_REQUEST budget { wall_ms: 1000 cpu_ms: 1000 wait_ms: 1000 } } }", module)
 	}
-	s := startTestRelay(t, 1, string(file("a")), map[string][]byte{"a": form("a"), "b": form("b"),
-		"broken": []byte("x")})
+	s := startTestRelay(t, 1, string(file("a")),
+		map[string][]byte{"a": form("a"), "b": form("b"), "broken": []byte("x")})
 	stop := make(chan struct{})
 	var workers sync.WaitGroup
 	sentCount := make([]int, 4)
@@ -289,8 +288,8 @@
 	}
 	s.relay.Kill()
 	in, err := journal.Inspect(journal.Dir(s.relay.StateDir), nil)
-	if err != nil || len(in.Messages) != 1 || string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note,
-		"a=b")) {
+	if err != nil || len(in.Messages) != 1 ||
+		string(in.Messages[0].PluginNotes) != string(abi.Append(nil, abi.Note, "a=b")) {
 		t.Errorf("the note is missing in the journal: %+v, %v", in, err)
 	}
 	s.Partners[0].SetMode(testdouble.Healthy, 1)
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -177,8 +177,8 @@
 				}
 			}
 			m := i.module.Memory()
-			if _, _, err := p.runOn(i, abi.ShapeRequest, p.encodeMessage(testMessage("fee-charge"), nil,
-				0)); err == nil {
+			if _, _, err := p.runOn(i, abi.ShapeRequest,
+				p.encodeMessage(testMessage("fee-charge"), nil, 0)); err == nil {
 				t.Error("the call did not fail")
 			}
 			if size := m.Size(); size > 16*PageSize {
@@ -198,13 +198,13 @@
 // Notes reach the later hooks; plug-ins are called in order, and only for messages that they match.
 func TestChain(t *testing.T) {
 	note := testSpec(t, wasm.Returning("on_handin", abi.Append(nil, abi.Note, "a=b")).Bytes(), abi.OnHandIn)
-	one := testSpec(t, wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body,
-		"one")).Bytes(), abi.ShapeRequest)
+	one := testSpec(t, wasm.Returning("shape_request",
+		abi.Append(abi.Append(nil, abi.Header, "X-A: 1"), abi.Body, "one")).Bytes(), abi.ShapeRequest)
 	two := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Header, "X-A: 2")).Bytes(), abi.ShapeRequest)
 	other := testSpec(t, wasm.Returning("shape_request", abi.Append(nil, abi.Body, "other")).Bytes(), abi.ShapeRequest)
 	other.Dests = []int{8}
-	late := testSpec(t, wasm.Returning("read_answer", abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave),
-		abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
+	late := testSpec(t, wasm.Returning("read_answer",
+		abi.AppendNumber(abi.AppendNumber(nil, abi.Outcome, abi.MayHave), abi.WaitMs, 500)).Bytes(), abi.ReadAnswer)
 	set, err := LoadSet(context.Background(), []Spec{note, one, other, two, late}, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -279,8 +279,8 @@
 // that sets a body.
 func BenchmarkShape(b *testing.B) {
 	for name, m := range map[string]*wasm.Module{"none": nil, "noop": ptr(wasm.Noop()),
-		"rewrite": ptr(wasm.Returning("shape_request", abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)),
-			abi.Header, "X-Form: 2")))} {
+		"rewrite": ptr(wasm.Returning("shape_request",
+			abi.Append(abi.Append(nil, abi.Body, strings.Repeat("x", 212)), abi.Header, "X-Form: 2")))} {
 		b.Run(name, func(b *testing.B) {
 			h := &Holder{}
 			if m != nil {
--- a/internal/plugin/set.go
+++ b/internal/plugin/set.go
@@ -130,8 +130,10 @@
 	Err    error
 }
 
+// Error names the plug-in and the cause.
 func (e *CallError) Error() string { return fmt.Sprintf("plug-in %s: %v", e.Plugin, e.Err) }
 
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // handleFailure logs a failed call. It returns nil if the message is to be processed without the
@@ -160,7 +162,7 @@
 
 // OnHandIn calls the on_handin hooks for a submitted message. The first rejection is final.
 func (s *Set) OnHandIn(m *Message) HandInDecision {
-	a := HandInDecision{Verdict: abi.Take}
+	decision := HandInDecision{Verdict: abi.Take}
 	for _, p := range s.plugins {
 		if !p.matches(abi.OnHandIn, m) {
 			continue
@@ -168,8 +170,9 @@
 		out, err := p.Call(abi.OnHandIn, p.encodeMessage(m, m.Body, 0))
 		if err != nil {
 			if f := s.handleFailure(p, abi.OnHandIn, m, err); f != nil {
-				return HandInDecision{Verdict: map[limits.FailureAction]int{limits.Refuse: abi.Refuse,
-					limits.Fail: abi.Reject}[f.Action], Reason: "plug-in " + p.Name + " failed"}
+				return HandInDecision{
+					Verdict: map[limits.FailureAction]int{limits.Refuse: abi.Refuse, limits.Fail: abi.Reject}[f.Action],
+					Reason:  "plug-in " + p.Name + " failed"}
 			}
 			continue
 		}
@@ -177,12 +180,12 @@
 			return HandInDecision{Verdict: out.Verdict, Wait: out.Wait, Reason: out.Reason}
 		}
 		if m.Notes = append(m.Notes, out.Notes...); len(m.Notes) > MaxNotesBytes {
-			return HandInDecision{Verdict: abi.Reject, Reason: fmt.Sprintf("notes of more than %d bytes",
-				MaxNotesBytes)}
+			return HandInDecision{Verdict: abi.Reject,
+				Reason: fmt.Sprintf("notes of more than %d bytes", MaxNotesBytes)}
 		}
 	}
-	a.Notes = m.Notes
-	return a
+	decision.Notes = m.Notes
+	return decision
 }
 
 // MaxNotesBytes bounds the encoded notes of a message.
--- a/plugin/examples/brokerform/main.go
+++ b/plugin/examples/brokerform/main.go
@@ -16,6 +16,7 @@
 
 func main() {}
 
+// shapeRequest returns the order in the broker's format.
 func shapeRequest(m *plugin.Message) (plugin.Shape, error) {
 	var order map[string]json.RawMessage
 	if err := json.Unmarshal(m.Body, &order); err != nil {
--- a/plugin/examples/gatekeeper/main.go
+++ b/plugin/examples/gatekeeper/main.go
@@ -14,6 +14,7 @@
 
 func main() {}
 
+// checkFields rejects a body without one of the required members.
 func checkFields(m *plugin.Message) (plugin.HandIn, error) {
 	var body map[string]any
 	if json.Unmarshal(m.Body, &body) != nil {
--- a/plugin/examples/softreject/main.go
+++ b/plugin/examples/softreject/main.go
@@ -14,6 +14,7 @@
 
 func main() {}
 
+// readAnswer recognises a rejection in the body of a 200 answer.
 func readAnswer(_ *plugin.Message, a *plugin.Answer) (plugin.Reading, error) {
 	var partner struct {
 		Status  string `json:"status"`
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -89,6 +89,7 @@
 	ReadAnswer   func(*Message, *Answer) (Reading, error)
 }
 
+// handlers are the hooks of this plug-in.
 var handlers Handlers
 
 // Serve sets the hooks. Call it from an init function.
