--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -18,26 +18,27 @@
 	"oatfold/internal/testdouble"
 )
 
-// bin is the real relay, built once.
-var bin string
+// relayBinary is the path of the relay program, built once.
+var relayBinary string
 
-func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
+func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &relayBinary)) }
 
-// startWorld starts what lies round the relays. At the test's end neither it nor a client has left a goroutine behind.
-func startWorld(t testing.TB, set testdouble.Config) *testdouble.Environment {
+// startEnv starts the test doubles around the relays. At the end of the test it checks that no
+// goroutine is left.
+func startEnv(t testing.TB, config testdouble.Config) *testdouble.Environment {
 	t.Helper()
-	if set.Partners == nil {
-		set.Partners = []testdouble.PartnerConfig{{Dest: 7}}
+	if config.Partners == nil {
+		config.Partners = []testdouble.PartnerConfig{{Dest: 7}}
 	}
 	before := goleak.IgnoreCurrent()
-	w, err := testdouble.NewEnvironment(set)
+	w, err := testdouble.NewEnvironment(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		w.Close()
 		err := goleak.Find(before)
-		for n := 0; err != nil && n < 20; n++ { // a slow machine needs its time to close what was open
+		for n := 0; err != nil && n < 20; n++ { // closing takes time on a slow machine
 			err = goleak.Find(before)
 		}
 		if err != nil {
@@ -49,51 +50,52 @@
 
 func startRelay(t testing.TB, w *testdouble.Environment) *testdouble.Relay {
 	t.Helper()
-	r, err := w.StartRelay(bin)
+	r, err := w.StartRelay(relayBinary)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func startGate(t testing.TB, w *testdouble.Environment, to string, script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
+func startProxy(t testing.TB, w *testdouble.Environment, backend string,
+	script func(n int, path string) testdouble.Fault) *testdouble.FaultProxy {
 	t.Helper()
-	g, err := w.StartFaultProxy(to, script)
+	g, err := w.StartFaultProxy(backend, script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return g
 }
 
-// seen is told what a client does.
-type seen struct {
-	w       *testdouble.Environment
-	mu      sync.Mutex
-	handIns int
-	opened  []time.Time // connections tried
-	refused int         // of these, to a relay that did not listen
+// recorder counts the events of a client.
+type recorder struct {
+	env            *testdouble.Environment
+	mu             sync.Mutex
+	requests       int
+	connectedAt    []time.Time // attempts to connect
+	failedConnects int         // of connectedAt
 }
 
-func (s *seen) HandIn(client.Attempt, time.Duration) {
+func (s *recorder) HandIn(client.Attempt, time.Duration) {
 	s.mu.Lock()
-	s.handIns++
+	s.requests++
 	s.mu.Unlock()
-	s.w.Notify()
+	s.env.Notify()
 }
 
-func (s *seen) Done(client.Result) {}
+func (s *recorder) Done(client.Result) {}
 
-func (s *seen) Connection(_ string, err error) {
+func (s *recorder) Connection(_ string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opened = append(s.opened, time.Now()); err != nil {
-		s.refused++
+	if s.connectedAt = append(s.connectedAt, time.Now()); err != nil {
+		s.failedConnects++
 	}
 }
 
-func newClient(t testing.TB, set client.Config) *client.Client {
+func newClient(t testing.TB, config client.Config) *client.Client {
 	t.Helper()
-	c, err := client.New(set)
+	c, err := client.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,28 +103,31 @@
 	return c
 }
 
-func until(t testing.TB, w *testdouble.Environment, what string, cond func() bool) {
+func waitUntil(t testing.TB, w *testdouble.Environment, what string, cond func() bool) {
 	t.Helper()
 	if err := w.WaitUntil(what, cond); err != nil {
 		t.Fatal(err)
 	}
 }
 
-var effects = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed, "fee-charge": client.Unsafe}
+var effectByClass = map[string]client.Effect{"price-alert": client.Safe, "order-relay": client.Keyed,
+	"fee-charge": client.Unsafe}
 
-func message(class string, n int, left time.Duration) client.Message {
-	return client.Message{Class: class, Dest: 7, Effect: effects[class], TimeLeft: left, Body: fmt.Appendf(nil, "%s/%d\nsome body", class, n)}
+func newMessage(class string, n int, timeLeft time.Duration) client.Message {
+	return client.Message{Class: class, Dest: 7, Effect: effectByClass[class], TimeLeft: timeLeft,
+		Body: fmt.Appendf(nil, "%s/%d\nsome body", class, n)}
 }
 
-func want(t testing.TB, what string, res client.Result, err error, o client.Outcome, handIns int) {
+func expectResult(t testing.TB, what string, result client.Result, err error, outcome client.Outcome, attempts int) {
 	t.Helper()
-	if res.Outcome != o || res.HandIns != handIns || (err == nil) != (o == client.Taken) {
-		t.Errorf("%s: %v after %d hand-ins (%v), want %v after %d: %+v", what, res.Outcome, res.HandIns, err, o, handIns, res.Attempts)
+	if result.Outcome != outcome || result.HandIns != attempts || (err == nil) != (outcome == client.Taken) {
+		t.Errorf("%s: %v after %d attempts (%v), want %v after %d: %+v", what, result.Outcome, result.HandIns, err,
+			outcome, attempts, result.Attempts)
 	}
 }
 
-// only answers the first n requests so and passes the rest.
-func only(n int, f testdouble.Fault) func(int, string) testdouble.Fault {
+// faultFirst applies f to the first n requests and passes the others on.
+func faultFirst(n int, f testdouble.Fault) func(int, string) testdouble.Fault {
 	return func(i int, _ string) testdouble.Fault {
 		if i < n {
 			return f
@@ -131,118 +136,130 @@
 	}
 }
 
-func refusal(status int, after string) testdouble.Fault {
+func answerFault(status int, retryAfter string) testdouble.Fault {
 	f := testdouble.Fault{Kind: testdouble.Respond, Status: status, Header: http.Header{}}
-	if after != "" {
-		f.Header.Set("Retry-After", after)
+	if retryAfter != "" {
+		f.Header.Set("Retry-After", retryAfter)
 	}
 	return f
 }
 
-// A relay whose disk is full refuses an alert, and tells a wait that is longer than the time left: the message is given up at once.
+// A relay with a full disk rejects an alert with a Retry-After longer than its time left: the
+// client gives up at once.
 func TestWaitLongerThanTimeLeft(t *testing.T) {
-	w := startWorld(t, testdouble.Config{DiskMB: 0.15})
+	w := startEnv(t, testdouble.Config{DiskMB: 0.15})
 	r := startRelay(t, w)
 	w.Partners[7].SetMode(testdouble.Unresponsive, 1)
 	c := newClient(t, client.Config{Relays: []string{r.Addr}})
 	large := func(class string, n int, left time.Duration) client.Message {
-		m := message(class, n, left)
+		m := newMessage(class, n, left)
 		m.Body = append(m.Body, make([]byte, 60<<10)...)
 		return m
 	}
 	res, err := c.Send(context.Background(), large("order-relay", 1, 15*time.Second))
-	want(t, "with room", res, err, client.Taken, 1)
+	expectResult(t, "with disk space", res, err, client.Taken, 1)
 	res, err = c.Send(context.Background(), large("price-alert", 3, 1500*time.Millisecond))
-	want(t, "without room", res, err, client.GivenUp, 1)
+	expectResult(t, "without disk space", res, err, client.GivenUp, 1)
 	var e *client.Error
-	if !errors.Is(err, client.ErrGivenUp) || !errors.As(err, &e) || e.Status != 503 || e.Wait < 1500*time.Millisecond || e.Stage != client.Answered {
+	if !errors.Is(err, client.ErrGivenUp) || !errors.As(err, &e) || e.Status != 503 ||
+		e.Wait < 1500*time.Millisecond || e.Stage != client.Answered {
 		t.Errorf("error %#v", err)
 	}
-	// The wait binds what comes after it as well: nothing goes out.
-	res, err = c.Send(context.Background(), message("fee-charge", 4, 1500*time.Millisecond))
-	want(t, "while the wait runs", res, err, client.GivenUp, 0)
+	// Retry-After applies to later messages as well: nothing is sent.
+	res, err = c.Send(context.Background(), newMessage("fee-charge", 4, 1500*time.Millisecond))
+	expectResult(t, "during the wait", res, err, client.GivenUp, 0)
 }
 
-// Waits, marks, keys and times of further hand-ins, and no more than two of them, at one relay and at two.
+// Retries after rejections carry the right wait, mark, key and time left, and there are two at
+// most.
 func TestRefusals(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	g := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(503, "0.05") })
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "0.05") })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
-	res, err := c.Send(context.Background(), message("fee-charge", 1, 5*time.Second))
-	want(t, "refused for good", res, err, client.Refused, 3)
+	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 5*time.Second))
+	expectResult(t, "always rejected", res, err, client.Refused, 3)
 	seen := g.Requests()
 	if len(seen) != 3 || len(res.Waits) != 3 || !errors.Is(err, client.ErrRefused) {
 		t.Fatalf("%d requests, waits %v, %v", len(seen), res.Waits, err)
 	}
 	for i, s := range seen {
-		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key || i > 0 && s.ID == seen[i-1].ID {
+		if mark := []string{"", "1", "1"}[i]; s.RepeatMark != mark || s.Key == "" || s.Key != seen[0].Key ||
+			i > 0 && s.ID == seen[i-1].ID {
 			t.Errorf("request %d: %+v", i, s)
 		}
-		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond || s.TimeLeft >= seen[i-1].TimeLeft && len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
-			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At), s.TimeLeft, seen[i-1].TimeLeft)
+		if i > 0 && (s.At.Sub(seen[i-1].At) < 50*time.Millisecond ||
+			s.TimeLeft >= seen[i-1].TimeLeft && len(s.TimeLeft) == len(seen[i-1].TimeLeft)) {
+			t.Errorf("request %d came %v after the last and states %s ms after %s", i, s.At.Sub(seen[i-1].At),
+				s.TimeLeft, seen[i-1].TimeLeft)
 		}
 	}
-	full := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(503, "60") })
-	room := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(202, "") })
-	c = newClient(t, client.Config{Relays: []string{full.Addr, room.Addr}})
+	fullRelay := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(503, "60") })
+	acceptingRelay := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
+	c = newClient(t, client.Config{Relays: []string{fullRelay.Addr, acceptingRelay.Addr}})
 	for n := range 20 {
-		res, err := c.Send(context.Background(), message("fee-charge", n, 5*time.Second))
-		if want(t, "another relay has room", res, err, client.Taken, res.HandIns); res.HandIns > 2 {
-			t.Errorf("%d hand-ins", res.HandIns)
+		res, err := c.Send(context.Background(), newMessage("fee-charge", n, 5*time.Second))
+		if expectResult(t, "another relay accepts", res, err, client.Taken, res.HandIns); res.HandIns > 2 {
+			t.Errorf("%d attempts", res.HandIns)
 		}
 	}
-	if n := len(full.Requests()); n > 1 {
-		t.Errorf("the relay that told to wait was asked %d times", n)
+	if n := len(fullRelay.Requests()); n > 1 {
+		t.Errorf("the relay that sent Retry-After received %d requests", n)
 	}
-	limited := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "60") })
-	other := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "60") })
+	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "60") })
+	other := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "60") })
 	c = newClient(t, client.Config{Relays: []string{limited.Addr, other.Addr}})
-	res, err = c.Send(context.Background(), message("order-relay", 1, 5*time.Second))
-	want(t, "a destination's limit binds at every relay", res, err, client.GivenUp, 1)
-	res, err = c.Send(context.Background(), message("order-relay", 2, 5*time.Second))
-	want(t, "and binds the next message", res, err, client.GivenUp, 0)
+	res, err = c.Send(context.Background(), newMessage("order-relay", 1, 5*time.Second))
+	expectResult(t, "a destination's limit applies at every relay", res, err, client.GivenUp, 1)
+	res, err = c.Send(context.Background(), newMessage("order-relay", 2, 5*time.Second))
+	expectResult(t, "a destination's limit applies to the next message", res, err, client.GivenUp, 0)
 }
 
-// Waits that are no wait are not told; absurd ones end the message.
-func TestOddRetryAfter(t *testing.T) {
-	for after, o := range map[string]client.Outcome{"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken, "soon": client.Taken, "": client.Taken,
-		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken, "9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
+// An invalid Retry-After is ignored; one longer than the time left ends the message.
+func TestInvalidRetryAfter(t *testing.T) {
+	for after, o := range map[string]client.Outcome{
+		"-1": client.Taken, "NaN": client.Taken, "Inf": client.Taken, "soon": client.Taken, "": client.Taken,
+		"0x1p9": client.Taken, "1e9": client.Taken, "0": client.Taken, ".05": client.Taken,
+		"9999999999999999999999": client.GivenUp, "86400": client.GivenUp,
 		"Tue, 01 Dec 2099 00:00:00 GMT": client.Taken} {
-		w := startWorld(t, testdouble.Config{})
-		g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
+		w := startEnv(t, testdouble.Config{})
+		g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 			if n == 0 {
-				return refusal(503, after)
+				return answerFault(503, after)
 			}
-			return refusal(202, "")
+			return answerFault(202, "")
 		})
 		c := newClient(t, client.Config{Relays: []string{g.Addr}})
-		res, err := c.Send(context.Background(), message("fee-charge", 1, 2*time.Second))
-		hands := 2
+		res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 2*time.Second))
+		wantAttempts := 2
 		if o == client.GivenUp {
-			hands = 1
+			wantAttempts = 1
 		}
-		want(t, "Retry-After: "+after, res, err, o, hands)
+		expectResult(t, "Retry-After: "+after, res, err, o, wantAttempts)
 	}
 }
 
-// The relay has taken the message on and its answer is lost: what may run twice goes again, a charge does not.
+// The relay accepted the message and its answer is lost: keyed and safe messages are retried, a
+// charge is not.
 func TestAnswerLost(t *testing.T) {
-	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken, "fee-charge": client.Uncertain} {
+	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "order-relay": client.Taken,
+		"fee-charge": client.Uncertain} {
 		t.Run(class, func(t *testing.T) {
-			w := startWorld(t, testdouble.Config{})
-			g := startGate(t, w, startRelay(t, w).Addr, only(1, testdouble.Fault{Kind: testdouble.DropResponse}))
+			w := startEnv(t, testdouble.Config{})
+			g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.DropResponse}))
 			c := newClient(t, client.Config{Relays: []string{g.Addr}})
-			res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
-			hands := 2
+			res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
+			wantAttempts := 2
 			if o == client.Uncertain {
-				hands = 1
+				wantAttempts = 1
 			}
-			want(t, class, res, err, o, hands)
+			expectResult(t, class, res, err, o, wantAttempts)
 			seen := g.Requests()
-			if len(seen) != hands || hands == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key || seen[1].ID == seen[0].ID) {
+			if len(seen) != wantAttempts ||
+				wantAttempts == 2 && (seen[1].RepeatMark != "again" || seen[1].Key != seen[0].Key ||
+					seen[1].ID == seen[0].ID) {
 				t.Fatalf("on the wire: %+v", seen)
 			}
-			until(t, w, "all that ran", func() bool { return len(w.EffectLog.Entries()) == hands })
+			waitUntil(t, w, "all effects", func() bool { return len(w.EffectLog.Entries()) == wantAttempts })
 			if n := w.EffectLog.CountByName()[class+"/1"]; n != 1 && class != "price-alert" {
 				t.Errorf("took effect %d times", n)
 			}
@@ -250,103 +267,109 @@
 	}
 }
 
-// A keyed message is not repeated once its window is over, nor with a stated time past it.
+// A keyed message is not retried after its window, and no retry states a time past it.
 func TestKeyedWindow(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n == 0 {
 			return testdouble.Fault{Kind: testdouble.IgnoreRequest}
 		}
-		return refusal(202, "")
+		return answerFault(202, "")
 	})
-	m := message("order-relay", 1, 15*time.Second)
+	m := newMessage("order-relay", 1, 15*time.Second)
 	m.Window = 3 * time.Second
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err := c.Send(context.Background(), m)
-	want(t, "within the window", res, err, client.Taken, 2)
+	expectResult(t, "within the window", res, err, client.Taken, 2)
 	if s := res.Attempts[1].Stated; s > m.Window {
-		t.Errorf("the repeat states %v, past the window", s)
+		t.Errorf("the retry states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	g2 := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
-	want(t, "past the window", res, err, client.Uncertain, 1)
+	expectResult(t, "past the window", res, err, client.Uncertain, 1)
 	m.Window = 3 * time.Second
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond, Strict: true})
 	res, err = c.Send(context.Background(), m)
-	want(t, "strict", res, err, client.Uncertain, 1)
+	expectResult(t, "strict", res, err, client.Uncertain, 1)
 }
 
-// The 202 comes after the time-out: it counts for nothing, and does not answer a later hand-in.
+// A 202 after the timeout is ignored and does not answer a later request.
 func TestLateAnswer(t *testing.T) {
 	for class, o := range map[string]client.Outcome{"price-alert": client.Taken, "fee-charge": client.Uncertain} {
-		w := startWorld(t, testdouble.Config{})
-		g := startGate(t, w, startRelay(t, w).Addr, only(1, testdouble.Fault{Kind: testdouble.HoldResponse}))
+		w := startEnv(t, testdouble.Config{})
+		g := startProxy(t, w, startRelay(t, w).Addr, faultFirst(1, testdouble.Fault{Kind: testdouble.HoldResponse}))
 		c := newClient(t, client.Config{Relays: []string{g.Addr}, AnswerTimeout: 100 * time.Millisecond})
-		res, err := c.Send(context.Background(), message(class, 1, 5*time.Second))
-		hands := 2
+		res, err := c.Send(context.Background(), newMessage(class, 1, 5*time.Second))
+		wantAttempts := 2
 		if o == client.Uncertain {
-			hands = 1
+			wantAttempts = 1
 		}
-		want(t, class, res, err, o, hands)
+		expectResult(t, class, res, err, o, wantAttempts)
 		g.ReleaseResponses()
-		res, err = c.Send(context.Background(), message(class, 2, 5*time.Second))
-		want(t, class+" after it", res, err, client.Taken, 1)
-		until(t, w, "the first to run", func() bool { return w.EffectLog.CountByName()[class+"/1"] >= 1 })
+		res, err = c.Send(context.Background(), newMessage(class, 2, 5*time.Second))
+		expectResult(t, class+" after the late answer", res, err, client.Taken, 1)
+		waitUntil(t, w, "the first to run", func() bool { return w.EffectLog.CountByName()[class+"/1"] >= 1 })
 		if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 			t.Error("doubles:", d)
 		}
 	}
 }
 
-// A relay that accepts and says nothing is left for another one; where there is none a message ends uncertain.
-func TestMuteRelay(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	mute := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
-	fine := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(202, "") })
-	c := newClient(t, client.Config{Relays: []string{mute.Addr}, AnswerTimeout: 50 * time.Millisecond})
-	res, err := c.Send(context.Background(), message("price-alert", 1, 1500*time.Millisecond))
-	if res.Outcome != client.Uncertain || res.HandIns != len(mute.Requests()) || res.HandIns > 3 || !errors.Is(err, client.ErrUncertain) {
-		t.Errorf("%+v, %v; on the wire %d", res, err, len(mute.Requests()))
-	}
-	c = newClient(t, client.Config{Relays: []string{mute.Addr, fine.Addr}, AnswerTimeout: 50 * time.Millisecond})
-	before := len(mute.Requests())
+// A client avoids a relay that accepts connections and never answers; without another relay the
+// message is uncertain.
+func TestUnresponsiveRelay(t *testing.T) {
+	w := startEnv(t, testdouble.Config{})
+	unresponsive := startProxy(t, w, "", func(int, string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	})
+	accepting := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(202, "") })
+	c := newClient(t, client.Config{Relays: []string{unresponsive.Addr}, AnswerTimeout: 50 * time.Millisecond})
+	res, err := c.Send(context.Background(), newMessage("price-alert", 1, 1500*time.Millisecond))
+	if res.Outcome != client.Uncertain || res.HandIns != len(unresponsive.Requests()) || res.HandIns > 3 ||
+		!errors.Is(err, client.ErrUncertain) {
+		t.Errorf("%+v, %v; on the wire %d", res, err, len(unresponsive.Requests()))
+	}
+	c = newClient(t, client.Config{Relays: []string{unresponsive.Addr, accepting.Addr},
+		AnswerTimeout: 50 * time.Millisecond})
+	before := len(unresponsive.Requests())
 	for n := range 20 {
-		res, err := c.Send(context.Background(), message("price-alert", n, 5*time.Second))
-		want(t, "with another relay", res, err, client.Taken, res.HandIns)
+		res, err := c.Send(context.Background(), newMessage("price-alert", n, 5*time.Second))
+		expectResult(t, "with another relay", res, err, client.Taken, res.HandIns)
 	}
-	if n := len(mute.Requests()) - before; n > 2 {
-		t.Errorf("the mute relay was given %d messages", n)
+	if n := len(unresponsive.Requests()) - before; n > 2 {
+		t.Errorf("the unresponsive relay received %d messages", n)
 	}
 }
 
-// The connection is cut while the request is on its way: each message is on the wire as often as the library counts,
-// also on a kept connection, with a key and a body that could be sent again.
-func TestNothingIsResentUnseen(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	g := startGate(t, w, "", func(n int, _ string) testdouble.Fault {
+// The connection is closed during the request: no layer below the library resends it, even on a
+// reused connection and with a key.
+func TestNoUncountedResend(t *testing.T) {
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", func(n int, _ string) testdouble.Fault {
 		if n%2 == 1 {
 			return testdouble.Fault{Kind: testdouble.ResetConnection}
 		}
-		return refusal(202, "")
+		return answerFault(202, "")
 	})
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
-	hands := 0
+	wantAttempts := 0
 	for n := range 6 {
-		m := message("fee-charge", n, 5*time.Second)
+		m := newMessage("fee-charge", n, 5*time.Second)
 		m.Key = fmt.Sprint("key-", n)
 		res, err := c.Send(context.Background(), m)
-		if hands += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain || err == nil && res.Outcome != client.Taken {
+		if wantAttempts += res.HandIns; res.HandIns > 1 && res.Outcome == client.Uncertain ||
+			err == nil && res.Outcome != client.Taken {
 			t.Errorf("%+v, %v", res, err)
 		}
 	}
-	if n := len(g.Requests()); n != hands {
-		t.Errorf("%d requests on the wire, %d hand-ins counted", n, hands)
+	if n := len(g.Requests()); n != wantAttempts {
+		t.Errorf("%d requests on the wire, %d attempts counted", n, wantAttempts)
 	}
 }
 
-// Every relay is down: nothing goes out, and the message fails within its time.
+// Every relay is down: nothing is sent, and the message fails before its deadline.
 func TestEveryRelayDown(t *testing.T) {
 	a, _ := testdouble.ReserveAddr()
 	b, err := testdouble.ReserveAddr()
@@ -354,23 +377,25 @@
 		t.Fatal(err)
 	}
 	c := newClient(t, client.Config{Relays: []string{a, b}})
-	res, err := c.Send(context.Background(), message("fee-charge", 1, 400*time.Millisecond))
-	want(t, "down", res, err, client.Failed, 0)
-	if !errors.Is(err, client.ErrNotConnected) || !errors.Is(err, client.ErrFailed) || !errors.Is(err, syscall.ECONNREFUSED) || len(res.Attempts) == 0 {
+	res, err := c.Send(context.Background(), newMessage("fee-charge", 1, 400*time.Millisecond))
+	expectResult(t, "down", res, err, client.Failed, 0)
+	if !errors.Is(err, client.ErrNotConnected) || !errors.Is(err, client.ErrFailed) ||
+		!errors.Is(err, syscall.ECONNREFUSED) || len(res.Attempts) == 0 {
 		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A relay gets SIGTERM while hand-ins go on over kept connections: all go on at the other one, none is lost or doubled.
+// A relay receives SIGTERM while clients send over reused connections: the other relay takes over,
+// and no message is lost or delivered twice.
 func TestPlannedStop(t *testing.T) {
-	w := startWorld(t, testdouble.Config{FleetSize: 2, MaxPending: 2000}) // a busy relay may come to hold all of them
+	w := startEnv(t, testdouble.Config{FleetSize: 2, MaxPending: 2000}) // one relay may have all messages pending
 	first, second := startRelay(t, w), startRelay(t, w)
 	c := newClient(t, client.Config{Relays: []string{first.Addr, second.Addr}})
 	var all sync.WaitGroup
 	send := func(from, to int) {
 		for n := from; n < to; n++ {
-			res, err := c.Send(context.Background(), message("fee-charge", n, 15*time.Second))
-			want(t, "while a relay stops", res, err, client.Taken, 1)
+			res, err := c.Send(context.Background(), newMessage("fee-charge", n, 15*time.Second))
+			expectResult(t, "while a relay stops", res, err, client.Taken, 1)
 		}
 	}
 	stopped := make(chan error)
@@ -389,20 +414,22 @@
 	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 8*120 })
+	waitUntil(t, w, "all to run", func() bool { return len(w.EffectLog.CountByName()) == 8*120 })
 	if d := w.EffectLog.Duplicates("fee-charge"); d != nil {
 		t.Error("doubles:", d)
 	}
 }
 
-// The caller gives up at each stage; what is reported is true, and nothing is left behind.
+// A cancelled context ends Send at each stage with the true outcome and leaves no goroutine behind.
 func TestCancelled(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
+	w := startEnv(t, testdouble.Config{})
 	down, _ := testdouble.ReserveAddr()
-	held := startGate(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
-	waits := startGate(t, w, "", func(int, string) testdouble.Fault { return refusal(429, "10") })
-	var o *seen
-	ended := func(n int) bool { o.mu.Lock(); defer o.mu.Unlock(); return o.handIns == n }
+	unresponsive := startProxy(t, w, "", func(int, string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	})
+	limited := startProxy(t, w, "", func(int, string) testdouble.Fault { return answerFault(429, "10") })
+	var observer *recorder
+	completed := func(n int) bool { observer.mu.Lock(); defer observer.mu.Unlock(); return observer.requests == n }
 	for _, s := range []struct {
 		at      string
 		relay   string
@@ -410,56 +437,60 @@
 		outcome client.Outcome
 		handIns int
 	}{
-		{"before", held.Addr, nil, client.Failed, 0},
+		{"before", unresponsive.Addr, nil, client.Failed, 0},
 		{"connecting", down, func() bool { return true }, client.Failed, 0},
-		{"waiting for the answer", held.Addr, func() bool { return len(held.Requests()) == 1 }, client.Uncertain, 1},
-		{"waiting after a refusal", waits.Addr, func() bool { return len(waits.Requests()) == 1 && ended(1) }, client.Failed, 1},
+		{"waiting for the answer", unresponsive.Addr, func() bool { return len(unresponsive.Requests()) == 1 },
+			client.Uncertain, 1},
+		{"waiting after a rejection", limited.Addr, func() bool { return len(limited.Requests()) == 1 && completed(1) },
+			client.Failed, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		o = &seen{w: w}
-		c := newClient(t, client.Config{Relays: []string{s.relay}, Observer: o, AnswerTimeout: 30 * time.Second})
+		observer = &recorder{env: w}
+		c := newClient(t, client.Config{Relays: []string{s.relay}, Observer: observer, AnswerTimeout: 30 * time.Second})
 		if s.started == nil {
 			cancel()
 		}
 		finished := make(chan struct{})
 		go func() {
 			defer close(finished)
-			res, err := c.Send(ctx, message("fee-charge", 1, 20*time.Second))
-			want(t, s.at, res, err, s.outcome, s.handIns)
+			res, err := c.Send(ctx, newMessage("fee-charge", 1, 20*time.Second))
+			expectResult(t, s.at, res, err, s.outcome, s.handIns)
 			if !errors.Is(err, context.Canceled) {
 				t.Errorf("%s: %v", s.at, err)
 			}
 		}()
 		if s.started != nil {
-			until(t, w, s.at, s.started)
+			waitUntil(t, w, s.at, s.started)
 			cancel()
 		}
 		<-finished
 	}
 }
 
-// HandIn bounds what is in flight and pushes back; Close ends what waits.
-func TestHandInPushesBack(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	g := startGate(t, w, startRelay(t, w).Addr, func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.HoldResponse} })
+// HandIn bounds the messages in flight; after Close nothing is accepted.
+func TestHandInBackpressure(t *testing.T) {
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, startRelay(t, w).Addr,
+		func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.HoldResponse} })
 	c := newClient(t, client.Config{Relays: []string{g.Addr}, MaxInFlight: 3, AnswerTimeout: 30 * time.Second})
 	results := make(chan client.Result, 10)
 	done := func(r client.Result, err error) { results <- r }
 	for n := range 3 {
-		if err := c.TryHandIn(context.Background(), message("fee-charge", n, 15*time.Second), done); err != nil {
+		if err := c.TryHandIn(context.Background(), newMessage("fee-charge", n, 15*time.Second), done); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.TryHandIn(context.Background(), message("fee-charge", 3, 15*time.Second), done); !errors.Is(err, client.ErrFull) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 3, 15*time.Second),
+		done); !errors.Is(err, client.ErrFull) {
 		t.Errorf("a fourth: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := c.HandIn(ctx, message("fee-charge", 3, 15*time.Second), done); !errors.Is(err, context.Canceled) {
-		t.Errorf("a fourth that waits: %v", err)
+	if err := c.HandIn(ctx, newMessage("fee-charge", 3, 15*time.Second), done); !errors.Is(err, context.Canceled) {
+		t.Errorf("a fourth that blocks: %v", err)
 	}
-	until(t, w, "all answered by the relay", func() bool {
+	waitUntil(t, w, "all answered by the relay", func() bool {
 		n := 0
 		for _, s := range g.Requests() {
 			if s.Status == 202 {
@@ -469,7 +500,7 @@
 		return n == 3
 	})
 	if err := c.Flush(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("Flush while three are out: %v", err)
+		t.Errorf("Flush while three are in flight: %v", err)
 	}
 	g.ReleaseResponses()
 	if err := c.Flush(context.Background()); err != nil {
@@ -481,27 +512,29 @@
 		}
 	}
 	c.Close()
-	if err := c.TryHandIn(context.Background(), message("fee-charge", 9, time.Second), done); !errors.Is(err, client.ErrClosed) {
+	if err := c.TryHandIn(context.Background(), newMessage("fee-charge", 9, time.Second),
+		done); !errors.Is(err, client.ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
-	if res, err := c.Send(context.Background(), message("fee-charge", 9, time.Second)); !errors.Is(err, client.ErrClosed) || res.HandIns != 0 {
+	if res, err := c.Send(context.Background(), newMessage("fee-charge", 9, time.Second)); !errors.Is(err,
+		client.ErrClosed) || res.HandIns != 0 {
 		t.Errorf("after Close: %+v, %v", res, err)
 	}
 }
 
-// Messages that no relay could take never go out.
+// Invalid messages are never sent.
 func TestBadMessages(t *testing.T) {
-	w := startWorld(t, testdouble.Config{})
-	g := startGate(t, w, "", nil)
+	w := startEnv(t, testdouble.Config{})
+	g := startProxy(t, w, "", nil)
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
 	for what, m := range map[string]client.Message{
-		"no class":       {Dest: 7, TimeLeft: time.Second},
-		"class with end": {Class: "fee\r\nX: y", Dest: 7, TimeLeft: time.Second},
-		"class of two":   {Class: "fee/charge", Dest: 7, TimeLeft: time.Second},
-		"dest":           {Class: "fee-charge", Dest: -1, TimeLeft: time.Second},
-		"key":            {Class: "fee-charge", Dest: 7, Key: "a\nb", TimeLeft: time.Second},
-		"body":           {Class: "fee-charge", Dest: 7, TimeLeft: time.Second, Body: make([]byte, 64<<10+1)},
-		"no time":        {Class: "fee-charge", Dest: 7},
+		"no class":            {Dest: 7, TimeLeft: time.Second},
+		"class with line end": {Class: "fee\r\nX: y", Dest: 7, TimeLeft: time.Second},
+		"class with slash":    {Class: "fee/charge", Dest: 7, TimeLeft: time.Second},
+		"dest":                {Class: "fee-charge", Dest: -1, TimeLeft: time.Second},
+		"key":                 {Class: "fee-charge", Dest: 7, Key: "a\nb", TimeLeft: time.Second},
+		"body":                {Class: "fee-charge", Dest: 7, TimeLeft: time.Second, Body: make([]byte, 64<<10+1)},
+		"no time":             {Class: "fee-charge", Dest: 7},
 	} {
 		if res, err := c.Send(context.Background(), m); !errors.Is(err, client.ErrMessage) || res.HandIns != 0 {
 			t.Errorf("%s: %+v, %v", what, res, err)
@@ -512,11 +545,11 @@
 	}
 }
 
-// Relays are killed outright again and again while messages of all classes come in. Each has one result and it is
-// true; no charge runs twice; there are no more than two hand-ins after refusals.
+// Relays are killed repeatedly while messages of all classes are sent. Each message has one true
+// result, no charge runs twice, and there are at most two retries after rejections.
 func TestSoakWithKills(t *testing.T) {
-	const messages, lanes = 1800, 12
-	w := startWorld(t, testdouble.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
+	const messages, workers = 1800, 12
+	w := startEnv(t, testdouble.Config{Seed: 5, FleetSize: 2, MaxPending: 300,
 		Partners: []testdouble.PartnerConfig{{Dest: 7, Kind: "broker", ServiceTime: 5 * time.Millisecond}}})
 	relays := []*testdouble.Relay{startRelay(t, w), startRelay(t, w)}
 	c := newClient(t, client.Config{Relays: []string{relays[0].Addr, relays[1].Addr}, Spread: 100 * time.Millisecond})
@@ -524,7 +557,7 @@
 	results := make([]client.Result, messages)
 	kills := make(chan struct{}, messages)
 	var all, killer sync.WaitGroup
-	killer.Go(func() { // every 300th message a relay dies and comes back
+	killer.Go(func() { // every 300th message kills and restarts a relay
 		random := rand.New(rand.NewPCG(5, 0))
 		for range kills {
 			r := relays[random.IntN(2)]
@@ -534,55 +567,58 @@
 			}
 		}
 	})
-	for lane := range lanes {
+	for worker := range workers {
 		all.Go(func() {
-			for n := lane; n < messages; n += lanes {
+			for n := worker; n < messages; n += workers {
 				if n%300 == 150 {
 					kills <- struct{}{}
 				}
-				results[n], _ = c.Send(context.Background(), message(classes[n%3], n, []time.Duration{5, 18, 18}[n%3]*time.Second))
+				results[n], _ = c.Send(context.Background(),
+					newMessage(classes[n%3], n, []time.Duration{5, 18, 18}[n%3]*time.Second))
 			}
 		})
 	}
 	all.Wait()
 	close(kills)
 	killer.Wait()
-	ended := func(n int) bool {
+	completed := func(n int) bool {
 		r := results[n]
 		if w.EffectLog.CountByName()[fmt.Sprintf("%s/%d", classes[n%3], n)] > 0 {
 			return true
 		}
-		_, told := w.Platform.Notifications()[r.ID]
-		return told
+		_, notified := w.Platform.Notifications()[r.ID]
+		return notified
 	}
 	counts := map[client.Outcome]int{}
 	for n, r := range results {
 		counts[r.Outcome]++
-		again, lost := 0, 0
+		afterRefusal, afterLoss := 0, 0
 		for _, a := range r.Attempts {
 			if a.Mark == "1" && a.Stage > client.NotConnected {
-				again++
+				afterRefusal++
 			} else if a.Mark == "again" && a.Stage > client.NotConnected {
-				lost++
+				afterLoss++
 			}
 		}
-		if again > 2 || classes[n%3] == "fee-charge" && lost > 0 && r.Attempts[0].Stage == client.WrittenWhole {
+		if afterRefusal > 2 ||
+			classes[n%3] == "fee-charge" && afterLoss > 0 && r.Attempts[0].Stage == client.WrittenWhole {
 			t.Errorf("%d: %+v", n, r)
 		}
 	}
-	until(t, w, "all that was taken on to end", func() bool {
+	waitUntil(t, w, "all accepted messages to complete", func() bool {
 		for n, r := range results {
-			if r.Outcome == client.Taken && !ended(n) {
+			if r.Outcome == client.Taken && !completed(n) {
 				return false
 			}
 		}
 		return true
 	})
-	did := w.EffectLog.CountByName()
+	effects := w.EffectLog.CountByName()
 	for n, r := range results {
 		name := fmt.Sprintf("%s/%d", classes[n%3], n)
-		if not := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 || not && did[name] > 0 {
-			t.Errorf("%s took effect %d times: %+v", name, did[name], r)
+		if notAccepted := r.Outcome != client.Taken && r.Outcome != client.Uncertain; r.Outcome == 0 ||
+			notAccepted && effects[name] > 0 {
+			t.Errorf("%s took effect %d times: %+v", name, effects[name], r)
 		}
 	}
 	if d := append(w.EffectLog.Duplicates("fee-charge"), w.EffectLog.Duplicates("order-relay")...); d != nil {
--- a/plugin/examples/gatekeeper/main.go
+++ b/plugin/examples/gatekeeper/main.go
@@ -1,5 +1,6 @@
-// Command gatekeeper is a plug-in that rejects what lacks a field: the body must be a JSON object with all that the
-// operator's setting names ("account,amount"). The first of them is noted for the later hooks.
+// Command gatekeeper is a plug-in that rejects messages with missing fields: the body must be a
+// JSON object with all members that the operator's setting names ("account,amount"). The first of
+// them becomes a note for the later hooks.
 package main
 
 import (
@@ -9,11 +10,12 @@
 	"oatfold/plugin"
 )
 
-func init() { plugin.Serve(plugin.Handlers{OnHandIn: check}) }
+func init() { plugin.Serve(plugin.Handlers{OnHandIn: checkFields}) }
 
 func main() {}
 
-func check(m *plugin.Message) (plugin.HandIn, error) {
+// checkFields rejects a body without one of the required members.
+func checkFields(m *plugin.Message) (plugin.HandIn, error) {
 	var body map[string]any
 	if json.Unmarshal(m.Body, &body) != nil {
 		return plugin.HandIn{Reject: true, Reason: "the body is no JSON object"}, nil
--- a/plugin/examples/softreject/main.go
+++ b/plugin/examples/softreject/main.go
@@ -1,5 +1,6 @@
-// Command softreject is a plug-in for partners that answer 200 to what they did not do: {"status":"busy","retry_ms":800}.
-// What they answer so may have run; the wait binds as a told one.
+// Command softreject is a plug-in for partners that reject requests with status 200 and a body like
+// {"status":"busy","retry_ms":800}. It reports that the message may have run, and the wait as
+// Retry-After.
 package main
 
 import (
@@ -9,21 +10,23 @@
 	"oatfold/plugin"
 )
 
-func init() { plugin.Serve(plugin.Handlers{ReadAnswer: read}) }
+func init() { plugin.Serve(plugin.Handlers{ReadAnswer: readAnswer}) }
 
 func main() {}
 
-func read(_ *plugin.Message, a *plugin.Answer) (plugin.Reading, error) {
-	var said struct {
+// readAnswer recognises a rejection in the body of a 200 answer.
+func readAnswer(_ *plugin.Message, a *plugin.Answer) (plugin.Reading, error) {
+	var partner struct {
 		Status  string `json:"status"`
 		RetryMs int64  `json:"retry_ms"`
 	}
-	if a.Status != 200 || json.Unmarshal(a.Body, &said) != nil {
+	if a.Status != 200 || json.Unmarshal(a.Body, &partner) != nil {
 		return plugin.Reading{}, nil
 	}
-	switch said.Status {
+	switch partner.Status {
 	case "busy", "rejected":
-		return plugin.Reading{Unsure: true, Wait: time.Duration(said.RetryMs) * time.Millisecond, Reason: "partner says " + said.Status}, nil
+		return plugin.Reading{Unsure: true, Wait: time.Duration(partner.RetryMs) * time.Millisecond,
+			Reason: "partner says " + partner.Status}, nil
 	}
 	return plugin.Reading{}, nil
 }
