--- a/client/observer.go
+++ b/client/observer.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Observer is told of what a client does, on the goroutine that does it: it must not block and must be safe for
-// concurrent use. The package prom has one for Prometheus.
+// Observer receives the events of a client, on the goroutine where they happen: it must not block
+// and must be safe for concurrent use. Package prom has one for Prometheus.
 type Observer interface {
-	HandIn(a Attempt, took time.Duration)   // a hand-in of which at least one byte went out has ended
+	HandIn(a Attempt, took time.Duration)   // an attempt that sent at least one byte has ended
 	Done(r Result)                          // a message has its result
-	Connection(relay string, failure error) // a new connection was tried
+	Connection(relay string, failure error) // a new connection was opened, or failed
 }
 
-type nobody struct{}
+// noopObserver ignores all events.
+type noopObserver struct{}
 
-func (nobody) HandIn(Attempt, time.Duration) {}
-func (nobody) Done(Result)                   {}
-func (nobody) Connection(string, error)      {}
+func (noopObserver) HandIn(Attempt, time.Duration) {}
+func (noopObserver) Done(Result)                   {}
+func (noopObserver) Connection(string, error)      {}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -9,12 +9,14 @@
 	"oatfold/internal/daemon/config/operator"
 )
 
-// serve runs the relay until it is told to stop. A failure is one line of the log.
+// serve runs the relay until it is stopped by a signal. It logs a failure.
 func serve(o *options) error {
 	log := o.log()
-	from := daemon.ConfigSources{LoadPlatform: func() (*config.Config, error) { return config.Load(os.Getenv) }}
+	sources := daemon.ConfigSources{LoadPlatform: func() (*config.Config, error) { return config.Load(os.Getenv) }}
 	if o.operator != "" {
-		from.LoadOperator = func(c *config.Config) (*operator.Config, error) { return operator.Load(o.operator, c.MemoryBytes) }
+		sources.LoadOperator = func(c *config.Config) (*operator.Config, error) {
+			return operator.Load(o.operator, c.MemoryBytes)
+		}
 	}
 	if o.profile != "" {
 		f, err := os.Create(o.profile)
@@ -27,8 +29,8 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	if err := daemon.Run(from, log); err != nil {
-		log.Error("stopped", "err", err)
+	if err := daemon.Run(sources, log); err != nil {
+		log.Error("relay failed", "err", err)
 		return exitError(exitFault)
 	}
 	return nil
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -7,69 +7,71 @@
 	"oatfold/internal/peers/members"
 )
 
-// memberJSON is a relay as GET /members shows it.
+// memberJSON is one relay in the reply to GET /members.
 type memberJSON struct {
 	Number      int    `json:"number"`
 	State       string `json:"state"`
 	Zone        string `json:"zone,omitempty"`
 	Incarnation uint32 `json:"incarnation"`
-	SinceMs     int64  `json:"since_ms"` // ago
+	SinceMs     int64  `json:"since_ms"` // time in this state
 	Why         string `json:"why"`
 }
 
-// membersJSON is what GET /members answers.
+// membersJSON is the reply to GET /members.
 type membersJSON struct {
-	Self    int          `json:"self"`
-	Version uint64       `json:"version"`
-	Sharing int          `json:"sharing"` // relays that may be calling
-	Deaf    bool         `json:"deaf,omitempty"`
-	Rival   bool         `json:"rival,omitempty"`
-	CutOff  []string     `json:"zones_away,omitempty"`
-	Members []memberJSON `json:"members"`
+	Self            int          `json:"self"`
+	Version         uint64       `json:"version"`
+	PossibleCallers int          `json:"sharing"` // relays that may be making calls
+	Isolated        bool         `json:"deaf,omitempty"`
+	DuplicateNumber bool         `json:"rival,omitempty"`
+	CutOff          []string     `json:"zones_away,omitempty"`
+	Members         []memberJSON `json:"members"`
 }
 
-// members writes what this relay knows of the fleet; nil where it does not ask.
+// members returns the reply to GET /members; nil where membership is disabled.
 func (r *relay) members() []byte {
-	host := r.serving.Load()
+	host := r.runningHost.Load()
 	if host == nil {
 		return nil
 	}
-	v := host.Members()
-	if v == nil {
+	view := host.Members()
+	if view == nil {
 		return nil
 	}
-	out := membersJSON{Self: v.Self, Version: v.Version, Sharing: v.PossibleCallers, Deaf: v.Isolated, Rival: v.DuplicateNumber}
+	out := membersJSON{Self: view.Self, Version: view.Version, PossibleCallers: view.PossibleCallers,
+		Isolated: view.Isolated, DuplicateNumber: view.DuplicateNumber}
 	zone := func(n int) string {
-		if n < len(r.zones) {
-			return r.zones[n]
+		if n < len(r.zoneNames) {
+			return r.zoneNames[n]
 		}
 		return ""
 	}
-	for _, z := range v.Zones {
+	for _, z := range view.Zones {
 		if z.CutOff {
 			out.CutOff = append(out.CutOff, zone(z.Zone))
 		}
 	}
-	for _, m := range v.Members {
-		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation, max(0, v.At-m.Since).Milliseconds(), m.Reason})
+	for _, m := range view.Members {
+		out.Members = append(out.Members, memberJSON{m.Number, m.State.String(), zone(m.Zone), m.Incarnation,
+			max(0, view.At-m.Since).Milliseconds(), m.Reason})
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
-		return nil // plain values
+		return nil // cannot happen: all fields can be encoded
 	}
 	return append(b, '\n')
 }
 
-// stats writes the figures.
+// stats appends the metrics to b.
 func (r *relay) stats(b []byte) []byte {
-	b = r.count.Append(b)
-	host := r.serving.Load()
+	b = r.metrics.Append(b)
+	host := r.runningHost.Load()
 	if host == nil || host.Members() == nil {
 		return b
 	}
-	v := host.Members()
+	view := host.Members()
 	var states [members.Left + 1]int
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		states[m.State]++
 	}
 	for s, n := range states {
@@ -78,13 +80,19 @@
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"members_sharing", v.PossibleCallers}, {"members_asked", v.Counts.Probes}, {"members_unanswered", v.Counts.ProbeTimeouts},
-		{"members_accused", v.Counts.Suspicions}, {"members_contradicted", v.Counts.Refutations}, {"members_notes_refused", v.Counts.Rejected}} {
+	}{
+		{"members_sharing", view.PossibleCallers},
+		{"members_asked", view.Counts.Probes},
+		{"members_unanswered", view.Counts.ProbeTimeouts},
+		{"members_accused", view.Counts.Suspicions},
+		{"members_contradicted", view.Counts.Refutations},
+		{"members_notes_refused", view.Counts.Rejected},
+	} {
 		b = metrics.AppendLine(b, f.name, "", "", int64(f.n))
 	}
-	deaf := int64(0)
-	if v.Isolated {
-		deaf = 1
+	isolated := int64(0)
+	if view.Isolated {
+		isolated = 1
 	}
-	return metrics.AppendLine(b, "members_deaf", "", "", deaf)
+	return metrics.AppendLine(b, "members_deaf", "", "", isolated)
 }
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -12,36 +12,37 @@
 	"oatfold/policy"
 )
 
-// Transfer is what another process of this relay left or gave: a file of the spool, or a part of a room.
+// Transfer is what another process of this relay left or transferred: a spool file, or part of a
+// process directory.
 type Transfer struct {
-	Sender       string // the process that gave it; empty: a room
+	Sender       string // the transferring process; empty: read from its directory
 	Messages     []*memory.Message
-	CompletedIDs []string         // ids of messages that are over
+	CompletedIDs []string         // ids of completed messages
 	Update       *handover.Update // nil: none
 	LastProcess  bool             // no other process is left
 }
 
-// Adopt takes over what was passed. What it returns is closed once all of it is in the journal.
-func (h *Host) Adopt(p Transfer) <-chan struct{} {
+// Adopt takes over a transfer. The returned channel is closed once all of it is in the journal.
+func (h *Host) Adopt(transfer Transfer) <-chan struct{} {
 	done := make(chan struct{})
 	h.Do(func(h *Host) {
-		if p.Update != nil && p.Update.Numbering != nil {
-			numbers := *p.Update.Numbering
+		if transfer.Update != nil && transfer.Update.Numbering != nil {
+			numbers := *transfer.Update.Numbering
 			numbers.Odd = true
 			h.table.UseSharedNumbering(numbers)
 		}
-		for _, m := range p.Messages {
+		for _, m := range transfer.Messages {
 			h.adopt(m)
 		}
-		for _, id := range p.CompletedIDs {
+		for _, id := range transfer.CompletedIDs {
 			h.removeCompleted(id)
 			h.table.MarkCompleted(id)
 		}
-		if p.Update != nil {
-			h.sequencer.SetPending(p.Sender, p.Update.PendingOrdered)
-			h.applyHandoverUpdate(p.Update)
+		if transfer.Update != nil {
+			h.sequencer.SetPending(transfer.Sender, transfer.Update.PendingOrdered)
+			h.applyHandoverUpdate(transfer.Update)
 		}
-		if p.LastProcess {
+		if transfer.LastProcess {
 			h.ownedElsewhere = nil
 			h.releaseHeld(h.sequencer.Finish())
 			h.table.StopSharedNumbering()
@@ -52,20 +53,20 @@
 	return done
 }
 
-// adopt takes one message over, as it stands. Guards against a process that died between giving a message and booking that it had: the same
-// message then comes twice, and is known by its id.
+// adopt takes over one message. It may come twice, if a process died between transferring it and
+// recording that; its id then identifies it.
 func (h *Host) adopt(m *memory.Message) {
 	delete(h.ownedElsewhere, m.ID)
 	h.sequencer.MarkArrived(m.ID)
-	num := m.Number // where the message keeps it, it keeps its place in the order of hand-in, here and after a restart
-	if have := h.table.ByID(m.ID); have != nil {
-		if have.InFlight != nil || !m.Supersedes(have) {
+	num := m.Number // a kept number preserves the order of acceptance, also after a restart
+	if existing := h.table.ByID(m.ID); existing != nil {
+		if existing.InFlight != nil || !m.Supersedes(existing) {
 			return
 		}
-		// The other account knows more: it takes the place of this one.
-		h.remove(have, true)
+		// The other copy is more recent and replaces this one.
+		h.remove(existing, true)
 		h.table.ForgetCompleted(m.ID)
-		h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: have.Number})
+		h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: existing.Number})
 		num = h.table.NextNumber()
 	} else if h.table.RecentlyCompleted(m.ID) {
 		return
@@ -77,8 +78,9 @@
 	h.resume(m, time.Now())
 }
 
-// removeCompleted ends the message of that id, which is over, unless its call is out. Guards against a message that was given to a process that ran it
-// and died before it had booked the gift: it is still there for the next one.
+// removeCompleted removes the message of a completed id, unless its call is in flight. A process
+// that received the message may have completed it and died before the transfer was recorded at its
+// source.
 func (h *Host) removeCompleted(id string) {
 	m := h.table.ByID(id)
 	if m == nil || m.InFlight != nil || m.Notification != nil || m.Unanswered {
@@ -88,26 +90,26 @@
 	h.pendingEvents = append(h.pendingEvents, policy.Withdrawn{ID: m.Number})
 }
 
-// JournalWritable tells whether the journal took what was written to it last.
-func (h *Host) JournalWritable() (takes bool) {
-	h.Do(func(h *Host) { takes = !h.journal.Unavailable() })
-	return takes
+// JournalWritable reports whether the last write to the journal succeeded.
+func (h *Host) JournalWritable() (writable bool) {
+	h.Do(func(h *Host) { writable = !h.journal.Unavailable() })
+	return writable
 }
 
-// applyHandoverUpdate takes over what the process before knows beside messages.
-func (h *Host) applyHandoverUpdate(n *handover.Update) {
-	if l := n.EndpointList; l != nil && l.Generation > h.listGeneration {
-		pc := memory.EndpointList{Generation: l.Generation, Complete: true}
+// applyHandoverUpdate takes over the previous process's state other than messages.
+func (h *Host) applyHandoverUpdate(update *handover.Update) {
+	if l := update.EndpointList; l != nil && l.Generation > h.listGeneration {
+		list := memory.EndpointList{Generation: l.Generation, Complete: true}
 		for _, m := range l.Endpoints {
-			pc.Entries = append(pc.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
+			list.Entries = append(list.Entries, memory.EndpointEntry{Endpoint: m.Endpoint, HostPort: m.HostPort})
 		}
 		h.listReceived = true
-		h.applyEndpointList(pc, policy.ListSnapshot)
+		h.applyEndpointList(list, policy.ListSnapshot)
 	}
-	if n.LearnedState != nil {
-		h.inheritedState = *n.LearnedState
+	if update.LearnedState != nil {
+		h.inheritedState = *update.LearnedState
 	}
-	for _, id := range n.OwnedIDs {
+	for _, id := range update.OwnedIDs {
 		if h.table.ByID(id) == nil && !h.table.RecentlyCompleted(id) {
 			if h.ownedElsewhere == nil {
 				h.ownedElsewhere = map[string]struct{}{}
@@ -115,52 +117,54 @@
 			h.ownedElsewhere[id] = struct{}{}
 		}
 	}
-	h.inheritedDrain = h.inheritedDrain || n.Drained
-	h.applyBackoffs(n.RetryAfters)
+	h.inheritedDrain = h.inheritedDrain || update.Drained
+	h.applyBackoffs(update.RetryAfters)
 	if h.standby {
-		h.untransferredWaits = append(h.untransferredWaits, n.RetryAfters...) // the module has yet to hear of them
+		// Activate reports them to the policy engine
+		h.untransferredWaits = append(h.untransferredWaits, update.RetryAfters...)
 	}
-	h.setInheritedCalls(n.InFlightCalls)
+	h.setInheritedCalls(update.InFlightCalls)
 }
 
-// dateAfter is the date in so much time from now, for the process that takes this one's place.
+// dateAfter returns the time after a duration from now, on the scale shared with the next process.
 func (h *Host) dateAfter(left time.Duration) time.Time {
 	return time.UnixMicro(h.dateScale.Date(time.Now().Add(left)))
 }
 
-// applyBackoffs heeds waits that the process before was told.
+// applyBackoffs applies the Retry-After times that the previous process received.
 func (h *Host) applyBackoffs(waits []handover.RetryAfter) {
 	for _, w := range waits {
 		left := min(time.Until(h.dateScale.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
 		if left <= 0 {
 			continue
 		}
-		g := h.destBackoffs[w.Dest]
+		destBackoff := h.destBackoffs[w.Dest]
 		if ep := h.endpoints[w.Endpoint]; ep != nil {
-			g = ep.backoff
-		} else if g == nil {
-			g = &backoff{}
-			h.destBackoffs[w.Dest] = g
+			destBackoff = ep.backoff
+		} else if destBackoff == nil {
+			destBackoff = &backoff{}
+			h.destBackoffs[w.Dest] = destBackoff
 		}
-		g.extend(left)
+		destBackoff.extend(left)
 		h.relay.ApplyRetryAfter(h.now(), w.Endpoint, left)
 	}
 }
 
-// setInheritedCalls books the calls that the process before still has out.
-func (h *Host) setInheritedCalls(out []policy.InheritedCall) {
-	h.inheritedCalls = out
-	h.relay.SetInheritedCalls(h.now(), out)
+// setInheritedCalls records the calls that the previous process has in flight.
+func (h *Host) setInheritedCalls(calls []policy.InheritedCall) {
+	h.inheritedCalls = calls
+	h.relay.SetInheritedCalls(h.now(), calls)
 	h.pendingEvents = append(h.pendingEvents, policy.TimerFired{})
 }
 
-// Activate begins the steps of a host that stood by, and tells whether the relay was drained by its operators.
+// Activate starts the policy steps of a standby host. It reports whether the operators had drained
+// the relay.
 func (h *Host) Activate() (drained bool) {
 	h.Do(func(h *Host) {
 		var list []policy.Endpoint
 		for _, ep := range h.endpoints {
-			list = append(list, policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest], Zone: ep.zone,
-				State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
+			list = append(list, policy.Endpoint{Address: ep.id, Destination: ep.dest,
+				Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate})
 		}
 		slices.SortFunc(list, func(a, b policy.Endpoint) int { return strings.Compare(a.Address, b.Address) })
 		if h.awaitListUntil = 0; !h.listReceived {
@@ -176,22 +180,28 @@
 	return drained
 }
 
-// HandOver ends the steps and gives what is not out, with what this process knows, to the one that takes its place. Files hold bodies of up to room
-// bytes; the rest goes with Give. Where the first file cannot be given, all stays as it was.
-func (h *Host) HandOver(give func([]byte) error, drained bool, room int64) (err error) {
+// HandOver stops the policy steps and transfers this process's state and all messages that are not
+// in flight to the next process. Files hold bodies of up to capacity bytes; TransferRemaining sends
+// the rest. If the first file cannot be written, nothing changes.
+func (h *Host) HandOver(send func([]byte) error, drained bool, capacity int64) (err error) {
 	h.Do(func(h *Host) {
-		parked := h.callsAwaitingNotification
+		waiting := h.callsAwaitingNotification
 		h.callsAwaitingNotification = nil
-		for _, cl := range parked {
-			h.endUnsentCall(cl) // its messages are given
+		for _, cl := range waiting {
+			h.endUnsentCall(cl) // its messages are transferred
 		}
-		learned, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
-		news := &handover.Update{Drained: drained, LearnedState: &learned, EndpointList: &handover.EndpointList{Generation: h.listGeneration}, Numbering: &numbers}
+		state, numbers := h.relay.ExportState(h.now()), h.table.NewSharedNumbering()
+		update := &handover.Update{Drained: drained, LearnedState: &state,
+			EndpointList: &handover.EndpointList{Generation: h.listGeneration},
+			Numbering:    &numbers}
 		for _, ep := range h.endpoints {
-			news.EndpointList.Endpoints = append(news.EndpointList.Endpoints, handover.ListedEndpoint{HostPort: ep.addr, Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest,
-				Kind: h.destKinds[ep.dest], Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
+			update.EndpointList.Endpoints = append(update.EndpointList.Endpoints,
+				handover.ListedEndpoint{HostPort: ep.addr,
+					Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
+						Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
-				h.untransferredWaits = append(h.untransferredWaits, handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
+				h.untransferredWaits = append(h.untransferredWaits,
+					handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
 			}
 		}
 		h.untransferred = nil
@@ -199,22 +209,25 @@
 			if transferable(m) {
 				h.untransferred = append(h.untransferred, m)
 			} else if m.Notification == nil {
-				// Guards against giving it twice in one file, which nobody could read: it comes by itself once it may be given.
-				news.OwnedIDs = append(news.OwnedIDs, m.ID)
+				// It is transferred once that is possible. A file that names it twice could not be
+				// read.
+				update.OwnedIDs = append(update.OwnedIDs, m.ID)
 			}
 		}
-		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int { return int(int64(a.Number) - int64(b.Number)) })
+		slices.SortFunc(h.untransferred, func(a, b *memory.Message) int {
+			return int(int64(a.Number) - int64(b.Number))
+		})
 		h.reportedInFlight = -1
-		if err = h.transferPending(give, news, room); err != nil {
+		if err = h.transferPending(send, update, capacity); err != nil {
 			h.untransferredWaits, h.untransferred = nil, nil
 			return
 		}
-		h.sendToSuccessor, h.stepsStopped, h.arrivals, h.pendingEvents = give, true, nil, nil
+		h.sendToSuccessor, h.stepsStopped, h.arrivals, h.pendingEvents = send, true, nil, nil
 		h.sequencer = sequence.Sequencer{}
 		h.table.UseSharedNumbering(numbers)
 		for cl := range h.calls {
 			for i := range cl.items {
-				cl.items[i].reported, cl.items[i].resubmit = true, true // what they leave undone is given
+				cl.items[i].reported, cl.items[i].resubmit = true, true // unfinished messages are transferred
 			}
 		}
 		for _, ep := range h.endpoints {
@@ -224,93 +237,100 @@
 	return err
 }
 
-// TransferRemaining goes on with what is left by now: what did not fit, what was still taken on, what calls have left undone.
-func (h *Host) TransferRemaining(room int64) {
+// TransferRemaining transfers what is left: what did not fit, messages accepted since, and those
+// that calls left unfinished.
+func (h *Host) TransferRemaining(capacity int64) {
 	h.Do(func(h *Host) {
 		if h.sendToSuccessor != nil {
-			h.transferPending(h.sendToSuccessor, &handover.Update{}, room)
+			h.transferPending(h.sendToSuccessor, &handover.Update{}, capacity)
 		}
 	})
 }
 
-// transferable tells whether m can be given: nothing of it is under way, and its body is at hand.
+// transferable reports whether m can be transferred: it is not in flight, and its body is in
+// memory.
 func transferable(m *memory.Message) bool {
-	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 && (!m.MemoryOnly || m.Body != nil)
+	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 &&
+		(!m.MemoryOnly || m.Body != nil)
 }
 
-// transferOverheadBytes is what a message takes of a file beside its body, as a bound.
+// transferOverheadBytes bounds the size of a transferred message without its body.
 const transferOverheadBytes = 700
 
-// transferPending gives what is left, as far as it fits, if there is anything to tell. Guards against a folder that holds all of it twice, in the room and in the spool, and goes
-// over its limit.
-func (h *Host) transferPending(to func([]byte) error, news *handover.Update, room int64) error {
+// transferPending writes a file for the next process with the messages that fit into capacity
+// bytes, if there is anything to report. The limit keeps the messages, which are still in this
+// process's directory as well, within the disk budget.
+func (h *Host) transferPending(send func([]byte) error, update *handover.Update, capacity int64) error {
 	var msgs, rest []*memory.Message
 	for i, m := range h.untransferred {
 		if h.table.Get(m.Number) != m || !transferable(m) {
 			continue
 		}
-		if room -= int64(m.BodySize() + transferOverheadBytes); room < 0 {
+		if capacity -= int64(m.BodySize() + transferOverheadBytes); capacity < 0 {
 			rest = h.untransferred[i:]
 			break
 		}
 		msgs = append(msgs, m)
 	}
 	owes := h.remainingOrdered(msgs)
-	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight && slices.Equal(owes, h.reportedOwed) {
+	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight &&
+		slices.Equal(owes, h.reportedOwed) {
 		return nil
 	}
-	news.RetryAfters, news.PendingOrdered = h.untransferredWaits, owes
+	update.RetryAfters, update.PendingOrdered = h.untransferredWaits, owes
 	for cl := range h.calls {
-		news.InFlightCalls = append(news.InFlightCalls, policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
+		update.InFlightCalls = append(update.InFlightCalls,
+			policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
 	}
-	if err := to(journal.EncodeTransfer(msgs, news.Encode(), h.dateScale)); err != nil {
-		h.log.Error("not given to the process that takes over: it stays in the room", "messages", len(msgs), "err", err)
+	if err := send(journal.EncodeTransfer(msgs, update.Encode(), h.dateScale)); err != nil {
+		h.log.Error("transfer to the next process failed; messages stay in the process directory",
+			"messages", len(msgs), "err", err)
 		return err
 	}
 	h.untransferredWaits, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
 	for _, m := range msgs {
-		// Its id is not kept as over: it is not.
+		// The message is not complete, so its id is not kept as such.
 		h.remove(m, true)
 		h.table.ForgetCompleted(m.ID)
 	}
 	return nil
 }
 
-// Remaining counts what a process that leaves still owes something for, its calls out, and the messages that can only be taken over with
-// its room.
-func (h *Host) Remaining() (held, out, behind int) {
+// Remaining counts the messages of a stopping process, its calls in flight, and the messages that
+// only its directory can pass on.
+func (h *Host) Remaining() (pending, inFlight, untransferable int) {
 	h.Do(func(h *Host) {
 		for _, m := range h.table.All() {
 			if m.Notification == nil && m.InFlight == nil && !m.Unanswered && !transferable(m) {
-				behind++
+				untransferable++
 			}
 		}
-		held, out = len(h.table.All()), len(h.calls)
+		pending, inFlight = len(h.table.All()), len(h.calls)
 	})
-	return held, out, behind
+	return pending, inFlight, untransferable
 }
 
-// SetJournalShare sets what the journal may take of the disk, of which others take so much: all of the rest, or while another process
-// writes as well, a part of it.
-func (h *Host) SetJournalShare(all, others int64, alone bool) {
+// SetJournalShare sets the journal's disk budget, of total bytes shared with others' usage: all of
+// the rest if alone, else a part of it.
+func (h *Host) SetJournalShare(total, others int64, alone bool) {
 	h.Do(func(h *Host) {
 		if alone {
-			h.journal.SetBudget(all - others)
+			h.journal.SetBudget(total - others)
 		} else {
-			h.journal.SetBudget(handover.JournalBudget(all, h.journal.UsedBytes(), others))
+			h.journal.SetBudget(handover.JournalBudget(total, h.journal.UsedBytes(), others))
 		}
 	})
 }
 
-// StartGossip has the host tell other relays what it sees, from now on.
-func (h *Host) StartGossip(notes *GossipSocket, among FleetIdentity) {
+// StartGossip starts the gossip with other relays.
+func (h *Host) StartGossip(socket *GossipSocket, identity FleetIdentity) {
 	h.Do(func(h *Host) {
-		h.gossipSocket = notes
-		h.joinFleet(among)
-		go notes.receiveLoop(h.events)
-		go notes.sendLoop()
+		h.gossipSocket = socket
+		h.joinFleet(identity)
+		go socket.receiveLoop(h.events)
+		go socket.sendLoop()
 	})
 }
 
-// SetMaxIdleConns sets how many connections to endpoints may stand idle.
-func (h *Host) SetMaxIdleConns(most int) { h.Do(func(h *Host) { h.maxIdleConns = most }) }
+// SetMaxIdleConns limits the idle connections to endpoints.
+func (h *Host) SetMaxIdleConns(limit int) { h.Do(func(h *Host) { h.maxIdleConns = limit }) }
--- /dev/null
+++ b/internal/wire/list_watch_test.go
@@ -0,0 +1,109 @@
+package wire
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// rateLimitedDiscovery serves a limited rate of requests. Rejected ones use up its capacity as
+// well.
+type rateLimitedDiscovery struct {
+	rate, capacity, tokens float64
+	at                     time.Duration
+}
+
+func (o *rateLimitedDiscovery) serves(now time.Duration) bool {
+	o.tokens, o.at = min(o.capacity, o.tokens+o.rate*(now-o.at).Seconds()), now
+	ok := o.tokens >= 1
+	o.tokens = max(0, o.tokens-1)
+	return ok
+}
+
+// simulateFirstPolls plays the first polls of a fleet whose relays start at once, and returns how
+// many were served and rejected by the given time.
+func simulateFirstPolls(fleet int, by time.Duration, polled bool) (served, rejected int) {
+	type relay struct {
+		w    listWatcher
+		next time.Duration
+	}
+	var all []*relay
+	for n := range fleet {
+		r := &relay{w: listWatcher{fleetSize: fleet, polled: polled, seed: int64(n)*7919 + 1}}
+		r.next = r.w.firstDelay()
+		all = append(all, r)
+	}
+	discovery := &rateLimitedDiscovery{rate: 10, capacity: 10, tokens: 10}
+	for len(all) > 0 {
+		slices.SortFunc(all, func(a, b *relay) int { return int(a.next - b.next) })
+		r := all[0]
+		if r.next > by {
+			break
+		}
+		if discovery.serves(r.next) {
+			served, all = served+1, all[1:]
+		} else {
+			rejected++
+			r.next += r.w.failureBackoff.NextDelay()
+		}
+	}
+	return served, rejected
+}
+
+// A fleet that starts at once gets its list within the time that discovery needs for it. Without
+// staggering, rejected requests would keep discovery overloaded.
+func TestFirstPollsAreStaggered(t *testing.T) {
+	for _, fleet := range []int{1, 3, 80, 200} {
+		by := time.Duration(fleet)*pollTimePerRelay*5/2 + time.Second
+		if served, rejected := simulateFirstPolls(fleet, by, true); served < fleet*95/100 || rejected > 2*fleet {
+			t.Errorf("%d relays: %d served within %v, %d rejected", fleet, served, by, rejected)
+		}
+	}
+	if served, _ := simulateFirstPolls(80, 20*time.Second, false); served > 40 {
+		t.Errorf("without staggering %d of 80 are served: the model shows no overload", served)
+	}
+}
+
+// A missing or absurd fleet size does not prevent the first request. Pushed lists are requested at
+// once.
+func TestFirstRequestDelay(t *testing.T) {
+	for _, fleet := range []int{-1, 0, 1} {
+		w := listWatcher{fleetSize: fleet, polled: true}
+		if d := w.firstDelay(); d != 0 {
+			t.Errorf("fleet of %d: %v", fleet, d)
+		}
+	}
+	if w := (listWatcher{fleetSize: 80}); w.firstDelay() != 0 {
+		t.Error("the request for a pushed list is delayed")
+	}
+	if w := (listWatcher{fleetSize: 1 << 40, polled: true}); w.firstDelay() > maxFirstPollDelay ||
+		w.failureBackoff.NextDelay() > 3*maxFirstPollDelay {
+		t.Error("a huge fleet waits longer than any relay may")
+	}
+}
+
+// updateDeadline is when a relay counts as informed of an update that discovery has.
+const updateDeadline = 6 * time.Second
+
+// A request that hangs for its whole timeout and the longest pause after it leave time for the next
+// request. Where lists are polled, that holds for fleets that discovery can serve.
+func TestPausesLeaveTimeForUpdates(t *testing.T) {
+	const nextRequest = 500 * time.Millisecond // that the next request may take
+	for _, polled := range []bool{false, true} {
+		for _, fleet := range []int{0, 1, 3, 8, 300, 1000} {
+			if polled && time.Duration(fleet)*pollTimePerRelay > maxPollBackoff {
+				continue
+			}
+			w := listWatcher{fleetSize: fleet, polled: polled, seed: int64(fleet)}
+			w.firstDelay()
+			var longest time.Duration
+			for range 1000 {
+				longest = max(longest, w.failureBackoff.NextDelay(), w.silenceBackoff.NextDelay())
+			}
+			hang := max(watchHold+watchAnswerMargin, agentDialTimeout)
+			if hang+longest+nextRequest > updateDeadline {
+				t.Errorf("fleet of %d, polled %v: a pause of %v after a request of %v", fleet, polled, longest, hang)
+			}
+		}
+	}
+}
