--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -5,8 +5,8 @@
 // more item, and the residual says how well the line fits. The package drives the real policy
 // engine, journal and membership code without sockets.
 //
-// Sizes in bytes and counts depend on the seed alone. Quantities marked Timed also depend on the
-// machine's speed, so tests put no bound on them.
+// Sizes on disk, traffic and counts depend on the seed alone, and heap sizes vary little between
+// runs. Quantities marked Timed also depend on the machine's speed, so tests put no bound on them.
 package capacity
 
 import (
