--- a/internal/lab/command/fleet.go
+++ b/internal/lab/command/fleet.go
@@ -11,53 +11,55 @@
 	"oatfold/internal/lab/fleet"
 )
 
-// fleetCommand plays a day with processes, and in virtual time beside it.
+// fleetCommand runs a scenario with real relay processes, and the same scenario in virtual time.
 func fleetCommand() *cobra.Command {
 	var seed uint64
-	var out, bin string
-	var raw, alone bool
-	cmd := &cobra.Command{Use: "fleet DAY.textproto", Short: "Play a fleet's day with real relays, and break what lies between them", Args: cobra.ExactArgs(1),
-		Long: "Play a day with real relays in processes of their own, on loopback, and the same day in virtual time; compare the verdicts. Exit code 4: a rule was broken, the day was at fault, or the two differ.",
+	var outDir, relayBinary string
+	var printJSON, noVirtual bool
+	cmd := &cobra.Command{Use: "fleet DAY.textproto",
+		Short: "Run a fleet scenario with real relays and network faults between them", Args: cobra.ExactArgs(1),
+		Long: "Run a scenario with real relay processes on loopback, and the same scenario in virtual time, and compare the verdicts. Exit code 4: a rule was violated, a run had a fault, or the verdicts differ.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := readDay(args[0], "", seed)
+			scenario, err := readScenario(args[0], "", seed)
 			if err != nil {
 				return err
 			}
-			if bin == "" {
+			if relayBinary == "" {
 				self, err := os.Executable()
 				if err != nil {
 					return err
 				}
-				bin = filepath.Join(filepath.Dir(self), "oatfold")
+				relayBinary = filepath.Join(filepath.Dir(self), "oatfold")
 			}
-			if _, err := os.Stat(bin); err != nil {
+			if _, err := os.Stat(relayBinary); err != nil {
 				return fmt.Errorf("the relay: %w (--relay names it)", err)
 			}
-			if out != "" {
-				if err := os.MkdirAll(out, 0o755); err != nil {
+			if outDir != "" {
+				if err := os.MkdirAll(outDir, 0o755); err != nil {
 					return err
 				}
 			}
-			res, err := fleet.Run(cmd.Context(), fleet.Config{Scenario: day, Seed: seed, RelayBinary: bin, OutDir: out})
+			res, err := fleet.Run(cmd.Context(), fleet.Config{Scenario: scenario, Seed: seed, RelayBinary: relayBinary,
+				OutDir: outDir})
 			if err != nil {
 				return err
 			}
-			if out != "" {
-				if err := res.WriteFiles(out); err != nil {
+			if outDir != "" {
+				if err := res.WriteFiles(outDir); err != nil {
 					return err
 				}
 			}
-			bad := !res.Verdict.Good()
-			differ := error(nil)
+			failed := !res.Verdict.Good()
+			mismatch := error(nil)
 			var virtual *fleet.Verdict
-			if !alone {
-				if virtual, _, err = fleet.RunVirtual(day); err != nil {
+			if !noVirtual {
+				if virtual, _, err = fleet.RunVirtual(scenario); err != nil {
 					return err
 				}
-				differ = res.Verdict.CheckSame(virtual)
-				bad = bad || differ != nil
+				mismatch = res.Verdict.CheckSame(virtual)
+				failed = failed || mismatch != nil
 			}
-			if raw {
+			if printJSON {
 				e := json.NewEncoder(cmd.OutOrStdout())
 				e.SetIndent("", " ")
 				if err := e.Encode(struct {
@@ -68,28 +70,29 @@
 				}
 			} else {
 				w := cmd.OutOrStdout()
-				fmt.Fprintf(w, "%s, seed %d: %d relays, %.1f s; %d messages offered, %d taken on, %d effects; %d notes of %d bytes\n", res.Day, seed, day.Relays, res.Seconds,
-					res.Offered, res.Taken, res.Ran, res.Sent, res.Bytes)
+				fmt.Fprintf(w, "%s, seed %d: %d relays, %.1f s; %d messages offered, %d accepted, %d effects; %d gossip messages of %d bytes\n",
+					res.Day, seed, scenario.Relays, res.Seconds, res.Offered, res.Taken, res.Ran, res.Sent, res.Bytes)
 				res.WriteTimeline(w)
 				fmt.Fprintf(w, "missed: %v; all agree in the end: %v\n", res.Verdict.Missed, res.Verdict.Agreed)
-				for kind, list := range map[string][]string{"broken: ": res.Verdict.Rules, "false death: ": res.Verdict.False, "fault: ": res.Verdict.Faults} {
+				for kind, list := range map[string][]string{"broken: ": res.Verdict.Rules,
+					"false death: ": res.Verdict.False, "fault: ": res.Verdict.Faults} {
 					for _, s := range list {
 						fmt.Fprintln(w, kind+s)
 					}
 				}
-				if differ != nil {
-					fmt.Fprintln(w, "virtual time differs:", differ)
+				if mismatch != nil {
+					fmt.Fprintln(w, "virtual time differs:", mismatch)
 				}
 			}
-			if bad {
-				return exit(exitBad)
+			if failed {
+				return exitCode(exitFailed)
 			}
 			return nil
 		}}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "what chance is drawn from")
-	cmd.Flags().StringVar(&out, "out", "", "folder for logs, results.parquet and report.html")
-	cmd.Flags().StringVar(&bin, "relay", "", "the relay's program (default: oatfold beside this one)")
-	cmd.Flags().BoolVar(&raw, "json", false, "print all of it as JSON")
-	cmd.Flags().BoolVar(&alone, "no-virtual", false, "do not play the day in virtual time as well")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "random seed")
+	cmd.Flags().StringVar(&outDir, "out", "", "`directory` for logs, results.parquet and report.html")
+	cmd.Flags().StringVar(&relayBinary, "relay", "", "relay `program` (default: oatfold next to this program)")
+	cmd.Flags().BoolVar(&printJSON, "json", false, "print the results as JSON")
+	cmd.Flags().BoolVar(&noVirtual, "no-virtual", false, "do not run the scenario in virtual time as well")
 	return cmd
 }
