--- a/internal/lab/emu/account_test.go
+++ b/internal/lab/emu/account_test.go
@@ -20,7 +20,7 @@
 		day := &Scenario{Length: time.Second}
 		r, check := newResult(day), rules.New(rules.Config{})
 		spoil(r, check)
-		r.finish(&world{day: day, check: check})
+		r.finish(&simulation{scenario: day, checker: check})
 		if got := strings.Join(r.Faults, "; "); (want == "") != (got == "") || !strings.Contains(got, want) {
 			t.Errorf("%q: faults %q", want, got)
 		}
--- a/internal/lab/emu/day.go
+++ b/internal/lab/emu/day.go
@@ -314,13 +314,13 @@
 	for _, k := range d.Kinds {
 		set.Kinds = append(set.Kinds, policy.Kind{Name: k.Name, MaxBatch: k.MaxBatch, SeparateRoutes: k.SeparateRoutes})
 	}
-	for _, z := range d.zones() {
+	for _, z := range d.endpointZones() {
 		set.Zones = append(set.Zones, policy.Zone{Name: z})
 	}
 	return set
 }
 
-func (d *Scenario) zones() (all []string) {
+func (d *Scenario) endpointZones() (all []string) {
 	seen := map[string]bool{}
 	add := func(zone string) {
 		if !seen[zone] {
@@ -336,8 +336,8 @@
 	return all
 }
 
-// worth is what a message is worth that is delivered so long after it was first handed in.
-func (c *Class) worth(after time.Duration) float64 {
+// valueAfter is what a message is worth that is delivered so long after it was first handed in.
+func (c *Class) valueAfter(after time.Duration) float64 {
 	switch {
 	case after <= c.TargetLatency:
 		return c.Value
--- a/internal/lab/emu/engine.go
+++ b/internal/lab/emu/engine.go
@@ -8,24 +8,26 @@
 
 // engine is virtual time: what is due, in order of time and, at one time, of entry.
 type engine struct {
-	now  time.Duration
-	seq  uint64
-	heap []due
-	done int
+	now       time.Duration
+	lastSeq   uint64
+	heap      []scheduledEvent
+	processed int
 }
 
-type due struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
-func (d due) before(o due) bool { return d.at < o.at || d.at == o.at && d.seq < o.seq }
+func (d scheduledEvent) before(o scheduledEvent) bool {
+	return d.at < o.at || d.at == o.at && d.seq < o.seq
+}
 
-// at runs do at that time; a time that has passed is now.
-func (e *engine) at(at time.Duration, do func()) {
-	e.seq++
-	h := append(e.heap, due{max(at, e.now), e.seq, do})
+// schedule runs do at that time; a time that has passed is now.
+func (e *engine) schedule(at time.Duration, do func()) {
+	e.lastSeq++
+	h := append(e.heap, scheduledEvent{max(at, e.now), e.lastSeq, do})
 	i := len(h) - 1
 	for i > 0 {
 		up := (i - 1) / 4
@@ -38,17 +40,17 @@
 	e.heap = h
 }
 
-func (e *engine) after(d time.Duration, do func()) { e.at(e.now+d, do) }
+func (e *engine) scheduleAfter(d time.Duration, do func()) { e.schedule(e.now+d, do) }
 
-// next runs what is due next; false: nothing is.
-func (e *engine) next() bool {
+// runNext runs what is due next; false: nothing is.
+func (e *engine) runNext() bool {
 	n := len(e.heap) - 1
 	if n < 0 {
 		return false
 	}
 	first, h := e.heap[0], e.heap
 	h[0] = h[n]
-	h[n] = due{}
+	h[n] = scheduledEvent{}
 	h = h[:n]
 	for i := 0; ; {
 		least := i
@@ -65,14 +67,14 @@
 	}
 	e.heap = h
 	e.now = first.at
-	e.done++
-	first.do()
+	e.processed++
+	first.run()
 	return true
 }
 
-// chance is a source for one purpose, so that what one part draws shifts nothing elsewhere: two arms of an experiment see
+// newRand is a source for one purpose, so that what one part draws shifts nothing elsewhere: two arms of an experiment see
 // the same arrivals.
-func chance(seed uint64, purpose string, of ...uint64) *rand.Rand {
+func newRand(seed uint64, purpose string, of ...uint64) *rand.Rand {
 	h := seed*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019
 	mix := func(v uint64) {
 		h ^= v
@@ -88,8 +90,8 @@
 	return rand.New(rand.NewPCG(h, seed))
 }
 
-// spread draws a factor of mean 1 whose standard deviation is cv.
-func spread(r *rand.Rand, cv float64, exp bool) float64 {
+// drawFactor draws a factor of mean 1 whose standard deviation is cv.
+func drawFactor(r *rand.Rand, cv float64, exp bool) float64 {
 	switch {
 	case exp:
 		return r.ExpFloat64()
@@ -100,7 +102,9 @@
 	return math.Exp(r.NormFloat64()*math.Sqrt(v) - v/2)
 }
 
-// part is a share of a time.
-func part(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
+// scaleDuration is a share of a time.
+func scaleDuration(d time.Duration, share float64) time.Duration {
+	return time.Duration(float64(d) * share)
+}
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -18,21 +18,21 @@
 func (f Floor) Missed() bool { return f.Served < f.Minimum }
 
 const (
-	floorWhole = 0.5     // of the day, and of each class that counts
-	floorThird = 0.3     // of each third of the day
-	floorCount = 1. / 20 // of requests or worth: a class with less counts only if it must not run twice
+	minWholeShare = 0.5     // of the day, and of each class that counts
+	minThirdShare = 0.3     // of each third of the day
+	minClassShare = 1. / 20 // of requests or worth: a class with less counts only if it must not run twice
 )
 
 // Floors lists them: the whole day, each class that counts, each third.
 func (r *Result) Floors(d *Scenario) []Floor {
-	all := []Floor{{"whole day", r.Whole, floorWhole}}
+	all := []Floor{{"whole day", r.Whole, minWholeShare}}
 	requests, asked := 0, 0.0
 	for _, t := range r.ByClass {
 		requests, asked = requests+t.Requests, asked+t.Asked
 	}
 	for i, t := range r.ByClass {
-		if counts := float64(t.Requests) >= floorCount*float64(requests) || t.Asked >= floorCount*asked; counts || d.Classes[i].Effect == policy.Unsafe {
-			all = append(all, Floor{"class " + t.Name, share(t.Served, t.Asked), floorWhole})
+		if counts := float64(t.Requests) >= minClassShare*float64(requests) || t.Asked >= minClassShare*asked; counts || d.Classes[i].Effect == policy.Unsafe {
+			all = append(all, Floor{"class " + t.Name, shareOrOne(t.Served, t.Asked), minWholeShare})
 		}
 	}
 	for third := range 3 {
@@ -40,7 +40,7 @@
 		for _, sec := range r.Seconds[third*len(r.Seconds)/3 : (third+1)*len(r.Seconds)/3] {
 			a, s = a+sec.Asked, s+sec.Served
 		}
-		all = append(all, Floor{fmt.Sprintf("third %d", third+1), share(s, a), floorThird})
+		all = append(all, Floor{fmt.Sprintf("third %d", third+1), shareOrOne(s, a), minThirdShare})
 	}
 	return all
 }
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -7,49 +7,49 @@
 	"oatfold/policy"
 )
 
-// reportError is the most by which a reported limit differs from the real one, as a share of it.
-const reportError = 0.05
+// maxReportError is the most by which a reported limit differs from the real one, as a share of it.
+const maxReportError = 0.05
 
 // limiter is a limit of calls at work: that of a destination, or that of one route where routes are separate.
 type limiter struct {
-	kind     *Kind
-	usual    float64       // calls a second
-	lowered  float64       // share of usual that is in force; 1: all of it
-	tokens   float64       // of a rate limit, which is a token bucket
-	filledAt time.Duration // when tokens was last brought up to date
-	window   time.Duration // where the present window of a window limit began
-	count    float64       // calls counted in that window
+	kind        *Kind
+	nominalRate float64       // calls a second
+	rateShare   float64       // share of usual that is in force; 1: all of it
+	tokens      float64       // of a rate limit, which is a token bucket
+	filledAt    time.Duration // when tokens was last brought up to date
+	windowStart time.Duration // where the present window of a window limit began
+	windowCalls float64       // calls counted in that window
 }
 
 // newLimiter returns a limit of usual calls a second whose windows begin at window.
 func newLimiter(kind *Kind, usual float64, window time.Duration) *limiter {
-	return &limiter{kind: kind, usual: usual, lowered: 1, tokens: usual / 2, window: window}
+	return &limiter{kind: kind, nominalRate: usual, rateShare: 1, tokens: usual / 2, windowStart: window}
 }
 
 // rate is the calls a second that are in force.
-func (l *limiter) rate() float64 { return l.usual * l.lowered }
+func (l *limiter) rate() float64 { return l.nominalRate * l.rateShare }
 
-// burst is the size of the token bucket: half a second of the limit, one call at least.
-func (l *limiter) burst() float64 { return max(1, l.rate()/2) }
+// bucketSize is the size of the token bucket: half a second of the limit, one call at least.
+func (l *limiter) bucketSize() float64 { return max(1, l.rate()/2) }
 
-// room is the number of calls that a window takes.
-func (l *limiter) room() float64 { return l.rate() * l.kind.Window.Seconds() }
+// windowCapacity is the number of calls that a window takes.
+func (l *limiter) windowCapacity() float64 { return l.rate() * l.kind.Window.Seconds() }
 
 // advance brings the bucket or the window up to now.
 func (l *limiter) advance(now time.Duration) {
 	switch l.kind.Limit {
 	case RateLimit:
-		l.tokens = min(l.burst(), l.tokens+l.rate()*(now-l.filledAt).Seconds())
+		l.tokens = min(l.bucketSize(), l.tokens+l.rate()*(now-l.filledAt).Seconds())
 		l.filledAt = now
 	case WindowLimit:
-		if past := now - l.window; past >= l.kind.Window {
-			l.window, l.count = now-past%l.kind.Window, 0
+		if past := now - l.windowStart; past >= l.kind.Window {
+			l.windowStart, l.windowCalls = now-past%l.kind.Window, 0
 		}
 	}
 }
 
-// admits tells whether the limit takes one more call, and counts it.
-func (l *limiter) admits(now time.Duration) bool {
+// admit tells whether the limit takes one more call, and counts it.
+func (l *limiter) admit(now time.Duration) bool {
 	l.advance(now)
 	switch l.kind.Limit {
 	case RateLimit:
@@ -62,22 +62,22 @@
 		}
 		return false
 	case WindowLimit:
-		taken := l.count+1 <= l.room()
+		taken := l.windowCalls+1 <= l.windowCapacity()
 		if taken || l.kind.CountsRejected {
-			l.count++
+			l.windowCalls++
 		}
 		return taken
 	}
 	return true
 }
 
-// opens is in how long a refused call would find room.
-func (l *limiter) opens(now time.Duration) time.Duration {
+// retryAfter is in how long a refused call would find room.
+func (l *limiter) retryAfter(now time.Duration) time.Duration {
 	switch l.kind.Limit {
 	case RateLimit:
 		return seconds(max(0, 1-l.tokens) / l.rate())
 	case WindowLimit:
-		return l.window + l.kind.Window - now
+		return l.windowStart + l.kind.Window - now
 	}
 	return 0
 }
@@ -90,12 +90,12 @@
 	l.advance(now)
 	switch l.kind.Limit {
 	case RateLimit:
-		return &policy.LimitReport{Remaining: l.tokens / l.burst(), Limit: inexact(l.rate(), rng)}
+		return &policy.LimitReport{Remaining: l.tokens / l.bucketSize(), Limit: perturb(l.rate(), rng)}
 	case WindowLimit:
-		return &policy.LimitReport{Remaining: max(0, 1-l.count/max(1, l.room())), Limit: inexact(l.rate(), rng)}
+		return &policy.LimitReport{Remaining: max(0, 1-l.windowCalls/max(1, l.windowCapacity())), Limit: perturb(l.rate(), rng)}
 	}
 	return &policy.LimitReport{Remaining: 1}
 }
 
-// inexact draws a figure within reportError of v.
-func inexact(v float64, rng *rand.Rand) float64 { return v * (1 + reportError*(2*rng.Float64()-1)) }
+// perturb draws a figure within reportError of v.
+func perturb(v float64, rng *rand.Rand) float64 { return v * (1 + maxReportError*(2*rng.Float64()-1)) }
--- a/internal/lab/emu/limiter_test.go
+++ b/internal/lab/emu/limiter_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// takenOf counts the calls that a limit takes of so many a second, evenly spaced, over a minute.
-func takenOf(l *limiter, callsPerSecond float64) (taken int) {
+// countAdmitted counts the calls that a limit takes of so many a second, evenly spaced, over a minute.
+func countAdmitted(l *limiter, callsPerSecond float64) (taken int) {
 	n := int(60 * callsPerSecond)
 	for i := range n {
-		if l.admits(seconds(float64(i) / callsPerSecond)) {
+		if l.admit(seconds(float64(i) / callsPerSecond)) {
 			taken++
 		}
 	}
@@ -26,7 +26,7 @@
 		low, high int
 	}{{false, 8, 480, 480}, {false, 20, 595, 610}, {true, 8, 480, 480}, {true, 9.9, 593, 594}, {true, 20, 1, 20}} {
 		l := newLimiter(&Kind{Limit: RateLimit, CountsRejected: c.counted}, rate, 0)
-		if n := takenOf(l, c.calls); n < c.low || n > c.high {
+		if n := countAdmitted(l, c.calls); n < c.low || n > c.high {
 			t.Errorf("counted %t, %g calls a second: %d taken, want %d to %d", c.counted, c.calls, n, c.low, c.high)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestWindowLimit(t *testing.T) {
 	for _, counted := range []bool{false, true} {
 		l := newLimiter(&Kind{Limit: WindowLimit, Window: 1500 * time.Millisecond, CountsRejected: counted}, 10, -time.Second)
-		if n := takenOf(l, 40); n < 600 || n > 630 {
+		if n := countAdmitted(l, 40); n < 600 || n > 630 {
 			t.Errorf("counted %t: %d taken, want 15 in each of 40 windows", counted, n)
 		}
 	}
@@ -46,8 +46,8 @@
 func TestLoweredLimit(t *testing.T) {
 	for _, kind := range []LimitKind{RateLimit, WindowLimit} {
 		l := newLimiter(&Kind{Limit: kind, Window: time.Second}, 10, 0)
-		l.lowered = 0.3
-		if n := takenOf(l, 10); n < 178 || n > 186 {
+		l.rateShare = 0.3
+		if n := countAdmitted(l, 10); n < 178 || n > 186 {
 			t.Errorf("limit %d: %d taken, want 180", kind, n)
 		}
 	}
@@ -55,21 +55,21 @@
 
 // Reports tell what is left, and a limit that is a little off; kinds without reports tell nothing.
 func TestLimitReports(t *testing.T) {
-	rng := chance(1, "report")
+	rng := newRand(1, "report")
 	for _, kind := range []LimitKind{RateLimit, WindowLimit} {
 		l := newLimiter(&Kind{Limit: kind, Window: time.Second, ReportsLimit: true}, 10, 0)
 		full := l.report(0, rng).Remaining
-		for l.admits(0) {
+		for l.admit(0) {
 		}
 		spent := l.report(0, rng)
 		if full != 1 || spent.Remaining > 0.1 {
 			t.Errorf("limit %d: %g left at first, %g once it is spent", kind, full, spent.Remaining)
 		}
-		if off := math.Abs(spent.Limit/10 - 1); off > reportError || off == 0 {
+		if off := math.Abs(spent.Limit/10 - 1); off > maxReportError || off == 0 {
 			t.Errorf("limit %d: told to be %g, is 10", kind, spent.Limit)
 		}
-		l.lowered = 0.5
-		if told := l.report(0, rng).Limit; math.Abs(told/5-1) > reportError {
+		l.rateShare = 0.5
+		if told := l.report(0, rng).Limit; math.Abs(told/5-1) > maxReportError {
 			t.Errorf("limit %d: told to be %g, is 5", kind, told)
 		}
 	}
--- a/internal/lab/emu/notes.go
+++ b/internal/lab/emu/notes.go
@@ -7,39 +7,39 @@
 	"oatfold/internal/peers/members"
 )
 
-// ways is what troubles do to notes between relays.
-type ways struct {
-	apart []map[int]bool // groups that are cut off from all others
-	deaf  map[int]int    // troubles by which a relay hears nobody
-	mute  map[int]int    // and is heard by nobody
-	lost  float64
-	late  time.Duration
-	twice float64
-	off   map[[2]int]int // relay and destination: troubles by which they don't reach each other
-	alone map[string]int // zones that are cut off with their relays and endpoints
+// networkState is what troubles do to notes between relays.
+type networkState struct {
+	partitions     []map[int]bool // groups that are cut off from all others
+	noReceive      map[int]int    // troubles by which a relay hears nobody
+	noSend         map[int]int    // and is heard by nobody
+	lossShare      float64
+	extraDelay     time.Duration
+	duplicateShare float64
+	unreachable    map[[2]int]int // relay and destination: troubles by which they don't reach each other
+	isolatedZones  map[string]int // zones that are cut off with their relays and endpoints
 }
 
 // reaches tells whether a relay and a destination reach each other.
-func (b *ways) reaches(relay, dest int) bool { return b.off[[2]int{relay, dest}] == 0 }
+func (b *networkState) reaches(relay, dest int) bool { return b.unreachable[[2]int{relay, dest}] == 0 }
 
 // reaches tells whether a relay and an endpoint reach each other.
-func (w *world) reaches(r *relay, e *endpoint) bool {
-	if len(w.between.alone) > 0 {
-		if here := zoneName(w.day.ZoneOf(r.no)); here != e.zone && w.between.alone[here]+w.between.alone[e.zone] > 0 {
+func (w *simulation) reaches(r *relay, e *endpoint) bool {
+	if len(w.network.isolatedZones) > 0 {
+		if here := zoneName(w.scenario.ZoneOf(r.number)); here != e.zone && w.network.isolatedZones[here]+w.network.isolatedZones[e.zone] > 0 {
 			return false
 		}
 	}
-	return w.between.reaches(r.no, e.dest.no)
+	return w.network.reaches(r.number, e.dest.number)
 }
 
-// carries tells whether a note from one relay to another gets through.
-func (b *ways) carries(from, to int) bool {
-	for _, group := range b.apart {
+// delivers tells whether a note from one relay to another gets through.
+func (b *networkState) delivers(from, to int) bool {
+	for _, group := range b.partitions {
 		if group[from] != group[to] {
 			return false
 		}
 	}
-	return b.deaf[to] == 0 && b.mute[from] == 0
+	return b.noReceive[to] == 0 && b.noSend[from] == 0
 }
 
 // ZoneOf is the zone of a relay: zones are dealt to them in turn, as they are to destinations.
@@ -69,12 +69,12 @@
 	return all
 }
 
-// noteTrouble sets the beginning and the end of a trouble between relays.
-func (w *world) noteTrouble(t *Fault) {
-	b, relays := &w.between, w.day.RelaysOf(t)
+// scheduleNetworkFault sets the beginning and the end of a trouble between relays.
+func (w *simulation) scheduleNetworkFault(t *Fault) {
+	b, relays := &w.network, w.scenario.RelaysOf(t)
 	during := func(begin, end func()) {
-		w.at(t.At, begin)
-		w.at(t.At+t.Duration, end)
+		w.schedule(t.At, begin)
+		w.schedule(t.At+t.Duration, end)
 	}
 	count := func(m *map[int]int, by int) func() {
 		return func() {
@@ -90,13 +90,13 @@
 	case Partition, SitePartition:
 		if t.Kind == SitePartition {
 			during(func() {
-				if b.alone == nil {
-					b.alone = map[string]int{}
+				if b.isolatedZones == nil {
+					b.isolatedZones = map[string]int{}
 				}
-				b.alone[t.Zone]++
+				b.isolatedZones[t.Zone]++
 			}, func() {
-				if b.alone[t.Zone]--; b.alone[t.Zone] == 0 {
-					delete(b.alone, t.Zone)
+				if b.isolatedZones[t.Zone]--; b.isolatedZones[t.Zone] == 0 {
+					delete(b.isolatedZones, t.Zone)
 				}
 			})
 		}
@@ -104,10 +104,10 @@
 		for _, n := range relays {
 			group[n] = true
 		}
-		during(func() { b.apart = append(b.apart, group) }, func() {
-			for i := range b.apart {
-				if fmt.Sprintf("%p", b.apart[i]) == fmt.Sprintf("%p", group) {
-					b.apart = append(b.apart[:i:i], b.apart[i+1:]...)
+		during(func() { b.partitions = append(b.partitions, group) }, func() {
+			for i := range b.partitions {
+				if fmt.Sprintf("%p", b.partitions[i]) == fmt.Sprintf("%p", group) {
+					b.partitions = append(b.partitions[:i:i], b.partitions[i+1:]...)
 					return
 				}
 			}
@@ -115,93 +115,93 @@
 	case DestinationPartition:
 		add := func(by int) func() {
 			return func() {
-				if b.off == nil {
-					b.off = map[[2]int]int{}
+				if b.unreachable == nil {
+					b.unreachable = map[[2]int]int{}
 				}
 				for _, n := range relays {
-					for _, d := range w.day.DestsOf(t) {
-						b.off[[2]int{n, d}] += by
+					for _, d := range w.scenario.DestsOf(t) {
+						b.unreachable[[2]int{n, d}] += by
 					}
 				}
 			}
 		}
 		during(add(1), add(-1))
 	case GossipReceiveLoss:
-		during(count(&b.deaf, 1), count(&b.deaf, -1))
+		during(count(&b.noReceive, 1), count(&b.noReceive, -1))
 	case GossipSendLoss:
-		during(count(&b.mute, 1), count(&b.mute, -1))
+		during(count(&b.noSend, 1), count(&b.noSend, -1))
 	case GossipLoss:
-		during(func() { b.lost += t.Intensity }, func() { b.lost -= t.Intensity })
+		during(func() { b.lossShare += t.Intensity }, func() { b.lossShare -= t.Intensity })
 	case GossipDelay:
-		during(func() { b.late += seconds(t.Intensity) }, func() { b.late -= seconds(t.Intensity) })
+		during(func() { b.extraDelay += seconds(t.Intensity) }, func() { b.extraDelay -= seconds(t.Intensity) })
 	case GossipDuplication:
-		during(func() { b.twice += t.Intensity }, func() { b.twice -= t.Intensity })
+		during(func() { b.duplicateShare += t.Intensity }, func() { b.duplicateShare -= t.Intensity })
 	}
 }
 
-// carry takes a relay's notes to the others.
-func (r *relay) carry(out []members.Datagram) {
-	w := r.w
+// sendGossip takes a relay's notes to the others.
+func (r *relay) sendGossip(out []members.Datagram) {
+	w := r.sim
 	for _, o := range out {
 		other := w.relays[o.To]
-		if other.mod == nil || w.notes.Float64() < w.day.GossipLoss || !w.between.carries(r.no, o.To) ||
-			w.between.lost > 0 && w.notes.Float64() < w.between.lost {
+		if other.policy == nil || w.gossipRand.Float64() < w.scenario.GossipLoss || !w.network.delivers(r.number, o.To) ||
+			w.network.lossShare > 0 && w.gossipRand.Float64() < w.network.lossShare {
 			continue
 		}
 		times := 1
-		if w.between.twice > 0 && w.notes.Float64() < w.between.twice {
+		if w.network.duplicateShare > 0 && w.gossipRand.Float64() < w.network.duplicateShare {
 			times = 2
 		}
 		for range times {
-			w.res.NoteBytes += len(o.Payload)
-			late := 2*time.Millisecond + part(29*time.Millisecond, w.notes.Float64())
-			if w.between.late > 0 {
-				late += part(w.between.late, w.notes.Float64())
+			w.result.NoteBytes += len(o.Payload)
+			late := 2*time.Millisecond + scaleDuration(29*time.Millisecond, w.gossipRand.Float64())
+			if w.network.extraDelay > 0 {
+				late += scaleDuration(w.network.extraDelay, w.gossipRand.Float64())
 			}
-			life := other.life
-			w.after(late, func() { other.heard(r.no, life, o.Payload) })
+			life := other.incarnation
+			w.scheduleAfter(late, func() { other.receiveGossip(r.number, life, o.Payload) })
 		}
 	}
 }
 
-// heard takes a note, as soon as the relay moves.
-func (r *relay) heard(from, life int, note []byte) {
-	w := r.w
-	if r.mod == nil || r.life != life {
+// receiveGossip takes a note, as soon as the relay moves.
+func (r *relay) receiveGossip(from, life int, note []byte) {
+	w := r.sim
+	if r.policy == nil || r.incarnation != life {
 		return
 	}
-	if w.now < r.stalled {
-		w.at(r.stalled, func() { r.heard(from, life, note) })
+	if w.now < r.stalledUntil {
+		w.schedule(r.stalledUntil, func() { r.receiveGossip(from, life, note) })
 		return
 	}
-	out, _ := r.pool.Receive(w.now, from, note)
-	r.carry(out)
-	r.changed()
+	out, _ := r.gossiper.Receive(w.now, from, note)
+	r.sendGossip(out)
+	r.recordMemberChanges()
 }
 
-// changed books what the relay has come to think of others.
-func (r *relay) changed() {
-	list := r.pool.Members()
+// recordMemberChanges books what the relay has come to think of others.
+func (r *relay) recordMemberChanges() {
+	list := r.gossiper.Members()
 	if list == nil {
 		return
 	}
-	w := r.w
+	w := r.sim
 	for _, c := range list.Changes() {
-		w.res.Members = append(w.res.Members, MemberChange{w.now, r.no, c.Number, c.From.String(), c.To.String(), c.Incarnation, c.Reason})
+		w.result.Members = append(w.result.Members, MemberChange{w.now, r.number, c.Number, c.From.String(), c.To.String(), c.Incarnation, c.Reason})
 	}
 }
 
-// agreed tells whether all relays that live know who does.
-func (w *world) agreed() bool {
-	if !w.day.Membership {
+// membersAgree tells whether all relays that live know who does.
+func (w *simulation) membersAgree() bool {
+	if !w.scenario.Membership {
 		return true
 	}
 	for _, r := range w.relays {
-		if r.mod == nil || w.now < r.stalled || r.pool.Members() == nil {
+		if r.policy == nil || w.now < r.stalledUntil || r.gossiper.Members() == nil {
 			continue
 		}
 		for _, o := range w.relays {
-			if s := r.pool.Members().State(o.no); o != r && (o.mod != nil && s != members.Alive || o.mod == nil && s < members.Dead) {
+			if s := r.gossiper.Members().State(o.number); o != r && (o.policy != nil && s != members.Alive || o.policy == nil && s < members.Dead) {
 				return false
 			}
 		}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -28,211 +28,211 @@
 
 // relay is one relay at work.
 type relay struct {
-	w       *world
-	no      int
-	life    int
-	diedAt  time.Duration
-	mod     PolicyEngine // nil: it is down
-	inbox   []policy.Event
-	due     bool // a step is on its way
-	stalled time.Duration
-	held    map[uint32]*message
-	out     int // calls
-	wake    uint64
-	idle    map[*endpoint][]*conn
-	told    map[int]policy.EndpointState // endpoints that it heard are going
-	sharing int                          // relays that may be calling, as the module was told
-	pool    *peers.Gossiper              // what it tells others and hears of them
-	watch   *sites.Watch                 // nil: no plan for sites
+	sim              *simulation
+	number           int
+	incarnation      int
+	diedAt           time.Duration
+	policy           PolicyEngine // nil: it is down
+	inbox            []policy.Event
+	stepDue          bool // a step is on its way
+	stalledUntil     time.Duration
+	pending          map[uint32]*message
+	inFlight         int // calls
+	timerID          uint64
+	idleConns        map[*endpoint][]*conn
+	leavingEndpoints map[int]policy.EndpointState // endpoints that it heard are going
+	reportedCallers  int                          // relays that may be calling, as the module was told
+	gossiper         *peers.Gossiper              // what it tells others and hears of them
+	siteWatch        *sites.Watch                 // nil: no plan for sites
 }
 
 // conn is a connection from a relay to an endpoint.
 type conn struct {
-	life   int // of the endpoint
-	usedAt time.Duration
+	incarnation int // of the endpoint
+	lastUsed    time.Duration
 }
 
 // message is a request in the hands of one relay.
 type message struct {
-	id      uint32
-	req     *request
-	relay   *relay
-	life    int
-	over    bool
-	tries   int
-	item    *item // the attempt that is out
-	mayHave bool
+	id          uint32
+	request     *request
+	relay       *relay
+	incarnation int
+	completed   bool
+	attempts    int
+	inFlight    *callItem // the attempt that is out
+	mayHaveRun  bool
 }
 
-// item is one message of a call.
-type item struct {
-	m       *message
-	attempt int
-	timeout time.Duration
-	done    bool
-	work    float64
+// callItem is one message of a call.
+type callItem struct {
+	message     *message
+	attempt     int
+	timeout     time.Duration
+	ended       bool
+	workSeconds float64
 }
 
 // call is one call that is out.
 type call struct {
-	id       uint64
-	relay    *relay
-	rlife    int
-	ep       *endpoint
-	items    []item
-	left     int
-	sentAt   time.Duration
-	conn     *conn
-	life     int // of the endpoint as the connection was made
-	closed   bool
-	answered bool
-	work     float64
-	report   *policy.LimitReport // of the limit, as the call came to it
+	id                  uint64
+	relay               *relay
+	relayIncarnation    int
+	endpoint            *endpoint
+	items               []callItem
+	openItems           int
+	sentAt              time.Duration
+	conn                *conn
+	endpointIncarnation int // of the endpoint as the connection was made
+	abandoned           bool
+	answered            bool
+	workSeconds         float64
+	limitReport         *policy.LimitReport // of the limit, as the call came to it
 }
 
-// tells is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
-func (c *call) tells(out policy.Outcome) *policy.LimitReport {
+// reportFor is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
+func (c *call) reportFor(out policy.Outcome) *policy.LimitReport {
 	switch out {
 	case policy.Delivered, policy.Errored, policy.Rejected:
-		return c.report
+		return c.limitReport
 	}
 	return nil
 }
 
-// boot starts a life of a relay.
-func (r *relay) boot() {
-	r.life++
-	set := r.w.day.Settings()
-	set.TimeSlots = pacing.New(r.no, r.w.day.Relays)
-	mod, err := r.w.make(set, int64(chance(r.w.day.Seed, "module", uint64(r.no), uint64(r.life)).Uint64()>>1))
+// start starts a life of a relay.
+func (r *relay) start() {
+	r.incarnation++
+	set := r.sim.scenario.Settings()
+	set.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
+	mod, err := r.sim.newPolicy(set, int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if err != nil {
-		r.w.fault(fmt.Sprintf("relay %d does not start: %v", r.no, err))
+		r.sim.recordError(fmt.Sprintf("relay %d does not start: %v", r.number, err))
 		return
 	}
-	r.mod, r.held, r.out, r.idle, r.inbox, r.due = mod, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
-	r.told = map[int]policy.EndpointState{}
-	r.pool = peers.New(r.no, r.w.fleet(), int64(chance(r.w.day.Seed, "notes", uint64(r.no), uint64(r.life)).Uint64()>>1))
-	if r.sharing = 0; r.w.day.Membership {
-		r.pool.EnableMembership(r.w.day.ZoneOf(r.no), int64(chance(r.w.day.Seed, "members", uint64(r.no), uint64(r.life)).Uint64()>>1))
-		r.w.res.Members = append(r.w.res.Members, MemberChange{At: r.w.now, By: r.no, Number: r.no, To: "started"})
+	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = mod, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
+	r.leavingEndpoints = map[int]policy.EndpointState{}
+	r.gossiper = peers.New(r.number, r.sim.gossipFleetSize(), int64(newRand(r.sim.scenario.Seed, "notes", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+	if r.reportedCallers = 0; r.sim.scenario.Membership {
+		r.gossiper.EnableMembership(r.sim.scenario.ZoneOf(r.number), int64(newRand(r.sim.scenario.Seed, "members", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.sim.result.Members = append(r.sim.result.Members, MemberChange{At: r.sim.now, By: r.number, Number: r.number, To: "started"})
 	}
-	r.pool.EnableChoices(r.w.day.Choices)
-	if r.pool.Active() {
-		r.tellAt(r.w.now + r.pool.NextTick())
+	r.gossiper.EnableChoices(r.sim.scenario.Choices)
+	if r.gossiper.Active() {
+		r.scheduleGossip(r.sim.now + r.gossiper.NextTick())
 	}
-	if r.watch = nil; r.w.day.Sites != nil {
-		r.watch = sites.NewWatch(r.w.day.Sites, zoneName(r.w.day.ZoneOf(r.no)), int64(chance(r.w.day.Seed, "sites", uint64(r.no), uint64(r.life)).Uint64()>>1))
-		r.hear(policy.SitesUpdate{Plan: r.watch})
-		r.lookAt(r.w.now + time.Duration(chance(r.w.day.Seed, "look", uint64(r.no)).Int64N(int64(lookTurn))))
+	if r.siteWatch = nil; r.sim.scenario.Sites != nil {
+		r.siteWatch = sites.NewWatch(r.sim.scenario.Sites, zoneName(r.sim.scenario.ZoneOf(r.number)), int64(newRand(r.sim.scenario.Seed, "sites", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.enqueue(policy.SitesUpdate{Plan: r.siteWatch})
+		r.scheduleSiteCheck(r.sim.now + time.Duration(newRand(r.sim.scenario.Seed, "look", uint64(r.number)).Int64N(int64(siteCheckInterval))))
 	}
 	var list []policy.Endpoint
-	for _, d := range r.w.dests {
-		for _, e := range d.eps {
-			if !e.draining && !e.gone {
-				list = append(list, r.entry(e, policy.Listed))
+	for _, d := range r.sim.dests {
+		for _, e := range d.endpoints {
+			if !e.draining && !e.removed {
+				list = append(list, r.listEntry(e, policy.Listed))
 			}
 		}
 	}
-	r.listed(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
+	r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
 }
 
-// listed gives list news to the module, and to whoever keeps the subsets.
-func (r *relay) listed(news policy.EndpointListUpdate) {
-	r.pool.UpdateEndpoints(news)
-	if r.watch != nil {
-		r.watch.ApplyEndpointList(news)
+// applyEndpointList gives list news to the module, and to whoever keeps the subsets.
+func (r *relay) applyEndpointList(news policy.EndpointListUpdate) {
+	r.gossiper.UpdateEndpoints(news)
+	if r.siteWatch != nil {
+		r.siteWatch.ApplyEndpointList(news)
 	}
-	r.hear(news)
+	r.enqueue(news)
 }
 
-// wallOf is the time of day as a relay's clock has it: up to two seconds off.
-func (w *world) wallOf(relay int) time.Time {
-	skew := part(4*time.Second, chance(w.day.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
+// wallClock is the time of day as a relay's clock has it: up to two seconds off.
+func (w *simulation) wallClock(relay int) time.Time {
+	skew := scaleDuration(4*time.Second, newRand(w.scenario.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
 	return time.UnixMilli(1_000_000_000_000).Add(w.now + skew)
 }
 
-func (r *relay) entry(e *endpoint, state policy.EndpointState) policy.Endpoint {
-	return policy.Endpoint{Address: e.address, Destination: e.dest.no, Kind: e.dest.kind.Name, Zone: e.zone, State: state, Rate: 1}
+func (r *relay) listEntry(e *endpoint, state policy.EndpointState) policy.Endpoint {
+	return policy.Endpoint{Address: e.address, Destination: e.dest.number, Kind: e.dest.kind.Name, Zone: e.zone, State: state, Rate: 1}
 }
 
-// tellAt lets a relay tell others what it saw, again and again while it lives.
-func (r *relay) tellAt(at time.Duration) {
-	w, life := r.w, r.life
-	w.at(max(at, w.now), func() {
-		if r.life != life || r.mod == nil {
+// scheduleGossip lets a relay tell others what it saw, again and again while it lives.
+func (r *relay) scheduleGossip(at time.Duration) {
+	w, life := r.sim, r.incarnation
+	w.schedule(max(at, w.now), func() {
+		if r.incarnation != life || r.policy == nil {
 			return
 		}
-		if w.now < r.stalled {
-			r.tellAt(r.stalled)
+		if w.now < r.stalledUntil {
+			r.scheduleGossip(r.stalledUntil)
 			return
 		}
-		out, turned := r.pool.Tick(w.now)
-		r.carry(out)
-		r.changed()
+		out, turned := r.gossiper.Tick(w.now)
+		r.sendGossip(out)
+		r.recordMemberChanges()
 		if turned {
-			news := policy.FleetUpdate{Routes: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Relays: r.pool.PossibleCallers(w.now)}
-			w.targets.ResolveEndpoints(news.Routes)
-			if r.watch != nil {
-				r.watch.ApplyFleetStats(w.now, news.Routes)
+			news := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(w.now, w.wallClock(r.number)), Relays: r.gossiper.PossibleCallers(w.now)}
+			w.reportKeys.ResolveEndpoints(news.Routes)
+			if r.siteWatch != nil {
+				r.siteWatch.ApplyFleetStats(w.now, news.Routes)
 			}
-			if len(news.Routes) > 0 || news.Relays != r.sharing {
-				r.sharing = news.Relays
-				r.hear(news)
+			if len(news.Routes) > 0 || news.Relays != r.reportedCallers {
+				r.reportedCallers = news.Relays
+				r.enqueue(news)
 			}
-			for _, s := range r.pool.ChangedSubsets(w.now) {
-				r.hear(s)
+			for _, s := range r.gossiper.ChangedSubsets(w.now) {
+				r.enqueue(s)
 			}
 		}
-		r.tellAt(r.pool.NextTick())
+		r.scheduleGossip(r.gossiper.NextTick())
 	})
 }
 
-// lookTurn is between two looks at sites.
-const lookTurn = 250 * time.Millisecond
+// siteCheckInterval is between two looks at sites.
+const siteCheckInterval = 250 * time.Millisecond
 
-// lookAt lets a relay look at its sites, again and again while it lives.
-func (r *relay) lookAt(at time.Duration) {
-	w, life := r.w, r.life
-	w.at(max(at, w.now), func() {
-		if r.life != life || r.mod == nil {
+// scheduleSiteCheck lets a relay look at its sites, again and again while it lives.
+func (r *relay) scheduleSiteCheck(at time.Duration) {
+	w, life := r.sim, r.incarnation
+	w.schedule(max(at, w.now), func() {
+		if r.incarnation != life || r.policy == nil {
 			return
 		}
-		if w.now >= r.stalled {
-			if list := r.pool.Members(); list != nil {
+		if w.now >= r.stalledUntil {
+			if list := r.gossiper.Members(); list != nil {
 				relays, alive := map[string]int{}, map[string]int{}
 				for _, o := range w.relays {
 					if o != r {
-						z := zoneName(w.day.ZoneOf(o.no))
-						if relays[z]++; list.State(o.no) < members.Dead {
+						z := zoneName(w.scenario.ZoneOf(o.number))
+						if relays[z]++; list.State(o.number) < members.Dead {
 							alive[z]++
 						}
 					}
 				}
 				for z, n := range relays {
-					r.watch.SetRelayCounts(z, n, alive[z])
+					r.siteWatch.SetRelayCounts(z, n, alive[z])
 				}
 			}
-			r.words()
-			r.watch.Tick(w.now)
-			if changes := r.watch.Changes(); len(changes) > 0 {
+			r.exchangeSiteReports()
+			r.siteWatch.Tick(w.now)
+			if changes := r.siteWatch.Changes(); len(changes) > 0 {
 				for _, c := range changes {
-					w.res.Sites = append(w.res.Sites, SiteChange{w.now, r.no, c.Zone, c.From.String(), c.To.String(), c.Why})
-					r.hear(c.PolicyUpdate(r.watch))
+					w.result.Sites = append(w.result.Sites, SiteChange{w.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
+					r.enqueue(c.PolicyUpdate(r.siteWatch))
 				}
 			}
 		}
-		r.lookAt(max(w.now+lookTurn, r.stalled))
+		r.scheduleSiteCheck(max(w.now+siteCheckInterval, r.stalledUntil))
 	})
 }
 
-// words takes what others say of sites, and has this relay say what it sees.
-func (r *relay) words() {
+// exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
+func (r *relay) exchangeSiteReports() {
 	type said struct {
 		lost   int
 		levels []float64
 	}
-	all := make([]said, max(1, r.w.day.Zones))
-	r.pool.EachSiteReport(r.w.now, func(one peers.SiteReport) {
+	all := make([]said, max(1, r.sim.scenario.Zones))
+	r.gossiper.EachSiteReport(r.sim.now, func(one peers.SiteReport) {
 		if one.Zone >= len(all) {
 			return
 		} else if one.LoadFraction == 0 {
@@ -243,61 +243,61 @@
 	})
 	var mine []peers.SiteReport
 	for z, s := range all {
-		r.watch.SetPeerReports(zoneName(z), s.lost, s.levels)
-		if level, ok := r.watch.OwnReport(zoneName(z)); ok {
+		r.siteWatch.SetPeerReports(zoneName(z), s.lost, s.levels)
+		if level, ok := r.siteWatch.OwnReport(zoneName(z)); ok {
 			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	r.pool.SetSiteReports(mine)
+	r.gossiper.SetSiteReports(mine)
 }
 
 // zoneName is the name of a zone of relays.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", 1+zone) }
 
-// die ends a life: what it held comes again to another relay, unless it may have run and may not be repeated.
-func (r *relay) die() {
-	if r.mod == nil {
+// stop ends a life: what it held comes again to another relay, unless it may have run and may not be repeated.
+func (r *relay) stop() {
+	if r.policy == nil {
 		return
 	}
-	w := r.w
-	w.log(rules.Event{Kind: rules.RelayDied, Relay: r.no})
-	r.mod, r.diedAt = nil, w.now
-	for id := uint32(0); len(r.held) > 0 && id <= w.lastID; id++ { // in order of their numbers, for the same result each time
-		m := r.held[id]
+	w := r.sim
+	w.log(rules.Event{Kind: rules.RelayDied, Relay: r.number})
+	r.policy, r.diedAt = nil, w.now
+	for id := uint32(0); len(r.pending) > 0 && id <= w.lastMessageID; id++ { // in order of their numbers, for the same result each time
+		m := r.pending[id]
 		if m == nil {
 			continue
 		}
-		delete(r.held, id)
-		m.over = true
-		if m.item != nil {
-			m.mayHave = true
+		delete(r.pending, id)
+		m.completed = true
+		if m.inFlight != nil {
+			m.mayHaveRun = true
 		}
-		if !m.mayHave || m.req.class.Effect != policy.Unsafe {
-			w.after(part(w.day.ResubmitDelay, 0.8+0.4*w.clients.Float64()), func() { w.handIn(m.req) })
+		if !m.mayHaveRun || m.request.class.Effect != policy.Unsafe {
+			w.scheduleAfter(scaleDuration(w.scenario.ResubmitDelay, 0.8+0.4*w.clientRand.Float64()), func() { w.submit(m.request) })
 		} else {
-			w.end(m.req, endFailed)
+			w.complete(m.request, completedFailed)
 		}
 	}
 	for _, d := range w.dests {
-		delete(d.failed, r.no)
-		for _, e := range d.eps {
-			e.conns -= len(r.idle[e])
+		delete(d.failureSeenBy, r.number)
+		for _, e := range d.endpoints {
+			e.openConns -= len(r.idleConns[e])
 		}
 	}
 }
 
-// hear puts an event into a relay's next step.
-func (r *relay) hear(ev policy.Event) {
+// enqueue puts an event into a relay's next step.
+func (r *relay) enqueue(ev policy.Event) {
 	r.inbox = append(r.inbox, ev)
-	if r.due {
+	if r.stepDue {
 		return
 	}
-	r.due = true
-	life := r.life
-	tick := r.w.day.Tick
-	at := max((r.w.now+tick-1)/tick*tick, r.stalled)
-	r.w.at(at, func() {
-		if r.life == life && r.mod != nil {
+	r.stepDue = true
+	life := r.incarnation
+	tick := r.sim.scenario.Tick
+	at := max((r.sim.now+tick-1)/tick*tick, r.stalledUntil)
+	r.sim.schedule(at, func() {
+		if r.incarnation == life && r.policy != nil {
 			r.step()
 		}
 	})
@@ -306,222 +306,222 @@
 // step lets the module decide. A module that panics ends the life of its relay, as it would in service, and is counted.
 func (r *relay) step() {
 	events := r.inbox
-	r.inbox, r.due = nil, false
-	acts, ok := r.decide(events)
+	r.inbox, r.stepDue = nil, false
+	acts, ok := r.runPolicy(events)
 	if !ok {
-		r.die()
-		life := r.life
-		r.w.after(time.Second, func() {
-			if r.life == life && r.mod == nil {
-				r.boot()
+		r.stop()
+		life := r.incarnation
+		r.sim.scheduleAfter(time.Second, func() {
+			if r.incarnation == life && r.policy == nil {
+				r.start()
 			}
 		})
 		return
 	}
-	r.w.res.Steps++
+	r.sim.result.Steps++
 	var open []*call // of this step, to which further sends may join
 	for _, a := range acts {
 		switch a := a.(type) {
 		case policy.Send:
-			open = r.send(a, open)
+			open = r.planSend(a, open)
 		case policy.Refuse:
-			if !withdrawn(events, a.ID) {
-				r.final(a.ID, rules.Returned, a.RetryAfter)
+			if !withdrawnIn(events, a.ID) {
+				r.finalAnswer(a.ID, rules.Returned, a.RetryAfter)
 			}
 		case policy.Fail:
-			if !withdrawn(events, a.ID) {
-				r.final(a.ID, rules.Failed, 0)
+			if !withdrawnIn(events, a.ID) {
+				r.finalAnswer(a.ID, rules.Failed, 0)
 			}
 		case policy.SetTimer:
-			r.wake++
-			wake, life := r.wake, r.life
-			r.w.after(max(a.Delay, r.w.day.Tick), func() {
-				if r.wake == wake && r.life == life && r.mod != nil {
-					r.hear(policy.TimerFired{})
+			r.timerID++
+			wake, life := r.timerID, r.incarnation
+			r.sim.scheduleAfter(max(a.Delay, r.sim.scenario.Tick), func() {
+				if r.timerID == wake && r.incarnation == life && r.policy != nil {
+					r.enqueue(policy.TimerFired{})
 				}
 			})
 		case policy.CloseIdle:
-			if e := r.w.byAddress[a.Endpoint]; e != nil {
-				for range r.idle[e] {
-					e.conns--
+			if e := r.sim.byAddress[a.Endpoint]; e != nil {
+				for range r.idleConns[e] {
+					e.openConns--
 				}
-				delete(r.idle, e)
+				delete(r.idleConns, e)
 			}
 		case policy.LogLine:
-			r.w.res.Notes++
+			r.sim.result.Notes++
 		}
 	}
 	for _, c := range open {
-		r.w.start(c)
+		r.sim.sendCall(c)
 	}
 }
 
-// withdrawn tells whether the step that takes these events hears only now that a message is over. Its answer to it crosses that news, and is
+// withdrawnIn tells whether the step that takes these events hears only now that a message is over. Its answer to it crosses that news, and is
 // dropped, as the host in service drops an answer to what it does not hold any more. One that comes a step later breaks the rule.
-func withdrawn(events []policy.Event, id uint32) bool {
+func withdrawnIn(events []policy.Event, id uint32) bool {
 	return slices.Contains(events, policy.Event(policy.Withdrawn{ID: id}))
 }
 
-func (r *relay) decide(events []policy.Event) (acts []policy.Action, ok bool) {
+func (r *relay) runPolicy(events []policy.Event) (acts []policy.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.w.fault(fmt.Sprintf("%v: the module of relay %d panics: %v", r.w.now, r.no, p))
+			r.sim.recordError(fmt.Sprintf("%v: the module of relay %d panics: %v", r.sim.now, r.number, p))
 			acts, ok = nil, false
 		}
 	}()
-	return r.mod.Step(r.w.now, events), true
+	return r.policy.Step(r.sim.now, events), true
 }
 
-// send takes one Send of a step up: into a call that is open, into a new one, or back at once if it can't go out.
-func (r *relay) send(a policy.Send, open []*call) []*call {
-	w, m, e := r.w, r.held[a.ID], r.w.byAddress[a.Endpoint]
+// planSend takes one Send of a step up: into a call that is open, into a new one, or back at once if it can't go out.
+func (r *relay) planSend(a policy.Send, open []*call) []*call {
+	w, m, e := r.sim, r.pending[a.ID], r.sim.byAddress[a.Endpoint]
 	if m == nil || e == nil {
-		w.fault(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", w.now, r.no, a.ID, a.Endpoint))
+		w.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", w.now, r.number, a.ID, a.Endpoint))
 		return open
 	}
-	m.tries++
-	it := item{m: m, attempt: m.tries - 1, timeout: a.Timeout}
-	if it.timeout <= 0 || w.now+it.timeout > m.req.deadline {
-		it.timeout = m.req.deadline - w.now
+	m.attempts++
+	it := callItem{message: m, attempt: m.attempts - 1, timeout: a.Timeout}
+	if it.timeout <= 0 || w.now+it.timeout > m.request.deadline {
+		it.timeout = m.request.deadline - w.now
 	}
 	var c *call
 	for _, o := range open {
-		if o.ep == e && len(o.items) < e.dest.kind.MaxBatch {
+		if o.endpoint == e && len(o.items) < e.dest.kind.MaxBatch {
 			c = o
 		}
 	}
 	fresh := c == nil
 	if fresh {
-		w.callNo++
-		c = &call{id: w.callNo, relay: r, rlife: r.life, ep: e, sentAt: w.now}
+		w.lastCallID++
+		c = &call{id: w.lastCallID, relay: r, relayIncarnation: r.incarnation, endpoint: e, sentAt: w.now}
 	}
-	moot := fresh && r.out >= w.day.MaxConcurrentCalls || m.over || m.item != nil || m.tries > w.day.MaxAttempts
-	line := rules.Event{Kind: rules.Sent, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, Endpoint: e.no, Route: e.route()}
+	moot := fresh && r.inFlight >= w.scenario.MaxConcurrentCalls || m.completed || m.inFlight != nil || m.attempts > w.scenario.MaxAttempts
+	line := rules.Event{Kind: rules.Sent, Relay: r.number, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.number, Endpoint: e.number, Route: e.routeNumber()}
 	if moot {
 		line.Call = 0 // no call: nothing is out
 	}
 	if w.log(line); moot {
-		w.ended(c, &it, policy.Unsent, 0)
+		w.attemptEnded(c, &it, policy.Unsent, 0)
 		return open
 	}
 	if fresh {
-		r.out++
+		r.inFlight++
 		open = append(open, c)
 	}
 	c.items = append(c.items, it)
-	c.left++
-	m.req.sends++
+	c.openItems++
+	m.request.attempts++
 	return open
 }
 
-// start sends a call off: over a connection that is idle, or over a new one.
-func (w *world) start(c *call) {
-	r, e := c.relay, c.ep
-	w.res.Calls++
-	if e.dest.sick > 0 || e.dest.fallen {
-		w.res.Probes++
+// sendCall sends a call off: over a connection that is idle, or over a new one.
+func (w *simulation) sendCall(c *call) {
+	r, e := c.relay, c.endpoint
+	w.result.Calls++
+	if e.dest.activeOutages > 0 || e.dest.overloaded {
+		w.result.Probes++
 	}
-	w.res.Dests[e.dest.no].Calls++
+	w.result.Dests[e.dest.number].Calls++
 	for i := range c.items {
 		it := &c.items[i]
-		it.m.item = it
-		w.after(it.timeout, func() {
-			if !it.done {
-				if c.closed = true; r.watch != nil && r.life == c.rlife && r.mod != nil {
-					r.watch.RecordCall(w.now, c.sentAt, e.address, sites.NoResponse)
+		it.message.inFlight = it
+		w.scheduleAfter(it.timeout, func() {
+			if !it.ended {
+				if c.abandoned = true; r.siteWatch != nil && r.incarnation == c.relayIncarnation && r.policy != nil {
+					r.siteWatch.RecordCall(w.now, c.sentAt, e.address, sites.NoResponse)
 				}
-				w.ended(c, it, policy.TimedOut, 0)
+				w.attemptEnded(c, it, policy.TimedOut, 0)
 			}
 		})
 	}
-	way := w.way(w.day.RTT / 2)
-	for n := len(r.idle[e]); n > 0; n = len(r.idle[e]) {
-		k := r.idle[e][n-1]
-		r.idle[e] = r.idle[e][:n-1]
-		if w.now-k.usedAt >= w.day.IdleTimeout || k.life != e.lives && e.health != vanished {
-			if k.life == e.lives {
-				e.conns--
+	way := w.drawDelay(w.scenario.RTT / 2)
+	for n := len(r.idleConns[e]); n > 0; n = len(r.idleConns[e]) {
+		k := r.idleConns[e][n-1]
+		r.idleConns[e] = r.idleConns[e][:n-1]
+		if w.now-k.lastUsed >= w.scenario.IdleTimeout || k.incarnation != e.incarnation && e.health != unresponsive {
+			if k.incarnation == e.incarnation {
+				e.openConns--
 			}
 			continue // it shows as closed
 		}
-		c.conn, c.life = k, k.life
+		c.conn, c.endpointIncarnation = k, k.incarnation
 		if w.reaches(r, e) { // else it is not answered
-			w.after(way, func() { w.arrive(c) })
+			w.scheduleAfter(way, func() { w.callArrived(c) })
 		}
 		return
 	}
-	w.res.Connections++
-	c.life = e.lives
-	full := e.spec.MaxConns > 0 && e.conns >= e.spec.MaxConns
+	w.result.Connections++
+	c.endpointIncarnation = e.incarnation
+	full := e.spec.MaxConns > 0 && e.openConns >= e.spec.MaxConns
 	switch {
-	case e.gone || e.health == crashed || full:
-		w.after(2*way, func() { w.answerNow(c, policy.ConnectFailed, 0) })
-	case e.health == vanished || !w.reaches(r, e):
-		w.after(w.day.ConnectTimeout, func() { w.answerNow(c, policy.ConnectFailed, 0) })
+	case e.removed || e.health == crashed || full:
+		w.scheduleAfter(2*way, func() { w.completeCall(c, policy.ConnectFailed, 0) })
+	case e.health == unresponsive || !w.reaches(r, e):
+		w.scheduleAfter(w.scenario.ConnectTimeout, func() { w.completeCall(c, policy.ConnectFailed, 0) })
 	default:
-		e.conns++
-		c.conn = &conn{life: e.lives}
-		w.after(way+part(w.day.RTT, w.day.HandshakeRTTs), func() { w.arrive(c) })
+		e.openConns++
+		c.conn = &conn{incarnation: e.incarnation}
+		w.scheduleAfter(way+scaleDuration(w.scenario.RTT, w.scenario.HandshakeRTTs), func() { w.callArrived(c) })
 	}
 }
 
-// answer is what an endpoint has to say of a call; it takes its way back.
-func (w *world) answer(c *call, out policy.Outcome, wait time.Duration) {
+// sendAnswer is what an endpoint has to say of a call; it takes its way back.
+func (w *simulation) sendAnswer(c *call, out policy.Outcome, wait time.Duration) {
 	if c.answered {
 		return
 	}
 	c.answered = true
 	sent := w.now
-	w.after(w.way(w.day.RTT/2), func() {
-		if !w.reaches(c.relay, c.ep) {
+	w.scheduleAfter(w.drawDelay(w.scenario.RTT/2), func() {
+		if !w.reaches(c.relay, c.endpoint) {
 			return // it has run, and its relay hears nothing of it
 		}
 		if wait > 0 { // it runs from when it was told
 			wait = max(wait-(w.now-sent), time.Millisecond)
 		}
-		w.answerNow(c, out, wait)
+		w.completeCall(c, out, wait)
 	})
 }
 
-// answerNow ends what is still out of a call.
-func (w *world) answerNow(c *call, out policy.Outcome, wait time.Duration) {
-	r, e := c.relay, c.ep
+// completeCall ends what is still out of a call.
+func (w *simulation) completeCall(c *call, out policy.Outcome, wait time.Duration) {
+	r, e := c.relay, c.endpoint
 	c.answered = true
-	if r.life == c.rlife && r.mod != nil {
-		target := w.targets.Key(e.address, e.dest.no)
-		r.pool.RecordRetryAfter(w.now, target, wait)
-		if r.watch != nil {
-			how := siteEnd(out)
-			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.ConnectTimeout {
+	if r.incarnation == c.relayIncarnation && r.policy != nil {
+		target := w.reportKeys.Key(e.address, e.dest.number)
+		r.gossiper.RecordRetryAfter(w.now, target, wait)
+		if r.siteWatch != nil {
+			how := siteOutcome(out)
+			if out == policy.ConnectFailed && w.now-c.sentAt >= w.scenario.ConnectTimeout {
 				how = sites.NoResponse
 			}
-			r.watch.RecordCall(w.now, c.sentAt, e.address, how)
+			r.siteWatch.RecordCall(w.now, c.sentAt, e.address, how)
 		}
 		switch out {
 		case policy.Delivered, policy.Errored:
-			r.pool.RecordCall(target, peers.Accepted)
+			r.gossiper.RecordCall(target, peers.Accepted)
 		case policy.Rejected:
-			r.pool.RecordCall(target, peers.Rejected)
+			r.gossiper.RecordCall(target, peers.Rejected)
 		default:
-			r.pool.RecordCall(target, peers.Failed)
+			r.gossiper.RecordCall(target, peers.Failed)
 		}
 	}
-	if k := c.conn; k != nil && !c.closed && r.life == c.rlife && r.mod != nil && out != policy.ConnectionLost && out != policy.ConnectFailed {
-		k.usedAt = w.now
-		r.idle[e] = append(r.idle[e], k)
-	} else if k != nil && k.life == e.lives {
-		e.conns--
+	if k := c.conn; k != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil && out != policy.ConnectionLost && out != policy.ConnectFailed {
+		k.lastUsed = w.now
+		r.idleConns[e] = append(r.idleConns[e], k)
+	} else if k != nil && k.incarnation == e.incarnation {
+		e.openConns--
 	}
 	c.conn = nil
 	for i := range c.items {
-		if it := &c.items[i]; !it.done {
-			w.ended(c, it, out, wait)
+		if it := &c.items[i]; !it.ended {
+			w.attemptEnded(c, it, out, wait)
 		}
 	}
 }
 
-// siteEnd is what the end of a call says of the site of its endpoint.
-func siteEnd(out policy.Outcome) sites.CallOutcome {
+// siteOutcome is what the end of a call says of the site of its endpoint.
+func siteOutcome(out policy.Outcome) sites.CallOutcome {
 	switch out {
 	case policy.Delivered, policy.Errored:
 		return sites.Accepted
@@ -533,56 +533,56 @@
 	return sites.Failed
 }
 
-// ended tells a relay how an attempt ended.
-func (w *world) ended(c *call, it *item, out policy.Outcome, wait time.Duration) {
-	r, m, e := c.relay, it.m, c.ep
-	it.done = true
-	if r.life != c.rlife || r.mod == nil {
+// attemptEnded tells a relay how an attempt ended.
+func (w *simulation) attemptEnded(c *call, it *callItem, out policy.Outcome, wait time.Duration) {
+	r, m, e := c.relay, it.message, c.endpoint
+	it.ended = true
+	if r.incarnation != c.relayIncarnation || r.policy == nil {
 		return
 	}
 	if out != policy.Unsent {
-		if c.left--; c.left == 0 {
-			r.out--
-			if c.closed && c.conn != nil && c.conn.life == e.lives {
-				e.conns--
+		if c.openItems--; c.openItems == 0 {
+			r.inFlight--
+			if c.abandoned && c.conn != nil && c.conn.incarnation == e.incarnation {
+				e.openConns--
 				c.conn = nil
 			}
 		}
 	}
-	if m.item == it {
-		m.item = nil
+	if m.inFlight == it {
+		m.inFlight = nil
 	}
 	proved := out == policy.Rejected || out == policy.ConnectFailed || out == policy.RequestIncomplete || out == policy.Unsent
 	if !proved {
-		m.mayHave = true
+		m.mayHaveRun = true
 	}
 	ok := out == policy.Delivered
-	if ok && !m.over {
-		m.over = true
-		w.res.Relays[r.no].Served += m.req.class.worth(w.now - m.req.at)
-		delete(r.held, m.id)
-		w.end(m.req, endDelivered)
+	if ok && !m.completed {
+		m.completed = true
+		w.result.Relays[r.number].Served += m.request.class.valueAfter(w.now - m.request.submittedAt)
+		delete(r.pending, m.id)
+		w.complete(m.request, completedDelivered)
 	}
-	if !ok && out != policy.Unsent && (e.dest.sick > 0 || e.dest.fallen) {
-		e.dest.failed[r.no] = true
+	if !ok && out != policy.Unsent && (e.dest.activeOutages > 0 || e.dest.overloaded) {
+		e.dest.failureSeenBy[r.number] = true
 	}
-	w.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, NotRun: proved, Delivered: ok, RetryAfter: wait, Route: e.route()})
-	r.hear(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.over, RetryAfter: wait, Report: c.tells(out)})
+	w.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.number, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.number, NotRun: proved, Delivered: ok, RetryAfter: wait, Route: e.routeNumber()})
+	r.enqueue(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.completed, RetryAfter: wait, Report: c.reportFor(out)})
 }
 
-// final is a relay's last word on a message.
-func (r *relay) final(id uint32, kind rules.Kind, advice time.Duration) {
-	w, m := r.w, r.held[id]
-	w.log(rules.Event{Kind: kind, Relay: r.no, Msg: id})
-	if m == nil || m.over {
+// finalAnswer is a relay's last word on a message.
+func (r *relay) finalAnswer(id uint32, kind rules.Kind, advice time.Duration) {
+	w, m := r.sim, r.pending[id]
+	w.log(rules.Event{Kind: kind, Relay: r.number, Msg: id})
+	if m == nil || m.completed {
 		return
 	}
-	m.over = true
-	delete(r.held, id)
+	m.completed = true
+	delete(r.pending, id)
 	if kind == rules.Failed {
-		w.end(m.req, endFailed)
+		w.complete(m.request, completedFailed)
 		return
 	}
-	w.res.Refusals++
-	w.again(m.req, advice)
+	w.result.Refusals++
+	w.retryOrReturn(m.request, advice)
 }
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -41,7 +41,7 @@
 	Broken                         map[rules.Name]int
 	Breaks                         []rules.Violation
 	Faults                         []string // of the module, of the day or of the laboratory itself
-	lateFail                       float64
+	lateFailureValue               float64
 }
 
 // Second is a second of arrivals: the worth that came in and what of it was served.
@@ -82,8 +82,8 @@
 // RelayTally is a relay's: worth that was handed in to it, hand-ins that came again among them, and worth that it delivered.
 type RelayTally struct{ Asked, Served float64 }
 
-// jain is Jain's index of fairness: 1 where all have the same, 1/n where one has all.
-func jain(shares []float64) float64 {
+// jainIndex is Jain's index of fairness: 1 where all have the same, 1/n where one has all.
+func jainIndex(shares []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range shares {
 		sum, squares = sum+x, squares+x*x
@@ -103,27 +103,27 @@
 	return r
 }
 
-func (r *Result) asked(w *world, q *request) {
+func (r *Result) recordRequest(w *simulation, q *request) {
 	worth := q.class.Value
-	r.Seconds[int(q.at/time.Second)].Asked += worth
-	if t := &r.ByClass[q.classNo]; q.at >= w.day.TallyFrom {
+	r.Seconds[int(q.submittedAt/time.Second)].Asked += worth
+	if t := &r.ByClass[q.classIndex]; q.submittedAt >= w.scenario.TallyFrom {
 		t.Requests++
 		t.Asked += worth
 	}
-	r.Dests[q.dest.no].Requests++
-	r.Dests[q.dest.no].Asked += worth
-	r.Asked += q.work
+	r.Dests[q.dest.number].Requests++
+	r.Dests[q.dest.number].Asked += worth
+	r.Asked += q.workSeconds
 }
 
-func (r *Result) ended(w *world, q *request, how end) {
-	t, after := &r.ByClass[q.classNo], w.now-q.at
-	if q.at < w.day.TallyFrom {
+func (r *Result) recordCompletion(w *simulation, q *request, how completion) {
+	t, after := &r.ByClass[q.classIndex], w.now-q.submittedAt
+	if q.submittedAt < w.scenario.TallyFrom {
 		t = &Tally{}
 	}
 	switch how {
-	case endDelivered:
-		worth := q.class.worth(after)
-		r.Seconds[int(q.at/time.Second)].Served += worth
+	case completedDelivered:
+		worth := q.class.valueAfter(after)
+		r.Seconds[int(q.submittedAt/time.Second)].Served += worth
 		t.Served += worth
 		t.Delivered++
 		r.Delivered++
@@ -131,49 +131,49 @@
 			t.InAim++
 			r.InAim++
 		}
-		r.Useful += q.work
-		r.Dests[q.dest.no].Delivered++
-		r.Dests[q.dest.no].Served += worth
+		r.Useful += q.workSeconds
+		r.Dests[q.dest.number].Delivered++
+		r.Dests[q.dest.number].Served += worth
 		r.Latency.RecordValue(int64(after / time.Microsecond))
 		return
-	case endFailed:
+	case completedFailed:
 		r.GivenUp++
 		t.GivenUp++
-	case endRefused:
+	case completedReturned:
 		r.HandedBack++
 		t.Refused++
-	case endLost:
+	case completedLost:
 		r.Lost++
 	}
 	if after > q.class.TargetLatency {
-		r.lateFail += q.class.Value
+		r.lateFailureValue += q.class.Value
 	}
 }
 
-// window is the time over which the worst stretch of a day is looked for.
-const window = 10
+// worstWindowSeconds is the time over which the worst stretch of a day is looked for.
+const worstWindowSeconds = 10
 
 // finish works out the figures of the whole day and holds the two accounts against each other: the log of the rules and the
 // world's own. Where they disagree the laboratory is at fault, and says so.
-func (r *Result) finish(w *world) {
-	r.Events = w.done
-	r.Broken, r.Breaks = w.check.Counts, w.check.Violations
+func (r *Result) finish(w *simulation) {
+	r.Events = w.processed
+	r.Broken, r.Breaks = w.checker.Counts, w.checker.Violations
 	asked, served := 0.0, 0.0
 	for _, s := range r.Seconds {
 		asked += s.Asked
 		served += s.Served
 	}
-	r.Whole, r.WorstWindow, r.WorstClass = share(served, asked), 1, 1
-	for i := 0; i+window < len(r.Seconds) || i == 0; i++ {
+	r.Whole, r.WorstWindow, r.WorstClass = shareOrOne(served, asked), 1, 1
+	for i := 0; i+worstWindowSeconds < len(r.Seconds) || i == 0; i++ {
 		a, s := 0.0, 0.0
-		for _, sec := range r.Seconds[i:min(i+window, len(r.Seconds))] {
+		for _, sec := range r.Seconds[i:min(i+worstWindowSeconds, len(r.Seconds))] {
 			a += sec.Asked
 			s += sec.Served
 		}
-		r.WorstWindow = min(r.WorstWindow, share(s, a))
+		r.WorstWindow = min(r.WorstWindow, shareOrOne(s, a))
 	}
 	for _, t := range r.ByClass {
-		r.WorstClass = min(r.WorstClass, share(t.Served, t.Asked))
+		r.WorstClass = min(r.WorstClass, shareOrOne(t.Served, t.Asked))
 	}
 	var relays, dests []float64
 	for _, t := range r.Relays {
@@ -186,10 +186,10 @@
 			dests = append(dests, t.Served/t.Asked)
 		}
 	}
-	r.FairRelays, r.FairDests = jain(relays), jain(dests)
-	n, p := float64(max(1, r.Requests)), w.day.Penalties
-	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.WastedWork*share0(max(0, r.Work-r.Useful), r.Asked) -
-		p.Handshake*float64(r.Connections)/n - p.LateFailure*share0(r.lateFail, asked) - p.RejectedCall*float64(r.RefusedCalls)/n - p.Gossip*float64(r.NoteBytes)/256/n
+	r.FairRelays, r.FairDests = jainIndex(relays), jainIndex(dests)
+	n, p := float64(max(1, r.Requests)), w.scenario.Penalties
+	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
+		p.Handshake*float64(r.Connections)/n - p.LateFailure*shareOrZero(r.lateFailureValue, asked) - p.RejectedCall*float64(r.RefusedCalls)/n - p.Gossip*float64(r.NoteBytes)/256/n
 	if lost := r.Broken[rules.Answer]; (lost > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
 		r.Faults = append(r.Faults, "the two accounts disagree on messages without an answer in time")
 	}
@@ -201,14 +201,14 @@
 	}
 }
 
-func share(part, of float64) float64 {
+func shareOrOne(part, of float64) float64 {
 	if of <= 0 {
 		return 1
 	}
 	return part / of
 }
 
-func share0(part, of float64) float64 {
+func shareOrZero(part, of float64) float64 {
 	if of <= 0 {
 		return 0
 	}
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/world.go
@@ -27,48 +27,48 @@
 	MaxEvents int               // the most that may happen; 0: 2e9. A day that needs more is cut and says so
 }
 
-// world is a day being played.
-type world struct {
+// simulation is a day being played.
+type simulation struct {
 	engine
-	day       *Scenario
-	set       Options
-	make      PolicyFactory
-	res       *Result
-	check     *rules.Checker
-	relays    []*relay
-	dests     []*dest
-	byAddress map[string]*endpoint
-	targets   peers.ReportKeys // the same at all relays
-	endpoints int
-	lastID    uint32
-	callNo    uint64
-	open      int // requests that have not ended
-	arrivals  *rand.Rand
-	clients   *rand.Rand
-	net       *rand.Rand
-	notes     *rand.Rand
-	cum       []float64
-	cumOf     []int
-	burst     float64
-	newsOut   int
-	between   ways     // of notes
-	late      []func() // news that wait for the end of an outage of discovery
+	scenario         *Scenario
+	options          Options
+	newPolicy        PolicyFactory
+	result           *Result
+	checker          *rules.Checker
+	relays           []*relay
+	dests            []*dest
+	byAddress        map[string]*endpoint
+	reportKeys       peers.ReportKeys // the same at all relays
+	endpointCount    int
+	lastMessageID    uint32
+	lastCallID       uint64
+	openRequests     int // requests that have not ended
+	arrivalRand      *rand.Rand
+	clientRand       *rand.Rand
+	networkRand      *rand.Rand
+	gossipRand       *rand.Rand
+	cumulativeShares []float64
+	trafficDests     []int
+	rateMultiple     float64
+	discoveryOutages int
+	network          networkState // of notes
+	delayedUpdates   []func()     // news that wait for the end of an outage of discovery
 }
 
 // request is a message as its client sees it.
 type request struct {
-	no       int
-	class    *Class
-	classNo  int
-	dest     *dest
-	zone     int // of the relays that it comes to; -1: any
-	at       time.Duration
-	deadline time.Duration
-	work     float64 // seconds at speed 1
-	tries    int     // refusals so far
-	sends    int
-	ran      int
-	over     bool
+	number      int
+	class       *Class
+	classIndex  int
+	dest        *dest
+	zone        int // of the relays that it comes to; -1: any
+	submittedAt time.Duration
+	deadline    time.Duration
+	workSeconds float64 // seconds at speed 1
+	refusals    int     // refusals so far
+	attempts    int
+	runs        int
+	completed   bool
 }
 
 // Run plays a day to its end.
@@ -76,138 +76,138 @@
 	if err := day.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{day: day, set: set, make: set.NewPolicy, byAddress: map[string]*endpoint{}, burst: 1,
-		arrivals: chance(day.Seed, "arrivals"), clients: chance(day.Seed, "clients"), net: chance(day.Seed, "net"), notes: chance(day.Seed, "notes")}
-	if w.make == nil {
-		w.make = DefaultPolicy
+	w := &simulation{scenario: day, options: set, newPolicy: set.NewPolicy, byAddress: map[string]*endpoint{}, rateMultiple: 1,
+		arrivalRand: newRand(day.Seed, "arrivals"), clientRand: newRand(day.Seed, "clients"), networkRand: newRand(day.Seed, "net"), gossipRand: newRand(day.Seed, "notes")}
+	if w.newPolicy == nil {
+		w.newPolicy = DefaultPolicy
 	}
-	if w.set.MaxEvents == 0 {
-		w.set.MaxEvents = 2e9
+	if w.options.MaxEvents == 0 {
+		w.options.MaxEvents = 2e9
 	}
-	w.res = newResult(day)
-	w.check = rules.New(rules.Config{AnswerSlack: day.AnswerSlack, DrainGrace: day.DrainGrace, OverloadFactor: day.OverloadFactor, OverloadTime: day.OverloadTime,
+	w.result = newResult(day)
+	w.checker = rules.New(rules.Config{AnswerSlack: day.AnswerSlack, DrainGrace: day.DrainGrace, OverloadFactor: day.OverloadFactor, OverloadTime: day.OverloadTime,
 		MaxConcurrentCalls: day.MaxConcurrentCalls, MaxAttempts: day.MaxAttempts})
 	w.build()
 	for i := range day.Faults {
-		w.trouble(&day.Faults[i])
+		w.scheduleFault(&day.Faults[i])
 	}
-	w.nextArrival()
+	w.scheduleArrival()
 	end := day.Length + day.Tail
-	for w.now <= end && (w.open > 0 || w.now < day.Length) {
-		if w.done >= w.set.MaxEvents {
-			w.fault(fmt.Sprintf("%v: cut after %d events", w.now, w.done))
+	for w.now <= end && (w.openRequests > 0 || w.now < day.Length) {
+		if w.processed >= w.options.MaxEvents {
+			w.recordError(fmt.Sprintf("%v: cut after %d events", w.now, w.processed))
 			break
 		}
-		if !w.engine.next() {
+		if !w.engine.runNext() {
 			break
 		}
 	}
 	if w.now > end {
-		w.fault(fmt.Sprintf("%d messages had no end %v after the last came in", w.open, day.Tail))
+		w.recordError(fmt.Sprintf("%d messages had no end %v after the last came in", w.openRequests, day.Tail))
 	}
-	for by := w.now + day.SettleTime; w.now < by && !w.agreed(); {
-		if !w.engine.next() {
+	for by := w.now + day.SettleTime; w.now < by && !w.membersAgree(); {
+		if !w.engine.runNext() {
 			break
 		}
 	}
-	w.res.Agreed = w.agreed()
+	w.result.Agreed = w.membersAgree()
 	for _, r := range w.relays {
-		if r.mod == nil {
-			w.res.Down = append(w.res.Down, r.no)
+		if r.policy == nil {
+			w.result.Down = append(w.result.Down, r.number)
 		}
 	}
 	w.log(rules.Event{Kind: rules.LogEnded})
-	w.res.finish(w)
-	return w.res, nil
+	w.result.finish(w)
+	return w.result, nil
 }
 
-// fleet is how many relays are told of one another.
-func (w *world) fleet() int {
-	if !w.day.Gossip && !w.day.Membership {
+// gossipFleetSize is how many relays are told of one another.
+func (w *simulation) gossipFleetSize() int {
+	if !w.scenario.Gossip && !w.scenario.Membership {
 		return 0
 	}
-	return w.day.Relays
+	return w.scenario.Relays
 }
 
-func (w *world) log(e rules.Event) {
+func (w *simulation) log(e rules.Event) {
 	e.At = w.now
-	w.check.Check(e)
-	if w.set.Log != nil {
-		w.set.Log(e)
+	w.checker.Check(e)
+	if w.options.Log != nil {
+		w.options.Log(e)
 	}
 }
 
-func (w *world) fault(text string) {
-	if len(w.res.Faults) < 100 {
-		w.res.Faults = append(w.res.Faults, text)
+func (w *simulation) recordError(text string) {
+	if len(w.result.Faults) < 100 {
+		w.result.Faults = append(w.result.Faults, text)
 	}
 }
 
-// way is one way through the network.
-func (w *world) way(mean time.Duration) time.Duration {
-	return part(mean, 1+w.day.Jitter*(2*w.net.Float64()-1))
+// drawDelay is one way through the network.
+func (w *simulation) drawDelay(mean time.Duration) time.Duration {
+	return scaleDuration(mean, 1+w.scenario.Jitter*(2*w.networkRand.Float64()-1))
 }
 
-func (w *world) build() {
+func (w *simulation) build() {
 	mean, share := 0.0, 0.0
-	for _, c := range w.day.Classes {
+	for _, c := range w.scenario.Classes {
 		mean += c.Work.Seconds() * c.Share
 		share += c.Share
 	}
 	mean /= share
 	total := 0.0
-	for i := range w.day.Dests {
-		spec := &w.day.Dests[i]
-		d := &dest{no: i, spec: spec, kind: &w.day.Kinds[spec.Kind], rng: chance(w.day.Seed, "dest", uint64(i)), work: mean, failed: map[int]bool{}}
-		if first := -part(d.kind.Window, d.rng.Float64()); !d.kind.SeparateRoutes {
-			d.limit = newLimiter(d.kind, spec.Limit, first)
+	for i := range w.scenario.Dests {
+		spec := &w.scenario.Dests[i]
+		d := &dest{number: i, spec: spec, kind: &w.scenario.Kinds[spec.Kind], rng: newRand(w.scenario.Seed, "dest", uint64(i)), meanWork: mean, failureSeenBy: map[int]bool{}}
+		if first := -scaleDuration(d.kind.Window, d.rng.Float64()); !d.kind.SeparateRoutes {
+			d.limiter = newLimiter(d.kind, spec.Limit, first)
 		}
 		for _, e := range spec.Endpoints {
-			w.endpoint(d, e)
+			w.addEndpoint(d, e)
 		}
 		w.dests = append(w.dests, d)
 		total += spec.Share
 		if spec.Share > 0 {
-			w.cum, w.cumOf = append(w.cum, total), append(w.cumOf, i)
+			w.cumulativeShares, w.trafficDests = append(w.cumulativeShares, total), append(w.trafficDests, i)
 		}
 	}
-	for n := range w.day.Relays {
-		r := &relay{w: w, no: n}
+	for n := range w.scenario.Relays {
+		r := &relay{sim: w, number: n}
 		w.relays = append(w.relays, r)
-		r.boot()
+		r.start()
 	}
 }
 
-func (w *world) endpoint(d *dest, spec Endpoint) *endpoint {
-	w.endpoints++
-	e := &endpoint{no: w.endpoints, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", w.endpoints>>16, w.endpoints>>8&255, w.endpoints&255), spec: spec, slow: 1}
+func (w *simulation) addEndpoint(d *dest, spec Endpoint) *endpoint {
+	w.endpointCount++
+	e := &endpoint{number: w.endpointCount, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", w.endpointCount>>16, w.endpointCount>>8&255, w.endpointCount&255), spec: spec, speedFactor: 1}
 	if spec.Zone != "" && !d.kind.SeparateRoutes {
-		if d.parts == nil {
-			d.parts = map[string]*siteOf{}
+		if d.sites == nil {
+			d.sites = map[string]*destSite{}
 		}
-		if d.parts[spec.Zone] == nil {
-			d.parts[spec.Zone] = &siteOf{}
+		if d.sites[spec.Zone] == nil {
+			d.sites[spec.Zone] = &destSite{}
 		}
-		e.part = d.parts[spec.Zone]
-		e.part.eps = append(e.part.eps, e)
+		e.site = d.sites[spec.Zone]
+		e.site.endpoints = append(e.site.endpoints, e)
 	}
-	if e.limit = d.limit; d.kind.SeparateRoutes {
-		e.limit = newLimiter(d.kind, d.spec.Limit/float64(len(d.spec.Endpoints)), -part(d.kind.Window, d.rng.Float64()))
-		e.part = &siteOf{eps: []*endpoint{e}}
+	if e.limiter = d.limiter; d.kind.SeparateRoutes {
+		e.limiter = newLimiter(d.kind, d.spec.Limit/float64(len(d.spec.Endpoints)), -scaleDuration(d.kind.Window, d.rng.Float64()))
+		e.site = &destSite{endpoints: []*endpoint{e}}
 	}
 	if d.kind.SeparateRoutes {
-		w.targets.Add(e.address, d.no)
+		w.reportKeys.Add(e.address, d.number)
 	}
-	d.eps = append(d.eps, e)
+	d.endpoints = append(d.endpoints, e)
 	w.byAddress[e.address] = e
 	return e
 }
 
 // --- clients ---
 
-// rate is how many messages a second come in now, for all but single destinations' bursts.
-func (w *world) rate(at time.Duration) float64 {
-	v, shape := 1.0, w.day.Shape
+// arrivalRate is how many messages a second come in now, for all but single destinations' bursts.
+func (w *simulation) arrivalRate(at time.Duration) float64 {
+	v, shape := 1.0, w.scenario.Shape
 	if n := len(shape); n > 0 {
 		i, _ := slices.BinarySearchFunc(shape, at, func(p LoadPoint, at time.Duration) int { return int(p.At - at) })
 		switch {
@@ -220,31 +220,31 @@
 			v = a.Multiple + (b.Multiple-a.Multiple)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
-	return w.day.Rate * v * w.burst
+	return w.scenario.Rate * v * w.rateMultiple
 }
 
-// nextArrival draws when the next message comes in, one after the other.
-func (w *world) nextArrival() {
-	rate := w.rate(w.now)
+// scheduleArrival draws when the next message comes in, one after the other.
+func (w *simulation) scheduleArrival() {
+	rate := w.arrivalRate(w.now)
 	if rate <= 0 {
-		if at := w.now + 100*time.Millisecond; at < w.day.Length {
-			w.at(at, w.nextArrival)
+		if at := w.now + 100*time.Millisecond; at < w.scenario.Length {
+			w.schedule(at, w.scheduleArrival)
 		}
 		return
 	}
-	at := w.now + seconds(w.arrivals.ExpFloat64()/rate)
-	if at >= w.day.Length {
+	at := w.now + seconds(w.arrivalRand.ExpFloat64()/rate)
+	if at >= w.scenario.Length {
 		return
 	}
-	w.at(at, func() {
-		d := w.pick()
+	w.schedule(at, func() {
+		d := w.pickDest()
 		clump := 1
 		// A clump is as many messages as the destination takes in ClumpFor; it comes as often as its share of all messages asks for, and
 		// there are fewer comings, so that the messages stay as many as Rate says.
-		if share := w.day.ClumpShare; share > 0 {
-			size := max(2, math.Floor(d.capacity0()*w.day.ClumpDuration.Seconds()))
+		if share := w.scenario.ClumpShare; share > 0 {
+			size := max(2, math.Floor(d.nominalCapacity()*w.scenario.ClumpDuration.Seconds()))
 			chance := share / ((1-share)*size + share)
-			switch x := w.arrivals.Float64() * (1 + chance*(size-1)); {
+			switch x := w.arrivalRand.Float64() * (1 + chance*(size-1)); {
 			case x >= 1:
 				clump = 0
 			case x < chance:
@@ -252,17 +252,17 @@
 			}
 		}
 		for range clump {
-			w.request(d)
+			w.submitNew(d)
 		}
-		w.nextArrival()
+		w.scheduleArrival()
 	})
 }
 
-// capacity0 is what a destination takes a second in good health.
-func (d *dest) capacity0() float64 {
+// nominalCapacity is what a destination takes a second in good health.
+func (d *dest) nominalCapacity() float64 {
 	all := 0.0
 	for _, e := range d.spec.Endpoints {
-		all += float64(e.Workers) * e.Speed / d.work
+		all += float64(e.Workers) * e.Speed / d.meanWork
 	}
 	if d.kind.Limit != NoLimit {
 		all = min(all, d.spec.Limit)
@@ -270,37 +270,37 @@
 	return all
 }
 
-func (w *world) pick() *dest {
-	x := w.arrivals.Float64() * w.cum[len(w.cum)-1]
-	i, _ := slices.BinarySearch(w.cum, x)
-	return w.dests[w.cumOf[min(i, len(w.cumOf)-1)]]
+func (w *simulation) pickDest() *dest {
+	x := w.arrivalRand.Float64() * w.cumulativeShares[len(w.cumulativeShares)-1]
+	i, _ := slices.BinarySearch(w.cumulativeShares, x)
+	return w.dests[w.trafficDests[min(i, len(w.trafficDests)-1)]]
 }
 
-// front deals messages to the relays that it takes for live: a dead one for as long as it has not noticed, and any while all are down.
-func (w *world) front(q *request) *relay {
-	n := w.clients.IntN(len(w.relays))
+// pickRelay deals messages to the relays that it takes for live: a dead one for as long as it has not noticed, and any while all are down.
+func (w *simulation) pickRelay(q *request) *relay {
+	n := w.clientRand.IntN(len(w.relays))
 	for i := 0; q.zone >= 0 && i < len(w.relays); i++ { // its own zone's, while any of them lives
 		r := w.relays[(n+i)%len(w.relays)]
-		if w.day.ZoneOf(r.no) == q.zone && (r.mod != nil || w.now-r.diedAt < w.day.BalancerDetectionDelay) {
+		if w.scenario.ZoneOf(r.number) == q.zone && (r.policy != nil || w.now-r.diedAt < w.scenario.BalancerDetectionDelay) {
 			return r
 		}
 	}
-	if more := w.day.HotRelayFactor - 1; more > 0 && w.clients.Float64() < more/(more+float64(len(w.relays))) {
+	if more := w.scenario.HotRelayFactor - 1; more > 0 && w.clientRand.Float64() < more/(more+float64(len(w.relays))) {
 		n = 0
 	}
 	for i := range w.relays {
 		r := w.relays[(n+i)%len(w.relays)]
-		if r.mod != nil || w.now-r.diedAt < w.day.BalancerDetectionDelay {
+		if r.policy != nil || w.now-r.diedAt < w.scenario.BalancerDetectionDelay {
 			return r
 		}
 	}
 	return w.relays[n]
 }
 
-// request makes a message for d and hands it in.
-func (w *world) request(d *dest) {
-	x, no := w.arrivals.Float64(), 0
-	for i, c := range w.day.Classes {
+// submitNew makes a message for d and hands it in.
+func (w *simulation) submitNew(d *dest) {
+	x, no := w.arrivalRand.Float64(), 0
+	for i, c := range w.scenario.Classes {
 		if no = i; x < c.Share {
 			break
 		}
@@ -312,7 +312,7 @@
 		for _, m := range mix {
 			all += m.Share
 		}
-		x = w.arrivals.Float64() * all
+		x = w.arrivalRand.Float64() * all
 		for _, m := range mix {
 			if no, zone = m.Class, m.Zone; x < m.Share {
 				break
@@ -320,113 +320,113 @@
 			x -= m.Share
 		}
 	}
-	c := &w.day.Classes[no]
-	q := &request{zone: zone, no: w.res.Requests, class: c, classNo: no, dest: d, at: w.now, deadline: w.now + c.Deadline, work: c.Work.Seconds() * spread(w.arrivals, c.CV, c.Exponential)}
-	w.res.Requests++
-	w.open++
-	w.res.asked(w, q)
-	w.handIn(q)
+	c := &w.scenario.Classes[no]
+	q := &request{zone: zone, number: w.result.Requests, class: c, classIndex: no, dest: d, submittedAt: w.now, deadline: w.now + c.Deadline, workSeconds: c.Work.Seconds() * drawFactor(w.arrivalRand, c.CV, c.Exponential)}
+	w.result.Requests++
+	w.openRequests++
+	w.result.recordRequest(w, q)
+	w.submit(q)
 }
 
-// patience is how long a client waits for a relay's answer to a hand-in.
-const patience = 400 * time.Millisecond
+// submitTimeout is how long a client waits for a relay's answer to a hand-in.
+const submitTimeout = 400 * time.Millisecond
 
-// handIn gives a request to a relay that the front takes for live.
-func (w *world) handIn(q *request) {
+// submit gives a request to a relay that the front takes for live.
+func (w *simulation) submit(q *request) {
 	if w.now >= q.deadline {
-		w.end(q, endRefused)
+		w.complete(q, completedReturned)
 		return
 	}
-	r := w.front(q)
-	w.after(w.way(w.day.ClientDelay), func() {
-		if r.mod == nil { // the front has not noticed, or all are down
-			w.res.Unreached++
-			w.after(part(w.day.ResubmitDelay, 0.8+0.4*w.clients.Float64()), func() { w.handIn(q) })
+	r := w.pickRelay(q)
+	w.scheduleAfter(w.drawDelay(w.scenario.ClientDelay), func() {
+		if r.policy == nil { // the front has not noticed, or all are down
+			w.result.Unreached++
+			w.scheduleAfter(scaleDuration(w.scenario.ResubmitDelay, 0.8+0.4*w.clientRand.Float64()), func() { w.submit(q) })
 			return
 		}
-		if w.now < r.stalled { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
-			w.after(min(patience, r.stalled-w.now), func() { w.handIn(q) })
+		if w.now < r.stalledUntil { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
+			w.scheduleAfter(min(submitTimeout, r.stalledUntil-w.now), func() { w.submit(q) })
 			return
 		}
-		if len(r.held) >= w.day.MaxPending {
-			w.res.TurnedAway++
-			w.again(q, 0)
+		if len(r.pending) >= w.scenario.MaxPending {
+			w.result.TurnedAway++
+			w.retryOrReturn(q, 0)
 			return
 		}
-		w.lastID++
-		m := &message{id: w.lastID, req: q, relay: r, life: r.life}
-		r.held[m.id] = m
-		w.res.HandIns++
-		w.res.Relays[r.no].Asked += q.class.Value
+		w.lastMessageID++
+		m := &message{id: w.lastMessageID, request: q, relay: r, incarnation: r.incarnation}
+		r.pending[m.id] = m
+		w.result.HandIns++
+		w.result.Relays[r.number].Asked += q.class.Value
 		effect := rules.Effect(q.class.Effect)
-		w.log(rules.Event{Kind: rules.Accepted, Relay: r.no, Msg: m.id, Dest: q.dest.no, Effect: effect, RepeatWindow: q.class.RepeatWindow, Deadline: q.deadline})
-		w.targets.EachKey(q.dest.no, r.pool.RecordArrival)
-		r.hear(policy.Submitted{ID: m.id, Class: q.class.Name, Destination: q.dest.no, TimeLeft: q.deadline - w.now})
-		life := r.life
-		w.at(q.deadline+w.day.AnswerSlack+w.day.Tick, func() {
-			if m.over || r.life != life || r.mod == nil {
+		w.log(rules.Event{Kind: rules.Accepted, Relay: r.number, Msg: m.id, Dest: q.dest.number, Effect: effect, RepeatWindow: q.class.RepeatWindow, Deadline: q.deadline})
+		w.reportKeys.EachKey(q.dest.number, r.gossiper.RecordArrival)
+		r.enqueue(policy.Submitted{ID: m.id, Class: q.class.Name, Destination: q.dest.number, TimeLeft: q.deadline - w.now})
+		life := r.incarnation
+		w.schedule(q.deadline+w.scenario.AnswerSlack+w.scenario.Tick, func() {
+			if m.completed || r.incarnation != life || r.policy == nil {
 				return
 			}
-			m.over = true
-			delete(r.held, m.id)
-			w.end(q, endLost)
-			r.hear(policy.Withdrawn{ID: m.id})
-			if q.deadline < r.stalled { // it stood still when it should have answered: no decision could
-				w.log(rules.Event{Kind: rules.Withdrawn, Relay: r.no, Msg: m.id})
+			m.completed = true
+			delete(r.pending, m.id)
+			w.complete(q, completedLost)
+			r.enqueue(policy.Withdrawn{ID: m.id})
+			if q.deadline < r.stalledUntil { // it stood still when it should have answered: no decision could
+				w.log(rules.Event{Kind: rules.Withdrawn, Relay: r.number, Msg: m.id})
 				return
 			}
-			w.res.Overdue++
+			w.result.Overdue++
 		})
 	})
 }
 
-// again lets a client come again after a refusal, as often as it does.
-func (w *world) again(q *request, advice time.Duration) {
-	if q.tries++; q.tries > w.day.ClientRetries {
-		w.end(q, endRefused)
+// retryOrReturn lets a client come again after a refusal, as often as it does.
+func (w *simulation) retryOrReturn(q *request, advice time.Duration) {
+	if q.refusals++; q.refusals > w.scenario.ClientRetries {
+		w.complete(q, completedReturned)
 		return
 	}
-	wait := part(w.day.ClientBackoff<<(q.tries-1), 0.5+w.clients.Float64())
-	if w.clients.Float64() < w.day.RetryAfterCompliance && advice > 0 {
-		wait = max(wait, min(advice, w.day.MaxRetryAfter))
+	wait := scaleDuration(w.scenario.ClientBackoff<<(q.refusals-1), 0.5+w.clientRand.Float64())
+	if w.clientRand.Float64() < w.scenario.RetryAfterCompliance && advice > 0 {
+		wait = max(wait, min(advice, w.scenario.MaxRetryAfter))
 	}
-	w.after(wait, func() { w.handIn(q) })
+	w.scheduleAfter(wait, func() { w.submit(q) })
 }
 
-type end int
+type completion int
 
 const (
-	endDelivered end = iota
-	endRefused
-	endFailed
-	endLost
+	completedDelivered completion = iota
+	completedReturned
+	completedFailed
+	completedLost
 )
 
-// end is a request's end. The first counts.
-func (w *world) end(q *request, how end) {
-	if q.over {
+// complete is a request's end. The first counts.
+func (w *simulation) complete(q *request, how completion) {
+	if q.completed {
 		return
 	}
-	q.over = true
-	w.open--
-	w.res.ended(w, q, how)
+	q.completed = true
+	w.openRequests--
+	w.result.recordCompletion(w, q, how)
 }
 
-// ran books that a message took effect at its destination.
-func (w *world) ran(m *message) {
-	q := m.req
-	if q.ran++; q.ran == 1 {
+// recordRun books that a message took effect at its destination.
+func (w *simulation) recordRun(m *message) {
+	q := m.request
+	if q.runs++; q.runs == 1 {
 		return
 	}
 	if q.class.Effect == policy.Unsafe {
-		w.res.Doubles++
+		w.result.Doubles++
 	}
 }
 
 // --- troubles ---
 
-// hit are the endpoints that a trouble is about, and the destinations that it takes whole or in part.
-func (w *world) hit(t *Fault) (eps []*endpoint, dests []*dest) {
+// affected are the endpoints that a trouble is about, and the destinations that it takes whole or in part.
+func (w *simulation) affected(t *Fault) (eps []*endpoint, dests []*dest) {
 	add := func(d *dest, e *endpoint) {
 		if !slices.Contains(eps, e) {
 			eps = append(eps, e)
@@ -436,16 +436,16 @@
 		}
 	}
 	for _, n := range t.Dests {
-		for _, e := range w.dests[n].eps {
+		for _, e := range w.dests[n].endpoints {
 			add(w.dests[n], e)
 		}
 	}
 	for _, p := range t.Endpoints {
-		add(w.dests[p[0]], w.dests[p[0]].eps[p[1]])
+		add(w.dests[p[0]], w.dests[p[0]].endpoints[p[1]])
 	}
 	if t.Zone != "" {
 		for _, d := range w.dests {
-			for _, e := range d.eps {
+			for _, e := range d.endpoints {
 				if e.zone == t.Zone {
 					add(d, e)
 				}
@@ -455,19 +455,19 @@
 	return eps, dests
 }
 
-// trouble sets a trouble's beginning and end.
-func (w *world) trouble(t *Fault) {
-	eps, dests := w.hit(t)
+// scheduleFault sets a trouble's beginning and end.
+func (w *simulation) scheduleFault(t *Fault) {
+	eps, dests := w.affected(t)
 	end := t.At + t.Duration
 	begins := func(do func(*endpoint)) {
-		w.at(t.At, func() {
+		w.schedule(t.At, func() {
 			for _, e := range eps {
 				do(e)
 			}
 		})
 	}
 	ends := func(do func(*endpoint)) {
-		w.at(end, func() {
+		w.schedule(end, func() {
 			for _, e := range eps {
 				do(e)
 			}
@@ -476,27 +476,27 @@
 	// An outage takes destinations whose endpoints are all hit; they come back cold.
 	outage := func(h health) {
 		for _, d := range dests {
-			if whole(d, eps) {
-				w.at(t.At, func() { w.sicken(d) })
+			if coversDest(d, eps) {
+				w.schedule(t.At, func() { w.beginOutage(d) })
 			}
 		}
-		begins(func(e *endpoint) { w.down(e, h, end) })
+		begins(func(e *endpoint) { w.takeDown(e, h, end) })
 		ends(w.restore)
 		for _, d := range dests {
-			if p := d.parts[t.Zone]; p != nil && t.Zone != "" {
-				w.at(t.At, p.loses)
-				w.at(end, func() { w.regains(d, p) })
+			if p := d.sites[t.Zone]; p != nil && t.Zone != "" {
+				w.schedule(t.At, p.beginOutage)
+				w.schedule(end, func() { w.endSiteOutage(d, p) })
 			}
 		}
 		for _, e := range eps {
 			if e.dest.kind.SeparateRoutes {
-				w.at(t.At, e.part.loses)
-				w.at(end, func() { w.regains(e.dest, e.part) })
+				w.schedule(t.At, e.site.beginOutage)
+				w.schedule(end, func() { w.endSiteOutage(e.dest, e.site) })
 			}
 		}
 		for _, d := range dests {
-			if whole(d, eps) {
-				w.at(end, func() { w.heal(d) })
+			if coversDest(d, eps) {
+				w.schedule(end, func() { w.endOutage(d) })
 			}
 		}
 	}
@@ -504,86 +504,86 @@
 	case Crash:
 		outage(crashed)
 	case Blackhole:
-		outage(vanished)
+		outage(unresponsive)
 	case RejectAll:
-		outage(shut)
+		outage(rejecting)
 	case FastErrors:
-		ill := slices.DeleteFunc(dests, func(d *dest) bool { return t.Intensity <= 0.5 || !whole(d, eps) })
+		ill := slices.DeleteFunc(dests, func(d *dest) bool { return t.Intensity <= 0.5 || !coversDest(d, eps) })
 		for _, d := range ill {
-			w.at(t.At, func() { w.sicken(d) })
+			w.schedule(t.At, func() { w.beginOutage(d) })
 		}
-		begins(func(e *endpoint) { e.errs = t.Intensity })
-		ends(func(e *endpoint) { e.errs = 0 })
+		begins(func(e *endpoint) { e.errorShare = t.Intensity })
+		ends(func(e *endpoint) { e.errorShare = 0 })
 		for _, d := range ill {
-			w.at(end, func() { w.heal(d) })
+			w.schedule(end, func() { w.endOutage(d) })
 		}
 	case AnswerLoss:
-		begins(func(e *endpoint) { e.lost = t.Intensity })
-		ends(func(e *endpoint) { e.lost = 0 })
+		begins(func(e *endpoint) { e.answerLoss = t.Intensity })
+		ends(func(e *endpoint) { e.answerLoss = 0 })
 	case LowerLimit:
-		for _, l := range limiters(eps) {
-			w.at(t.At, func() { l.lowered *= t.Intensity })
-			w.at(end, func() { l.lowered /= t.Intensity })
+		for _, l := range distinctLimiters(eps) {
+			w.schedule(t.At, func() { l.rateShare *= t.Intensity })
+			w.schedule(end, func() { l.rateShare /= t.Intensity })
 		}
 	case Slow:
-		begins(func(e *endpoint) { e.slow = t.Intensity })
-		ends(func(e *endpoint) { e.slow = 1 })
+		begins(func(e *endpoint) { e.speedFactor = t.Intensity })
+		ends(func(e *endpoint) { e.speedFactor = 1 })
 	case Pauses:
 		for at := t.At; at < end; at += t.Period {
-			w.at(at, func() {
+			w.schedule(at, func() {
 				for _, e := range eps {
-					e.paused = w.now + seconds(t.Intensity)
+					e.pausedUntil = w.now + seconds(t.Intensity)
 				}
 			})
 		}
 	case Burst:
 		if len(dests) == 0 {
-			w.at(t.At, func() { w.burst *= t.Intensity })
-			w.at(end, func() { w.burst /= t.Intensity })
+			w.schedule(t.At, func() { w.rateMultiple *= t.Intensity })
+			w.schedule(end, func() { w.rateMultiple /= t.Intensity })
 			return
 		}
-		total := w.cum[len(w.cum)-1]
+		total := w.cumulativeShares[len(w.cumulativeShares)-1]
 		for _, d := range dests {
-			w.more(d, t.At, end, w.day.Rate*d.spec.Share/total*(t.Intensity-1))
+			w.scheduleExtraArrivals(d, t.At, end, w.scenario.Rate*d.spec.Share/total*(t.Intensity-1))
 		}
 	case Drain:
-		w.at(t.At, func() {
+		w.schedule(t.At, func() {
 			for _, e := range eps {
-				w.drain(e, t.Duration)
+				w.drainEndpoint(e, t.Duration)
 			}
 		})
 	case DiscoveryOutage:
-		w.at(t.At, func() { w.newsOut++ })
-		w.at(end, func() {
-			if w.newsOut--; w.newsOut == 0 {
-				late := w.late
-				w.late = nil
+		w.schedule(t.At, func() { w.discoveryOutages++ })
+		w.schedule(end, func() {
+			if w.discoveryOutages--; w.discoveryOutages == 0 {
+				late := w.delayedUpdates
+				w.delayedUpdates = nil
 				for _, f := range late {
 					f()
 				}
 			}
 		})
 	case Partition, SitePartition, GossipReceiveLoss, GossipSendLoss, DestinationPartition, GossipLoss, GossipDelay, GossipDuplication:
-		w.noteTrouble(t)
+		w.scheduleNetworkFault(t)
 	default:
 		for _, n := range t.Relays {
-			w.relayTrouble(w.relays[n], t)
+			w.scheduleRelayFault(w.relays[n], t)
 		}
 	}
 }
 
-// limiters are the limits that endpoints are under, each once.
-func limiters(eps []*endpoint) (all []*limiter) {
+// distinctLimiters are the limits that endpoints are under, each once.
+func distinctLimiters(eps []*endpoint) (all []*limiter) {
 	for _, e := range eps {
-		if !slices.Contains(all, e.limit) {
-			all = append(all, e.limit)
+		if !slices.Contains(all, e.limiter) {
+			all = append(all, e.limiter)
 		}
 	}
 	return all
 }
 
-func whole(d *dest, eps []*endpoint) bool {
-	for _, e := range d.eps {
+func coversDest(d *dest, eps []*endpoint) bool {
+	for _, e := range d.endpoints {
 		if !slices.Contains(eps, e) {
 			return false
 		}
@@ -591,66 +591,66 @@
 	return true
 }
 
-func (w *world) relayTrouble(r *relay, t *Fault) {
+func (w *simulation) scheduleRelayFault(r *relay, t *Fault) {
 	switch t.Kind {
 	case RelayCrash, RelayStop:
-		w.at(t.At, func() {
-			if t.Kind == RelayStop && r.mod != nil {
-				r.pool.Leave(w.now)
-				out, _ := r.pool.Tick(w.now)
-				r.carry(out)
+		w.schedule(t.At, func() {
+			if t.Kind == RelayStop && r.policy != nil {
+				r.gossiper.Leave(w.now)
+				out, _ := r.gossiper.Tick(w.now)
+				r.sendGossip(out)
 			}
-			r.die()
+			r.stop()
 		})
-		w.at(t.At+t.Duration, func() {
-			if r.mod == nil {
-				r.boot()
+		w.schedule(t.At+t.Duration, func() {
+			if r.policy == nil {
+				r.start()
 			}
 		})
 	case RelayStall:
-		w.at(t.At, func() { r.stalled = t.At + t.Duration })
+		w.schedule(t.At, func() { r.stalledUntil = t.At + t.Duration })
 	}
 }
 
-// more lets further messages for one destination come, from a source of their own.
-func (w *world) more(d *dest, from, to time.Duration, rate float64) {
+// scheduleExtraArrivals lets further messages for one destination come, from a source of their own.
+func (w *simulation) scheduleExtraArrivals(d *dest, from, to time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	rng := chance(w.day.Seed, "burst", uint64(d.no), uint64(from))
-	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, w.day.Length); at += seconds(rng.ExpFloat64() / rate) {
-		w.at(at, func() { w.request(d) })
+	rng := newRand(w.scenario.Seed, "burst", uint64(d.number), uint64(from))
+	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, w.scenario.Length); at += seconds(rng.ExpFloat64() / rate) {
+		w.schedule(at, func() { w.submitNew(d) })
 	}
 }
 
-// drain announces that an endpoint goes and that another comes in its place.
-func (w *world) drain(e *endpoint, after time.Duration) {
+// drainEndpoint announces that an endpoint goes and that another comes in its place.
+func (w *simulation) drainEndpoint(e *endpoint, after time.Duration) {
 	e.draining = true
-	w.tell(e, policy.Draining, w.day.DiscoveryDelay)
-	w.after(after, func() {
-		e.gone = true
-		w.tell(e, policy.Removed, w.day.DiscoveryDelay)
+	w.announce(e, policy.Draining, w.scenario.DiscoveryDelay)
+	w.scheduleAfter(after, func() {
+		e.removed = true
+		w.announce(e, policy.Removed, w.scenario.DiscoveryDelay)
 	})
-	fresh := w.endpoint(e.dest, e.spec)
-	w.tell(fresh, policy.Listed, w.day.DiscoveryDelay/3)
+	fresh := w.addEndpoint(e.dest, e.spec)
+	w.announce(fresh, policy.Listed, w.scenario.DiscoveryDelay/3)
 }
 
-// tell is news of the list, late and not everywhere at once; while discovery is down it waits for its end.
-func (w *world) tell(e *endpoint, state policy.EndpointState, late time.Duration) {
+// announce is news of the list, late and not everywhere at once; while discovery is down it waits for its end.
+func (w *simulation) announce(e *endpoint, state policy.EndpointState, late time.Duration) {
 	for _, r := range w.relays {
-		life := r.life
+		life := r.incarnation
 		hear := func() {
-			if r.life != life || r.mod == nil {
+			if r.incarnation != life || r.policy == nil {
 				return // a new life has read the list
 			}
 			if state != policy.Listed {
-				w.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.no, Endpoint: e.no})
+				w.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.number, Endpoint: e.number})
 			}
-			r.listed(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.entry(e, state)}})
+			r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.listEntry(e, state)}})
 		}
-		w.after(late+part(w.day.DiscoverySpread, w.net.Float64()), func() {
-			if w.newsOut > 0 {
-				w.late = append(w.late, hear)
+		w.scheduleAfter(late+scaleDuration(w.scenario.DiscoverySpread, w.networkRand.Float64()), func() {
+			if w.discoveryOutages > 0 {
+				w.delayedUpdates = append(w.delayedUpdates, hear)
 			} else {
 				hear()
 			}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -104,75 +104,75 @@
 
 // Checker reads a log. It is not safe for concurrent use.
 type Checker struct {
-	set        Config
+	config     Config
 	Violations []Violation
 	Counts     map[Name]int
-	msgs       map[uint32]*message
+	messages   map[uint32]*message
 	calls      map[uint64]*call
 	relays     map[int]*relay
 	dests      map[int]*dest
-	last       time.Duration
+	lastAt     time.Duration
 }
 
 type message struct {
-	relay, dest, sent int
-	effect            Effect
-	window, until     time.Duration
-	live              int
-	over, risk        bool
-	riskAt            time.Duration
-	sentAt            map[int]time.Duration // of attempts that are out
+	relay, dest, attempts  int
+	effect                 Effect
+	repeatWindow, deadline time.Duration
+	liveAttempts           int
+	completed, mayHaveRun  bool
+	mayHaveRunSince        time.Duration
+	sentAt                 map[int]time.Duration // of attempts that are out
 }
 
 type call struct {
-	relay, dest, left int
+	relay, dest, openItems int
 }
 
 type relay struct {
-	out     map[int]int // calls by destination
-	calls   int
-	waits   map[place]wait
-	leaving map[int]time.Duration
+	callsByDest map[int]int // calls by destination
+	calls       int
+	retryAfters map[target]retryAfterPeriod
+	leaving     map[int]time.Duration
 }
 
-// place is what a told wait is about: a destination, or one of its separate routes.
-type place struct{ dest, route int }
+// target is what a told wait is about: a destination, or one of its separate routes.
+type target struct{ dest, route int }
 
-func (e Event) place() place { return place{e.Dest, e.Route} }
+func (e Event) target() target { return target{e.Dest, e.Route} }
 
-type wait struct{ told, until time.Duration }
+type retryAfterPeriod struct{ receivedAt, until time.Duration }
 
 type dest struct {
-	cold    bool
-	learned map[int]bool
-	loads   []load
+	cold          bool
+	failureSeenBy map[int]bool
+	recentLoads   []load
 }
 
 type load struct {
-	at      time.Duration
-	weight  float64
-	learned bool
+	at          time.Duration
+	weight      float64
+	seenFailure bool
 }
 
-// most is how many breaks are kept in words; all are counted.
-const most = 100
+// maxViolations is how many breaks are kept in words; all are counted.
+const maxViolations = 100
 
 // New returns a checker for one log.
 func New(set Config) *Checker {
-	return &Checker{set: set, Counts: map[Name]int{}, msgs: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
+	return &Checker{config: set, Counts: map[Name]int{}, messages: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
 }
 
-func (c *Checker) breaks(r Name, e Event, format string, args ...any) {
+func (c *Checker) violation(r Name, e Event, format string, args ...any) {
 	c.Counts[r]++
-	if len(c.Violations) < most {
+	if len(c.Violations) < maxViolations {
 		c.Violations = append(c.Violations, Violation{r, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
 	}
 }
 
 // PendingCount tells how many messages have had no end yet.
 func (c *Checker) PendingCount() (n int) {
-	for _, m := range c.msgs {
-		if !m.over {
+	for _, m := range c.messages {
+		if !m.completed {
 			n++
 		}
 	}
@@ -182,7 +182,7 @@
 func (c *Checker) relay(n int) *relay {
 	r := c.relays[n]
 	if r == nil {
-		r = &relay{out: map[int]int{}, waits: map[place]wait{}, leaving: map[int]time.Duration{}}
+		r = &relay{callsByDest: map[int]int{}, retryAfters: map[target]retryAfterPeriod{}, leaving: map[int]time.Duration{}}
 		c.relays[n] = r
 	}
 	return r
@@ -191,7 +191,7 @@
 func (c *Checker) dest(n int) *dest {
 	d := c.dests[n]
 	if d == nil {
-		d = &dest{learned: map[int]bool{}}
+		d = &dest{failureSeenBy: map[int]bool{}}
 		c.dests[n] = d
 	}
 	return d
@@ -199,25 +199,25 @@
 
 // Check takes the next line in. Lines come in order of time.
 func (c *Checker) Check(e Event) {
-	if e.At < c.last {
-		c.breaks(Answer, e, "the log goes back in time, from %v", c.last)
+	if e.At < c.lastAt {
+		c.violation(Answer, e, "the log goes back in time, from %v", c.lastAt)
 	}
-	c.last = max(c.last, e.At)
+	c.lastAt = max(c.lastAt, e.At)
 	switch e.Kind {
 	case Accepted:
-		if c.msgs[e.Msg] != nil {
-			c.breaks(Answer, e, "taken on twice")
+		if c.messages[e.Msg] != nil {
+			c.violation(Answer, e, "taken on twice")
 			return
 		}
-		c.msgs[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, window: e.RepeatWindow, until: e.Deadline, sentAt: map[int]time.Duration{}}
+		c.messages[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, repeatWindow: e.RepeatWindow, deadline: e.Deadline, sentAt: map[int]time.Duration{}}
 	case Sent:
-		c.sent(e)
+		c.checkSent(e)
 	case AttemptEnded:
-		c.ended(e)
+		c.checkEnded(e)
 	case Returned, Failed, Withdrawn:
-		c.final(e)
+		c.checkFinal(e)
 	case RelayDied:
-		c.died(e)
+		c.forgetRelay(e)
 	case EndpointLeaving:
 		if r := c.relay(e.Relay); r.leaving[e.Endpoint] == 0 {
 			r.leaving[e.Endpoint] = e.At + 1 // an endpoint told of at nought has been told of too
@@ -225,49 +225,49 @@
 	case DestRecovered:
 		c.dest(e.Dest).cold = true
 	case FailureSeen:
-		c.dest(e.Dest).learned[e.Relay] = true
+		c.dest(e.Dest).failureSeenBy[e.Relay] = true
 	case DestWarm:
-		*c.dest(e.Dest) = dest{learned: map[int]bool{}}
+		*c.dest(e.Dest) = dest{failureSeenBy: map[int]bool{}}
 	case WorkArrived:
-		c.reached(e)
+		c.checkWork(e)
 	case LogEnded:
-		for id, m := range c.msgs {
-			if !m.over {
+		for id, m := range c.messages {
+			if !m.completed {
 				e.Msg, e.Relay = id, m.relay
-				c.breaks(Answer, e, "never ended")
+				c.violation(Answer, e, "never ended")
 			}
 		}
 	}
 }
 
-func (c *Checker) sent(e Event) {
-	m, r := c.msgs[e.Msg], c.relay(e.Relay)
+func (c *Checker) checkSent(e Event) {
+	m, r := c.messages[e.Msg], c.relay(e.Relay)
 	switch {
 	case m == nil || m.relay != e.Relay:
-		c.breaks(Answer, e, "sent, but not held")
+		c.violation(Answer, e, "sent, but not held")
 		return
-	case m.over:
-		c.breaks(Answer, e, "sent after its end")
-	case m.live > 0:
-		c.breaks(Repeat, e, "two live attempts")
-	case m.risk && m.effect == Unsafe:
-		c.breaks(Repeat, e, "sent again, and may have run")
-	case m.risk && m.effect == Keyed && e.At > m.riskAt+m.window+c.set.ClockSlack:
-		c.breaks(Repeat, e, "sent again %v after it may have run, window %v", e.At-m.riskAt, m.window)
+	case m.completed:
+		c.violation(Answer, e, "sent after its end")
+	case m.liveAttempts > 0:
+		c.violation(Repeat, e, "two live attempts")
+	case m.mayHaveRun && m.effect == Unsafe:
+		c.violation(Repeat, e, "sent again, and may have run")
+	case m.mayHaveRun && m.effect == Keyed && e.At > m.mayHaveRunSince+m.repeatWindow+c.config.ClockSlack:
+		c.violation(Repeat, e, "sent again %v after it may have run, window %v", e.At-m.mayHaveRunSince, m.repeatWindow)
 	}
 	if e.Dest != m.dest {
-		c.breaks(Bounds, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
+		c.violation(Bounds, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
 	}
-	if m.sent++; m.sent > c.set.MaxAttempts {
-		c.breaks(Bounds, e, "attempt %d of %d", m.sent, c.set.MaxAttempts)
+	if m.attempts++; m.attempts > c.config.MaxAttempts {
+		c.violation(Bounds, e, "attempt %d of %d", m.attempts, c.config.MaxAttempts)
 	}
-	if w, ok := r.waits[e.place()]; ok && e.At < w.until-c.set.ClockSlack && e.At >= w.told+c.set.RetryAfterGrace {
-		c.breaks(RetryAfter, e, "sent %v before the end of a told wait", w.until-e.At)
+	if w, ok := r.retryAfters[e.target()]; ok && e.At < w.until-c.config.ClockSlack && e.At >= w.receivedAt+c.config.RetryAfterGrace {
+		c.violation(RetryAfter, e, "sent %v before the end of a told wait", w.until-e.At)
 	}
-	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.set.DrainGrace {
-		c.breaks(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
+	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.config.DrainGrace {
+		c.violation(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
 	}
-	m.live++
+	m.liveAttempts++
 	m.sentAt[e.Attempt] = e.At
 	if e.Call == 0 {
 		return
@@ -277,83 +277,83 @@
 		out = &call{relay: e.Relay, dest: e.Dest}
 		c.calls[e.Call] = out
 		r.calls++
-		if r.out[e.Dest]++; r.calls > c.set.MaxConcurrentCalls {
-			c.breaks(Bounds, e, "%d calls out, %d slots", r.calls, c.set.MaxConcurrentCalls)
+		if r.callsByDest[e.Dest]++; r.calls > c.config.MaxConcurrentCalls {
+			c.violation(Bounds, e, "%d calls out, %d slots", r.calls, c.config.MaxConcurrentCalls)
 		}
-		if most := max(1, c.set.MaxConcurrentCalls*3/4); r.out[e.Dest] > most {
-			c.breaks(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.out[e.Dest], e.Dest, most)
+		if most := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > most {
+			c.violation(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.callsByDest[e.Dest], e.Dest, most)
 		}
 	}
-	out.left++
+	out.openItems++
 }
 
-func (c *Checker) ended(e Event) {
-	m := c.msgs[e.Msg]
+func (c *Checker) checkEnded(e Event) {
+	m := c.messages[e.Msg]
 	if m == nil {
-		c.breaks(Answer, e, "an attempt ended, but the message is not held")
+		c.violation(Answer, e, "an attempt ended, but the message is not held")
 		return
 	}
 	at, out := m.sentAt[e.Attempt]
 	if !out {
-		c.breaks(Answer, e, "attempt %d ended twice or was never out", e.Attempt)
+		c.violation(Answer, e, "attempt %d ended twice or was never out", e.Attempt)
 		return
 	}
 	delete(m.sentAt, e.Attempt)
-	m.live--
+	m.liveAttempts--
 	r := c.relay(e.Relay)
 	if k := c.calls[e.Call]; k != nil {
-		if k.left--; k.left == 0 {
+		if k.openItems--; k.openItems == 0 {
 			delete(c.calls, e.Call)
 			r.calls--
-			r.out[k.dest]--
+			r.callsByDest[k.dest]--
 		}
 	}
 	if e.RetryAfter > 0 {
-		w, ok := r.waits[e.place()]
+		w, ok := r.retryAfters[e.target()]
 		if !ok || e.At >= w.until { // a wait told while one runs makes it longer, and excuses nothing
-			w.told = e.At
+			w.receivedAt = e.At
 		}
 		w.until = max(w.until, e.At+e.RetryAfter)
-		r.waits[e.place()] = w
+		r.retryAfters[e.target()] = w
 	}
-	if !e.NotRun && (!m.risk || at < m.riskAt) {
-		m.risk, m.riskAt = true, at
+	if !e.NotRun && (!m.mayHaveRun || at < m.mayHaveRunSince) {
+		m.mayHaveRun, m.mayHaveRunSince = true, at
 	}
 	if e.Delivered {
-		m.over = true
+		m.completed = true
 	}
-	c.forget(e.Msg, m)
+	c.forgetCompleted(e.Msg, m)
 }
 
-func (c *Checker) final(e Event) {
-	m := c.msgs[e.Msg]
+func (c *Checker) checkFinal(e Event) {
+	m := c.messages[e.Msg]
 	switch {
-	case m == nil || m.over:
+	case m == nil || m.completed:
 		if e.Kind != Withdrawn {
-			c.breaks(Answer, e, "a final answer to what is over or not held")
+			c.violation(Answer, e, "a final answer to what is over or not held")
 		}
 		return
 	case e.Kind == Withdrawn:
-	case e.At > m.until+c.set.AnswerSlack+c.set.ClockSlack:
-		c.breaks(Answer, e, "ended %v too late", e.At-m.until)
-	case e.Kind == Returned && m.effect == Unsafe && (m.risk || m.live > 0):
-		c.breaks(Repeat, e, "handed back, and may have run")
+	case e.At > m.deadline+c.config.AnswerSlack+c.config.ClockSlack:
+		c.violation(Answer, e, "ended %v too late", e.At-m.deadline)
+	case e.Kind == Returned && m.effect == Unsafe && (m.mayHaveRun || m.liveAttempts > 0):
+		c.violation(Repeat, e, "handed back, and may have run")
 	}
-	m.over = true
-	c.forget(e.Msg, m)
+	m.completed = true
+	c.forgetCompleted(e.Msg, m)
 }
 
-func (c *Checker) forget(id uint32, m *message) {
-	if m.over && m.live == 0 {
-		delete(c.msgs, id)
+func (c *Checker) forgetCompleted(id uint32, m *message) {
+	if m.completed && m.liveAttempts == 0 {
+		delete(c.messages, id)
 	}
 }
 
-// died forgets a relay with all that it held.
-func (c *Checker) died(e Event) {
-	for id, m := range c.msgs {
+// forgetRelay forgets a relay with all that it held.
+func (c *Checker) forgetRelay(e Event) {
+	for id, m := range c.messages {
 		if m.relay == e.Relay {
-			delete(c.msgs, id)
+			delete(c.messages, id)
 		}
 	}
 	for id, k := range c.calls {
@@ -363,33 +363,33 @@
 	}
 	delete(c.relays, e.Relay)
 	for _, d := range c.dests {
-		delete(d.learned, e.Relay)
+		delete(d.failureSeenBy, e.Relay)
 	}
 }
 
-// fallSlack is how much over the budget of a cold destination is still chance, in messages.
-const fallSlack = 3
+// overloadSlack is how much over the budget of a cold destination is still chance, in messages.
+const overloadSlack = 3
 
-func (c *Checker) reached(e Event) {
+func (c *Checker) checkWork(e Event) {
 	d := c.dest(e.Dest)
 	if !d.cold {
 		return
 	}
 	keep := 0
-	for keep < len(d.loads) && d.loads[keep].at <= e.At-c.set.OverloadTime {
+	for keep < len(d.recentLoads) && d.recentLoads[keep].at <= e.At-c.config.OverloadTime {
 		keep++
 	}
-	d.loads = append(d.loads[keep:], load{e.At, e.Weight, d.learned[e.Relay]})
+	d.recentLoads = append(d.recentLoads[keep:], load{e.At, e.Weight, d.failureSeenBy[e.Relay]})
 	all, learned := 0.0, 0.0
-	for _, l := range d.loads {
-		if all += l.weight; l.learned {
+	for _, l := range d.recentLoads {
+		if all += l.weight; l.seenFailure {
 			learned += l.weight
 		}
 	}
-	if all > c.set.OverloadFactor*e.Capacity*c.set.OverloadTime.Seconds()+fallSlack {
+	if all > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
 		if learned >= all*2/3 {
-			c.breaks(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.set.OverloadTime, e.Capacity, learned)
+			c.violation(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.config.OverloadTime, e.Capacity, learned)
 		}
-		d.loads = d.loads[:0] // one fall, one break
+		d.recentLoads = d.recentLoads[:0] // one fall, one break
 	}
 }
--- a/internal/lab/site/load.go
+++ b/internal/lab/site/load.go
@@ -17,7 +17,7 @@
 // FileExt is the ending of the laboratory's files.
 const FileExt = ".textproto"
 
-func read(file string, into proto.Message) error {
+func readFile(file string, into proto.Message) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -25,14 +25,14 @@
 	if err := prototext.Unmarshal(raw, into); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	if err := ranges(into.ProtoReflect(), ""); err != nil {
+	if err := checkRanges(into.ProtoReflect(), ""); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
 }
 
-// ranges names the first range that can't be drawn from.
-func ranges(m protoreflect.Message, at string) (err error) {
+// checkRanges names the first range that can't be drawn from.
+func checkRanges(m protoreflect.Message, at string) (err error) {
 	if r, ok := m.Interface().(*Range); ok {
 		to := r.From
 		if r.To != nil {
@@ -53,12 +53,12 @@
 		switch {
 		case f.IsList() && f.Message() != nil:
 			for i := range v.List().Len() {
-				if err = ranges(v.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
+				if err = checkRanges(v.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
 					return false
 				}
 			}
 		case f.Message() != nil:
-			err = ranges(v.Message(), key)
+			err = checkRanges(v.Message(), key)
 		case f.Kind() == protoreflect.DoubleKind && !f.IsList():
 			if x := v.Float(); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				err = fmt.Errorf("%s: %g is no number of at least 0", key, x)
@@ -72,7 +72,7 @@
 // ReadSite reads a site's file.
 func ReadSite(file string) (*Site, error) {
 	s := &Site{}
-	if err := read(file, s); err != nil {
+	if err := readFile(file, s); err != nil {
 		return nil, err
 	}
 	for key, n := range map[string]int{"class": len(s.Class), "kind": len(s.Kind)} {
@@ -89,7 +89,7 @@
 // ReadScript reads a day of the library.
 func ReadScript(file string) (*Script, error) {
 	s := &Script{}
-	if err := read(file, s); err != nil {
+	if err := readFile(file, s); err != nil {
 		return nil, err
 	}
 	if s.Name == "" {
@@ -104,7 +104,7 @@
 // ReadExperiment reads an experiment; the files that it names are taken from its folder.
 func ReadExperiment(file string) (*Experiment, error) {
 	e := &Experiment{}
-	if err := read(file, e); err != nil {
+	if err := readFile(file, e); err != nil {
 		return nil, err
 	}
 	dir := filepath.Dir(file)
--- a/internal/lab/site/simday.go
+++ b/internal/lab/site/simday.go
@@ -29,7 +29,7 @@
 	d := &emu.Scenario{
 		Name: doc.Get("site").Str + "/" + doc.Get("kind").Str, Seed: seed, Length: us("length"), Tail: us("tail") + 5*time.Second, Tick: us("tick"),
 		Relays: int(num("balancers.#")), MaxConcurrentCalls: int(num("fam.slots")), MaxPending: int(num("allow.max_open")), MaxAttempts: int(num("allow.max_attempts")),
-		Rate: num("traffic.load") * num("fam.capacity"), ClumpShare: num("fam.clumps"), ClumpDuration: secs(num("fam.clump_s")),
+		Rate: num("traffic.load") * num("fam.capacity"), ClumpShare: num("fam.clumps"), ClumpDuration: seconds(num("fam.clump_s")),
 		RTT: us("net.same"), ClientDelay: us("net.client"), Jitter: min(1, num("net.jitter")), HandshakeRTTs: num("tiers.0.handshake_rtts"), IdleTimeout: us("tiers.0.conn_idle"),
 		ConnectTimeout: us("tiers.0.connect_timeout"), AnswerSlack: 20 * time.Millisecond, ClientRetries: int(num("clients.retries")), ClientBackoff: us("clients.backoff_us"),
 		RetryAfterCompliance: num("clients.honour"), MaxRetryAfter: us("clients.max_retry_after"), ResubmitDelay: us("fam.again"), BalancerDetectionDelay: us("front_notice"),
@@ -38,7 +38,7 @@
 		Penalties: emu.Penalties{WastedWork: num("prices.waste"), Handshake: num("prices.handshake"), LateFailure: num("prices.late_fail"), RejectedCall: num("fam.refused_price")},
 	}
 	for _, p := range doc.Get("traffic.shape").Array() {
-		d.Shape = append(d.Shape, emu.LoadPoint{At: secs(p.Get("0").Float()), Multiple: p.Get("1").Float()})
+		d.Shape = append(d.Shape, emu.LoadPoint{At: seconds(p.Get("0").Float()), Multiple: p.Get("1").Float()})
 	}
 	effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 	micros := func(v gjson.Result) time.Duration { return time.Duration(v.Float() * float64(time.Microsecond)) }
@@ -81,9 +81,9 @@
 		dst.Endpoints = append(dst.Endpoints, emu.Endpoint{Workers: workers, Speed: speed, QueueSize: max(1, int(math.Ceil(depth))), MaxConns: int(e.Get("conns").Int())})
 	}
 	for i, t := range doc.Get("troubles").Array() {
-		one := emu.Fault{Kind: emu.FaultKind(t.Get("kind").Str), At: micros(t.Get("at")), Duration: micros(t.Get("len")), Intensity: t.Get("size").Float(), Period: secs(t.Get("extra").Float())}
+		one := emu.Fault{Kind: emu.FaultKind(t.Get("kind").Str), At: micros(t.Get("at")), Duration: micros(t.Get("len")), Intensity: t.Get("size").Float(), Period: seconds(t.Get("extra").Float())}
 		if one.Kind == emu.Pauses {
-			one.Intensity, one.Period = t.Get("size").Float()/1000, max(one.Period, secs(t.Get("size").Float()/1000+0.01))
+			one.Intensity, one.Period = t.Get("size").Float()/1000, max(one.Period, seconds(t.Get("size").Float()/1000+0.01))
 		}
 		if one.Kind == emu.FastErrors && t.Get("which").Int() != 0 {
 			one.Kind = emu.RejectAll
