--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -12,27 +12,27 @@
 	"oatfold/internal/lab/site"
 )
 
-var everything = choice.Options{SubsetSize: 4, TimeSlots: true, DemandShares: true, Signals: true}
+var allChoices = choice.Options{SubsetSize: 4, TimeSlots: true, DemandShares: true, Signals: true}
 
-// fleetOf is a day of n relays that share choices, with as many slots and as much traffic for all together as the site has. One relay's clients hand in ten
+// drawFleet is a day of n relays that share choices, with as many slots and as much traffic for all together as the site has. One relay's clients hand in ten
 // times the mean.
-func fleetOf(t *testing.T, n int, seed uint64, troubles ...emu.Fault) *emu.Scenario {
+func drawFleet(t *testing.T, relays int, seed uint64, faults ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-site.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.DrawScenario(seed)
+	scenario, err := base.DrawScenario(seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.MaxConcurrentCalls, d.MaxPending = max(4, d.MaxConcurrentCalls*d.Relays/n), max(40, d.MaxPending*d.Relays/n)
-	d.Relays, d.Choices, d.HotRelayFactor, d.Faults, d.Length = n, everything, 10, troubles, 26*time.Second
-	return d
+	scenario.MaxConcurrentCalls, scenario.MaxPending = max(4, scenario.MaxConcurrentCalls*scenario.Relays/relays), max(40, scenario.MaxPending*scenario.Relays/relays)
+	scenario.Relays, scenario.Choices, scenario.HotRelayFactor, scenario.Faults, scenario.Length = relays, allChoices, 10, faults, 26*time.Second
+	return scenario
 }
 
-// large is a further size to play the hard cases at, by hand: -fleet 1000.
-func large() []int {
+// extraFleetSizes is a further size to play the hard cases at, by hand: -fleet 1000.
+func extraFleetSizes() []int {
 	if *fleetSize == 0 {
 		return nil
 	}
@@ -41,8 +41,8 @@
 
 var fleetSize = flag.Int("fleet", 0, "relays of a further, large fleet")
 
-func some(n, from, nth int) (all []int) {
-	for i := from; i < n; i += nth {
+func everyNth(n, first, step int) (all []int) {
+	for i := first; i < n; i += step {
 		all = append(all, i)
 	}
 	return all
@@ -50,28 +50,28 @@
 
 // Each hard case at three sizes of fleets: no rule breaks, no partner is pushed over as it returns, everything ends, and what is delivered is not much less than by the same
 // relays that share nothing.
-func TestChoicesHardCases(t *testing.T) {
+func TestSharedChoicesUnderFaults(t *testing.T) {
 	s := time.Second
-	back := emu.Fault{Kind: emu.Crash, At: 8 * s, Duration: 7 * s, Dests: []int{0, 1}}
-	for name, troubles := range map[string]func(n int) []emu.Fault{
+	outage := emu.Fault{Kind: emu.Crash, At: 8 * s, Duration: 7 * s, Dests: []int{0, 1}}
+	for name, faults := range map[string]func(n int) []emu.Fault{
 		"half of the notes lost": func(int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.GossipLoss, At: 4 * s, Duration: 25 * s, Intensity: 0.5}}
+			return []emu.Fault{outage, {Kind: emu.GossipLoss, At: 4 * s, Duration: 25 * s, Intensity: 0.5}}
 		},
-		"restarted in tenths": func(n int) []emu.Fault { return append(tenths(n), back) },
+		"restarted in tenths": func(n int) []emu.Fault { return append(rollingRestart(n), outage) },
 		"a third unseen by a third": func(n int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.GossipReceiveLoss, At: 5 * s, Duration: 20 * s, Relays: some(n, 0, 3)}}
+			return []emu.Fault{outage, {Kind: emu.GossipReceiveLoss, At: 5 * s, Duration: 20 * s, Relays: everyNth(n, 0, 3)}}
 		},
 		"two halves": func(n int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.Partition, At: 5 * s, Duration: 20 * s, Relays: some(n, 0, 2)}}
+			return []emu.Fault{outage, {Kind: emu.Partition, At: 5 * s, Duration: 20 * s, Relays: everyNth(n, 0, 2)}}
 		},
 		"half die": func(n int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.RelayCrash, At: 6 * s, Duration: 60 * s, Relays: some(n, 0, 2)}}
+			return []emu.Fault{outage, {Kind: emu.RelayCrash, At: 6 * s, Duration: 60 * s, Relays: everyNth(n, 0, 2)}}
 		},
 		"half come": func(n int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.RelayCrash, At: 1 * s, Duration: 9 * s, Relays: some(n, 1, 2)}}
+			return []emu.Fault{outage, {Kind: emu.RelayCrash, At: 1 * s, Duration: 9 * s, Relays: everyNth(n, 1, 2)}}
 		},
 		"stopped as it returns": func(n int) []emu.Fault {
-			return []emu.Fault{back, {Kind: emu.RelayStall, At: 14 * s, Duration: 3 * s, Relays: some(n, 0, 4)}}
+			return []emu.Fault{outage, {Kind: emu.RelayStall, At: 14 * s, Duration: 3 * s, Relays: everyNth(n, 0, 4)}}
 		},
 		"lowered to a tenth": func(int) []emu.Fault {
 			return []emu.Fault{{Kind: emu.LowerLimit, At: 8 * s, Duration: 9 * s, Intensity: 0.1, Dests: []int{0, 1, 2}}}
@@ -87,75 +87,75 @@
 			return []emu.Fault{{Kind: emu.Crash, At: 8 * s, Duration: 12 * s, Endpoints: parts}}
 		},
 	} {
-		for _, n := range append([]int{3, 80, 300}, large()...) {
-			t.Run(fmt.Sprintf("%s, %d", name, n), func(t *testing.T) {
+		for _, relays := range append([]int{3, 80, 300}, extraFleetSizes()...) {
+			t.Run(fmt.Sprintf("%s, %d", name, relays), func(t *testing.T) {
 				t.Parallel()
-				d := fleetOf(t, n, 71, troubles(n)...)
-				res := play(t, d, emu.Options{})
-				if !res.Passed() || res.Fallen > 0 || res.Delivered == 0 {
-					t.Fatalf("%v %v, %d fell over", res.Breaks, res.Faults, res.Fallen)
+				scenario := drawFleet(t, relays, 71, faults(relays)...)
+				result := run(t, scenario, emu.Options{})
+				if !result.Passed() || result.Fallen > 0 || result.Delivered == 0 {
+					t.Fatalf("%v %v, %d fell over", result.Breaks, result.Faults, result.Fallen)
 				}
-				if n >= 300 {
+				if relays >= 300 {
 					return
 				}
-				alone := fleetOf(t, n, 71, troubles(n)...)
-				alone.Choices = choice.Options{}
-				if was := play(t, alone, emu.Options{}); res.G < was.G-0.08 {
-					t.Errorf("G %.3f, %.3f with nothing shared", res.G, was.G)
+				unshared := drawFleet(t, relays, 71, faults(relays)...)
+				unshared.Choices = choice.Options{}
+				if baseline := run(t, unshared, emu.Options{}); result.G < baseline.G-0.08 {
+					t.Errorf("G %.3f, %.3f with nothing shared", result.G, baseline.G)
 				}
 			})
 		}
 	}
 }
 
-// tenths restart all relays, a tenth at a time.
-func tenths(n int) (all []emu.Fault) {
-	for i := range min(n, 10) {
-		all = append(all, emu.Fault{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: some(n, i, 10)})
+// rollingRestart restart all relays, a tenth at a time.
+func rollingRestart(relays int) (all []emu.Fault) {
+	for i := range min(relays, 10) {
+		all = append(all, emu.Fault{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: everyNth(relays, i, 10)})
 	}
 	return all
 }
 
 // Two small partners return while 300 relays are restarted in tenths: relays that have just started and saw nothing of the outage do not push them over. Each of these days had one that fell
 // while a relay that starts took nothing of what others allow themselves, and believed no outage of which few calls tell.
-func TestReturnWhileAllRestart(t *testing.T) {
+func TestRecoveryDuringRollingRestart(t *testing.T) {
 	for _, seed := range []uint64{72, 73, 85, 86} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := fleetOf(t, 300, seed, append(tenths(300), emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
-			if res := play(t, d, emu.Options{}); !res.Passed() || res.Fallen > 0 || res.Delivered == 0 {
-				t.Errorf("%v %v, %d fell over", res.Breaks, res.Faults, res.Fallen)
+			scenario := drawFleet(t, 300, seed, append(rollingRestart(300), emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
+			if result := run(t, scenario, emu.Options{}); !result.Passed() || result.Fallen > 0 || result.Delivered == 0 {
+				t.Errorf("%v %v, %d fell over", result.Breaks, result.Faults, result.Fallen)
 			}
 		})
 	}
 }
 
 // A destination with one endpoint: every relay keeps it, whatever the subset is.
-func TestOneEndpoint(t *testing.T) {
-	d := fleetOf(t, 80, 72)
-	for i := range d.Dests {
-		e := d.Dests[i].Endpoints[0]
-		e.Workers, e.QueueSize, e.MaxConns = e.Workers*len(d.Dests[i].Endpoints), e.QueueSize*len(d.Dests[i].Endpoints), 0
-		d.Dests[i].Endpoints = []emu.Endpoint{e}
+func TestSubsetOfOneEndpoint(t *testing.T) {
+	scenario := drawFleet(t, 80, 72)
+	for i := range scenario.Dests {
+		endpoint := scenario.Dests[i].Endpoints[0]
+		endpoint.Workers, endpoint.QueueSize, endpoint.MaxConns = endpoint.Workers*len(scenario.Dests[i].Endpoints), endpoint.QueueSize*len(scenario.Dests[i].Endpoints), 0
+		scenario.Dests[i].Endpoints = []emu.Endpoint{endpoint}
 	}
-	with := play(t, d, emu.Options{})
-	d.Choices.SubsetSize = 0
-	if without := play(t, d, emu.Options{}); !with.Passed() || with.Calls != without.Calls || with.G != without.G {
+	with := run(t, scenario, emu.Options{})
+	scenario.Choices.SubsetSize = 0
+	if without := run(t, scenario, emu.Options{}); !with.Passed() || with.Calls != without.Calls || with.G != without.G {
 		t.Errorf("a subset of one endpoint changes something: %d calls and %d, %v", with.Calls, without.Calls, with.Breaks)
 	}
 }
 
 // Fewer try a destination that is known to be out than where each tries for itself. They are not as few at 240 relays as at 80: most hear of no two that saw calls fail
 // (docs/design/choices.md).
-func TestFewTry(t *testing.T) {
+func TestTimeSlotsReduceProbes(t *testing.T) {
 	probes := map[int]int{}
-	for _, n := range []int{80, 240} {
+	for _, relays := range []int{80, 240} {
 		for arm := range 2 {
-			d := fleetOf(t, n, 81, emu.Fault{Kind: emu.Crash, At: 6 * time.Second, Duration: 16 * time.Second, Dests: []int{0, 1, 2}})
-			d.Choices = choice.Options{TimeSlots: arm == 1}
-			play(t, d, emu.Options{Log: func(e rules.Event) {
+			scenario := drawFleet(t, relays, 81, emu.Fault{Kind: emu.Crash, At: 6 * time.Second, Duration: 16 * time.Second, Dests: []int{0, 1, 2}})
+			scenario.Choices = choice.Options{TimeSlots: arm == 1}
+			run(t, scenario, emu.Options{Log: func(e rules.Event) {
 				if e.Kind == rules.Sent && e.Call > 0 && e.Dest < 3 && e.At > 10*time.Second && e.At < 22*time.Second {
-					probes[n+arm]++
+					probes[relays+arm]++
 				}
 			}})
 		}
--- a/internal/lab/emu/day.go
+++ b/internal/lab/emu/day.go
@@ -186,8 +186,8 @@
 }
 
 // AffectsRelays tells whether it is relays that a trouble befalls, or the ways between them.
-func (t *Fault) AffectsRelays() bool {
-	switch t.Kind {
+func (f *Fault) AffectsRelays() bool {
+	switch f.Kind {
 	case RelayCrash, RelayStop, RelayStall, DestinationPartition, SitePartition, Partition, GossipReceiveLoss, GossipSendLoss, GossipLoss, GossipDelay, GossipDuplication:
 		return true
 	}
@@ -198,104 +198,104 @@
 type Penalties struct{ WastedWork, Handshake, LateFailure, RejectedCall, Gossip float64 }
 
 // Check names the first setting that makes no day.
-func (d *Scenario) Check() error {
-	type figure struct {
-		name     string
-		v, least float64
-		most     float64
+func (s *Scenario) Check() error {
+	type boundedSetting struct {
+		name           string
+		value, minimum float64
+		maximum        float64
 	}
 	inf := math.Inf(1)
-	secs := time.Duration.Seconds
-	figures := []figure{
-		{"length", secs(d.Length), 0.1, 1e5}, {"tail", secs(d.Tail), 0, 1e5}, {"tick", secs(d.Tick), 1e-4, 10}, {"relays", float64(d.Relays), 1, 1e4},
-		{"slots", float64(d.MaxConcurrentCalls), 1, 1e6}, {"hold", float64(d.MaxPending), 1, 1e7}, {"max_attempts", float64(d.MaxAttempts), 1, 1000}, {"rate", d.Rate, 0, 1e7},
-		{"clumps", d.ClumpShare, 0, 1}, {"rtt", secs(d.RTT), 0, 100}, {"client", secs(d.ClientDelay), 0, 100}, {"jitter", d.Jitter, 0, 1}, {"handshake", d.HandshakeRTTs, 0, 100},
-		{"idle", secs(d.IdleTimeout), 0.01, inf}, {"connect", secs(d.ConnectTimeout), 0.01, 100}, {"retries", float64(d.ClientRetries), 0, 100}, {"backoff", secs(d.ClientBackoff), 0.001, 1000},
-		{"note_loss", d.GossipLoss, 0, 1}, {"zones of relays", float64(d.Zones), 0, 31}, {"honour", d.RetryAfterCompliance, 0, 1}, {"notice", secs(d.DiscoveryDelay), 0, 1000}, {"cold_from", d.ColdStartShare, 0, 1}, {"fall_multiple", d.OverloadFactor, 0, 1e6},
-		{"number of classes", float64(len(d.Classes)), 1, 100}, {"number of kinds", float64(len(d.Kinds)), 1, 100}, {"number of dests", float64(len(d.Dests)), 1, 1e6},
+	inSeconds := time.Duration.Seconds
+	settings := []boundedSetting{
+		{"length", inSeconds(s.Length), 0.1, 1e5}, {"tail", inSeconds(s.Tail), 0, 1e5}, {"tick", inSeconds(s.Tick), 1e-4, 10}, {"relays", float64(s.Relays), 1, 1e4},
+		{"slots", float64(s.MaxConcurrentCalls), 1, 1e6}, {"hold", float64(s.MaxPending), 1, 1e7}, {"max_attempts", float64(s.MaxAttempts), 1, 1000}, {"rate", s.Rate, 0, 1e7},
+		{"clumps", s.ClumpShare, 0, 1}, {"rtt", inSeconds(s.RTT), 0, 100}, {"client", inSeconds(s.ClientDelay), 0, 100}, {"jitter", s.Jitter, 0, 1}, {"handshake", s.HandshakeRTTs, 0, 100},
+		{"idle", inSeconds(s.IdleTimeout), 0.01, inf}, {"connect", inSeconds(s.ConnectTimeout), 0.01, 100}, {"retries", float64(s.ClientRetries), 0, 100}, {"backoff", inSeconds(s.ClientBackoff), 0.001, 1000},
+		{"note_loss", s.GossipLoss, 0, 1}, {"zones of relays", float64(s.Zones), 0, 31}, {"honour", s.RetryAfterCompliance, 0, 1}, {"notice", inSeconds(s.DiscoveryDelay), 0, 1000}, {"cold_from", s.ColdStartShare, 0, 1}, {"fall_multiple", s.OverloadFactor, 0, 1e6},
+		{"number of classes", float64(len(s.Classes)), 1, 100}, {"number of kinds", float64(len(s.Kinds)), 1, 100}, {"number of dests", float64(len(s.Dests)), 1, 1e6},
 	}
-	for i, c := range d.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
-		figures = append(figures, figure{at + "share", c.Share, 0, inf}, figure{at + "work", secs(c.Work), 1e-6, 1e4}, figure{at + "cv", c.CV, 0, 100},
-			figure{at + "noise", c.Noise, 0, 100}, figure{at + "worth", c.Value, 0, inf}, figure{at + "late_worth", c.LateValue, 0, 1},
-			figure{at + "aim", secs(c.TargetLatency), 1e-3, secs(c.Deadline)})
+	for i, class := range s.Classes {
+		prefix := fmt.Sprintf("classes[%d].", i)
+		settings = append(settings, boundedSetting{prefix + "share", class.Share, 0, inf}, boundedSetting{prefix + "work", inSeconds(class.Work), 1e-6, 1e4}, boundedSetting{prefix + "cv", class.CV, 0, 100},
+			boundedSetting{prefix + "noise", class.Noise, 0, 100}, boundedSetting{prefix + "worth", class.Value, 0, inf}, boundedSetting{prefix + "late_worth", class.LateValue, 0, 1},
+			boundedSetting{prefix + "aim", inSeconds(class.TargetLatency), 1e-3, inSeconds(class.Deadline)})
 	}
-	for i, k := range d.Kinds {
-		at := fmt.Sprintf("kinds[%d].", i)
-		figures = append(figures, figure{at + "batch", float64(k.MaxBatch), 1, 1000}, figure{at + "tells_wait", k.RetryAfterShare, 0, 1}, figure{at + "cold_from", k.ColdStartShare, 0.001, 1},
-			figure{at + "error_rate", k.ErrorRate, 0, 1}, figure{at + "item_cost", k.ItemCost, 0, 100})
-		if k.Limit == WindowLimit {
-			figures = append(figures, figure{at + "window", secs(k.Window), 1e-3, 1e4})
+	for i, kind := range s.Kinds {
+		prefix := fmt.Sprintf("kinds[%d].", i)
+		settings = append(settings, boundedSetting{prefix + "batch", float64(kind.MaxBatch), 1, 1000}, boundedSetting{prefix + "tells_wait", kind.RetryAfterShare, 0, 1}, boundedSetting{prefix + "cold_from", kind.ColdStartShare, 0.001, 1},
+			boundedSetting{prefix + "error_rate", kind.ErrorRate, 0, 1}, boundedSetting{prefix + "item_cost", kind.ItemCost, 0, 100})
+		if kind.Limit == WindowLimit {
+			settings = append(settings, boundedSetting{prefix + "window", inSeconds(kind.Window), 1e-3, 1e4})
 		}
 	}
 	share := 0.0
-	for i, t := range d.Dests {
-		at := fmt.Sprintf("dests[%d].", i)
-		share += t.Share
-		figures = append(figures, figure{at + "kind", float64(t.Kind), 0, float64(len(d.Kinds) - 1)}, figure{at + "share", t.Share, 0, inf},
-			figure{at + "limit", t.Limit, 0, inf}, figure{at + "number of endpoints", float64(len(t.Endpoints)), 1, 1e4})
-		if t.Kind >= 0 && t.Kind < len(d.Kinds) && d.Kinds[t.Kind].Limit != NoLimit {
-			figures = append(figures, figure{at + "limit", t.Limit, 1e-3, inf})
+	for i, dest := range s.Dests {
+		prefix := fmt.Sprintf("dests[%d].", i)
+		share += dest.Share
+		settings = append(settings, boundedSetting{prefix + "kind", float64(dest.Kind), 0, float64(len(s.Kinds) - 1)}, boundedSetting{prefix + "share", dest.Share, 0, inf},
+			boundedSetting{prefix + "limit", dest.Limit, 0, inf}, boundedSetting{prefix + "number of endpoints", float64(len(dest.Endpoints)), 1, 1e4})
+		if dest.Kind >= 0 && dest.Kind < len(s.Kinds) && s.Kinds[dest.Kind].Limit != NoLimit {
+			settings = append(settings, boundedSetting{prefix + "limit", dest.Limit, 1e-3, inf})
 		}
-		for j, m := range t.Mix {
-			figures = append(figures, figure{fmt.Sprintf("%smix[%d].class", at, j), float64(m.Class), 0, float64(len(d.Classes) - 1)},
-				figure{fmt.Sprintf("%smix[%d].zone", at, j), float64(m.Zone), 0, float64(max(1, d.Zones) - 1)}, figure{fmt.Sprintf("%smix[%d].share", at, j), m.Share, 1e-9, inf})
+		for j, part := range dest.Mix {
+			settings = append(settings, boundedSetting{fmt.Sprintf("%smix[%d].class", prefix, j), float64(part.Class), 0, float64(len(s.Classes) - 1)},
+				boundedSetting{fmt.Sprintf("%smix[%d].zone", prefix, j), float64(part.Zone), 0, float64(max(1, s.Zones) - 1)}, boundedSetting{fmt.Sprintf("%smix[%d].share", prefix, j), part.Share, 1e-9, inf})
 		}
-		for j, e := range t.Endpoints {
-			figures = append(figures, figure{fmt.Sprintf("%sendpoints[%d].speed", at, j), e.Speed, 1e-6, 1e6},
-				figure{fmt.Sprintf("%sendpoints[%d].workers", at, j), float64(e.Workers), 1, 1e6})
+		for j, endpoint := range dest.Endpoints {
+			settings = append(settings, boundedSetting{fmt.Sprintf("%sendpoints[%d].speed", prefix, j), endpoint.Speed, 1e-6, 1e6},
+				boundedSetting{fmt.Sprintf("%sendpoints[%d].workers", prefix, j), float64(endpoint.Workers), 1, 1e6})
 		}
 	}
-	for i, t := range d.Faults {
-		at := fmt.Sprintf("troubles[%d].", i)
-		figures = append(figures, figure{at + "at", secs(t.At), 0, inf}, figure{at + "len", secs(t.Duration), 0, inf}, figure{at + "size", t.Intensity, 0, 1e6})
-		if t.Kind == Pauses {
-			figures = append(figures, figure{at + "every", secs(t.Period), t.Intensity + 1e-3, 1e4})
+	for i, fault := range s.Faults {
+		prefix := fmt.Sprintf("troubles[%d].", i)
+		settings = append(settings, boundedSetting{prefix + "at", inSeconds(fault.At), 0, inf}, boundedSetting{prefix + "len", inSeconds(fault.Duration), 0, inf}, boundedSetting{prefix + "size", fault.Intensity, 0, 1e6})
+		if fault.Kind == Pauses {
+			settings = append(settings, boundedSetting{prefix + "every", inSeconds(fault.Period), fault.Intensity + 1e-3, 1e4})
 		}
-		if t.Kind == Slow || t.Kind == LowerLimit {
-			figures = append(figures, figure{at + "size", t.Intensity, 1e-3, 1e3})
+		if fault.Kind == Slow || fault.Kind == LowerLimit {
+			settings = append(settings, boundedSetting{prefix + "size", fault.Intensity, 1e-3, 1e3})
 		}
-		for _, n := range t.Dests {
-			figures = append(figures, figure{at + "dests", float64(n), 0, float64(len(d.Dests) - 1)})
+		for _, n := range fault.Dests {
+			settings = append(settings, boundedSetting{prefix + "dests", float64(n), 0, float64(len(s.Dests) - 1)})
 		}
-		for _, p := range t.Endpoints {
-			figures = append(figures, figure{at + "parts", float64(p[0]), 0, float64(len(d.Dests) - 1)})
-			if p[0] >= 0 && p[0] < len(d.Dests) {
-				figures = append(figures, figure{at + "parts", float64(p[1]), 0, float64(len(d.Dests[p[0]].Endpoints) - 1)})
+		for _, ref := range fault.Endpoints {
+			settings = append(settings, boundedSetting{prefix + "parts", float64(ref[0]), 0, float64(len(s.Dests) - 1)})
+			if ref[0] >= 0 && ref[0] < len(s.Dests) {
+				settings = append(settings, boundedSetting{prefix + "parts", float64(ref[1]), 0, float64(len(s.Dests[ref[0]].Endpoints) - 1)})
 			}
 		}
-		for _, n := range t.Relays {
-			figures = append(figures, figure{at + "relays", float64(n), 0, float64(d.Relays - 1)})
+		for _, n := range fault.Relays {
+			settings = append(settings, boundedSetting{prefix + "relays", float64(n), 0, float64(s.Relays - 1)})
 		}
-		switch t.Kind {
+		switch fault.Kind {
 		case Crash, Blackhole, RejectAll, FastErrors, Pauses, Slow, LowerLimit, Drain, AnswerLoss:
-			if len(t.Dests) == 0 && len(t.Endpoints) == 0 && t.Zone == "" {
-				return fmt.Errorf("%sdests: names nothing that %s could hit", at, t.Kind)
+			if len(fault.Dests) == 0 && len(fault.Endpoints) == 0 && fault.Zone == "" {
+				return fmt.Errorf("%sdests: names nothing that %s could hit", prefix, fault.Kind)
 			}
 		case RelayCrash, RelayStop, RelayStall:
-			if len(t.Relays) == 0 {
-				return fmt.Errorf("%srelays: names none", at)
+			if len(fault.Relays) == 0 {
+				return fmt.Errorf("%srelays: names none", prefix)
 			}
 		case SitePartition:
-			if t.Zone == "" {
-				return fmt.Errorf("%szone: names none", at)
+			if fault.Zone == "" {
+				return fmt.Errorf("%szone: names none", prefix)
 			}
 		case Partition, GossipReceiveLoss, GossipSendLoss, DestinationPartition:
-			if len(t.Relays) == 0 && t.Zone == "" {
-				return fmt.Errorf("%srelays: names none, and no zone", at)
+			if len(fault.Relays) == 0 && fault.Zone == "" {
+				return fmt.Errorf("%srelays: names none, and no zone", prefix)
 			}
 		case GossipLoss, GossipDuplication:
-			figures = append(figures, figure{at + "size", t.Intensity, 0, 1})
+			settings = append(settings, boundedSetting{prefix + "size", fault.Intensity, 0, 1})
 		case GossipDelay:
-			figures = append(figures, figure{at + "size", t.Intensity, 0, 60})
+			settings = append(settings, boundedSetting{prefix + "size", fault.Intensity, 0, 60})
 		case Burst, DiscoveryOutage:
 		default:
-			return fmt.Errorf("%skind: %q is not known", at, t.Kind)
+			return fmt.Errorf("%skind: %q is not known", prefix, fault.Kind)
 		}
 	}
-	for _, f := range figures {
-		if !(f.v >= f.least && f.v <= f.most) { // also where it is not a number
-			return fmt.Errorf("%s: %g does not lie within %g and %g", f.name, f.v, f.least, f.most)
+	for _, setting := range settings {
+		if !(setting.value >= setting.minimum && setting.value <= setting.maximum) { // also where it is not a number
+			return fmt.Errorf("%s: %g does not lie within %g and %g", setting.name, setting.value, setting.minimum, setting.maximum)
 		}
 	}
 	if share <= 0 {
@@ -305,22 +305,22 @@
 }
 
 // Settings are what the relays of the day are told.
-func (d *Scenario) Settings() policy.Settings {
-	set := policy.Settings{Relays: d.Relays, NoGossip: d.NoGossip, MaxConcurrentCalls: d.MaxConcurrentCalls, MaxPending: d.MaxPending, MaxAttempts: d.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: d.MaxRetryAfter,
-		Tick: d.Tick, IdleConnTimeout: d.IdleTimeout, ColdStartShare: d.ColdStartShare, WarmUpTime: d.WarmUpTime, OverloadFactor: d.OverloadFactor, OverloadTime: d.OverloadTime}
-	for _, c := range d.Classes {
-		set.Classes = append(set.Classes, c.Class)
+func (s *Scenario) Settings() policy.Settings {
+	settings := policy.Settings{Relays: s.Relays, NoGossip: s.NoGossip, MaxConcurrentCalls: s.MaxConcurrentCalls, MaxPending: s.MaxPending, MaxAttempts: s.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.MaxRetryAfter,
+		Tick: s.Tick, IdleConnTimeout: s.IdleTimeout, ColdStartShare: s.ColdStartShare, WarmUpTime: s.WarmUpTime, OverloadFactor: s.OverloadFactor, OverloadTime: s.OverloadTime}
+	for _, class := range s.Classes {
+		settings.Classes = append(settings.Classes, class.Class)
 	}
-	for _, k := range d.Kinds {
-		set.Kinds = append(set.Kinds, policy.Kind{Name: k.Name, MaxBatch: k.MaxBatch, SeparateRoutes: k.SeparateRoutes})
+	for _, kind := range s.Kinds {
+		settings.Kinds = append(settings.Kinds, policy.Kind{Name: kind.Name, MaxBatch: kind.MaxBatch, SeparateRoutes: kind.SeparateRoutes})
 	}
-	for _, z := range d.endpointZones() {
-		set.Zones = append(set.Zones, policy.Zone{Name: z})
+	for _, zone := range s.endpointZones() {
+		settings.Zones = append(settings.Zones, policy.Zone{Name: zone})
 	}
-	return set
+	return settings
 }
 
-func (d *Scenario) endpointZones() (all []string) {
+func (s *Scenario) endpointZones() (all []string) {
 	seen := map[string]bool{}
 	add := func(zone string) {
 		if !seen[zone] {
@@ -328,23 +328,23 @@
 			all = append(all, zone)
 		}
 	}
-	for _, t := range d.Dests {
-		for _, e := range t.Endpoints {
-			add(cmp.Or(e.Zone, t.Zone))
+	for _, dest := range s.Dests {
+		for _, endpoint := range dest.Endpoints {
+			add(cmp.Or(endpoint.Zone, dest.Zone))
 		}
 	}
 	return all
 }
 
 // valueAfter is what a message is worth that is delivered so long after it was first handed in.
-func (c *Class) valueAfter(after time.Duration) float64 {
+func (c *Class) valueAfter(latency time.Duration) float64 {
 	switch {
-	case after <= c.TargetLatency:
+	case latency <= c.TargetLatency:
 		return c.Value
-	case after > c.Deadline:
+	case latency > c.Deadline:
 		return 0
 	case c.Deadline == c.TargetLatency:
 		return c.Value
 	}
-	return c.Value * (1 - (1-c.LateValue)*float64(after-c.TargetLatency)/float64(c.Deadline-c.TargetLatency))
+	return c.Value * (1 - (1-c.LateValue)*float64(latency-c.TargetLatency)/float64(c.Deadline-c.TargetLatency))
 }
--- a/internal/lab/emu/dest.go
+++ b/internal/lab/emu/dest.go
@@ -47,52 +47,52 @@
 }
 
 // warmShare is the share of its capacity that what is in a zone has.
-func (p *destSite) warmShare(now time.Duration, k *Kind) float64 {
-	if now >= p.warmUpEnd {
+func (site *destSite) warmShare(now time.Duration, k *Kind) float64 {
+	if now >= site.warmUpEnd {
 		return 1
 	}
-	return k.ColdStartShare + (1-k.ColdStartShare)*float64(now-p.warmUpStart)/float64(p.warmUpEnd-p.warmUpStart)
+	return k.ColdStartShare + (1-k.ColdStartShare)*float64(now-site.warmUpStart)/float64(site.warmUpEnd-site.warmUpStart)
 }
 
 // recordSiteWork books work that has come to what is cold in a zone, which falls over if it is too much.
-func (w *simulation) recordSiteWork(e *endpoint, weight float64) {
-	p := e.site
-	if p == nil || p.overloaded || p.activeOutages > 0 || w.now >= p.warmUpEnd {
+func (sim *simulation) recordSiteWork(e *endpoint, weight float64) {
+	site := e.site
+	if site == nil || site.overloaded || site.activeOutages > 0 || sim.now >= site.warmUpEnd {
 		return
 	}
-	can := 0.0
-	for _, o := range p.endpoints {
-		can += float64(o.spec.Workers) * o.spec.Speed / e.dest.meanWork
+	capacity := 0.0
+	for _, other := range site.endpoints {
+		capacity += float64(other.spec.Workers) * other.spec.Speed / e.dest.meanWork
 	}
-	can *= p.warmShare(w.now, e.dest.kind)
-	if w.exceedsOverload(&p.recentWork, weight, can) {
-		p.overloaded = true
-		w.result.Fallen++
-		for _, o := range p.endpoints {
-			w.takeDown(o, crashed, 1<<62)
+	capacity *= site.warmShare(sim.now, e.dest.kind)
+	if sim.exceedsOverload(&site.recentWork, weight, capacity) {
+		site.overloaded = true
+		sim.result.Fallen++
+		for _, other := range site.endpoints {
+			sim.takeDown(other, crashed, 1<<62)
 		}
 	}
 }
 
 // exceedsOverload books work in what came over the last while, and tells whether that is more than what can do so much a second survives cold.
-func (w *simulation) exceedsOverload(budget *[]workArrival, weight, can float64) bool {
-	keep, all := 0, weight
-	for keep < len(*budget) && (*budget)[keep].at <= w.now-w.scenario.OverloadTime {
-		keep++
+func (sim *simulation) exceedsOverload(recent *[]workArrival, weight, capacity float64) bool {
+	first, total := 0, weight
+	for first < len(*recent) && (*recent)[first].at <= sim.now-sim.scenario.OverloadTime {
+		first++
 	}
-	for _, a := range (*budget)[keep:] {
-		all += a.weight
+	for _, a := range (*recent)[first:] {
+		total += a.weight
 	}
-	*budget = append((*budget)[keep:], workArrival{w.now, weight})
-	return all > w.scenario.OverloadFactor*can*w.scenario.OverloadTime.Seconds()+3
+	*recent = append((*recent)[first:], workArrival{sim.now, weight})
+	return total > sim.scenario.OverloadFactor*capacity*sim.scenario.OverloadTime.Seconds()+3
 }
 
 // beginOutage and regains count the troubles of what is in a zone.
-func (p *destSite) beginOutage() { p.activeOutages++ }
+func (site *destSite) beginOutage() { site.activeOutages++ }
 
-func (w *simulation) endSiteOutage(d *dest, p *destSite) {
-	if p.activeOutages--; p.activeOutages == 0 {
-		p.warmUpStart, p.warmUpEnd, p.recentWork = w.now, w.now+d.kind.WarmUpTime, nil
+func (sim *simulation) endSiteOutage(d *dest, site *destSite) {
+	if site.activeOutages--; site.activeOutages == 0 {
+		site.warmUpStart, site.warmUpEnd, site.recentWork = sim.now, sim.now+d.kind.WarmUpTime, nil
 	}
 }
 
@@ -135,17 +135,17 @@
 
 // capacity is what its endpoints can do now, in calls of one message a second; the limit lies below it.
 func (d *dest) capacity(now time.Duration) float64 {
-	all := 0.0
+	total := 0.0
 	for _, e := range d.endpoints {
 		if e.health == up && !e.removed {
-			can := float64(e.spec.Workers) * e.spec.Speed / d.meanWork
+			capacity := float64(e.spec.Workers) * e.spec.Speed / d.meanWork
 			if e.site != nil {
-				can *= e.site.warmShare(now, d.kind)
+				capacity *= e.site.warmShare(now, d.kind)
 			}
-			all += can
+			total += capacity
 		}
 	}
-	return all * d.warmShare(now)
+	return total * d.warmShare(now)
 }
 
 // warmShare is the share of its capacity that a destination has. Separate routes are cold each by itself.
@@ -157,16 +157,16 @@
 }
 
 // drawRetryAfter is what a refusal tells, at least so long; 0: nothing.
-func (d *dest) drawRetryAfter(least time.Duration) time.Duration {
+func (d *dest) drawRetryAfter(minimum time.Duration) time.Duration {
 	if d.rng.Float64() >= d.kind.RetryAfterShare {
 		return 0
 	}
-	return max(least, scaleDuration(d.kind.RetryAfter, 0.7+0.6*d.rng.Float64()))
+	return max(minimum, scaleDuration(d.kind.RetryAfter, 0.7+0.6*d.rng.Float64()))
 }
 
 // callArrived is a call whose last byte has come to its endpoint.
-func (w *simulation) callArrived(c *call) {
-	e, d, now := c.endpoint, c.endpoint.dest, w.now
+func (sim *simulation) callArrived(c *call) {
+	e, d, now := c.endpoint, c.endpoint.dest, sim.now
 	if c.abandoned {
 		return // given up on the way
 	}
@@ -174,120 +174,120 @@
 		return // nobody hears of it until its time is up
 	}
 	if e.health == crashed || e.incarnation != c.endpointIncarnation || e.removed {
-		w.sendAnswer(c, policy.ConnectionLost, 0)
+		sim.sendAnswer(c, policy.ConnectionLost, 0)
 		return
 	}
-	w.recordWork(d, c.relay, 1+d.kind.ItemCost*float64(len(c.items)-1))
-	if w.recordSiteWork(e, 1+d.kind.ItemCost*float64(len(c.items)-1)); e.health == crashed {
-		w.sendAnswer(c, policy.ConnectionLost, 0)
+	sim.recordWork(d, c.relay, 1+d.kind.ItemCost*float64(len(c.items)-1))
+	if sim.recordSiteWork(e, 1+d.kind.ItemCost*float64(len(c.items)-1)); e.health == crashed {
+		sim.sendAnswer(c, policy.ConnectionLost, 0)
 		return
 	}
 	c.limitReport = e.limiter.report(now, d.rng)
 	switch {
 	case e.health == rejecting:
-		w.rejectCall(c, e.healthyAt-now)
+		sim.rejectCall(c, e.healthyAt-now)
 	case e.errorShare > 0 && d.rng.Float64() < e.errorShare:
-		w.scheduleAfter(scaleDuration(20*time.Millisecond, 0.5+d.rng.Float64()), func() { w.sendAnswer(c, policy.Errored, 0) })
+		sim.scheduleAfter(scaleDuration(20*time.Millisecond, 0.5+d.rng.Float64()), func() { sim.sendAnswer(c, policy.Errored, 0) })
 	case !e.limiter.admit(now):
-		w.rejectCall(c, e.limiter.retryAfter(now))
+		sim.rejectCall(c, e.limiter.retryAfter(now))
 	case e.busyWorkers >= e.spec.Workers && len(e.queue) >= e.spec.QueueSize:
-		w.rejectCall(c, 0)
+		sim.rejectCall(c, 0)
 	case e.busyWorkers < e.spec.Workers:
-		w.startServing(c)
+		sim.startServing(c)
 	default:
 		e.queue = append(e.queue, c)
 	}
 }
 
-func (w *simulation) rejectCall(c *call, least time.Duration) {
-	w.result.RefusedCalls++
-	w.result.Dests[c.endpoint.dest.number].Refused++
-	w.sendAnswer(c, policy.Rejected, c.endpoint.dest.drawRetryAfter(least))
+func (sim *simulation) rejectCall(c *call, minimum time.Duration) {
+	sim.result.RefusedCalls++
+	sim.result.Dests[c.endpoint.dest.number].Refused++
+	sim.sendAnswer(c, policy.Rejected, c.endpoint.dest.drawRetryAfter(minimum))
 }
 
 // recordWork books work that has come to a cold destination, which falls over if it is too much.
-func (w *simulation) recordWork(d *dest, relay *relay, weight float64) {
-	if w.now >= d.warmUpEnd || d.overloaded || d.activeOutages > 0 {
+func (sim *simulation) recordWork(d *dest, relay *relay, weight float64) {
+	if sim.now >= d.warmUpEnd || d.overloaded || d.activeOutages > 0 {
 		return
 	}
-	can := d.capacity(w.now)
-	w.log(rules.Event{Kind: rules.WorkArrived, Relay: relay.number, Dest: d.number, Weight: weight, Capacity: can})
-	if w.exceedsOverload(&d.recentWork, weight, can) {
+	capacity := d.capacity(sim.now)
+	sim.log(rules.Event{Kind: rules.WorkArrived, Relay: relay.number, Dest: d.number, Weight: weight, Capacity: capacity})
+	if sim.exceedsOverload(&d.recentWork, weight, capacity) {
 		d.overloaded = true
-		w.result.Fallen++
+		sim.result.Fallen++
 		for _, e := range d.endpoints {
-			w.takeDown(e, crashed, 1<<62)
+			sim.takeDown(e, crashed, 1<<62)
 		}
 	}
 }
 
 // startServing begins a call; it ends when its work is done, later if the endpoint stands still meanwhile.
-func (w *simulation) startServing(c *call) {
+func (sim *simulation) startServing(c *call) {
 	e, d := c.endpoint, c.endpoint.dest
 	e.busyWorkers++
 	e.serving = append(e.serving, c)
 	work := 0.0
 	for i := range c.items {
-		it := &c.items[i]
-		noise := newRand(w.scenario.Seed, "noise", uint64(it.message.request.number), uint64(it.message.request.attempts))
-		it.workSeconds = it.message.request.workSeconds * drawFactor(noise, it.message.request.class.Noise, false)
+		item := &c.items[i]
+		noise := newRand(sim.scenario.Seed, "noise", uint64(item.message.request.number), uint64(item.message.request.attempts))
+		item.workSeconds = item.message.request.workSeconds * drawFactor(noise, item.message.request.class.Noise, false)
 		if i == 0 {
-			work += it.workSeconds
+			work += item.workSeconds
 		} else {
-			work += it.workSeconds * d.kind.ItemCost
+			work += item.workSeconds * d.kind.ItemCost
 		}
 	}
-	took := seconds(work / (e.spec.Speed * e.speedFactor * d.warmShare(w.now)))
+	duration := seconds(work / (e.spec.Speed * e.speedFactor * d.warmShare(sim.now)))
 	if e.site != nil {
-		took = scaleDuration(took, 1/e.site.warmShare(w.now, d.kind))
+		duration = scaleDuration(duration, 1/e.site.warmShare(sim.now, d.kind))
 	}
-	if w.now < e.pausedUntil {
-		took += e.pausedUntil - w.now
+	if sim.now < e.pausedUntil {
+		duration += e.pausedUntil - sim.now
 	}
-	life := e.incarnation
+	incarnation := e.incarnation
 	c.workSeconds = work
-	w.scheduleAfter(took, func() { w.finishServing(c, life) })
+	sim.scheduleAfter(duration, func() { sim.finishServing(c, incarnation) })
 }
 
-func (w *simulation) finishServing(c *call, life int) {
+func (sim *simulation) finishServing(c *call, incarnation int) {
 	e := c.endpoint
-	if e.incarnation != life {
+	if e.incarnation != incarnation {
 		return // the process that did it is gone
 	}
-	if w.now < e.pausedUntil { // a pause has come in between
-		w.schedule(e.pausedUntil+time.Millisecond, func() { w.finishServing(c, life) })
+	if sim.now < e.pausedUntil { // a pause has come in between
+		sim.schedule(e.pausedUntil+time.Millisecond, func() { sim.finishServing(c, incarnation) })
 		return
 	}
 	e.busyWorkers--
 	e.serving = slices.DeleteFunc(e.serving, func(o *call) bool { return o == c })
-	w.serveQueue(e)
+	sim.serveQueue(e)
 	for i := range c.items {
-		w.recordRun(c.items[i].message)
+		sim.recordRun(c.items[i].message)
 	}
-	w.result.Work += c.workSeconds
+	sim.result.Work += c.workSeconds
 	switch {
 	case e.dest.rng.Float64() < e.answerLoss:
-		w.sendAnswer(c, policy.ConnectionLost, 0)
+		sim.sendAnswer(c, policy.ConnectionLost, 0)
 	case e.dest.rng.Float64() < e.dest.kind.ErrorRate:
-		w.sendAnswer(c, policy.Errored, 0)
+		sim.sendAnswer(c, policy.Errored, 0)
 	default:
-		w.sendAnswer(c, policy.Delivered, 0)
+		sim.sendAnswer(c, policy.Delivered, 0)
 	}
 }
 
 // serveQueue takes calls from the queue while workers are free.
-func (w *simulation) serveQueue(e *endpoint) {
+func (sim *simulation) serveQueue(e *endpoint) {
 	for e.busyWorkers < e.spec.Workers && len(e.queue) > 0 && e.health != crashed && e.health != unresponsive {
 		c := e.queue[0]
 		e.queue = e.queue[1:]
 		if !(c.abandoned && e.dest.kind.CancelsQueued) {
-			w.startServing(c)
+			sim.startServing(c)
 		}
 	}
 }
 
 // takeDown takes an endpoint out of service.
-func (w *simulation) takeDown(e *endpoint, h health, until time.Duration) {
+func (sim *simulation) takeDown(e *endpoint, h health, until time.Duration) {
 	if e.removed {
 		return
 	}
@@ -295,18 +295,18 @@
 	if h == rejecting {
 		return // what it has it ends
 	}
-	all := append(e.queue, e.serving...)
+	dropped := append(e.queue, e.serving...)
 	e.queue, e.serving, e.busyWorkers, e.openConns = nil, nil, 0, 0
 	e.incarnation++
-	for _, c := range all {
+	for _, c := range dropped {
 		if h == crashed {
-			w.sendAnswer(c, policy.ConnectionLost, 0) // a machine that vanished says nothing
+			sim.sendAnswer(c, policy.ConnectionLost, 0) // a machine that vanished says nothing
 		}
 	}
 }
 
 // restore ends an outage of an endpoint.
-func (w *simulation) restore(e *endpoint) {
+func (sim *simulation) restore(e *endpoint) {
 	if e.dest.overloaded || e.removed || e.site != nil && e.site.overloaded {
 		return
 	}
@@ -314,32 +314,32 @@
 		e.incarnation++ // connections of before are reset
 	}
 	e.health = up
-	w.serveQueue(e)
+	sim.serveQueue(e)
 }
 
 // beginOutage and heal count the troubles of a destination that make it come back cold.
-func (w *simulation) beginOutage(d *dest) {
+func (sim *simulation) beginOutage(d *dest) {
 	if d.activeOutages++; d.activeOutages == 1 {
 		clear(d.failureSeenBy)
 	}
 }
 
-func (w *simulation) endOutage(d *dest) {
+func (sim *simulation) endOutage(d *dest) {
 	if d.activeOutages--; d.activeOutages > 0 || d.overloaded {
 		return
 	}
-	d.warmUpStart, d.warmUpEnd, d.recentWork = w.now, w.now+d.kind.WarmUpTime, nil
-	w.log(rules.Event{Kind: rules.DestWarm, Dest: d.number}) // what an earlier return left
-	w.log(rules.Event{Kind: rules.DestRecovered, Dest: d.number})
-	for _, r := range w.relays {
+	d.warmUpStart, d.warmUpEnd, d.recentWork = sim.now, sim.now+d.kind.WarmUpTime, nil
+	sim.log(rules.Event{Kind: rules.DestWarm, Dest: d.number}) // what an earlier return left
+	sim.log(rules.Event{Kind: rules.DestRecovered, Dest: d.number})
+	for _, r := range sim.relays {
 		if d.failureSeenBy[r.number] {
-			w.log(rules.Event{Kind: rules.FailureSeen, Relay: r.number, Dest: d.number})
+			sim.log(rules.Event{Kind: rules.FailureSeen, Relay: r.number, Dest: d.number})
 		}
 	}
 	end := d.warmUpEnd
-	w.schedule(end, func() {
+	sim.schedule(end, func() {
 		if d.warmUpEnd == end && d.activeOutages == 0 {
-			w.log(rules.Event{Kind: rules.DestWarm, Dest: d.number})
+			sim.log(rules.Event{Kind: rules.DestWarm, Dest: d.number})
 		}
 	})
 }
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -16,49 +16,49 @@
 
 const lab = "../../../lab"
 
-func day(t testing.TB, script string, seed uint64) *emu.Scenario {
+func drawScenario(t testing.TB, script string, seed uint64) *emu.Scenario {
 	t.Helper()
-	s, err := site.ReadScript(filepath.Join(lab, "days", script+site.FileExt))
+	parsed, err := site.ReadScript(filepath.Join(lab, "days", script+site.FileExt))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := s.DrawScenario(nil, seed)
+	scenario, err := parsed.DrawScenario(nil, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return scenario
 }
 
-func play(t testing.TB, d *emu.Scenario, set emu.Options) *emu.Result {
+func run(t testing.TB, scenario *emu.Scenario, options emu.Options) *emu.Result {
 	t.Helper()
-	res, err := emu.Run(d, set)
+	result, err := emu.Run(scenario, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res
+	return result
 }
 
 // Every day of the library keeps all rules under the module in service, and shows its trouble: none serves what a calm day serves but
 // those that are named.
-func TestLibrary(t *testing.T) {
+func TestLibraryScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(lab, "days", "*"+site.FileExt))
 	if err != nil || len(files) < 25 {
 		t.Fatalf("%d days, %v", len(files), err)
 	}
-	for _, f := range files {
-		name := strings.TrimSuffix(filepath.Base(f), site.FileExt)
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), site.FileExt)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := day(t, name, 3)
-			res := play(t, d, emu.Options{})
-			if !res.Passed() {
-				t.Errorf("%v %v", res.Breaks, res.Faults)
+			scenario := drawScenario(t, name, 3)
+			result := run(t, scenario, emu.Options{})
+			if !result.Passed() {
+				t.Errorf("%v %v", result.Breaks, result.Faults)
 			}
-			if n := res.Delivered + res.GivenUp + res.HandedBack + res.Lost; n != res.Requests || n == 0 {
-				t.Errorf("%d ends of %d messages", n, res.Requests)
+			if completions := result.Delivered + result.GivenUp + result.HandedBack + result.Lost; completions != result.Requests || completions == 0 {
+				t.Errorf("%d ends of %d messages", completions, result.Requests)
 			}
-			d.Faults = nil
-			if calm := play(t, d, emu.Options{}); len(day(t, name, 3).Faults) > 0 && res.G == calm.G {
+			scenario.Faults = nil
+			if calm := run(t, scenario, emu.Options{}); len(drawScenario(t, name, 3).Faults) > 0 && result.G == calm.G {
 				t.Error("its trouble changes nothing")
 			}
 		})
@@ -66,100 +66,100 @@
 }
 
 // One seed, one result, to the byte; another seed, another one.
-func TestSameBytes(t *testing.T) {
-	text := func(seed uint64) string {
-		raw, err := json.Marshal(play(t, day(t, "two-at-once", seed), emu.Options{}))
+func TestDeterministic(t *testing.T) {
+	encoded := func(seed uint64) string {
+		raw, err := json.Marshal(run(t, drawScenario(t, "two-at-once", seed), emu.Options{}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(raw)
 	}
-	if a, b := text(5), text(5); a != b {
+	if a, b := encoded(5), encoded(5); a != b {
 		t.Error("two runs differ")
 	}
-	if text(5) == text(6) {
+	if encoded(5) == encoded(6) {
 		t.Error("two seeds do not differ")
 	}
 }
 
-// broken is a module that does something wrong after its first so many steps.
-type broken struct {
+// faultyPolicy is a module that does something wrong after its first so many steps.
+type faultyPolicy struct {
 	emu.PolicyEngine
-	steps int
-	do    func(acts []policy.Action) []policy.Action
+	correctSteps int
+	corrupt      func(acts []policy.Action) []policy.Action
 }
 
-func (b *broken) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := b.PolicyEngine.Step(now, events)
-	if b.steps--; b.steps < 0 {
-		return b.do(acts)
+func (p *faultyPolicy) Step(now time.Duration, events []policy.Event) []policy.Action {
+	actions := p.PolicyEngine.Step(now, events)
+	if p.correctSteps--; p.correctSteps < 0 {
+		return p.corrupt(actions)
 	}
-	return acts
+	return actions
 }
 
-func spoilt(do func([]policy.Action) []policy.Action) emu.PolicyFactory {
-	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-		m, err := emu.DefaultPolicy(set, seed)
-		return &broken{m, 300, do}, err
+func faultyFactory(corrupt func([]policy.Action) []policy.Action) emu.PolicyFactory {
+	return func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		engine, err := emu.DefaultPolicy(settings, seed)
+		return &faultyPolicy{engine, 300, corrupt}, err
 	}
 }
 
-// answersWithdrawn fails each message that is withdrawn: in the step that hears of it, or one step later.
-type answersWithdrawn struct {
+// withdrawalAnswerer fails each message that is withdrawn: in the step that hears of it, or one step later.
+type withdrawalAnswerer struct {
 	emu.PolicyEngine
-	later    bool
+	delayed  bool
 	answered int
-	owed     []policy.Action
+	deferred []policy.Action
 }
 
-func (m *answersWithdrawn) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := append(m.PolicyEngine.Step(now, events), m.owed...)
-	m.owed = nil
+func (a *withdrawalAnswerer) Step(now time.Duration, events []policy.Event) []policy.Action {
+	actions := append(a.PolicyEngine.Step(now, events), a.deferred...)
+	a.deferred = nil
 	for _, e := range events {
-		w, ok := e.(policy.Withdrawn)
+		withdrawn, ok := e.(policy.Withdrawn)
 		if !ok {
 			continue
 		}
-		m.answered++
-		if fail := policy.Fail(w); m.later {
-			m.owed = append(m.owed, fail)
+		a.answered++
+		if answer := policy.Fail(withdrawn); a.delayed {
+			a.deferred = append(a.deferred, answer)
 		} else {
-			acts = append(acts, fail)
+			actions = append(actions, answer)
 		}
 	}
-	return acts
+	return actions
 }
 
 // A relay that stood still hears in one step that a call timed out and that its message is over: its answer crosses the second, and breaks no
 // rule. An answer in a later step does.
-func TestAnswerCrossesAWithdrawal(t *testing.T) {
-	for _, later := range []bool{false, true} {
-		d := day(t, "frozen-relay", 3)
-		d.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second, Relays: []int{0}}}
+func TestAnswerCrossingWithdrawal(t *testing.T) {
+	for _, delayed := range []bool{false, true} {
+		scenario := drawScenario(t, "frozen-relay", 3)
+		scenario.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second, Relays: []int{0}}}
 		answered := 0
-		var modules []*answersWithdrawn
-		res := play(t, d, emu.Options{NewPolicy: func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-			m, err := emu.DefaultPolicy(set, seed)
-			modules = append(modules, &answersWithdrawn{PolicyEngine: m, later: later})
-			return modules[len(modules)-1], err
+		var policies []*withdrawalAnswerer
+		result := run(t, scenario, emu.Options{NewPolicy: func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+			engine, err := emu.DefaultPolicy(settings, seed)
+			policies = append(policies, &withdrawalAnswerer{PolicyEngine: engine, delayed: delayed})
+			return policies[len(policies)-1], err
 		}})
-		for _, m := range modules {
-			answered += m.answered
+		for _, p := range policies {
+			answered += p.answered
 		}
 		if answered == 0 {
 			t.Fatal("no message was withdrawn")
 		}
-		if broke := len(res.Breaks) > 0; broke != later {
-			t.Errorf("one step later %t: %d answers, %v", later, answered, res.Breaks)
+		if violated := len(result.Breaks) > 0; violated != delayed {
+			t.Errorf("one step later %t: %d answers, %v", delayed, answered, result.Breaks)
 		}
 	}
 }
 
 // Modules that break a rule are found out, each by its rule.
-func TestFindsBrokenModules(t *testing.T) {
+func TestDetectsFaultyPolicies(t *testing.T) {
 	for name, c := range map[string]struct {
-		rule rules.Name
-		do   func([]policy.Action) []policy.Action
+		rule    rules.Name
+		corrupt func([]policy.Action) []policy.Action
 	}{
 		"forgets a message": {rules.Answer, func(acts []policy.Action) (out []policy.Action) {
 			for _, a := range acts {
@@ -186,39 +186,39 @@
 			return acts
 		}},
 	} {
-		res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(c.do)})
-		if res.Broken[c.rule] == 0 {
-			t.Errorf("%s: %v", name, res.Broken)
+		result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(c.corrupt)})
+		if result.Broken[c.rule] == 0 {
+			t.Errorf("%s: %v", name, result.Broken)
 		}
 	}
 }
 
 // A module that panics ends the life of its relay, is named, and ends neither the day nor another relay.
-func TestPanic(t *testing.T) {
-	res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(func([]policy.Action) []policy.Action { panic("spoilt") })})
-	if res.Passed() || !strings.Contains(res.Faults[0], "panics: spoilt") {
-		t.Errorf("faults %v", res.Faults)
+func TestPolicyPanic(t *testing.T) {
+	result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("spoilt") })})
+	if result.Passed() || !strings.Contains(result.Faults[0], "panics: spoilt") {
+		t.Errorf("faults %v", result.Faults)
 	}
-	if res.Delivered == 0 || res.Delivered+res.GivenUp+res.HandedBack+res.Lost != res.Requests {
-		t.Errorf("%d delivered of %d", res.Delivered, res.Requests)
+	if result.Delivered == 0 || result.Delivered+result.GivenUp+result.HandedBack+result.Lost != result.Requests {
+		t.Errorf("%d delivered of %d", result.Delivered, result.Requests)
 	}
 }
 
 // A day that runs out of events or of time says so and counts as no good one.
-func TestRunsOut(t *testing.T) {
-	if res := play(t, day(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(res.Faults) != 1 || !strings.Contains(res.Faults[0], "cut after 1000 events") {
-		t.Errorf("events: %v", res.Faults)
+func TestStopsAtLimits(t *testing.T) {
+	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 || !strings.Contains(result.Faults[0], "cut after 1000 events") {
+		t.Errorf("events: %v", result.Faults)
 	}
-	d := day(t, "cold-return", 1)
-	d.Tail = 0
-	if res := play(t, d, emu.Options{}); len(res.Faults) == 0 || !strings.Contains(res.Faults[0], "had no end") {
-		t.Errorf("time: %v", res.Faults)
+	scenario := drawScenario(t, "cold-return", 1)
+	scenario.Tail = 0
+	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 || !strings.Contains(result.Faults[0], "had no end") {
+		t.Errorf("time: %v", result.Faults)
 	}
 }
 
 // A figure that makes no day is named by its key.
-func TestNamesTheKey(t *testing.T) {
-	for key, spoil := range map[string]func(*emu.Scenario){
+func TestInvalidSettingNamesKey(t *testing.T) {
+	for key, corrupt := range map[string]func(*emu.Scenario){
 		"rate": func(d *emu.Scenario) { d.Rate = math.NaN() },
 		"tick": func(d *emu.Scenario) { d.Tick = 0 },
 		"dests: ": func(d *emu.Scenario) {
@@ -232,33 +232,33 @@
 		"troubles[0].parts":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}} },
 		"troubles[0].relays":       func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}} },
 	} {
-		d := day(t, "calm", 1)
-		spoil(d)
-		if _, err := emu.Run(d, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
+		scenario := drawScenario(t, "calm", 1)
+		corrupt(scenario)
+		if _, err := emu.Run(scenario, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
 }
 
-// BenchmarkDay is a busy day of the library.
-func BenchmarkDay(b *testing.B) {
-	d := day(b, "two-at-once", 1)
+// BenchmarkScenario is a busy day of the library.
+func BenchmarkScenario(b *testing.B) {
+	scenario := drawScenario(b, "two-at-once", 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		play(b, d, emu.Options{})
+		run(b, scenario, emu.Options{})
 	}
-	b.ReportMetric(d.Length.Seconds()*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
+	b.ReportMetric(scenario.Length.Seconds()*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
 }
 
 // A dead relay is dealt messages until the front notices, and none after.
-func TestFrontNotices(t *testing.T) {
-	d := day(t, "lost-relay", 2)
+func TestBalancerDetectsDeadRelay(t *testing.T) {
+	scenario := drawScenario(t, "lost-relay", 2)
 	unreached := map[time.Duration]int{}
-	for _, notice := range []time.Duration{0, 3 * time.Second, time.Hour} {
-		d.BalancerDetectionDelay = notice
-		res := play(t, d, emu.Options{})
-		if unreached[notice] = res.Unreached; !res.Passed() {
-			t.Error(res.Breaks, res.Faults)
+	for _, delay := range []time.Duration{0, 3 * time.Second, time.Hour} {
+		scenario.BalancerDetectionDelay = delay
+		result := run(t, scenario, emu.Options{})
+		if unreached[delay] = result.Unreached; !result.Passed() {
+			t.Error(result.Breaks, result.Faults)
 		}
 	}
 	// What was on its way as the relay died finds it dead also where that is noticed at once.
--- a/internal/lab/emu/engine.go
+++ b/internal/lab/emu/engine.go
@@ -20,22 +20,22 @@
 	run func()
 }
 
-func (d scheduledEvent) before(o scheduledEvent) bool {
-	return d.at < o.at || d.at == o.at && d.seq < o.seq
+func (e scheduledEvent) before(other scheduledEvent) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
 // schedule runs do at that time; a time that has passed is now.
-func (e *engine) schedule(at time.Duration, do func()) {
+func (e *engine) schedule(at time.Duration, run func()) {
 	e.lastSeq++
-	h := append(e.heap, scheduledEvent{max(at, e.now), e.lastSeq, do})
+	h := append(e.heap, scheduledEvent{max(at, e.now), e.lastSeq, run})
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !h[i].before(h[up]) {
+		parent := (i - 1) / 4
+		if !h[i].before(h[parent]) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 	e.heap = h
 }
@@ -53,17 +53,17 @@
 	h[n] = scheduledEvent{}
 	h = h[:n]
 	for i := 0; ; {
-		least := i
-		for c := 4*i + 1; c <= 4*i+4 && c < n; c++ {
-			if h[c].before(h[least]) {
-				least = c
+		smallest := i
+		for child := 4*i + 1; child <= 4*i+4 && child < n; child++ {
+			if h[child].before(h[smallest]) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		h[i], h[smallest] = h[smallest], h[i]
+		i = smallest
 	}
 	e.heap = h
 	e.now = first.at
@@ -74,32 +74,32 @@
 
 // newRand is a source for one purpose, so that what one part draws shifts nothing elsewhere: two arms of an experiment see
 // the same arrivals.
-func newRand(seed uint64, purpose string, of ...uint64) *rand.Rand {
-	h := seed*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019
+func newRand(seed uint64, purpose string, parts ...uint64) *rand.Rand {
+	hash := seed*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019
 	mix := func(v uint64) {
-		h ^= v
-		h *= 0xff51afd7ed558ccd
-		h ^= h >> 33
+		hash ^= v
+		hash *= 0xff51afd7ed558ccd
+		hash ^= hash >> 33
 	}
 	for _, b := range []byte(purpose) {
 		mix(uint64(b))
 	}
-	for _, v := range of {
+	for _, v := range parts {
 		mix(v + 1)
 	}
-	return rand.New(rand.NewPCG(h, seed))
+	return rand.New(rand.NewPCG(hash, seed))
 }
 
 // drawFactor draws a factor of mean 1 whose standard deviation is cv.
-func drawFactor(r *rand.Rand, cv float64, exp bool) float64 {
+func drawFactor(r *rand.Rand, cv float64, exponential bool) float64 {
 	switch {
-	case exp:
+	case exponential:
 		return r.ExpFloat64()
 	case cv <= 0:
 		return 1
 	}
-	v := math.Log(1 + cv*cv)
-	return math.Exp(r.NormFloat64()*math.Sqrt(v) - v/2)
+	variance := math.Log(1 + cv*cv)
+	return math.Exp(r.NormFloat64()*math.Sqrt(variance) - variance/2)
 }
 
 // scaleDuration is a share of a time.
--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -24,23 +24,23 @@
 )
 
 // Floors lists them: the whole day, each class that counts, each third.
-func (r *Result) Floors(d *Scenario) []Floor {
-	all := []Floor{{"whole day", r.Whole, minWholeShare}}
+func (r *Result) Floors(scenario *Scenario) []Floor {
+	floors := []Floor{{"whole day", r.Whole, minWholeShare}}
 	requests, asked := 0, 0.0
-	for _, t := range r.ByClass {
-		requests, asked = requests+t.Requests, asked+t.Asked
+	for _, tally := range r.ByClass {
+		requests, asked = requests+tally.Requests, asked+tally.Asked
 	}
-	for i, t := range r.ByClass {
-		if counts := float64(t.Requests) >= minClassShare*float64(requests) || t.Asked >= minClassShare*asked; counts || d.Classes[i].Effect == policy.Unsafe {
-			all = append(all, Floor{"class " + t.Name, shareOrOne(t.Served, t.Asked), minWholeShare})
+	for i, tally := range r.ByClass {
+		if counts := float64(tally.Requests) >= minClassShare*float64(requests) || tally.Asked >= minClassShare*asked; counts || scenario.Classes[i].Effect == policy.Unsafe {
+			floors = append(floors, Floor{"class " + tally.Name, shareOrOne(tally.Served, tally.Asked), minWholeShare})
 		}
 	}
 	for third := range 3 {
-		a, s := 0.0, 0.0
+		thirdAsked, thirdServed := 0.0, 0.0
 		for _, sec := range r.Seconds[third*len(r.Seconds)/3 : (third+1)*len(r.Seconds)/3] {
-			a, s = a+sec.Asked, s+sec.Served
+			thirdAsked, thirdServed = thirdAsked+sec.Asked, thirdServed+sec.Served
 		}
-		all = append(all, Floor{fmt.Sprintf("third %d", third+1), shareOrOne(s, a), minThirdShare})
+		floors = append(floors, Floor{fmt.Sprintf("third %d", third+1), shareOrOne(thirdServed, thirdAsked), minThirdShare})
 	}
-	return all
+	return floors
 }
--- a/internal/lab/emu/floors_test.go
+++ b/internal/lab/emu/floors_test.go
@@ -8,14 +8,14 @@
 
 // A neglected class or third shows however well the whole does; a class of which hardly any came counts only if it must not run twice.
 func TestFloors(t *testing.T) {
-	d := &Scenario{Classes: []Class{{Class: policy.Class{Name: "much"}}, {Class: policy.Class{Name: "few"}}, {Class: policy.Class{Name: "few charges", Effect: policy.Unsafe}}}}
-	r := &Result{Whole: 0.9, ByClass: []Tally{{Name: "much", Requests: 990, Asked: 990, Served: 980}, {Name: "few", Requests: 5, Asked: 5}, {Name: "few charges", Requests: 5, Asked: 5, Served: 2}},
+	scenario := &Scenario{Classes: []Class{{Class: policy.Class{Name: "much"}}, {Class: policy.Class{Name: "few"}}, {Class: policy.Class{Name: "few charges", Effect: policy.Unsafe}}}}
+	result := &Result{Whole: 0.9, ByClass: []Tally{{Name: "much", Requests: 990, Asked: 990, Served: 980}, {Name: "few", Requests: 5, Asked: 5}, {Name: "few charges", Requests: 5, Asked: 5, Served: 2}},
 		Seconds: []Second{{10, 9}, {10, 9}, {10, 2}, {10, 3}, {10, 9}, {10, 9}}}
 	want := map[string]bool{"whole day": false, "class much": false, "class few charges": true, "third 1": false, "third 2": true, "third 3": false}
-	got := r.Floors(d)
-	for _, f := range got {
-		if under, there := want[f.Name]; !there || f.Missed() != under {
-			t.Errorf("%+v, neglected %v", f, f.Missed())
+	got := result.Floors(scenario)
+	for _, floor := range got {
+		if missed, known := want[floor.Name]; !known || floor.Missed() != missed {
+			t.Errorf("%+v, neglected %v", floor, floor.Missed())
 		}
 	}
 	if len(got) != len(want) {
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -22,8 +22,8 @@
 }
 
 // newLimiter returns a limit of usual calls a second whose windows begin at window.
-func newLimiter(kind *Kind, usual float64, window time.Duration) *limiter {
-	return &limiter{kind: kind, nominalRate: usual, rateShare: 1, tokens: usual / 2, windowStart: window}
+func newLimiter(kind *Kind, nominalRate float64, windowStart time.Duration) *limiter {
+	return &limiter{kind: kind, nominalRate: nominalRate, rateShare: 1, tokens: nominalRate / 2, windowStart: windowStart}
 }
 
 // rate is the calls a second that are in force.
@@ -42,8 +42,8 @@
 		l.tokens = min(l.bucketSize(), l.tokens+l.rate()*(now-l.filledAt).Seconds())
 		l.filledAt = now
 	case WindowLimit:
-		if past := now - l.windowStart; past >= l.kind.Window {
-			l.windowStart, l.windowCalls = now-past%l.kind.Window, 0
+		if elapsed := now - l.windowStart; elapsed >= l.kind.Window {
+			l.windowStart, l.windowCalls = now-elapsed%l.kind.Window, 0
 		}
 	}
 }
@@ -62,11 +62,11 @@
 		}
 		return false
 	case WindowLimit:
-		taken := l.windowCalls+1 <= l.windowCapacity()
-		if taken || l.kind.CountsRejected {
+		admitted := l.windowCalls+1 <= l.windowCapacity()
+		if admitted || l.kind.CountsRejected {
 			l.windowCalls++
 		}
-		return taken
+		return admitted
 	}
 	return true
 }
@@ -98,4 +98,6 @@
 }
 
 // perturb draws a figure within reportError of v.
-func perturb(v float64, rng *rand.Rand) float64 { return v * (1 + maxReportError*(2*rng.Float64()-1)) }
+func perturb(value float64, rng *rand.Rand) float64 {
+	return value * (1 + maxReportError*(2*rng.Float64()-1))
+}
--- a/internal/lab/emu/notes.go
+++ b/internal/lab/emu/notes.go
@@ -20,188 +20,188 @@
 }
 
 // reaches tells whether a relay and a destination reach each other.
-func (b *networkState) reaches(relay, dest int) bool { return b.unreachable[[2]int{relay, dest}] == 0 }
+func (n *networkState) reaches(relay, dest int) bool { return n.unreachable[[2]int{relay, dest}] == 0 }
 
 // reaches tells whether a relay and an endpoint reach each other.
-func (w *simulation) reaches(r *relay, e *endpoint) bool {
-	if len(w.network.isolatedZones) > 0 {
-		if here := zoneName(w.scenario.ZoneOf(r.number)); here != e.zone && w.network.isolatedZones[here]+w.network.isolatedZones[e.zone] > 0 {
+func (sim *simulation) reaches(r *relay, e *endpoint) bool {
+	if len(sim.network.isolatedZones) > 0 {
+		if relayZone := zoneName(sim.scenario.ZoneOf(r.number)); relayZone != e.zone && sim.network.isolatedZones[relayZone]+sim.network.isolatedZones[e.zone] > 0 {
 			return false
 		}
 	}
-	return w.network.reaches(r.number, e.dest.number)
+	return sim.network.reaches(r.number, e.dest.number)
 }
 
 // delivers tells whether a note from one relay to another gets through.
-func (b *networkState) delivers(from, to int) bool {
-	for _, group := range b.partitions {
+func (n *networkState) delivers(from, to int) bool {
+	for _, group := range n.partitions {
 		if group[from] != group[to] {
 			return false
 		}
 	}
-	return b.noReceive[to] == 0 && b.noSend[from] == 0
+	return n.noReceive[to] == 0 && n.noSend[from] == 0
 }
 
 // ZoneOf is the zone of a relay: zones are dealt to them in turn, as they are to destinations.
-func (d *Scenario) ZoneOf(relay int) int { return relay % max(1, d.Zones) }
+func (s *Scenario) ZoneOf(relay int) int { return relay % max(1, s.Zones) }
 
 // RelaysOf are the relays that a trouble names, or those of its zone.
-func (d *Scenario) RelaysOf(t *Fault) (all []int) {
-	if t.Zone == "" || len(t.Relays) > 0 {
-		return t.Relays
+func (s *Scenario) RelaysOf(fault *Fault) (all []int) {
+	if fault.Zone == "" || len(fault.Relays) > 0 {
+		return fault.Relays
 	}
-	for n := range d.Relays {
-		if zoneName(d.ZoneOf(n)) == t.Zone {
-			all = append(all, n)
+	for relay := range s.Relays {
+		if zoneName(s.ZoneOf(relay)) == fault.Zone {
+			all = append(all, relay)
 		}
 	}
 	return all
 }
 
 // DestsOf are the destinations that a trouble of relays names, or all.
-func (d *Scenario) DestsOf(t *Fault) (all []int) {
-	if len(t.Dests) > 0 {
-		return t.Dests
+func (s *Scenario) DestsOf(fault *Fault) (all []int) {
+	if len(fault.Dests) > 0 {
+		return fault.Dests
 	}
-	for n := range d.Dests {
-		all = append(all, n)
+	for dest := range s.Dests {
+		all = append(all, dest)
 	}
 	return all
 }
 
 // scheduleNetworkFault sets the beginning and the end of a trouble between relays.
-func (w *simulation) scheduleNetworkFault(t *Fault) {
-	b, relays := &w.network, w.scenario.RelaysOf(t)
+func (sim *simulation) scheduleNetworkFault(fault *Fault) {
+	state, relays := &sim.network, sim.scenario.RelaysOf(fault)
 	during := func(begin, end func()) {
-		w.schedule(t.At, begin)
-		w.schedule(t.At+t.Duration, end)
+		sim.schedule(fault.At, begin)
+		sim.schedule(fault.At+fault.Duration, end)
 	}
-	count := func(m *map[int]int, by int) func() {
+	adjust := func(counts *map[int]int, delta int) func() {
 		return func() {
-			if *m == nil {
-				*m = map[int]int{}
+			if *counts == nil {
+				*counts = map[int]int{}
 			}
 			for _, n := range relays {
-				(*m)[n] += by
+				(*counts)[n] += delta
 			}
 		}
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case Partition, SitePartition:
-		if t.Kind == SitePartition {
+		if fault.Kind == SitePartition {
 			during(func() {
-				if b.isolatedZones == nil {
-					b.isolatedZones = map[string]int{}
+				if state.isolatedZones == nil {
+					state.isolatedZones = map[string]int{}
 				}
-				b.isolatedZones[t.Zone]++
+				state.isolatedZones[fault.Zone]++
 			}, func() {
-				if b.isolatedZones[t.Zone]--; b.isolatedZones[t.Zone] == 0 {
-					delete(b.isolatedZones, t.Zone)
+				if state.isolatedZones[fault.Zone]--; state.isolatedZones[fault.Zone] == 0 {
+					delete(state.isolatedZones, fault.Zone)
 				}
 			})
 		}
-		group := map[int]bool{}
+		members := map[int]bool{}
 		for _, n := range relays {
-			group[n] = true
+			members[n] = true
 		}
-		during(func() { b.partitions = append(b.partitions, group) }, func() {
-			for i := range b.partitions {
-				if fmt.Sprintf("%p", b.partitions[i]) == fmt.Sprintf("%p", group) {
-					b.partitions = append(b.partitions[:i:i], b.partitions[i+1:]...)
+		during(func() { state.partitions = append(state.partitions, members) }, func() {
+			for i := range state.partitions {
+				if fmt.Sprintf("%p", state.partitions[i]) == fmt.Sprintf("%p", members) {
+					state.partitions = append(state.partitions[:i:i], state.partitions[i+1:]...)
 					return
 				}
 			}
 		})
 	case DestinationPartition:
-		add := func(by int) func() {
+		add := func(delta int) func() {
 			return func() {
-				if b.unreachable == nil {
-					b.unreachable = map[[2]int]int{}
+				if state.unreachable == nil {
+					state.unreachable = map[[2]int]int{}
 				}
 				for _, n := range relays {
-					for _, d := range w.scenario.DestsOf(t) {
-						b.unreachable[[2]int{n, d}] += by
+					for _, d := range sim.scenario.DestsOf(fault) {
+						state.unreachable[[2]int{n, d}] += delta
 					}
 				}
 			}
 		}
 		during(add(1), add(-1))
 	case GossipReceiveLoss:
-		during(count(&b.noReceive, 1), count(&b.noReceive, -1))
+		during(adjust(&state.noReceive, 1), adjust(&state.noReceive, -1))
 	case GossipSendLoss:
-		during(count(&b.noSend, 1), count(&b.noSend, -1))
+		during(adjust(&state.noSend, 1), adjust(&state.noSend, -1))
 	case GossipLoss:
-		during(func() { b.lossShare += t.Intensity }, func() { b.lossShare -= t.Intensity })
+		during(func() { state.lossShare += fault.Intensity }, func() { state.lossShare -= fault.Intensity })
 	case GossipDelay:
-		during(func() { b.extraDelay += seconds(t.Intensity) }, func() { b.extraDelay -= seconds(t.Intensity) })
+		during(func() { state.extraDelay += seconds(fault.Intensity) }, func() { state.extraDelay -= seconds(fault.Intensity) })
 	case GossipDuplication:
-		during(func() { b.duplicateShare += t.Intensity }, func() { b.duplicateShare -= t.Intensity })
+		during(func() { state.duplicateShare += fault.Intensity }, func() { state.duplicateShare -= fault.Intensity })
 	}
 }
 
 // sendGossip takes a relay's notes to the others.
-func (r *relay) sendGossip(out []members.Datagram) {
-	w := r.sim
-	for _, o := range out {
-		other := w.relays[o.To]
-		if other.policy == nil || w.gossipRand.Float64() < w.scenario.GossipLoss || !w.network.delivers(r.number, o.To) ||
-			w.network.lossShare > 0 && w.gossipRand.Float64() < w.network.lossShare {
+func (r *relay) sendGossip(datagrams []members.Datagram) {
+	sim := r.sim
+	for _, datagram := range datagrams {
+		other := sim.relays[datagram.To]
+		if other.policy == nil || sim.gossipRand.Float64() < sim.scenario.GossipLoss || !sim.network.delivers(r.number, datagram.To) ||
+			sim.network.lossShare > 0 && sim.gossipRand.Float64() < sim.network.lossShare {
 			continue
 		}
-		times := 1
-		if w.network.duplicateShare > 0 && w.gossipRand.Float64() < w.network.duplicateShare {
-			times = 2
+		copies := 1
+		if sim.network.duplicateShare > 0 && sim.gossipRand.Float64() < sim.network.duplicateShare {
+			copies = 2
 		}
-		for range times {
-			w.result.NoteBytes += len(o.Payload)
-			late := 2*time.Millisecond + scaleDuration(29*time.Millisecond, w.gossipRand.Float64())
-			if w.network.extraDelay > 0 {
-				late += scaleDuration(w.network.extraDelay, w.gossipRand.Float64())
+		for range copies {
+			sim.result.NoteBytes += len(datagram.Payload)
+			delay := 2*time.Millisecond + scaleDuration(29*time.Millisecond, sim.gossipRand.Float64())
+			if sim.network.extraDelay > 0 {
+				delay += scaleDuration(sim.network.extraDelay, sim.gossipRand.Float64())
 			}
-			life := other.incarnation
-			w.scheduleAfter(late, func() { other.receiveGossip(r.number, life, o.Payload) })
+			incarnation := other.incarnation
+			sim.scheduleAfter(delay, func() { other.receiveGossip(r.number, incarnation, datagram.Payload) })
 		}
 	}
 }
 
 // receiveGossip takes a note, as soon as the relay moves.
-func (r *relay) receiveGossip(from, life int, note []byte) {
-	w := r.sim
-	if r.policy == nil || r.incarnation != life {
+func (r *relay) receiveGossip(from, incarnation int, payload []byte) {
+	sim := r.sim
+	if r.policy == nil || r.incarnation != incarnation {
 		return
 	}
-	if w.now < r.stalledUntil {
-		w.schedule(r.stalledUntil, func() { r.receiveGossip(from, life, note) })
+	if sim.now < r.stalledUntil {
+		sim.schedule(r.stalledUntil, func() { r.receiveGossip(from, incarnation, payload) })
 		return
 	}
-	out, _ := r.gossiper.Receive(w.now, from, note)
-	r.sendGossip(out)
+	replies, _ := r.gossiper.Receive(sim.now, from, payload)
+	r.sendGossip(replies)
 	r.recordMemberChanges()
 }
 
 // recordMemberChanges books what the relay has come to think of others.
 func (r *relay) recordMemberChanges() {
-	list := r.gossiper.Members()
-	if list == nil {
+	memberList := r.gossiper.Members()
+	if memberList == nil {
 		return
 	}
-	w := r.sim
-	for _, c := range list.Changes() {
-		w.result.Members = append(w.result.Members, MemberChange{w.now, r.number, c.Number, c.From.String(), c.To.String(), c.Incarnation, c.Reason})
+	sim := r.sim
+	for _, change := range memberList.Changes() {
+		sim.result.Members = append(sim.result.Members, MemberChange{sim.now, r.number, change.Number, change.From.String(), change.To.String(), change.Incarnation, change.Reason})
 	}
 }
 
 // membersAgree tells whether all relays that live know who does.
-func (w *simulation) membersAgree() bool {
-	if !w.scenario.Membership {
+func (sim *simulation) membersAgree() bool {
+	if !sim.scenario.Membership {
 		return true
 	}
-	for _, r := range w.relays {
-		if r.policy == nil || w.now < r.stalledUntil || r.gossiper.Members() == nil {
+	for _, r := range sim.relays {
+		if r.policy == nil || sim.now < r.stalledUntil || r.gossiper.Members() == nil {
 			continue
 		}
-		for _, o := range w.relays {
-			if s := r.gossiper.Members().State(o.number); o != r && (o.policy != nil && s != members.Alive || o.policy == nil && s < members.Dead) {
+		for _, other := range sim.relays {
+			if state := r.gossiper.Members().State(other.number); other != r && (other.policy != nil && state != members.Alive || other.policy == nil && state < members.Dead) {
 				return false
 			}
 		}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -19,11 +19,11 @@
 }
 
 // PolicyFactory makes the module of one life of a relay.
-type PolicyFactory func(set policy.Settings, seed int64) (PolicyEngine, error)
+type PolicyFactory func(settings policy.Settings, seed int64) (PolicyEngine, error)
 
 // DefaultPolicy is the module that relays have in service.
-func DefaultPolicy(set policy.Settings, seed int64) (PolicyEngine, error) {
-	return policy.New(set, seed)
+func DefaultPolicy(settings policy.Settings, seed int64) (PolicyEngine, error) {
+	return policy.New(settings, seed)
 }
 
 // relay is one relay at work.
@@ -91,8 +91,8 @@
 }
 
 // reportFor is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
-func (c *call) reportFor(out policy.Outcome) *policy.LimitReport {
-	switch out {
+func (c *call) reportFor(outcome policy.Outcome) *policy.LimitReport {
+	switch outcome {
 	case policy.Delivered, policy.Errored, policy.Rejected:
 		return c.limitReport
 	}
@@ -102,14 +102,14 @@
 // start starts a life of a relay.
 func (r *relay) start() {
 	r.incarnation++
-	set := r.sim.scenario.Settings()
-	set.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
-	mod, err := r.sim.newPolicy(set, int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+	settings := r.sim.scenario.Settings()
+	settings.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
+	policyEngine, err := r.sim.newPolicy(settings, int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if err != nil {
 		r.sim.recordError(fmt.Sprintf("relay %d does not start: %v", r.number, err))
 		return
 	}
-	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = mod, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
+	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = policyEngine, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
 	r.leavingEndpoints = map[int]policy.EndpointState{}
 	r.gossiper = peers.New(r.number, r.sim.gossipFleetSize(), int64(newRand(r.sim.scenario.Seed, "notes", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if r.reportedCallers = 0; r.sim.scenario.Membership {
@@ -137,18 +137,18 @@
 }
 
 // applyEndpointList gives list news to the module, and to whoever keeps the subsets.
-func (r *relay) applyEndpointList(news policy.EndpointListUpdate) {
-	r.gossiper.UpdateEndpoints(news)
+func (r *relay) applyEndpointList(update policy.EndpointListUpdate) {
+	r.gossiper.UpdateEndpoints(update)
 	if r.siteWatch != nil {
-		r.siteWatch.ApplyEndpointList(news)
+		r.siteWatch.ApplyEndpointList(update)
 	}
-	r.enqueue(news)
+	r.enqueue(update)
 }
 
 // wallClock is the time of day as a relay's clock has it: up to two seconds off.
-func (w *simulation) wallClock(relay int) time.Time {
-	skew := scaleDuration(4*time.Second, newRand(w.scenario.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
-	return time.UnixMilli(1_000_000_000_000).Add(w.now + skew)
+func (sim *simulation) wallClock(relay int) time.Time {
+	skew := scaleDuration(4*time.Second, newRand(sim.scenario.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
+	return time.UnixMilli(1_000_000_000_000).Add(sim.now + skew)
 }
 
 func (r *relay) listEntry(e *endpoint, state policy.EndpointState) policy.Endpoint {
@@ -157,29 +157,29 @@
 
 // scheduleGossip lets a relay tell others what it saw, again and again while it lives.
 func (r *relay) scheduleGossip(at time.Duration) {
-	w, life := r.sim, r.incarnation
-	w.schedule(max(at, w.now), func() {
-		if r.incarnation != life || r.policy == nil {
+	sim, incarnation := r.sim, r.incarnation
+	sim.schedule(max(at, sim.now), func() {
+		if r.incarnation != incarnation || r.policy == nil {
 			return
 		}
-		if w.now < r.stalledUntil {
+		if sim.now < r.stalledUntil {
 			r.scheduleGossip(r.stalledUntil)
 			return
 		}
-		out, turned := r.gossiper.Tick(w.now)
-		r.sendGossip(out)
+		datagrams, newWindow := r.gossiper.Tick(sim.now)
+		r.sendGossip(datagrams)
 		r.recordMemberChanges()
-		if turned {
-			news := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(w.now, w.wallClock(r.number)), Relays: r.gossiper.PossibleCallers(w.now)}
-			w.reportKeys.ResolveEndpoints(news.Routes)
+		if newWindow {
+			update := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(sim.now, sim.wallClock(r.number)), Relays: r.gossiper.PossibleCallers(sim.now)}
+			sim.reportKeys.ResolveEndpoints(update.Routes)
 			if r.siteWatch != nil {
-				r.siteWatch.ApplyFleetStats(w.now, news.Routes)
+				r.siteWatch.ApplyFleetStats(sim.now, update.Routes)
 			}
-			if len(news.Routes) > 0 || news.Relays != r.reportedCallers {
-				r.reportedCallers = news.Relays
-				r.enqueue(news)
+			if len(update.Routes) > 0 || update.Relays != r.reportedCallers {
+				r.reportedCallers = update.Relays
+				r.enqueue(update)
 			}
-			for _, s := range r.gossiper.ChangedSubsets(w.now) {
+			for _, s := range r.gossiper.ChangedSubsets(sim.now) {
 				r.enqueue(s)
 			}
 		}
@@ -192,19 +192,19 @@
 
 // scheduleSiteCheck lets a relay look at its sites, again and again while it lives.
 func (r *relay) scheduleSiteCheck(at time.Duration) {
-	w, life := r.sim, r.incarnation
-	w.schedule(max(at, w.now), func() {
-		if r.incarnation != life || r.policy == nil {
+	sim, incarnation := r.sim, r.incarnation
+	sim.schedule(max(at, sim.now), func() {
+		if r.incarnation != incarnation || r.policy == nil {
 			return
 		}
-		if w.now >= r.stalledUntil {
-			if list := r.gossiper.Members(); list != nil {
+		if sim.now >= r.stalledUntil {
+			if memberList := r.gossiper.Members(); memberList != nil {
 				relays, alive := map[string]int{}, map[string]int{}
-				for _, o := range w.relays {
-					if o != r {
-						z := zoneName(w.scenario.ZoneOf(o.number))
-						if relays[z]++; list.State(o.number) < members.Dead {
-							alive[z]++
+				for _, other := range sim.relays {
+					if other != r {
+						zone := zoneName(sim.scenario.ZoneOf(other.number))
+						if relays[zone]++; memberList.State(other.number) < members.Dead {
+							alive[zone]++
 						}
 					}
 				}
@@ -213,42 +213,42 @@
 				}
 			}
 			r.exchangeSiteReports()
-			r.siteWatch.Tick(w.now)
+			r.siteWatch.Tick(sim.now)
 			if changes := r.siteWatch.Changes(); len(changes) > 0 {
 				for _, c := range changes {
-					w.result.Sites = append(w.result.Sites, SiteChange{w.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
+					sim.result.Sites = append(sim.result.Sites, SiteChange{sim.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
 					r.enqueue(c.PolicyUpdate(r.siteWatch))
 				}
 			}
 		}
-		r.scheduleSiteCheck(max(w.now+siteCheckInterval, r.stalledUntil))
+		r.scheduleSiteCheck(max(sim.now+siteCheckInterval, r.stalledUntil))
 	})
 }
 
 // exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
 func (r *relay) exchangeSiteReports() {
-	type said struct {
+	type zoneReports struct {
 		lost   int
 		levels []float64
 	}
-	all := make([]said, max(1, r.sim.scenario.Zones))
-	r.gossiper.EachSiteReport(r.sim.now, func(one peers.SiteReport) {
-		if one.Zone >= len(all) {
+	reports := make([]zoneReports, max(1, r.sim.scenario.Zones))
+	r.gossiper.EachSiteReport(r.sim.now, func(report peers.SiteReport) {
+		if report.Zone >= len(reports) {
 			return
-		} else if one.LoadFraction == 0 {
-			all[one.Zone].lost++
+		} else if report.LoadFraction == 0 {
+			reports[report.Zone].lost++
 		} else {
-			all[one.Zone].levels = append(all[one.Zone].levels, one.LoadFraction)
+			reports[report.Zone].levels = append(reports[report.Zone].levels, report.LoadFraction)
 		}
 	})
-	var mine []peers.SiteReport
-	for z, s := range all {
+	var own []peers.SiteReport
+	for z, s := range reports {
 		r.siteWatch.SetPeerReports(zoneName(z), s.lost, s.levels)
 		if level, ok := r.siteWatch.OwnReport(zoneName(z)); ok {
-			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
+			own = append(own, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	r.gossiper.SetSiteReports(mine)
+	r.gossiper.SetSiteReports(own)
 }
 
 // zoneName is the name of a zone of relays.
@@ -259,26 +259,26 @@
 	if r.policy == nil {
 		return
 	}
-	w := r.sim
-	w.log(rules.Event{Kind: rules.RelayDied, Relay: r.number})
-	r.policy, r.diedAt = nil, w.now
-	for id := uint32(0); len(r.pending) > 0 && id <= w.lastMessageID; id++ { // in order of their numbers, for the same result each time
-		m := r.pending[id]
-		if m == nil {
+	sim := r.sim
+	sim.log(rules.Event{Kind: rules.RelayDied, Relay: r.number})
+	r.policy, r.diedAt = nil, sim.now
+	for id := uint32(0); len(r.pending) > 0 && id <= sim.lastMessageID; id++ { // in order of their numbers, for the same result each time
+		msg := r.pending[id]
+		if msg == nil {
 			continue
 		}
 		delete(r.pending, id)
-		m.completed = true
-		if m.inFlight != nil {
-			m.mayHaveRun = true
+		msg.completed = true
+		if msg.inFlight != nil {
+			msg.mayHaveRun = true
 		}
-		if !m.mayHaveRun || m.request.class.Effect != policy.Unsafe {
-			w.scheduleAfter(scaleDuration(w.scenario.ResubmitDelay, 0.8+0.4*w.clientRand.Float64()), func() { w.submit(m.request) })
+		if !msg.mayHaveRun || msg.request.class.Effect != policy.Unsafe {
+			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()), func() { sim.submit(msg.request) })
 		} else {
-			w.complete(m.request, completedFailed)
+			sim.complete(msg.request, completedFailed)
 		}
 	}
-	for _, d := range w.dests {
+	for _, d := range sim.dests {
 		delete(d.failureSeenBy, r.number)
 		for _, e := range d.endpoints {
 			e.openConns -= len(r.idleConns[e])
@@ -287,17 +287,17 @@
 }
 
 // enqueue puts an event into a relay's next step.
-func (r *relay) enqueue(ev policy.Event) {
-	r.inbox = append(r.inbox, ev)
+func (r *relay) enqueue(event policy.Event) {
+	r.inbox = append(r.inbox, event)
 	if r.stepDue {
 		return
 	}
 	r.stepDue = true
-	life := r.incarnation
+	incarnation := r.incarnation
 	tick := r.sim.scenario.Tick
 	at := max((r.sim.now+tick-1)/tick*tick, r.stalledUntil)
 	r.sim.schedule(at, func() {
-		if r.incarnation == life && r.policy != nil {
+		if r.incarnation == incarnation && r.policy != nil {
 			r.step()
 		}
 	})
@@ -307,23 +307,23 @@
 func (r *relay) step() {
 	events := r.inbox
 	r.inbox, r.stepDue = nil, false
-	acts, ok := r.runPolicy(events)
+	actions, ok := r.runPolicy(events)
 	if !ok {
 		r.stop()
-		life := r.incarnation
+		incarnation := r.incarnation
 		r.sim.scheduleAfter(time.Second, func() {
-			if r.incarnation == life && r.policy == nil {
+			if r.incarnation == incarnation && r.policy == nil {
 				r.start()
 			}
 		})
 		return
 	}
 	r.sim.result.Steps++
-	var open []*call // of this step, to which further sends may join
-	for _, a := range acts {
+	var openCalls []*call // of this step, to which further sends may join
+	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Send:
-			open = r.planSend(a, open)
+			openCalls = r.planSend(a, openCalls)
 		case policy.Refuse:
 			if !withdrawnIn(events, a.ID) {
 				r.finalAnswer(a.ID, rules.Returned, a.RetryAfter)
@@ -334,9 +334,9 @@
 			}
 		case policy.SetTimer:
 			r.timerID++
-			wake, life := r.timerID, r.incarnation
+			timerID, incarnation := r.timerID, r.incarnation
 			r.sim.scheduleAfter(max(a.Delay, r.sim.scenario.Tick), func() {
-				if r.timerID == wake && r.incarnation == life && r.policy != nil {
+				if r.timerID == timerID && r.incarnation == incarnation && r.policy != nil {
 					r.enqueue(policy.TimerFired{})
 				}
 			})
@@ -351,7 +351,7 @@
 			r.sim.result.Notes++
 		}
 	}
-	for _, c := range open {
+	for _, c := range openCalls {
 		r.sim.sendCall(c)
 	}
 }
@@ -362,167 +362,167 @@
 	return slices.Contains(events, policy.Event(policy.Withdrawn{ID: id}))
 }
 
-func (r *relay) runPolicy(events []policy.Event) (acts []policy.Action, ok bool) {
+func (r *relay) runPolicy(events []policy.Event) (actions []policy.Action, ok bool) {
 	defer func() {
-		if p := recover(); p != nil {
-			r.sim.recordError(fmt.Sprintf("%v: the module of relay %d panics: %v", r.sim.now, r.number, p))
-			acts, ok = nil, false
+		if recovered := recover(); recovered != nil {
+			r.sim.recordError(fmt.Sprintf("%v: the module of relay %d panics: %v", r.sim.now, r.number, recovered))
+			actions, ok = nil, false
 		}
 	}()
 	return r.policy.Step(r.sim.now, events), true
 }
 
 // planSend takes one Send of a step up: into a call that is open, into a new one, or back at once if it can't go out.
-func (r *relay) planSend(a policy.Send, open []*call) []*call {
-	w, m, e := r.sim, r.pending[a.ID], r.sim.byAddress[a.Endpoint]
-	if m == nil || e == nil {
-		w.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", w.now, r.number, a.ID, a.Endpoint))
-		return open
+func (r *relay) planSend(send policy.Send, openCalls []*call) []*call {
+	sim, msg, e := r.sim, r.pending[send.ID], r.sim.byAddress[send.Endpoint]
+	if msg == nil || e == nil {
+		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", sim.now, r.number, send.ID, send.Endpoint))
+		return openCalls
 	}
-	m.attempts++
-	it := callItem{message: m, attempt: m.attempts - 1, timeout: a.Timeout}
-	if it.timeout <= 0 || w.now+it.timeout > m.request.deadline {
-		it.timeout = m.request.deadline - w.now
+	msg.attempts++
+	item := callItem{message: msg, attempt: msg.attempts - 1, timeout: send.Timeout}
+	if item.timeout <= 0 || sim.now+item.timeout > msg.request.deadline {
+		item.timeout = msg.request.deadline - sim.now
 	}
 	var c *call
-	for _, o := range open {
-		if o.endpoint == e && len(o.items) < e.dest.kind.MaxBatch {
-			c = o
+	for _, other := range openCalls {
+		if other.endpoint == e && len(other.items) < e.dest.kind.MaxBatch {
+			c = other
 		}
 	}
-	fresh := c == nil
-	if fresh {
-		w.lastCallID++
-		c = &call{id: w.lastCallID, relay: r, relayIncarnation: r.incarnation, endpoint: e, sentAt: w.now}
+	newCall := c == nil
+	if newCall {
+		sim.lastCallID++
+		c = &call{id: sim.lastCallID, relay: r, relayIncarnation: r.incarnation, endpoint: e, sentAt: sim.now}
 	}
-	moot := fresh && r.inFlight >= w.scenario.MaxConcurrentCalls || m.completed || m.inFlight != nil || m.attempts > w.scenario.MaxAttempts
-	line := rules.Event{Kind: rules.Sent, Relay: r.number, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.number, Endpoint: e.number, Route: e.routeNumber()}
-	if moot {
-		line.Call = 0 // no call: nothing is out
+	unsendable := newCall && r.inFlight >= sim.scenario.MaxConcurrentCalls || msg.completed || msg.inFlight != nil || msg.attempts > sim.scenario.MaxAttempts
+	event := rules.Event{Kind: rules.Sent, Relay: r.number, Msg: msg.id, Attempt: item.attempt, Call: c.id, Dest: e.dest.number, Endpoint: e.number, Route: e.routeNumber()}
+	if unsendable {
+		event.Call = 0 // no call: nothing is out
 	}
-	if w.log(line); moot {
-		w.attemptEnded(c, &it, policy.Unsent, 0)
-		return open
+	if sim.log(event); unsendable {
+		sim.attemptEnded(c, &item, policy.Unsent, 0)
+		return openCalls
 	}
-	if fresh {
+	if newCall {
 		r.inFlight++
-		open = append(open, c)
+		openCalls = append(openCalls, c)
 	}
-	c.items = append(c.items, it)
+	c.items = append(c.items, item)
 	c.openItems++
-	m.request.attempts++
-	return open
+	msg.request.attempts++
+	return openCalls
 }
 
 // sendCall sends a call off: over a connection that is idle, or over a new one.
-func (w *simulation) sendCall(c *call) {
+func (sim *simulation) sendCall(c *call) {
 	r, e := c.relay, c.endpoint
-	w.result.Calls++
+	sim.result.Calls++
 	if e.dest.activeOutages > 0 || e.dest.overloaded {
-		w.result.Probes++
+		sim.result.Probes++
 	}
-	w.result.Dests[e.dest.number].Calls++
+	sim.result.Dests[e.dest.number].Calls++
 	for i := range c.items {
-		it := &c.items[i]
-		it.message.inFlight = it
-		w.scheduleAfter(it.timeout, func() {
-			if !it.ended {
+		item := &c.items[i]
+		item.message.inFlight = item
+		sim.scheduleAfter(item.timeout, func() {
+			if !item.ended {
 				if c.abandoned = true; r.siteWatch != nil && r.incarnation == c.relayIncarnation && r.policy != nil {
-					r.siteWatch.RecordCall(w.now, c.sentAt, e.address, sites.NoResponse)
+					r.siteWatch.RecordCall(sim.now, c.sentAt, e.address, sites.NoResponse)
 				}
-				w.attemptEnded(c, it, policy.TimedOut, 0)
+				sim.attemptEnded(c, item, policy.TimedOut, 0)
 			}
 		})
 	}
-	way := w.drawDelay(w.scenario.RTT / 2)
+	delay := sim.drawDelay(sim.scenario.RTT / 2)
 	for n := len(r.idleConns[e]); n > 0; n = len(r.idleConns[e]) {
-		k := r.idleConns[e][n-1]
+		idle := r.idleConns[e][n-1]
 		r.idleConns[e] = r.idleConns[e][:n-1]
-		if w.now-k.lastUsed >= w.scenario.IdleTimeout || k.incarnation != e.incarnation && e.health != unresponsive {
-			if k.incarnation == e.incarnation {
+		if sim.now-idle.lastUsed >= sim.scenario.IdleTimeout || idle.incarnation != e.incarnation && e.health != unresponsive {
+			if idle.incarnation == e.incarnation {
 				e.openConns--
 			}
 			continue // it shows as closed
 		}
-		c.conn, c.endpointIncarnation = k, k.incarnation
-		if w.reaches(r, e) { // else it is not answered
-			w.scheduleAfter(way, func() { w.callArrived(c) })
+		c.conn, c.endpointIncarnation = idle, idle.incarnation
+		if sim.reaches(r, e) { // else it is not answered
+			sim.scheduleAfter(delay, func() { sim.callArrived(c) })
 		}
 		return
 	}
-	w.result.Connections++
+	sim.result.Connections++
 	c.endpointIncarnation = e.incarnation
-	full := e.spec.MaxConns > 0 && e.openConns >= e.spec.MaxConns
+	atConnLimit := e.spec.MaxConns > 0 && e.openConns >= e.spec.MaxConns
 	switch {
-	case e.removed || e.health == crashed || full:
-		w.scheduleAfter(2*way, func() { w.completeCall(c, policy.ConnectFailed, 0) })
-	case e.health == unresponsive || !w.reaches(r, e):
-		w.scheduleAfter(w.scenario.ConnectTimeout, func() { w.completeCall(c, policy.ConnectFailed, 0) })
+	case e.removed || e.health == crashed || atConnLimit:
+		sim.scheduleAfter(2*delay, func() { sim.completeCall(c, policy.ConnectFailed, 0) })
+	case e.health == unresponsive || !sim.reaches(r, e):
+		sim.scheduleAfter(sim.scenario.ConnectTimeout, func() { sim.completeCall(c, policy.ConnectFailed, 0) })
 	default:
 		e.openConns++
 		c.conn = &conn{incarnation: e.incarnation}
-		w.scheduleAfter(way+scaleDuration(w.scenario.RTT, w.scenario.HandshakeRTTs), func() { w.callArrived(c) })
+		sim.scheduleAfter(delay+scaleDuration(sim.scenario.RTT, sim.scenario.HandshakeRTTs), func() { sim.callArrived(c) })
 	}
 }
 
 // sendAnswer is what an endpoint has to say of a call; it takes its way back.
-func (w *simulation) sendAnswer(c *call, out policy.Outcome, wait time.Duration) {
+func (sim *simulation) sendAnswer(c *call, outcome policy.Outcome, retryAfter time.Duration) {
 	if c.answered {
 		return
 	}
 	c.answered = true
-	sent := w.now
-	w.scheduleAfter(w.drawDelay(w.scenario.RTT/2), func() {
-		if !w.reaches(c.relay, c.endpoint) {
+	sentAt := sim.now
+	sim.scheduleAfter(sim.drawDelay(sim.scenario.RTT/2), func() {
+		if !sim.reaches(c.relay, c.endpoint) {
 			return // it has run, and its relay hears nothing of it
 		}
-		if wait > 0 { // it runs from when it was told
-			wait = max(wait-(w.now-sent), time.Millisecond)
+		if retryAfter > 0 { // it runs from when it was told
+			retryAfter = max(retryAfter-(sim.now-sentAt), time.Millisecond)
 		}
-		w.completeCall(c, out, wait)
+		sim.completeCall(c, outcome, retryAfter)
 	})
 }
 
 // completeCall ends what is still out of a call.
-func (w *simulation) completeCall(c *call, out policy.Outcome, wait time.Duration) {
+func (sim *simulation) completeCall(c *call, outcome policy.Outcome, retryAfter time.Duration) {
 	r, e := c.relay, c.endpoint
 	c.answered = true
 	if r.incarnation == c.relayIncarnation && r.policy != nil {
-		target := w.reportKeys.Key(e.address, e.dest.number)
-		r.gossiper.RecordRetryAfter(w.now, target, wait)
+		reportKey := sim.reportKeys.Key(e.address, e.dest.number)
+		r.gossiper.RecordRetryAfter(sim.now, reportKey, retryAfter)
 		if r.siteWatch != nil {
-			how := siteOutcome(out)
-			if out == policy.ConnectFailed && w.now-c.sentAt >= w.scenario.ConnectTimeout {
-				how = sites.NoResponse
+			siteResult := siteOutcome(outcome)
+			if outcome == policy.ConnectFailed && sim.now-c.sentAt >= sim.scenario.ConnectTimeout {
+				siteResult = sites.NoResponse
 			}
-			r.siteWatch.RecordCall(w.now, c.sentAt, e.address, how)
+			r.siteWatch.RecordCall(sim.now, c.sentAt, e.address, siteResult)
 		}
-		switch out {
+		switch outcome {
 		case policy.Delivered, policy.Errored:
-			r.gossiper.RecordCall(target, peers.Accepted)
+			r.gossiper.RecordCall(reportKey, peers.Accepted)
 		case policy.Rejected:
-			r.gossiper.RecordCall(target, peers.Rejected)
+			r.gossiper.RecordCall(reportKey, peers.Rejected)
 		default:
-			r.gossiper.RecordCall(target, peers.Failed)
+			r.gossiper.RecordCall(reportKey, peers.Failed)
 		}
 	}
-	if k := c.conn; k != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil && out != policy.ConnectionLost && out != policy.ConnectFailed {
-		k.lastUsed = w.now
-		r.idleConns[e] = append(r.idleConns[e], k)
-	} else if k != nil && k.incarnation == e.incarnation {
+	if used := c.conn; used != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil && outcome != policy.ConnectionLost && outcome != policy.ConnectFailed {
+		used.lastUsed = sim.now
+		r.idleConns[e] = append(r.idleConns[e], used)
+	} else if used != nil && used.incarnation == e.incarnation {
 		e.openConns--
 	}
 	c.conn = nil
 	for i := range c.items {
-		if it := &c.items[i]; !it.ended {
-			w.attemptEnded(c, it, out, wait)
+		if item := &c.items[i]; !item.ended {
+			sim.attemptEnded(c, item, outcome, retryAfter)
 		}
 	}
 }
 
 // siteOutcome is what the end of a call says of the site of its endpoint.
-func siteOutcome(out policy.Outcome) sites.CallOutcome {
-	switch out {
+func siteOutcome(outcome policy.Outcome) sites.CallOutcome {
+	switch outcome {
 	case policy.Delivered, policy.Errored:
 		return sites.Accepted
 	case policy.Rejected:
@@ -534,13 +534,13 @@
 }
 
 // attemptEnded tells a relay how an attempt ended.
-func (w *simulation) attemptEnded(c *call, it *callItem, out policy.Outcome, wait time.Duration) {
-	r, m, e := c.relay, it.message, c.endpoint
-	it.ended = true
+func (sim *simulation) attemptEnded(c *call, item *callItem, outcome policy.Outcome, retryAfter time.Duration) {
+	r, msg, e := c.relay, item.message, c.endpoint
+	item.ended = true
 	if r.incarnation != c.relayIncarnation || r.policy == nil {
 		return
 	}
-	if out != policy.Unsent {
+	if outcome != policy.Unsent {
 		if c.openItems--; c.openItems == 0 {
 			r.inFlight--
 			if c.abandoned && c.conn != nil && c.conn.incarnation == e.incarnation {
@@ -549,40 +549,40 @@
 			}
 		}
 	}
-	if m.inFlight == it {
-		m.inFlight = nil
+	if msg.inFlight == item {
+		msg.inFlight = nil
 	}
-	proved := out == policy.Rejected || out == policy.ConnectFailed || out == policy.RequestIncomplete || out == policy.Unsent
-	if !proved {
-		m.mayHaveRun = true
+	notRun := outcome == policy.Rejected || outcome == policy.ConnectFailed || outcome == policy.RequestIncomplete || outcome == policy.Unsent
+	if !notRun {
+		msg.mayHaveRun = true
 	}
-	ok := out == policy.Delivered
-	if ok && !m.completed {
-		m.completed = true
-		w.result.Relays[r.number].Served += m.request.class.valueAfter(w.now - m.request.submittedAt)
-		delete(r.pending, m.id)
-		w.complete(m.request, completedDelivered)
+	delivered := outcome == policy.Delivered
+	if delivered && !msg.completed {
+		msg.completed = true
+		sim.result.Relays[r.number].Served += msg.request.class.valueAfter(sim.now - msg.request.submittedAt)
+		delete(r.pending, msg.id)
+		sim.complete(msg.request, completedDelivered)
 	}
-	if !ok && out != policy.Unsent && (e.dest.activeOutages > 0 || e.dest.overloaded) {
+	if !delivered && outcome != policy.Unsent && (e.dest.activeOutages > 0 || e.dest.overloaded) {
 		e.dest.failureSeenBy[r.number] = true
 	}
-	w.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.number, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.number, NotRun: proved, Delivered: ok, RetryAfter: wait, Route: e.routeNumber()})
-	r.enqueue(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.completed, RetryAfter: wait, Report: c.reportFor(out)})
+	sim.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.number, Msg: msg.id, Attempt: item.attempt, Call: c.id, Dest: e.dest.number, NotRun: notRun, Delivered: delivered, RetryAfter: retryAfter, Route: e.routeNumber()})
+	r.enqueue(policy.AttemptEnded{ID: msg.id, Attempt: item.attempt, Endpoint: e.address, Outcome: outcome, Duration: sim.now - c.sentAt, Final: msg.completed, RetryAfter: retryAfter, Report: c.reportFor(outcome)})
 }
 
 // finalAnswer is a relay's last word on a message.
-func (r *relay) finalAnswer(id uint32, kind rules.Kind, advice time.Duration) {
-	w, m := r.sim, r.pending[id]
-	w.log(rules.Event{Kind: kind, Relay: r.number, Msg: id})
-	if m == nil || m.completed {
+func (r *relay) finalAnswer(id uint32, kind rules.Kind, retryAfter time.Duration) {
+	sim, msg := r.sim, r.pending[id]
+	sim.log(rules.Event{Kind: kind, Relay: r.number, Msg: id})
+	if msg == nil || msg.completed {
 		return
 	}
-	m.completed = true
+	msg.completed = true
 	delete(r.pending, id)
 	if kind == rules.Failed {
-		w.complete(m.request, completedFailed)
+		sim.complete(msg.request, completedFailed)
 		return
 	}
-	w.result.Refusals++
-	w.retryOrReturn(m.request, advice)
+	sim.result.Refusals++
+	sim.retryOrReturn(msg.request, retryAfter)
 }
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -85,8 +85,8 @@
 // jainIndex is Jain's index of fairness: 1 where all have the same, 1/n where one has all.
 func jainIndex(shares []float64) float64 {
 	sum, squares := 0.0, 0.0
-	for _, x := range shares {
-		sum, squares = sum+x, squares+x*x
+	for _, share := range shares {
+		sum, squares = sum+share, squares+share*share
 	}
 	if squares == 0 {
 		return 1
@@ -94,59 +94,59 @@
 	return sum * sum / (float64(len(shares)) * squares)
 }
 
-func newResult(d *Scenario) *Result {
-	r := &Result{Day: d.Name, Seed: d.Seed, Seconds: make([]Second, int(d.Length/time.Second)+1), Dests: make([]DestTally, len(d.Dests)), Relays: make([]RelayTally, d.Relays),
+func newResult(scenario *Scenario) *Result {
+	result := &Result{Day: scenario.Name, Seed: scenario.Seed, Seconds: make([]Second, int(scenario.Length/time.Second)+1), Dests: make([]DestTally, len(scenario.Dests)), Relays: make([]RelayTally, scenario.Relays),
 		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
-	for _, c := range d.Classes {
-		r.ByClass = append(r.ByClass, Tally{Name: c.Name})
+	for _, class := range scenario.Classes {
+		result.ByClass = append(result.ByClass, Tally{Name: class.Name})
 	}
-	return r
+	return result
 }
 
-func (r *Result) recordRequest(w *simulation, q *request) {
-	worth := q.class.Value
-	r.Seconds[int(q.submittedAt/time.Second)].Asked += worth
-	if t := &r.ByClass[q.classIndex]; q.submittedAt >= w.scenario.TallyFrom {
-		t.Requests++
-		t.Asked += worth
+func (r *Result) recordRequest(sim *simulation, req *request) {
+	value := req.class.Value
+	r.Seconds[int(req.submittedAt/time.Second)].Asked += value
+	if tally := &r.ByClass[req.classIndex]; req.submittedAt >= sim.scenario.TallyFrom {
+		tally.Requests++
+		tally.Asked += value
 	}
-	r.Dests[q.dest.number].Requests++
-	r.Dests[q.dest.number].Asked += worth
-	r.Asked += q.workSeconds
+	r.Dests[req.dest.number].Requests++
+	r.Dests[req.dest.number].Asked += value
+	r.Asked += req.workSeconds
 }
 
-func (r *Result) recordCompletion(w *simulation, q *request, how completion) {
-	t, after := &r.ByClass[q.classIndex], w.now-q.submittedAt
-	if q.submittedAt < w.scenario.TallyFrom {
-		t = &Tally{}
+func (r *Result) recordCompletion(sim *simulation, req *request, outcome completion) {
+	tally, latency := &r.ByClass[req.classIndex], sim.now-req.submittedAt
+	if req.submittedAt < sim.scenario.TallyFrom {
+		tally = &Tally{}
 	}
-	switch how {
+	switch outcome {
 	case completedDelivered:
-		worth := q.class.valueAfter(after)
-		r.Seconds[int(q.submittedAt/time.Second)].Served += worth
-		t.Served += worth
-		t.Delivered++
+		value := req.class.valueAfter(latency)
+		r.Seconds[int(req.submittedAt/time.Second)].Served += value
+		tally.Served += value
+		tally.Delivered++
 		r.Delivered++
-		if after <= q.class.TargetLatency {
-			t.InAim++
+		if latency <= req.class.TargetLatency {
+			tally.InAim++
 			r.InAim++
 		}
-		r.Useful += q.workSeconds
-		r.Dests[q.dest.number].Delivered++
-		r.Dests[q.dest.number].Served += worth
-		r.Latency.RecordValue(int64(after / time.Microsecond))
+		r.Useful += req.workSeconds
+		r.Dests[req.dest.number].Delivered++
+		r.Dests[req.dest.number].Served += value
+		r.Latency.RecordValue(int64(latency / time.Microsecond))
 		return
 	case completedFailed:
 		r.GivenUp++
-		t.GivenUp++
+		tally.GivenUp++
 	case completedReturned:
 		r.HandedBack++
-		t.Refused++
+		tally.Refused++
 	case completedLost:
 		r.Lost++
 	}
-	if after > q.class.TargetLatency {
-		r.lateFailureValue += q.class.Value
+	if latency > req.class.TargetLatency {
+		r.lateFailureValue += req.class.Value
 	}
 }
 
@@ -155,42 +155,42 @@
 
 // finish works out the figures of the whole day and holds the two accounts against each other: the log of the rules and the
 // world's own. Where they disagree the laboratory is at fault, and says so.
-func (r *Result) finish(w *simulation) {
-	r.Events = w.processed
-	r.Broken, r.Breaks = w.checker.Counts, w.checker.Violations
+func (r *Result) finish(sim *simulation) {
+	r.Events = sim.processed
+	r.Broken, r.Breaks = sim.checker.Counts, sim.checker.Violations
 	asked, served := 0.0, 0.0
-	for _, s := range r.Seconds {
-		asked += s.Asked
-		served += s.Served
+	for _, second := range r.Seconds {
+		asked += second.Asked
+		served += second.Served
 	}
 	r.Whole, r.WorstWindow, r.WorstClass = shareOrOne(served, asked), 1, 1
 	for i := 0; i+worstWindowSeconds < len(r.Seconds) || i == 0; i++ {
-		a, s := 0.0, 0.0
-		for _, sec := range r.Seconds[i:min(i+worstWindowSeconds, len(r.Seconds))] {
-			a += sec.Asked
-			s += sec.Served
+		windowAsked, windowServed := 0.0, 0.0
+		for _, second := range r.Seconds[i:min(i+worstWindowSeconds, len(r.Seconds))] {
+			windowAsked += second.Asked
+			windowServed += second.Served
 		}
-		r.WorstWindow = min(r.WorstWindow, shareOrOne(s, a))
+		r.WorstWindow = min(r.WorstWindow, shareOrOne(windowServed, windowAsked))
 	}
-	for _, t := range r.ByClass {
-		r.WorstClass = min(r.WorstClass, shareOrOne(t.Served, t.Asked))
+	for _, tally := range r.ByClass {
+		r.WorstClass = min(r.WorstClass, shareOrOne(tally.Served, tally.Asked))
 	}
 	var relays, dests []float64
-	for _, t := range r.Relays {
-		if t.Asked > 0 {
-			relays = append(relays, t.Served/t.Asked)
+	for _, tally := range r.Relays {
+		if tally.Asked > 0 {
+			relays = append(relays, tally.Served/tally.Asked)
 		}
 	}
-	for _, t := range r.Dests {
-		if t.Asked > 0 {
-			dests = append(dests, t.Served/t.Asked)
+	for _, tally := range r.Dests {
+		if tally.Asked > 0 {
+			dests = append(dests, tally.Served/tally.Asked)
 		}
 	}
 	r.FairRelays, r.FairDests = jainIndex(relays), jainIndex(dests)
-	n, p := float64(max(1, r.Requests)), w.scenario.Penalties
-	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
-		p.Handshake*float64(r.Connections)/n - p.LateFailure*shareOrZero(r.lateFailureValue, asked) - p.RejectedCall*float64(r.RefusedCalls)/n - p.Gossip*float64(r.NoteBytes)/256/n
-	if lost := r.Broken[rules.Answer]; (lost > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
+	requests, penalties := float64(max(1, r.Requests)), sim.scenario.Penalties
+	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - penalties.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
+		penalties.Handshake*float64(r.Connections)/requests - penalties.LateFailure*shareOrZero(r.lateFailureValue, asked) - penalties.RejectedCall*float64(r.RefusedCalls)/requests - penalties.Gossip*float64(r.NoteBytes)/256/requests
+	if unanswered := r.Broken[rules.Answer]; (unanswered > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
 		r.Faults = append(r.Faults, "the two accounts disagree on messages without an answer in time")
 	}
 	if (r.Broken[rules.Repeat] > 0) != (r.Doubles > 0) && r.Doubles > 0 {
@@ -201,18 +201,18 @@
 	}
 }
 
-func shareOrOne(part, of float64) float64 {
-	if of <= 0 {
+func shareOrOne(part, total float64) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return part / of
+	return part / total
 }
 
-func shareOrZero(part, of float64) float64 {
-	if of <= 0 {
+func shareOrZero(part, total float64) float64 {
+	if total <= 0 {
 		return 0
 	}
-	return part / of
+	return part / total
 }
 
 // Passed tells whether no rule was broken and nothing else went wrong.
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/world.go
@@ -72,115 +72,115 @@
 }
 
 // Run plays a day to its end.
-func Run(day *Scenario, set Options) (*Result, error) {
-	if err := day.Check(); err != nil {
+func Run(scenario *Scenario, options Options) (*Result, error) {
+	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
-	w := &simulation{scenario: day, options: set, newPolicy: set.NewPolicy, byAddress: map[string]*endpoint{}, rateMultiple: 1,
-		arrivalRand: newRand(day.Seed, "arrivals"), clientRand: newRand(day.Seed, "clients"), networkRand: newRand(day.Seed, "net"), gossipRand: newRand(day.Seed, "notes")}
-	if w.newPolicy == nil {
-		w.newPolicy = DefaultPolicy
-	}
-	if w.options.MaxEvents == 0 {
-		w.options.MaxEvents = 2e9
-	}
-	w.result = newResult(day)
-	w.checker = rules.New(rules.Config{AnswerSlack: day.AnswerSlack, DrainGrace: day.DrainGrace, OverloadFactor: day.OverloadFactor, OverloadTime: day.OverloadTime,
-		MaxConcurrentCalls: day.MaxConcurrentCalls, MaxAttempts: day.MaxAttempts})
-	w.build()
-	for i := range day.Faults {
-		w.scheduleFault(&day.Faults[i])
-	}
-	w.scheduleArrival()
-	end := day.Length + day.Tail
-	for w.now <= end && (w.openRequests > 0 || w.now < day.Length) {
-		if w.processed >= w.options.MaxEvents {
-			w.recordError(fmt.Sprintf("%v: cut after %d events", w.now, w.processed))
+	sim := &simulation{scenario: scenario, options: options, newPolicy: options.NewPolicy, byAddress: map[string]*endpoint{}, rateMultiple: 1,
+		arrivalRand: newRand(scenario.Seed, "arrivals"), clientRand: newRand(scenario.Seed, "clients"), networkRand: newRand(scenario.Seed, "net"), gossipRand: newRand(scenario.Seed, "notes")}
+	if sim.newPolicy == nil {
+		sim.newPolicy = DefaultPolicy
+	}
+	if sim.options.MaxEvents == 0 {
+		sim.options.MaxEvents = 2e9
+	}
+	sim.result = newResult(scenario)
+	sim.checker = rules.New(rules.Config{AnswerSlack: scenario.AnswerSlack, DrainGrace: scenario.DrainGrace, OverloadFactor: scenario.OverloadFactor, OverloadTime: scenario.OverloadTime,
+		MaxConcurrentCalls: scenario.MaxConcurrentCalls, MaxAttempts: scenario.MaxAttempts})
+	sim.build()
+	for i := range scenario.Faults {
+		sim.scheduleFault(&scenario.Faults[i])
+	}
+	sim.scheduleArrival()
+	end := scenario.Length + scenario.Tail
+	for sim.now <= end && (sim.openRequests > 0 || sim.now < scenario.Length) {
+		if sim.processed >= sim.options.MaxEvents {
+			sim.recordError(fmt.Sprintf("%v: cut after %d events", sim.now, sim.processed))
 			break
 		}
-		if !w.engine.runNext() {
+		if !sim.engine.runNext() {
 			break
 		}
 	}
-	if w.now > end {
-		w.recordError(fmt.Sprintf("%d messages had no end %v after the last came in", w.openRequests, day.Tail))
+	if sim.now > end {
+		sim.recordError(fmt.Sprintf("%d messages had no end %v after the last came in", sim.openRequests, scenario.Tail))
 	}
-	for by := w.now + day.SettleTime; w.now < by && !w.membersAgree(); {
-		if !w.engine.runNext() {
+	for settleUntil := sim.now + scenario.SettleTime; sim.now < settleUntil && !sim.membersAgree(); {
+		if !sim.engine.runNext() {
 			break
 		}
 	}
-	w.result.Agreed = w.membersAgree()
-	for _, r := range w.relays {
+	sim.result.Agreed = sim.membersAgree()
+	for _, r := range sim.relays {
 		if r.policy == nil {
-			w.result.Down = append(w.result.Down, r.number)
+			sim.result.Down = append(sim.result.Down, r.number)
 		}
 	}
-	w.log(rules.Event{Kind: rules.LogEnded})
-	w.result.finish(w)
-	return w.result, nil
+	sim.log(rules.Event{Kind: rules.LogEnded})
+	sim.result.finish(sim)
+	return sim.result, nil
 }
 
 // gossipFleetSize is how many relays are told of one another.
-func (w *simulation) gossipFleetSize() int {
-	if !w.scenario.Gossip && !w.scenario.Membership {
+func (sim *simulation) gossipFleetSize() int {
+	if !sim.scenario.Gossip && !sim.scenario.Membership {
 		return 0
 	}
-	return w.scenario.Relays
+	return sim.scenario.Relays
 }
 
-func (w *simulation) log(e rules.Event) {
-	e.At = w.now
-	w.checker.Check(e)
-	if w.options.Log != nil {
-		w.options.Log(e)
+func (sim *simulation) log(e rules.Event) {
+	e.At = sim.now
+	sim.checker.Check(e)
+	if sim.options.Log != nil {
+		sim.options.Log(e)
 	}
 }
 
-func (w *simulation) recordError(text string) {
-	if len(w.result.Faults) < 100 {
-		w.result.Faults = append(w.result.Faults, text)
+func (sim *simulation) recordError(text string) {
+	if len(sim.result.Faults) < 100 {
+		sim.result.Faults = append(sim.result.Faults, text)
 	}
 }
 
 // drawDelay is one way through the network.
-func (w *simulation) drawDelay(mean time.Duration) time.Duration {
-	return scaleDuration(mean, 1+w.scenario.Jitter*(2*w.networkRand.Float64()-1))
+func (sim *simulation) drawDelay(mean time.Duration) time.Duration {
+	return scaleDuration(mean, 1+sim.scenario.Jitter*(2*sim.networkRand.Float64()-1))
 }
 
-func (w *simulation) build() {
+func (sim *simulation) build() {
 	mean, share := 0.0, 0.0
-	for _, c := range w.scenario.Classes {
+	for _, c := range sim.scenario.Classes {
 		mean += c.Work.Seconds() * c.Share
 		share += c.Share
 	}
 	mean /= share
 	total := 0.0
-	for i := range w.scenario.Dests {
-		spec := &w.scenario.Dests[i]
-		d := &dest{number: i, spec: spec, kind: &w.scenario.Kinds[spec.Kind], rng: newRand(w.scenario.Seed, "dest", uint64(i)), meanWork: mean, failureSeenBy: map[int]bool{}}
+	for i := range sim.scenario.Dests {
+		spec := &sim.scenario.Dests[i]
+		d := &dest{number: i, spec: spec, kind: &sim.scenario.Kinds[spec.Kind], rng: newRand(sim.scenario.Seed, "dest", uint64(i)), meanWork: mean, failureSeenBy: map[int]bool{}}
 		if first := -scaleDuration(d.kind.Window, d.rng.Float64()); !d.kind.SeparateRoutes {
 			d.limiter = newLimiter(d.kind, spec.Limit, first)
 		}
 		for _, e := range spec.Endpoints {
-			w.addEndpoint(d, e)
+			sim.addEndpoint(d, e)
 		}
-		w.dests = append(w.dests, d)
+		sim.dests = append(sim.dests, d)
 		total += spec.Share
 		if spec.Share > 0 {
-			w.cumulativeShares, w.trafficDests = append(w.cumulativeShares, total), append(w.trafficDests, i)
+			sim.cumulativeShares, sim.trafficDests = append(sim.cumulativeShares, total), append(sim.trafficDests, i)
 		}
 	}
-	for n := range w.scenario.Relays {
-		r := &relay{sim: w, number: n}
-		w.relays = append(w.relays, r)
+	for n := range sim.scenario.Relays {
+		r := &relay{sim: sim, number: n}
+		sim.relays = append(sim.relays, r)
 		r.start()
 	}
 }
 
-func (w *simulation) addEndpoint(d *dest, spec Endpoint) *endpoint {
-	w.endpointCount++
-	e := &endpoint{number: w.endpointCount, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", w.endpointCount>>16, w.endpointCount>>8&255, w.endpointCount&255), spec: spec, speedFactor: 1}
+func (sim *simulation) addEndpoint(d *dest, spec Endpoint) *endpoint {
+	sim.endpointCount++
+	e := &endpoint{number: sim.endpointCount, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", sim.endpointCount>>16, sim.endpointCount>>8&255, sim.endpointCount&255), spec: spec, speedFactor: 1}
 	if spec.Zone != "" && !d.kind.SeparateRoutes {
 		if d.sites == nil {
 			d.sites = map[string]*destSite{}
@@ -196,201 +196,201 @@
 		e.site = &destSite{endpoints: []*endpoint{e}}
 	}
 	if d.kind.SeparateRoutes {
-		w.reportKeys.Add(e.address, d.number)
+		sim.reportKeys.Add(e.address, d.number)
 	}
 	d.endpoints = append(d.endpoints, e)
-	w.byAddress[e.address] = e
+	sim.byAddress[e.address] = e
 	return e
 }
 
 // --- clients ---
 
 // arrivalRate is how many messages a second come in now, for all but single destinations' bursts.
-func (w *simulation) arrivalRate(at time.Duration) float64 {
-	v, shape := 1.0, w.scenario.Shape
+func (sim *simulation) arrivalRate(at time.Duration) float64 {
+	multiple, shape := 1.0, sim.scenario.Shape
 	if n := len(shape); n > 0 {
 		i, _ := slices.BinarySearchFunc(shape, at, func(p LoadPoint, at time.Duration) int { return int(p.At - at) })
 		switch {
 		case i == 0:
-			v = shape[0].Multiple
+			multiple = shape[0].Multiple
 		case i == n:
-			v = shape[n-1].Multiple
+			multiple = shape[n-1].Multiple
 		default:
 			a, b := shape[i-1], shape[i]
-			v = a.Multiple + (b.Multiple-a.Multiple)*float64(at-a.At)/float64(b.At-a.At)
+			multiple = a.Multiple + (b.Multiple-a.Multiple)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
-	return w.scenario.Rate * v * w.rateMultiple
+	return sim.scenario.Rate * multiple * sim.rateMultiple
 }
 
 // scheduleArrival draws when the next message comes in, one after the other.
-func (w *simulation) scheduleArrival() {
-	rate := w.arrivalRate(w.now)
+func (sim *simulation) scheduleArrival() {
+	rate := sim.arrivalRate(sim.now)
 	if rate <= 0 {
-		if at := w.now + 100*time.Millisecond; at < w.scenario.Length {
-			w.schedule(at, w.scheduleArrival)
+		if at := sim.now + 100*time.Millisecond; at < sim.scenario.Length {
+			sim.schedule(at, sim.scheduleArrival)
 		}
 		return
 	}
-	at := w.now + seconds(w.arrivalRand.ExpFloat64()/rate)
-	if at >= w.scenario.Length {
+	at := sim.now + seconds(sim.arrivalRand.ExpFloat64()/rate)
+	if at >= sim.scenario.Length {
 		return
 	}
-	w.schedule(at, func() {
-		d := w.pickDest()
-		clump := 1
+	sim.schedule(at, func() {
+		d := sim.pickDest()
+		clumpSize := 1
 		// A clump is as many messages as the destination takes in ClumpFor; it comes as often as its share of all messages asks for, and
 		// there are fewer comings, so that the messages stay as many as Rate says.
-		if share := w.scenario.ClumpShare; share > 0 {
-			size := max(2, math.Floor(d.nominalCapacity()*w.scenario.ClumpDuration.Seconds()))
-			chance := share / ((1-share)*size + share)
-			switch x := w.arrivalRand.Float64() * (1 + chance*(size-1)); {
+		if share := sim.scenario.ClumpShare; share > 0 {
+			size := max(2, math.Floor(d.nominalCapacity()*sim.scenario.ClumpDuration.Seconds()))
+			probability := share / ((1-share)*size + share)
+			switch x := sim.arrivalRand.Float64() * (1 + probability*(size-1)); {
 			case x >= 1:
-				clump = 0
-			case x < chance:
-				clump = int(size)
+				clumpSize = 0
+			case x < probability:
+				clumpSize = int(size)
 			}
 		}
-		for range clump {
-			w.submitNew(d)
+		for range clumpSize {
+			sim.submitNew(d)
 		}
-		w.scheduleArrival()
+		sim.scheduleArrival()
 	})
 }
 
 // nominalCapacity is what a destination takes a second in good health.
 func (d *dest) nominalCapacity() float64 {
-	all := 0.0
+	total := 0.0
 	for _, e := range d.spec.Endpoints {
-		all += float64(e.Workers) * e.Speed / d.meanWork
+		total += float64(e.Workers) * e.Speed / d.meanWork
 	}
 	if d.kind.Limit != NoLimit {
-		all = min(all, d.spec.Limit)
+		total = min(total, d.spec.Limit)
 	}
-	return all
+	return total
 }
 
-func (w *simulation) pickDest() *dest {
-	x := w.arrivalRand.Float64() * w.cumulativeShares[len(w.cumulativeShares)-1]
-	i, _ := slices.BinarySearch(w.cumulativeShares, x)
-	return w.dests[w.trafficDests[min(i, len(w.trafficDests)-1)]]
+func (sim *simulation) pickDest() *dest {
+	x := sim.arrivalRand.Float64() * sim.cumulativeShares[len(sim.cumulativeShares)-1]
+	i, _ := slices.BinarySearch(sim.cumulativeShares, x)
+	return sim.dests[sim.trafficDests[min(i, len(sim.trafficDests)-1)]]
 }
 
 // pickRelay deals messages to the relays that it takes for live: a dead one for as long as it has not noticed, and any while all are down.
-func (w *simulation) pickRelay(q *request) *relay {
-	n := w.clientRand.IntN(len(w.relays))
-	for i := 0; q.zone >= 0 && i < len(w.relays); i++ { // its own zone's, while any of them lives
-		r := w.relays[(n+i)%len(w.relays)]
-		if w.scenario.ZoneOf(r.number) == q.zone && (r.policy != nil || w.now-r.diedAt < w.scenario.BalancerDetectionDelay) {
+func (sim *simulation) pickRelay(req *request) *relay {
+	first := sim.clientRand.IntN(len(sim.relays))
+	for i := 0; req.zone >= 0 && i < len(sim.relays); i++ { // its own zone's, while any of them lives
+		r := sim.relays[(first+i)%len(sim.relays)]
+		if sim.scenario.ZoneOf(r.number) == req.zone && (r.policy != nil || sim.now-r.diedAt < sim.scenario.BalancerDetectionDelay) {
 			return r
 		}
 	}
-	if more := w.scenario.HotRelayFactor - 1; more > 0 && w.clientRand.Float64() < more/(more+float64(len(w.relays))) {
-		n = 0
+	if extra := sim.scenario.HotRelayFactor - 1; extra > 0 && sim.clientRand.Float64() < extra/(extra+float64(len(sim.relays))) {
+		first = 0
 	}
-	for i := range w.relays {
-		r := w.relays[(n+i)%len(w.relays)]
-		if r.policy != nil || w.now-r.diedAt < w.scenario.BalancerDetectionDelay {
+	for i := range sim.relays {
+		r := sim.relays[(first+i)%len(sim.relays)]
+		if r.policy != nil || sim.now-r.diedAt < sim.scenario.BalancerDetectionDelay {
 			return r
 		}
 	}
-	return w.relays[n]
+	return sim.relays[first]
 }
 
 // submitNew makes a message for d and hands it in.
-func (w *simulation) submitNew(d *dest) {
-	x, no := w.arrivalRand.Float64(), 0
-	for i, c := range w.scenario.Classes {
-		if no = i; x < c.Share {
+func (sim *simulation) submitNew(d *dest) {
+	draw, classIndex := sim.arrivalRand.Float64(), 0
+	for i, c := range sim.scenario.Classes {
+		if classIndex = i; draw < c.Share {
 			break
 		}
-		x -= c.Share
+		draw -= c.Share
 	}
 	zone := -1
 	if mix := d.spec.Mix; len(mix) > 0 {
-		all := 0.0
+		total := 0.0
 		for _, m := range mix {
-			all += m.Share
+			total += m.Share
 		}
-		x = w.arrivalRand.Float64() * all
+		draw = sim.arrivalRand.Float64() * total
 		for _, m := range mix {
-			if no, zone = m.Class, m.Zone; x < m.Share {
+			if classIndex, zone = m.Class, m.Zone; draw < m.Share {
 				break
 			}
-			x -= m.Share
+			draw -= m.Share
 		}
 	}
-	c := &w.scenario.Classes[no]
-	q := &request{zone: zone, number: w.result.Requests, class: c, classIndex: no, dest: d, submittedAt: w.now, deadline: w.now + c.Deadline, workSeconds: c.Work.Seconds() * drawFactor(w.arrivalRand, c.CV, c.Exponential)}
-	w.result.Requests++
-	w.openRequests++
-	w.result.recordRequest(w, q)
-	w.submit(q)
+	class := &sim.scenario.Classes[classIndex]
+	req := &request{zone: zone, number: sim.result.Requests, class: class, classIndex: classIndex, dest: d, submittedAt: sim.now, deadline: sim.now + class.Deadline, workSeconds: class.Work.Seconds() * drawFactor(sim.arrivalRand, class.CV, class.Exponential)}
+	sim.result.Requests++
+	sim.openRequests++
+	sim.result.recordRequest(sim, req)
+	sim.submit(req)
 }
 
 // submitTimeout is how long a client waits for a relay's answer to a hand-in.
 const submitTimeout = 400 * time.Millisecond
 
 // submit gives a request to a relay that the front takes for live.
-func (w *simulation) submit(q *request) {
-	if w.now >= q.deadline {
-		w.complete(q, completedReturned)
+func (sim *simulation) submit(req *request) {
+	if sim.now >= req.deadline {
+		sim.complete(req, completedReturned)
 		return
 	}
-	r := w.pickRelay(q)
-	w.scheduleAfter(w.drawDelay(w.scenario.ClientDelay), func() {
+	r := sim.pickRelay(req)
+	sim.scheduleAfter(sim.drawDelay(sim.scenario.ClientDelay), func() {
 		if r.policy == nil { // the front has not noticed, or all are down
-			w.result.Unreached++
-			w.scheduleAfter(scaleDuration(w.scenario.ResubmitDelay, 0.8+0.4*w.clientRand.Float64()), func() { w.submit(q) })
+			sim.result.Unreached++
+			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()), func() { sim.submit(req) })
 			return
 		}
-		if w.now < r.stalledUntil { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
-			w.scheduleAfter(min(submitTimeout, r.stalledUntil-w.now), func() { w.submit(q) })
+		if sim.now < r.stalledUntil { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
+			sim.scheduleAfter(min(submitTimeout, r.stalledUntil-sim.now), func() { sim.submit(req) })
 			return
 		}
-		if len(r.pending) >= w.scenario.MaxPending {
-			w.result.TurnedAway++
-			w.retryOrReturn(q, 0)
+		if len(r.pending) >= sim.scenario.MaxPending {
+			sim.result.TurnedAway++
+			sim.retryOrReturn(req, 0)
 			return
 		}
-		w.lastMessageID++
-		m := &message{id: w.lastMessageID, request: q, relay: r, incarnation: r.incarnation}
-		r.pending[m.id] = m
-		w.result.HandIns++
-		w.result.Relays[r.number].Asked += q.class.Value
-		effect := rules.Effect(q.class.Effect)
-		w.log(rules.Event{Kind: rules.Accepted, Relay: r.number, Msg: m.id, Dest: q.dest.number, Effect: effect, RepeatWindow: q.class.RepeatWindow, Deadline: q.deadline})
-		w.reportKeys.EachKey(q.dest.number, r.gossiper.RecordArrival)
-		r.enqueue(policy.Submitted{ID: m.id, Class: q.class.Name, Destination: q.dest.number, TimeLeft: q.deadline - w.now})
-		life := r.incarnation
-		w.schedule(q.deadline+w.scenario.AnswerSlack+w.scenario.Tick, func() {
-			if m.completed || r.incarnation != life || r.policy == nil {
+		sim.lastMessageID++
+		msg := &message{id: sim.lastMessageID, request: req, relay: r, incarnation: r.incarnation}
+		r.pending[msg.id] = msg
+		sim.result.HandIns++
+		sim.result.Relays[r.number].Asked += req.class.Value
+		effect := rules.Effect(req.class.Effect)
+		sim.log(rules.Event{Kind: rules.Accepted, Relay: r.number, Msg: msg.id, Dest: req.dest.number, Effect: effect, RepeatWindow: req.class.RepeatWindow, Deadline: req.deadline})
+		sim.reportKeys.EachKey(req.dest.number, r.gossiper.RecordArrival)
+		r.enqueue(policy.Submitted{ID: msg.id, Class: req.class.Name, Destination: req.dest.number, TimeLeft: req.deadline - sim.now})
+		incarnation := r.incarnation
+		sim.schedule(req.deadline+sim.scenario.AnswerSlack+sim.scenario.Tick, func() {
+			if msg.completed || r.incarnation != incarnation || r.policy == nil {
 				return
 			}
-			m.completed = true
-			delete(r.pending, m.id)
-			w.complete(q, completedLost)
-			r.enqueue(policy.Withdrawn{ID: m.id})
-			if q.deadline < r.stalledUntil { // it stood still when it should have answered: no decision could
-				w.log(rules.Event{Kind: rules.Withdrawn, Relay: r.number, Msg: m.id})
+			msg.completed = true
+			delete(r.pending, msg.id)
+			sim.complete(req, completedLost)
+			r.enqueue(policy.Withdrawn{ID: msg.id})
+			if req.deadline < r.stalledUntil { // it stood still when it should have answered: no decision could
+				sim.log(rules.Event{Kind: rules.Withdrawn, Relay: r.number, Msg: msg.id})
 				return
 			}
-			w.result.Overdue++
+			sim.result.Overdue++
 		})
 	})
 }
 
 // retryOrReturn lets a client come again after a refusal, as often as it does.
-func (w *simulation) retryOrReturn(q *request, advice time.Duration) {
-	if q.refusals++; q.refusals > w.scenario.ClientRetries {
-		w.complete(q, completedReturned)
+func (sim *simulation) retryOrReturn(req *request, retryAfter time.Duration) {
+	if req.refusals++; req.refusals > sim.scenario.ClientRetries {
+		sim.complete(req, completedReturned)
 		return
 	}
-	wait := scaleDuration(w.scenario.ClientBackoff<<(q.refusals-1), 0.5+w.clientRand.Float64())
-	if w.clientRand.Float64() < w.scenario.RetryAfterCompliance && advice > 0 {
-		wait = max(wait, min(advice, w.scenario.MaxRetryAfter))
+	delay := scaleDuration(sim.scenario.ClientBackoff<<(req.refusals-1), 0.5+sim.clientRand.Float64())
+	if sim.clientRand.Float64() < sim.scenario.RetryAfterCompliance && retryAfter > 0 {
+		delay = max(delay, min(retryAfter, sim.scenario.MaxRetryAfter))
 	}
-	w.scheduleAfter(wait, func() { w.submit(q) })
+	sim.scheduleAfter(delay, func() { sim.submit(req) })
 }
 
 type completion int
@@ -403,72 +403,72 @@
 )
 
 // complete is a request's end. The first counts.
-func (w *simulation) complete(q *request, how completion) {
-	if q.completed {
+func (sim *simulation) complete(req *request, outcome completion) {
+	if req.completed {
 		return
 	}
-	q.completed = true
-	w.openRequests--
-	w.result.recordCompletion(w, q, how)
+	req.completed = true
+	sim.openRequests--
+	sim.result.recordCompletion(sim, req, outcome)
 }
 
 // recordRun books that a message took effect at its destination.
-func (w *simulation) recordRun(m *message) {
-	q := m.request
-	if q.runs++; q.runs == 1 {
+func (sim *simulation) recordRun(msg *message) {
+	req := msg.request
+	if req.runs++; req.runs == 1 {
 		return
 	}
-	if q.class.Effect == policy.Unsafe {
-		w.result.Doubles++
+	if req.class.Effect == policy.Unsafe {
+		sim.result.Doubles++
 	}
 }
 
 // --- troubles ---
 
 // affected are the endpoints that a trouble is about, and the destinations that it takes whole or in part.
-func (w *simulation) affected(t *Fault) (eps []*endpoint, dests []*dest) {
+func (sim *simulation) affected(fault *Fault) (endpoints []*endpoint, dests []*dest) {
 	add := func(d *dest, e *endpoint) {
-		if !slices.Contains(eps, e) {
-			eps = append(eps, e)
+		if !slices.Contains(endpoints, e) {
+			endpoints = append(endpoints, e)
 		}
 		if !slices.Contains(dests, d) {
 			dests = append(dests, d)
 		}
 	}
-	for _, n := range t.Dests {
-		for _, e := range w.dests[n].endpoints {
-			add(w.dests[n], e)
+	for _, n := range fault.Dests {
+		for _, e := range sim.dests[n].endpoints {
+			add(sim.dests[n], e)
 		}
 	}
-	for _, p := range t.Endpoints {
-		add(w.dests[p[0]], w.dests[p[0]].endpoints[p[1]])
+	for _, p := range fault.Endpoints {
+		add(sim.dests[p[0]], sim.dests[p[0]].endpoints[p[1]])
 	}
-	if t.Zone != "" {
-		for _, d := range w.dests {
+	if fault.Zone != "" {
+		for _, d := range sim.dests {
 			for _, e := range d.endpoints {
-				if e.zone == t.Zone {
+				if e.zone == fault.Zone {
 					add(d, e)
 				}
 			}
 		}
 	}
-	return eps, dests
+	return endpoints, dests
 }
 
 // scheduleFault sets a trouble's beginning and end.
-func (w *simulation) scheduleFault(t *Fault) {
-	eps, dests := w.affected(t)
-	end := t.At + t.Duration
+func (sim *simulation) scheduleFault(fault *Fault) {
+	endpoints, dests := sim.affected(fault)
+	end := fault.At + fault.Duration
 	begins := func(do func(*endpoint)) {
-		w.schedule(t.At, func() {
-			for _, e := range eps {
+		sim.schedule(fault.At, func() {
+			for _, e := range endpoints {
 				do(e)
 			}
 		})
 	}
 	ends := func(do func(*endpoint)) {
-		w.schedule(end, func() {
-			for _, e := range eps {
+		sim.schedule(end, func() {
+			for _, e := range endpoints {
 				do(e)
 			}
 		})
@@ -476,31 +476,31 @@
 	// An outage takes destinations whose endpoints are all hit; they come back cold.
 	outage := func(h health) {
 		for _, d := range dests {
-			if coversDest(d, eps) {
-				w.schedule(t.At, func() { w.beginOutage(d) })
+			if coversDest(d, endpoints) {
+				sim.schedule(fault.At, func() { sim.beginOutage(d) })
 			}
 		}
-		begins(func(e *endpoint) { w.takeDown(e, h, end) })
-		ends(w.restore)
+		begins(func(e *endpoint) { sim.takeDown(e, h, end) })
+		ends(sim.restore)
 		for _, d := range dests {
-			if p := d.sites[t.Zone]; p != nil && t.Zone != "" {
-				w.schedule(t.At, p.beginOutage)
-				w.schedule(end, func() { w.endSiteOutage(d, p) })
+			if site := d.sites[fault.Zone]; site != nil && fault.Zone != "" {
+				sim.schedule(fault.At, site.beginOutage)
+				sim.schedule(end, func() { sim.endSiteOutage(d, site) })
 			}
 		}
-		for _, e := range eps {
+		for _, e := range endpoints {
 			if e.dest.kind.SeparateRoutes {
-				w.schedule(t.At, e.site.beginOutage)
-				w.schedule(end, func() { w.endSiteOutage(e.dest, e.site) })
+				sim.schedule(fault.At, e.site.beginOutage)
+				sim.schedule(end, func() { sim.endSiteOutage(e.dest, e.site) })
 			}
 		}
 		for _, d := range dests {
-			if coversDest(d, eps) {
-				w.schedule(end, func() { w.endOutage(d) })
+			if coversDest(d, endpoints) {
+				sim.schedule(end, func() { sim.endOutage(d) })
 			}
 		}
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case Crash:
 		outage(crashed)
 	case Blackhole:
@@ -508,151 +508,151 @@
 	case RejectAll:
 		outage(rejecting)
 	case FastErrors:
-		ill := slices.DeleteFunc(dests, func(d *dest) bool { return t.Intensity <= 0.5 || !coversDest(d, eps) })
-		for _, d := range ill {
-			w.schedule(t.At, func() { w.beginOutage(d) })
+		failing := slices.DeleteFunc(dests, func(d *dest) bool { return fault.Intensity <= 0.5 || !coversDest(d, endpoints) })
+		for _, d := range failing {
+			sim.schedule(fault.At, func() { sim.beginOutage(d) })
 		}
-		begins(func(e *endpoint) { e.errorShare = t.Intensity })
+		begins(func(e *endpoint) { e.errorShare = fault.Intensity })
 		ends(func(e *endpoint) { e.errorShare = 0 })
-		for _, d := range ill {
-			w.schedule(end, func() { w.endOutage(d) })
+		for _, d := range failing {
+			sim.schedule(end, func() { sim.endOutage(d) })
 		}
 	case AnswerLoss:
-		begins(func(e *endpoint) { e.answerLoss = t.Intensity })
+		begins(func(e *endpoint) { e.answerLoss = fault.Intensity })
 		ends(func(e *endpoint) { e.answerLoss = 0 })
 	case LowerLimit:
-		for _, l := range distinctLimiters(eps) {
-			w.schedule(t.At, func() { l.rateShare *= t.Intensity })
-			w.schedule(end, func() { l.rateShare /= t.Intensity })
+		for _, l := range distinctLimiters(endpoints) {
+			sim.schedule(fault.At, func() { l.rateShare *= fault.Intensity })
+			sim.schedule(end, func() { l.rateShare /= fault.Intensity })
 		}
 	case Slow:
-		begins(func(e *endpoint) { e.speedFactor = t.Intensity })
+		begins(func(e *endpoint) { e.speedFactor = fault.Intensity })
 		ends(func(e *endpoint) { e.speedFactor = 1 })
 	case Pauses:
-		for at := t.At; at < end; at += t.Period {
-			w.schedule(at, func() {
-				for _, e := range eps {
-					e.pausedUntil = w.now + seconds(t.Intensity)
+		for at := fault.At; at < end; at += fault.Period {
+			sim.schedule(at, func() {
+				for _, e := range endpoints {
+					e.pausedUntil = sim.now + seconds(fault.Intensity)
 				}
 			})
 		}
 	case Burst:
 		if len(dests) == 0 {
-			w.schedule(t.At, func() { w.rateMultiple *= t.Intensity })
-			w.schedule(end, func() { w.rateMultiple /= t.Intensity })
+			sim.schedule(fault.At, func() { sim.rateMultiple *= fault.Intensity })
+			sim.schedule(end, func() { sim.rateMultiple /= fault.Intensity })
 			return
 		}
-		total := w.cumulativeShares[len(w.cumulativeShares)-1]
+		total := sim.cumulativeShares[len(sim.cumulativeShares)-1]
 		for _, d := range dests {
-			w.scheduleExtraArrivals(d, t.At, end, w.scenario.Rate*d.spec.Share/total*(t.Intensity-1))
+			sim.scheduleExtraArrivals(d, fault.At, end, sim.scenario.Rate*d.spec.Share/total*(fault.Intensity-1))
 		}
 	case Drain:
-		w.schedule(t.At, func() {
-			for _, e := range eps {
-				w.drainEndpoint(e, t.Duration)
+		sim.schedule(fault.At, func() {
+			for _, e := range endpoints {
+				sim.drainEndpoint(e, fault.Duration)
 			}
 		})
 	case DiscoveryOutage:
-		w.schedule(t.At, func() { w.discoveryOutages++ })
-		w.schedule(end, func() {
-			if w.discoveryOutages--; w.discoveryOutages == 0 {
-				late := w.delayedUpdates
-				w.delayedUpdates = nil
-				for _, f := range late {
-					f()
+		sim.schedule(fault.At, func() { sim.discoveryOutages++ })
+		sim.schedule(end, func() {
+			if sim.discoveryOutages--; sim.discoveryOutages == 0 {
+				updates := sim.delayedUpdates
+				sim.delayedUpdates = nil
+				for _, apply := range updates {
+					apply()
 				}
 			}
 		})
 	case Partition, SitePartition, GossipReceiveLoss, GossipSendLoss, DestinationPartition, GossipLoss, GossipDelay, GossipDuplication:
-		w.scheduleNetworkFault(t)
+		sim.scheduleNetworkFault(fault)
 	default:
-		for _, n := range t.Relays {
-			w.scheduleRelayFault(w.relays[n], t)
+		for _, n := range fault.Relays {
+			sim.scheduleRelayFault(sim.relays[n], fault)
 		}
 	}
 }
 
 // distinctLimiters are the limits that endpoints are under, each once.
-func distinctLimiters(eps []*endpoint) (all []*limiter) {
-	for _, e := range eps {
-		if !slices.Contains(all, e.limiter) {
-			all = append(all, e.limiter)
+func distinctLimiters(endpoints []*endpoint) (distinct []*limiter) {
+	for _, e := range endpoints {
+		if !slices.Contains(distinct, e.limiter) {
+			distinct = append(distinct, e.limiter)
 		}
 	}
-	return all
+	return distinct
 }
 
-func coversDest(d *dest, eps []*endpoint) bool {
+func coversDest(d *dest, endpoints []*endpoint) bool {
 	for _, e := range d.endpoints {
-		if !slices.Contains(eps, e) {
+		if !slices.Contains(endpoints, e) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *simulation) scheduleRelayFault(r *relay, t *Fault) {
-	switch t.Kind {
+func (sim *simulation) scheduleRelayFault(r *relay, fault *Fault) {
+	switch fault.Kind {
 	case RelayCrash, RelayStop:
-		w.schedule(t.At, func() {
-			if t.Kind == RelayStop && r.policy != nil {
-				r.gossiper.Leave(w.now)
-				out, _ := r.gossiper.Tick(w.now)
-				r.sendGossip(out)
+		sim.schedule(fault.At, func() {
+			if fault.Kind == RelayStop && r.policy != nil {
+				r.gossiper.Leave(sim.now)
+				datagrams, _ := r.gossiper.Tick(sim.now)
+				r.sendGossip(datagrams)
 			}
 			r.stop()
 		})
-		w.schedule(t.At+t.Duration, func() {
+		sim.schedule(fault.At+fault.Duration, func() {
 			if r.policy == nil {
 				r.start()
 			}
 		})
 	case RelayStall:
-		w.schedule(t.At, func() { r.stalledUntil = t.At + t.Duration })
+		sim.schedule(fault.At, func() { r.stalledUntil = fault.At + fault.Duration })
 	}
 }
 
 // scheduleExtraArrivals lets further messages for one destination come, from a source of their own.
-func (w *simulation) scheduleExtraArrivals(d *dest, from, to time.Duration, rate float64) {
+func (sim *simulation) scheduleExtraArrivals(d *dest, from, to time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	rng := newRand(w.scenario.Seed, "burst", uint64(d.number), uint64(from))
-	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, w.scenario.Length); at += seconds(rng.ExpFloat64() / rate) {
-		w.schedule(at, func() { w.submitNew(d) })
+	rng := newRand(sim.scenario.Seed, "burst", uint64(d.number), uint64(from))
+	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, sim.scenario.Length); at += seconds(rng.ExpFloat64() / rate) {
+		sim.schedule(at, func() { sim.submitNew(d) })
 	}
 }
 
 // drainEndpoint announces that an endpoint goes and that another comes in its place.
-func (w *simulation) drainEndpoint(e *endpoint, after time.Duration) {
+func (sim *simulation) drainEndpoint(e *endpoint, removalDelay time.Duration) {
 	e.draining = true
-	w.announce(e, policy.Draining, w.scenario.DiscoveryDelay)
-	w.scheduleAfter(after, func() {
+	sim.announce(e, policy.Draining, sim.scenario.DiscoveryDelay)
+	sim.scheduleAfter(removalDelay, func() {
 		e.removed = true
-		w.announce(e, policy.Removed, w.scenario.DiscoveryDelay)
+		sim.announce(e, policy.Removed, sim.scenario.DiscoveryDelay)
 	})
-	fresh := w.addEndpoint(e.dest, e.spec)
-	w.announce(fresh, policy.Listed, w.scenario.DiscoveryDelay/3)
+	replacement := sim.addEndpoint(e.dest, e.spec)
+	sim.announce(replacement, policy.Listed, sim.scenario.DiscoveryDelay/3)
 }
 
 // announce is news of the list, late and not everywhere at once; while discovery is down it waits for its end.
-func (w *simulation) announce(e *endpoint, state policy.EndpointState, late time.Duration) {
-	for _, r := range w.relays {
-		life := r.incarnation
-		hear := func() {
-			if r.incarnation != life || r.policy == nil {
+func (sim *simulation) announce(e *endpoint, state policy.EndpointState, delay time.Duration) {
+	for _, r := range sim.relays {
+		incarnation := r.incarnation
+		apply := func() {
+			if r.incarnation != incarnation || r.policy == nil {
 				return // a new life has read the list
 			}
 			if state != policy.Listed {
-				w.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.number, Endpoint: e.number})
+				sim.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.number, Endpoint: e.number})
 			}
 			r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.listEntry(e, state)}})
 		}
-		w.scheduleAfter(late+scaleDuration(w.scenario.DiscoverySpread, w.networkRand.Float64()), func() {
-			if w.discoveryOutages > 0 {
-				w.delayedUpdates = append(w.delayedUpdates, hear)
+		sim.scheduleAfter(delay+scaleDuration(sim.scenario.DiscoverySpread, sim.networkRand.Float64()), func() {
+			if sim.discoveryOutages > 0 {
+				sim.delayedUpdates = append(sim.delayedUpdates, apply)
 			} else {
-				hear()
+				apply()
 			}
 		})
 	}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -98,8 +98,8 @@
 	Why   string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", b.At, b.Rule, b.Relay, b.Msg, b.Why)
+func (v Violation) String() string {
+	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Msg, v.Why)
 }
 
 // Checker reads a log. It is not safe for concurrent use.
@@ -158,43 +158,43 @@
 const maxViolations = 100
 
 // New returns a checker for one log.
-func New(set Config) *Checker {
-	return &Checker{config: set, Counts: map[Name]int{}, messages: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
+func New(config Config) *Checker {
+	return &Checker{config: config, Counts: map[Name]int{}, messages: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
 }
 
-func (c *Checker) violation(r Name, e Event, format string, args ...any) {
-	c.Counts[r]++
+func (c *Checker) violation(rule Name, e Event, format string, args ...any) {
+	c.Counts[rule]++
 	if len(c.Violations) < maxViolations {
-		c.Violations = append(c.Violations, Violation{r, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
+		c.Violations = append(c.Violations, Violation{rule, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
 	}
 }
 
 // PendingCount tells how many messages have had no end yet.
 func (c *Checker) PendingCount() (n int) {
-	for _, m := range c.messages {
-		if !m.completed {
+	for _, msg := range c.messages {
+		if !msg.completed {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *Checker) relay(n int) *relay {
-	r := c.relays[n]
+func (c *Checker) relay(number int) *relay {
+	r := c.relays[number]
 	if r == nil {
 		r = &relay{callsByDest: map[int]int{}, retryAfters: map[target]retryAfterPeriod{}, leaving: map[int]time.Duration{}}
-		c.relays[n] = r
+		c.relays[number] = r
 	}
 	return r
 }
 
-func (c *Checker) dest(n int) *dest {
-	d := c.dests[n]
-	if d == nil {
-		d = &dest{failureSeenBy: map[int]bool{}}
-		c.dests[n] = d
+func (c *Checker) dest(number int) *dest {
+	known := c.dests[number]
+	if known == nil {
+		known = &dest{failureSeenBy: map[int]bool{}}
+		c.dests[number] = known
 	}
-	return d
+	return known
 }
 
 // Check takes the next line in. Lines come in order of time.
@@ -231,9 +231,9 @@
 	case WorkArrived:
 		c.checkWork(e)
 	case LogEnded:
-		for id, m := range c.messages {
-			if !m.completed {
-				e.Msg, e.Relay = id, m.relay
+		for id, msg := range c.messages {
+			if !msg.completed {
+				e.Msg, e.Relay = id, msg.relay
 				c.violation(Answer, e, "never ended")
 			}
 		}
@@ -241,123 +241,123 @@
 }
 
 func (c *Checker) checkSent(e Event) {
-	m, r := c.messages[e.Msg], c.relay(e.Relay)
+	msg, r := c.messages[e.Msg], c.relay(e.Relay)
 	switch {
-	case m == nil || m.relay != e.Relay:
+	case msg == nil || msg.relay != e.Relay:
 		c.violation(Answer, e, "sent, but not held")
 		return
-	case m.completed:
+	case msg.completed:
 		c.violation(Answer, e, "sent after its end")
-	case m.liveAttempts > 0:
+	case msg.liveAttempts > 0:
 		c.violation(Repeat, e, "two live attempts")
-	case m.mayHaveRun && m.effect == Unsafe:
+	case msg.mayHaveRun && msg.effect == Unsafe:
 		c.violation(Repeat, e, "sent again, and may have run")
-	case m.mayHaveRun && m.effect == Keyed && e.At > m.mayHaveRunSince+m.repeatWindow+c.config.ClockSlack:
-		c.violation(Repeat, e, "sent again %v after it may have run, window %v", e.At-m.mayHaveRunSince, m.repeatWindow)
+	case msg.mayHaveRun && msg.effect == Keyed && e.At > msg.mayHaveRunSince+msg.repeatWindow+c.config.ClockSlack:
+		c.violation(Repeat, e, "sent again %v after it may have run, window %v", e.At-msg.mayHaveRunSince, msg.repeatWindow)
 	}
-	if e.Dest != m.dest {
-		c.violation(Bounds, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
+	if e.Dest != msg.dest {
+		c.violation(Bounds, e, "for destination %d, sent to one of %d", msg.dest, e.Dest)
 	}
-	if m.attempts++; m.attempts > c.config.MaxAttempts {
-		c.violation(Bounds, e, "attempt %d of %d", m.attempts, c.config.MaxAttempts)
+	if msg.attempts++; msg.attempts > c.config.MaxAttempts {
+		c.violation(Bounds, e, "attempt %d of %d", msg.attempts, c.config.MaxAttempts)
 	}
-	if w, ok := r.retryAfters[e.target()]; ok && e.At < w.until-c.config.ClockSlack && e.At >= w.receivedAt+c.config.RetryAfterGrace {
-		c.violation(RetryAfter, e, "sent %v before the end of a told wait", w.until-e.At)
+	if period, ok := r.retryAfters[e.target()]; ok && e.At < period.until-c.config.ClockSlack && e.At >= period.receivedAt+c.config.RetryAfterGrace {
+		c.violation(RetryAfter, e, "sent %v before the end of a told wait", period.until-e.At)
 	}
 	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.config.DrainGrace {
 		c.violation(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
 	}
-	m.liveAttempts++
-	m.sentAt[e.Attempt] = e.At
+	msg.liveAttempts++
+	msg.sentAt[e.Attempt] = e.At
 	if e.Call == 0 {
 		return
 	}
-	out := c.calls[e.Call]
-	if out == nil {
-		out = &call{relay: e.Relay, dest: e.Dest}
-		c.calls[e.Call] = out
+	openCall := c.calls[e.Call]
+	if openCall == nil {
+		openCall = &call{relay: e.Relay, dest: e.Dest}
+		c.calls[e.Call] = openCall
 		r.calls++
 		if r.callsByDest[e.Dest]++; r.calls > c.config.MaxConcurrentCalls {
 			c.violation(Bounds, e, "%d calls out, %d slots", r.calls, c.config.MaxConcurrentCalls)
 		}
-		if most := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > most {
-			c.violation(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.callsByDest[e.Dest], e.Dest, most)
+		if maxToDest := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > maxToDest {
+			c.violation(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.callsByDest[e.Dest], e.Dest, maxToDest)
 		}
 	}
-	out.openItems++
+	openCall.openItems++
 }
 
 func (c *Checker) checkEnded(e Event) {
-	m := c.messages[e.Msg]
-	if m == nil {
+	msg := c.messages[e.Msg]
+	if msg == nil {
 		c.violation(Answer, e, "an attempt ended, but the message is not held")
 		return
 	}
-	at, out := m.sentAt[e.Attempt]
-	if !out {
+	at, found := msg.sentAt[e.Attempt]
+	if !found {
 		c.violation(Answer, e, "attempt %d ended twice or was never out", e.Attempt)
 		return
 	}
-	delete(m.sentAt, e.Attempt)
-	m.liveAttempts--
+	delete(msg.sentAt, e.Attempt)
+	msg.liveAttempts--
 	r := c.relay(e.Relay)
-	if k := c.calls[e.Call]; k != nil {
-		if k.openItems--; k.openItems == 0 {
+	if openCall := c.calls[e.Call]; openCall != nil {
+		if openCall.openItems--; openCall.openItems == 0 {
 			delete(c.calls, e.Call)
 			r.calls--
-			r.callsByDest[k.dest]--
+			r.callsByDest[openCall.dest]--
 		}
 	}
 	if e.RetryAfter > 0 {
-		w, ok := r.retryAfters[e.target()]
-		if !ok || e.At >= w.until { // a wait told while one runs makes it longer, and excuses nothing
-			w.receivedAt = e.At
+		period, ok := r.retryAfters[e.target()]
+		if !ok || e.At >= period.until { // a wait told while one runs makes it longer, and excuses nothing
+			period.receivedAt = e.At
 		}
-		w.until = max(w.until, e.At+e.RetryAfter)
-		r.retryAfters[e.target()] = w
+		period.until = max(period.until, e.At+e.RetryAfter)
+		r.retryAfters[e.target()] = period
 	}
-	if !e.NotRun && (!m.mayHaveRun || at < m.mayHaveRunSince) {
-		m.mayHaveRun, m.mayHaveRunSince = true, at
+	if !e.NotRun && (!msg.mayHaveRun || at < msg.mayHaveRunSince) {
+		msg.mayHaveRun, msg.mayHaveRunSince = true, at
 	}
 	if e.Delivered {
-		m.completed = true
+		msg.completed = true
 	}
-	c.forgetCompleted(e.Msg, m)
+	c.forgetCompleted(e.Msg, msg)
 }
 
 func (c *Checker) checkFinal(e Event) {
-	m := c.messages[e.Msg]
+	msg := c.messages[e.Msg]
 	switch {
-	case m == nil || m.completed:
+	case msg == nil || msg.completed:
 		if e.Kind != Withdrawn {
 			c.violation(Answer, e, "a final answer to what is over or not held")
 		}
 		return
 	case e.Kind == Withdrawn:
-	case e.At > m.deadline+c.config.AnswerSlack+c.config.ClockSlack:
-		c.violation(Answer, e, "ended %v too late", e.At-m.deadline)
-	case e.Kind == Returned && m.effect == Unsafe && (m.mayHaveRun || m.liveAttempts > 0):
+	case e.At > msg.deadline+c.config.AnswerSlack+c.config.ClockSlack:
+		c.violation(Answer, e, "ended %v too late", e.At-msg.deadline)
+	case e.Kind == Returned && msg.effect == Unsafe && (msg.mayHaveRun || msg.liveAttempts > 0):
 		c.violation(Repeat, e, "handed back, and may have run")
 	}
-	m.completed = true
-	c.forgetCompleted(e.Msg, m)
+	msg.completed = true
+	c.forgetCompleted(e.Msg, msg)
 }
 
-func (c *Checker) forgetCompleted(id uint32, m *message) {
-	if m.completed && m.liveAttempts == 0 {
+func (c *Checker) forgetCompleted(id uint32, msg *message) {
+	if msg.completed && msg.liveAttempts == 0 {
 		delete(c.messages, id)
 	}
 }
 
 // forgetRelay forgets a relay with all that it held.
 func (c *Checker) forgetRelay(e Event) {
-	for id, m := range c.messages {
-		if m.relay == e.Relay {
+	for id, msg := range c.messages {
+		if msg.relay == e.Relay {
 			delete(c.messages, id)
 		}
 	}
-	for id, k := range c.calls {
-		if k.relay == e.Relay {
+	for id, openCall := range c.calls {
+		if openCall.relay == e.Relay {
 			delete(c.calls, id)
 		}
 	}
@@ -375,20 +375,20 @@
 	if !d.cold {
 		return
 	}
-	keep := 0
-	for keep < len(d.recentLoads) && d.recentLoads[keep].at <= e.At-c.config.OverloadTime {
-		keep++
+	first := 0
+	for first < len(d.recentLoads) && d.recentLoads[first].at <= e.At-c.config.OverloadTime {
+		first++
 	}
-	d.recentLoads = append(d.recentLoads[keep:], load{e.At, e.Weight, d.failureSeenBy[e.Relay]})
-	all, learned := 0.0, 0.0
-	for _, l := range d.recentLoads {
-		if all += l.weight; l.seenFailure {
-			learned += l.weight
+	d.recentLoads = append(d.recentLoads[first:], load{e.At, e.Weight, d.failureSeenBy[e.Relay]})
+	total, fromInformed := 0.0, 0.0
+	for _, work := range d.recentLoads {
+		if total += work.weight; work.seenFailure {
+			fromInformed += work.weight
 		}
 	}
-	if all > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
-		if learned >= all*2/3 {
-			c.violation(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.config.OverloadTime, e.Capacity, learned)
+	if total > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
+		if fromInformed >= total*2/3 {
+			c.violation(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
 		}
 		d.recentLoads = d.recentLoads[:0] // one fall, one break
 	}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -10,8 +10,8 @@
 
 var config = Config{AnswerSlack: 20 * time.Millisecond, DrainGrace: s, OverloadFactor: 2, OverloadTime: 3 * s, MaxConcurrentCalls: 4, MaxAttempts: 3}
 
-// good is a log in which every rule is touched and kept. Mutations of it break one rule each.
-func good() []Event {
+// validLog is a log in which every rule is touched and kept. Mutations of it break one rule each.
+func validLog() []Event {
 	log := []Event{
 		{Kind: Accepted, Msg: 1, Dest: 1, Effect: Unsafe, Deadline: 20 * s},
 		{Kind: Accepted, Msg: 2, Dest: 1, Effect: Keyed, RepeatWindow: 5 * s, Deadline: 20 * s},
@@ -37,8 +37,8 @@
 	return append(log, Event{At: 8 * s, Kind: DestWarm, Dest: 2}, Event{At: 9 * s, Kind: LogEnded})
 }
 
-func run(set Config, log []Event) *Checker {
-	c := New(set)
+func check(config Config, log []Event) *Checker {
+	c := New(config)
 	for _, e := range log {
 		c.Check(e)
 	}
@@ -47,7 +47,7 @@
 
 // Each mutation of the good log breaks the rule that it is listed under, and only that one.
 func TestMutations(t *testing.T) {
-	if c := run(config, good()); len(c.Violations) > 0 || c.PendingCount() != 0 {
+	if c := check(config, validLog()); len(c.Violations) > 0 || c.PendingCount() != 0 {
 		t.Fatalf("the good log: %v", c.Violations)
 	}
 	find := func(log []Event, k Kind, msg uint32, n int) int {
@@ -62,9 +62,9 @@
 		return 0
 	}
 	insert := func(log []Event, before int, e ...Event) []Event { return slices.Insert(log, before, e...) }
-	for name, m := range map[string]struct {
-		rule Name
-		do   func([]Event) []Event
+	for name, mutation := range map[string]struct {
+		rule   Name
+		mutate func([]Event) []Event
 	}{
 		"no end":           {Answer, func(l []Event) []Event { i := find(l, Returned, 3, 0); return slices.Delete(l, i, i+1) }},
 		"end too late":     {Answer, func(l []Event) []Event { l[find(l, Accepted, 3, 0)].Deadline = 2 * s; return l }},
@@ -106,40 +106,40 @@
 		"wrong place": {Bounds, func(l []Event) []Event { l[find(l, Sent, 3, 0)].Dest = 1; return l }},
 		"pushed over": {RecoveryOverload, func(l []Event) []Event { i := find(l, DestWarm, 0, 0); e := l[i-1]; return insert(l, i, e, e) }},
 	} {
-		c := run(config, m.do(good()))
-		if c.Counts[m.rule] == 0 || len(c.Counts) != 1 {
-			t.Errorf("%s: %v, want only %s: %v", name, c.Counts, m.rule, c.Violations)
+		checker := check(config, mutation.mutate(validLog()))
+		if checker.Counts[mutation.rule] == 0 || len(checker.Counts) != 1 {
+			t.Errorf("%s: %v, want only %s: %v", name, checker.Counts, mutation.rule, checker.Violations)
 		}
 	}
 	// Rules whose bound is in the figures.
-	for name, set := range map[Name]func(*Config){Bounds: func(c *Config) { c.MaxAttempts = 1 }, ConcurrencyShare: func(c *Config) { c.MaxConcurrentCalls = 3; c.MaxAttempts = 9 }} {
-		set2 := config
-		set(&set2)
-		log := good()
+	for name, change := range map[Name]func(*Config){Bounds: func(c *Config) { c.MaxAttempts = 1 }, ConcurrencyShare: func(c *Config) { c.MaxConcurrentCalls = 3; c.MaxAttempts = 9 }} {
+		changed := config
+		change(&changed)
+		log := validLog()
 		if name == ConcurrencyShare { // a third call to destination 1, of the three slots
 			log = insert(log, 6, Event{At: s, Kind: Accepted, Msg: 4, Dest: 1, Deadline: 9 * s}, Event{At: s, Kind: Sent, Msg: 4, Call: 8, Dest: 1, Endpoint: 11},
 				Event{At: s, Kind: AttemptEnded, Msg: 4, Call: 8, Dest: 1, Delivered: true})
 			log[5] = Event{At: s, Kind: Sent, Msg: 3, Call: 0, Dest: 2, Endpoint: 21} // its slot stays free
 		}
-		if c := run(set2, log); c.Counts[name] == 0 {
+		if c := check(changed, log); c.Counts[name] == 0 {
 			t.Errorf("%s: %v", name, c.Counts)
 		}
 	}
 	// Not by those who saw nothing: it falls over, and nobody broke a rule.
-	log := good()
+	log := validLog()
 	i := find(log, DestWarm, 0, 0)
 	log = slices.Delete(insert(log, i, log[i-1], log[i-1]), find(log, FailureSeen, 0, 0), find(log, FailureSeen, 0, 0)+1)
-	if c := run(config, log); len(c.Violations) > 0 {
+	if c := check(config, log); len(c.Violations) > 0 {
 		t.Errorf("by strangers: %v", c.Violations)
 	}
 }
 
 // A relay that dies takes what it held along; nothing of that life counts against the next.
-func TestDeath(t *testing.T) {
-	log := good()[:9]
+func TestRelayDied(t *testing.T) {
+	log := validLog()[:9]
 	log = append(log, Event{At: 2 * s, Kind: RelayDied}, Event{At: 2 * s, Kind: Accepted, Msg: 5, Dest: 1, Deadline: 9 * s},
 		Event{At: 2 * s, Kind: Sent, Msg: 5, Call: 9, Dest: 1, Endpoint: 11}, Event{At: 3 * s, Kind: AttemptEnded, Msg: 5, Call: 9, Dest: 1, Delivered: true}, Event{At: 9 * s, Kind: LogEnded})
-	if c := run(config, log); len(c.Violations) > 0 {
+	if c := check(config, log); len(c.Violations) > 0 {
 		t.Error(c.Violations)
 	}
 }
--- a/internal/lab/site/draw.go
+++ b/internal/lab/site/draw.go
@@ -17,30 +17,30 @@
 // sampler draws figures. Each has a source of its own, named by its key, so that a key that is added shifts no other.
 type sampler struct{ seed uint64 }
 
-func (d sampler) rand(key string, of ...int) *rand.Rand {
-	h := d.seed ^ 0x9e3779b97f4a7c15
+func (d sampler) rand(key string, indexes ...int) *rand.Rand {
+	hash := d.seed ^ 0x9e3779b97f4a7c15
 	mix := func(v uint64) {
-		h = (h ^ v) * 0xff51afd7ed558ccd
-		h ^= h >> 32
+		hash = (hash ^ v) * 0xff51afd7ed558ccd
+		hash ^= hash >> 32
 	}
 	for _, b := range []byte(key) {
 		mix(uint64(b))
 	}
-	for _, n := range of {
-		mix(uint64(n) + 1)
+	for _, index := range indexes {
+		mix(uint64(index) + 1)
 	}
-	return rand.New(rand.NewPCG(h, d.seed))
+	return rand.New(rand.NewPCG(hash, d.seed))
 }
 
 // sample draws from r; without one it is the fallback.
-func (d sampler) sample(key string, r *Range, fallback float64, of ...int) float64 {
+func (d sampler) sample(key string, r *Range, fallback float64, indexes ...int) float64 {
 	if r == nil {
 		return fallback
 	}
 	if r.To == nil {
 		return r.From
 	}
-	return r.From + (*r.To-r.From)*d.rand(key, of...).Float64()
+	return r.From + (*r.To-r.From)*d.rand(key, indexes...).Float64()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -59,124 +59,124 @@
 
 // DrawScenario draws a day of the site.
 func (s *Site) DrawScenario(seed uint64) (*emu.Scenario, error) {
-	d := sampler{seed}
-	net, cl, disc, rules := s.Network, s.Clients, s.Discovery, s.Rules
-	if net == nil {
-		net = &Network{}
+	draws := sampler{seed}
+	network, clients, discovery, rules := s.Network, s.Clients, s.Discovery, s.Rules
+	if network == nil {
+		network = &Network{}
 	}
-	if cl == nil {
-		cl = &Clients{}
+	if clients == nil {
+		clients = &Clients{}
 	}
-	if disc == nil {
-		disc = &Discovery{}
+	if discovery == nil {
+		discovery = &Discovery{}
 	}
 	if rules == nil {
 		rules = &Rules{}
 	}
-	day := &emu.Scenario{
-		Name: s.Name, Seed: seed, Length: seconds(d.sample("length_s", s.LengthS, 50)), Tail: seconds(d.sample("tail_s", s.TailS, 30)), Tick: milliseconds(d.sample("tick_ms", s.TickMs, 5)),
-		Relays: int(d.sample("relays", s.Relays, 2) + 0.5), MaxAttempts: int(orDefault(float64(s.MaxAttempts), 6)),
-		ClumpShare: d.sample("clumps", s.Clumps, 0), ClumpDuration: seconds(d.sample("clump_for_s", s.ClumpForS, 2)),
-		RTT: milliseconds(d.sample("network.rtt_ms", net.RttMs, 30)), ClientDelay: milliseconds(d.sample("network.client_ms", net.ClientMs, 1)), Jitter: d.sample("network.jitter", net.Jitter, 0.2),
-		HandshakeRTTs: d.sample("network.handshake_rtts", net.HandshakeRtts, 2), IdleTimeout: seconds(d.sample("network.idle_s", net.IdleS, 15)), ConnectTimeout: seconds(d.sample("network.connect_s", net.ConnectS, 1.5)),
-		ClientRetries: int(d.sample("clients.retries", cl.Retries, 2)), ClientBackoff: seconds(d.sample("clients.backoff_s", cl.BackoffS, 0.5)), RetryAfterCompliance: d.sample("clients.honour", cl.Honour, 0.7),
-		MaxRetryAfter: seconds(d.sample("clients.max_advice_s", cl.MaxAdviceS, 3)), ResubmitDelay: seconds(d.sample("clients.again_s", cl.AgainS, 1)), BalancerDetectionDelay: seconds(d.sample("clients.front_notice_s", cl.FrontNoticeS, 3)),
-		DiscoveryDelay: seconds(d.sample("discovery.notice_s", disc.NoticeS, 2)), DiscoverySpread: seconds(d.sample("discovery.spread_s", disc.SpreadS, 0.3)),
+	scenario := &emu.Scenario{
+		Name: s.Name, Seed: seed, Length: seconds(draws.sample("length_s", s.LengthS, 50)), Tail: seconds(draws.sample("tail_s", s.TailS, 30)), Tick: milliseconds(draws.sample("tick_ms", s.TickMs, 5)),
+		Relays: int(draws.sample("relays", s.Relays, 2) + 0.5), MaxAttempts: int(orDefault(float64(s.MaxAttempts), 6)),
+		ClumpShare: draws.sample("clumps", s.Clumps, 0), ClumpDuration: seconds(draws.sample("clump_for_s", s.ClumpForS, 2)),
+		RTT: milliseconds(draws.sample("network.rtt_ms", network.RttMs, 30)), ClientDelay: milliseconds(draws.sample("network.client_ms", network.ClientMs, 1)), Jitter: draws.sample("network.jitter", network.Jitter, 0.2),
+		HandshakeRTTs: draws.sample("network.handshake_rtts", network.HandshakeRtts, 2), IdleTimeout: seconds(draws.sample("network.idle_s", network.IdleS, 15)), ConnectTimeout: seconds(draws.sample("network.connect_s", network.ConnectS, 1.5)),
+		ClientRetries: int(draws.sample("clients.retries", clients.Retries, 2)), ClientBackoff: seconds(draws.sample("clients.backoff_s", clients.BackoffS, 0.5)), RetryAfterCompliance: draws.sample("clients.honour", clients.Honour, 0.7),
+		MaxRetryAfter: seconds(draws.sample("clients.max_advice_s", clients.MaxAdviceS, 3)), ResubmitDelay: seconds(draws.sample("clients.again_s", clients.AgainS, 1)), BalancerDetectionDelay: seconds(draws.sample("clients.front_notice_s", clients.FrontNoticeS, 3)),
+		DiscoveryDelay: seconds(draws.sample("discovery.notice_s", discovery.NoticeS, 2)), DiscoverySpread: seconds(draws.sample("discovery.spread_s", discovery.SpreadS, 0.3)),
 		AnswerSlack: milliseconds(orDefault(rules.AnswerSlackMs, 20)), DrainGrace: seconds(orDefault(rules.DrainGraceS, 1)), OverloadFactor: orDefault(rules.FallMultiple, 2), OverloadTime: seconds(orDefault(rules.FallS, 3)),
-		Membership: s.Members, Gossip: s.Notes, GossipLoss: d.sample("note_loss", s.NoteLoss, 0), ColdStartShare: orDefault(rules.ColdFrom, 0.2), WarmUpTime: seconds(orDefault(rules.ColdS, 11)), Penalties: Penalties,
+		Membership: s.Members, Gossip: s.Notes, GossipLoss: draws.sample("note_loss", s.NoteLoss, 0), ColdStartShare: orDefault(rules.ColdFrom, 0.2), WarmUpTime: seconds(orDefault(rules.ColdS, 11)), Penalties: Penalties,
 	}
 	var err error
-	if day.Choices, err = choice.Parse(s.Choices); err != nil {
+	if scenario.Choices, err = choice.Parse(s.Choices); err != nil {
 		return nil, fmt.Errorf("choices: %w", err)
 	}
-	day.HotRelayFactor = s.Busy
+	scenario.HotRelayFactor = s.Busy
 	mean, share := 0.0, 0.0
-	for i, c := range s.Class {
-		one := emu.Class{Class: policy.Class{Name: c.Name, Effect: policy.Effect(c.Effect), RepeatWindow: seconds(c.WindowS), TargetLatency: seconds(c.AimS), Deadline: seconds(c.DeadlineS), Value: c.Worth, LateValue: c.LateWorth},
-			Share: d.sample("class.share", c.Share, 1, i), Work: milliseconds(d.sample("class.work_ms", c.WorkMs, 150, i)), CV: d.sample("class.cv", c.Cv, 0.8, i),
-			Noise: d.sample("class.noise", c.Noise, 0.2, i), Exponential: c.Exponential}
-		day.Classes = append(day.Classes, one)
-		mean += one.Share * one.Work.Seconds()
-		share += one.Share
+	for i, class := range s.Class {
+		drawn := emu.Class{Class: policy.Class{Name: class.Name, Effect: policy.Effect(class.Effect), RepeatWindow: seconds(class.WindowS), TargetLatency: seconds(class.AimS), Deadline: seconds(class.DeadlineS), Value: class.Worth, LateValue: class.LateWorth},
+			Share: draws.sample("class.share", class.Share, 1, i), Work: milliseconds(draws.sample("class.work_ms", class.WorkMs, 150, i)), CV: draws.sample("class.cv", class.Cv, 0.8, i),
+			Noise: draws.sample("class.noise", class.Noise, 0.2, i), Exponential: class.Exponential}
+		scenario.Classes = append(scenario.Classes, drawn)
+		mean += drawn.Share * drawn.Work.Seconds()
+		share += drawn.Share
 	}
-	for i := range day.Classes {
-		day.Classes[i].Share /= max(share, 1e-9)
+	for i := range scenario.Classes {
+		scenario.Classes[i].Share /= max(share, 1e-9)
 	}
 	mean /= max(share, 1e-9)
-	for i, k := range s.Kind {
-		day.Kinds = append(day.Kinds, emu.Kind{Name: k.Name, MaxBatch: max(1, int(k.Batch)), ItemCost: d.sample("kind.item_cost", k.ItemCost, 0.1, i), Limit: emu.LimitKind(k.Limit),
-			Window: seconds(d.sample("kind.window_s", k.WindowS, 1, i)), CountsRejected: d.rand("kind.refused", i).Float64() < d.sample("kind.refused_count", k.RefusedCount, 0, i),
-			RetryAfterShare: d.sample("kind.tells_wait", k.TellsWait, 0.5, i), RetryAfter: milliseconds(d.sample("kind.wait_ms", k.WaitMs, 500, i)),
-			ColdStartShare: d.sample("kind.cold_from", k.ColdFrom, 0.25, i), WarmUpTime: seconds(d.sample("kind.cold_s", k.ColdS, 9, i)), ErrorRate: d.sample("kind.error_rate", k.ErrorRate, 0, i),
-			CancelsQueued: d.rand("kind.cancels", i).Float64() < d.sample("kind.cancels_queued", k.CancelsQueued, 0, i)})
+	for i, kind := range s.Kind {
+		scenario.Kinds = append(scenario.Kinds, emu.Kind{Name: kind.Name, MaxBatch: max(1, int(kind.Batch)), ItemCost: draws.sample("kind.item_cost", kind.ItemCost, 0.1, i), Limit: emu.LimitKind(kind.Limit),
+			Window: seconds(draws.sample("kind.window_s", kind.WindowS, 1, i)), CountsRejected: draws.rand("kind.refused", i).Float64() < draws.sample("kind.refused_count", kind.RefusedCount, 0, i),
+			RetryAfterShare: draws.sample("kind.tells_wait", kind.TellsWait, 0.5, i), RetryAfter: milliseconds(draws.sample("kind.wait_ms", kind.WaitMs, 500, i)),
+			ColdStartShare: draws.sample("kind.cold_from", kind.ColdFrom, 0.25, i), WarmUpTime: seconds(draws.sample("kind.cold_s", kind.ColdS, 9, i)), ErrorRate: draws.sample("kind.error_rate", kind.ErrorRate, 0, i),
+			CancelsQueued: draws.rand("kind.cancels", i).Float64() < draws.sample("kind.cancels_queued", kind.CancelsQueued, 0, i)})
 	}
-	n := max(1, int(d.sample("destinations", s.Destinations, 22)+0.5))
-	zones := max(1, int(d.sample("zones", s.Zones, 1)+0.5))
-	day.Zones = zones
-	full := d.sample("rate", s.Rate, 4) * float64(n) // messages a second at load 1
-	zipf, ends := d.sample("zipf", s.Zipf, 0.85), d.sample("endpoints", s.Endpoints, 1.6)
+	destCount := max(1, int(draws.sample("destinations", s.Destinations, 22)+0.5))
+	zones := max(1, int(draws.sample("zones", s.Zones, 1)+0.5))
+	scenario.Zones = zones
+	nominalRate := draws.sample("rate", s.Rate, 4) * float64(destCount) // messages a second at load 1
+	zipf, meanEndpoints := draws.sample("zipf", s.Zipf, 0.85), draws.sample("endpoints", s.Endpoints, 1.6)
 	total := 0.0
-	for i := range n {
+	for i := range destCount {
 		total += math.Pow(float64(i+1), -zipf)
 	}
-	busy := 0.0
-	order := d.rand("order").Perm(n)
-	for no, rank := range order {
-		r := d.rand("dest", no)
-		at := pickKind(s.Kind, r.Float64())
-		k := s.Kind[at]
+	busyCalls := 0.0
+	order := draws.rand("order").Perm(destCount)
+	for number, rank := range order {
+		rng := draws.rand("dest", number)
+		kindIndex := pickKind(s.Kind, rng.Float64())
+		kind := s.Kind[kindIndex]
 		share := math.Pow(float64(rank+1), -zipf) / total
-		calls := share * full
-		limit := max(d.sample("kind.least_rate", k.LeastRate, 2, at), calls*d.sample("kind.headroom", k.Headroom, 1.5, no))
-		can := limit * d.sample("kind.spare", k.Spare, 1.3, no)
-		cv := d.sample("kind.slow_cv", k.SlowCv, 0.5, at)
-		v := math.Log(1 + cv*cv)
-		pace := math.Exp(r.NormFloat64()*math.Sqrt(v)-v/2) * d.sample("kind.speed", k.Speed, 1, at)
-		eps := 1
-		for p := (ends - 1) / 3; eps < 4 && r.Float64() < p*(1.5-float64(rank)/float64(n)); eps++ {
+		calls := share * nominalRate
+		limit := max(draws.sample("kind.least_rate", kind.LeastRate, 2, kindIndex), calls*draws.sample("kind.headroom", kind.Headroom, 1.5, number))
+		capacity := limit * draws.sample("kind.spare", kind.Spare, 1.3, number)
+		cv := draws.sample("kind.slow_cv", kind.SlowCv, 0.5, kindIndex)
+		variance := math.Log(1 + cv*cv)
+		speedFactor := math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2) * draws.sample("kind.speed", kind.Speed, 1, kindIndex)
+		endpoints := 1
+		for chance := (meanEndpoints - 1) / 3; endpoints < 4 && rng.Float64() < chance*(1.5-float64(rank)/float64(destCount)); endpoints++ {
 		}
-		eps = max(eps, int(s.LeastEndpoints))
-		workers := max(eps, int(math.Ceil(can*mean/pace)))
-		dst := emu.Dest{Kind: at, Share: share, Zone: fmt.Sprintf("zone-%d", 1+no%zones)}
-		if k.Limit != Limit_NONE {
-			dst.Limit = limit
+		endpoints = max(endpoints, int(s.LeastEndpoints))
+		workers := max(endpoints, int(math.Ceil(capacity*mean/speedFactor)))
+		dest := emu.Dest{Kind: kindIndex, Share: share, Zone: fmt.Sprintf("zone-%d", 1+number%zones)}
+		if kind.Limit != Limit_NONE {
+			dest.Limit = limit
 		}
-		speed := can * mean / float64(workers)
-		for e := range eps {
-			have := workers / eps
-			if e < workers%eps {
-				have++
+		speed := capacity * mean / float64(workers)
+		for index := range endpoints {
+			ownWorkers := workers / endpoints
+			if index < workers%endpoints {
+				ownWorkers++
 			}
-			one := emu.Endpoint{Workers: have, Speed: speed, QueueSize: max(1, int(d.sample("kind.depth_s", k.DepthS, 0.7, at)*can/float64(eps)))}
-			if k.Conns != nil {
-				one.MaxConns = max(int(k.LeastConns), int(d.sample("kind.conns", k.Conns, 3, at)*float64(have)))
+			endpoint := emu.Endpoint{Workers: ownWorkers, Speed: speed, QueueSize: max(1, int(draws.sample("kind.depth_s", kind.DepthS, 0.7, kindIndex)*capacity/float64(endpoints)))}
+			if kind.Conns != nil {
+				endpoint.MaxConns = max(int(kind.LeastConns), int(draws.sample("kind.conns", kind.Conns, 3, kindIndex)*float64(ownWorkers)))
 			}
-			dst.Endpoints = append(dst.Endpoints, one)
+			dest.Endpoints = append(dest.Endpoints, endpoint)
 		}
-		busy += calls / float64(max(1, k.Batch)) * (mean/speed + day.RTT.Seconds())
-		day.Dests = append(day.Dests, dst)
+		busyCalls += calls / float64(max(1, kind.Batch)) * (mean/speed + scenario.RTT.Seconds())
+		scenario.Dests = append(scenario.Dests, dest)
 	}
-	day.MaxConcurrentCalls = max(int(orDefault(float64(s.LeastSlots), 2)), int(d.sample("slots_room", s.SlotsRoom, 2)*busy/float64(day.Relays)))
-	day.MaxPending = max(int(orDefault(float64(s.LeastHold), 12)), int(d.sample("hold_s", s.HoldS, 8)*full/float64(day.Relays)))
-	day.Rate = d.sample("load", s.Load, 0.8) * full
-	if swing := d.sample("swing", s.Swing, 0); swing > 0 {
-		phase := 2 * math.Pi * d.rand("phase").Float64()
+	scenario.MaxConcurrentCalls = max(int(orDefault(float64(s.LeastSlots), 2)), int(draws.sample("slots_room", s.SlotsRoom, 2)*busyCalls/float64(scenario.Relays)))
+	scenario.MaxPending = max(int(orDefault(float64(s.LeastHold), 12)), int(draws.sample("hold_s", s.HoldS, 8)*nominalRate/float64(scenario.Relays)))
+	scenario.Rate = draws.sample("load", s.Load, 0.8) * nominalRate
+	if swing := draws.sample("swing", s.Swing, 0); swing > 0 {
+		phase := 2 * math.Pi * draws.rand("phase").Float64()
 		for i := range 49 {
-			x := float64(i) / 48
-			day.Shape = append(day.Shape, emu.LoadPoint{At: time.Duration(x * float64(day.Length)), Multiple: 1 + swing*math.Sin(phase+2*math.Pi*x*1.5)})
+			position := float64(i) / 48
+			scenario.Shape = append(scenario.Shape, emu.LoadPoint{At: time.Duration(position * float64(scenario.Length)), Multiple: 1 + swing*math.Sin(phase+2*math.Pi*position*1.5)})
 		}
 	}
-	return day, nil
+	return scenario, nil
 }
 
-func pickKind(kinds []*Kind, x float64) int {
+func pickKind(kinds []*Kind, draw float64) int {
 	total := 0.0
 	for _, k := range kinds {
 		total += orDefault(k.Share, 1)
 	}
-	x *= total
-	for i, k := range kinds {
-		if x -= orDefault(k.Share, 1); x < 0 {
+	draw *= total
+	for i, kind := range kinds {
+		if draw -= orDefault(kind.Share, 1); draw < 0 {
 			return i
 		}
 	}
@@ -184,72 +184,72 @@
 }
 
 // AddFaults draws troubles into a day.
-func AddFaults(day *emu.Scenario, list []*Trouble, seed uint64) error {
-	d := sampler{seed}
-	for i, t := range list {
-		at := func(key string) string { return "trouble." + key }
-		one := emu.Fault{Kind: emu.FaultKind(t.Kind), Duration: seconds(d.sample(at("len_s"), t.LenS, 10, i)), Intensity: d.sample(at("size"), t.Size, 1, i), Period: seconds(d.sample(at("every_s"), t.EveryS, 2, i))}
-		if one.At = seconds(d.sample(at("at_s"), t.AtS, 0, i)); t.AtS == nil {
-			one.At = seconds(day.Length.Seconds() * (0.1 + 0.6*d.rand(at("at_s"), i).Float64()))
+func AddFaults(scenario *emu.Scenario, troubles []*Trouble, seed uint64) error {
+	draws := sampler{seed}
+	for i, trouble := range troubles {
+		keyOf := func(key string) string { return "trouble." + key }
+		fault := emu.Fault{Kind: emu.FaultKind(trouble.Kind), Duration: seconds(draws.sample(keyOf("len_s"), trouble.LenS, 10, i)), Intensity: draws.sample(keyOf("size"), trouble.Size, 1, i), Period: seconds(draws.sample(keyOf("every_s"), trouble.EveryS, 2, i))}
+		if fault.At = seconds(draws.sample(keyOf("at_s"), trouble.AtS, 0, i)); trouble.AtS == nil {
+			fault.At = seconds(scenario.Length.Seconds() * (0.1 + 0.6*draws.rand(keyOf("at_s"), i).Float64()))
 		}
-		for _, n := range t.Dest {
-			one.Dests = append(one.Dests, int(n))
+		for _, n := range trouble.Dest {
+			fault.Dests = append(fault.Dests, int(n))
 		}
-		if t.Busiest {
-			most := 0
-			for n := range day.Dests {
-				if day.Dests[n].Share > day.Dests[most].Share {
-					most = n
+		if trouble.Busiest {
+			busiest := 0
+			for number := range scenario.Dests {
+				if scenario.Dests[number].Share > scenario.Dests[busiest].Share {
+					busiest = number
 				}
 			}
-			one.Dests = append(one.Dests, most)
+			fault.Dests = append(fault.Dests, busiest)
 		}
-		if t.Zone > 0 {
-			one.Zone = fmt.Sprintf("zone-%d", t.Zone)
-			if int(t.Zone) > day.Zones || !one.AffectsRelays() && !slices.ContainsFunc(day.Dests, func(x emu.Dest) bool { return x.Zone == one.Zone }) {
-				return fmt.Errorf("trouble[%d].zone: there is no zone %d", i, t.Zone)
+		if trouble.Zone > 0 {
+			fault.Zone = fmt.Sprintf("zone-%d", trouble.Zone)
+			if int(trouble.Zone) > scenario.Zones || !fault.AffectsRelays() && !slices.ContainsFunc(scenario.Dests, func(x emu.Dest) bool { return x.Zone == fault.Zone }) {
+				return fmt.Errorf("trouble[%d].zone: there is no zone %d", i, trouble.Zone)
 			}
 		}
-		if t.Part != nil {
-			want, got := d.sample(at("part"), t.Part, 0, i), 0.0
-			for _, n := range d.rand(at("who"), i).Perm(len(day.Dests)) {
-				if share := day.Dests[n].Share; got == 0 || got+share <= want*1.15 {
-					one.Dests = append(one.Dests, n)
-					got += share
+		if trouble.Part != nil {
+			wantedShare, gotShare := draws.sample(keyOf("part"), trouble.Part, 0, i), 0.0
+			for _, n := range draws.rand(keyOf("who"), i).Perm(len(scenario.Dests)) {
+				if share := scenario.Dests[n].Share; gotShare == 0 || gotShare+share <= wantedShare*1.15 {
+					fault.Dests = append(fault.Dests, n)
+					gotShare += share
 				}
-				if got >= want {
+				if gotShare >= wantedShare {
 					break
 				}
 			}
 		}
-		relays := t.Relay
+		relays := trouble.Relay
 		if len(relays) == 0 {
-			switch one.Kind {
+			switch fault.Kind {
 			case emu.RelayCrash, emu.RelayStop, emu.RelayStall:
-				if t.Zone > 0 {
-					for _, n := range day.RelaysOf(&one) {
+				if trouble.Zone > 0 {
+					for _, n := range scenario.RelaysOf(&fault) {
 						relays = append(relays, int32(n))
 					}
 					break
 				}
-				for n := range day.Relays {
+				for n := range scenario.Relays {
 					relays = append(relays, int32(n))
 				}
 			}
 		}
-		if each := d.sample(at("each_s"), t.EachS, 0, i); each > 0 {
-			for n, r := range relays {
-				turn := one
-				turn.At += seconds(each * float64(n))
-				turn.Relays = []int{int(r)}
-				day.Faults = append(day.Faults, turn)
+		if interval := draws.sample(keyOf("each_s"), trouble.EachS, 0, i); interval > 0 {
+			for n, relay := range relays {
+				single := fault
+				single.At += seconds(interval * float64(n))
+				single.Relays = []int{int(relay)}
+				scenario.Faults = append(scenario.Faults, single)
 			}
 			continue
 		}
-		for _, r := range relays {
-			one.Relays = append(one.Relays, int(r))
+		for _, relay := range relays {
+			fault.Relays = append(fault.Relays, int(relay))
 		}
-		day.Faults = append(day.Faults, one)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
 	return nil
 }
@@ -262,19 +262,19 @@
 			return nil, err
 		}
 	}
-	c := proto.Clone(base).(*Site)
-	for _, o := range []struct {
-		own *Range
-		at  **Range
-	}{{s.Load, &c.Load}, {s.Relays, &c.Relays}, {s.Destinations, &c.Destinations}, {s.Clumps, &c.Clumps}, {s.LengthS, &c.LengthS}} {
-		if o.own != nil {
-			*o.at = o.own
+	changed := proto.Clone(base).(*Site)
+	for _, override := range []struct {
+		value *Range
+		field **Range
+	}{{s.Load, &changed.Load}, {s.Relays, &changed.Relays}, {s.Destinations, &changed.Destinations}, {s.Clumps, &changed.Clumps}, {s.LengthS, &changed.LengthS}} {
+		if override.value != nil {
+			*override.field = override.value
 		}
 	}
-	day, err := c.DrawScenario(seed)
+	scenario, err := changed.DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
-	day.Name = s.Name
-	return day, AddFaults(day, s.Trouble, seed)
+	scenario.Name = s.Name
+	return scenario, AddFaults(scenario, s.Trouble, seed)
 }
--- a/internal/lab/site/load.go
+++ b/internal/lab/site/load.go
@@ -17,51 +17,51 @@
 // FileExt is the ending of the laboratory's files.
 const FileExt = ".textproto"
 
-func readFile(file string, into proto.Message) error {
+func readFile(file string, message proto.Message) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	if err := prototext.Unmarshal(raw, into); err != nil {
+	if err := prototext.Unmarshal(raw, message); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	if err := checkRanges(into.ProtoReflect(), ""); err != nil {
+	if err := checkRanges(message.ProtoReflect(), ""); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
 }
 
 // checkRanges names the first range that can't be drawn from.
-func checkRanges(m protoreflect.Message, at string) (err error) {
-	if r, ok := m.Interface().(*Range); ok {
-		to := r.From
-		if r.To != nil {
-			to = *r.To
+func checkRanges(message protoreflect.Message, path string) (err error) {
+	if interval, ok := message.Interface().(*Range); ok {
+		end := interval.From
+		if interval.To != nil {
+			end = *interval.To
 		}
 		switch {
-		case math.IsNaN(r.From) || math.IsNaN(to) || math.IsInf(r.From, 0) || math.IsInf(to, 0):
-			return fmt.Errorf("%s: from %g to %g is no range of numbers", at, r.From, to)
-		case to < r.From:
-			return fmt.Errorf("%s: from %g to %g runs backwards", at, r.From, to)
-		case r.From < 0:
-			return fmt.Errorf("%s: %g is under 0", at, r.From)
+		case math.IsNaN(interval.From) || math.IsNaN(end) || math.IsInf(interval.From, 0) || math.IsInf(end, 0):
+			return fmt.Errorf("%s: from %g to %g is no range of numbers", path, interval.From, end)
+		case end < interval.From:
+			return fmt.Errorf("%s: from %g to %g runs backwards", path, interval.From, end)
+		case interval.From < 0:
+			return fmt.Errorf("%s: %g is under 0", path, interval.From)
 		}
 		return nil
 	}
-	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
-		key := strings.TrimPrefix(at+"."+string(f.Name()), ".")
+	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		key := strings.TrimPrefix(path+"."+string(field.Name()), ".")
 		switch {
-		case f.IsList() && f.Message() != nil:
-			for i := range v.List().Len() {
-				if err = checkRanges(v.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
+		case field.IsList() && field.Message() != nil:
+			for i := range value.List().Len() {
+				if err = checkRanges(value.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
 					return false
 				}
 			}
-		case f.Message() != nil:
-			err = checkRanges(v.Message(), key)
-		case f.Kind() == protoreflect.DoubleKind && !f.IsList():
-			if x := v.Float(); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-				err = fmt.Errorf("%s: %g is no number of at least 0", key, x)
+		case field.Message() != nil:
+			err = checkRanges(value.Message(), key)
+		case field.Kind() == protoreflect.DoubleKind && !field.IsList():
+			if number := value.Float(); math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
+				err = fmt.Errorf("%s: %g is no number of at least 0", key, number)
 			}
 		}
 		return err == nil
@@ -71,72 +71,72 @@
 
 // ReadSite reads a site's file.
 func ReadSite(file string) (*Site, error) {
-	s := &Site{}
-	if err := readFile(file, s); err != nil {
+	site := &Site{}
+	if err := readFile(file, site); err != nil {
 		return nil, err
 	}
-	for key, n := range map[string]int{"class": len(s.Class), "kind": len(s.Kind)} {
-		if n == 0 {
+	for key, count := range map[string]int{"class": len(site.Class), "kind": len(site.Kind)} {
+		if count == 0 {
 			return nil, fmt.Errorf("%s: %s: none is given", file, key)
 		}
 	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if site.Name == "" {
+		site.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	return s, nil
+	return site, nil
 }
 
 // ReadScript reads a day of the library.
 func ReadScript(file string) (*Script, error) {
-	s := &Script{}
-	if err := readFile(file, s); err != nil {
+	script := &Script{}
+	if err := readFile(file, script); err != nil {
 		return nil, err
 	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if script.Name == "" {
+		script.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	if s.Site != "" {
-		s.Site = filepath.Join(filepath.Dir(file), s.Site)
+	if script.Site != "" {
+		script.Site = filepath.Join(filepath.Dir(file), script.Site)
 	}
-	return s, nil
+	return script, nil
 }
 
 // ReadExperiment reads an experiment; the files that it names are taken from its folder.
 func ReadExperiment(file string) (*Experiment, error) {
-	e := &Experiment{}
-	if err := readFile(file, e); err != nil {
+	experiment := &Experiment{}
+	if err := readFile(file, experiment); err != nil {
 		return nil, err
 	}
 	dir := filepath.Dir(file)
-	if e.Name == "" {
-		e.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if experiment.Name == "" {
+		experiment.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	if e.Site == "" {
+	if experiment.Site == "" {
 		return nil, fmt.Errorf("%s: site: not given", file)
 	}
-	e.Site = filepath.Join(dir, e.Site)
-	for i := range e.Script {
-		e.Script[i] = filepath.Join(dir, e.Script[i])
+	experiment.Site = filepath.Join(dir, experiment.Site)
+	for i := range experiment.Script {
+		experiment.Script[i] = filepath.Join(dir, experiment.Script[i])
 	}
 	seen := map[string]bool{}
-	for i, a := range e.Arm {
-		if a.Name == "" || seen[a.Name] {
-			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or there twice", file, i, a.Name)
+	for i, arm := range experiment.Arm {
+		if arm.Name == "" || seen[arm.Name] {
+			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or there twice", file, i, arm.Name)
 		}
-		seen[a.Name] = true
+		seen[arm.Name] = true
 	}
-	if len(e.Arm) == 0 {
+	if len(experiment.Arm) == 0 {
 		return nil, fmt.Errorf("%s: arm: none is given", file)
 	}
-	if e.Baseline == "" {
-		e.Baseline = e.Arm[0].Name
+	if experiment.Baseline == "" {
+		experiment.Baseline = experiment.Arm[0].Name
 	}
-	if !seen[e.Baseline] {
-		return nil, fmt.Errorf("%s: baseline: no arm is called %q", file, e.Baseline)
+	if !seen[experiment.Baseline] {
+		return nil, fmt.Errorf("%s: baseline: no arm is called %q", file, experiment.Baseline)
 	}
-	if e.Repeats < 0 || e.Repeats > 10_000 {
-		return nil, fmt.Errorf("%s: repeats: %d does not lie within 1 and 10000", file, e.Repeats)
+	if experiment.Repeats < 0 || experiment.Repeats > 10_000 {
+		return nil, fmt.Errorf("%s: repeats: %d does not lie within 1 and 10000", file, experiment.Repeats)
 	}
-	e.Repeats = max(1, e.Repeats)
-	return e, nil
+	experiment.Repeats = max(1, experiment.Repeats)
+	return experiment, nil
 }
--- a/internal/lab/site/simday.go
+++ b/internal/lab/site/simday.go
@@ -21,81 +21,81 @@
 	if doc.Get("fam.gates.#").Int() == 0 {
 		return nil, fmt.Errorf("fam.gates: no destination")
 	}
-	us := func(path string) time.Duration {
+	durationAt := func(path string) time.Duration {
 		return time.Duration(doc.Get(path).Float() * float64(time.Microsecond))
 	}
-	num := func(path string) float64 { return doc.Get(path).Float() }
-	seed := uint64(num("noise"))
-	d := &emu.Scenario{
-		Name: doc.Get("site").Str + "/" + doc.Get("kind").Str, Seed: seed, Length: us("length"), Tail: us("tail") + 5*time.Second, Tick: us("tick"),
-		Relays: int(num("balancers.#")), MaxConcurrentCalls: int(num("fam.slots")), MaxPending: int(num("allow.max_open")), MaxAttempts: int(num("allow.max_attempts")),
-		Rate: num("traffic.load") * num("fam.capacity"), ClumpShare: num("fam.clumps"), ClumpDuration: seconds(num("fam.clump_s")),
-		RTT: us("net.same"), ClientDelay: us("net.client"), Jitter: min(1, num("net.jitter")), HandshakeRTTs: num("tiers.0.handshake_rtts"), IdleTimeout: us("tiers.0.conn_idle"),
-		ConnectTimeout: us("tiers.0.connect_timeout"), AnswerSlack: 20 * time.Millisecond, ClientRetries: int(num("clients.retries")), ClientBackoff: us("clients.backoff_us"),
-		RetryAfterCompliance: num("clients.honour"), MaxRetryAfter: us("clients.max_retry_after"), ResubmitDelay: us("fam.again"), BalancerDetectionDelay: us("front_notice"),
-		DiscoveryDelay: us("discovery.notice"), DiscoverySpread: us("discovery.spread"), WarmUpTime: us("tiers.0.stated_cold"), ColdStartShare: num("tiers.0.stated_cold_from"),
-		OverloadFactor: num("fall_multiple"), OverloadTime: us("fall_for"), DrainGrace: us("drain_grace"),
-		Penalties: emu.Penalties{WastedWork: num("prices.waste"), Handshake: num("prices.handshake"), LateFailure: num("prices.late_fail"), RejectedCall: num("fam.refused_price")},
+	numberAt := func(path string) float64 { return doc.Get(path).Float() }
+	seed := uint64(numberAt("noise"))
+	scenario := &emu.Scenario{
+		Name: doc.Get("site").Str + "/" + doc.Get("kind").Str, Seed: seed, Length: durationAt("length"), Tail: durationAt("tail") + 5*time.Second, Tick: durationAt("tick"),
+		Relays: int(numberAt("balancers.#")), MaxConcurrentCalls: int(numberAt("fam.slots")), MaxPending: int(numberAt("allow.max_open")), MaxAttempts: int(numberAt("allow.max_attempts")),
+		Rate: numberAt("traffic.load") * numberAt("fam.capacity"), ClumpShare: numberAt("fam.clumps"), ClumpDuration: seconds(numberAt("fam.clump_s")),
+		RTT: durationAt("net.same"), ClientDelay: durationAt("net.client"), Jitter: min(1, numberAt("net.jitter")), HandshakeRTTs: numberAt("tiers.0.handshake_rtts"), IdleTimeout: durationAt("tiers.0.conn_idle"),
+		ConnectTimeout: durationAt("tiers.0.connect_timeout"), AnswerSlack: 20 * time.Millisecond, ClientRetries: int(numberAt("clients.retries")), ClientBackoff: durationAt("clients.backoff_us"),
+		RetryAfterCompliance: numberAt("clients.honour"), MaxRetryAfter: durationAt("clients.max_retry_after"), ResubmitDelay: durationAt("fam.again"), BalancerDetectionDelay: durationAt("front_notice"),
+		DiscoveryDelay: durationAt("discovery.notice"), DiscoverySpread: durationAt("discovery.spread"), WarmUpTime: durationAt("tiers.0.stated_cold"), ColdStartShare: numberAt("tiers.0.stated_cold_from"),
+		OverloadFactor: numberAt("fall_multiple"), OverloadTime: durationAt("fall_for"), DrainGrace: durationAt("drain_grace"),
+		Penalties: emu.Penalties{WastedWork: numberAt("prices.waste"), Handshake: numberAt("prices.handshake"), LateFailure: numberAt("prices.late_fail"), RejectedCall: numberAt("fam.refused_price")},
 	}
-	for _, p := range doc.Get("traffic.shape").Array() {
-		d.Shape = append(d.Shape, emu.LoadPoint{At: seconds(p.Get("0").Float()), Multiple: p.Get("1").Float()})
+	for _, point := range doc.Get("traffic.shape").Array() {
+		scenario.Shape = append(scenario.Shape, emu.LoadPoint{At: seconds(point.Get("0").Float()), Multiple: point.Get("1").Float()})
 	}
 	effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 	micros := func(v gjson.Result) time.Duration { return time.Duration(v.Float() * float64(time.Microsecond)) }
-	for _, c := range doc.Get("classes").Array() {
-		d.Classes = append(d.Classes, emu.Class{Class: policy.Class{Name: c.Get("name").Str, Effect: effects[c.Get("effect").Str], RepeatWindow: micros(c.Get("window")),
-			TargetLatency: micros(c.Get("aim")), Deadline: micros(c.Get("deadline")), Value: c.Get("worth").Float(), LateValue: c.Get("late_worth").Float()},
-			Share: c.Get("share").Float(), Work: micros(c.Get("work")), CV: c.Get("cv").Float(), Noise: c.Get("attempt_noise").Float(), Exponential: c.Get("dist").Str == "exp"})
+	for _, class := range doc.Get("classes").Array() {
+		scenario.Classes = append(scenario.Classes, emu.Class{Class: policy.Class{Name: class.Get("name").Str, Effect: effects[class.Get("effect").Str], RepeatWindow: micros(class.Get("window")),
+			TargetLatency: micros(class.Get("aim")), Deadline: micros(class.Get("deadline")), Value: class.Get("worth").Float(), LateValue: class.Get("late_worth").Float()},
+			Share: class.Get("share").Float(), Work: micros(class.Get("work")), CV: class.Get("cv").Float(), Noise: class.Get("attempt_noise").Float(), Exponential: class.Get("dist").Str == "exp"})
 	}
-	habits := doc.Get("fam.habits").Array()
+	behaviors := doc.Get("fam.habits").Array()
 	limits := map[string]emu.LimitKind{"none": emu.NoLimit, "rate": emu.RateLimit, "window": emu.WindowLimit}
-	for i, k := range doc.Get("tiers.0.kinds").Array() {
-		if i >= len(habits) {
+	for i, kind := range doc.Get("tiers.0.kinds").Array() {
+		if i >= len(behaviors) {
 			return nil, fmt.Errorf("fam.habits: none for kind %d", i)
 		}
-		h := habits[i]
-		d.Kinds = append(d.Kinds, emu.Kind{Name: k.Get("name").Str, MaxBatch: max(1, int(h.Get("batch").Int())), ItemCost: h.Get("item_cost").Float(), Limit: limits[h.Get("limit").Str],
-			Window: micros(h.Get("window")), CountsRejected: h.Get("refused_count").Bool(), RetryAfterShare: h.Get("tells_wait").Float(), RetryAfter: micros(h.Get("wait")),
-			ColdStartShare: k.Get("cold_from").Float(), WarmUpTime: micros(k.Get("cold")), ErrorRate: k.Get("error_rate").Float(), CancelsQueued: k.Get("cancel").Str == "queued"})
+		behavior := behaviors[i]
+		scenario.Kinds = append(scenario.Kinds, emu.Kind{Name: kind.Get("name").Str, MaxBatch: max(1, int(behavior.Get("batch").Int())), ItemCost: behavior.Get("item_cost").Float(), Limit: limits[behavior.Get("limit").Str],
+			Window: micros(behavior.Get("window")), CountsRejected: behavior.Get("refused_count").Bool(), RetryAfterShare: behavior.Get("tells_wait").Float(), RetryAfter: micros(behavior.Get("wait")),
+			ColdStartShare: kind.Get("cold_from").Float(), WarmUpTime: micros(kind.Get("cold")), ErrorRate: kind.Get("error_rate").Float(), CancelsQueued: kind.Get("cancel").Str == "queued"})
 	}
-	kinds, share := doc.Get("fam.kind").Array(), doc.Get("fam.share").Array()
-	for i, g := range doc.Get("fam.gates").Array() {
-		if i >= len(kinds) || i >= len(share) || int(kinds[i].Int()) >= len(habits) {
+	kinds, shares := doc.Get("fam.kind").Array(), doc.Get("fam.share").Array()
+	for i, gate := range doc.Get("fam.gates").Array() {
+		if i >= len(kinds) || i >= len(shares) || int(kinds[i].Int()) >= len(behaviors) {
 			return nil, fmt.Errorf("fam.kind: destination %d has none", i)
 		}
-		d.Dests = append(d.Dests, emu.Dest{Kind: int(kinds[i].Int()), Share: share[i].Float(), Limit: g.Get("limit").Float(), Zone: "zone-1"})
+		scenario.Dests = append(scenario.Dests, emu.Dest{Kind: int(kinds[i].Int()), Share: shares[i].Float(), Limit: gate.Get("limit").Float(), Zone: "zone-1"})
 	}
 	type place struct{ dest, at int }
-	places := make([]place, int(num("servers.#")))
+	places := make([]place, int(numberAt("servers.#")))
 	servers := doc.Get("servers").Array()
-	for i, e := range doc.Get("fam.ends").Array() {
-		n := int(e.Get("gate").Int())
-		if n >= len(d.Dests) || i >= len(servers) {
-			return nil, fmt.Errorf("fam.ends[%d].gate: there is no destination %d", i, n)
+	for i, end := range doc.Get("fam.ends").Array() {
+		destNumber := int(end.Get("gate").Int())
+		if destNumber >= len(scenario.Dests) || i >= len(servers) {
+			return nil, fmt.Errorf("fam.ends[%d].gate: there is no destination %d", i, destNumber)
 		}
-		dst := &d.Dests[n]
-		work := doc.Get(fmt.Sprintf("fam.work.%d", n)).Float() / 1e6
-		workers, speed := max(1, int(e.Get("workers").Int())), servers[i].Get("speed").Float()
-		depth := habits[dst.Kind].Get("depth_s").Float() * float64(workers) * speed / max(work, 1e-6)
-		places[i] = place{n, len(dst.Endpoints)}
-		dst.Endpoints = append(dst.Endpoints, emu.Endpoint{Workers: workers, Speed: speed, QueueSize: max(1, int(math.Ceil(depth))), MaxConns: int(e.Get("conns").Int())})
+		dest := &scenario.Dests[destNumber]
+		work := doc.Get(fmt.Sprintf("fam.work.%d", destNumber)).Float() / 1e6
+		workers, speed := max(1, int(end.Get("workers").Int())), servers[i].Get("speed").Float()
+		depth := behaviors[dest.Kind].Get("depth_s").Float() * float64(workers) * speed / max(work, 1e-6)
+		places[i] = place{destNumber, len(dest.Endpoints)}
+		dest.Endpoints = append(dest.Endpoints, emu.Endpoint{Workers: workers, Speed: speed, QueueSize: max(1, int(math.Ceil(depth))), MaxConns: int(end.Get("conns").Int())})
 	}
-	for i, t := range doc.Get("troubles").Array() {
-		one := emu.Fault{Kind: emu.FaultKind(t.Get("kind").Str), At: micros(t.Get("at")), Duration: micros(t.Get("len")), Intensity: t.Get("size").Float(), Period: seconds(t.Get("extra").Float())}
-		if one.Kind == emu.Pauses {
-			one.Intensity, one.Period = t.Get("size").Float()/1000, max(one.Period, seconds(t.Get("size").Float()/1000+0.01))
+	for i, trouble := range doc.Get("troubles").Array() {
+		fault := emu.Fault{Kind: emu.FaultKind(trouble.Get("kind").Str), At: micros(trouble.Get("at")), Duration: micros(trouble.Get("len")), Intensity: trouble.Get("size").Float(), Period: seconds(trouble.Get("extra").Float())}
+		if fault.Kind == emu.Pauses {
+			fault.Intensity, fault.Period = trouble.Get("size").Float()/1000, max(fault.Period, seconds(trouble.Get("size").Float()/1000+0.01))
 		}
-		if one.Kind == emu.FastErrors && t.Get("which").Int() != 0 {
-			one.Kind = emu.RejectAll
+		if fault.Kind == emu.FastErrors && trouble.Get("which").Int() != 0 {
+			fault.Kind = emu.RejectAll
 		}
-		for _, n := range t.Get("on").Array() {
-			if n.Int() >= int64(len(places)) {
-				return nil, fmt.Errorf("troubles[%d].on: there is no server %d", i, n.Int())
+		for _, server := range trouble.Get("on").Array() {
+			if server.Int() >= int64(len(places)) {
+				return nil, fmt.Errorf("troubles[%d].on: there is no server %d", i, server.Int())
 			}
-			p := places[n.Int()]
-			one.Endpoints = append(one.Endpoints, [2]int{p.dest, p.at})
+			p := places[server.Int()]
+			fault.Endpoints = append(fault.Endpoints, [2]int{p.dest, p.at})
 		}
-		d.Faults = append(d.Faults, one)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
-	return d, d.Check()
+	return scenario, scenario.Check()
 }
