--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -14,8 +14,8 @@
 
 var allChoices = choice.Options{SubsetSize: 4, TimeSlots: true, DemandShares: true, Signals: true}
 
-// drawFleet is a day of n relays that share choices, with as many slots and as much traffic for all together as the site has. One relay's clients hand in ten
-// times the mean.
+// drawFleet draws a scenario of relays that share choices. All together they have the concurrency and
+// the traffic that the site has. One relay gets ten times the mean traffic.
 func drawFleet(t *testing.T, relays int, seed uint64, faults ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-site.textproto")
@@ -31,7 +31,7 @@
 	return scenario
 }
 
-// extraFleetSizes is a further size to play the hard cases at, by hand: -fleet 1000.
+// extraFleetSizes returns the fleet size of the flag -fleet, for manual runs.
 func extraFleetSizes() []int {
 	if *fleetSize == 0 {
 		return nil
@@ -39,8 +39,9 @@
 	return []int{*fleetSize}
 }
 
-var fleetSize = flag.Int("fleet", 0, "relays of a further, large fleet")
+var fleetSize = flag.Int("fleet", 0, "additional fleet size for TestSharedChoicesUnderFaults")
 
+// everyNth returns every step-th relay of n, starting with first.
 func everyNth(n, first, step int) (all []int) {
 	for i := first; i < n; i += step {
 		all = append(all, i)
@@ -48,38 +49,38 @@
 	return all
 }
 
-// Each hard case at three sizes of fleets: no rule breaks, no partner is pushed over as it returns, everything ends, and what is delivered is not much less than by the same
-// relays that share nothing.
+// With faults at three fleet sizes no rule is violated, no recovering destination is overloaded, all
+// messages complete, and the score is not much below that of relays that share nothing.
 func TestSharedChoicesUnderFaults(t *testing.T) {
 	s := time.Second
 	outage := emu.Fault{Kind: emu.Crash, At: 8 * s, Duration: 7 * s, Dests: []int{0, 1}}
 	for name, faults := range map[string]func(n int) []emu.Fault{
-		"half of the notes lost": func(int) []emu.Fault {
+		"half of the gossip lost": func(int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.GossipLoss, At: 4 * s, Duration: 25 * s, Intensity: 0.5}}
 		},
-		"restarted in tenths": func(n int) []emu.Fault { return append(rollingRestart(n), outage) },
-		"a third unseen by a third": func(n int) []emu.Fault {
+		"rolling restart": func(n int) []emu.Fault { return append(rollingRestart(n), outage) },
+		"a third receives no gossip": func(n int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.GossipReceiveLoss, At: 5 * s, Duration: 20 * s, Relays: everyNth(n, 0, 3)}}
 		},
-		"two halves": func(n int) []emu.Fault {
+		"partition in halves": func(n int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.Partition, At: 5 * s, Duration: 20 * s, Relays: everyNth(n, 0, 2)}}
 		},
 		"half die": func(n int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.RelayCrash, At: 6 * s, Duration: 60 * s, Relays: everyNth(n, 0, 2)}}
 		},
-		"half come": func(n int) []emu.Fault {
+		"half join": func(n int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.RelayCrash, At: 1 * s, Duration: 9 * s, Relays: everyNth(n, 1, 2)}}
 		},
-		"stopped as it returns": func(n int) []emu.Fault {
+		"stalled during recovery": func(n int) []emu.Fault {
 			return []emu.Fault{outage, {Kind: emu.RelayStall, At: 14 * s, Duration: 3 * s, Relays: everyNth(n, 0, 4)}}
 		},
-		"lowered to a tenth": func(int) []emu.Fault {
+		"limit lowered to a tenth": func(int) []emu.Fault {
 			return []emu.Fault{{Kind: emu.LowerLimit, At: 8 * s, Duration: 9 * s, Intensity: 0.1, Dests: []int{0, 1, 2}}}
 		},
-		"waits late and twice": func(int) []emu.Fault {
+		"Retry-After late and twice": func(int) []emu.Fault {
 			return []emu.Fault{{Kind: emu.RejectAll, At: 8 * s, Duration: 8 * s, Dests: []int{0, 1}}, {Kind: emu.GossipDelay, At: 5 * s, Duration: 20 * s, Intensity: 3}, {Kind: emu.GossipDuplication, At: 5 * s, Duration: 20 * s, Intensity: 0.5}}
 		},
-		"a subset that is down": func(int) []emu.Fault {
+		"a subset is down": func(int) []emu.Fault {
 			var parts [][2]int
 			for e := range 12 {
 				parts = append(parts, [2]int{0, e})
@@ -93,7 +94,7 @@
 				scenario := drawFleet(t, relays, 71, faults(relays)...)
 				result := run(t, scenario, emu.Options{})
 				if !result.Passed() || result.Fallen > 0 || result.Delivered == 0 {
-					t.Fatalf("%v %v, %d fell over", result.Breaks, result.Faults, result.Fallen)
+					t.Fatalf("violations %v, errors %v, %d overloads", result.Breaks, result.Faults, result.Fallen)
 				}
 				if relays >= 300 {
 					return
@@ -101,14 +102,14 @@
 				unshared := drawFleet(t, relays, 71, faults(relays)...)
 				unshared.Choices = choice.Options{}
 				if baseline := run(t, unshared, emu.Options{}); result.G < baseline.G-0.08 {
-					t.Errorf("G %.3f, %.3f with nothing shared", result.G, baseline.G)
+					t.Errorf("score %.3f, without shared choices %.3f", result.G, baseline.G)
 				}
 			})
 		}
 	}
 }
 
-// rollingRestart restart all relays, a tenth at a time.
+// rollingRestart returns faults that restart all relays, a tenth at a time.
 func rollingRestart(relays int) (all []emu.Fault) {
 	for i := range min(relays, 10) {
 		all = append(all, emu.Fault{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: everyNth(relays, i, 10)})
@@ -116,21 +117,21 @@
 	return all
 }
 
-// Two small partners return while 300 relays are restarted in tenths: relays that have just started and saw nothing of the outage do not push them over. Each of these days had one that fell
-// while a relay that starts took nothing of what others allow themselves, and believed no outage of which few calls tell.
+// Prevents an overload of recovering destinations by relays that have just started in a rolling
+// restart and saw nothing of the outage.
 func TestRecoveryDuringRollingRestart(t *testing.T) {
 	for _, seed := range []uint64{72, 73, 85, 86} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := drawFleet(t, 300, seed, append(rollingRestart(300), emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
 			if result := run(t, scenario, emu.Options{}); !result.Passed() || result.Fallen > 0 || result.Delivered == 0 {
-				t.Errorf("%v %v, %d fell over", result.Breaks, result.Faults, result.Fallen)
+				t.Errorf("violations %v, errors %v, %d overloads", result.Breaks, result.Faults, result.Fallen)
 			}
 		})
 	}
 }
 
-// A destination with one endpoint: every relay keeps it, whatever the subset is.
+// Every relay uses the only endpoint of a destination, whatever the subset size is.
 func TestSubsetOfOneEndpoint(t *testing.T) {
 	scenario := drawFleet(t, 80, 72)
 	for i := range scenario.Dests {
@@ -141,12 +142,12 @@
 	with := run(t, scenario, emu.Options{})
 	scenario.Choices.SubsetSize = 0
 	if without := run(t, scenario, emu.Options{}); !with.Passed() || with.Calls != without.Calls || with.G != without.G {
-		t.Errorf("a subset of one endpoint changes something: %d calls and %d, %v", with.Calls, without.Calls, with.Breaks)
+		t.Errorf("%d calls with subsets, %d without; violations %v", with.Calls, without.Calls, with.Breaks)
 	}
 }
 
-// Fewer try a destination that is known to be out than where each tries for itself. They are not as few at 240 relays as at 80: most hear of no two that saw calls fail
-// (docs/design/choices.md).
+// Time slots reduce the calls to a destination that is known to be down. They reduce them less at 240
+// relays than at 80, where most relays receive reports of failures (docs/design/choices.md).
 func TestTimeSlotsReduceProbes(t *testing.T) {
 	probes := map[int]int{}
 	for _, relays := range []int{80, 240} {
@@ -160,8 +161,8 @@
 			}})
 		}
 	}
-	t.Logf("80 relays: %d, with turns %d; 240: %d and %d", probes[80], probes[81], probes[240], probes[241])
+	t.Logf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81], probes[240], probes[241])
 	if probes[81] > probes[80]/3 || probes[241] > probes[240]*3/4 {
-		t.Errorf("80 relays: %d, with turns %d; 240: %d and %d", probes[80], probes[81], probes[240], probes[241])
+		t.Errorf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81], probes[240], probes[241])
 	}
 }
--- a/internal/lab/emu/dest.go
+++ b/internal/lab/emu/destination.go
@@ -9,35 +9,36 @@
 	"oatfold/policy"
 )
 
-// health is what an endpoint's machine does.
+// health is the state of an endpoint.
 type health int
 
 const (
-	up health = iota
-	crashed
-	unresponsive
-	rejecting
+	up           health = iota
+	crashed             // refuses connections
+	unresponsive        // answers nothing
+	rejecting           // rejects all calls
 )
 
-// dest is a destination at work.
+// dest is the state of a destination.
 type dest struct {
 	number        int
 	spec          *Dest
 	kind          *Kind
 	endpoints     []*endpoint
 	rng           *rand.Rand
-	meanWork      float64       // seconds of a usual message at speed 1
-	limiter       *limiter      // of all its endpoints together; nil where each has its own
-	warmUpStart   time.Duration // when it came back; cold until coldEnd
+	meanWork      float64       // mean seconds per message at speed 1
+	limiter       *limiter      // of all endpoints together; nil with separate routes
+	warmUpStart   time.Duration // end of the last outage
 	warmUpEnd     time.Duration
-	activeOutages int // troubles that it is in now
-	recentWork    []workArrival
-	overloaded    bool
-	failureSeenBy map[int]bool // relays that saw a failure in the present outage
-	sites         map[string]*destSite
+	activeOutages int
+	recentWork    []workArrival        // within OverloadTime, while cold
+	overloaded    bool                 // crashed for good by too much work while cold
+	failureSeenBy map[int]bool         // relays that saw a failure in the present outage
+	sites         map[string]*destSite // by zone, where endpoints name theirs
 }
 
-// destSite is what a destination has in one zone, where its endpoints lie in several: it is lost and comes back cold by itself.
+// destSite is the part of a destination that fails and recovers separately: its endpoints in one
+// zone, or one separate route.
 type destSite struct {
 	endpoints              []*endpoint
 	warmUpStart, warmUpEnd time.Duration
@@ -46,7 +47,7 @@
 	overloaded             bool
 }
 
-// warmShare is the share of its capacity that what is in a zone has.
+// warmShare returns the available share of the site's capacity.
 func (site *destSite) warmShare(now time.Duration, k *Kind) float64 {
 	if now >= site.warmUpEnd {
 		return 1
@@ -54,7 +55,7 @@
 	return k.ColdStartShare + (1-k.ColdStartShare)*float64(now-site.warmUpStart)/float64(site.warmUpEnd-site.warmUpStart)
 }
 
-// recordSiteWork books work that has come to what is cold in a zone, which falls over if it is too much.
+// recordSiteWork records work that arrived at a cold site and crashes the site if it is overloaded.
 func (sim *simulation) recordSiteWork(e *endpoint, weight float64) {
 	site := e.site
 	if site == nil || site.overloaded || site.activeOutages > 0 || sim.now >= site.warmUpEnd {
@@ -74,7 +75,11 @@
 	}
 }
 
-// exceedsOverload books work in what came over the last while, and tells whether that is more than what can do so much a second survives cold.
+// overloadSlack is the number of messages above the overload limit that are attributed to chance.
+const overloadSlack = 3
+
+// exceedsOverload records work and reports whether the work of the last OverloadTime crashes a cold
+// server with this capacity per second.
 func (sim *simulation) exceedsOverload(recent *[]workArrival, weight, capacity float64) bool {
 	first, total := 0, weight
 	for first < len(*recent) && (*recent)[first].at <= sim.now-sim.scenario.OverloadTime {
@@ -84,34 +89,36 @@
 		total += a.weight
 	}
 	*recent = append((*recent)[first:], workArrival{sim.now, weight})
-	return total > sim.scenario.OverloadFactor*capacity*sim.scenario.OverloadTime.Seconds()+3
+	return total > sim.scenario.OverloadFactor*capacity*sim.scenario.OverloadTime.Seconds()+overloadSlack
 }
 
-// beginOutage and regains count the troubles of what is in a zone.
+// beginOutage counts an outage of the site.
 func (site *destSite) beginOutage() { site.activeOutages++ }
 
+// endSiteOutage ends an outage; after the last one the site is cold.
 func (sim *simulation) endSiteOutage(d *dest, site *destSite) {
 	if site.activeOutages--; site.activeOutages == 0 {
 		site.warmUpStart, site.warmUpEnd, site.recentWork = sim.now, sim.now+d.kind.WarmUpTime, nil
 	}
 }
 
+// workArrival is work that arrived at a cold server, in messages.
 type workArrival struct {
 	at     time.Duration
 	weight float64
 }
 
-// endpoint is one of a destination's endpoints at work.
+// endpoint is the state of an endpoint.
 type endpoint struct {
 	number      int
 	dest        *dest
-	site        *destSite // what is lost and comes back cold with it; nil: its whole destination does
-	limiter     *limiter  // its own where routes are separate, else its destination's
+	site        *destSite // that it fails and recovers with; nil: the whole destination
+	limiter     *limiter  // its own with separate routes, else that of the destination
 	zone        string
 	address     string
 	spec        Endpoint
 	health      health
-	healthyAt   time.Duration // when it opens again, if it is shut
+	healthyAt   time.Duration // end of the outage
 	errorShare  float64       // share of calls that fail at once
 	speedFactor float64
 	answerLoss  float64 // share of answers that are lost
@@ -121,11 +128,12 @@
 	serving     []*call // in order of their start
 	openConns   int
 	removed     bool
-	incarnation int // restarts: connections of an earlier life are dead
+	incarnation int // connections of an earlier incarnation are dead
 	draining    bool
 }
 
-// routeNumber is the endpoint's number where it is a route by itself, which told waits are about; 0: they are about the destination.
+// routeNumber returns the route that a Retry-After applies to: the endpoint's number with separate
+// routes, else 0 for the destination.
 func (e *endpoint) routeNumber() int {
 	if e.dest.kind.SeparateRoutes {
 		return e.number
@@ -133,7 +141,8 @@
 	return 0
 }
 
-// capacity is what its endpoints can do now, in calls of one message a second; the limit lies below it.
+// capacity returns the single-message calls per second that the destination's endpoints can serve
+// now, regardless of its limit.
 func (d *dest) capacity(now time.Duration) float64 {
 	total := 0.0
 	for _, e := range d.endpoints {
@@ -148,7 +157,8 @@
 	return total * d.warmShare(now)
 }
 
-// warmShare is the share of its capacity that a destination has. Separate routes are cold each by itself.
+// warmShare returns the available share of the destination's capacity. Separate routes warm up
+// separately, so that it is 1 for them.
 func (d *dest) warmShare(now time.Duration) float64 {
 	if now >= d.warmUpEnd || d.kind.SeparateRoutes {
 		return 1
@@ -156,7 +166,7 @@
 	return d.kind.ColdStartShare + (1-d.kind.ColdStartShare)*float64(now-d.warmUpStart)/float64(d.warmUpEnd-d.warmUpStart)
 }
 
-// drawRetryAfter is what a refusal tells, at least so long; 0: nothing.
+// drawRetryAfter draws the Retry-After of a rejection, at least minimum; 0: none.
 func (d *dest) drawRetryAfter(minimum time.Duration) time.Duration {
 	if d.rng.Float64() >= d.kind.RetryAfterShare {
 		return 0
@@ -164,14 +174,14 @@
 	return max(minimum, scaleDuration(d.kind.RetryAfter, 0.7+0.6*d.rng.Float64()))
 }
 
-// callArrived is a call whose last byte has come to its endpoint.
+// callArrived handles a call whose last byte has reached its endpoint.
 func (sim *simulation) callArrived(c *call) {
 	e, d, now := c.endpoint, c.endpoint.dest, sim.now
 	if c.abandoned {
-		return // given up on the way
+		return // timed out on the way
 	}
 	if e.health == unresponsive {
-		return // nobody hears of it until its time is up
+		return // its relay waits for the timeout
 	}
 	if e.health == crashed || e.incarnation != c.endpointIncarnation || e.removed {
 		sim.sendAnswer(c, policy.ConnectionLost, 0)
@@ -199,13 +209,14 @@
 	}
 }
 
+// rejectCall answers a call with a rejection whose Retry-After, if any, is at least minimum.
 func (sim *simulation) rejectCall(c *call, minimum time.Duration) {
 	sim.result.RefusedCalls++
 	sim.result.Dests[c.endpoint.dest.number].Refused++
 	sim.sendAnswer(c, policy.Rejected, c.endpoint.dest.drawRetryAfter(minimum))
 }
 
-// recordWork books work that has come to a cold destination, which falls over if it is too much.
+// recordWork records work that arrived at a cold destination and crashes it if it is overloaded.
 func (sim *simulation) recordWork(d *dest, relay *relay, weight float64) {
 	if sim.now >= d.warmUpEnd || d.overloaded || d.activeOutages > 0 {
 		return
@@ -221,7 +232,8 @@
 	}
 }
 
-// startServing begins a call; it ends when its work is done, later if the endpoint stands still meanwhile.
+// startServing starts a call on a free worker; it ends when its work is done, or later if the
+// endpoint is paused meanwhile.
 func (sim *simulation) startServing(c *call) {
 	e, d := c.endpoint, c.endpoint.dest
 	e.busyWorkers++
@@ -249,12 +261,13 @@
 	sim.scheduleAfter(duration, func() { sim.finishServing(c, incarnation) })
 }
 
+// finishServing ends a call, starts queued ones and answers it.
 func (sim *simulation) finishServing(c *call, incarnation int) {
 	e := c.endpoint
 	if e.incarnation != incarnation {
-		return // the process that did it is gone
+		return // the server process has crashed meanwhile
 	}
-	if sim.now < e.pausedUntil { // a pause has come in between
+	if sim.now < e.pausedUntil { // a pause began meanwhile
 		sim.schedule(e.pausedUntil+time.Millisecond, func() { sim.finishServing(c, incarnation) })
 		return
 	}
@@ -275,7 +288,7 @@
 	}
 }
 
-// serveQueue takes calls from the queue while workers are free.
+// serveQueue starts queued calls while workers are free.
 func (sim *simulation) serveQueue(e *endpoint) {
 	for e.busyWorkers < e.spec.Workers && len(e.queue) > 0 && e.health != crashed && e.health != unresponsive {
 		c := e.queue[0]
@@ -286,50 +299,51 @@
 	}
 }
 
-// takeDown takes an endpoint out of service.
+// takeDown takes an endpoint out of service. All but rejecting endpoints drop their calls.
 func (sim *simulation) takeDown(e *endpoint, h health, until time.Duration) {
 	if e.removed {
 		return
 	}
 	e.health, e.healthyAt = h, until
 	if h == rejecting {
-		return // what it has it ends
+		return // calls that it has are served
 	}
 	dropped := append(e.queue, e.serving...)
 	e.queue, e.serving, e.busyWorkers, e.openConns = nil, nil, 0, 0
 	e.incarnation++
 	for _, c := range dropped {
 		if h == crashed {
-			sim.sendAnswer(c, policy.ConnectionLost, 0) // a machine that vanished says nothing
+			sim.sendAnswer(c, policy.ConnectionLost, 0) // others answer nothing
 		}
 	}
 }
 
-// restore ends an outage of an endpoint.
+// restore ends an outage of an endpoint, unless its site or destination was overloaded.
 func (sim *simulation) restore(e *endpoint) {
 	if e.dest.overloaded || e.removed || e.site != nil && e.site.overloaded {
 		return
 	}
 	if e.health == unresponsive || e.health == crashed {
-		e.incarnation++ // connections of before are reset
+		e.incarnation++ // resets earlier connections
 	}
 	e.health = up
 	sim.serveQueue(e)
 }
 
-// beginOutage and heal count the troubles of a destination that make it come back cold.
+// beginOutage counts an outage of a whole destination.
 func (sim *simulation) beginOutage(d *dest) {
 	if d.activeOutages++; d.activeOutages == 1 {
 		clear(d.failureSeenBy)
 	}
 }
 
+// endOutage ends an outage; after the last one the destination is cold.
 func (sim *simulation) endOutage(d *dest) {
 	if d.activeOutages--; d.activeOutages > 0 || d.overloaded {
 		return
 	}
 	d.warmUpStart, d.warmUpEnd, d.recentWork = sim.now, sim.now+d.kind.WarmUpTime, nil
-	sim.log(rules.Event{Kind: rules.DestWarm, Dest: d.number}) // what an earlier return left
+	sim.log(rules.Event{Kind: rules.DestWarm, Dest: d.number}) // ends the state of an earlier recovery
 	sim.log(rules.Event{Kind: rules.DestRecovered, Dest: d.number})
 	for _, r := range sim.relays {
 		if d.failureSeenBy[r.number] {
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -38,12 +38,12 @@
 	return result
 }
 
-// Every day of the library keeps all rules under the module in service, and shows its trouble: none serves what a calm day serves but
-// those that are named.
+// The production policy violates no rule in any scenario of the library, all messages complete, and
+// the faults of each scenario have an effect.
 func TestLibraryScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(lab, "days", "*"+site.FileExt))
 	if err != nil || len(files) < 25 {
-		t.Fatalf("%d days, %v", len(files), err)
+		t.Fatalf("%d scenarios, %v", len(files), err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), site.FileExt)
@@ -52,20 +52,20 @@
 			scenario := drawScenario(t, name, 3)
 			result := run(t, scenario, emu.Options{})
 			if !result.Passed() {
-				t.Errorf("%v %v", result.Breaks, result.Faults)
+				t.Errorf("violations %v, errors %v", result.Breaks, result.Faults)
 			}
 			if completions := result.Delivered + result.GivenUp + result.HandedBack + result.Lost; completions != result.Requests || completions == 0 {
-				t.Errorf("%d ends of %d messages", completions, result.Requests)
+				t.Errorf("%d of %d messages completed", completions, result.Requests)
 			}
 			scenario.Faults = nil
 			if calm := run(t, scenario, emu.Options{}); len(drawScenario(t, name, 3).Faults) > 0 && result.G == calm.G {
-				t.Error("its trouble changes nothing")
+				t.Error("the faults have no effect")
 			}
 		})
 	}
 }
 
-// One seed, one result, to the byte; another seed, another one.
+// The same seed gives the same result to the byte, another seed a different one.
 func TestDeterministic(t *testing.T) {
 	encoded := func(seed uint64) string {
 		raw, err := json.Marshal(run(t, drawScenario(t, "two-at-once", seed), emu.Options{}))
@@ -75,14 +75,14 @@
 		return string(raw)
 	}
 	if a, b := encoded(5), encoded(5); a != b {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed differ")
 	}
 	if encoded(5) == encoded(6) {
-		t.Error("two seeds do not differ")
+		t.Error("two seeds give the same result")
 	}
 }
 
-// faultyPolicy is a module that does something wrong after its first so many steps.
+// faultyPolicy corrupts the actions of a policy after some correct steps.
 type faultyPolicy struct {
 	emu.PolicyEngine
 	correctSteps int
@@ -97,6 +97,7 @@
 	return actions
 }
 
+// faultyFactory creates production policies whose actions are corrupted after 300 steps.
 func faultyFactory(corrupt func([]policy.Action) []policy.Action) emu.PolicyFactory {
 	return func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
 		engine, err := emu.DefaultPolicy(settings, seed)
@@ -104,7 +105,7 @@
 	}
 }
 
-// withdrawalAnswerer fails each message that is withdrawn: in the step that hears of it, or one step later.
+// withdrawalAnswerer answers each withdrawn message with a failure, in the same step or one step later.
 type withdrawalAnswerer struct {
 	emu.PolicyEngine
 	delayed  bool
@@ -130,8 +131,8 @@
 	return actions
 }
 
-// A relay that stood still hears in one step that a call timed out and that its message is over: its answer crosses the second, and breaks no
-// rule. An answer in a later step does.
+// A final answer in the step that withdraws the message violates no rule: after a stall, a timeout and
+// the withdrawal may arrive together. An answer in a later step does.
 func TestAnswerCrossingWithdrawal(t *testing.T) {
 	for _, delayed := range []bool{false, true} {
 		scenario := drawScenario(t, "frozen-relay", 3)
@@ -150,12 +151,12 @@
 			t.Fatal("no message was withdrawn")
 		}
 		if violated := len(result.Breaks) > 0; violated != delayed {
-			t.Errorf("one step later %t: %d answers, %v", delayed, answered, result.Breaks)
+			t.Errorf("one step later %t: %d answers, violations %v", delayed, answered, result.Breaks)
 		}
 	}
 }
 
-// Modules that break a rule are found out, each by its rule.
+// Policies that violate a rule are detected by that rule.
 func TestDetectsFaultyPolicies(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule    rules.Name
@@ -169,7 +170,7 @@
 			}
 			return out
 		}},
-		"ends twice": {rules.Answer, func(acts []policy.Action) []policy.Action {
+		"answers twice": {rules.Answer, func(acts []policy.Action) []policy.Action {
 			for _, a := range acts {
 				if s, ok := a.(policy.Send); ok {
 					return append(acts, policy.Fail{ID: s.ID}, policy.Fail{ID: s.ID})
@@ -188,35 +189,35 @@
 	} {
 		result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(c.corrupt)})
 		if result.Broken[c.rule] == 0 {
-			t.Errorf("%s: %v", name, result.Broken)
+			t.Errorf("%s: violations %v", name, result.Broken)
 		}
 	}
 }
 
-// A module that panics ends the life of its relay, is named, and ends neither the day nor another relay.
+// A policy that panics crashes its relay and is reported; the run and the other relays go on.
 func TestPolicyPanic(t *testing.T) {
-	result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("spoilt") })})
-	if result.Passed() || !strings.Contains(result.Faults[0], "panics: spoilt") {
-		t.Errorf("faults %v", result.Faults)
+	result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("corrupted") })})
+	if result.Passed() || !strings.Contains(result.Faults[0], "panics: corrupted") {
+		t.Errorf("errors %v", result.Faults)
 	}
 	if result.Delivered == 0 || result.Delivered+result.GivenUp+result.HandedBack+result.Lost != result.Requests {
-		t.Errorf("%d delivered of %d", result.Delivered, result.Requests)
+		t.Errorf("%d of %d messages delivered, or not all completed", result.Delivered, result.Requests)
 	}
 }
 
-// A day that runs out of events or of time says so and counts as no good one.
+// A run that exceeds its events or its time reports an error.
 func TestStopsAtLimits(t *testing.T) {
-	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 || !strings.Contains(result.Faults[0], "cut after 1000 events") {
+	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 || !strings.Contains(result.Faults[0], "stopped after 1000 events") {
 		t.Errorf("events: %v", result.Faults)
 	}
 	scenario := drawScenario(t, "cold-return", 1)
 	scenario.Tail = 0
-	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 || !strings.Contains(result.Faults[0], "had no end") {
+	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 || !strings.Contains(result.Faults[0], "were not completed") {
 		t.Errorf("time: %v", result.Faults)
 	}
 }
 
-// A figure that makes no day is named by its key.
+// The error for an invalid setting names its key.
 func TestInvalidSettingNamesKey(t *testing.T) {
 	for key, corrupt := range map[string]func(*emu.Scenario){
 		"rate": func(d *emu.Scenario) { d.Rate = math.NaN() },
@@ -240,7 +241,7 @@
 	}
 }
 
-// BenchmarkScenario is a busy day of the library.
+// BenchmarkScenario runs a busy scenario of the library.
 func BenchmarkScenario(b *testing.B) {
 	scenario := drawScenario(b, "two-at-once", 1)
 	b.ReportAllocs()
@@ -250,7 +251,7 @@
 	b.ReportMetric(scenario.Length.Seconds()*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
 }
 
-// A dead relay is dealt messages until the front notices, and none after.
+// A dead relay gets messages until the load balancer detects its failure, and none after that.
 func TestBalancerDetectsDeadRelay(t *testing.T) {
 	scenario := drawScenario(t, "lost-relay", 2)
 	unreached := map[time.Duration]int{}
@@ -261,8 +262,8 @@
 			t.Error(result.Breaks, result.Faults)
 		}
 	}
-	// What was on its way as the relay died finds it dead also where that is noticed at once.
+	// Messages on their way when the relay dies reach it dead even with immediate detection.
 	if at := unreached; at[0] > 2 || at[3*time.Second] < 20 || at[time.Hour] <= at[3*time.Second] {
-		t.Errorf("hand-ins that found a dead relay, by the time that the front took: %v", unreached)
+		t.Errorf("submissions to a dead relay, by detection delay: %v", unreached)
 	}
 }
--- a/internal/lab/emu/engine.go
+++ b/internal/lab/emu/engine.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// engine is virtual time: what is due, in order of time and, at one time, of entry.
+// engine runs events in virtual time, in order of their time and then of their insertion.
 type engine struct {
 	now       time.Duration
 	lastSeq   uint64
-	heap      []scheduledEvent
+	heap      []scheduledEvent // 4-ary
 	processed int
 }
 
+// scheduledEvent is an event that has not run yet.
 type scheduledEvent struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
+// before reports whether e runs before other.
 func (e scheduledEvent) before(other scheduledEvent) bool {
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-// schedule runs do at that time; a time that has passed is now.
+// schedule runs a function at a time; one in the past means now.
 func (e *engine) schedule(at time.Duration, run func()) {
 	e.lastSeq++
 	h := append(e.heap, scheduledEvent{max(at, e.now), e.lastSeq, run})
@@ -40,9 +42,10 @@
 	e.heap = h
 }
 
+// scheduleAfter runs a function after a delay.
 func (e *engine) scheduleAfter(d time.Duration, do func()) { e.schedule(e.now+d, do) }
 
-// runNext runs what is due next; false: nothing is.
+// runNext runs the next event; it returns false if there is none.
 func (e *engine) runNext() bool {
 	n := len(e.heap) - 1
 	if n < 0 {
@@ -72,8 +75,8 @@
 	return true
 }
 
-// newRand is a source for one purpose, so that what one part draws shifts nothing elsewhere: two arms of an experiment see
-// the same arrivals.
+// newRand returns a random source of its own for one purpose, so that the number of draws for one
+// purpose does not affect another: all variants of an experiment see the same arrivals.
 func newRand(seed uint64, purpose string, parts ...uint64) *rand.Rand {
 	hash := seed*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019
 	mix := func(v uint64) {
@@ -90,7 +93,7 @@
 	return rand.New(rand.NewPCG(hash, seed))
 }
 
-// drawFactor draws a factor of mean 1 whose standard deviation is cv.
+// drawFactor draws a factor with mean 1: exponential, or lognormal with standard deviation cv.
 func drawFactor(r *rand.Rand, cv float64, exponential bool) float64 {
 	switch {
 	case exponential:
@@ -102,9 +105,10 @@
 	return math.Exp(r.NormFloat64()*math.Sqrt(variance) - variance/2)
 }
 
-// scaleDuration is a share of a time.
+// scaleDuration multiplies a duration by share.
 func scaleDuration(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * share)
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/emu/fleet_test.go
+++ b/internal/lab/emu/fleet_test.go
@@ -8,8 +8,8 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Eighty relays that tell one another have fewer calls refused than the same ones alone on the same days, and serve no less; no rule breaks with notes, without, or
-// with half of them lost.
+// Gossip reduces rejected calls and does not reduce the score. No rule is violated with gossip, without
+// it, or with half of it lost.
 func TestFleetGossip(t *testing.T) {
 	for _, name := range []string{"fleet-mass-kill", "fleet-zone-loss", "fleet-lowered-limits"} {
 		t.Run(name, func(t *testing.T) {
@@ -21,23 +21,24 @@
 					scenario.Gossip, scenario.GossipLoss = variant > 0, loss
 					result := run(t, scenario, emu.Options{})
 					if !result.Passed() {
-						t.Errorf("seed %d, arm %d: %v %v", seed, variant, result.Breaks, result.Faults)
+						t.Errorf("seed %d, variant %d: violations %v, errors %v", seed, variant, result.Breaks, result.Faults)
 					}
 					score[variant] += result.G / 6
 					refused[variant] += float64(result.RefusedCalls) / float64(result.Requests) / 6
 				}
 			}
 			if score[1] < score[0]-0.01 || refused[1] > 0.7*refused[0] {
-				t.Errorf("G %.3f alone, %.3f with notes; refused calls a message %.3f and %.3f", score[0], score[1], refused[0], refused[1])
+				t.Errorf("score %.3f without gossip, %.3f with; rejected calls per message %.3f and %.3f", score[0], score[1], refused[0], refused[1])
 			}
 			if score[2] < score[0]-0.02 {
-				t.Errorf("G %.3f alone, %.3f with half the notes lost", score[0], score[2])
+				t.Errorf("score %.3f without gossip, %.3f with half of it lost", score[0], score[2])
 			}
 		})
 	}
 }
 
-// A destination that was down gets from eighty relays together no more than it can do as it returns, also where most of them have seen one failure or none.
+// Gossip prevents an overload of a recovering destination, although most relays have seen one failure
+// or none.
 func TestFleetRecovery(t *testing.T) {
 	var attempts [2]int
 	for seed := range uint64(5) {
@@ -49,17 +50,17 @@
 					attempts[variant]++
 				}
 			}})
-			if variant == 1 && result.Fallen > 0 || len(result.Breaks) > 0 { // alone, three fall over on these days
-				t.Errorf("seed %d, arm %d: %d fell over; %v", seed, variant, result.Fallen, result.Breaks)
+			if variant == 1 && result.Fallen > 0 || len(result.Breaks) > 0 { // overloads are expected without gossip
+				t.Errorf("seed %d, variant %d: %d overloads; violations %v", seed, variant, result.Fallen, result.Breaks)
 			}
 		}
 	}
 	if attempts[1] > attempts[0]*4/5 {
-		t.Errorf("%d tries at dead destinations alone, %d with notes", attempts[0], attempts[1])
+		t.Errorf("%d attempts at dead destinations without gossip, %d with", attempts[0], attempts[1])
 	}
 }
 
-// Fleets of three and of two hundred keep the rules on the same days; three tell nothing.
+// Fleets of 3 and of 200 relays violate no rule; a fleet of 3 sends no gossip.
 func TestFleetSizes(t *testing.T) {
 	for _, relays := range []int{3, 200} {
 		scenario := drawScenario(t, "fleet-lowered-limits", 301)
@@ -67,12 +68,13 @@
 		scenario.Relays = relays
 		result := run(t, scenario, emu.Options{})
 		if !result.Passed() || result.Delivered == 0 || (result.NoteBytes > 0) != (relays > 3) {
-			t.Errorf("%d relays: %v %v, %d bytes of notes", relays, result.Breaks, result.Faults, result.NoteBytes)
+			t.Errorf("%d relays: violations %v, errors %v, %d bytes of gossip", relays, result.Breaks, result.Faults, result.NoteBytes)
 		}
 	}
 }
 
-// Asking who lives breaks no rule and costs next to nothing on the fleet's days, also where notes are lost and relays stand still.
+// Membership violates no rule and costs little score and traffic, even with lost gossip and stalled
+// relays.
 func TestFleetMembership(t *testing.T) {
 	for _, name := range []string{"fleet-mass-kill", "fleet-zone-loss", "fleet-lowered-limits"} {
 		t.Run(name, func(t *testing.T) {
@@ -87,15 +89,15 @@
 						emu.Fault{Kind: emu.GossipLoss, At: 4 * time.Second, Duration: 20 * time.Second, Intensity: 0.2})
 					result := run(t, scenario, emu.Options{})
 					if len(result.Breaks)+len(result.Faults) > 0 {
-						t.Errorf("seed %d, arm %d: %v %v", seed, variant, result.Breaks, result.Faults)
+						t.Errorf("seed %d, variant %d: violations %v, errors %v", seed, variant, result.Breaks, result.Faults)
 					}
 					score[variant] += result.G / seeds
 					bytes[variant] += float64(result.NoteBytes) / float64(result.Requests) / seeds
 				}
 			}
-			t.Logf("G %.4f and %.4f, bytes of notes a message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
+			t.Logf("score %.4f and %.4f, bytes of gossip per message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
 			if score[1] < score[0]-0.01 || bytes[1] > 2.5*bytes[0] {
-				t.Errorf("G %.4f, asking who lives %.4f; bytes of notes a message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
+				t.Errorf("score %.4f, with membership %.4f; bytes of gossip per message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
 			}
 		})
 	}
--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -6,24 +6,26 @@
 	"oatfold/policy"
 )
 
-// Floor is a part of a day that must not be neglected, however well the whole does: what was served of its worth, and the least that is asked.
-// The operators ask for parts of what a policy serves that sees the true state late; nobody here plays one, so that Least is of all that was
-// asked for, which such a policy serves at most: what keeps it keeps theirs.
+// Floor is the minimum service of a part of a run, regardless of the total. Both are shares of the
+// value that was submitted.
+//
+// Operators define the minimum relative to what a policy with delayed knowledge of the true state
+// serves. No policy serves more than everything, so that a run that keeps Minimum keeps theirs too.
 type Floor struct {
 	Name            string
 	Served, Minimum float64
 }
 
-// Missed tells whether the part is neglected.
+// Missed reports whether less than the minimum was served.
 func (f Floor) Missed() bool { return f.Served < f.Minimum }
 
 const (
-	minWholeShare = 0.5     // of the day, and of each class that counts
-	minThirdShare = 0.3     // of each third of the day
-	minClassShare = 1. / 20 // of requests or worth: a class with less counts only if it must not run twice
+	minWholeShare = 0.5     // served share of the run, and of each class that counts
+	minThirdShare = 0.3     // served share of each third of the run
+	minClassShare = 1. / 20 // of requests or value; smaller classes count only if they are unsafe
 )
 
-// Floors lists them: the whole day, each class that counts, each third.
+// Floors returns the floors of a run: the whole, each class that counts, and each third.
 func (r *Result) Floors(scenario *Scenario) []Floor {
 	floors := []Floor{{"whole day", r.Whole, minWholeShare}}
 	requests, asked := 0, 0.0
--- a/internal/lab/emu/floors_test.go
+++ b/internal/lab/emu/floors_test.go
@@ -6,7 +6,8 @@
 	"oatfold/policy"
 )
 
-// A neglected class or third shows however well the whole does; a class of which hardly any came counts only if it must not run twice.
+// A class or third below its floor is reported regardless of the total. A small class counts only if
+// it is unsafe.
 func TestFloors(t *testing.T) {
 	scenario := &Scenario{Classes: []Class{{Class: policy.Class{Name: "much"}}, {Class: policy.Class{Name: "few"}}, {Class: policy.Class{Name: "few charges", Effect: policy.Unsafe}}}}
 	result := &Result{Whole: 0.9, ByClass: []Tally{{Name: "much", Requests: 990, Asked: 990, Served: 980}, {Name: "few", Requests: 5, Asked: 5}, {Name: "few charges", Requests: 5, Asked: 5, Served: 2}},
@@ -15,7 +16,7 @@
 	got := result.Floors(scenario)
 	for _, floor := range got {
 		if missed, known := want[floor.Name]; !known || floor.Missed() != missed {
-			t.Errorf("%+v, neglected %v", floor, floor.Missed())
+			t.Errorf("%+v, missed %v", floor, floor.Missed())
 		}
 	}
 	if len(got) != len(want) {
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -7,35 +7,36 @@
 	"oatfold/policy"
 )
 
-// maxReportError is the most by which a reported limit differs from the real one, as a share of it.
+// maxReportError is the largest deviation of a reported limit from the real one, as a share of it.
 const maxReportError = 0.05
 
-// limiter is a limit of calls at work: that of a destination, or that of one route where routes are separate.
+// limiter limits the calls to a destination, or to one of its separate routes.
 type limiter struct {
 	kind        *Kind
-	nominalRate float64       // calls a second
-	rateShare   float64       // share of usual that is in force; 1: all of it
-	tokens      float64       // of a rate limit, which is a token bucket
-	filledAt    time.Duration // when tokens was last brought up to date
-	windowStart time.Duration // where the present window of a window limit began
+	nominalRate float64       // calls per second
+	rateShare   float64       // share of nominalRate that is in force
+	tokens      float64       // of a rate limit
+	filledAt    time.Duration // when tokens was last updated
+	windowStart time.Duration // start of the current window of a window limit
 	windowCalls float64       // calls counted in that window
 }
 
-// newLimiter returns a limit of usual calls a second whose windows begin at window.
+// newLimiter returns a limiter of nominalRate calls per second whose first window starts at
+// windowStart.
 func newLimiter(kind *Kind, nominalRate float64, windowStart time.Duration) *limiter {
 	return &limiter{kind: kind, nominalRate: nominalRate, rateShare: 1, tokens: nominalRate / 2, windowStart: windowStart}
 }
 
-// rate is the calls a second that are in force.
+// rate returns the calls per second that are in force.
 func (l *limiter) rate() float64 { return l.nominalRate * l.rateShare }
 
-// bucketSize is the size of the token bucket: half a second of the limit, one call at least.
+// bucketSize returns the size of the token bucket: half a second of calls, but at least one call.
 func (l *limiter) bucketSize() float64 { return max(1, l.rate()/2) }
 
-// windowCapacity is the number of calls that a window takes.
+// windowCapacity returns the number of calls that a window admits.
 func (l *limiter) windowCapacity() float64 { return l.rate() * l.kind.Window.Seconds() }
 
-// advance brings the bucket or the window up to now.
+// advance updates the bucket or the window to now.
 func (l *limiter) advance(now time.Duration) {
 	switch l.kind.Limit {
 	case RateLimit:
@@ -48,7 +49,7 @@
 	}
 }
 
-// admit tells whether the limit takes one more call, and counts it.
+// admit counts a call and reports whether the limit admits it.
 func (l *limiter) admit(now time.Duration) bool {
 	l.advance(now)
 	switch l.kind.Limit {
@@ -71,7 +72,7 @@
 	return true
 }
 
-// retryAfter is in how long a refused call would find room.
+// retryAfter returns the time after which a rejected call would be admitted.
 func (l *limiter) retryAfter(now time.Duration) time.Duration {
 	switch l.kind.Limit {
 	case RateLimit:
@@ -82,7 +83,8 @@
 	return 0
 }
 
-// report is what an answer tells of the limit now; nil where the kind tells nothing. The limit is off by up to reportError.
+// report returns the limit report that answers carry now; nil if the kind sends none. The reported
+// limit deviates by up to maxReportError.
 func (l *limiter) report(now time.Duration, rng *rand.Rand) *policy.LimitReport {
 	if !l.kind.ReportsLimit {
 		return nil
@@ -97,7 +99,7 @@
 	return &policy.LimitReport{Remaining: 1}
 }
 
-// perturb draws a figure within reportError of v.
+// perturb draws a number that deviates from value by up to maxReportError.
 func perturb(value float64, rng *rand.Rand) float64 {
 	return value * (1 + maxReportError*(2*rng.Float64()-1))
 }
--- a/internal/lab/emu/notes.go
+++ b/internal/lab/emu/network.go
@@ -7,22 +7,22 @@
 	"oatfold/internal/peers/members"
 )
 
-// networkState is what troubles do to notes between relays.
+// networkState holds the active faults of the network.
 type networkState struct {
-	partitions     []map[int]bool // groups that are cut off from all others
-	noReceive      map[int]int    // troubles by which a relay hears nobody
-	noSend         map[int]int    // and is heard by nobody
-	lossShare      float64
-	extraDelay     time.Duration
-	duplicateShare float64
-	unreachable    map[[2]int]int // relay and destination: troubles by which they don't reach each other
-	isolatedZones  map[string]int // zones that are cut off with their relays and endpoints
+	partitions     []map[int]bool // groups of relays that are cut off from all others
+	noReceive      map[int]int    // by relay: active faults that stop incoming gossip
+	noSend         map[int]int    // by relay: active faults that stop outgoing gossip
+	lossShare      float64        // of gossip messages
+	extraDelay     time.Duration  // maximum, drawn for each gossip message
+	duplicateShare float64        // of gossip messages
+	unreachable    map[[2]int]int // by relay and destination: active faults that separate them
+	isolatedZones  map[string]int // by zone: active faults that isolate its relays and endpoints
 }
 
-// reaches tells whether a relay and a destination reach each other.
+// reaches reports whether a relay and a destination reach each other.
 func (n *networkState) reaches(relay, dest int) bool { return n.unreachable[[2]int{relay, dest}] == 0 }
 
-// reaches tells whether a relay and an endpoint reach each other.
+// reaches reports whether a relay and an endpoint reach each other.
 func (sim *simulation) reaches(r *relay, e *endpoint) bool {
 	if len(sim.network.isolatedZones) > 0 {
 		if relayZone := zoneName(sim.scenario.ZoneOf(r.number)); relayZone != e.zone && sim.network.isolatedZones[relayZone]+sim.network.isolatedZones[e.zone] > 0 {
@@ -32,7 +32,7 @@
 	return sim.network.reaches(r.number, e.dest.number)
 }
 
-// delivers tells whether a note from one relay to another gets through.
+// delivers reports whether gossip from one relay reaches another.
 func (n *networkState) delivers(from, to int) bool {
 	for _, group := range n.partitions {
 		if group[from] != group[to] {
@@ -42,10 +42,10 @@
 	return n.noReceive[to] == 0 && n.noSend[from] == 0
 }
 
-// ZoneOf is the zone of a relay: zones are dealt to them in turn, as they are to destinations.
+// ZoneOf returns the zone of a relay; zones are assigned round-robin.
 func (s *Scenario) ZoneOf(relay int) int { return relay % max(1, s.Zones) }
 
-// RelaysOf are the relays that a trouble names, or those of its zone.
+// RelaysOf returns the relays that a fault names, or those of its zone.
 func (s *Scenario) RelaysOf(fault *Fault) (all []int) {
 	if fault.Zone == "" || len(fault.Relays) > 0 {
 		return fault.Relays
@@ -58,7 +58,7 @@
 	return all
 }
 
-// DestsOf are the destinations that a trouble of relays names, or all.
+// DestsOf returns the destinations that a fault of relays names, or all.
 func (s *Scenario) DestsOf(fault *Fault) (all []int) {
 	if len(fault.Dests) > 0 {
 		return fault.Dests
@@ -69,7 +69,7 @@
 	return all
 }
 
-// scheduleNetworkFault sets the beginning and the end of a trouble between relays.
+// scheduleNetworkFault schedules the beginning and the end of a fault of the network.
 func (sim *simulation) scheduleNetworkFault(fault *Fault) {
 	state, relays := &sim.network, sim.scenario.RelaysOf(fault)
 	during := func(begin, end func()) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// sendGossip takes a relay's notes to the others.
+// sendGossip sends a relay's gossip to other relays, subject to loss, delay and duplication.
 func (r *relay) sendGossip(datagrams []members.Datagram) {
 	sim := r.sim
 	for _, datagram := range datagrams {
@@ -164,7 +164,7 @@
 	}
 }
 
-// receiveGossip takes a note, as soon as the relay moves.
+// receiveGossip delivers gossip to the relay. A stalled relay reads it when it continues.
 func (r *relay) receiveGossip(from, incarnation int, payload []byte) {
 	sim := r.sim
 	if r.policy == nil || r.incarnation != incarnation {
@@ -179,7 +179,7 @@
 	r.recordMemberChanges()
 }
 
-// recordMemberChanges books what the relay has come to think of others.
+// recordMemberChanges adds changes of the relay's view of the members to the result.
 func (r *relay) recordMemberChanges() {
 	memberList := r.gossiper.Members()
 	if memberList == nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// membersAgree tells whether all relays that live know who does.
+// membersAgree reports whether the members' views of all running relays are correct.
 func (sim *simulation) membersAgree() bool {
 	if !sim.scenario.Membership {
 		return true
--- a/internal/lab/emu/partners_test.go
+++ b/internal/lab/emu/partners_test.go
@@ -9,7 +9,8 @@
 	"oatfold/policy"
 )
 
-// limitedScenario is a day of one destination with a limit of ten calls a second, which is asked for twice as many.
+// limitedScenario returns a scenario of one destination with a limit of ten calls per second at twice
+// that load.
 func limitedScenario(kind emu.Kind, routes int) *emu.Scenario {
 	kind.Name, kind.MaxBatch, kind.ColdStartShare, kind.WarmUpTime = "limited", max(1, kind.MaxBatch), 0.25, 9*time.Second
 	scenario := &emu.Scenario{Name: "limited", Seed: 4, Length: 20 * time.Second, Tail: 20 * time.Second, Tick: 5 * time.Millisecond, Relays: 2, MaxConcurrentCalls: 20, MaxPending: 200, MaxAttempts: 8,
@@ -25,7 +26,7 @@
 	return scenario
 }
 
-// attemptRecorder is a module that keeps a record of what its relay hears of its attempts.
+// attemptRecorder is a policy that records the results of its relay's attempts.
 type attemptRecorder struct {
 	emu.PolicyEngine
 	ends *[]policy.AttemptEnded
@@ -40,7 +41,7 @@
 	return r.PolicyEngine.Step(now, events)
 }
 
-// runAndRecord plays a day and returns the ends of all attempts.
+// runAndRecord runs a scenario and returns the results of all attempts.
 func runAndRecord(t *testing.T, scenario *emu.Scenario) (ends []policy.AttemptEnded, result *emu.Result) {
 	t.Helper()
 	result = run(t, scenario, emu.Options{NewPolicy: func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
@@ -53,7 +54,8 @@
 	return ends, result
 }
 
-// Answers of a kind that reports carry what is left of the limit, refusals among them; those of other kinds carry nothing.
+// Answers of a kind that reports its limit carry what is left of it, rejections included; those of
+// other kinds carry no report.
 func TestLimitReportsOnAnswers(t *testing.T) {
 	for _, reports := range []bool{false, true} {
 		ends, _ := runAndRecord(t, limitedScenario(emu.Kind{Limit: emu.RateLimit, ReportsLimit: reports}, 1))
@@ -65,26 +67,26 @@
 			if e.Outcome == policy.Rejected {
 				rejected++
 				if reports && e.Report.Remaining > 0.2 {
-					t.Errorf("refused with %g of the limit left", e.Report.Remaining)
+					t.Errorf("rejected with %g of the limit left", e.Report.Remaining)
 				}
 			}
 		}
 		if rejected == 0 {
-			t.Errorf("reports %t: nothing was refused", reports)
+			t.Errorf("reports %t: nothing was rejected", reports)
 		}
 	}
 }
 
-// A call is counted once, whatever its batch: the destination takes its limit in calls, times the messages of each.
+// A call counts once against the limit, however many messages it carries.
 func TestLimitCountsCalls(t *testing.T) {
 	const batch = 10
 	_, result := runAndRecord(t, limitedScenario(emu.Kind{Limit: emu.WindowLimit, Window: time.Second, MaxBatch: batch}, 1))
 	if accepted := result.Calls - result.RefusedCalls; result.Delivered < 5*accepted || accepted > 10*30 {
-		t.Errorf("%d messages in %d calls that were taken", result.Delivered, accepted)
+		t.Errorf("%d messages delivered in %d accepted calls", result.Delivered, accepted)
 	}
 }
 
-// Separate routes have an even part of the limit each: one that is lowered leaves the other as it was.
+// Separate routes have equal parts of the limit: lowering one does not affect the other.
 func TestSeparateRoutes(t *testing.T) {
 	deliveriesByRoute := func(lowered bool) (byRoute map[string]int) {
 		scenario := limitedScenario(emu.Kind{Limit: emu.RateLimit, SeparateRoutes: true}, 2)
@@ -110,7 +112,7 @@
 	}
 }
 
-// A separate route that is shut comes back cold by itself; the others go on.
+// An outage of a separate route does not affect the others.
 func TestSeparateRouteOutage(t *testing.T) {
 	scenario := limitedScenario(emu.Kind{Limit: emu.RateLimit, SeparateRoutes: true}, 2)
 	scenario.Faults = []emu.Fault{{Kind: emu.Crash, At: 5 * time.Second, Duration: 5 * time.Second, Endpoints: [][2]int{{0, 0}}}}
@@ -122,11 +124,12 @@
 		}
 	}
 	if failed["10.0.0.1:80"] == 0 || failed["10.0.0.2:80"] > 0 || result.Fallen > 0 {
-		t.Errorf("calls lost by route: %v; %d fell over", failed, result.Fallen)
+		t.Errorf("calls lost by route: %v; %d overloads", failed, result.Fallen)
 	}
 }
 
-// A told wait is about the route that told it: the checker breaks nothing while others are sent to, and does where that one is.
+// A Retry-After applies to the route that sent it: calls to that route violate the rule, calls to
+// others don't.
 func TestRetryAfterOfRoute(t *testing.T) {
 	violations := func(route int) int {
 		checker := rules.New(rules.Config{MaxConcurrentCalls: 10, MaxAttempts: 8})
@@ -139,6 +142,6 @@
 		return checker.Counts[rules.RetryAfter]
 	}
 	if same, other := violations(1), violations(2); same != 1 || other != 0 {
-		t.Errorf("%d breaks at the route that told the wait, %d at another", same, other)
+		t.Errorf("%d violations at the route that sent the Retry-After, %d at another", same, other)
 	}
 }
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -13,37 +13,37 @@
 	"oatfold/policy"
 )
 
-// PolicyEngine is what the emulator drives; policy.Relay in service.
+// PolicyEngine decides what a relay does. Production relays use policy.Relay.
 type PolicyEngine interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
 }
 
-// PolicyFactory makes the module of one life of a relay.
+// PolicyFactory creates the policy engine of one incarnation of a relay.
 type PolicyFactory func(settings policy.Settings, seed int64) (PolicyEngine, error)
 
-// DefaultPolicy is the module that relays have in service.
+// DefaultPolicy creates the policy engine of production relays.
 func DefaultPolicy(settings policy.Settings, seed int64) (PolicyEngine, error) {
 	return policy.New(settings, seed)
 }
 
-// relay is one relay at work.
+// relay is the state of a relay.
 type relay struct {
 	sim              *simulation
 	number           int
 	incarnation      int
 	diedAt           time.Duration
-	policy           PolicyEngine // nil: it is down
-	inbox            []policy.Event
-	stepDue          bool // a step is on its way
+	policy           PolicyEngine   // nil: the relay is down
+	inbox            []policy.Event // of the next step
+	stepDue          bool           // the next step is scheduled
 	stalledUntil     time.Duration
-	pending          map[uint32]*message
-	inFlight         int // calls
-	timerID          uint64
+	pending          map[uint32]*message // by ID
+	inFlight         int                 // calls
+	timerID          uint64              // of the last timer that the policy set
 	idleConns        map[*endpoint][]*conn
-	leavingEndpoints map[int]policy.EndpointState // endpoints that it heard are going
-	reportedCallers  int                          // relays that may be calling, as the module was told
-	gossiper         *peers.Gossiper              // what it tells others and hears of them
-	siteWatch        *sites.Watch                 // nil: no plan for sites
+	leavingEndpoints map[int]policy.EndpointState
+	reportedCallers  int // relays that may be calling, as last reported to the policy
+	gossiper         *peers.Gossiper
+	siteWatch        *sites.Watch // nil: no plan for sites
 }
 
 // conn is a connection from a relay to an endpoint.
@@ -52,7 +52,7 @@
 	lastUsed    time.Duration
 }
 
-// message is a request in the hands of one relay.
+// message is a request that a relay has accepted.
 type message struct {
 	id          uint32
 	request     *request
@@ -60,11 +60,11 @@
 	incarnation int
 	completed   bool
 	attempts    int
-	inFlight    *callItem // the attempt that is out
+	inFlight    *callItem // the current attempt; nil: none
 	mayHaveRun  bool
 }
 
-// callItem is one message of a call.
+// callItem is an attempt: one message of a call.
 type callItem struct {
 	message     *message
 	attempt     int
@@ -73,24 +73,24 @@
 	workSeconds float64
 }
 
-// call is one call that is out.
+// call is a call from a relay to an endpoint.
 type call struct {
 	id                  uint64
 	relay               *relay
 	relayIncarnation    int
 	endpoint            *endpoint
 	items               []callItem
-	openItems           int
+	openItems           int // that have not ended
 	sentAt              time.Duration
 	conn                *conn
-	endpointIncarnation int // of the endpoint as the connection was made
-	abandoned           bool
+	endpointIncarnation int  // when the connection was opened
+	abandoned           bool // the relay has closed the connection after a timeout
 	answered            bool
 	workSeconds         float64
-	limitReport         *policy.LimitReport // of the limit, as the call came to it
+	limitReport         *policy.LimitReport // when the call reached its endpoint
 }
 
-// reportFor is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
+// reportFor returns the limit report that the relay receives with an outcome; nil without an answer.
 func (c *call) reportFor(outcome policy.Outcome) *policy.LimitReport {
 	switch outcome {
 	case policy.Delivered, policy.Errored, policy.Rejected:
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// start starts a life of a relay.
+// start starts an incarnation of a relay.
 func (r *relay) start() {
 	r.incarnation++
 	settings := r.sim.scenario.Settings()
 	settings.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
 	policyEngine, err := r.sim.newPolicy(settings, int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if err != nil {
-		r.sim.recordError(fmt.Sprintf("relay %d does not start: %v", r.number, err))
+		r.sim.recordError(fmt.Sprintf("relay %d: creating the policy engine: %v", r.number, err))
 		return
 	}
 	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = policyEngine, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
@@ -136,7 +136,8 @@
 	r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
 }
 
-// applyEndpointList gives list news to the module, and to whoever keeps the subsets.
+// applyEndpointList passes an update of the endpoint list to the policy, the gossiper and the site
+// watch.
 func (r *relay) applyEndpointList(update policy.EndpointListUpdate) {
 	r.gossiper.UpdateEndpoints(update)
 	if r.siteWatch != nil {
@@ -145,17 +146,18 @@
 	r.enqueue(update)
 }
 
-// wallClock is the time of day as a relay's clock has it: up to two seconds off.
+// wallClock returns a relay's wall clock, which is up to two seconds off.
 func (sim *simulation) wallClock(relay int) time.Time {
 	skew := scaleDuration(4*time.Second, newRand(sim.scenario.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
 	return time.UnixMilli(1_000_000_000_000).Add(sim.now + skew)
 }
 
+// listEntry returns the entry of an endpoint in the endpoint list.
 func (r *relay) listEntry(e *endpoint, state policy.EndpointState) policy.Endpoint {
 	return policy.Endpoint{Address: e.address, Destination: e.dest.number, Kind: e.dest.kind.Name, Zone: e.zone, State: state, Rate: 1}
 }
 
-// scheduleGossip lets a relay tell others what it saw, again and again while it lives.
+// scheduleGossip schedules the next tick of the gossiper, which schedules the one after it.
 func (r *relay) scheduleGossip(at time.Duration) {
 	sim, incarnation := r.sim, r.incarnation
 	sim.schedule(max(at, sim.now), func() {
@@ -166,10 +168,10 @@
 			r.scheduleGossip(r.stalledUntil)
 			return
 		}
-		datagrams, newWindow := r.gossiper.Tick(sim.now)
+		datagrams, roundEnded := r.gossiper.Tick(sim.now)
 		r.sendGossip(datagrams)
 		r.recordMemberChanges()
-		if newWindow {
+		if roundEnded {
 			update := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(sim.now, sim.wallClock(r.number)), Relays: r.gossiper.PossibleCallers(sim.now)}
 			sim.reportKeys.ResolveEndpoints(update.Routes)
 			if r.siteWatch != nil {
@@ -187,10 +189,10 @@
 	})
 }
 
-// siteCheckInterval is between two looks at sites.
+// siteCheckInterval is the time between two updates of the site watch.
 const siteCheckInterval = 250 * time.Millisecond
 
-// scheduleSiteCheck lets a relay look at its sites, again and again while it lives.
+// scheduleSiteCheck schedules an update of the site watch, which schedules the next one.
 func (r *relay) scheduleSiteCheck(at time.Duration) {
 	sim, incarnation := r.sim, r.incarnation
 	sim.schedule(max(at, sim.now), func() {
@@ -225,7 +227,7 @@
 	})
 }
 
-// exchangeSiteReports takes what others say of sites, and has this relay say what it sees.
+// exchangeSiteReports passes the site reports of other relays to the site watch and publishes its own.
 func (r *relay) exchangeSiteReports() {
 	type zoneReports struct {
 		lost   int
@@ -251,10 +253,11 @@
 	r.gossiper.SetSiteReports(own)
 }
 
-// zoneName is the name of a zone of relays.
+// zoneName returns the name of a zone of relays, counted from 0.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", 1+zone) }
 
-// stop ends a life: what it held comes again to another relay, unless it may have run and may not be repeated.
+// stop ends an incarnation. Clients submit its pending messages again, but unsafe ones that may have
+// run fail.
 func (r *relay) stop() {
 	if r.policy == nil {
 		return
@@ -262,7 +265,7 @@
 	sim := r.sim
 	sim.log(rules.Event{Kind: rules.RelayDied, Relay: r.number})
 	r.policy, r.diedAt = nil, sim.now
-	for id := uint32(0); len(r.pending) > 0 && id <= sim.lastMessageID; id++ { // in order of their numbers, for the same result each time
+	for id := uint32(0); len(r.pending) > 0 && id <= sim.lastMessageID; id++ { // in order of IDs, to be deterministic
 		msg := r.pending[id]
 		if msg == nil {
 			continue
@@ -286,7 +289,7 @@
 	}
 }
 
-// enqueue puts an event into a relay's next step.
+// enqueue adds an event to the relay's next step and schedules that step.
 func (r *relay) enqueue(event policy.Event) {
 	r.inbox = append(r.inbox, event)
 	if r.stepDue {
@@ -303,7 +306,8 @@
 	})
 }
 
-// step lets the module decide. A module that panics ends the life of its relay, as it would in service, and is counted.
+// step passes the queued events to the policy and carries out its actions. A policy that panics
+// crashes its relay for a second, and the panic is recorded.
 func (r *relay) step() {
 	events := r.inbox
 	r.inbox, r.stepDue = nil, false
@@ -319,7 +323,7 @@
 		return
 	}
 	r.sim.result.Steps++
-	var openCalls []*call // of this step, to which further sends may join
+	var openCalls []*call // of this step; further messages may be added to them
 	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Send:
@@ -356,27 +360,30 @@
 	}
 }
 
-// withdrawnIn tells whether the step that takes these events hears only now that a message is over. Its answer to it crosses that news, and is
-// dropped, as the host in service drops an answer to what it does not hold any more. One that comes a step later breaks the rule.
+// withdrawnIn reports whether these events withdraw a message. A final answer of the same step is
+// dropped, as production relays drop answers to messages that are not pending any more; one of a
+// later step violates a rule.
 func withdrawnIn(events []policy.Event, id uint32) bool {
 	return slices.Contains(events, policy.Event(policy.Withdrawn{ID: id}))
 }
 
+// runPolicy runs a step of the policy; ok is false if it panicked.
 func (r *relay) runPolicy(events []policy.Event) (actions []policy.Action, ok bool) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			r.sim.recordError(fmt.Sprintf("%v: the module of relay %d panics: %v", r.sim.now, r.number, recovered))
+			r.sim.recordError(fmt.Sprintf("%v: the policy of relay %d panics: %v", r.sim.now, r.number, recovered))
 			actions, ok = nil, false
 		}
 	}()
 	return r.policy.Step(r.sim.now, events), true
 }
 
-// planSend takes one Send of a step up: into a call that is open, into a new one, or back at once if it can't go out.
+// planSend adds a message to an open call of the step or to a new one. A message that may not be sent
+// ends at once as policy.Unsent.
 func (r *relay) planSend(send policy.Send, openCalls []*call) []*call {
 	sim, msg, e := r.sim, r.pending[send.ID], r.sim.byAddress[send.Endpoint]
 	if msg == nil || e == nil {
-		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", sim.now, r.number, send.ID, send.Endpoint))
+		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, but the message or the endpoint is unknown", sim.now, r.number, send.ID, send.Endpoint))
 		return openCalls
 	}
 	msg.attempts++
@@ -398,7 +405,7 @@
 	unsendable := newCall && r.inFlight >= sim.scenario.MaxConcurrentCalls || msg.completed || msg.inFlight != nil || msg.attempts > sim.scenario.MaxAttempts
 	event := rules.Event{Kind: rules.Sent, Relay: r.number, Msg: msg.id, Attempt: item.attempt, Call: c.id, Dest: e.dest.number, Endpoint: e.number, Route: e.routeNumber()}
 	if unsendable {
-		event.Call = 0 // no call: nothing is out
+		event.Call = 0 // there is no call
 	}
 	if sim.log(event); unsendable {
 		sim.attemptEnded(c, &item, policy.Unsent, 0)
@@ -414,7 +421,7 @@
 	return openCalls
 }
 
-// sendCall sends a call off: over a connection that is idle, or over a new one.
+// sendCall sends a call over an idle connection or a new one.
 func (sim *simulation) sendCall(c *call) {
 	r, e := c.relay, c.endpoint
 	sim.result.Calls++
@@ -442,10 +449,10 @@
 			if idle.incarnation == e.incarnation {
 				e.openConns--
 			}
-			continue // it shows as closed
+			continue // closed
 		}
 		c.conn, c.endpointIncarnation = idle, idle.incarnation
-		if sim.reaches(r, e) { // else it is not answered
+		if sim.reaches(r, e) { // else it times out
 			sim.scheduleAfter(delay, func() { sim.callArrived(c) })
 		}
 		return
@@ -465,7 +472,7 @@
 	}
 }
 
-// sendAnswer is what an endpoint has to say of a call; it takes its way back.
+// sendAnswer sends an endpoint's answer to a call. Only the first answer counts.
 func (sim *simulation) sendAnswer(c *call, outcome policy.Outcome, retryAfter time.Duration) {
 	if c.answered {
 		return
@@ -474,16 +481,16 @@
 	sentAt := sim.now
 	sim.scheduleAfter(sim.drawDelay(sim.scenario.RTT/2), func() {
 		if !sim.reaches(c.relay, c.endpoint) {
-			return // it has run, and its relay hears nothing of it
+			return // lost; the call may have run
 		}
-		if retryAfter > 0 { // it runs from when it was told
+		if retryAfter > 0 { // it counts from when it was sent
 			retryAfter = max(retryAfter-(sim.now-sentAt), time.Millisecond)
 		}
 		sim.completeCall(c, outcome, retryAfter)
 	})
 }
 
-// completeCall ends what is still out of a call.
+// completeCall ends all open attempts of a call and returns its connection to the idle ones.
 func (sim *simulation) completeCall(c *call, outcome policy.Outcome, retryAfter time.Duration) {
 	r, e := c.relay, c.endpoint
 	c.answered = true
@@ -520,7 +527,7 @@
 	}
 }
 
-// siteOutcome is what the end of a call says of the site of its endpoint.
+// siteOutcome converts the outcome of a call for the site watch.
 func siteOutcome(outcome policy.Outcome) sites.CallOutcome {
 	switch outcome {
 	case policy.Delivered, policy.Errored:
@@ -533,7 +540,7 @@
 	return sites.Failed
 }
 
-// attemptEnded tells a relay how an attempt ended.
+// attemptEnded records how an attempt ended and reports it to the relay.
 func (sim *simulation) attemptEnded(c *call, item *callItem, outcome policy.Outcome, retryAfter time.Duration) {
 	r, msg, e := c.relay, item.message, c.endpoint
 	item.ended = true
@@ -570,7 +577,7 @@
 	r.enqueue(policy.AttemptEnded{ID: msg.id, Attempt: item.attempt, Endpoint: e.address, Outcome: outcome, Duration: sim.now - c.sentAt, Final: msg.completed, RetryAfter: retryAfter, Report: c.reportFor(outcome)})
 }
 
-// finalAnswer is a relay's last word on a message.
+// finalAnswer handles a relay's final answer to a message.
 func (r *relay) finalAnswer(id uint32, kind rules.Kind, retryAfter time.Duration) {
 	sim, msg := r.sim, r.pending[id]
 	sim.log(rules.Event{Kind: kind, Relay: r.number, Msg: id})
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -8,46 +8,46 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Result is what came of a day. Of one day and one seed it is the same each time.
+// Result is the outcome of a run. It is deterministic for a scenario and its seed.
 type Result struct {
 	Day  string
 	Seed uint64
 
-	G                              float64 // as the operators count: see Score
-	Whole, WorstWindow, WorstClass float64
-	Requests                       int // first tries
-	Delivered, InAim               int
-	GivenUp, HandedBack, Lost      int // requests that ended undelivered: failed, refused for good, never answered
-	HandIns, Refusals, TurnedAway  int
-	Unreached                      int // hand-ins that found a dead relay
-	Calls, RefusedCalls            int
-	Connections                    int
-	Probes                         int            // calls that went off to destinations which were out
-	Agreed                         bool           // in the end all relays knew who lived
-	Down                           []int          // relays that were down in the end
-	Members                        []MemberChange `json:",omitempty"` // what relays came to think of one another
-	Sites                          []SiteChange   `json:",omitempty"` // and of sites
-	NoteBytes                      int            // of notes between relays, as they are delivered
-	Steps, Notes, Events           int
-	Overdue, Doubles, Fallen       int
-	Work, Asked                    float64 // seconds of destinations' work, done and asked for
-	Useful                         float64 // work of what was delivered
+	G                              float64        // score of the run; see finish
+	Whole, WorstWindow, WorstClass float64        // served share of the value: in total, in the worst window, of the worst class
+	Requests                       int            // without retries
+	Delivered, InAim               int            // delivered requests, and those within their target latency
+	GivenUp, HandedBack, Lost      int            // undelivered requests: failed, returned to the client, never answered
+	HandIns, Refusals, TurnedAway  int            // submissions: accepted, refused after that, rejected at MaxPending
+	Unreached                      int            // submissions to a dead relay
+	Calls, RefusedCalls            int            // RefusedCalls: rejected by endpoints
+	Connections                    int            // opened
+	Probes                         int            // calls to destinations that were down
+	Agreed                         bool           // at the end the members' views of all relays were correct
+	Down                           []int          // relays that were down at the end
+	Members                        []MemberChange `json:",omitempty"`
+	Sites                          []SiteChange   `json:",omitempty"`
+	NoteBytes                      int            // gossip, as delivered
+	Steps, Notes, Events           int            // of relays; log lines of policies; of the simulation
+	Overdue, Doubles, Fallen       int            // messages without an answer in time; repeated unsafe messages; overloads of cold destinations and sites
+	Work, Asked                    float64        // seconds of work: done, submitted
+	Useful                         float64        // seconds of work of delivered messages
 	Seconds                        []Second
 	ByClass                        []Tally
 	Dests                          []DestTally
 	Relays                         []RelayTally
-	FairRelays, FairDests          float64                 // Jain's index of the share of their worth that is served
+	FairRelays, FairDests          float64                 // Jain's index of the served share of the value
 	Latency                        *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
-	Broken                         map[rules.Name]int
-	Breaks                         []rules.Violation
-	Faults                         []string // of the module, of the day or of the laboratory itself
+	Broken                         map[rules.Name]int      // violations by rule
+	Breaks                         []rules.Violation       // the first ones
+	Faults                         []string                // errors of the policy, the scenario or the simulator
 	lateFailureValue               float64
 }
 
-// Second is a second of arrivals: the worth that came in and what of it was served.
+// Second is the value that was submitted in a second, and what of it was served.
 type Second struct{ Asked, Served float64 }
 
-// MemberChange is what one relay came to think of another; of itself, that a process of it started.
+// MemberChange is a change of a relay's view of another one, or the start of the relay itself.
 type MemberChange struct {
 	At          time.Duration
 	By, Number  int
@@ -56,7 +56,7 @@
 	Why         string
 }
 
-// SiteChange is what a relay came to take a site for.
+// SiteChange is a change of a relay's view of a site.
 type SiteChange struct {
 	At       time.Duration
 	By       int
@@ -65,7 +65,7 @@
 	Why      string
 }
 
-// Tally is a class's.
+// Tally counts the messages and the value of a class.
 type Tally struct {
 	Name                    string
 	Requests, Delivered     int
@@ -73,16 +73,17 @@
 	GivenUp, Refused, InAim int
 }
 
-// DestTally is a destination's.
+// DestTally counts the messages, calls and value of a destination.
 type DestTally struct {
 	Requests, Delivered, Calls, Refused int
 	Asked, Served                       float64
 }
 
-// RelayTally is a relay's: worth that was handed in to it, hand-ins that came again among them, and worth that it delivered.
+// RelayTally is the value that a relay accepted, retried submissions included, and the value that it
+// delivered.
 type RelayTally struct{ Asked, Served float64 }
 
-// jainIndex is Jain's index of fairness: 1 where all have the same, 1/n where one has all.
+// jainIndex returns Jain's fairness index: 1 if all shares are equal, 1/n if one has everything.
 func jainIndex(shares []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, share := range shares {
@@ -94,6 +95,7 @@
 	return sum * sum / (float64(len(shares)) * squares)
 }
 
+// newResult returns an empty result of a scenario.
 func newResult(scenario *Scenario) *Result {
 	result := &Result{Day: scenario.Name, Seed: scenario.Seed, Seconds: make([]Second, int(scenario.Length/time.Second)+1), Dests: make([]DestTally, len(scenario.Dests)), Relays: make([]RelayTally, scenario.Relays),
 		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
@@ -103,6 +105,7 @@
 	return result
 }
 
+// recordRequest counts a new request.
 func (r *Result) recordRequest(sim *simulation, req *request) {
 	value := req.class.Value
 	r.Seconds[int(req.submittedAt/time.Second)].Asked += value
@@ -115,6 +118,7 @@
 	r.Asked += req.workSeconds
 }
 
+// recordCompletion counts the end of a request.
 func (r *Result) recordCompletion(sim *simulation, req *request, outcome completion) {
 	tally, latency := &r.ByClass[req.classIndex], sim.now-req.submittedAt
 	if req.submittedAt < sim.scenario.TallyFrom {
@@ -150,11 +154,11 @@
 	}
 }
 
-// worstWindowSeconds is the time over which the worst stretch of a day is looked for.
+// worstWindowSeconds is the length of the windows among which the worst one is reported.
 const worstWindowSeconds = 10
 
-// finish works out the figures of the whole day and holds the two accounts against each other: the log of the rules and the
-// world's own. Where they disagree the laboratory is at fault, and says so.
+// finish computes the scores of the run and cross-checks the violations that the rule checker found
+// with the simulation's own counts. A contradiction is an error of the simulator and is recorded.
 func (r *Result) finish(sim *simulation) {
 	r.Events = sim.processed
 	r.Broken, r.Breaks = sim.checker.Counts, sim.checker.Violations
@@ -191,16 +195,17 @@
 	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - penalties.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
 		penalties.Handshake*float64(r.Connections)/requests - penalties.LateFailure*shareOrZero(r.lateFailureValue, asked) - penalties.RejectedCall*float64(r.RefusedCalls)/requests - penalties.Gossip*float64(r.NoteBytes)/256/requests
 	if unanswered := r.Broken[rules.Answer]; (unanswered > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree on messages without an answer in time")
+		r.Faults = append(r.Faults, "rule checker and simulation disagree on messages without an answer in time")
 	}
 	if (r.Broken[rules.Repeat] > 0) != (r.Doubles > 0) && r.Doubles > 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree: a message ran twice, and no rule on repeats was broken")
+		r.Faults = append(r.Faults, "rule checker and simulation disagree: a message ran twice without a violation of the repeat rule")
 	}
 	if r.Fallen == 0 && r.Broken[rules.RecoveryOverload] > 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree: no destination fell over, and the rule on returns was broken")
+		r.Faults = append(r.Faults, "rule checker and simulation disagree: no destination was overloaded, but the recovery rule was violated")
 	}
 }
 
+// shareOrOne returns part as a share of total; 1 if total is not positive.
 func shareOrOne(part, total float64) float64 {
 	if total <= 0 {
 		return 1
@@ -208,6 +213,7 @@
 	return part / total
 }
 
+// shareOrZero returns part as a share of total; 0 if total is not positive.
 func shareOrZero(part, total float64) float64 {
 	if total <= 0 {
 		return 0
@@ -215,5 +221,5 @@
 	return part / total
 }
 
-// Passed tells whether no rule was broken and nothing else went wrong.
+// Passed reports whether no rule was violated and no error occurred.
 func (r *Result) Passed() bool { return len(r.Faults) == 0 && len(r.Breaks) == 0 }
--- a/internal/lab/emu/account_test.go
+++ b/internal/lab/emu/result_test.go
@@ -8,14 +8,14 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Where the world's own account and the checker of the log disagree, the day says that the laboratory is at fault.
+// A contradiction between the simulation's own counts and the rule checker is recorded as an error.
 func TestAccountsDisagree(t *testing.T) {
 	for want, corrupt := range map[string]func(*Result, *rules.Checker){
-		"":                     func(*Result, *rules.Checker) {},
-		"without an answer":    func(r *Result, _ *rules.Checker) { r.Overdue = 1 },
-		"answer in time":       func(_ *Result, c *rules.Checker) { c.Counts[rules.Answer] = 1 },
-		"ran twice":            func(r *Result, _ *rules.Checker) { r.Doubles = 1 },
-		"rule on returns was ": func(_ *Result, c *rules.Checker) { c.Counts[rules.RecoveryOverload] = 1 },
+		"":                           func(*Result, *rules.Checker) {},
+		"without an answer":          func(r *Result, _ *rules.Checker) { r.Overdue = 1 },
+		"answer in time":             func(_ *Result, c *rules.Checker) { c.Counts[rules.Answer] = 1 },
+		"ran twice":                  func(r *Result, _ *rules.Checker) { r.Doubles = 1 },
+		"recovery rule was violated": func(_ *Result, c *rules.Checker) { c.Counts[rules.RecoveryOverload] = 1 },
 	} {
 		scenario := &Scenario{Length: time.Second}
 		result, checker := newResult(scenario), rules.New(rules.Config{})
--- a/internal/lab/emu/day.go
+++ b/internal/lab/emu/scenario.go
@@ -12,129 +12,136 @@
 	"oatfold/policy"
 )
 
-// Scenario is everything that is fixed before the first message: the world, its troubles, and the seed of its chance. Times are virtual.
+// Scenario is everything that is fixed before a run: clients, relays, destinations, faults and the
+// random seed. All times are virtual.
 type Scenario struct {
 	Name   string
 	Seed   uint64
-	Length time.Duration // messages come in until then
-	Tail   time.Duration // and this long at most is waited for their ends
+	Length time.Duration // during which messages are submitted
+	Tail   time.Duration // longest wait for open messages after Length
 	Tick   time.Duration // shortest time between two steps of a relay
 
-	Relays                         int
+	Relays int
+
 	MaxConcurrentCalls, MaxPending int // of each relay
-	MaxAttempts                    int
-	Rate                           float64     // messages a second that come in, in the mean over Shape 1
-	Shape                          []LoadPoint // multiple of Rate over time; none: 1
-	ClumpShare                     float64     // share of messages that come in clumps for one destination
-	ClumpDuration                  time.Duration
 
-	RTT, ClientDelay            time.Duration // relay to destination and back; client to relay
-	Jitter                      float64       // spread of each way, as a share
-	HandshakeRTTs               float64       // round trips that a new connection costs
-	IdleTimeout, ConnectTimeout time.Duration // connections unused so long close; one that does not come up so long has failed
-	AnswerSlack                 time.Duration
+	MaxAttempts   int
+	Rate          float64       // mean messages per second where Shape is 1
+	Shape         []LoadPoint   // multiple of Rate over time; empty: 1
+	ClumpShare    float64       // share of messages that arrive in clumps for one destination
+	ClumpDuration time.Duration // a clump is what the destination can take in this time
+
+	RTT, ClientDelay time.Duration // relay to destination and back; client to relay
+	Jitter           float64       // largest deviation of a one-way delay, as a share of it
+	HandshakeRTTs    float64       // round trips that opening a connection takes
+	IdleTimeout      time.Duration // after which unused connections are closed
+	ConnectTimeout   time.Duration
+	AnswerSlack      time.Duration // by which a final answer may follow the deadline
 
 	Classes []Class
 	Kinds   []Kind
 	Dests   []Dest
 
-	ClientRetries                   int           // of a client after a refusal
-	ClientBackoff                   time.Duration // before the first, doubled before each further one
-	RetryAfterCompliance            float64       // share of clients that heed advice
-	MaxRetryAfter                   time.Duration
-	ResubmitDelay                   time.Duration // after which a dead relay's messages come to a live one
-	BalancerDetectionDelay          time.Duration // for how long new messages still go to a dead relay
-	DiscoveryDelay, DiscoverySpread time.Duration // of list news, and how much later the last relay hears it
-	WarmUpTime                      time.Duration // as the settings state it, at most
-	ColdStartShare                  float64       // as the settings state it, at least
-	OverloadFactor                  float64
-	OverloadTime                    time.Duration
-	DrainGrace                      time.Duration
-	Penalties                       Penalties
-	Faults                          []Fault
-	Gossip                          bool           // relays tell one another what they see
-	NoGossip                        bool           // relays know that they may not tell one another anything; not with Notes
-	GossipLoss                      float64        // share of these that are lost
-	Membership                      bool           // and ask one another who lives
-	SettleTime                      time.Duration  // relays run on for so long behind the last message, until all agree who lives; 0: not
-	Zones                           int            // of relays, dealt to them in turn; 0: 1
-	Choices                         choice.Options // that relays share; they need Members
-	Sites                           *sites.Plan    // that relays act on; nil: none
-	TallyFrom                       time.Duration  // classes count messages that come in from then on
-	HotRelayFactor                  float64        // times the mean that clients hand in at relay 0; 0: once
+	ClientRetries          int            // after a rejection
+	ClientBackoff          time.Duration  // before the first retry, doubled before each further one
+	RetryAfterCompliance   float64        // share of clients that heed Retry-After
+	MaxRetryAfter          time.Duration  // longest Retry-After that clients heed
+	ResubmitDelay          time.Duration  // after which messages of a dead relay are submitted to another one
+	BalancerDetectionDelay time.Duration  // during which a dead relay still gets new messages
+	DiscoveryDelay         time.Duration  // of updates of the endpoint list
+	DiscoverySpread        time.Duration  // between the first and the last relay that receives an update
+	WarmUpTime             time.Duration  // upper bound that the settings state
+	ColdStartShare         float64        // lower bound that the settings state
+	OverloadFactor         float64        // a cold destination fails when offered this multiple of its capacity ...
+	OverloadTime           time.Duration  // ... over this time
+	DrainGrace             time.Duration  // during which calls to a draining endpoint are still allowed
+	Penalties              Penalties      // subtracted from the score
+	Faults                 []Fault        // injected faults
+	Gossip                 bool           // relays exchange what they observe
+	NoGossip               bool           // relays know that they must not gossip; excludes Gossip
+	GossipLoss             float64        // share of gossip messages that are lost
+	Membership             bool           // relays run failure detection on one another
+	SettleTime             time.Duration  // time after the last message for relays to agree on the members; 0: none
+	Zones                  int            // of relays, assigned round-robin; 0: 1
+	Choices                choice.Options // that relays share; they need Membership
+	Sites                  *sites.Plan    // that relays act on; nil: none
+	TallyFrom              time.Duration  // classes count messages that are submitted from then on
+	HotRelayFactor         float64        // load of relay 0 as a multiple of the mean; 0: 1
 }
 
-// LoadPoint is a place of a curve.
+// LoadPoint is one point of a load curve; values between points are interpolated linearly.
 type LoadPoint struct {
 	At       time.Duration
 	Multiple float64
 }
 
-// Class is a class of message.
+// Class is a class of messages.
 type Class struct {
 	policy.Class
-	Share       float64
-	Work        time.Duration // at a destination of speed 1
-	CV          float64       // spread of the work
-	Noise       float64       // and of each attempt's beside it
-	Exponential bool          // exponential; else lognormal
+	Share       float64       // of all messages
+	Work        time.Duration // mean at a destination of speed 1
+	CV          float64       // coefficient of variation of the work of messages
+	Noise       float64       // coefficient of variation between attempts of one message
+	Exponential bool          // work is distributed exponentially instead of lognormally
 }
 
-// LimitKind says how a destination counts calls.
+// LimitKind says how a destination limits calls.
 type LimitKind int
 
-// The limits.
+// Kinds of limits.
 const (
-	NoLimit LimitKind = iota
-	RateLimit
-	WindowLimit
+	NoLimit     LimitKind = iota
+	RateLimit             // token bucket
+	WindowLimit           // calls per fixed window
 )
 
 // Kind is a kind of destination.
 type Kind struct {
 	Name            string
-	MaxBatch        int
-	ItemCost        float64 // work of each further message of a call, as a share
-	Limit           LimitKind
-	Window          time.Duration
-	CountsRejected  bool    // refused calls use up the limit
-	ReportsLimit    bool    // answers tell what is left of the limit, and the limit
-	SeparateRoutes  bool    // each endpoint has an even part of the limit for itself, and outages of its own
-	RetryAfterShare float64 // share of refusals that tell a wait
-	RetryAfter      time.Duration
-	ColdStartShare  float64
-	WarmUpTime      time.Duration
-	ErrorRate       float64
-	CancelsQueued   bool // a call given up while it waits does not run
+	MaxBatch        int           // messages per call
+	ItemCost        float64       // work of each further message of a call, as a share of its own
+	Limit           LimitKind     // of calls
+	Window          time.Duration // of a WindowLimit
+	CountsRejected  bool          // rejected calls use up the limit
+	ReportsLimit    bool          // answers report the limit and what is left of it
+	SeparateRoutes  bool          // each endpoint has an equal part of the limit and fails separately
+	RetryAfterShare float64       // share of rejections that carry a Retry-After
+	RetryAfter      time.Duration // mean of these
+	ColdStartShare  float64       // capacity right after an outage, as a share of the full one
+	WarmUpTime      time.Duration // from ColdStartShare to full capacity
+	ErrorRate       float64       // share of calls that are answered with an error
+	CancelsQueued   bool          // queued calls that the relay has abandoned are not served
 }
 
-// Dest is a destination. Its number is its place in Day.Dests.
+// Dest is a destination. Its number is its index in Scenario.Dests.
 type Dest struct {
-	Kind      int
+	Kind      int     // index in Scenario.Kinds
 	Share     float64 // of the traffic
-	Limit     float64 // calls a second from all relays, over all its endpoints
+	Limit     float64 // calls per second from all relays to all its endpoints
 	Zone      string
 	Endpoints []Endpoint
-	Mix       []TrafficShare // of its messages; none: by the shares of the classes, at any relay
+	Mix       []TrafficShare // of its messages; empty: by the shares of the classes, at any relay
 }
 
-// TrafficShare is a part of a destination's messages: of one class, handed in at the relays of one zone while any of them lives.
+// TrafficShare is a part of a destination's messages: those of one class that are submitted to the
+// relays of one zone while any of these is up.
 type TrafficShare struct {
-	Class int
+	Class int // index in Scenario.Classes
 	Zone  int // of relays, from 0
 	Share float64
 }
 
-// Endpoint is one of a destination's endpoints.
+// Endpoint is one endpoint of a destination.
 type Endpoint struct {
 	Workers   int     // calls served at once
-	Speed     float64 // work done in a unit of time by each
+	Speed     float64 // of each worker; 1 does a second of work per second
 	QueueSize int     // calls that wait at most
-	MaxConns  int     // connections at most, idle ones counted; 0: any number
-	Zone      string  // where it is not its destination's
+	MaxConns  int     // open connections, idle ones included; 0: no limit
+	Zone      string  // empty: that of its destination
 }
 
-// SingleZone is the zone that all of a destination's endpoints name as theirs; empty: they name none, or several.
+// SingleZone returns the zone that all endpoints of the destination name; empty if they name none
+// or several.
 func (d *Dest) SingleZone() string {
 	for _, e := range d.Endpoints {
 		if e.Zone != d.Endpoints[0].Zone {
@@ -144,60 +151,67 @@
 	return d.Endpoints[0].Zone
 }
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of trouble. Size and Every mean what is said beside each.
+// Kinds of faults. The comments say what Intensity and Period of the fault mean.
 const (
-	Crash                FaultKind = "crash"        // connections are refused; comes back cold
-	Blackhole            FaultKind = "vanish"       // nothing answers; comes back cold
-	RejectAll            FaultKind = "shut"         // all calls are refused; comes back cold
-	FastErrors           FaultKind = "fast_errors"  // Size of the calls fail at once
-	Pauses               FaultKind = "pauses"       // stands still for Size seconds each Every
-	Slow                 FaultKind = "slow"         // speed is Size of the usual
-	Burst                FaultKind = "burst"        // Size times the messages, those for Dests only if any are named
-	Drain                FaultKind = "drain"        // endpoints go, others come in their place
-	DiscoveryOutage      FaultKind = "news_outage"  // the list's news wait for its end
-	RelayCrash           FaultKind = "relay_crash"  // relays die and start again after Len
-	RelayStop            FaultKind = "relay_stop"   // relays end as they are told, having said so, and start again after Len
-	RelayStall           FaultKind = "relay_stall"  // relays do nothing for Len; then their clocks have gone on by as much
-	LowerLimit           FaultKind = "lowered"      // the limit is Size of the usual
-	Partition            FaultKind = "cut"          // relays and all others don't hear one another
-	GossipReceiveLoss    FaultKind = "deaf"         // relays hear no other
-	GossipSendLoss       FaultKind = "mute"         // relays are heard by no other
-	DestinationPartition FaultKind = "partners_cut" // relays and all destinations, or those named, don't reach one another
-	GossipLoss           FaultKind = "notes_lost"   // Size of the notes are lost
-	GossipDelay          FaultKind = "notes_late"   // notes come up to Size seconds late, and so out of order
-	GossipDuplication    FaultKind = "notes_twice"  // Size of the notes come twice
-	SitePartition        FaultKind = "site_cut"     // a zone's relays and endpoints reach one another, and nobody else reaches them
-	AnswerLoss           FaultKind = "answers_lost" // connections break after Size of the calls ran
+	Crash                FaultKind = "crash"        // connections are refused; recovers cold
+	Blackhole            FaultKind = "vanish"       // nothing answers; recovers cold
+	RejectAll            FaultKind = "shut"         // all calls are rejected; recovers cold
+	FastErrors           FaultKind = "fast_errors"  // a share Intensity of the calls fails at once
+	Pauses               FaultKind = "pauses"       // processing stops for Intensity seconds each Period
+	Slow                 FaultKind = "slow"         // speed is multiplied by Intensity
+	Burst                FaultKind = "burst"        // traffic, or that of Dests if named, is multiplied by Intensity
+	Drain                FaultKind = "drain"        // endpoints are drained and replaced
+	DiscoveryOutage      FaultKind = "news_outage"  // updates of the endpoint list are delayed until its end
+	RelayCrash           FaultKind = "relay_crash"  // relays die and restart after Duration
+	RelayStop            FaultKind = "relay_stop"   // relays announce that they leave, stop and restart after Duration
+	RelayStall           FaultKind = "relay_stall"  // relays do nothing for Duration while their clocks run on
+	LowerLimit           FaultKind = "lowered"      // the limit is multiplied by Intensity
+	Partition            FaultKind = "cut"          // relays and all others don't receive each other's gossip
+	GossipReceiveLoss    FaultKind = "deaf"         // relays receive no gossip
+	GossipSendLoss       FaultKind = "mute"         // gossip of the relays reaches nobody
+	DestinationPartition FaultKind = "partners_cut" // relays and all destinations, or those named, don't reach each other
+	GossipLoss           FaultKind = "notes_lost"   // a share Intensity of the gossip is lost
+	GossipDelay          FaultKind = "notes_late"   // gossip is up to Intensity seconds late, so it is reordered
+	GossipDuplication    FaultKind = "notes_twice"  // a share Intensity of the gossip arrives twice
+	SitePartition        FaultKind = "site_cut"     // a zone's relays and endpoints reach each other and nobody else
+	AnswerLoss           FaultKind = "answers_lost" // connections break after a share Intensity of the calls has run
 )
 
-// Fault is something that goes wrong.
+// Fault is an injected fault.
 type Fault struct {
 	Kind         FaultKind
 	At, Duration time.Duration
-	Intensity    float64
+	Intensity    float64 // meaning and unit depend on Kind
 	Period       time.Duration
 	Dests        []int    // whole destinations
-	Endpoints    [][2]int // single endpoints: destination and place in it
-	Zone         string   // all endpoints of a zone
+	Endpoints    [][2]int // single endpoints: destination and index in it
+	Zone         string   // all endpoints of a zone, or its relays
 	Relays       []int
 }
 
-// AffectsRelays tells whether it is relays that a trouble befalls, or the ways between them.
+// AffectsRelays reports whether the fault affects relays or the network between them.
 func (f *Fault) AffectsRelays() bool {
 	switch f.Kind {
-	case RelayCrash, RelayStop, RelayStall, DestinationPartition, SitePartition, Partition, GossipReceiveLoss, GossipSendLoss, GossipLoss, GossipDelay, GossipDuplication:
+	case RelayCrash, RelayStop, RelayStall, DestinationPartition, SitePartition, Partition,
+		GossipReceiveLoss, GossipSendLoss, GossipLoss, GossipDelay, GossipDuplication:
 		return true
 	}
 	return false
 }
 
-// Penalties are taken off the result, each times its rate; see Result.
-type Penalties struct{ WastedWork, Handshake, LateFailure, RejectedCall, Gossip float64 }
+// Penalties are the weights of what is subtracted from Result.G.
+type Penalties struct {
+	WastedWork   float64 // times work without delivery, as a share of the work asked for
+	Handshake    float64 // times new connections per request
+	LateFailure  float64 // times the value that failed after its target latency, as a share of all
+	RejectedCall float64 // times rejected calls per request
+	Gossip       float64 // times 256-byte units of gossip per request
+}
 
-// Check names the first setting that makes no day.
+// Check returns an error that names the first invalid setting by its key.
 func (s *Scenario) Check() error {
 	type boundedSetting struct {
 		name           string
@@ -270,19 +284,19 @@
 		switch fault.Kind {
 		case Crash, Blackhole, RejectAll, FastErrors, Pauses, Slow, LowerLimit, Drain, AnswerLoss:
 			if len(fault.Dests) == 0 && len(fault.Endpoints) == 0 && fault.Zone == "" {
-				return fmt.Errorf("%sdests: names nothing that %s could hit", prefix, fault.Kind)
+				return fmt.Errorf("%sdests: names nothing that %s can affect", prefix, fault.Kind)
 			}
 		case RelayCrash, RelayStop, RelayStall:
 			if len(fault.Relays) == 0 {
-				return fmt.Errorf("%srelays: names none", prefix)
+				return fmt.Errorf("%srelays: names no relay", prefix)
 			}
 		case SitePartition:
 			if fault.Zone == "" {
-				return fmt.Errorf("%szone: names none", prefix)
+				return fmt.Errorf("%szone: is missing", prefix)
 			}
 		case Partition, GossipReceiveLoss, GossipSendLoss, DestinationPartition:
 			if len(fault.Relays) == 0 && fault.Zone == "" {
-				return fmt.Errorf("%srelays: names none, and no zone", prefix)
+				return fmt.Errorf("%srelays: names no relay and no zone", prefix)
 			}
 		case GossipLoss, GossipDuplication:
 			settings = append(settings, boundedSetting{prefix + "size", fault.Intensity, 0, 1})
@@ -290,12 +304,12 @@
 			settings = append(settings, boundedSetting{prefix + "size", fault.Intensity, 0, 60})
 		case Burst, DiscoveryOutage:
 		default:
-			return fmt.Errorf("%skind: %q is not known", prefix, fault.Kind)
+			return fmt.Errorf("%skind: unknown kind %q", prefix, fault.Kind)
 		}
 	}
 	for _, setting := range settings {
-		if !(setting.value >= setting.minimum && setting.value <= setting.maximum) { // also where it is not a number
-			return fmt.Errorf("%s: %g does not lie within %g and %g", setting.name, setting.value, setting.minimum, setting.maximum)
+		if !(setting.value >= setting.minimum && setting.value <= setting.maximum) { // also true for NaN
+			return fmt.Errorf("%s: %g is not between %g and %g", setting.name, setting.value, setting.minimum, setting.maximum)
 		}
 	}
 	if share <= 0 {
@@ -304,7 +318,7 @@
 	return nil
 }
 
-// Settings are what the relays of the day are told.
+// Settings returns the policy settings of the relays of the scenario.
 func (s *Scenario) Settings() policy.Settings {
 	settings := policy.Settings{Relays: s.Relays, NoGossip: s.NoGossip, MaxConcurrentCalls: s.MaxConcurrentCalls, MaxPending: s.MaxPending, MaxAttempts: s.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.MaxRetryAfter,
 		Tick: s.Tick, IdleConnTimeout: s.IdleTimeout, ColdStartShare: s.ColdStartShare, WarmUpTime: s.WarmUpTime, OverloadFactor: s.OverloadFactor, OverloadTime: s.OverloadTime}
@@ -320,6 +334,7 @@
 	return settings
 }
 
+// endpointZones returns the zones of all endpoints in order of first use.
 func (s *Scenario) endpointZones() (all []string) {
 	seen := map[string]bool{}
 	add := func(zone string) {
@@ -336,7 +351,7 @@
 	return all
 }
 
-// valueAfter is what a message is worth that is delivered so long after it was first handed in.
+// valueAfter returns the value of a message that is delivered latency after its first submission.
 func (c *Class) valueAfter(latency time.Duration) float64 {
 	switch {
 	case latency <= c.TargetLatency:
--- a/internal/lab/emu/world.go
+++ b/internal/lab/emu/simulation.go
@@ -1,10 +1,10 @@
-// Package emu plays days in virtual time: clients, relays, destinations and what goes wrong with them, with the decision
-// module that is in service, or another one, in each relay. It is a model written from the protocol's public pages; nothing in it
-// waits, and one day with one seed gives the same result to the byte.
+// Package emu is a discrete-event simulator of clients, relays and destinations. It runs drawn
+// scenarios with injected faults in virtual time, with a policy engine in each relay.
 //
-//	res, err := emu.Play(day, emu.Options{})
+//	result, err := emu.Run(scenario, emu.Options{})
 //
-// A day is played on one goroutine; days may be played side by side.
+// The same scenario with the same seed gives the same result to the byte. A run uses one goroutine;
+// several runs may go on concurrently.
 package emu
 
 import (
@@ -20,14 +20,14 @@
 	"oatfold/policy"
 )
 
-// Options are what is not part of a day.
+// Options are settings of a run that are not part of the scenario.
 type Options struct {
-	NewPolicy PolicyFactory     // nil: Service
-	Log       func(rules.Event) // told of every line of the rules' log
-	MaxEvents int               // the most that may happen; 0: 2e9. A day that needs more is cut and says so
+	NewPolicy PolicyFactory     // nil: DefaultPolicy
+	Log       func(rules.Event) // receives each event that the rules are checked against; may be nil
+	MaxEvents int               // of the simulation; a run that needs more is stopped with an error in its result; 0: 2e9
 }
 
-// simulation is a day being played.
+// simulation is the state of one run.
 type simulation struct {
 	engine
 	scenario         *Scenario
@@ -38,21 +38,21 @@
 	relays           []*relay
 	dests            []*dest
 	byAddress        map[string]*endpoint
-	reportKeys       peers.ReportKeys // the same at all relays
+	reportKeys       peers.ReportKeys // shared by all relays
 	endpointCount    int
 	lastMessageID    uint32
 	lastCallID       uint64
-	openRequests     int // requests that have not ended
+	openRequests     int // requests that are not completed
 	arrivalRand      *rand.Rand
 	clientRand       *rand.Rand
 	networkRand      *rand.Rand
 	gossipRand       *rand.Rand
-	cumulativeShares []float64
-	trafficDests     []int
-	rateMultiple     float64
-	discoveryOutages int
-	network          networkState // of notes
-	delayedUpdates   []func()     // news that wait for the end of an outage of discovery
+	cumulativeShares []float64    // of the traffic, by index in trafficDests
+	trafficDests     []int        // numbers of destinations that have traffic
+	rateMultiple     float64      // product of the active bursts of all traffic
+	discoveryOutages int          // active ones
+	network          networkState // faults of the network between relays and others
+	delayedUpdates   []func()     // endpoint list updates that wait for discovery
 }
 
 // request is a message as its client sees it.
@@ -61,17 +61,17 @@
 	class       *Class
 	classIndex  int
 	dest        *dest
-	zone        int // of the relays that it comes to; -1: any
+	zone        int // of the relays that it is submitted to; -1: any
 	submittedAt time.Duration
 	deadline    time.Duration
-	workSeconds float64 // seconds at speed 1
-	refusals    int     // refusals so far
-	attempts    int
-	runs        int
+	workSeconds float64 // at speed 1
+	refusals    int     // by relays, so far
+	attempts    int     // sent to endpoints
+	runs        int     // times that it took effect
 	completed   bool
 }
 
-// Run plays a day to its end.
+// Run runs a scenario to its end. It returns an error if the scenario is invalid.
 func Run(scenario *Scenario, options Options) (*Result, error) {
 	if err := scenario.Check(); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	end := scenario.Length + scenario.Tail
 	for sim.now <= end && (sim.openRequests > 0 || sim.now < scenario.Length) {
 		if sim.processed >= sim.options.MaxEvents {
-			sim.recordError(fmt.Sprintf("%v: cut after %d events", sim.now, sim.processed))
+			sim.recordError(fmt.Sprintf("%v: stopped after %d events", sim.now, sim.processed))
 			break
 		}
 		if !sim.engine.runNext() {
@@ -103,7 +103,7 @@
 		}
 	}
 	if sim.now > end {
-		sim.recordError(fmt.Sprintf("%d messages had no end %v after the last came in", sim.openRequests, scenario.Tail))
+		sim.recordError(fmt.Sprintf("%d messages were not completed %v after the last submission", sim.openRequests, scenario.Tail))
 	}
 	for settleUntil := sim.now + scenario.SettleTime; sim.now < settleUntil && !sim.membersAgree(); {
 		if !sim.engine.runNext() {
@@ -121,7 +121,7 @@
 	return sim.result, nil
 }
 
-// gossipFleetSize is how many relays are told of one another.
+// gossipFleetSize returns the number of relays that exchange gossip.
 func (sim *simulation) gossipFleetSize() int {
 	if !sim.scenario.Gossip && !sim.scenario.Membership {
 		return 0
@@ -129,6 +129,7 @@
 	return sim.scenario.Relays
 }
 
+// log passes an event to the rule checker and to Options.Log.
 func (sim *simulation) log(e rules.Event) {
 	e.At = sim.now
 	sim.checker.Check(e)
@@ -137,17 +138,22 @@
 	}
 }
 
+// maxRecordedErrors bounds Result.Faults.
+const maxRecordedErrors = 100
+
+// recordError adds an error of the policy, the scenario or the simulator to the result.
 func (sim *simulation) recordError(text string) {
-	if len(sim.result.Faults) < 100 {
+	if len(sim.result.Faults) < maxRecordedErrors {
 		sim.result.Faults = append(sim.result.Faults, text)
 	}
 }
 
-// drawDelay is one way through the network.
+// drawDelay draws the delay of one transmission.
 func (sim *simulation) drawDelay(mean time.Duration) time.Duration {
 	return scaleDuration(mean, 1+sim.scenario.Jitter*(2*sim.networkRand.Float64()-1))
 }
 
+// build creates all destinations and starts all relays.
 func (sim *simulation) build() {
 	mean, share := 0.0, 0.0
 	for _, c := range sim.scenario.Classes {
@@ -178,6 +184,7 @@
 	}
 }
 
+// addEndpoint creates an endpoint of d with an address of its own.
 func (sim *simulation) addEndpoint(d *dest, spec Endpoint) *endpoint {
 	sim.endpointCount++
 	e := &endpoint{number: sim.endpointCount, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", sim.endpointCount>>16, sim.endpointCount>>8&255, sim.endpointCount&255), spec: spec, speedFactor: 1}
@@ -203,9 +210,8 @@
 	return e
 }
 
-// --- clients ---
-
-// arrivalRate is how many messages a second come in now, for all but single destinations' bursts.
+// arrivalRate returns the messages per second that are submitted at a time, without the bursts of
+// single destinations.
 func (sim *simulation) arrivalRate(at time.Duration) float64 {
 	multiple, shape := 1.0, sim.scenario.Shape
 	if n := len(shape); n > 0 {
@@ -223,7 +229,7 @@
 	return sim.scenario.Rate * multiple * sim.rateMultiple
 }
 
-// scheduleArrival draws when the next message comes in, one after the other.
+// scheduleArrival draws the time of the next arrival, which schedules the one after it.
 func (sim *simulation) scheduleArrival() {
 	rate := sim.arrivalRate(sim.now)
 	if rate <= 0 {
@@ -239,8 +245,8 @@
 	sim.schedule(at, func() {
 		d := sim.pickDest()
 		clumpSize := 1
-		// A clump is as many messages as the destination takes in ClumpFor; it comes as often as its share of all messages asks for, and
-		// there are fewer comings, so that the messages stay as many as Rate says.
+		// Some arrivals are clumps and others are skipped, so that clumps make up ClumpShare of all
+		// messages and the mean rate stays the same.
 		if share := sim.scenario.ClumpShare; share > 0 {
 			size := max(2, math.Floor(d.nominalCapacity()*sim.scenario.ClumpDuration.Seconds()))
 			probability := share / ((1-share)*size + share)
@@ -258,7 +264,7 @@
 	})
 }
 
-// nominalCapacity is what a destination takes a second in good health.
+// nominalCapacity returns the messages per second that a healthy destination accepts.
 func (d *dest) nominalCapacity() float64 {
 	total := 0.0
 	for _, e := range d.spec.Endpoints {
@@ -270,16 +276,18 @@
 	return total
 }
 
+// pickDest draws a destination by its share of the traffic.
 func (sim *simulation) pickDest() *dest {
 	x := sim.arrivalRand.Float64() * sim.cumulativeShares[len(sim.cumulativeShares)-1]
 	i, _ := slices.BinarySearch(sim.cumulativeShares, x)
 	return sim.dests[sim.trafficDests[min(i, len(sim.trafficDests)-1)]]
 }
 
-// pickRelay deals messages to the relays that it takes for live: a dead one for as long as it has not noticed, and any while all are down.
+// pickRelay is the load balancer: it draws a relay that it considers up. A relay that has died is
+// considered up for BalancerDetectionDelay. While all relays are down it returns any.
 func (sim *simulation) pickRelay(req *request) *relay {
 	first := sim.clientRand.IntN(len(sim.relays))
-	for i := 0; req.zone >= 0 && i < len(sim.relays); i++ { // its own zone's, while any of them lives
+	for i := 0; req.zone >= 0 && i < len(sim.relays); i++ { // prefer the request's zone
 		r := sim.relays[(first+i)%len(sim.relays)]
 		if sim.scenario.ZoneOf(r.number) == req.zone && (r.policy != nil || sim.now-r.diedAt < sim.scenario.BalancerDetectionDelay) {
 			return r
@@ -297,7 +305,7 @@
 	return sim.relays[first]
 }
 
-// submitNew makes a message for d and hands it in.
+// submitNew creates a request for d and submits it.
 func (sim *simulation) submitNew(d *dest) {
 	draw, classIndex := sim.arrivalRand.Float64(), 0
 	for i, c := range sim.scenario.Classes {
@@ -328,10 +336,10 @@
 	sim.submit(req)
 }
 
-// submitTimeout is how long a client waits for a relay's answer to a hand-in.
+// submitTimeout is how long a client waits for a relay to accept a message.
 const submitTimeout = 400 * time.Millisecond
 
-// submit gives a request to a relay that the front takes for live.
+// submit sends a request to a relay that the load balancer considers up.
 func (sim *simulation) submit(req *request) {
 	if sim.now >= req.deadline {
 		sim.complete(req, completedReturned)
@@ -339,12 +347,12 @@
 	}
 	r := sim.pickRelay(req)
 	sim.scheduleAfter(sim.drawDelay(sim.scenario.ClientDelay), func() {
-		if r.policy == nil { // the front has not noticed, or all are down
+		if r.policy == nil { // not detected yet, or all relays are down
 			sim.result.Unreached++
 			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()), func() { sim.submit(req) })
 			return
 		}
-		if sim.now < r.stalledUntil { // nobody answers: the client hands it in again, and what lies in the relay's sockets counts for nothing
+		if sim.now < r.stalledUntil { // the client times out and retries; what the relay has not read is lost
 			sim.scheduleAfter(min(submitTimeout, r.stalledUntil-sim.now), func() { sim.submit(req) })
 			return
 		}
@@ -371,7 +379,7 @@
 			delete(r.pending, msg.id)
 			sim.complete(req, completedLost)
 			r.enqueue(policy.Withdrawn{ID: msg.id})
-			if req.deadline < r.stalledUntil { // it stood still when it should have answered: no decision could
+			if req.deadline < r.stalledUntil { // a stalled relay can't answer in time, whatever its policy
 				sim.log(rules.Event{Kind: rules.Withdrawn, Relay: r.number, Msg: msg.id})
 				return
 			}
@@ -380,7 +388,8 @@
 	})
 }
 
-// retryOrReturn lets a client come again after a refusal, as often as it does.
+// retryOrReturn schedules a client's retry after a refusal. Without retries left the request is
+// returned.
 func (sim *simulation) retryOrReturn(req *request, retryAfter time.Duration) {
 	if req.refusals++; req.refusals > sim.scenario.ClientRetries {
 		sim.complete(req, completedReturned)
@@ -393,16 +402,17 @@
 	sim.scheduleAfter(delay, func() { sim.submit(req) })
 }
 
+// completion is how a request ended.
 type completion int
 
 const (
 	completedDelivered completion = iota
-	completedReturned
-	completedFailed
-	completedLost
+	completedReturned             // refused, without retries left
+	completedFailed               // by the relay
+	completedLost                 // without an answer in time
 )
 
-// complete is a request's end. The first counts.
+// complete records how a request ended. Only the first call counts.
 func (sim *simulation) complete(req *request, outcome completion) {
 	if req.completed {
 		return
@@ -412,7 +422,7 @@
 	sim.result.recordCompletion(sim, req, outcome)
 }
 
-// recordRun books that a message took effect at its destination.
+// recordRun records that a message took effect at its destination.
 func (sim *simulation) recordRun(msg *message) {
 	req := msg.request
 	if req.runs++; req.runs == 1 {
@@ -423,9 +433,7 @@
 	}
 }
 
-// --- troubles ---
-
-// affected are the endpoints that a trouble is about, and the destinations that it takes whole or in part.
+// affected returns the endpoints that a fault affects and the destinations that these belong to.
 func (sim *simulation) affected(fault *Fault) (endpoints []*endpoint, dests []*dest) {
 	add := func(d *dest, e *endpoint) {
 		if !slices.Contains(endpoints, e) {
@@ -455,7 +463,7 @@
 	return endpoints, dests
 }
 
-// scheduleFault sets a trouble's beginning and end.
+// scheduleFault schedules the beginning and the end of a fault.
 func (sim *simulation) scheduleFault(fault *Fault) {
 	endpoints, dests := sim.affected(fault)
 	end := fault.At + fault.Duration
@@ -473,7 +481,7 @@
 			}
 		})
 	}
-	// An outage takes destinations whose endpoints are all hit; they come back cold.
+	// Destinations whose endpoints are all affected recover cold.
 	outage := func(h health) {
 		for _, d := range dests {
 			if coversDest(d, endpoints) {
@@ -572,7 +580,7 @@
 	}
 }
 
-// distinctLimiters are the limits that endpoints are under, each once.
+// distinctLimiters returns the limiters of endpoints, each once.
 func distinctLimiters(endpoints []*endpoint) (distinct []*limiter) {
 	for _, e := range endpoints {
 		if !slices.Contains(distinct, e.limiter) {
@@ -582,6 +590,7 @@
 	return distinct
 }
 
+// coversDest reports whether endpoints contains all endpoints of d.
 func coversDest(d *dest, endpoints []*endpoint) bool {
 	for _, e := range d.endpoints {
 		if !slices.Contains(endpoints, e) {
@@ -591,6 +600,7 @@
 	return true
 }
 
+// scheduleRelayFault schedules a crash, stop or stall of one relay.
 func (sim *simulation) scheduleRelayFault(r *relay, fault *Fault) {
 	switch fault.Kind {
 	case RelayCrash, RelayStop:
@@ -612,7 +622,8 @@
 	}
 }
 
-// scheduleExtraArrivals lets further messages for one destination come, from a source of their own.
+// scheduleExtraArrivals schedules additional messages for one destination from a random source of
+// their own.
 func (sim *simulation) scheduleExtraArrivals(d *dest, from, to time.Duration, rate float64) {
 	if rate <= 0 {
 		return
@@ -623,7 +634,7 @@
 	}
 }
 
-// drainEndpoint announces that an endpoint goes and that another comes in its place.
+// drainEndpoint announces that an endpoint drains, later that it is removed, and lists a replacement.
 func (sim *simulation) drainEndpoint(e *endpoint, removalDelay time.Duration) {
 	e.draining = true
 	sim.announce(e, policy.Draining, sim.scenario.DiscoveryDelay)
@@ -635,13 +646,14 @@
 	sim.announce(replacement, policy.Listed, sim.scenario.DiscoveryDelay/3)
 }
 
-// announce is news of the list, late and not everywhere at once; while discovery is down it waits for its end.
+// announce sends an update of the endpoint list to all relays, to each after a delay of its own. An
+// update that is due while discovery is down is sent when it is up.
 func (sim *simulation) announce(e *endpoint, state policy.EndpointState, delay time.Duration) {
 	for _, r := range sim.relays {
 		incarnation := r.incarnation
 		apply := func() {
 			if r.incarnation != incarnation || r.policy == nil {
-				return // a new life has read the list
+				return // a restarted relay has read the list
 			}
 			if state != policy.Listed {
 				sim.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.number, Endpoint: e.number})
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,7 +1,8 @@
-// Package rules checks what relays did against the rules of the protocol: it reads a log of events in order of time and tells
-// each break once. It knows nothing of how relays decide, nor of the emulator: whatever writes such a log can be checked.
+// Package rules checks the behavior of relays against the rules of the protocol. A Checker reads a
+// log of events in order of time and reports each violation once. It depends neither on the policy
+// nor on the simulator that writes the log.
 //
-// A Checker keeps only what is still open: messages that are over and have no attempt out are forgotten.
+// A Checker keeps only open state: completed messages without an attempt in flight are forgotten.
 package rules
 
 import (
@@ -12,31 +13,31 @@
 // Name is the name of a rule.
 type Name string
 
-// The rules.
+// Names of the rules.
 const (
 	Answer           Name = "answer"    // one final answer, in time, and no attempt after it
-	Repeat           Name = "repeat"    // no repeat and no refusal that the class forbids; one live attempt
-	Drain            Name = "drain"     // nothing new to an endpoint that is told to be going
-	RecoveryOverload Name = "fail-back" // no returning destination pushed over by those who saw it fail
-	RetryAfter       Name = "wait"      // told waits are heeded
-	Bounds           Name = "place"     // only endpoints of the message's destination, only as many calls and attempts as allowed
-	ConcurrencyShare Name = "share"     // calls to one destination keep within three quarters of the slots
+	Repeat           Name = "repeat"    // no repeat or return that the class forbids; one attempt at a time
+	Drain            Name = "drain"     // no call to an endpoint that is known to be leaving
+	RecoveryOverload Name = "fail-back" // no overload of a recovering destination by relays that saw it fail
+	RetryAfter       Name = "wait"      // no call before the end of a Retry-After
+	Bounds           Name = "place"     // only endpoints of the message's destination; limits of calls and attempts
+	ConcurrencyShare Name = "share"     // calls to one destination use at most three quarters of the concurrency limit
 )
 
-// Names are all of them.
+// Names lists all rules.
 var Names = []Name{Answer, Repeat, Drain, RecoveryOverload, RetryAfter, Bounds, ConcurrencyShare}
 
-// Effect says what a repeat does.
+// Effect says what a repeated message does.
 type Effect int
 
-// The effects, as classes of message have them.
+// Effects, as in policy.Class.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Safe   Effect = iota // nothing
+	Keyed                // nothing within the repeat window
+	Unsafe               // takes effect again
 )
 
-// Config holds the figures of the rules.
+// Config holds the limits of the rules.
 type Config struct {
 	AnswerSlack        time.Duration
 	DrainGrace         time.Duration
@@ -44,31 +45,31 @@
 	OverloadTime       time.Duration
 	MaxConcurrentCalls int
 	MaxAttempts        int
-	RetryAfterGrace    time.Duration // from when a wait was told: what was under way passes
-	ClockSlack         time.Duration // of each limit in time, where clocks and networks are real
+	RetryAfterGrace    time.Duration // after receipt of a Retry-After, during which calls pass
+	ClockSlack         time.Duration // tolerance of each time limit, where clocks and networks are real
 }
 
 // Kind is the kind of an event.
 type Kind int
 
-// The kinds of event, and the fields that they have beside At.
+// Kinds of events, and the fields that they use besides At.
 const (
-	Accepted        Kind = iota // Relay, Msg, Dest, Effect, Window, Until: a relay has taken a message on
-	Sent                        // Relay, Msg, Attempt, Call (0: it can't go out), Dest (of the endpoint), Endpoint, Route
-	AttemptEnded                // Relay, Msg, Attempt, Dest, Route, Proved, OK, Wait: how an attempt ended, as its relay learned it
+	Accepted        Kind = iota // Relay, Msg, Dest, Effect, RepeatWindow, Deadline: a relay has accepted a message
+	Sent                        // Relay, Msg, Attempt, Call (0: not sent after all), Dest (of the endpoint), Endpoint, Route
+	AttemptEnded                // Relay, Msg, Attempt, Dest, Route, NotRun, Delivered, RetryAfter: an attempt has ended, as its relay learned
 	Returned                    // Relay, Msg: final answer
 	Failed                      // Relay, Msg: final answer
-	Withdrawn                   // Relay, Msg: nothing more is owed, by no doing of the relay
-	RelayDied                   // Relay: the process is gone with all that it held
-	EndpointLeaving             // Relay, Endpoint: the relay was told that it drains or is gone
-	DestRecovered               // Dest: an outage is over, and the destination cold
-	DestWarm                    // Dest: it has all of its capacity again
-	FailureSeen                 // Relay, Dest: the relay saw a call fail or be refused there while an outage lasted
-	WorkArrived                 // Relay, Dest, Weight, Capacity: work reached a cold destination, whose capacity is so many a second now
-	LogEnded                    // the log's end
+	Withdrawn                   // Relay, Msg: no answer is due any more, for reasons outside the relay
+	RelayDied                   // Relay: the process and its pending messages are gone
+	EndpointLeaving             // Relay, Endpoint: the relay learned that it drains or is removed
+	DestRecovered               // Dest: an outage has ended; the destination is cold
+	DestWarm                    // Dest: it has its full capacity
+	FailureSeen                 // Relay, Dest: the relay saw a call fail or be rejected during an outage
+	WorkArrived                 // Relay, Dest, Weight, Capacity: work reached a cold destination
+	LogEnded                    // end of the log
 )
 
-// Event is one line of the log. IDs of messages, calls and endpoints are never used twice.
+// Event is an entry of the log. IDs of messages, calls and endpoints are never reused.
 type Event struct {
 	At           time.Duration
 	Kind         Kind
@@ -78,18 +79,18 @@
 	Call         uint64
 	Dest         int
 	Endpoint     int
-	Route        int // of a separate route that told waits are about; 0: they are about the destination
+	Route        int // that a RetryAfter applies to; 0: the whole destination
 	Effect       Effect
 	RepeatWindow time.Duration
 	Deadline     time.Duration
 	RetryAfter   time.Duration
 	NotRun       bool // the attempt never ran
-	Delivered    bool // it was delivered: the message is over
+	Delivered    bool // the message is completed
 	Weight       float64
 	Capacity     float64
 }
 
-// Violation is a broken rule.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule  Name
 	At    time.Duration
@@ -102,7 +103,7 @@
 	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Msg, v.Why)
 }
 
-// Checker reads a log. It is not safe for concurrent use.
+// Checker checks one log. It is not safe for concurrent use.
 type Checker struct {
 	config     Config
 	Violations []Violation
@@ -114,6 +115,7 @@
 	lastAt     time.Duration
 }
 
+// message is an accepted message.
 type message struct {
 	relay, dest, attempts  int
 	effect                 Effect
@@ -121,40 +123,46 @@
 	liveAttempts           int
 	completed, mayHaveRun  bool
 	mayHaveRunSince        time.Duration
-	sentAt                 map[int]time.Duration // of attempts that are out
+	sentAt                 map[int]time.Duration // by attempt in flight
 }
 
+// call is a call in flight.
 type call struct {
 	relay, dest, openItems int
 }
 
+// relay is the state of a relay process.
 type relay struct {
-	callsByDest map[int]int // calls by destination
+	callsByDest map[int]int // in flight
 	calls       int
 	retryAfters map[target]retryAfterPeriod
 	leaving     map[int]time.Duration
 }
 
-// target is what a told wait is about: a destination, or one of its separate routes.
+// target is what a Retry-After applies to: a destination, or one of its separate routes.
 type target struct{ dest, route int }
 
+// target returns the target of the event's destination and route.
 func (e Event) target() target { return target{e.Dest, e.Route} }
 
+// retryAfterPeriod is the time during which a target must not be called.
 type retryAfterPeriod struct{ receivedAt, until time.Duration }
 
+// dest is the state of a destination.
 type dest struct {
 	cold          bool
 	failureSeenBy map[int]bool
 	recentLoads   []load
 }
 
+// load is work that reached a cold destination.
 type load struct {
 	at          time.Duration
 	weight      float64
 	seenFailure bool
 }
 
-// maxViolations is how many breaks are kept in words; all are counted.
+// maxViolations is the number of violations that are kept; all are counted.
 const maxViolations = 100
 
 // New returns a checker for one log.
@@ -162,6 +170,7 @@
 	return &Checker{config: config, Counts: map[Name]int{}, messages: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
 }
 
+// violation counts a violation of a rule by e.
 func (c *Checker) violation(rule Name, e Event, format string, args ...any) {
 	c.Counts[rule]++
 	if len(c.Violations) < maxViolations {
@@ -169,7 +178,7 @@
 	}
 }
 
-// PendingCount tells how many messages have had no end yet.
+// PendingCount returns the number of messages that are not completed.
 func (c *Checker) PendingCount() (n int) {
 	for _, msg := range c.messages {
 		if !msg.completed {
@@ -179,6 +188,7 @@
 	return n
 }
 
+// relay returns the state of a relay, which is created on first use.
 func (c *Checker) relay(number int) *relay {
 	r := c.relays[number]
 	if r == nil {
@@ -188,6 +198,7 @@
 	return r
 }
 
+// dest returns the state of a destination, which is created on first use.
 func (c *Checker) dest(number int) *dest {
 	known := c.dests[number]
 	if known == nil {
@@ -197,7 +208,7 @@
 	return known
 }
 
-// Check takes the next line in. Lines come in order of time.
+// Check processes the next event. Events come in order of time.
 func (c *Checker) Check(e Event) {
 	if e.At < c.lastAt {
 		c.violation(Answer, e, "the log goes back in time, from %v", c.lastAt)
@@ -206,7 +217,7 @@
 	switch e.Kind {
 	case Accepted:
 		if c.messages[e.Msg] != nil {
-			c.violation(Answer, e, "taken on twice")
+			c.violation(Answer, e, "accepted twice")
 			return
 		}
 		c.messages[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, repeatWindow: e.RepeatWindow, deadline: e.Deadline, sentAt: map[int]time.Duration{}}
@@ -220,7 +231,7 @@
 		c.forgetRelay(e)
 	case EndpointLeaving:
 		if r := c.relay(e.Relay); r.leaving[e.Endpoint] == 0 {
-			r.leaving[e.Endpoint] = e.At + 1 // an endpoint told of at nought has been told of too
+			r.leaving[e.Endpoint] = e.At + 1 // 0 means that it is not leaving
 		}
 	case DestRecovered:
 		c.dest(e.Dest).cold = true
@@ -234,38 +245,39 @@
 		for id, msg := range c.messages {
 			if !msg.completed {
 				e.Msg, e.Relay = id, msg.relay
-				c.violation(Answer, e, "never ended")
+				c.violation(Answer, e, "never completed")
 			}
 		}
 	}
 }
 
+// checkSent checks an attempt that is sent.
 func (c *Checker) checkSent(e Event) {
 	msg, r := c.messages[e.Msg], c.relay(e.Relay)
 	switch {
 	case msg == nil || msg.relay != e.Relay:
-		c.violation(Answer, e, "sent, but not held")
+		c.violation(Answer, e, "sent, but not pending")
 		return
 	case msg.completed:
-		c.violation(Answer, e, "sent after its end")
+		c.violation(Answer, e, "sent after its completion")
 	case msg.liveAttempts > 0:
-		c.violation(Repeat, e, "two live attempts")
+		c.violation(Repeat, e, "two attempts in flight")
 	case msg.mayHaveRun && msg.effect == Unsafe:
-		c.violation(Repeat, e, "sent again, and may have run")
+		c.violation(Repeat, e, "sent again, but may have run")
 	case msg.mayHaveRun && msg.effect == Keyed && e.At > msg.mayHaveRunSince+msg.repeatWindow+c.config.ClockSlack:
 		c.violation(Repeat, e, "sent again %v after it may have run, window %v", e.At-msg.mayHaveRunSince, msg.repeatWindow)
 	}
 	if e.Dest != msg.dest {
-		c.violation(Bounds, e, "for destination %d, sent to one of %d", msg.dest, e.Dest)
+		c.violation(Bounds, e, "for destination %d, sent to an endpoint of %d", msg.dest, e.Dest)
 	}
 	if msg.attempts++; msg.attempts > c.config.MaxAttempts {
 		c.violation(Bounds, e, "attempt %d of %d", msg.attempts, c.config.MaxAttempts)
 	}
 	if period, ok := r.retryAfters[e.target()]; ok && e.At < period.until-c.config.ClockSlack && e.At >= period.receivedAt+c.config.RetryAfterGrace {
-		c.violation(RetryAfter, e, "sent %v before the end of a told wait", period.until-e.At)
+		c.violation(RetryAfter, e, "sent %v before the end of a Retry-After", period.until-e.At)
 	}
 	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.config.DrainGrace {
-		c.violation(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
+		c.violation(Drain, e, "sent to endpoint %d, known to be leaving for %v", e.Endpoint, e.At-at+1)
 	}
 	msg.liveAttempts++
 	msg.sentAt[e.Attempt] = e.At
@@ -278,24 +290,25 @@
 		c.calls[e.Call] = openCall
 		r.calls++
 		if r.callsByDest[e.Dest]++; r.calls > c.config.MaxConcurrentCalls {
-			c.violation(Bounds, e, "%d calls out, %d slots", r.calls, c.config.MaxConcurrentCalls)
+			c.violation(Bounds, e, "%d calls in flight, %d allowed", r.calls, c.config.MaxConcurrentCalls)
 		}
 		if maxToDest := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > maxToDest {
-			c.violation(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.callsByDest[e.Dest], e.Dest, maxToDest)
+			c.violation(ConcurrencyShare, e, "%d calls in flight to destination %d, three quarters of the concurrency limit are %d", r.callsByDest[e.Dest], e.Dest, maxToDest)
 		}
 	}
 	openCall.openItems++
 }
 
+// checkEnded checks the end of an attempt.
 func (c *Checker) checkEnded(e Event) {
 	msg := c.messages[e.Msg]
 	if msg == nil {
-		c.violation(Answer, e, "an attempt ended, but the message is not held")
+		c.violation(Answer, e, "an attempt ended, but the message is not pending")
 		return
 	}
 	at, found := msg.sentAt[e.Attempt]
 	if !found {
-		c.violation(Answer, e, "attempt %d ended twice or was never out", e.Attempt)
+		c.violation(Answer, e, "attempt %d ended twice or was never sent", e.Attempt)
 		return
 	}
 	delete(msg.sentAt, e.Attempt)
@@ -310,7 +323,7 @@
 	}
 	if e.RetryAfter > 0 {
 		period, ok := r.retryAfters[e.target()]
-		if !ok || e.At >= period.until { // a wait told while one runs makes it longer, and excuses nothing
+		if !ok || e.At >= period.until { // one received during a period extends it without new grace
 			period.receivedAt = e.At
 		}
 		period.until = max(period.until, e.At+e.RetryAfter)
@@ -325,31 +338,33 @@
 	c.forgetCompleted(e.Msg, msg)
 }
 
+// checkFinal checks a final answer.
 func (c *Checker) checkFinal(e Event) {
 	msg := c.messages[e.Msg]
 	switch {
 	case msg == nil || msg.completed:
 		if e.Kind != Withdrawn {
-			c.violation(Answer, e, "a final answer to what is over or not held")
+			c.violation(Answer, e, "a final answer to a message that is completed or not pending")
 		}
 		return
 	case e.Kind == Withdrawn:
 	case e.At > msg.deadline+c.config.AnswerSlack+c.config.ClockSlack:
-		c.violation(Answer, e, "ended %v too late", e.At-msg.deadline)
+		c.violation(Answer, e, "completed %v too late", e.At-msg.deadline)
 	case e.Kind == Returned && msg.effect == Unsafe && (msg.mayHaveRun || msg.liveAttempts > 0):
-		c.violation(Repeat, e, "handed back, and may have run")
+		c.violation(Repeat, e, "returned, but may have run")
 	}
 	msg.completed = true
 	c.forgetCompleted(e.Msg, msg)
 }
 
+// forgetCompleted drops a message that is completed and has no attempt in flight.
 func (c *Checker) forgetCompleted(id uint32, msg *message) {
 	if msg.completed && msg.liveAttempts == 0 {
 		delete(c.messages, id)
 	}
 }
 
-// forgetRelay forgets a relay with all that it held.
+// forgetRelay drops the state of a relay process.
 func (c *Checker) forgetRelay(e Event) {
 	for id, msg := range c.messages {
 		if msg.relay == e.Relay {
@@ -367,9 +382,11 @@
 	}
 }
 
-// overloadSlack is how much over the budget of a cold destination is still chance, in messages.
+// overloadSlack is the number of messages above the overload limit that are attributed to chance.
 const overloadSlack = 3
 
+// checkWork checks work that reached a cold destination. The rule is violated if the destination is
+// overloaded and two thirds of the work came from relays that saw it fail.
 func (c *Checker) checkWork(e Event) {
 	d := c.dest(e.Dest)
 	if !d.cold {
@@ -388,8 +405,8 @@
 	}
 	if total > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
 		if fromInformed >= total*2/3 {
-			c.violation(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
+			c.violation(RecoveryOverload, e, "destination %d received %.1f within %v at a capacity of %.2f/s, %.1f from relays that saw it fail", e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
 		}
-		d.recentLoads = d.recentLoads[:0] // one fall, one break
+		d.recentLoads = d.recentLoads[:0] // report an overload once
 	}
 }
--- a/internal/lab/site/draw.go
+++ b/internal/lab/site/draw.go
@@ -14,11 +14,13 @@
 	"oatfold/policy"
 )
 
-// sampler draws figures. Each has a source of its own, named by its key, so that a key that is added shifts no other.
+// sampler draws numbers from a seed. Each key has a random source of its own, so that adding a key
+// does not change the others.
 type sampler struct{ seed uint64 }
 
-func (d sampler) rand(key string, indexes ...int) *rand.Rand {
-	hash := d.seed ^ 0x9e3779b97f4a7c15
+// rand returns the random source of a key.
+func (s sampler) rand(key string, indexes ...int) *rand.Rand {
+	hash := s.seed ^ 0x9e3779b97f4a7c15
 	mix := func(v uint64) {
 		hash = (hash ^ v) * 0xff51afd7ed558ccd
 		hash ^= hash >> 32
@@ -29,24 +31,27 @@
 	for _, index := range indexes {
 		mix(uint64(index) + 1)
 	}
-	return rand.New(rand.NewPCG(hash, d.seed))
+	return rand.New(rand.NewPCG(hash, s.seed))
 }
 
-// sample draws from r; without one it is the fallback.
-func (d sampler) sample(key string, r *Range, fallback float64, indexes ...int) float64 {
+// sample draws from r, or returns fallback without one.
+func (s sampler) sample(key string, r *Range, fallback float64, indexes ...int) float64 {
 	if r == nil {
 		return fallback
 	}
 	if r.To == nil {
 		return r.From
 	}
-	return r.From + (*r.To-r.From)*d.rand(key, indexes...).Float64()
+	return r.From + (*r.To-r.From)*s.rand(key, indexes...).Float64()
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// milliseconds converts milliseconds to a duration.
 func milliseconds(s float64) time.Duration { return time.Duration(s * float64(time.Millisecond)) }
 
+// orDefault returns v, or fallback if v is 0.
 func orDefault(v, fallback float64) float64 {
 	if v == 0 {
 		return fallback
@@ -54,10 +59,10 @@
 	return v
 }
 
-// Penalties are what the operators take off the result.
+// Penalties are the operators' weights.
 var Penalties = emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01}
 
-// DrawScenario draws a day of the site.
+// DrawScenario draws a scenario of the site.
 func (s *Site) DrawScenario(seed uint64) (*emu.Scenario, error) {
 	draws := sampler{seed}
 	network, clients, discovery, rules := s.Network, s.Clients, s.Discovery, s.Rules
@@ -113,7 +118,7 @@
 	destCount := max(1, int(draws.sample("destinations", s.Destinations, 22)+0.5))
 	zones := max(1, int(draws.sample("zones", s.Zones, 1)+0.5))
 	scenario.Zones = zones
-	nominalRate := draws.sample("rate", s.Rate, 4) * float64(destCount) // messages a second at load 1
+	nominalRate := draws.sample("rate", s.Rate, 4) * float64(destCount) // messages per second at load 1
 	zipf, meanEndpoints := draws.sample("zipf", s.Zipf, 0.85), draws.sample("endpoints", s.Endpoints, 1.6)
 	total := 0.0
 	for i := range destCount {
@@ -169,6 +174,7 @@
 	return scenario, nil
 }
 
+// pickKind returns the index of the kind at position x, from 0 to 1, of the cumulated shares.
 func pickKind(kinds []*Kind, draw float64) int {
 	total := 0.0
 	for _, k := range kinds {
@@ -183,7 +189,7 @@
 	return len(kinds) - 1
 }
 
-// AddFaults draws troubles into a day.
+// AddFaults draws faults and adds them to a scenario.
 func AddFaults(scenario *emu.Scenario, troubles []*Trouble, seed uint64) error {
 	draws := sampler{seed}
 	for i, trouble := range troubles {
@@ -254,7 +260,7 @@
 	return nil
 }
 
-// DrawScenario draws the day of a script. base is the site where the script names none.
+// DrawScenario draws the scenario of a script. base is the site of scripts that name none.
 func (s *Script) DrawScenario(base *Site, seed uint64) (*emu.Scenario, error) {
 	if s.Site != "" {
 		var err error
--- a/internal/lab/site/load.go
+++ b/internal/lab/site/load.go
@@ -1,5 +1,5 @@
-// Package site reads the laboratory's files (sites, scripts of days, experiments) and draws days from them. The same file and
-// seed give the same day.
+// Package site reads the laboratory's files (sites, scripts, experiments) and draws scenarios from
+// them. The same file and seed give the same scenario.
 package site
 
 import (
@@ -14,9 +14,10 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// FileExt is the ending of the laboratory's files.
+// FileExt is the extension of the laboratory's files.
 const FileExt = ".textproto"
 
+// readFile parses a file and checks all numbers in it.
 func readFile(file string, message proto.Message) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// checkRanges names the first range that can't be drawn from.
+// checkRanges returns an error that names the first invalid range or number by its path.
 func checkRanges(message protoreflect.Message, path string) (err error) {
 	if interval, ok := message.Interface().(*Range); ok {
 		end := interval.From
@@ -40,11 +41,11 @@
 		}
 		switch {
 		case math.IsNaN(interval.From) || math.IsNaN(end) || math.IsInf(interval.From, 0) || math.IsInf(end, 0):
-			return fmt.Errorf("%s: from %g to %g is no range of numbers", path, interval.From, end)
+			return fmt.Errorf("%s: from %g to %g is not a finite range", path, interval.From, end)
 		case end < interval.From:
-			return fmt.Errorf("%s: from %g to %g runs backwards", path, interval.From, end)
+			return fmt.Errorf("%s: from %g to %g is reversed", path, interval.From, end)
 		case interval.From < 0:
-			return fmt.Errorf("%s: %g is under 0", path, interval.From)
+			return fmt.Errorf("%s: %g is negative", path, interval.From)
 		}
 		return nil
 	}
@@ -61,7 +62,7 @@
 			err = checkRanges(value.Message(), key)
 		case field.Kind() == protoreflect.DoubleKind && !field.IsList():
 			if number := value.Float(); math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
-				err = fmt.Errorf("%s: %g is no number of at least 0", key, number)
+				err = fmt.Errorf("%s: %g is not a finite number of at least 0", key, number)
 			}
 		}
 		return err == nil
@@ -69,7 +70,7 @@
 	return err
 }
 
-// ReadSite reads a site's file.
+// ReadSite reads the file of a site. A site without a name gets that of its file.
 func ReadSite(file string) (*Site, error) {
 	site := &Site{}
 	if err := readFile(file, site); err != nil {
@@ -77,7 +78,7 @@
 	}
 	for key, count := range map[string]int{"class": len(site.Class), "kind": len(site.Kind)} {
 		if count == 0 {
-			return nil, fmt.Errorf("%s: %s: none is given", file, key)
+			return nil, fmt.Errorf("%s: %s: is missing", file, key)
 		}
 	}
 	if site.Name == "" {
@@ -86,7 +87,7 @@
 	return site, nil
 }
 
-// ReadScript reads a day of the library.
+// ReadScript reads the script of a scenario. The path of its site is relative to the file.
 func ReadScript(file string) (*Script, error) {
 	script := &Script{}
 	if err := readFile(file, script); err != nil {
@@ -101,7 +102,7 @@
 	return script, nil
 }
 
-// ReadExperiment reads an experiment; the files that it names are taken from its folder.
+// ReadExperiment reads an experiment. Paths in it are relative to the file.
 func ReadExperiment(file string) (*Experiment, error) {
 	experiment := &Experiment{}
 	if err := readFile(file, experiment); err != nil {
@@ -112,7 +113,7 @@
 		experiment.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
 	if experiment.Site == "" {
-		return nil, fmt.Errorf("%s: site: not given", file)
+		return nil, fmt.Errorf("%s: site: is missing", file)
 	}
 	experiment.Site = filepath.Join(dir, experiment.Site)
 	for i := range experiment.Script {
@@ -121,21 +122,21 @@
 	seen := map[string]bool{}
 	for i, arm := range experiment.Arm {
 		if arm.Name == "" || seen[arm.Name] {
-			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or there twice", file, i, arm.Name)
+			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or used twice", file, i, arm.Name)
 		}
 		seen[arm.Name] = true
 	}
 	if len(experiment.Arm) == 0 {
-		return nil, fmt.Errorf("%s: arm: none is given", file)
+		return nil, fmt.Errorf("%s: arm: is missing", file)
 	}
 	if experiment.Baseline == "" {
 		experiment.Baseline = experiment.Arm[0].Name
 	}
 	if !seen[experiment.Baseline] {
-		return nil, fmt.Errorf("%s: baseline: no arm is called %q", file, experiment.Baseline)
+		return nil, fmt.Errorf("%s: baseline: there is no arm %q", file, experiment.Baseline)
 	}
 	if experiment.Repeats < 0 || experiment.Repeats > 10_000 {
-		return nil, fmt.Errorf("%s: repeats: %d does not lie within 1 and 10000", file, experiment.Repeats)
+		return nil, fmt.Errorf("%s: repeats: %d is not between 0 and 10000", file, experiment.Repeats)
 	}
 	experiment.Repeats = max(1, experiment.Repeats)
 	return experiment, nil
--- a/internal/lab/site/simday.go
+++ b/internal/lab/site/simulator.go
@@ -11,15 +11,16 @@
 	"oatfold/policy"
 )
 
-// ReadSimulatorScenario reads a day as the operators' simulator prints it, so that both can be held against each other on the same world.
-// What the emulator has no model of (probes, tenants, reports, notes between relays) is passed over.
+// ReadSimulatorScenario reads a scenario as the operators' simulator prints it, so that the results of
+// both can be compared. What package emu does not model (probes, tenants, load reports, gossip) is
+// ignored.
 func ReadSimulatorScenario(raw []byte) (*emu.Scenario, error) {
 	if !gjson.ValidBytes(raw) {
-		return nil, fmt.Errorf("not a JSON object")
+		return nil, fmt.Errorf("not valid JSON")
 	}
 	doc := gjson.ParseBytes(raw)
 	if doc.Get("fam.gates.#").Int() == 0 {
-		return nil, fmt.Errorf("fam.gates: no destination")
+		return nil, fmt.Errorf("fam.gates: names no destination")
 	}
 	durationAt := func(path string) time.Duration {
 		return time.Duration(doc.Get(path).Float() * float64(time.Microsecond))
@@ -51,7 +52,7 @@
 	limits := map[string]emu.LimitKind{"none": emu.NoLimit, "rate": emu.RateLimit, "window": emu.WindowLimit}
 	for i, kind := range doc.Get("tiers.0.kinds").Array() {
 		if i >= len(behaviors) {
-			return nil, fmt.Errorf("fam.habits: none for kind %d", i)
+			return nil, fmt.Errorf("fam.habits: missing for kind %d", i)
 		}
 		behavior := behaviors[i]
 		scenario.Kinds = append(scenario.Kinds, emu.Kind{Name: kind.Get("name").Str, MaxBatch: max(1, int(behavior.Get("batch").Int())), ItemCost: behavior.Get("item_cost").Float(), Limit: limits[behavior.Get("limit").Str],
@@ -61,7 +62,7 @@
 	kinds, shares := doc.Get("fam.kind").Array(), doc.Get("fam.share").Array()
 	for i, gate := range doc.Get("fam.gates").Array() {
 		if i >= len(kinds) || i >= len(shares) || int(kinds[i].Int()) >= len(behaviors) {
-			return nil, fmt.Errorf("fam.kind: destination %d has none", i)
+			return nil, fmt.Errorf("fam.kind: missing for destination %d", i)
 		}
 		scenario.Dests = append(scenario.Dests, emu.Dest{Kind: int(kinds[i].Int()), Share: shares[i].Float(), Limit: gate.Get("limit").Float(), Zone: "zone-1"})
 	}
