--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -14,8 +14,8 @@
 
 var allChoices = choice.Options{SubsetSize: 4, TimeSlots: true, DemandShares: true, Signals: true}
 
-// drawFleet draws a scenario of relays that share choices. All together they have the concurrency and
-// the traffic that the site has. One relay gets ten times the mean traffic.
+// drawFleet draws a scenario of relays that share choices. All together they have the concurrency
+// and the traffic that the site has. One relay gets ten times the mean traffic.
 func drawFleet(t *testing.T, relays int, seed uint64, faults ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-site.textproto")
@@ -26,8 +26,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	scenario.MaxConcurrentCalls, scenario.MaxPending = max(4, scenario.MaxConcurrentCalls*scenario.Relays/relays), max(40, scenario.MaxPending*scenario.Relays/relays)
-	scenario.Relays, scenario.Choices, scenario.HotRelayFactor, scenario.Faults, scenario.Length = relays, allChoices, 10, faults, 26*time.Second
+	scenario.MaxConcurrentCalls, scenario.MaxPending = max(4, scenario.MaxConcurrentCalls*scenario.Relays/relays),
+		max(40, scenario.MaxPending*scenario.Relays/relays)
+	scenario.Relays, scenario.Choices, scenario.HotRelayFactor, scenario.Faults, scenario.Length = relays, allChoices,
+		10, faults, 26*time.Second
 	return scenario
 }
 
@@ -49,8 +51,8 @@
 	return all
 }
 
-// With faults at three fleet sizes no rule is violated, no recovering destination is overloaded, all
-// messages complete, and the score is not much below that of relays that share nothing.
+// With faults at three fleet sizes no rule is violated, no recovering destination is overloaded,
+// all messages complete, and the score is not much below that of relays that share nothing.
 func TestSharedChoicesUnderFaults(t *testing.T) {
 	s := time.Second
 	outage := emu.Fault{Kind: emu.Crash, At: 8 * s, Duration: 7 * s, Dests: []int{0, 1}}
@@ -78,7 +80,11 @@
 			return []emu.Fault{{Kind: emu.LowerLimit, At: 8 * s, Duration: 9 * s, Intensity: 0.1, Dests: []int{0, 1, 2}}}
 		},
 		"Retry-After late and twice": func(int) []emu.Fault {
-			return []emu.Fault{{Kind: emu.RejectAll, At: 8 * s, Duration: 8 * s, Dests: []int{0, 1}}, {Kind: emu.GossipDelay, At: 5 * s, Duration: 20 * s, Intensity: 3}, {Kind: emu.GossipDuplication, At: 5 * s, Duration: 20 * s, Intensity: 0.5}}
+			return []emu.Fault{
+				{Kind: emu.RejectAll, At: 8 * s, Duration: 8 * s, Dests: []int{0, 1}},
+				{Kind: emu.GossipDelay, At: 5 * s, Duration: 20 * s, Intensity: 3},
+				{Kind: emu.GossipDuplication, At: 5 * s, Duration: 20 * s, Intensity: 0.5},
+			}
 		},
 		"a subset is down": func(int) []emu.Fault {
 			var parts [][2]int
@@ -112,7 +118,9 @@
 // rollingRestart returns faults that restart all relays, a tenth at a time.
 func rollingRestart(relays int) (all []emu.Fault) {
 	for i := range min(relays, 10) {
-		all = append(all, emu.Fault{Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: everyNth(relays, i, 10)})
+		all = append(all, emu.Fault{
+			Kind: emu.RelayCrash, At: time.Duration(5+2*i) * time.Second, Duration: time.Second, Relays: everyNth(relays, i, 10),
+		})
 	}
 	return all
 }
@@ -123,7 +131,8 @@
 	for _, seed := range []uint64{72, 73, 85, 86} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			scenario := drawFleet(t, 300, seed, append(rollingRestart(300), emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
+			scenario := drawFleet(t, 300, seed, append(rollingRestart(300),
+				emu.Fault{Kind: emu.Crash, At: 8 * time.Second, Duration: 7 * time.Second, Dests: []int{0, 1}})...)
 			if result := run(t, scenario, emu.Options{}); !result.Passed() || result.Fallen > 0 || result.Delivered == 0 {
 				t.Errorf("violations %v, errors %v, %d overloads", result.Breaks, result.Faults, result.Fallen)
 			}
@@ -136,7 +145,8 @@
 	scenario := drawFleet(t, 80, 72)
 	for i := range scenario.Dests {
 		endpoint := scenario.Dests[i].Endpoints[0]
-		endpoint.Workers, endpoint.QueueSize, endpoint.MaxConns = endpoint.Workers*len(scenario.Dests[i].Endpoints), endpoint.QueueSize*len(scenario.Dests[i].Endpoints), 0
+		endpoint.Workers, endpoint.QueueSize, endpoint.MaxConns = endpoint.Workers*len(scenario.Dests[i].Endpoints),
+			endpoint.QueueSize*len(scenario.Dests[i].Endpoints), 0
 		scenario.Dests[i].Endpoints = []emu.Endpoint{endpoint}
 	}
 	with := run(t, scenario, emu.Options{})
@@ -146,23 +156,26 @@
 	}
 }
 
-// Time slots reduce the calls to a destination that is known to be down. They reduce them less at 240
-// relays than at 80, where most relays receive reports of failures (docs/design/choices.md).
+// Time slots reduce the calls to a destination that is known to be down. They reduce them less at
+// 240 relays than at 80, where most relays receive reports of failures (docs/design/choices.md).
 func TestTimeSlotsReduceProbes(t *testing.T) {
 	probes := map[int]int{}
 	for _, relays := range []int{80, 240} {
-		for arm := range 2 {
-			scenario := drawFleet(t, relays, 81, emu.Fault{Kind: emu.Crash, At: 6 * time.Second, Duration: 16 * time.Second, Dests: []int{0, 1, 2}})
-			scenario.Choices = choice.Options{TimeSlots: arm == 1}
+		for variant := range 2 {
+			scenario := drawFleet(t, relays, 81, emu.Fault{Kind: emu.Crash, At: 6 * time.Second, Duration: 16 * time.Second,
+				Dests: []int{0, 1, 2}})
+			scenario.Choices = choice.Options{TimeSlots: variant == 1}
 			run(t, scenario, emu.Options{Log: func(e rules.Event) {
 				if e.Kind == rules.Sent && e.Call > 0 && e.Dest < 3 && e.At > 10*time.Second && e.At < 22*time.Second {
-					probes[relays+arm]++
+					probes[relays+variant]++
 				}
 			}})
 		}
 	}
-	t.Logf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81], probes[240], probes[241])
+	t.Logf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81],
+		probes[240], probes[241])
 	if probes[81] > probes[80]/3 || probes[241] > probes[240]*3/4 {
-		t.Errorf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81], probes[240], probes[241])
+		t.Errorf("probes: 80 relays %d, with time slots %d; 240 relays %d, with time slots %d", probes[80], probes[81],
+			probes[240], probes[241])
 	}
 }
--- a/internal/lab/emu/destination.go
+++ b/internal/lab/emu/destination.go
@@ -197,7 +197,8 @@
 	case e.health == rejecting:
 		sim.rejectCall(c, e.healthyAt-now)
 	case e.errorShare > 0 && d.rng.Float64() < e.errorShare:
-		sim.scheduleAfter(scaleDuration(20*time.Millisecond, 0.5+d.rng.Float64()), func() { sim.sendAnswer(c, policy.Errored, 0) })
+		sim.scheduleAfter(scaleDuration(20*time.Millisecond, 0.5+d.rng.Float64()),
+			func() { sim.sendAnswer(c, policy.Errored, 0) })
 	case !e.limiter.admit(now):
 		sim.rejectCall(c, e.limiter.retryAfter(now))
 	case e.busyWorkers >= e.spec.Workers && len(e.queue) >= e.spec.QueueSize:
@@ -241,7 +242,8 @@
 	work := 0.0
 	for i := range c.items {
 		item := &c.items[i]
-		noise := newRand(sim.scenario.Seed, "noise", uint64(item.message.request.number), uint64(item.message.request.attempts))
+		noise := newRand(sim.scenario.Seed, "noise", uint64(item.message.request.number),
+			uint64(item.message.request.attempts))
 		item.workSeconds = item.message.request.workSeconds * drawFactor(noise, item.message.request.class.Noise, false)
 		if i == 0 {
 			work += item.workSeconds
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -54,7 +54,8 @@
 			if !result.Passed() {
 				t.Errorf("violations %v, errors %v", result.Breaks, result.Faults)
 			}
-			if completions := result.Delivered + result.GivenUp + result.HandedBack + result.Lost; completions != result.Requests || completions == 0 {
+			if completions := result.Delivered + result.GivenUp + result.HandedBack + result.Lost; completions !=
+				result.Requests || completions == 0 {
 				t.Errorf("%d of %d messages completed", completions, result.Requests)
 			}
 			scenario.Faults = nil
@@ -105,7 +106,8 @@
 	}
 }
 
-// withdrawalAnswerer answers each withdrawn message with a failure, in the same step or one step later.
+// withdrawalAnswerer answers each withdrawn message with a failure, in the same step or one step
+// later.
 type withdrawalAnswerer struct {
 	emu.PolicyEngine
 	delayed  bool
@@ -131,15 +133,18 @@
 	return actions
 }
 
-// A final answer in the step that withdraws the message violates no rule: after a stall, a timeout and
-// the withdrawal may arrive together. An answer in a later step does.
+// A final answer in the step that withdraws the message violates no rule: after a stall, a timeout
+// and the withdrawal may arrive together. An answer in a later step does.
 func TestAnswerCrossingWithdrawal(t *testing.T) {
 	for _, delayed := range []bool{false, true} {
 		scenario := drawScenario(t, "frozen-relay", 3)
-		scenario.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second, Relays: []int{0}}}
+		scenario.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second,
+			Relays: []int{0}}}
 		answered := 0
 		var policies []*withdrawalAnswerer
-		result := run(t, scenario, emu.Options{NewPolicy: func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		result := run(t, scenario, emu.Options{NewPolicy: func(
+			settings policy.Settings, seed int64,
+		) (emu.PolicyEngine, error) {
 			engine, err := emu.DefaultPolicy(settings, seed)
 			policies = append(policies, &withdrawalAnswerer{PolicyEngine: engine, delayed: delayed})
 			return policies[len(policies)-1], err
@@ -196,7 +201,8 @@
 
 // A policy that panics crashes its relay and is reported; the run and the other relays go on.
 func TestPolicyPanic(t *testing.T) {
-	result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("corrupted") })})
+	result := run(t, drawScenario(t, "calm", 1),
+		emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("corrupted") })})
 	if result.Passed() || !strings.Contains(result.Faults[0], "panics: corrupted") {
 		t.Errorf("errors %v", result.Faults)
 	}
@@ -207,12 +213,14 @@
 
 // A run that exceeds its events or its time reports an error.
 func TestStopsAtLimits(t *testing.T) {
-	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 || !strings.Contains(result.Faults[0], "stopped after 1000 events") {
+	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 ||
+		!strings.Contains(result.Faults[0], "stopped after 1000 events") {
 		t.Errorf("events: %v", result.Faults)
 	}
 	scenario := drawScenario(t, "cold-return", 1)
 	scenario.Tail = 0
-	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 || !strings.Contains(result.Faults[0], "were not completed") {
+	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 ||
+		!strings.Contains(result.Faults[0], "were not completed") {
 		t.Errorf("time: %v", result.Faults)
 	}
 }
@@ -230,8 +238,12 @@
 		"dests[0].endpoints[0].sp": func(d *emu.Scenario) { d.Dests[0].Endpoints[0].Speed = 0 },
 		"classes[1].aim":           func(d *emu.Scenario) { d.Classes[1].TargetLatency = d.Classes[1].Deadline * 2 },
 		"troubles[0].kind":         func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: "flood", Dests: []int{0}}} },
-		"troubles[0].parts":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}} },
-		"troubles[0].relays":       func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}} },
+		"troubles[0].parts": func(d *emu.Scenario) {
+			d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}}
+		},
+		"troubles[0].relays": func(d *emu.Scenario) {
+			d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}}
+		},
 	} {
 		scenario := drawScenario(t, "calm", 1)
 		corrupt(scenario)
--- a/internal/lab/emu/fleet_test.go
+++ b/internal/lab/emu/fleet_test.go
@@ -8,8 +8,8 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Gossip reduces rejected calls and does not reduce the score. No rule is violated with gossip, without
-// it, or with half of it lost.
+// Gossip reduces rejected calls and does not reduce the score. No rule is violated with gossip,
+// without it, or with half of it lost.
 func TestFleetGossip(t *testing.T) {
 	for _, name := range []string{"fleet-mass-kill", "fleet-zone-loss", "fleet-lowered-limits"} {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,8 @@
 				}
 			}
 			if score[1] < score[0]-0.01 || refused[1] > 0.7*refused[0] {
-				t.Errorf("score %.3f without gossip, %.3f with; rejected calls per message %.3f and %.3f", score[0], score[1], refused[0], refused[1])
+				t.Errorf("score %.3f without gossip, %.3f with; rejected calls per message %.3f and %.3f", score[0], score[1],
+					refused[0], refused[1])
 			}
 			if score[2] < score[0]-0.02 {
 				t.Errorf("score %.3f without gossip, %.3f with half of it lost", score[0], score[2])
@@ -37,8 +38,8 @@
 	}
 }
 
-// Gossip prevents an overload of a recovering destination, although most relays have seen one failure
-// or none.
+// Gossip prevents an overload of a recovering destination, although most relays have seen one
+// failure or none.
 func TestFleetRecovery(t *testing.T) {
 	var attempts [2]int
 	for seed := range uint64(5) {
@@ -46,7 +47,8 @@
 			scenario := drawScenario(t, "fleet-zone-loss", seed+201)
 			scenario.Gossip = variant == 1
 			result := run(t, scenario, emu.Options{Log: func(e rules.Event) {
-				if e.Kind == rules.Sent && e.Call > 0 && scenario.Dests[e.Dest].Zone == "zone-1" && e.At > 8*time.Second && e.At < 11*time.Second {
+				if e.Kind == rules.Sent && e.Call > 0 && scenario.Dests[e.Dest].Zone == "zone-1" && e.At > 8*time.Second &&
+					e.At < 11*time.Second {
 					attempts[variant]++
 				}
 			}})
@@ -64,11 +66,13 @@
 func TestFleetSizes(t *testing.T) {
 	for _, relays := range []int{3, 200} {
 		scenario := drawScenario(t, "fleet-lowered-limits", 301)
-		scenario.MaxConcurrentCalls, scenario.MaxPending = max(2, scenario.MaxConcurrentCalls*scenario.Relays/relays), max(12, scenario.MaxPending*scenario.Relays/relays)
+		scenario.MaxConcurrentCalls, scenario.MaxPending = max(2, scenario.MaxConcurrentCalls*scenario.Relays/relays),
+			max(12, scenario.MaxPending*scenario.Relays/relays)
 		scenario.Relays = relays
 		result := run(t, scenario, emu.Options{})
 		if !result.Passed() || result.Delivered == 0 || (result.NoteBytes > 0) != (relays > 3) {
-			t.Errorf("%d relays: violations %v, errors %v, %d bytes of gossip", relays, result.Breaks, result.Faults, result.NoteBytes)
+			t.Errorf("%d relays: violations %v, errors %v, %d bytes of gossip", relays, result.Breaks, result.Faults,
+				result.NoteBytes)
 		}
 	}
 }
@@ -85,8 +89,12 @@
 				for variant := range 2 {
 					scenario := drawScenario(t, name, seed+401)
 					scenario.Gossip, scenario.Membership, scenario.Zones = true, variant == 1, 2
-					scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 3 * time.Second, Relays: []int{70, 71}},
-						emu.Fault{Kind: emu.GossipLoss, At: 4 * time.Second, Duration: 20 * time.Second, Intensity: 0.2})
+					scenario.Faults = append(
+						scenario.Faults,
+						emu.Fault{Kind: emu.RelayStall, At: 6 * time.Second,
+							Duration: 3 * time.Second, Relays: []int{70, 71}},
+						emu.Fault{Kind: emu.GossipLoss, At: 4 * time.Second, Duration: 20 * time.Second, Intensity: 0.2},
+					)
 					result := run(t, scenario, emu.Options{})
 					if len(result.Breaks)+len(result.Faults) > 0 {
 						t.Errorf("seed %d, variant %d: violations %v, errors %v", seed, variant, result.Breaks, result.Faults)
@@ -97,7 +105,8 @@
 			}
 			t.Logf("score %.4f and %.4f, bytes of gossip per message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
 			if score[1] < score[0]-0.01 || bytes[1] > 2.5*bytes[0] {
-				t.Errorf("score %.4f, with membership %.4f; bytes of gossip per message %.1f and %.1f", score[0], score[1], bytes[0], bytes[1])
+				t.Errorf("score %.4f, with membership %.4f; bytes of gossip per message %.1f and %.1f", score[0], score[1],
+					bytes[0], bytes[1])
 			}
 		})
 	}
--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -33,7 +33,8 @@
 		requests, asked = requests+tally.Requests, asked+tally.Asked
 	}
 	for i, tally := range r.ByClass {
-		if counts := float64(tally.Requests) >= minClassShare*float64(requests) || tally.Asked >= minClassShare*asked; counts || scenario.Classes[i].Effect == policy.Unsafe {
+		if counts := float64(tally.Requests) >= minClassShare*float64(requests) ||
+			tally.Asked >= minClassShare*asked; counts || scenario.Classes[i].Effect == policy.Unsafe {
 			floors = append(floors, Floor{"class " + tally.Name, shareOrOne(tally.Served, tally.Asked), minWholeShare})
 		}
 	}
--- a/internal/lab/emu/limiter.go
+++ b/internal/lab/emu/limiter.go
@@ -94,7 +94,8 @@
 	case RateLimit:
 		return &policy.LimitReport{Remaining: l.tokens / l.bucketSize(), Limit: perturb(l.rate(), rng)}
 	case WindowLimit:
-		return &policy.LimitReport{Remaining: max(0, 1-l.windowCalls/max(1, l.windowCapacity())), Limit: perturb(l.rate(), rng)}
+		return &policy.LimitReport{Remaining: max(0, 1-l.windowCalls/max(1, l.windowCapacity())),
+			Limit: perturb(l.rate(), rng)}
 	}
 	return &policy.LimitReport{Remaining: 1}
 }
--- a/internal/lab/emu/limiter_test.go
+++ b/internal/lab/emu/limiter_test.go
@@ -17,8 +17,8 @@
 	return admitted
 }
 
-// A rate limit admits its rate at any load. If rejected calls count, it admits almost nothing at twice
-// its rate.
+// A rate limit admits its rate at any load. If rejected calls count, it admits almost nothing at
+// twice its rate.
 func TestRateLimit(t *testing.T) {
 	const rate = 10
 	for _, c := range []struct {
@@ -36,7 +36,8 @@
 // A window limit admits a fixed number of calls in each window; rejected ones count in theirs only.
 func TestWindowLimit(t *testing.T) {
 	for _, counted := range []bool{false, true} {
-		limit := newLimiter(&Kind{Limit: WindowLimit, Window: 1500 * time.Millisecond, CountsRejected: counted}, 10, -time.Second)
+		limit := newLimiter(&Kind{Limit: WindowLimit, Window: 1500 * time.Millisecond, CountsRejected: counted}, 10,
+			-time.Second)
 		if admitted := countAdmitted(limit, 40); admitted < 600 || admitted > 630 {
 			t.Errorf("counted %t: %d admitted, want 15 in each of 40 windows", counted, admitted)
 		}
--- a/internal/lab/emu/network.go
+++ b/internal/lab/emu/network.go
@@ -25,7 +25,8 @@
 // reaches reports whether a relay and an endpoint reach each other.
 func (sim *simulation) reaches(r *relay, e *endpoint) bool {
 	if len(sim.network.isolatedZones) > 0 {
-		if relayZone := zoneName(sim.scenario.ZoneOf(r.number)); relayZone != e.zone && sim.network.isolatedZones[relayZone]+sim.network.isolatedZones[e.zone] > 0 {
+		if relayZone := zoneName(sim.scenario.ZoneOf(r.number)); relayZone != e.zone &&
+			sim.network.isolatedZones[relayZone]+sim.network.isolatedZones[e.zone] > 0 {
 			return false
 		}
 	}
@@ -133,7 +134,8 @@
 	case GossipLoss:
 		during(func() { state.lossShare += fault.Intensity }, func() { state.lossShare -= fault.Intensity })
 	case GossipDelay:
-		during(func() { state.extraDelay += seconds(fault.Intensity) }, func() { state.extraDelay -= seconds(fault.Intensity) })
+		during(func() { state.extraDelay += seconds(fault.Intensity) },
+			func() { state.extraDelay -= seconds(fault.Intensity) })
 	case GossipDuplication:
 		during(func() { state.duplicateShare += fault.Intensity }, func() { state.duplicateShare -= fault.Intensity })
 	}
@@ -144,7 +146,8 @@
 	sim := r.sim
 	for _, datagram := range datagrams {
 		other := sim.relays[datagram.To]
-		if other.policy == nil || sim.gossipRand.Float64() < sim.scenario.GossipLoss || !sim.network.delivers(r.number, datagram.To) ||
+		if other.policy == nil || sim.gossipRand.Float64() < sim.scenario.GossipLoss ||
+			!sim.network.delivers(r.number, datagram.To) ||
 			sim.network.lossShare > 0 && sim.gossipRand.Float64() < sim.network.lossShare {
 			continue
 		}
@@ -187,7 +190,9 @@
 	}
 	sim := r.sim
 	for _, change := range memberList.Changes() {
-		sim.result.Members = append(sim.result.Members, MemberChange{sim.now, r.number, change.Number, change.From.String(), change.To.String(), change.Incarnation, change.Reason})
+		sim.result.Members = append(sim.result.Members, MemberChange{
+			sim.now, r.number, change.Number, change.From.String(), change.To.String(), change.Incarnation, change.Reason,
+		})
 	}
 }
 
@@ -201,7 +206,8 @@
 			continue
 		}
 		for _, other := range sim.relays {
-			if state := r.gossiper.Members().State(other.number); other != r && (other.policy != nil && state != members.Alive || other.policy == nil && state < members.Dead) {
+			if state := r.gossiper.Members().State(other.number); other != r &&
+				(other.policy != nil && state != members.Alive || other.policy == nil && state < members.Dead) {
 				return false
 			}
 		}
--- a/internal/lab/emu/partners_test.go
+++ b/internal/lab/emu/partners_test.go
@@ -9,14 +9,35 @@
 	"oatfold/policy"
 )
 
-// limitedScenario returns a scenario of one destination with a limit of ten calls per second at twice
-// that load.
+// limitedScenario returns a scenario of one destination with a limit of ten calls per second at
+// twice that load.
 func limitedScenario(kind emu.Kind, routes int) *emu.Scenario {
 	kind.Name, kind.MaxBatch, kind.ColdStartShare, kind.WarmUpTime = "limited", max(1, kind.MaxBatch), 0.25, 9*time.Second
-	scenario := &emu.Scenario{Name: "limited", Seed: 4, Length: 20 * time.Second, Tail: 20 * time.Second, Tick: 5 * time.Millisecond, Relays: 2, MaxConcurrentCalls: 20, MaxPending: 200, MaxAttempts: 8,
-		Rate: 20 * float64(kind.MaxBatch), RTT: 30 * time.Millisecond, ClientDelay: time.Millisecond, IdleTimeout: 15 * time.Second, ConnectTimeout: time.Second, ClientBackoff: time.Second,
-		AnswerSlack: 20 * time.Millisecond, MaxRetryAfter: time.Second, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 3 * time.Second}
-	scenario.Classes = []emu.Class{{Class: policy.Class{Name: "notice", TargetLatency: 3 * time.Second, Deadline: 10 * time.Second, Value: 1, LateValue: 0.5}, Share: 1, Work: 100 * time.Millisecond}}
+	scenario := &emu.Scenario{
+		Name:               "limited",
+		Seed:               4,
+		Length:             20 * time.Second,
+		Tail:               20 * time.Second,
+		Tick:               5 * time.Millisecond,
+		Relays:             2,
+		MaxConcurrentCalls: 20,
+		MaxPending:         200,
+		MaxAttempts:        8,
+		Rate:               20 * float64(kind.MaxBatch),
+		RTT:                30 * time.Millisecond,
+		ClientDelay:        time.Millisecond,
+		IdleTimeout:        15 * time.Second,
+		ConnectTimeout:     time.Second,
+		ClientBackoff:      time.Second,
+		AnswerSlack:        20 * time.Millisecond,
+		MaxRetryAfter:      time.Second,
+		ColdStartShare:     0.2,
+		WarmUpTime:         10 * time.Second,
+		OverloadFactor:     2,
+		OverloadTime:       3 * time.Second,
+	}
+	scenario.Classes = []emu.Class{{Class: policy.Class{Name: "notice", TargetLatency: 3 * time.Second,
+		Deadline: 10 * time.Second, Value: 1, LateValue: 0.5}, Share: 1, Work: 100 * time.Millisecond}}
 	scenario.Kinds = []emu.Kind{kind}
 	dest := emu.Dest{Share: 1, Limit: 10, Zone: "zone-1"}
 	for range routes {
@@ -80,7 +101,8 @@
 // A call counts once against the limit, however many messages it carries.
 func TestLimitCountsCalls(t *testing.T) {
 	const batch = 10
-	_, result := runAndRecord(t, limitedScenario(emu.Kind{Limit: emu.WindowLimit, Window: time.Second, MaxBatch: batch}, 1))
+	_, result := runAndRecord(t,
+		limitedScenario(emu.Kind{Limit: emu.WindowLimit, Window: time.Second, MaxBatch: batch}, 1))
 	if accepted := result.Calls - result.RefusedCalls; result.Delivered < 5*accepted || accepted > 10*30 {
 		t.Errorf("%d messages delivered in %d accepted calls", result.Delivered, accepted)
 	}
@@ -91,7 +113,8 @@
 	deliveriesByRoute := func(lowered bool) (byRoute map[string]int) {
 		scenario := limitedScenario(emu.Kind{Limit: emu.RateLimit, SeparateRoutes: true}, 2)
 		if lowered {
-			scenario.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: time.Second, Duration: time.Minute, Intensity: 0.2, Endpoints: [][2]int{{0, 1}}}}
+			scenario.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: time.Second, Duration: time.Minute, Intensity: 0.2,
+				Endpoints: [][2]int{{0, 1}}}}
 		}
 		ends, _ := runAndRecord(t, scenario)
 		byRoute = map[string]int{}
@@ -115,7 +138,8 @@
 // An outage of a separate route does not affect the others.
 func TestSeparateRouteOutage(t *testing.T) {
 	scenario := limitedScenario(emu.Kind{Limit: emu.RateLimit, SeparateRoutes: true}, 2)
-	scenario.Faults = []emu.Fault{{Kind: emu.Crash, At: 5 * time.Second, Duration: 5 * time.Second, Endpoints: [][2]int{{0, 0}}}}
+	scenario.Faults = []emu.Fault{{Kind: emu.Crash, At: 5 * time.Second, Duration: 5 * time.Second,
+		Endpoints: [][2]int{{0, 0}}}}
 	ends, result := runAndRecord(t, scenario)
 	failed := map[string]int{}
 	for _, e := range ends {
@@ -137,7 +161,15 @@
 			checker.Check(rules.Event{Kind: rules.Accepted, Msg: id, Deadline: time.Minute})
 		}
 		checker.Check(rules.Event{At: 1, Kind: rules.Sent, Msg: 0, Call: 1, Route: 1})
-		checker.Check(rules.Event{At: 2, Kind: rules.AttemptEnded, Msg: 0, Call: 1, Route: 1, NotRun: true, RetryAfter: time.Second})
+		checker.Check(rules.Event{
+			At:         2,
+			Kind:       rules.AttemptEnded,
+			Msg:        0,
+			Call:       1,
+			Route:      1,
+			NotRun:     true,
+			RetryAfter: time.Second,
+		})
 		checker.Check(rules.Event{At: 3, Kind: rules.Sent, Msg: 1, Call: 2, Route: route})
 		return checker.Counts[rules.RetryAfter]
 	}
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -90,7 +90,8 @@
 	limitReport         *policy.LimitReport // when the call reached its endpoint
 }
 
-// reportFor returns the limit report that the relay receives with an outcome; nil without an answer.
+// reportFor returns the limit report that the relay receives with an outcome; nil without an
+// answer.
 func (c *call) reportFor(outcome policy.Outcome) *policy.LimitReport {
 	switch outcome {
 	case policy.Delivered, policy.Errored, policy.Rejected:
@@ -104,26 +105,33 @@
 	r.incarnation++
 	settings := r.sim.scenario.Settings()
 	settings.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
-	policyEngine, err := r.sim.newPolicy(settings, int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+	policyEngine, err := r.sim.newPolicy(settings,
+		int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if err != nil {
 		r.sim.recordError(fmt.Sprintf("relay %d: creating the policy engine: %v", r.number, err))
 		return
 	}
-	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = policyEngine, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
+	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = policyEngine, map[uint32]*message{}, 0,
+		map[*endpoint][]*conn{}, nil, false
 	r.leavingEndpoints = map[int]policy.EndpointState{}
-	r.gossiper = peers.New(r.number, r.sim.gossipFleetSize(), int64(newRand(r.sim.scenario.Seed, "notes", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+	r.gossiper = peers.New(r.number, r.sim.gossipFleetSize(),
+		int64(newRand(r.sim.scenario.Seed, "notes", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if r.reportedCallers = 0; r.sim.scenario.Membership {
-		r.gossiper.EnableMembership(r.sim.scenario.ZoneOf(r.number), int64(newRand(r.sim.scenario.Seed, "members", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
-		r.sim.result.Members = append(r.sim.result.Members, MemberChange{At: r.sim.now, By: r.number, Number: r.number, To: "started"})
+		r.gossiper.EnableMembership(r.sim.scenario.ZoneOf(r.number),
+			int64(newRand(r.sim.scenario.Seed, "members", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.sim.result.Members = append(r.sim.result.Members, MemberChange{At: r.sim.now, By: r.number, Number: r.number,
+			To: "started"})
 	}
 	r.gossiper.EnableChoices(r.sim.scenario.Choices)
 	if r.gossiper.Active() {
 		r.scheduleGossip(r.sim.now + r.gossiper.NextTick())
 	}
 	if r.siteWatch = nil; r.sim.scenario.Sites != nil {
-		r.siteWatch = sites.NewWatch(r.sim.scenario.Sites, zoneName(r.sim.scenario.ZoneOf(r.number)), int64(newRand(r.sim.scenario.Seed, "sites", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.siteWatch = sites.NewWatch(r.sim.scenario.Sites, zoneName(r.sim.scenario.ZoneOf(r.number)),
+			int64(newRand(r.sim.scenario.Seed, "sites", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 		r.enqueue(policy.SitesUpdate{Plan: r.siteWatch})
-		r.scheduleSiteCheck(r.sim.now + time.Duration(newRand(r.sim.scenario.Seed, "look", uint64(r.number)).Int64N(int64(siteCheckInterval))))
+		r.scheduleSiteCheck(r.sim.now +
+			time.Duration(newRand(r.sim.scenario.Seed, "look", uint64(r.number)).Int64N(int64(siteCheckInterval))))
 	}
 	var list []policy.Endpoint
 	for _, d := range r.sim.dests {
@@ -154,7 +162,14 @@
 
 // listEntry returns the entry of an endpoint in the endpoint list.
 func (r *relay) listEntry(e *endpoint, state policy.EndpointState) policy.Endpoint {
-	return policy.Endpoint{Address: e.address, Destination: e.dest.number, Kind: e.dest.kind.Name, Zone: e.zone, State: state, Rate: 1}
+	return policy.Endpoint{
+		Address:     e.address,
+		Destination: e.dest.number,
+		Kind:        e.dest.kind.Name,
+		Zone:        e.zone,
+		State:       state,
+		Rate:        1,
+	}
 }
 
 // scheduleGossip schedules the next tick of the gossiper, which schedules the one after it.
@@ -172,7 +187,8 @@
 		r.sendGossip(datagrams)
 		r.recordMemberChanges()
 		if roundEnded {
-			update := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(sim.now, sim.wallClock(r.number)), Relays: r.gossiper.PossibleCallers(sim.now)}
+			update := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(sim.now, sim.wallClock(r.number)),
+				Relays: r.gossiper.PossibleCallers(sim.now)}
 			sim.reportKeys.ResolveEndpoints(update.Routes)
 			if r.siteWatch != nil {
 				r.siteWatch.ApplyFleetStats(sim.now, update.Routes)
@@ -218,7 +234,8 @@
 			r.siteWatch.Tick(sim.now)
 			if changes := r.siteWatch.Changes(); len(changes) > 0 {
 				for _, c := range changes {
-					sim.result.Sites = append(sim.result.Sites, SiteChange{sim.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
+					sim.result.Sites = append(sim.result.Sites,
+						SiteChange{sim.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
 					r.enqueue(c.PolicyUpdate(r.siteWatch))
 				}
 			}
@@ -227,7 +244,8 @@
 	})
 }
 
-// exchangeSiteReports passes the site reports of other relays to the site watch and publishes its own.
+// exchangeSiteReports passes the site reports of other relays to the site watch and publishes its
+// own.
 func (r *relay) exchangeSiteReports() {
 	type zoneReports struct {
 		lost   int
@@ -256,8 +274,8 @@
 // zoneName returns the name of a zone of relays, counted from 0.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", 1+zone) }
 
-// stop ends an incarnation. Clients submit its pending messages again, but unsafe ones that may have
-// run fail.
+// stop ends an incarnation. Clients submit its pending messages again, but unsafe ones that may
+// have run fail.
 func (r *relay) stop() {
 	if r.policy == nil {
 		return
@@ -276,7 +294,8 @@
 			msg.mayHaveRun = true
 		}
 		if !msg.mayHaveRun || msg.request.class.Effect != policy.Unsafe {
-			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()), func() { sim.submit(msg.request) })
+			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()),
+				func() { sim.submit(msg.request) })
 		} else {
 			sim.complete(msg.request, completedFailed)
 		}
@@ -378,12 +397,13 @@
 	return r.policy.Step(r.sim.now, events), true
 }
 
-// planSend adds a message to an open call of the step or to a new one. A message that may not be sent
-// ends at once as policy.Unsent.
+// planSend adds a message to an open call of the step or to a new one. A message that may not be
+// sent ends at once as policy.Unsent.
 func (r *relay) planSend(send policy.Send, openCalls []*call) []*call {
 	sim, msg, e := r.sim, r.pending[send.ID], r.sim.byAddress[send.Endpoint]
 	if msg == nil || e == nil {
-		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, but the message or the endpoint is unknown", sim.now, r.number, send.ID, send.Endpoint))
+		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, but the message or the endpoint is unknown",
+			sim.now, r.number, send.ID, send.Endpoint))
 		return openCalls
 	}
 	msg.attempts++
@@ -402,8 +422,18 @@
 		sim.lastCallID++
 		c = &call{id: sim.lastCallID, relay: r, relayIncarnation: r.incarnation, endpoint: e, sentAt: sim.now}
 	}
-	unsendable := newCall && r.inFlight >= sim.scenario.MaxConcurrentCalls || msg.completed || msg.inFlight != nil || msg.attempts > sim.scenario.MaxAttempts
-	event := rules.Event{Kind: rules.Sent, Relay: r.number, Msg: msg.id, Attempt: item.attempt, Call: c.id, Dest: e.dest.number, Endpoint: e.number, Route: e.routeNumber()}
+	unsendable := newCall && r.inFlight >= sim.scenario.MaxConcurrentCalls || msg.completed || msg.inFlight != nil ||
+		msg.attempts > sim.scenario.MaxAttempts
+	event := rules.Event{
+		Kind:     rules.Sent,
+		Relay:    r.number,
+		Msg:      msg.id,
+		Attempt:  item.attempt,
+		Call:     c.id,
+		Dest:     e.dest.number,
+		Endpoint: e.number,
+		Route:    e.routeNumber(),
+	}
 	if unsendable {
 		event.Call = 0 // there is no call
 	}
@@ -445,7 +475,8 @@
 	for n := len(r.idleConns[e]); n > 0; n = len(r.idleConns[e]) {
 		idle := r.idleConns[e][n-1]
 		r.idleConns[e] = r.idleConns[e][:n-1]
-		if sim.now-idle.lastUsed >= sim.scenario.IdleTimeout || idle.incarnation != e.incarnation && e.health != unresponsive {
+		if sim.now-idle.lastUsed >= sim.scenario.IdleTimeout ||
+			idle.incarnation != e.incarnation && e.health != unresponsive {
 			if idle.incarnation == e.incarnation {
 				e.openConns--
 			}
@@ -513,7 +544,8 @@
 			r.gossiper.RecordCall(reportKey, peers.Failed)
 		}
 	}
-	if used := c.conn; used != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil && outcome != policy.ConnectionLost && outcome != policy.ConnectFailed {
+	if used := c.conn; used != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil &&
+		outcome != policy.ConnectionLost && outcome != policy.ConnectFailed {
 		used.lastUsed = sim.now
 		r.idleConns[e] = append(r.idleConns[e], used)
 	} else if used != nil && used.incarnation == e.incarnation {
@@ -559,7 +591,8 @@
 	if msg.inFlight == item {
 		msg.inFlight = nil
 	}
-	notRun := outcome == policy.Rejected || outcome == policy.ConnectFailed || outcome == policy.RequestIncomplete || outcome == policy.Unsent
+	notRun := outcome == policy.Rejected || outcome == policy.ConnectFailed || outcome == policy.RequestIncomplete ||
+		outcome == policy.Unsent
 	if !notRun {
 		msg.mayHaveRun = true
 	}
@@ -573,8 +606,28 @@
 	if !delivered && outcome != policy.Unsent && (e.dest.activeOutages > 0 || e.dest.overloaded) {
 		e.dest.failureSeenBy[r.number] = true
 	}
-	sim.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.number, Msg: msg.id, Attempt: item.attempt, Call: c.id, Dest: e.dest.number, NotRun: notRun, Delivered: delivered, RetryAfter: retryAfter, Route: e.routeNumber()})
-	r.enqueue(policy.AttemptEnded{ID: msg.id, Attempt: item.attempt, Endpoint: e.address, Outcome: outcome, Duration: sim.now - c.sentAt, Final: msg.completed, RetryAfter: retryAfter, Report: c.reportFor(outcome)})
+	sim.log(rules.Event{
+		Kind:       rules.AttemptEnded,
+		Relay:      r.number,
+		Msg:        msg.id,
+		Attempt:    item.attempt,
+		Call:       c.id,
+		Dest:       e.dest.number,
+		NotRun:     notRun,
+		Delivered:  delivered,
+		RetryAfter: retryAfter,
+		Route:      e.routeNumber(),
+	})
+	r.enqueue(policy.AttemptEnded{
+		ID:         msg.id,
+		Attempt:    item.attempt,
+		Endpoint:   e.address,
+		Outcome:    outcome,
+		Duration:   sim.now - c.sentAt,
+		Final:      msg.completed,
+		RetryAfter: retryAfter,
+		Report:     c.reportFor(outcome),
+	})
 }
 
 // finalAnswer handles a relay's final answer to a message.
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -13,35 +13,39 @@
 	Day  string
 	Seed uint64
 
-	G                              float64        // score of the run; see finish
-	Whole, WorstWindow, WorstClass float64        // served share of the value: in total, in the worst window, of the worst class
-	Requests                       int            // without retries
-	Delivered, InAim               int            // delivered requests, and those within their target latency
-	GivenUp, HandedBack, Lost      int            // undelivered requests: failed, returned to the client, never answered
-	HandIns, Refusals, TurnedAway  int            // submissions: accepted, refused after that, rejected at MaxPending
-	Unreached                      int            // submissions to a dead relay
-	Calls, RefusedCalls            int            // RefusedCalls: rejected by endpoints
-	Connections                    int            // opened
-	Probes                         int            // calls to destinations that were down
-	Agreed                         bool           // at the end the members' views of all relays were correct
-	Down                           []int          // relays that were down at the end
-	Members                        []MemberChange `json:",omitempty"`
-	Sites                          []SiteChange   `json:",omitempty"`
-	NoteBytes                      int            // gossip, as delivered
-	Steps, Notes, Events           int            // of relays; log lines of policies; of the simulation
-	Overdue, Doubles, Fallen       int            // messages without an answer in time; repeated unsafe messages; overloads of cold destinations and sites
-	Work, Asked                    float64        // seconds of work: done, submitted
-	Useful                         float64        // seconds of work of delivered messages
-	Seconds                        []Second
-	ByClass                        []Tally
-	Dests                          []DestTally
-	Relays                         []RelayTally
-	FairRelays, FairDests          float64                 // Jain's index of the served share of the value
-	Latency                        *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
-	Broken                         map[rules.Name]int      // violations by rule
-	Breaks                         []rules.Violation       // the first ones
-	Faults                         []string                // errors of the policy, the scenario or the simulator
-	lateFailureValue               float64
+	G                              float64 // score of the run; see finish
+	Whole, WorstWindow, WorstClass float64 // served share of the value: total, worst window, worst class
+
+	Requests                      int            // without retries
+	Delivered, InAim              int            // delivered requests, and those within their target latency
+	GivenUp, HandedBack, Lost     int            // undelivered: failed, returned to the client, never answered
+	HandIns, Refusals, TurnedAway int            // submissions: accepted, refused after that, rejected at MaxPending
+	Unreached                     int            // submissions to a dead relay
+	Calls, RefusedCalls           int            // calls sent, and those that endpoints rejected
+	Connections                   int            // opened
+	Probes                        int            // calls to destinations that were down
+	Agreed                        bool           // at the end the members' views of all relays were correct
+	Down                          []int          // relays that were down at the end
+	Members                       []MemberChange `json:",omitempty"`
+	Sites                         []SiteChange   `json:",omitempty"`
+	NoteBytes                     int            // gossip, as delivered
+
+	Steps, Notes, Events     int     // steps and log lines of policies; events of the simulation
+	Overdue, Doubles, Fallen int     // unanswered in time; repeated unsafe messages; overloads while cold
+	Work, Asked              float64 // seconds of work: done, submitted
+	Useful                   float64 // seconds of work of delivered messages
+
+	Seconds               []Second
+	ByClass               []Tally
+	Dests                 []DestTally
+	Relays                []RelayTally
+	FairRelays, FairDests float64                 // Jain's index of the served share of the value
+	Latency               *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
+	Broken                map[rules.Name]int      // violations by rule
+	Breaks                []rules.Violation       // the first ones
+	Faults                []string                // errors of the policy, the scenario or the simulator
+
+	lateFailureValue float64
 }
 
 // Second is the value that was submitted in a second, and what of it was served.
@@ -79,8 +83,8 @@
 	Asked, Served                       float64
 }
 
-// RelayTally is the value that a relay accepted, retried submissions included, and the value that it
-// delivered.
+// RelayTally is the value that a relay accepted, retried submissions included, and the value that
+// it delivered.
 type RelayTally struct{ Asked, Served float64 }
 
 // jainIndex returns Jain's fairness index: 1 if all shares are equal, 1/n if one has everything.
@@ -97,8 +101,14 @@
 
 // newResult returns an empty result of a scenario.
 func newResult(scenario *Scenario) *Result {
-	result := &Result{Day: scenario.Name, Seed: scenario.Seed, Seconds: make([]Second, int(scenario.Length/time.Second)+1), Dests: make([]DestTally, len(scenario.Dests)), Relays: make([]RelayTally, scenario.Relays),
-		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
+	result := &Result{
+		Day:     scenario.Name,
+		Seed:    scenario.Seed,
+		Seconds: make([]Second, int(scenario.Length/time.Second)+1),
+		Dests:   make([]DestTally, len(scenario.Dests)),
+		Relays:  make([]RelayTally, scenario.Relays),
+		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
+	}
 	for _, class := range scenario.Classes {
 		result.ByClass = append(result.ByClass, Tally{Name: class.Name})
 	}
@@ -192,16 +202,22 @@
 	}
 	r.FairRelays, r.FairDests = jainIndex(relays), jainIndex(dests)
 	requests, penalties := float64(max(1, r.Requests)), sim.scenario.Penalties
-	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - penalties.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
-		penalties.Handshake*float64(r.Connections)/requests - penalties.LateFailure*shareOrZero(r.lateFailureValue, asked) - penalties.RejectedCall*float64(r.RefusedCalls)/requests - penalties.Gossip*float64(r.NoteBytes)/256/requests
+	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass -
+		penalties.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
+		penalties.Handshake*float64(r.Connections)/requests -
+		penalties.LateFailure*shareOrZero(r.lateFailureValue, asked) -
+		penalties.RejectedCall*float64(r.RefusedCalls)/requests -
+		penalties.Gossip*float64(r.NoteBytes)/256/requests
 	if unanswered := r.Broken[rules.Answer]; (unanswered > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
 		r.Faults = append(r.Faults, "rule checker and simulation disagree on messages without an answer in time")
 	}
 	if (r.Broken[rules.Repeat] > 0) != (r.Doubles > 0) && r.Doubles > 0 {
-		r.Faults = append(r.Faults, "rule checker and simulation disagree: a message ran twice without a violation of the repeat rule")
+		r.Faults = append(r.Faults,
+			"rule checker and simulation disagree: a message ran twice without a violation of the repeat rule")
 	}
 	if r.Fallen == 0 && r.Broken[rules.RecoveryOverload] > 0 {
-		r.Faults = append(r.Faults, "rule checker and simulation disagree: no destination was overloaded, but the recovery rule was violated")
+		r.Faults = append(r.Faults,
+			"rule checker and simulation disagree: no destination was overloaded, but the recovery rule was violated")
 	}
 }
 
--- a/internal/lab/emu/scenario.go
+++ b/internal/lab/emu/scenario.go
@@ -221,23 +221,56 @@
 	inf := math.Inf(1)
 	inSeconds := time.Duration.Seconds
 	settings := []boundedSetting{
-		{"length", inSeconds(s.Length), 0.1, 1e5}, {"tail", inSeconds(s.Tail), 0, 1e5}, {"tick", inSeconds(s.Tick), 1e-4, 10}, {"relays", float64(s.Relays), 1, 1e4},
-		{"slots", float64(s.MaxConcurrentCalls), 1, 1e6}, {"hold", float64(s.MaxPending), 1, 1e7}, {"max_attempts", float64(s.MaxAttempts), 1, 1000}, {"rate", s.Rate, 0, 1e7},
-		{"clumps", s.ClumpShare, 0, 1}, {"rtt", inSeconds(s.RTT), 0, 100}, {"client", inSeconds(s.ClientDelay), 0, 100}, {"jitter", s.Jitter, 0, 1}, {"handshake", s.HandshakeRTTs, 0, 100},
-		{"idle", inSeconds(s.IdleTimeout), 0.01, inf}, {"connect", inSeconds(s.ConnectTimeout), 0.01, 100}, {"retries", float64(s.ClientRetries), 0, 100}, {"backoff", inSeconds(s.ClientBackoff), 0.001, 1000},
-		{"note_loss", s.GossipLoss, 0, 1}, {"zones of relays", float64(s.Zones), 0, 31}, {"honour", s.RetryAfterCompliance, 0, 1}, {"notice", inSeconds(s.DiscoveryDelay), 0, 1000}, {"cold_from", s.ColdStartShare, 0, 1}, {"fall_multiple", s.OverloadFactor, 0, 1e6},
-		{"number of classes", float64(len(s.Classes)), 1, 100}, {"number of kinds", float64(len(s.Kinds)), 1, 100}, {"number of dests", float64(len(s.Dests)), 1, 1e6},
+		{"length", inSeconds(s.Length), 0.1, 1e5},
+		{"tail", inSeconds(s.Tail), 0, 1e5},
+		{"tick", inSeconds(s.Tick), 1e-4, 10},
+		{"relays", float64(s.Relays), 1, 1e4},
+		{"slots", float64(s.MaxConcurrentCalls), 1, 1e6},
+		{"hold", float64(s.MaxPending), 1, 1e7},
+		{"max_attempts", float64(s.MaxAttempts), 1, 1000},
+		{"rate", s.Rate, 0, 1e7},
+		{"clumps", s.ClumpShare, 0, 1},
+		{"rtt", inSeconds(s.RTT), 0, 100},
+		{"client", inSeconds(s.ClientDelay), 0, 100},
+		{"jitter", s.Jitter, 0, 1},
+		{"handshake", s.HandshakeRTTs, 0, 100},
+		{"idle", inSeconds(s.IdleTimeout), 0.01, inf},
+		{"connect", inSeconds(s.ConnectTimeout), 0.01, 100},
+		{"retries", float64(s.ClientRetries), 0, 100},
+		{"backoff", inSeconds(s.ClientBackoff), 0.001, 1000},
+		{"note_loss", s.GossipLoss, 0, 1},
+		{"zones of relays", float64(s.Zones), 0, 31},
+		{"honour", s.RetryAfterCompliance, 0, 1},
+		{"notice", inSeconds(s.DiscoveryDelay), 0, 1000},
+		{"cold_from", s.ColdStartShare, 0, 1},
+		{"fall_multiple", s.OverloadFactor, 0, 1e6},
+		{"number of classes", float64(len(s.Classes)), 1, 100},
+		{"number of kinds", float64(len(s.Kinds)), 1, 100},
+		{"number of dests", float64(len(s.Dests)), 1, 1e6},
 	}
 	for i, class := range s.Classes {
 		prefix := fmt.Sprintf("classes[%d].", i)
-		settings = append(settings, boundedSetting{prefix + "share", class.Share, 0, inf}, boundedSetting{prefix + "work", inSeconds(class.Work), 1e-6, 1e4}, boundedSetting{prefix + "cv", class.CV, 0, 100},
-			boundedSetting{prefix + "noise", class.Noise, 0, 100}, boundedSetting{prefix + "worth", class.Value, 0, inf}, boundedSetting{prefix + "late_worth", class.LateValue, 0, 1},
-			boundedSetting{prefix + "aim", inSeconds(class.TargetLatency), 1e-3, inSeconds(class.Deadline)})
+		settings = append(
+			settings,
+			boundedSetting{prefix + "share", class.Share, 0, inf},
+			boundedSetting{prefix + "work", inSeconds(class.Work), 1e-6, 1e4},
+			boundedSetting{prefix + "cv", class.CV, 0, 100},
+			boundedSetting{prefix + "noise", class.Noise, 0, 100},
+			boundedSetting{prefix + "worth", class.Value, 0, inf},
+			boundedSetting{prefix + "late_worth", class.LateValue, 0, 1},
+			boundedSetting{prefix + "aim", inSeconds(class.TargetLatency), 1e-3, inSeconds(class.Deadline)},
+		)
 	}
 	for i, kind := range s.Kinds {
 		prefix := fmt.Sprintf("kinds[%d].", i)
-		settings = append(settings, boundedSetting{prefix + "batch", float64(kind.MaxBatch), 1, 1000}, boundedSetting{prefix + "tells_wait", kind.RetryAfterShare, 0, 1}, boundedSetting{prefix + "cold_from", kind.ColdStartShare, 0.001, 1},
-			boundedSetting{prefix + "error_rate", kind.ErrorRate, 0, 1}, boundedSetting{prefix + "item_cost", kind.ItemCost, 0, 100})
+		settings = append(
+			settings,
+			boundedSetting{prefix + "batch", float64(kind.MaxBatch), 1, 1000},
+			boundedSetting{prefix + "tells_wait", kind.RetryAfterShare, 0, 1},
+			boundedSetting{prefix + "cold_from", kind.ColdStartShare, 0.001, 1},
+			boundedSetting{prefix + "error_rate", kind.ErrorRate, 0, 1},
+			boundedSetting{prefix + "item_cost", kind.ItemCost, 0, 100},
+		)
 		if kind.Limit == WindowLimit {
 			settings = append(settings, boundedSetting{prefix + "window", inSeconds(kind.Window), 1e-3, 1e4})
 		}
@@ -246,23 +279,43 @@
 	for i, dest := range s.Dests {
 		prefix := fmt.Sprintf("dests[%d].", i)
 		share += dest.Share
-		settings = append(settings, boundedSetting{prefix + "kind", float64(dest.Kind), 0, float64(len(s.Kinds) - 1)}, boundedSetting{prefix + "share", dest.Share, 0, inf},
-			boundedSetting{prefix + "limit", dest.Limit, 0, inf}, boundedSetting{prefix + "number of endpoints", float64(len(dest.Endpoints)), 1, 1e4})
+		settings = append(
+			settings,
+			boundedSetting{prefix + "kind", float64(dest.Kind), 0, float64(len(s.Kinds) - 1)},
+			boundedSetting{prefix + "share", dest.Share, 0, inf},
+			boundedSetting{prefix + "limit", dest.Limit, 0, inf},
+			boundedSetting{prefix + "number of endpoints",
+				float64(len(dest.Endpoints)), 1, 1e4},
+		)
 		if dest.Kind >= 0 && dest.Kind < len(s.Kinds) && s.Kinds[dest.Kind].Limit != NoLimit {
 			settings = append(settings, boundedSetting{prefix + "limit", dest.Limit, 1e-3, inf})
 		}
 		for j, part := range dest.Mix {
-			settings = append(settings, boundedSetting{fmt.Sprintf("%smix[%d].class", prefix, j), float64(part.Class), 0, float64(len(s.Classes) - 1)},
-				boundedSetting{fmt.Sprintf("%smix[%d].zone", prefix, j), float64(part.Zone), 0, float64(max(1, s.Zones) - 1)}, boundedSetting{fmt.Sprintf("%smix[%d].share", prefix, j), part.Share, 1e-9, inf})
+			settings = append(
+				settings,
+				boundedSetting{fmt.Sprintf("%smix[%d].class", prefix, j), float64(part.Class), 0,
+					float64(len(s.Classes) - 1)},
+				boundedSetting{fmt.Sprintf("%smix[%d].zone", prefix, j), float64(part.Zone), 0, float64(max(1, s.Zones) - 1)},
+				boundedSetting{fmt.Sprintf("%smix[%d].share", prefix, j), part.Share, 1e-9, inf},
+			)
 		}
 		for j, endpoint := range dest.Endpoints {
-			settings = append(settings, boundedSetting{fmt.Sprintf("%sendpoints[%d].speed", prefix, j), endpoint.Speed, 1e-6, 1e6},
-				boundedSetting{fmt.Sprintf("%sendpoints[%d].workers", prefix, j), float64(endpoint.Workers), 1, 1e6})
+			settings = append(
+				settings,
+				boundedSetting{fmt.Sprintf("%sendpoints[%d].speed", prefix, j), endpoint.Speed, 1e-6,
+					1e6},
+				boundedSetting{fmt.Sprintf("%sendpoints[%d].workers", prefix, j), float64(endpoint.Workers), 1, 1e6},
+			)
 		}
 	}
 	for i, fault := range s.Faults {
 		prefix := fmt.Sprintf("troubles[%d].", i)
-		settings = append(settings, boundedSetting{prefix + "at", inSeconds(fault.At), 0, inf}, boundedSetting{prefix + "len", inSeconds(fault.Duration), 0, inf}, boundedSetting{prefix + "size", fault.Intensity, 0, 1e6})
+		settings = append(
+			settings,
+			boundedSetting{prefix + "at", inSeconds(fault.At), 0, inf},
+			boundedSetting{prefix + "len", inSeconds(fault.Duration), 0, inf},
+			boundedSetting{prefix + "size", fault.Intensity, 0, 1e6},
+		)
 		if fault.Kind == Pauses {
 			settings = append(settings, boundedSetting{prefix + "every", inSeconds(fault.Period), fault.Intensity + 1e-3, 1e4})
 		}
@@ -275,7 +328,8 @@
 		for _, ref := range fault.Endpoints {
 			settings = append(settings, boundedSetting{prefix + "parts", float64(ref[0]), 0, float64(len(s.Dests) - 1)})
 			if ref[0] >= 0 && ref[0] < len(s.Dests) {
-				settings = append(settings, boundedSetting{prefix + "parts", float64(ref[1]), 0, float64(len(s.Dests[ref[0]].Endpoints) - 1)})
+				settings = append(settings, boundedSetting{prefix + "parts", float64(ref[1]), 0,
+					float64(len(s.Dests[ref[0]].Endpoints) - 1)})
 			}
 		}
 		for _, n := range fault.Relays {
@@ -320,13 +374,27 @@
 
 // Settings returns the policy settings of the relays of the scenario.
 func (s *Scenario) Settings() policy.Settings {
-	settings := policy.Settings{Relays: s.Relays, NoGossip: s.NoGossip, MaxConcurrentCalls: s.MaxConcurrentCalls, MaxPending: s.MaxPending, MaxAttempts: s.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.MaxRetryAfter,
-		Tick: s.Tick, IdleConnTimeout: s.IdleTimeout, ColdStartShare: s.ColdStartShare, WarmUpTime: s.WarmUpTime, OverloadFactor: s.OverloadFactor, OverloadTime: s.OverloadTime}
+	settings := policy.Settings{
+		Relays:             s.Relays,
+		NoGossip:           s.NoGossip,
+		MaxConcurrentCalls: s.MaxConcurrentCalls,
+		MaxPending:         s.MaxPending,
+		MaxAttempts:        s.MaxAttempts,
+		SendRetryAfter:     true,
+		MaxRetryAfter:      s.MaxRetryAfter,
+		Tick:               s.Tick,
+		IdleConnTimeout:    s.IdleTimeout,
+		ColdStartShare:     s.ColdStartShare,
+		WarmUpTime:         s.WarmUpTime,
+		OverloadFactor:     s.OverloadFactor,
+		OverloadTime:       s.OverloadTime,
+	}
 	for _, class := range s.Classes {
 		settings.Classes = append(settings.Classes, class.Class)
 	}
 	for _, kind := range s.Kinds {
-		settings.Kinds = append(settings.Kinds, policy.Kind{Name: kind.Name, MaxBatch: kind.MaxBatch, SeparateRoutes: kind.SeparateRoutes})
+		settings.Kinds = append(settings.Kinds, policy.Kind{Name: kind.Name, MaxBatch: kind.MaxBatch,
+			SeparateRoutes: kind.SeparateRoutes})
 	}
 	for _, zone := range s.endpointZones() {
 		settings.Zones = append(settings.Zones, policy.Zone{Name: zone})
--- a/internal/lab/emu/simulation.go
+++ b/internal/lab/emu/simulation.go
@@ -76,8 +76,17 @@
 	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
-	sim := &simulation{scenario: scenario, options: options, newPolicy: options.NewPolicy, byAddress: map[string]*endpoint{}, rateMultiple: 1,
-		arrivalRand: newRand(scenario.Seed, "arrivals"), clientRand: newRand(scenario.Seed, "clients"), networkRand: newRand(scenario.Seed, "net"), gossipRand: newRand(scenario.Seed, "notes")}
+	sim := &simulation{
+		scenario:     scenario,
+		options:      options,
+		newPolicy:    options.NewPolicy,
+		byAddress:    map[string]*endpoint{},
+		rateMultiple: 1,
+		arrivalRand:  newRand(scenario.Seed, "arrivals"),
+		clientRand:   newRand(scenario.Seed, "clients"),
+		networkRand:  newRand(scenario.Seed, "net"),
+		gossipRand:   newRand(scenario.Seed, "notes"),
+	}
 	if sim.newPolicy == nil {
 		sim.newPolicy = DefaultPolicy
 	}
@@ -85,8 +94,14 @@
 		sim.options.MaxEvents = 2e9
 	}
 	sim.result = newResult(scenario)
-	sim.checker = rules.New(rules.Config{AnswerSlack: scenario.AnswerSlack, DrainGrace: scenario.DrainGrace, OverloadFactor: scenario.OverloadFactor, OverloadTime: scenario.OverloadTime,
-		MaxConcurrentCalls: scenario.MaxConcurrentCalls, MaxAttempts: scenario.MaxAttempts})
+	sim.checker = rules.New(rules.Config{
+		AnswerSlack:        scenario.AnswerSlack,
+		DrainGrace:         scenario.DrainGrace,
+		OverloadFactor:     scenario.OverloadFactor,
+		OverloadTime:       scenario.OverloadTime,
+		MaxConcurrentCalls: scenario.MaxConcurrentCalls,
+		MaxAttempts:        scenario.MaxAttempts,
+	})
 	sim.build()
 	for i := range scenario.Faults {
 		sim.scheduleFault(&scenario.Faults[i])
@@ -103,7 +118,8 @@
 		}
 	}
 	if sim.now > end {
-		sim.recordError(fmt.Sprintf("%d messages were not completed %v after the last submission", sim.openRequests, scenario.Tail))
+		sim.recordError(fmt.Sprintf("%d messages were not completed %v after the last submission", sim.openRequests,
+			scenario.Tail))
 	}
 	for settleUntil := sim.now + scenario.SettleTime; sim.now < settleUntil && !sim.membersAgree(); {
 		if !sim.engine.runNext() {
@@ -164,7 +180,14 @@
 	total := 0.0
 	for i := range sim.scenario.Dests {
 		spec := &sim.scenario.Dests[i]
-		d := &dest{number: i, spec: spec, kind: &sim.scenario.Kinds[spec.Kind], rng: newRand(sim.scenario.Seed, "dest", uint64(i)), meanWork: mean, failureSeenBy: map[int]bool{}}
+		d := &dest{
+			number:        i,
+			spec:          spec,
+			kind:          &sim.scenario.Kinds[spec.Kind],
+			rng:           newRand(sim.scenario.Seed, "dest", uint64(i)),
+			meanWork:      mean,
+			failureSeenBy: map[int]bool{},
+		}
 		if first := -scaleDuration(d.kind.Window, d.rng.Float64()); !d.kind.SeparateRoutes {
 			d.limiter = newLimiter(d.kind, spec.Limit, first)
 		}
@@ -187,7 +210,14 @@
 // addEndpoint creates an endpoint of d with an address of its own.
 func (sim *simulation) addEndpoint(d *dest, spec Endpoint) *endpoint {
 	sim.endpointCount++
-	e := &endpoint{number: sim.endpointCount, dest: d, zone: cmp.Or(spec.Zone, d.spec.Zone), address: fmt.Sprintf("10.%d.%d.%d:80", sim.endpointCount>>16, sim.endpointCount>>8&255, sim.endpointCount&255), spec: spec, speedFactor: 1}
+	e := &endpoint{
+		number:      sim.endpointCount,
+		dest:        d,
+		zone:        cmp.Or(spec.Zone, d.spec.Zone),
+		address:     fmt.Sprintf("10.%d.%d.%d:80", sim.endpointCount>>16, sim.endpointCount>>8&255, sim.endpointCount&255),
+		spec:        spec,
+		speedFactor: 1,
+	}
 	if spec.Zone != "" && !d.kind.SeparateRoutes {
 		if d.sites == nil {
 			d.sites = map[string]*destSite{}
@@ -199,7 +229,8 @@
 		e.site.endpoints = append(e.site.endpoints, e)
 	}
 	if e.limiter = d.limiter; d.kind.SeparateRoutes {
-		e.limiter = newLimiter(d.kind, d.spec.Limit/float64(len(d.spec.Endpoints)), -scaleDuration(d.kind.Window, d.rng.Float64()))
+		e.limiter = newLimiter(d.kind, d.spec.Limit/float64(len(d.spec.Endpoints)),
+			-scaleDuration(d.kind.Window, d.rng.Float64()))
 		e.site = &destSite{endpoints: []*endpoint{e}}
 	}
 	if d.kind.SeparateRoutes {
@@ -289,11 +320,13 @@
 	first := sim.clientRand.IntN(len(sim.relays))
 	for i := 0; req.zone >= 0 && i < len(sim.relays); i++ { // prefer the request's zone
 		r := sim.relays[(first+i)%len(sim.relays)]
-		if sim.scenario.ZoneOf(r.number) == req.zone && (r.policy != nil || sim.now-r.diedAt < sim.scenario.BalancerDetectionDelay) {
+		if sim.scenario.ZoneOf(r.number) == req.zone &&
+			(r.policy != nil || sim.now-r.diedAt < sim.scenario.BalancerDetectionDelay) {
 			return r
 		}
 	}
-	if extra := sim.scenario.HotRelayFactor - 1; extra > 0 && sim.clientRand.Float64() < extra/(extra+float64(len(sim.relays))) {
+	if extra := sim.scenario.HotRelayFactor - 1; extra > 0 &&
+		sim.clientRand.Float64() < extra/(extra+float64(len(sim.relays))) {
 		first = 0
 	}
 	for i := range sim.relays {
@@ -329,7 +362,16 @@
 		}
 	}
 	class := &sim.scenario.Classes[classIndex]
-	req := &request{zone: zone, number: sim.result.Requests, class: class, classIndex: classIndex, dest: d, submittedAt: sim.now, deadline: sim.now + class.Deadline, workSeconds: class.Work.Seconds() * drawFactor(sim.arrivalRand, class.CV, class.Exponential)}
+	req := &request{
+		zone:        zone,
+		number:      sim.result.Requests,
+		class:       class,
+		classIndex:  classIndex,
+		dest:        d,
+		submittedAt: sim.now,
+		deadline:    sim.now + class.Deadline,
+		workSeconds: class.Work.Seconds() * drawFactor(sim.arrivalRand, class.CV, class.Exponential),
+	}
 	sim.result.Requests++
 	sim.openRequests++
 	sim.result.recordRequest(sim, req)
@@ -349,7 +391,8 @@
 	sim.scheduleAfter(sim.drawDelay(sim.scenario.ClientDelay), func() {
 		if r.policy == nil { // not detected yet, or all relays are down
 			sim.result.Unreached++
-			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()), func() { sim.submit(req) })
+			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()),
+				func() { sim.submit(req) })
 			return
 		}
 		if sim.now < r.stalledUntil { // the client times out and retries; what the relay has not read is lost
@@ -367,9 +410,18 @@
 		sim.result.HandIns++
 		sim.result.Relays[r.number].Asked += req.class.Value
 		effect := rules.Effect(req.class.Effect)
-		sim.log(rules.Event{Kind: rules.Accepted, Relay: r.number, Msg: msg.id, Dest: req.dest.number, Effect: effect, RepeatWindow: req.class.RepeatWindow, Deadline: req.deadline})
+		sim.log(rules.Event{
+			Kind:         rules.Accepted,
+			Relay:        r.number,
+			Msg:          msg.id,
+			Dest:         req.dest.number,
+			Effect:       effect,
+			RepeatWindow: req.class.RepeatWindow,
+			Deadline:     req.deadline,
+		})
 		sim.reportKeys.EachKey(req.dest.number, r.gossiper.RecordArrival)
-		r.enqueue(policy.Submitted{ID: msg.id, Class: req.class.Name, Destination: req.dest.number, TimeLeft: req.deadline - sim.now})
+		r.enqueue(policy.Submitted{ID: msg.id, Class: req.class.Name, Destination: req.dest.number,
+			TimeLeft: req.deadline - sim.now})
 		incarnation := r.incarnation
 		sim.schedule(req.deadline+sim.scenario.AnswerSlack+sim.scenario.Tick, func() {
 			if msg.completed || r.incarnation != incarnation || r.policy == nil {
@@ -571,7 +623,8 @@
 				}
 			}
 		})
-	case Partition, SitePartition, GossipReceiveLoss, GossipSendLoss, DestinationPartition, GossipLoss, GossipDelay, GossipDuplication:
+	case Partition, SitePartition, GossipReceiveLoss, GossipSendLoss, DestinationPartition, GossipLoss, GossipDelay,
+		GossipDuplication:
 		sim.scheduleNetworkFault(fault)
 	default:
 		for _, n := range fault.Relays {
@@ -629,12 +682,14 @@
 		return
 	}
 	rng := newRand(sim.scenario.Seed, "burst", uint64(d.number), uint64(from))
-	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, sim.scenario.Length); at += seconds(rng.ExpFloat64() / rate) {
+	for at := from + seconds(rng.ExpFloat64()/rate); at < min(to, sim.scenario.Length); at += seconds(
+		rng.ExpFloat64() / rate) {
 		sim.schedule(at, func() { sim.submitNew(d) })
 	}
 }
 
-// drainEndpoint announces that an endpoint drains, later that it is removed, and lists a replacement.
+// drainEndpoint announces that an endpoint drains, later that it is removed, and lists a
+// replacement.
 func (sim *simulation) drainEndpoint(e *endpoint, removalDelay time.Duration) {
 	e.draining = true
 	sim.announce(e, policy.Draining, sim.scenario.DiscoveryDelay)
@@ -658,7 +713,8 @@
 			if state != policy.Listed {
 				sim.log(rules.Event{Kind: rules.EndpointLeaving, Relay: r.number, Endpoint: e.number})
 			}
-			r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListChanges, Entries: []policy.Endpoint{r.listEntry(e, state)}})
+			r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListChanges,
+				Entries: []policy.Endpoint{r.listEntry(e, state)}})
 		}
 		sim.scheduleAfter(delay+scaleDuration(sim.scenario.DiscoverySpread, sim.networkRand.Float64()), func() {
 			if sim.discoveryOutages > 0 {
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -55,8 +55,8 @@
 // Kinds of events, and the fields that they use besides At.
 const (
 	Accepted        Kind = iota // Relay, Msg, Dest, Effect, RepeatWindow, Deadline: a relay has accepted a message
-	Sent                        // Relay, Msg, Attempt, Call (0: not sent after all), Dest (of the endpoint), Endpoint, Route
-	AttemptEnded                // Relay, Msg, Attempt, Dest, Route, NotRun, Delivered, RetryAfter: an attempt has ended, as its relay learned
+	Sent                        // Relay, Msg, Attempt, Call (0: not sent after all), Dest, Endpoint, Route
+	AttemptEnded                // Relay, Msg, Attempt, Call, Dest, Route, NotRun, Delivered, RetryAfter
 	Returned                    // Relay, Msg: final answer
 	Failed                      // Relay, Msg: final answer
 	Withdrawn                   // Relay, Msg: no answer is due any more, for reasons outside the relay
@@ -167,7 +167,14 @@
 
 // New returns a checker for one log.
 func New(config Config) *Checker {
-	return &Checker{config: config, Counts: map[Name]int{}, messages: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
+	return &Checker{
+		config:   config,
+		Counts:   map[Name]int{},
+		messages: map[uint32]*message{},
+		calls:    map[uint64]*call{},
+		relays:   map[int]*relay{},
+		dests:    map[int]*dest{},
+	}
 }
 
 // violation counts a violation of a rule by e.
@@ -220,7 +227,14 @@
 			c.violation(Answer, e, "accepted twice")
 			return
 		}
-		c.messages[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, repeatWindow: e.RepeatWindow, deadline: e.Deadline, sentAt: map[int]time.Duration{}}
+		c.messages[e.Msg] = &message{
+			relay:        e.Relay,
+			dest:         e.Dest,
+			effect:       e.Effect,
+			repeatWindow: e.RepeatWindow,
+			deadline:     e.Deadline,
+			sentAt:       map[int]time.Duration{},
+		}
 	case Sent:
 		c.checkSent(e)
 	case AttemptEnded:
@@ -273,7 +287,8 @@
 	if msg.attempts++; msg.attempts > c.config.MaxAttempts {
 		c.violation(Bounds, e, "attempt %d of %d", msg.attempts, c.config.MaxAttempts)
 	}
-	if period, ok := r.retryAfters[e.target()]; ok && e.At < period.until-c.config.ClockSlack && e.At >= period.receivedAt+c.config.RetryAfterGrace {
+	if period, ok := r.retryAfters[e.target()]; ok && e.At < period.until-c.config.ClockSlack &&
+		e.At >= period.receivedAt+c.config.RetryAfterGrace {
 		c.violation(RetryAfter, e, "sent %v before the end of a Retry-After", period.until-e.At)
 	}
 	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.config.DrainGrace {
@@ -293,7 +308,9 @@
 			c.violation(Bounds, e, "%d calls in flight, %d allowed", r.calls, c.config.MaxConcurrentCalls)
 		}
 		if maxToDest := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > maxToDest {
-			c.violation(ConcurrencyShare, e, "%d calls in flight to destination %d, three quarters of the concurrency limit are %d", r.callsByDest[e.Dest], e.Dest, maxToDest)
+			c.violation(ConcurrencyShare, e,
+				"%d calls in flight to destination %d, three quarters of the concurrency limit are %d",
+				r.callsByDest[e.Dest], e.Dest, maxToDest)
 		}
 	}
 	openCall.openItems++
@@ -405,7 +422,9 @@
 	}
 	if total > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
 		if fromInformed >= total*2/3 {
-			c.violation(RecoveryOverload, e, "destination %d received %.1f within %v at a capacity of %.2f/s, %.1f from relays that saw it fail", e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
+			c.violation(RecoveryOverload, e,
+				"destination %d received %.1f within %v at a capacity of %.2f/s, %.1f from relays that saw it fail",
+				e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
 		}
 		d.recentLoads = d.recentLoads[:0] // report an overload once
 	}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -8,7 +8,14 @@
 
 const s = time.Second
 
-var config = Config{AnswerSlack: 20 * time.Millisecond, DrainGrace: s, OverloadFactor: 2, OverloadTime: 3 * s, MaxConcurrentCalls: 4, MaxAttempts: 3}
+var config = Config{
+	AnswerSlack:        20 * time.Millisecond,
+	DrainGrace:         s,
+	OverloadFactor:     2,
+	OverloadTime:       3 * s,
+	MaxConcurrentCalls: 4,
+	MaxAttempts:        3,
+}
 
 // validLog returns a log that exercises every rule and violates none.
 func validLog() []Event {
@@ -32,7 +39,8 @@
 		{At: 4 * s, Kind: FailureSeen, Dest: 2},
 	}
 	for i := range 11 { // 11 within 3 s at a capacity of 1.5 per second: the limit is 9, plus a slack of 3
-		log = append(log, Event{At: 4*s + time.Duration(i)*100*time.Millisecond, Kind: WorkArrived, Dest: 2, Weight: 1, Capacity: 1.5})
+		log = append(log, Event{At: 4*s + time.Duration(i)*100*time.Millisecond, Kind: WorkArrived, Dest: 2, Weight: 1,
+			Capacity: 1.5})
 	}
 	return append(log, Event{At: 8 * s, Kind: DestWarm, Dest: 2}, Event{At: 9 * s, Kind: LogEnded})
 }
@@ -66,10 +74,22 @@
 		rule   Name
 		mutate func([]Event) []Event
 	}{
-		"no final answer":                    {Answer, func(l []Event) []Event { i := find(l, Returned, 3, 0); return slices.Delete(l, i, i+1) }},
-		"final answer too late":              {Answer, func(l []Event) []Event { l[find(l, Accepted, 3, 0)].Deadline = 2 * s; return l }},
-		"two final answers":                  {Answer, func(l []Event) []Event { i := find(l, Returned, 3, 0); return insert(l, i, l[i]) }},
-		"final answer to an unknown message": {Answer, func(l []Event) []Event { l[find(l, Returned, 3, 0)].Msg = 9; return l[:len(l)-1] }},
+		"no final answer": {Answer, func(l []Event) []Event {
+			i := find(l, Returned, 3, 0)
+			return slices.Delete(l, i, i+1)
+		}},
+		"final answer too late": {Answer, func(l []Event) []Event {
+			l[find(l, Accepted, 3, 0)].Deadline = 2 * s
+			return l
+		}},
+		"two final answers": {Answer, func(l []Event) []Event {
+			i := find(l, Returned, 3, 0)
+			return insert(l, i, l[i])
+		}},
+		"final answer to an unknown message": {Answer, func(l []Event) []Event {
+			l[find(l, Returned, 3, 0)].Msg = 9
+			return l[:len(l)-1]
+		}},
 		"sent after the final answer": {Answer, func(l []Event) []Event {
 			i := find(l, Sent, 1, 1)
 			return insert(l, i, Event{At: l[i].At, Kind: Failed, Msg: 1})
@@ -85,7 +105,10 @@
 			o.Attempt, o.Call = 1, 9
 			return insert(l, i, e, o)
 		}},
-		"unsafe message sent again": {Repeat, func(l []Event) []Event { l[find(l, AttemptEnded, 1, 0)].NotRun = false; return l }},
+		"unsafe message sent again": {Repeat, func(l []Event) []Event {
+			l[find(l, AttemptEnded, 1, 0)].NotRun = false
+			return l
+		}},
 		"unsafe message returned": {Repeat, func(l []Event) []Event {
 			i := find(l, AttemptEnded, 1, 1)
 			l[i].Delivered = false
@@ -95,16 +118,26 @@
 			i := find(l, AttemptEnded, 1, 1)
 			return insert(l, i, Event{At: 3 * s, Kind: Returned, Msg: 1})
 		}},
-		"repeated after its window": {Repeat, func(l []Event) []Event { l[find(l, Accepted, 2, 0)].RepeatWindow = s; return l }},
+		"repeated after its window": {Repeat, func(l []Event) []Event {
+			l[find(l, Accepted, 2, 0)].RepeatWindow = s
+			return l
+		}},
 		"sent to a drained endpoint": {Drain, func(l []Event) []Event {
 			l[find(l, EndpointLeaving, 0, 0)].At = 0
 			i := find(l, EndpointLeaving, 0, 0)
 			e := l[i]
 			return insert(slices.Delete(l, i, i+1), 3, e)
 		}},
-		"sent during Retry-After":           {RetryAfter, func(l []Event) []Event { l[find(l, AttemptEnded, 1, 0)].RetryAfter = s; return l }},
-		"wrong destination":                 {Bounds, func(l []Event) []Event { l[find(l, Sent, 3, 0)].Dest = 1; return l }},
-		"recovering destination overloaded": {RecoveryOverload, func(l []Event) []Event { i := find(l, DestWarm, 0, 0); e := l[i-1]; return insert(l, i, e, e) }},
+		"sent during Retry-After": {RetryAfter, func(l []Event) []Event {
+			l[find(l, AttemptEnded, 1, 0)].RetryAfter = s
+			return l
+		}},
+		"wrong destination": {Bounds, func(l []Event) []Event { l[find(l, Sent, 3, 0)].Dest = 1; return l }},
+		"recovering destination overloaded": {RecoveryOverload, func(l []Event) []Event {
+			i := find(l, DestWarm, 0, 0)
+			e := l[i-1]
+			return insert(l, i, e, e)
+		}},
 	} {
 		checker := check(config, mutation.mutate(validLog()))
 		if checker.Counts[mutation.rule] == 0 || len(checker.Counts) != 1 {
@@ -112,12 +145,14 @@
 		}
 	}
 	// Rules with a limit in the configuration.
-	for name, change := range map[Name]func(*Config){Bounds: func(c *Config) { c.MaxAttempts = 1 }, ConcurrencyShare: func(c *Config) { c.MaxConcurrentCalls = 3; c.MaxAttempts = 9 }} {
+	for name, change := range map[Name]func(*Config){Bounds: func(c *Config) { c.MaxAttempts = 1 },
+		ConcurrencyShare: func(c *Config) { c.MaxConcurrentCalls = 3; c.MaxAttempts = 9 }} {
 		changed := config
 		change(&changed)
 		log := validLog()
 		if name == ConcurrencyShare { // a third call to destination 1, with three allowed in total
-			log = insert(log, 6, Event{At: s, Kind: Accepted, Msg: 4, Dest: 1, Deadline: 9 * s}, Event{At: s, Kind: Sent, Msg: 4, Call: 8, Dest: 1, Endpoint: 11},
+			log = insert(log, 6, Event{At: s, Kind: Accepted, Msg: 4, Dest: 1, Deadline: 9 * s},
+				Event{At: s, Kind: Sent, Msg: 4, Call: 8, Dest: 1, Endpoint: 11},
 				Event{At: s, Kind: AttemptEnded, Msg: 4, Call: 8, Dest: 1, Delivered: true})
 			log[5] = Event{At: s, Kind: Sent, Msg: 3, Call: 0, Dest: 2, Endpoint: 21} // makes no call
 		}
@@ -137,8 +172,14 @@
 // The state of a relay that dies does not count against its next incarnation.
 func TestRelayDied(t *testing.T) {
 	log := validLog()[:9]
-	log = append(log, Event{At: 2 * s, Kind: RelayDied}, Event{At: 2 * s, Kind: Accepted, Msg: 5, Dest: 1, Deadline: 9 * s},
-		Event{At: 2 * s, Kind: Sent, Msg: 5, Call: 9, Dest: 1, Endpoint: 11}, Event{At: 3 * s, Kind: AttemptEnded, Msg: 5, Call: 9, Dest: 1, Delivered: true}, Event{At: 9 * s, Kind: LogEnded})
+	log = append(
+		log,
+		Event{At: 2 * s, Kind: RelayDied},
+		Event{At: 2 * s, Kind: Accepted, Msg: 5, Dest: 1, Deadline: 9 * s},
+		Event{At: 2 * s, Kind: Sent, Msg: 5, Call: 9, Dest: 1, Endpoint: 11},
+		Event{At: 3 * s, Kind: AttemptEnded, Msg: 5, Call: 9, Dest: 1, Delivered: true},
+		Event{At: 9 * s, Kind: LogEnded},
+	)
 	if c := check(config, log); len(c.Violations) > 0 {
 		t.Error(c.Violations)
 	}
