--- a/internal/lab/emu/choices_test.go
+++ b/internal/lab/emu/choices_test.go
@@ -156,8 +156,9 @@
 	}
 }
 
-// Time slots reduce the calls to a destination that is known to be down. They reduce them less at
-// 240 relays than at 80, where most relays receive reports of failures (docs/design/choices.md).
+// Time slots reduce the calls to a destination that is known to be down, but less at 240 relays than
+// at 80: most relays of the larger fleet receive reports of failures from fewer than two others
+// (docs/design/choices.md).
 func TestTimeSlotsReduceProbes(t *testing.T) {
 	probes := map[int]int{}
 	for _, relays := range []int{80, 240} {
--- a/internal/lab/emu/result_test.go
+++ b/internal/lab/emu/result_test.go
@@ -9,7 +9,7 @@
 )
 
 // A contradiction between the simulation's own counts and the rule checker is recorded as an error.
-func TestAccountsDisagree(t *testing.T) {
+func TestContradictingCounts(t *testing.T) {
 	for want, corrupt := range map[string]func(*Result, *rules.Checker){
 		"":                           func(*Result, *rules.Checker) {},
 		"without an answer":          func(r *Result, _ *rules.Checker) { r.Overdue = 1 },
--- a/internal/lab/emu/scenario.go
+++ b/internal/lab/emu/scenario.go
@@ -284,8 +284,7 @@
 			boundedSetting{prefix + "kind", float64(dest.Kind), 0, float64(len(s.Kinds) - 1)},
 			boundedSetting{prefix + "share", dest.Share, 0, inf},
 			boundedSetting{prefix + "limit", dest.Limit, 0, inf},
-			boundedSetting{prefix + "number of endpoints",
-				float64(len(dest.Endpoints)), 1, 1e4},
+			boundedSetting{prefix + "number of endpoints", float64(len(dest.Endpoints)), 1, 1e4},
 		)
 		if dest.Kind >= 0 && dest.Kind < len(s.Kinds) && s.Kinds[dest.Kind].Limit != NoLimit {
 			settings = append(settings, boundedSetting{prefix + "limit", dest.Limit, 1e-3, inf})
@@ -302,8 +301,7 @@
 		for j, endpoint := range dest.Endpoints {
 			settings = append(
 				settings,
-				boundedSetting{fmt.Sprintf("%sendpoints[%d].speed", prefix, j), endpoint.Speed, 1e-6,
-					1e6},
+				boundedSetting{fmt.Sprintf("%sendpoints[%d].speed", prefix, j), endpoint.Speed, 1e-6, 1e6},
 				boundedSetting{fmt.Sprintf("%sendpoints[%d].workers", prefix, j), float64(endpoint.Workers), 1, 1e6},
 			)
 		}
