--- a/internal/lab/emu/simulation.go
+++ b/internal/lab/emu/simulation.go
@@ -459,7 +459,7 @@
 
 const (
 	completedDelivered completion = iota
-	completedReturned             // refused, without retries left
+	completedReturned             // not accepted or refused, without retries or time left
 	completedFailed               // by the relay
 	completedLost                 // without an answer in time
 )
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -99,6 +99,7 @@
 	Why   string
 }
 
+// String describes the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Msg, v.Why)
 }
@@ -106,8 +107,8 @@
 // Checker checks one log. It is not safe for concurrent use.
 type Checker struct {
 	config     Config
-	Violations []Violation
-	Counts     map[Name]int
+	Violations []Violation  // the first ones
+	Counts     map[Name]int // of all violations
 	messages   map[uint32]*message
 	calls      map[uint64]*call
 	relays     map[int]*relay
