--- a/internal/lab/capacity/events.go
+++ b/internal/lab/capacity/events.go
@@ -66,7 +66,7 @@
 	w := gossip.New(gossip.Config{Relays: size, Zones: eventZones, Loss: noteLoss, Seed: seed})
 	lost := loss.members(size)
 	watch := &lossWatch{lost: lost, taken: map[[2]int]bool{}}
-	w.Seen = watch.see
+	w.OnChange = watch.see
 	w.Run(settleTime / 2)
 	atStart := sent(w, lost)
 	w.Run(settleTime)
@@ -75,9 +75,9 @@
 
 	agreeFrom, end := w.Now, w.Now+deathWatch
 	if loss == Region {
-		w.Cut = func(from, to int) bool { return lost[from] != lost[to] }
+		w.Blocked = func(from, to int) bool { return lost[from] != lost[to] }
 		w.Run(w.Now + RegionCut)
-		w.Cut = nil
+		w.Blocked = nil
 		agreeFrom, end = w.Now, w.Now+joinWatch
 	} else {
 		for n := range lost {
@@ -121,20 +121,20 @@
 }
 
 // sent is how many bytes those that stay have sent.
-func sent(w *gossip.World, lost map[int]bool) (bytes int) {
+func sent(w *gossip.Simulation, lost map[int]bool) (bytes int) {
 	for n, node := range w.Nodes {
 		if !lost[n] {
-			bytes += node.Bytes
+			bytes += node.BytesSent
 		}
 	}
 	return bytes
 }
 
 // agreesAt runs a fleet until all agree who lives and returns when that was; -1 if they do not by the end.
-func agreesAt(w *gossip.World, end time.Duration) time.Duration {
+func agreesAt(w *gossip.Simulation, end time.Duration) time.Duration {
 	for w.Now < end {
 		w.Run(w.Now + agreeTurn)
-		if ok, _, _ := w.Agree(); ok {
+		if ok, _, _ := w.CheckAgreement(); ok {
 			return w.Now
 		}
 	}
@@ -155,12 +155,12 @@
 	if !w.on || e.To != members.Dead {
 		return
 	}
-	if w.lost[e.By] == w.lost[e.Number] {
+	if w.lost[e.Observer] == w.lost[e.Number] {
 		w.wrong++ // both are on the same side, and dead ones see nothing
 		return
 	}
-	pair := [2]int{e.By, e.Number}
-	if w.lost[e.By] || w.taken[pair] {
+	pair := [2]int{e.Observer, e.Number}
+	if w.lost[e.Observer] || w.taken[pair] {
 		return
 	}
 	w.taken[pair] = true
--- a/internal/lab/capacity/membership.go
+++ b/internal/lab/capacity/membership.go
@@ -26,10 +26,10 @@
 }
 
 // deaths keeps what was measured of each play, since several quantities are read from it.
-var deaths = map[play]gossip.Measured{}
+var deaths = map[play]gossip.Measurement{}
 
 // oneDeath plays a fleet in which one member dies, unless it was played before. Quantities are measured one after another.
-func oneDeath(size int, seed uint64) gossip.Measured {
+func oneDeath(size int, seed uint64) gossip.Measurement {
 	p := play{size, seed}
 	if _, played := deaths[p]; !played {
 		deaths[p] = gossip.Measure(gossip.Config{Relays: size, Zones: fleetZones, Seed: seed}, 1, calmTime, watchTime)
@@ -38,9 +38,11 @@
 }
 
 // membershipNotes is what each member sends for membership in a calm fleet.
-func membershipNotes(size int, seed uint64) (float64, error) { return oneDeath(size, seed).Bytes, nil }
+func membershipNotes(size int, seed uint64) (float64, error) {
+	return oneDeath(size, seed).BytesPerSecond, nil
+}
 
 // deathDetected is when the median member knows that one has died.
 func deathDetected(size int, seed uint64) (float64, error) {
-	return oneDeath(size, seed).Median * members.Period.Seconds(), nil
+	return oneDeath(size, seed).MedianDetection * members.Period.Seconds(), nil
 }
--- a/internal/lab/command/assignment.go
+++ b/internal/lab/command/assignment.go
@@ -62,7 +62,7 @@
 	each(len(outcomes), func(i int) {
 		c := base
 		c.Number = uint8(i % regions)
-		outcomes[i], errs[i] = region.Play(c, events[i/regions])
+		outcomes[i], errs[i] = region.RunEvent(c, events[i/regions])
 	})
 	for _, err := range errs {
 		if err != nil {
@@ -77,7 +77,7 @@
 	fmt.Fprintln(w, "event\tregion\trelays\thit\tmoved %\tback %\tconcerned\tmedian s\t999 of 1,000 s\tlast s\tone zone s\tof %\tno zone s\trelay bytes/s\tmost\tcontrol bytes/s\t")
 	for _, o := range outcomes {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.3f\t%.3f\t%d\t%.1f\t%.1f\t%.1f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t\n",
-			o.Event, o.Region, o.Relays, o.Hit, 100*o.Moved, 100*o.MovedBack, o.Concerned, o.Median, o.Late, o.Last, o.OneZone, 100*o.Share, o.NoZone, o.RelayRate, o.RelayMost, o.Control)
+			o.Event, o.Region, o.Relays, o.AffectedRelays, 100*o.Moved, 100*o.MovedBack, o.ChangesObserved, o.MedianSeconds, o.P999Seconds, o.MaxSeconds, o.OneZoneSeconds, 100*o.MaxOneZoneShare, o.NoZoneSeconds, o.MeanRelayRate, o.MaxRelayRate, o.ControlRate)
 	}
 	return w.Flush()
 }
--- a/internal/lab/command/fleet.go
+++ b/internal/lab/command/fleet.go
@@ -38,12 +38,12 @@
 					return err
 				}
 			}
-			res, err := fleet.Play(cmd.Context(), fleet.Config{Day: day, Seed: seed, Bin: bin, Out: out})
+			res, err := fleet.Run(cmd.Context(), fleet.Config{Scenario: day, Seed: seed, RelayBinary: bin, OutDir: out})
 			if err != nil {
 				return err
 			}
 			if out != "" {
-				if err := res.Write(out); err != nil {
+				if err := res.WriteFiles(out); err != nil {
 					return err
 				}
 			}
@@ -51,10 +51,10 @@
 			differ := error(nil)
 			var virtual *fleet.Verdict
 			if !alone {
-				if virtual, _, err = fleet.Virtual(day); err != nil {
+				if virtual, _, err = fleet.RunVirtual(day); err != nil {
 					return err
 				}
-				differ = res.Verdict.Same(virtual)
+				differ = res.Verdict.CheckSame(virtual)
 				bad = bad || differ != nil
 			}
 			if raw {
@@ -70,7 +70,7 @@
 				w := cmd.OutOrStdout()
 				fmt.Fprintf(w, "%s, seed %d: %d relays, %.1f s; %d messages offered, %d taken on, %d effects; %d notes of %d bytes\n", res.Day, seed, day.Relays, res.Seconds,
 					res.Offered, res.Taken, res.Ran, res.Sent, res.Bytes)
-				res.Timeline(w)
+				res.WriteTimeline(w)
 				fmt.Fprintf(w, "missed: %v; all agree in the end: %v\n", res.Verdict.Missed, res.Verdict.Agreed)
 				for kind, list := range map[string][]string{"broken: ": res.Verdict.Rules, "false death: ": res.Verdict.False, "fault: ": res.Verdict.Faults} {
 					for _, s := range list {
--- a/internal/lab/command/members.go
+++ b/internal/lab/command/members.go
@@ -35,16 +35,16 @@
 					return fmt.Errorf("loss: %g does not lie within 0 and 1", l)
 				}
 			}
-			all := make([]gossip.Measured, len(sizes)*len(losses))
-			var others []gossip.Weighed
+			all := make([]gossip.Measurement, len(sizes)*len(losses))
+			var others []gossip.Evaluation
 			each(len(all), func(i int) {
 				n := sizes[i/len(losses)]
 				all[i] = gossip.Measure(gossip.Config{Relays: n, Zones: 3, Loss: losses[i%len(losses)], Seed: seed}, max(1, n/10), time.Minute, 40*time.Second)
 			})
 			for _, n := range sizes {
 				for _, l := range losses {
-					for _, way := range gossip.Others {
-						others = append(others, gossip.Weigh(way, n, l, seed))
+					for _, way := range gossip.Alternatives {
+						others = append(others, gossip.EvaluateAlternative(way, n, l, seed))
 					}
 				}
 			}
@@ -58,21 +58,21 @@
 				e := json.NewEncoder(out)
 				e.SetIndent("", " ")
 				return e.Encode(struct {
-					Members []gossip.Measured `json:"members"`
-					Others  []gossip.Weighed  `json:"others"`
+					Members []gossip.Measurement `json:"members"`
+					Others  []gossip.Evaluation  `json:"others"`
 				}{all, others})
 			}
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "relays\tloss\tdie\tfirst\tmedian\tp99\tnot known\tdoubted an hour\tfalse an hour\tbytes a s\tnotes a s\tbytes a s after\t")
 			for _, m := range all {
-				fmt.Fprintf(w, "%d\t%.2f\t%d\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t%.2f\t%.0f\t%.1f\t%.0f\t\n", m.Relays, m.Loss, m.Killed, m.First, m.Median, m.P99, m.Unknown, m.Suspected, m.False, m.Bytes, m.Notes, m.BytesAfter)
+				fmt.Fprintf(w, "%d\t%.2f\t%d\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t%.2f\t%.0f\t%.1f\t%.0f\t\n", m.Relays, m.Loss, m.Killed, m.FirstDetection, m.MedianDetection, m.P99Detection, m.Undetected, m.SuspicionsPerHour, m.FalseDeathsPerHour, m.BytesPerSecond, m.MessagesPerSecond, m.BytesPerSecondAfter)
 			}
 			w.Flush()
 			fmt.Fprintln(out, "times in periods of 0.6 s; doubted and false a relay and hour")
 			w = tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "other ways\trelays\tloss\tdetect\tfalse an hour\tbytes a s\t")
 			for _, o := range others {
-				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.1f\t%.2f\t%.0f\t\n", o.Way, o.Relays, o.Loss, o.Detect, o.False, o.Bytes)
+				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.1f\t%.2f\t%.0f\t\n", o.Alternative, o.Relays, o.Loss, o.DetectionPeriods, o.FalseDeathsPerHour, o.BytesPerSecond)
 			}
 			return w.Flush()
 		}}
@@ -85,7 +85,7 @@
 }
 
 // plotMembers draws the median and the last hundredth of the time to detect, a line for each loss.
-func plotMembers(file string, all []gossip.Measured) error {
+func plotMembers(file string, all []gossip.Measurement) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "A tenth of the relays die: when the others know", "relays", "periods of 0.6 s"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
@@ -96,7 +96,7 @@
 		if !known {
 			order = append(order, m.Loss)
 		}
-		l[0], l[1] = append(l[0], plotter.XY{X: float64(m.Relays), Y: m.Median}), append(l[1], plotter.XY{X: float64(m.Relays), Y: m.P99})
+		l[0], l[1] = append(l[0], plotter.XY{X: float64(m.Relays), Y: m.MedianDetection}), append(l[1], plotter.XY{X: float64(m.Relays), Y: m.P99Detection})
 		lines[m.Loss] = l
 	}
 	var args []any
--- a/internal/lab/command/site.go
+++ b/internal/lab/command/site.go
@@ -16,10 +16,10 @@
 
 // siteReport is what a rehearsal prints as JSON.
 type siteReport struct {
-	Lost   string            `json:"lost"`
-	Seed   uint64            `json:"seed"`
-	Agrees []rehearse.Agrees `json:"plan_and_rehearsal"`
-	Return *siteReturn       `json:"return,omitempty"`
+	Lost   string                `json:"lost"`
+	Seed   uint64                `json:"seed"`
+	Agrees []rehearse.Comparison `json:"plan_and_rehearsal"`
+	Return *siteReturn           `json:"return,omitempty"`
 }
 
 type siteReturn struct {
@@ -31,7 +31,7 @@
 
 func siteCommand() *cobra.Command {
 	var file, kind string
-	var set rehearse.Set
+	var set rehearse.Config
 	var pairs, relays int
 	var raw bool
 	cmd := &cobra.Command{Use: "site --operator FILE --lost ZONE", Short: "Rehearse the loss of a site in virtual time, and say where plan and rehearsal differ", Args: cobra.NoArgs,
@@ -44,36 +44,36 @@
 			if c.Sites == nil {
 				return fmt.Errorf("%s: sites: missing", file)
 			}
-			set.Plan, set.Case, set.Relays = c.Sites, rehearse.Case(kind), relays
+			set.Plan, set.Case, set.RelaysPerSite = c.Sites, rehearse.Case(kind), relays
 			if pairs > 0 {
 				return sitePairs(cmd, set, pairs)
 			}
-			set.Act = true
-			all, _, err := rehearse.Against(set)
+			set.UsePlan = true
+			all, _, err := rehearse.CompareWithForecast(set)
 			if err != nil {
 				return err
 			}
-			out, err := rehearse.Play(set)
+			out, err := rehearse.Run(set)
 			if err != nil {
 				return err
 			}
-			back := &siteReturn{out.Returned.Seconds(), out.Res.Fallen, out.Overload, out.Res.Whole}
-			if out.Returned < 0 {
+			back := &siteReturn{out.RecoveredAfter.Seconds(), out.Result.Fallen, out.PeakOverload, out.Result.Whole}
+			if out.RecoveredAfter < 0 {
 				back.Seconds = -1
 			}
 			if raw {
 				e := json.NewEncoder(cmd.OutOrStdout())
 				e.SetIndent("", " ")
-				return e.Encode(siteReport{set.Lost, set.Seed, all, back})
+				return e.Encode(siteReport{set.LostZone, set.Seed, all, back})
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "class\tserved, plan\tserved, rehearsal\t")
 			for _, a := range all {
 				note := ""
-				if !a.Within {
-					note = fmt.Sprintf("differs by more than %.2f", rehearse.Near)
+				if !a.WithinTolerance {
+					note = fmt.Sprintf("differs by more than %.2f", rehearse.Tolerance)
 				}
-				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\n", a.Class, a.Plan, a.Rehearsal, note)
+				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\n", a.Class, a.Forecast, a.Rehearsal, note)
 			}
 			w.Flush()
 			fmt.Fprintf(cmd.OutOrStdout(), "\nloss and return: worth served %.3f, partners pushed over %d, survivors sent at most %.2f of what they take in any two seconds, whole again after %.1f s (-1: not by the day's end)\n",
@@ -81,11 +81,11 @@
 			return nil
 		}}
 	cmd.Flags().StringVar(&file, "operator", "", "the operator's `FILE`")
-	cmd.Flags().StringVar(&set.Lost, "lost", "", "the `ZONE` that is lost")
+	cmd.Flags().StringVar(&set.LostZone, "lost", "", "the `ZONE` that is lost")
 	cmd.Flags().Uint64Var(&set.Seed, "seed", 1, "what chance is drawn from")
 	cmd.Flags().IntVar(&relays, "relays", 4, "relays of each site")
 	cmd.Flags().StringVar(&kind, "case", string(rehearse.Plain), fmt.Sprintf("what happens: one of %v", rehearse.Cases()))
-	cmd.Flags().Float64Var(&set.Load, "load", 1, "times what the plan says is wanted")
+	cmd.Flags().Float64Var(&set.LoadFactor, "load", 1, "times what the plan says is wanted")
 	cmd.Flags().IntVar(&pairs, "pairs", 0, "days to play with the plan and without")
 	cmd.Flags().BoolVar(&raw, "json", false, "print the rehearsal as JSON")
 	cmd.MarkFlagRequired("operator")
@@ -94,7 +94,7 @@
 }
 
 // sitePairs plays days with the plan and without, on the same seeds.
-func sitePairs(cmd *cobra.Command, set rehearse.Set, pairs int) error {
+func sitePairs(cmd *cobra.Command, set rehearse.Config, pairs int) error {
 	outs := [2][]*rehearse.Outcome{make([]*rehearse.Outcome, pairs), make([]*rehearse.Outcome, pairs)}
 	errs := make([]error, 2*pairs)
 	lanes := make(chan struct{}, runtime.NumCPU())
@@ -105,8 +105,8 @@
 				lanes <- struct{}{}
 				defer func() { <-lanes }()
 				one := set
-				one.Seed, one.Act = set.Seed+uint64(i), arm == 1
-				outs[arm][i], errs[2*i+arm] = rehearse.Play(one)
+				one.Seed, one.UsePlan = set.Seed+uint64(i), arm == 1
+				outs[arm][i], errs[2*i+arm] = rehearse.Run(one)
 			})
 		}
 	}
@@ -119,7 +119,7 @@
 	var rows [2][]study.Row
 	for arm, name := range []string{"without", "plan"} {
 		for _, o := range outs[arm] {
-			rows[arm] = append(rows[arm], study.RowOf(name, o.Res))
+			rows[arm] = append(rows[arm], study.RowOf(name, o.Result))
 		}
 	}
 	diffs := study.Compare(rows[0], rows[1])
@@ -127,25 +127,25 @@
 		name string
 		of   func(*rehearse.Outcome) float64
 	}{
-		{"calls at the lost site", func(o *rehearse.Outcome) float64 { return float64(o.Lost) }},
-		{"overload of survivors", func(o *rehearse.Outcome) float64 { return o.Overload }},
-		{"partners pushed over", func(o *rehearse.Outcome) float64 { return float64(o.Res.Fallen) }},
+		{"calls at the lost site", func(o *rehearse.Outcome) float64 { return float64(o.CallsToLostSite) }},
+		{"overload of survivors", func(o *rehearse.Outcome) float64 { return o.PeakOverload }},
+		{"partners pushed over", func(o *rehearse.Outcome) float64 { return float64(o.Result.Fallen) }},
 	} {
 		diffs = append(diffs, paired(m.name, outs, m.of))
 	}
-	for i, c := range outs[0][0].Res.ByClass {
+	for i, c := range outs[0][0].Result.ByClass {
 		diffs = append(diffs, paired("not delivered, "+c.Name, outs, func(o *rehearse.Outcome) float64 {
-			t := o.Res.ByClass[i]
+			t := o.Result.ByClass[i]
 			return 1 - float64(t.Delivered)/float64(max(1, t.Requests))
 		}))
 	}
 	differences(cmd.OutOrStdout(), "without", diffs)
 	back, late := 0.0, 0
 	for _, o := range outs[1] {
-		if o.Returned < 0 {
+		if o.RecoveredAfter < 0 {
 			late++
 		} else {
-			back += o.Returned.Seconds()
+			back += o.RecoveredAfter.Seconds()
 		}
 	}
 	fmt.Fprintf(cmd.OutOrStdout(), "with the plan, from return to whole: %.1f s in the mean of %d days; not by the end of %d\n", back/float64(max(1, pairs-late)), pairs-late, late)
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -42,8 +42,8 @@
 	return v.Agreed && len(v.False)+len(v.Rules)+len(v.Faults) == 0
 }
 
-// Same tells whether two players came to the same verdict; else why not.
-func (v *Verdict) Same(o *Verdict) error {
+// CheckSame tells whether two players came to the same verdict; else why not.
+func (v *Verdict) CheckSame(o *Verdict) error {
 	switch {
 	case v.Good() != o.Good():
 		return fmt.Errorf("one is good, the other is not: %+v; %+v", v, o)
@@ -198,8 +198,8 @@
 	return rules
 }
 
-// Virtual plays the day in virtual time and comes to a verdict of the same form.
-func Virtual(day *emu.Scenario) (*Verdict, []Seen, error) {
+// RunVirtual plays the day in virtual time and comes to a verdict of the same form.
+func RunVirtual(day *emu.Scenario) (*Verdict, []Seen, error) {
 	d := *day
 	d.SettleTime = settle
 	res, err := emu.Run(&d, emu.Options{})
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -151,7 +151,7 @@
 	if err := Playable(d); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Play(context.Background(), Config{Day: d, Seed: 3, Bin: bin})
+	res, err := Run(context.Background(), Config{Scenario: d, Seed: 3, RelayBinary: bin})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 	if err := Playable(d); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Play(context.Background(), Config{Day: d, Seed: 4, Bin: bin})
+	res, err := Run(context.Background(), Config{Scenario: d, Seed: 4, RelayBinary: bin})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -24,8 +24,8 @@
 		return nil, err
 	}
 	agreed := r.until(ctx, "all relays to agree who lives", r.agreed)
-	if r.set.Behind != nil {
-		if err := r.set.Behind(r.relays); err != nil {
+	if r.set.InspectRelays != nil {
+		if err := r.set.InspectRelays(r.relays); err != nil {
 			r.fault("%v", err)
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -38,13 +38,13 @@
 
 // Config sets a run.
 type Config struct {
-	Day  *emu.Scenario
-	Seed uint64
-	Bin  string // the relay
-	Out  string // folder for logs and results; empty: none are kept
+	Scenario    *emu.Scenario
+	Seed        uint64
+	RelayBinary string // the relay
+	OutDir      string // folder for logs and results; empty: none are kept
 
-	Operator string                          // file that the relays are started with; empty: none
-	Behind   func([]*testdouble.Relay) error // asked of the relays when the day's messages have ended; nil: nothing
+	OperatorFile  string                          // file that the relays are started with; empty: none
+	InspectRelays func([]*testdouble.Relay) error // asked of the relays when the day's messages have ended; nil: nothing
 }
 
 // Result is what came of a run.
@@ -113,12 +113,12 @@
 	ending  atomic.Bool // the relays are told to end
 }
 
-// Play plays a day and judges it.
-func Play(ctx context.Context, set Config) (*Result, error) {
-	if err := Playable(set.Day); err != nil {
+// Run plays a day and judges it.
+func Run(ctx context.Context, set Config) (*Result, error) {
+	if err := Playable(set.Scenario); err != nil {
 		return nil, err
 	}
-	r := &run{set: set, day: set.Day, holding: map[int]bool{}, down: map[int]bool{}, stalled: map[int]int{}}
+	r := &run{set: set, day: set.Scenario, holding: map[int]bool{}, down: map[int]bool{}, stalled: map[int]int{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -202,8 +202,8 @@
 			return err
 		}
 		seat := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.net.PeerAddrs(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), DiscoveryAddr: discovery}
-		if r.set.Out != "" {
-			f, err := os.Create(filepath.Join(r.set.Out, fmt.Sprintf("relay-%02d.log", n)))
+		if r.set.OutDir != "" {
+			f, err := os.Create(filepath.Join(r.set.OutDir, fmt.Sprintf("relay-%02d.log", n)))
 			if err != nil {
 				return err
 			}
@@ -213,10 +213,10 @@
 			seat.OnLogLine = func(line string) { r.tap(n, line) }
 		}
 		args := []string{"--log", "debug"}
-		if r.set.Operator != "" {
-			args = append(args, "--operator", r.set.Operator)
+		if r.set.OperatorFile != "" {
+			args = append(args, "--operator", r.set.OperatorFile)
 		}
-		relay, err := r.world.NewFleetRelay(r.set.Bin, seat, args...)
+		relay, err := r.world.NewFleetRelay(r.set.RelayBinary, seat, args...)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 				if err := Playable(d); err != nil {
 					t.Fatal(err)
 				}
-				v, seen, err := Virtual(d)
+				v, seen, err := RunVirtual(d)
 				if err != nil || !v.Good() {
 					t.Fatalf("seed %d: %v, %+v", seed+1, err, v)
 				}
@@ -90,20 +90,20 @@
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
 			d, out := day(t, name, 1), t.TempDir()
-			res, err := Play(context.Background(), Config{Day: d, Seed: 1, Bin: bin, Out: out})
+			res, err := Run(context.Background(), Config{Scenario: d, Seed: 1, RelayBinary: bin, OutDir: out})
 			if err != nil {
 				t.Fatal(err)
 			}
-			virtual, _, err := Virtual(d)
+			virtual, _, err := RunVirtual(d)
 			if err == nil {
-				err = res.Verdict.Same(virtual)
+				err = res.Verdict.CheckSame(virtual)
 			}
 			if !res.Verdict.Good() || err != nil || len(res.Verdict.Missed) == 0 {
 				var lines strings.Builder
-				res.Timeline(&lines)
+				res.WriteTimeline(&lines)
 				t.Errorf("%v, %+v\n%s", err, res.Verdict, lines.String())
 			}
-			if err := res.Write(out); err != nil {
+			if err := res.WriteFiles(out); err != nil {
 				t.Fatal(err)
 			}
 			rows, err := parquet.ReadFile[Seen](filepath.Join(out, "results.parquet"))
@@ -197,7 +197,7 @@
 		}
 	}
 	good, bad := Verdict{Agreed: true}, Verdict{Agreed: true, Rules: []string{"x"}}
-	if good.Same(&bad) == nil || good.Same(&Verdict{Agreed: true, Gone: []int{1}}) == nil || good.Same(&good) != nil || (&Verdict{}).Good() {
+	if good.CheckSame(&bad) == nil || good.CheckSame(&Verdict{Agreed: true, Gone: []int{1}}) == nil || good.CheckSame(&good) != nil || (&Verdict{}).Good() {
 		t.Error("verdicts that differ are taken for the same")
 	}
 }
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -12,8 +12,8 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Write puts results.parquet, the timeline and the report into a folder.
-func (res *Result) Write(dir string) error {
+// WriteFiles puts results.parquet, the timeline and the report into a folder.
+func (res *Result) WriteFiles(dir string) error {
 	f, err := os.Create(filepath.Join(dir, "results.parquet"))
 	if err != nil {
 		return err
@@ -30,8 +30,8 @@
 	return errors.Join(res.report(page), page.Close())
 }
 
-// Timeline writes a line for each change: when, who, of whom, what and why.
-func (res *Result) Timeline(out io.Writer) {
+// WriteTimeline writes a line for each change: when, who, of whom, what and why.
+func (res *Result) WriteTimeline(out io.Writer) {
 	for _, s := range res.Seen {
 		if s.To == started {
 			fmt.Fprintf(out, "%7.2f s  relay %d starts\n", float64(s.AtMs)/1000, s.By)
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -108,7 +108,7 @@
 			defer func() { <-atOnce }()
 			d := threeSites(t, c.troubles...)
 			d.Name = "site-lost, " + name
-			res, err := Play(context.Background(), Config{Day: d, Seed: 6, Bin: bin, Operator: operatorFile(t), Behind: func(all []*testdouble.Relay) error {
+			res, err := Run(context.Background(), Config{Scenario: d, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
 				for i, relay := range all {
 					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
 						return fmt.Errorf("relay %d took for lost what answers", i)
@@ -143,7 +143,7 @@
 	d := threeSites(t)
 	d.Name, d.Length = "site-by-hand", 34*time.Second
 	r := run{}
-	res, err := Play(context.Background(), Config{Day: d, Seed: 7, Bin: bin, Operator: operatorFile(t), Behind: func(all []*testdouble.Relay) error {
+	res, err := Run(context.Background(), Config{Scenario: d, Seed: 7, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
 		for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405, "PUT /sites/zone-2/away": 404} {
 			var method, path string
 			fmt.Sscan(call, &method, &path)
--- a/internal/lab/gossip/gossip.go
+++ b/internal/lab/gossip/gossip.go
@@ -13,26 +13,26 @@
 // Config is a fleet and its network.
 type Config struct {
 	Relays, Zones int
-	Fan           int     // relays that a turn's notes go to; 0: 10
+	Fanout        int     // relays that a turn's notes go to; 0: 10
 	Loss          float64 // share of notes
-	Twice         float64 // share that comes twice
-	Late          float64 // share that comes up to Lateness later
-	Lateness      time.Duration
+	DuplicateRate float64 // share that comes twice
+	DelayRate     float64 // share that comes up to Lateness later
+	MaxExtraDelay time.Duration
 	Seed          uint64
 }
 
 // Node is one relay.
 type Node struct {
-	List    *members.List
-	Number  int
-	Zone    int
-	Life    int
-	Bytes   int // sent
-	Notes   int
-	up      bool
-	paused  time.Duration // until then; its clock goes on
-	waiting []arrival     // that came meanwhile
-	turnAt  time.Duration
+	List         *members.List
+	Number       int
+	Zone         int
+	RunID        int
+	BytesSent    int // sent
+	MessagesSent int
+	up           bool
+	paused       time.Duration // until then; its clock goes on
+	waiting      []arrival     // that came meanwhile
+	turnAt       time.Duration
 }
 
 type arrival struct {
@@ -42,23 +42,23 @@
 
 // Event is a change that one relay saw.
 type Event struct {
-	At time.Duration
-	By int
+	At       time.Duration
+	Observer int
 	members.Change
 }
 
-// World is a fleet at work.
-type World struct {
-	Now   time.Duration
-	Nodes []*Node
-	Loss  float64
-	Cut   func(from, to int) bool               // ways that carry nothing; nil: none
-	Seen  func(Event)                           // told of each change
-	Heard func(from, to int, note []byte) error // told of each note that comes; an error drops it
-	set   Config
-	rng   *rand.Rand
-	due   queue
-	seq   int
+// Simulation is a fleet at work.
+type Simulation struct {
+	Now       time.Duration
+	Nodes     []*Node
+	Loss      float64
+	Blocked   func(from, to int) bool               // ways that carry nothing; nil: none
+	OnChange  func(Event)                           // told of each change
+	OnReceive func(from, to int, note []byte) error // told of each note that comes; an error drops it
+	set       Config
+	rng       *rand.Rand
+	due       queue
+	seq       int
 }
 
 type item struct {
@@ -84,12 +84,12 @@
 }
 
 // New starts all relays of a fleet within one period.
-func New(set Config) *World {
-	if set.Fan == 0 {
-		set.Fan = 10
+func New(set Config) *Simulation {
+	if set.Fanout == 0 {
+		set.Fanout = 10
 	}
 	set.Zones = max(1, set.Zones)
-	w := &World{set: set, Loss: set.Loss, rng: rand.New(rand.NewPCG(set.Seed, 0x90551b))}
+	w := &Simulation{set: set, Loss: set.Loss, rng: rand.New(rand.NewPCG(set.Seed, 0x90551b))}
 	for i := range set.Relays {
 		w.Nodes = append(w.Nodes, &Node{Number: i, Zone: i % set.Zones})
 		w.Start(i)
@@ -97,14 +97,14 @@
 	return w
 }
 
-// At runs do at that time.
-func (w *World) At(at time.Duration, do func()) {
+// Schedule runs do at that time.
+func (w *Simulation) Schedule(at time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.due, item{max(at, w.Now), w.seq, do})
 }
 
 // Run goes on until then.
-func (w *World) Run(until time.Duration) {
+func (w *Simulation) Run(until time.Duration) {
 	for len(w.due) > 0 && w.due[0].at <= until {
 		x := heap.Pop(&w.due).(item)
 		w.Now = x.at
@@ -113,8 +113,8 @@
 	w.Now = until
 }
 
-// Until goes on until cond holds, looked at each tenth of a period, and tells whether it did by then.
-func (w *World) Until(by time.Duration, cond func() bool) bool {
+// RunUntil goes on until cond holds, looked at each tenth of a period, and tells whether it did by then.
+func (w *Simulation) RunUntil(by time.Duration, cond func() bool) bool {
 	for !cond() {
 		if w.Now >= by {
 			return false
@@ -125,20 +125,20 @@
 }
 
 // Start begins a life of a relay, which knows nothing of an earlier one.
-func (w *World) Start(n int) {
+func (w *Simulation) Start(n int) {
 	d := w.Nodes[n]
-	d.Life++
+	d.RunID++
 	d.up, d.paused, d.waiting = true, 0, nil
-	d.List = members.New(members.Config{Self: n, FleetSize: w.set.Relays, Zone: d.Zone, Seed: int64(w.set.Seed)*1_000_003 + int64(n)*101 + int64(d.Life)})
+	d.List = members.New(members.Config{Self: n, FleetSize: w.set.Relays, Zone: d.Zone, Seed: int64(w.set.Seed)*1_000_003 + int64(n)*101 + int64(d.RunID)})
 	d.turnAt = w.Now + time.Duration(w.rng.Int64N(int64(members.Period)))
 	w.wake(d, w.Now)
 }
 
 // Kill ends a relay without a word.
-func (w *World) Kill(n int) { w.Nodes[n].up = false }
+func (w *Simulation) Kill(n int) { w.Nodes[n].up = false }
 
 // Stop ends a relay that says so, in two turns.
-func (w *World) Stop(n int) {
+func (w *Simulation) Stop(n int) {
 	d := w.Nodes[n]
 	d.List.Leave(w.Now)
 	w.turn(d)
@@ -147,15 +147,15 @@
 }
 
 // Up tells whether a relay lives.
-func (w *World) Up(n int) bool { return w.Nodes[n].up }
+func (w *Simulation) Up(n int) bool { return w.Nodes[n].up }
 
 // Pause makes a relay stand still for so long. What comes meanwhile it finds then.
-func (w *World) Pause(n int, long time.Duration) {
+func (w *Simulation) Pause(n int, long time.Duration) {
 	d := w.Nodes[n]
-	life := d.Life
+	life := d.RunID
 	d.paused = w.Now + long
-	w.At(d.paused, func() {
-		if !d.up || d.Life != life {
+	w.Schedule(d.paused, func() {
+		if !d.up || d.RunID != life {
 			return
 		}
 		got := d.waiting
@@ -168,10 +168,10 @@
 }
 
 // wake lets a relay do what is due, again and again while it lives and moves.
-func (w *World) wake(d *Node, at time.Duration) {
-	life := d.Life
-	w.At(at, func() {
-		if !d.up || d.Life != life || w.Now < d.paused {
+func (w *Simulation) wake(d *Node, at time.Duration) {
+	life := d.RunID
+	w.Schedule(at, func() {
+		if !d.up || d.RunID != life || w.Now < d.paused {
 			return
 		}
 		w.send(d, d.List.Tick(w.Now))
@@ -184,48 +184,48 @@
 	})
 }
 
-func (w *World) turn(d *Node) {
-	for _, t := range d.List.GossipTargets(w.Now, w.set.Fan) {
+func (w *Simulation) turn(d *Node) {
+	for _, t := range d.List.GossipTargets(w.Now, w.set.Fanout) {
 		w.send(d, []members.Datagram{{To: t.To, Payload: d.List.Section(t, members.MaxPiggybackBytes)}})
 	}
 }
 
-func (w *World) changes(d *Node) {
+func (w *Simulation) changes(d *Node) {
 	for _, c := range d.List.Changes() {
-		if w.Seen != nil {
-			w.Seen(Event{w.Now, d.Number, c})
+		if w.OnChange != nil {
+			w.OnChange(Event{w.Now, d.Number, c})
 		}
 	}
 }
 
-func (w *World) send(d *Node, out []members.Datagram) {
+func (w *Simulation) send(d *Node, out []members.Datagram) {
 	for _, o := range out {
-		d.Bytes += len(o.Payload)
-		d.Notes++
+		d.BytesSent += len(o.Payload)
+		d.MessagesSent++
 		w.carry(d.Number, o.To, o.Payload)
 	}
 }
 
 // carry takes a note over the network.
-func (w *World) carry(from, to int, note []byte) {
+func (w *Simulation) carry(from, to int, note []byte) {
 	times := 1
-	if w.set.Twice > 0 && w.rng.Float64() < w.set.Twice {
+	if w.set.DuplicateRate > 0 && w.rng.Float64() < w.set.DuplicateRate {
 		times = 2
 	}
 	for range times {
-		if w.Loss > 0 && w.rng.Float64() < w.Loss || w.Cut != nil && w.Cut(from, to) {
+		if w.Loss > 0 && w.rng.Float64() < w.Loss || w.Blocked != nil && w.Blocked(from, to) {
 			continue
 		}
 		late := 2*time.Millisecond + time.Duration(w.rng.Int64N(int64(29*time.Millisecond)))
-		if w.set.Late > 0 && w.rng.Float64() < w.set.Late {
-			late += time.Duration(w.rng.Int64N(int64(w.set.Lateness) + 1))
+		if w.set.DelayRate > 0 && w.rng.Float64() < w.set.DelayRate {
+			late += time.Duration(w.rng.Int64N(int64(w.set.MaxExtraDelay) + 1))
 		}
-		w.At(w.Now+late, func() { w.Arrive(from, to, note) })
+		w.Schedule(w.Now+late, func() { w.Deliver(from, to, note) })
 	}
 }
 
-// Arrive has a note come to a relay as if from another.
-func (w *World) Arrive(from, to int, note []byte) {
+// Deliver has a note come to a relay as if from another.
+func (w *Simulation) Deliver(from, to int, note []byte) {
 	d := w.Nodes[to]
 	switch {
 	case !d.up:
@@ -236,8 +236,8 @@
 	}
 }
 
-func (w *World) hears(d *Node, from int, note []byte) {
-	if w.Heard != nil && w.Heard(from, d.Number, note) != nil {
+func (w *Simulation) hears(d *Node, from int, note []byte) {
+	if w.OnReceive != nil && w.OnReceive(from, d.Number, note) != nil {
 		return
 	}
 	out, _ := d.List.Receive(w.Now, from, note)
@@ -245,8 +245,8 @@
 	w.changes(d)
 }
 
-// Agree tells whether each relay that is up takes those that are up for alive and the others for away or left; else it names one that does not.
-func (w *World) Agree() (ok bool, by, of int) {
+// CheckAgreement tells whether each relay that is up takes those that are up for alive and the others for away or left; else it names one that does not.
+func (w *Simulation) CheckAgreement() (ok bool, by, of int) {
 	for i, d := range w.Nodes {
 		if !d.up {
 			continue
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -15,7 +15,7 @@
 var sizes = []int{3, 10, 80, 300}
 
 // fleet is a world that has come to rest: all know all.
-func fleet(t *testing.T, n int, set Config) (*World, *seen) {
+func fleet(t *testing.T, n int, set Config) (*Simulation, *seen) {
 	t.Helper()
 	set.Relays = n
 	if set.Zones == 0 {
@@ -23,7 +23,7 @@
 	}
 	w := New(set)
 	s := &seen{w: w, exempt: map[int]bool{}}
-	w.Seen = s.see
+	w.OnChange = s.see
 	w.Run(20 * period)
 	s.events = nil
 	return w, s
@@ -31,7 +31,7 @@
 
 // seen books what relays come to think of one another.
 type seen struct {
-	w      *World
+	w      *Simulation
 	events []Event
 	exempt map[int]bool // of those nobody is to be right about
 }
@@ -50,10 +50,10 @@
 	return all
 }
 
-func agree(t *testing.T, w *World, within time.Duration) {
+func agree(t *testing.T, w *Simulation, within time.Duration) {
 	t.Helper()
-	if !w.Until(w.Now+within, func() bool { ok, _, _ := w.Agree(); return ok }) {
-		_, by, of := w.Agree()
+	if !w.RunUntil(w.Now+within, func() bool { ok, _, _ := w.CheckAgreement(); return ok }) {
+		_, by, of := w.CheckAgreement()
 		t.Errorf("after %v relay %d takes %d for %v (%s)", within, by, of, w.Nodes[by].List.State(of), w.Nodes[by].List.View(w.Now).Members[of].Reason)
 	}
 }
@@ -70,7 +70,7 @@
 // Half of the notes are lost for a minute: no member that lives is taken for away, at any size, and all agree soon after.
 func TestHalfLost(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
-		w, s := fleet(t, n, Config{Seed: 5, Twice: 0.05, Late: 0.1, Lateness: 400 * time.Millisecond})
+		w, s := fleet(t, n, Config{Seed: 5, DuplicateRate: 0.05, DelayRate: 0.1, MaxExtraDelay: 400 * time.Millisecond})
 		w.Loss = 0.5
 		w.Run(w.Now + time.Minute)
 		w.Loss = 0
@@ -131,15 +131,15 @@
 	each(t, func(t *testing.T, n int) {
 		for _, pause := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
 			w, s := fleet(t, n, Config{Seed: 13})
-			before, was := w.Nodes[1].List.Incarnation(), w.Nodes[1].Notes
+			before, was := w.Nodes[1].List.Incarnation(), w.Nodes[1].MessagesSent
 			w.Pause(1, pause)
 			w.Run(w.Now + pause + 1)
-			if burst := w.Nodes[1].Notes - was; burst > 60 {
+			if burst := w.Nodes[1].MessagesSent - was; burst > 60 {
 				t.Errorf("%v: %d notes in the moment after", pause, burst)
 			}
 			agree(t, w, spanOf(n))
 			for _, e := range s.events {
-				if e.By == 1 && e.To != members.Alive {
+				if e.Observer == 1 && e.To != members.Alive {
 					t.Errorf("%v: the one that stood still accuses: %+v", pause, e)
 				}
 				if e.Number != 1 && e.To != members.Alive {
@@ -149,7 +149,7 @@
 			if after := w.Nodes[1].List.Incarnation(); pause >= 3*time.Second && after <= before {
 				t.Errorf("%v: incarnation %d after %d", pause, after, before)
 			}
-			if w.Nodes[1].Life != 1 {
+			if w.Nodes[1].RunID != 1 {
 				t.Error("it was restarted")
 			}
 		}
@@ -160,11 +160,11 @@
 func TestWakesDeaf(t *testing.T) {
 	w, s := fleet(t, 10, Config{Seed: 15})
 	w.Pause(1, 10*time.Second)
-	w.Cut = func(_, to int) bool { return to == 1 }
+	w.Blocked = func(_, to int) bool { return to == 1 }
 	w.Nodes[1].waiting = nil
 	w.Run(w.Now + 10*time.Second + 9*period)
 	for _, e := range s.events {
-		if e.By == 1 {
+		if e.Observer == 1 {
 			t.Fatalf("it accuses: %+v", e)
 		}
 	}
@@ -192,33 +192,33 @@
 func TestOneSided(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 19})
-		w.Cut = func(from, to int) bool { return to == 1 }
+		w.Blocked = func(from, to int) bool { return to == 1 }
 		w.Run(w.Now + 9*period)
 		if !w.Nodes[1].List.Isolated() {
 			t.Error("it does not know that it is deaf")
 		}
 		for _, e := range s.events {
-			if e.By == 1 && e.To != members.Alive {
+			if e.Observer == 1 && e.To != members.Alive {
 				t.Errorf("the deaf one accuses: %+v", e)
 			}
 			if e.Number == 1 && e.To == members.Dead {
 				t.Errorf("the deaf one is taken for away: %+v", e)
 			}
 		}
-		w.Cut = nil
+		w.Blocked = nil
 		agree(t, w, spanOf(n))
 
 		s.events = nil
-		w.Cut = func(from, to int) bool { return from == 1 }
-		if !w.Until(w.Now+3*spanOf(n), func() bool { return w.Nodes[0].List.State(1) == members.Dead }) {
+		w.Blocked = func(from, to int) bool { return from == 1 }
+		if !w.RunUntil(w.Now+3*spanOf(n), func() bool { return w.Nodes[0].List.State(1) == members.Dead }) {
 			t.Error("nobody misses the mute one")
 		}
 		for _, e := range s.events {
-			if e.By == 1 && e.To == members.Dead {
+			if e.Observer == 1 && e.To == members.Dead {
 				t.Errorf("the mute one, who hears all, takes another for away: %+v", e)
 			}
 		}
-		w.Cut = nil
+		w.Blocked = nil
 		agree(t, w, spanOf(n))
 	})
 }
@@ -227,7 +227,7 @@
 func TestPairCut(t *testing.T) {
 	for _, n := range sizes {
 		w, s := fleet(t, n, Config{Seed: 23})
-		w.Cut = func(from, to int) bool { return from+to == 1 }
+		w.Blocked = func(from, to int) bool { return from+to == 1 }
 		w.Run(w.Now + 100*period)
 		if dead := s.falseDeaths(); len(dead) > 0 {
 			t.Errorf("%d relays: %+v", n, dead[0])
@@ -240,7 +240,7 @@
 	each(t, func(t *testing.T, n int) {
 		w, _ := fleet(t, n, Config{Seed: 29, Zones: 3})
 		in := func(i int) bool { return w.Nodes[i].Zone == 2 }
-		w.Cut = func(from, to int) bool { return in(from) != in(to) }
+		w.Blocked = func(from, to int) bool { return in(from) != in(to) }
 		w.Run(w.Now + 6*spanOf(n))
 		for i, d := range w.Nodes {
 			v := d.List.View(w.Now)
@@ -258,7 +258,7 @@
 				t.Errorf("relay %d takes its share of %d members, though the others may go on", i, v.PossibleCallers)
 			}
 		}
-		w.Cut = nil
+		w.Blocked = nil
 		agree(t, w, 2*spanOf(n))
 	})
 }
@@ -268,7 +268,7 @@
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 30, Zones: 3})
 		in := func(i int) bool { return w.Nodes[i].Zone == 2 }
-		w.Cut = func(from, to int) bool { return in(to) && !in(from) }
+		w.Blocked = func(from, to int) bool { return in(to) && !in(from) }
 		for range 12 {
 			w.Run(w.Now + 5*period)
 			for i, d := range w.Nodes {
@@ -278,12 +278,12 @@
 			}
 		}
 		for _, e := range s.falseDeaths() {
-			if n <= 80 && in(e.By) == in(e.Number) { // at 300 a hundred are doubted and contradict all the time, and some news of others come too late (docs/status.md)
+			if n <= 80 && in(e.Observer) == in(e.Number) { // at 300 a hundred are doubted and contradict all the time, and some news of others come too late (docs/status.md)
 				t.Errorf("lost within a side: %+v", e)
 				break
 			}
 		}
-		w.Cut = nil
+		w.Blocked = nil
 		bound := 2 * spanOf(n)
 		if n > 80 {
 			bound *= 6 // the same flood of doubts has to drain first
@@ -295,13 +295,13 @@
 // One relay is cut off wholly, both ways: it says that it may be the one.
 func TestAlone(t *testing.T) {
 	w, _ := fleet(t, 80, Config{Seed: 31})
-	w.Cut = func(from, to int) bool { return from == 4 || to == 4 }
+	w.Blocked = func(from, to int) bool { return from == 4 || to == 4 }
 	w.Run(w.Now + 60*period)
 	v := w.Nodes[4].List.View(w.Now)
 	if !v.Isolated || v.PossibleCallers != 80 {
 		t.Errorf("deaf %v, shares with %d", v.Isolated, v.PossibleCallers)
 	}
-	w.Cut = nil
+	w.Blocked = nil
 	agree(t, w, spanOf(80))
 }
 
@@ -329,7 +329,7 @@
 			t.Error("no stop was known as planned")
 		}
 		for _, e := range s.falseDeaths() {
-			if e.Incarnation > 0 && e.By != e.Number {
+			if e.Incarnation > 0 && e.Observer != e.Number {
 				t.Errorf("taken for away after its restart: %+v", e)
 				break
 			}
@@ -353,7 +353,7 @@
 func twoUnderOneNumber(t *testing.T, alike bool) {
 	w, s := fleet(t, 10, Config{Seed: 41})
 	s.exempt[3] = true
-	life := func(w *World) byte {
+	life := func(w *Simulation) byte {
 		return w.Nodes[3].List.Section(members.Target{To: 1}, members.MaxPiggybackBytes)[1]
 	}
 	seed := uint64(99)
@@ -368,18 +368,18 @@
 	for w.Now < 200*period {
 		w.Run(w.Now + period/4)
 		for _, out := range double.List.Tick(w.Now) {
-			w.Arrive(3, out.To, out.Payload)
+			w.Deliver(3, out.To, out.Payload)
 		}
 		if w.Now >= next {
 			next = w.Now + period
 			for _, to := range double.List.GossipTargets(w.Now, 10) {
-				w.Arrive(3, to.To, double.List.Section(to, members.MaxPiggybackBytes))
+				w.Deliver(3, to.To, double.List.Section(to, members.MaxPiggybackBytes))
 			}
 		}
-		w.Heard = func(from, to int, note []byte) error {
+		w.OnReceive = func(from, to int, note []byte) error {
 			if to == 3 { // what goes to the number reaches both
 				for _, out := range must(double.List.Receive(w.Now, from, note)) {
-					w.At(w.Now+period/50, func() { w.Arrive(3, out.To, out.Payload) })
+					w.Schedule(w.Now+period/50, func() { w.Deliver(3, out.To, out.Payload) })
 				}
 			}
 			return nil
@@ -413,7 +413,7 @@
 		w, s := fleet(t, n, Config{Seed: 43})
 		liar := members.New(members.Config{Self: 2, FleetSize: n, Seed: 1})
 		var old [][]byte
-		w.Heard = func(from, to int, note []byte) error {
+		w.OnReceive = func(from, to int, note []byte) error {
 			if from == 5 && len(old) < 200 {
 				old = append(old, note)
 			}
@@ -426,13 +426,13 @@
 				if to == 2 {
 					continue
 				}
-				w.Arrive(2, to, liar.FalseGossip(w.Now, k))
+				w.Deliver(2, to, liar.FalseGossip(w.Now, k))
 			}
 			for range 50 {
-				w.Arrive(2, 0, liar.FalseGossip(w.Now, k))
+				w.Deliver(2, 0, liar.FalseGossip(w.Now, k))
 			}
 			if len(old) > 0 {
-				w.Arrive(5, k%n, old[k%len(old)])
+				w.Deliver(5, k%n, old[k%len(old)])
 			}
 			w.Run(w.Now + period/2)
 		}
@@ -477,7 +477,7 @@
 func TestNeverAnswer(t *testing.T) {
 	w := New(Config{Relays: 12, Seed: 47})
 	s := &seen{w: w, exempt: map[int]bool{}}
-	w.Seen = s.see
+	w.OnChange = s.see
 	w.Kill(10)
 	w.Kill(11)
 	w.Run(60 * period)
@@ -502,7 +502,7 @@
 	l.Tick(w.Now)
 	w.Run(w.Now + 30*period)
 	for _, e := range s.events {
-		if e.By == 4 && e.To != members.Alive {
+		if e.Observer == 4 && e.To != members.Alive {
 			t.Fatalf("%+v", e)
 		}
 	}
@@ -533,9 +533,9 @@
 	for _, n := range []int{10, 100, 1000} {
 		w, _ := fleet(t, n, Config{Seed: 61})
 		w.Run(w.Now + 100*period) // introductions are over
-		before := w.Nodes[0].Bytes
+		before := w.Nodes[0].BytesSent
 		w.Run(w.Now + 100*period)
-		all = append(all, float64(w.Nodes[0].Bytes-before)/100/period.Seconds())
+		all = append(all, float64(w.Nodes[0].BytesSent-before)/100/period.Seconds())
 	}
 	t.Logf("bytes a second at 10, 100 and 1000 relays: %.0f", all)
 	if all[2] > 1.6*all[0] {
@@ -548,7 +548,7 @@
 // Of the note that tells a relay that it is doubted, all but the latest are dropped: others still pass the doubt on, and it contradicts.
 func TestDropped(t *testing.T) {
 	w, s := fleet(t, 10, Config{Seed: 67})
-	w.Heard = func(from, to int, note []byte) error {
+	w.OnReceive = func(from, to int, note []byte) error {
 		if to == 1 && from == 0 || to == 0 && from == 1 {
 			return errDropped
 		}
@@ -562,7 +562,7 @@
 
 // One that dies keeps its place for a while, so that a restart changes nothing, and then has none; where half die at once they keep it for longer; one that left gives it up soon.
 func TestPlaced(t *testing.T) {
-	placed := func(w *World, by int) (n int) {
+	placed := func(w *Simulation, by int) (n int) {
 		for _, l := range w.Nodes[by].List.PlacementEligible(w.Now) {
 			if l {
 				n++
--- a/internal/lab/gossip/others.go
+++ b/internal/lab/gossip/others.go
@@ -7,15 +7,15 @@
 	"oatfold/internal/peers/members"
 )
 
-// Other is a way to find out who lives that was weighed against the one in service. Each is reduced to what decides: who hears whose heartbeats how
+// Alternative is a way to find out who lives that was weighed against the one in service. Each is reduced to what decides: who hears whose heartbeats how
 // often, and after how long a silence one is taken for dead.
-type Other string
+type Alternative string
 
 // The ways.
 const (
-	ToAll   Other = "heartbeats to all"         // each tells all each period
-	Implied Other = "notes as heartbeats"       // the notes of counts, to ten drawn anew each period, are the only sign of life
-	Few     Other = "heartbeats to five, phi 8" // each tells five that watch it, who judge by the spread of the gaps that they saw
+	AllToAllHeartbeats   Alternative = "heartbeats to all"         // each tells all each period
+	GossipAsHeartbeats   Alternative = "notes as heartbeats"       // the notes of counts, to ten drawn anew each period, are the only sign of life
+	PhiAccrualHeartbeats Alternative = "heartbeats to five, phi 8" // each tells five that watch it, who judge by the spread of the gaps that they saw
 )
 
 const (
@@ -23,34 +23,34 @@
 	beat  = 9 // bytes of a heartbeat: who, life, number
 )
 
-// Others are all of them.
-var Others = []Other{ToAll, Implied, Few}
+// Alternatives are all of them.
+var Alternatives = []Alternative{AllToAllHeartbeats, GossipAsHeartbeats, PhiAccrualHeartbeats}
 
-// Weighed is what came of one of them. Times are in periods.
-type Weighed struct {
-	Way    Other   `json:"way"`
-	Relays int     `json:"relays"`
-	Loss   float64 `json:"loss"`
-	Detect float64 `json:"detect"`       // median silence of a dead relay until a watcher takes it for dead
-	False  float64 `json:"false_hour"`   // live relays taken for dead, a relay and hour, by that silence
-	Bytes  float64 `json:"bytes_second"` // sent by a relay for it alone
+// Evaluation is what came of one of them. Times are in periods.
+type Evaluation struct {
+	Alternative        Alternative `json:"way"`
+	Relays             int         `json:"relays"`
+	Loss               float64     `json:"loss"`
+	DetectionPeriods   float64     `json:"detect"`       // median silence of a dead relay until a watcher takes it for dead
+	FalseDeathsPerHour float64     `json:"false_hour"`   // live relays taken for dead, a relay and hour, by that silence
+	BytesPerSecond     float64     `json:"bytes_second"` // sent by a relay for it alone
 }
 
-// Weigh plays watchers of one relay each. The silence of ToAll and Implied is set as an operator would: so that without loss one false death comes in a hundred
+// EvaluateAlternative plays watchers of one relay each. The silence of ToAll and Implied is set as an operator would: so that without loss one false death comes in a hundred
 // hours of the whole fleet.
-func Weigh(way Other, relays int, loss float64, seed uint64) Weighed {
+func EvaluateAlternative(way Alternative, relays int, loss float64, seed uint64) Evaluation {
 	rng := rand.New(rand.NewPCG(seed, uint64(relays)))
-	w := Weighed{Way: way, Relays: relays, Loss: loss}
+	w := Evaluation{Alternative: way, Relays: relays, Loss: loss}
 	hour := 3600 / members.Period.Seconds()
 	hears, watchers := 1.0, float64(relays-1) // chance that a watcher is told in a period; watchers of one relay
 	switch way {
-	case ToAll:
-		w.Bytes = beat * watchers / members.Period.Seconds()
-	case Implied:
+	case AllToAllHeartbeats:
+		w.BytesPerSecond = beat * watchers / members.Period.Seconds()
+	case GossipAsHeartbeats:
 		hears = min(1, 10/watchers)
-	case Few:
+	case PhiAccrualHeartbeats:
 		watchers = min(fewOf, watchers)
-		w.Bytes = beat * watchers / members.Period.Seconds()
+		w.BytesPerSecond = beat * watchers / members.Period.Seconds()
 	}
 	patience := 4.0 // periods
 	if hears < 1 {
@@ -71,14 +71,14 @@
 				silent = 0
 				continue
 			}
-			if way == Few {
+			if way == PhiAccrualHeartbeats {
 				patience = mean + phiWait*max(0.3, spread)
 			}
 			if silent == math.Ceil(patience) {
 				deaths++
 			}
 		}
-		if way == Few {
+		if way == PhiAccrualHeartbeats {
 			patience = mean + phiWait*max(0.3, spread)
 		}
 		detect = append(detect, patience)
@@ -87,8 +87,8 @@
 	for _, d := range detect {
 		sum += d
 	}
-	w.Detect = sum / float64(len(detect))
-	w.False = float64(deaths) / sample / hours * watchers
+	w.DetectionPeriods = sum / float64(len(detect))
+	w.FalseDeathsPerHour = float64(deaths) / sample / hours * watchers
 	return w
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -25,39 +25,39 @@
 
 // Class is a class of message in the mix.
 type Class struct {
-	Name   string
-	Share  float64
-	Left   time.Duration // time left that is told
-	Aim    time.Duration
-	Worth  float64
-	Effect rules.Effect
-	Window time.Duration
+	Name          string
+	Share         float64
+	TimeLeft      time.Duration // time left that is told
+	TargetLatency time.Duration
+	Value         float64
+	Effect        rules.Effect
+	RepeatWindow  time.Duration
 }
 
-// Mix is the usual one.
-var Mix = []Class{
-	{Name: "price-alert", Share: 0.43, Left: 6 * time.Second, Aim: 1500 * time.Millisecond, Worth: 1},
-	{Name: "order-relay", Share: 0.38, Left: 20 * time.Second, Aim: 3 * time.Second, Worth: 2, Effect: rules.Keyed, Window: 5 * time.Second},
-	{Name: "fee-charge", Share: 0.19, Left: 20 * time.Second, Aim: 2500 * time.Millisecond, Worth: 5, Effect: rules.Unsafe},
+// DefaultMix is the usual one.
+var DefaultMix = []Class{
+	{Name: "price-alert", Share: 0.43, TimeLeft: 6 * time.Second, TargetLatency: 1500 * time.Millisecond, Value: 1},
+	{Name: "order-relay", Share: 0.38, TimeLeft: 20 * time.Second, TargetLatency: 3 * time.Second, Value: 2, Effect: rules.Keyed, RepeatWindow: 5 * time.Second},
+	{Name: "fee-charge", Share: 0.19, TimeLeft: 20 * time.Second, TargetLatency: 2500 * time.Millisecond, Value: 5, Effect: rules.Unsafe},
 }
 
 // Config sets a load.
 type Config struct {
-	Addr  string
-	Rate  float64 // messages a second
-	For   time.Duration
-	Dests []int // dealt to evenly
-	Mix   []Class
-	Conns int // connections at most; messages that find none free wait, and their time runs
-	Body  int // bytes
-	Seed  uint64
-	Watch Watcher // nil: none
+	Addr      string
+	Rate      float64 // messages a second
+	Duration  time.Duration
+	Dests     []int // dealt to evenly
+	Mix       []Class
+	MaxConns  int // connections at most; messages that find none free wait, and their time runs
+	BodyBytes int // bytes
+	Seed      uint64
+	Watcher   Watcher // nil: none
 }
 
 // Watcher is told of each hand-in, as it is sent and as its answer has come; status 0: none came.
 type Watcher interface {
-	HandsIn(id string, class Class, dest int)
-	Answered(id string, status int)
+	MessageSent(id string, class Class, dest int)
+	MessageAnswered(id string, status int)
 }
 
 // Check names the first setting with which there is no load.
@@ -65,7 +65,7 @@
 	for _, f := range []struct {
 		name        string
 		v, from, to float64
-	}{{"rate", c.Rate, 0.01, 1e6}, {"for", c.For.Seconds(), 0.01, 600}, {"conns", float64(c.Conns), 1, 10_000}, {"body", float64(c.Body), 0, 65_536 - 64},
+	}{{"rate", c.Rate, 0.01, 1e6}, {"for", c.Duration.Seconds(), 0.01, 600}, {"conns", float64(c.MaxConns), 1, 10_000}, {"body", float64(c.BodyBytes), 0, 65_536 - 64},
 		{"number of destinations", float64(len(c.Dests)), 1, 1e6}, {"number of classes", float64(len(c.Mix)), 1, 100}} {
 		if !(f.v >= f.from && f.v <= f.to) {
 			return fmt.Errorf("%s: %g does not lie within %g and %g", f.name, f.v, f.from, f.to)
@@ -79,10 +79,10 @@
 
 // Report is what the clients saw. Times are in microseconds, from when a message was due to its answer.
 type Report struct {
-	Sent, Taken, Refused, Failed int
-	Worth                        float64 // asked for
-	Answer                       *hdrhistogram.Histogram
-	Behind                       time.Duration // the longest that a message waited for a connection
+	Sent, Accepted, Rejected, Failed int
+	Value                            float64 // asked for
+	AnswerTimes                      *hdrhistogram.Histogram
+	MaxQueueDelay                    time.Duration // the longest that a message waited for a connection
 }
 
 // histogram counts microseconds up to a minute.
@@ -103,38 +103,38 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	rep := &Report{Answer: histogram()}
+	rep := &Report{AnswerTimes: histogram()}
 	var mu sync.Mutex
 	// Room for all: a generator that waited for a free connection would slow down with the relay, and measure nothing.
-	shots := make(chan shot, int(set.Rate*set.For.Seconds()*1.5)+1000)
+	shots := make(chan shot, int(set.Rate*set.Duration.Seconds()*1.5)+1000)
 	var wg sync.WaitGroup
-	for range set.Conns {
+	for range set.MaxConns {
 		wg.Go(func() {
 			c := &conn{addr: set.Addr}
 			defer c.close()
 			for s := range shots {
 				began := time.Now()
 				id := s.id()
-				if set.Watch != nil {
-					set.Watch.HandsIn(id, *s.class, s.dest)
+				if set.Watcher != nil {
+					set.Watcher.MessageSent(id, *s.class, s.dest)
 				}
-				status, err := c.post(s, id, set.Body)
-				if set.Watch != nil {
-					set.Watch.Answered(id, status)
+				status, err := c.post(s, id, set.BodyBytes)
+				if set.Watcher != nil {
+					set.Watcher.MessageAnswered(id, status)
 				}
 				took := time.Since(s.due)
 				mu.Lock()
 				rep.Sent++
-				rep.Worth += s.class.Worth
-				rep.Behind = max(rep.Behind, began.Sub(s.due))
-				rep.Answer.RecordValue(max(1, took.Microseconds()))
+				rep.Value += s.class.Value
+				rep.MaxQueueDelay = max(rep.MaxQueueDelay, began.Sub(s.due))
+				rep.AnswerTimes.RecordValue(max(1, took.Microseconds()))
 				switch {
 				case err != nil:
 					rep.Failed++
 				case status == 202 || status == 200:
-					rep.Taken++
+					rep.Accepted++
 				case status == 429 || status == 503:
-					rep.Refused++
+					rep.Rejected++
 				default:
 					rep.Failed++
 				}
@@ -150,7 +150,7 @@
 	}
 	for n, at := 0, time.Duration(0); ctx.Err() == nil; n++ {
 		at += time.Duration(rng.ExpFloat64() / set.Rate * float64(time.Second))
-		if at > set.For {
+		if at > set.Duration {
 			break
 		}
 		if wait := time.Until(start.Add(at)); wait > time.Millisecond {
@@ -210,7 +210,7 @@
 	b := append(c.buf[:0], "POST /"...)
 	b = append(b, s.class.Name...)
 	b = append(b, " HTTP/1.1\r\nHost: relay\r\nX-Correlation-Id: "...)
-	b = fmt.Appendf(b, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id, s.class.Left.Milliseconds(), s.dest)
+	b = fmt.Appendf(b, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id, s.class.TimeLeft.Milliseconds(), s.dest)
 	if s.class.Effect == rules.Keyed {
 		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", s.due.UnixNano())
 	}
@@ -233,15 +233,15 @@
 
 // Meter is what messages did at the partners.
 type Meter struct {
-	mu      sync.Mutex
-	mix     map[string]Class
-	seen    map[string]bool
-	Latency *hdrhistogram.Histogram // from due to done, in microseconds
-	Done    int
-	Doubles int // orders and charges among them: see Wrong
-	Wrong   int // charges that ran twice, and orders that ran twice beyond any window
-	InAim   int
-	Worth   float64 // served within its aim
+	mu                  sync.Mutex
+	mix                 map[string]Class
+	seen                map[string]bool
+	Latency             *hdrhistogram.Histogram // from due to done, in microseconds
+	Completed           int
+	Duplicates          int // orders and charges among them: see Wrong
+	ForbiddenDuplicates int // charges that ran twice, and orders that ran twice beyond any window
+	WithinTarget        int
+	Value               float64 // served within its aim
 }
 
 // NewMeter returns a meter for a mix.
@@ -253,8 +253,8 @@
 	return m
 }
 
-// Ran is told of each body that ran.
-func (m *Meter) Ran(body []byte) {
+// Record is told of each body that ran.
+func (m *Meter) Record(body []byte) {
 	now := time.Now()
 	name, rest, _ := strings.Cut(string(body[:min(len(body), 128)]), "\n")
 	at, _, _ := strings.Cut(rest, "\n")
@@ -267,35 +267,35 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.seen[name] {
-		m.Doubles++
+		m.Duplicates++
 		if class == "fee-charge" {
-			m.Wrong++
+			m.ForbiddenDuplicates++
 		}
 		return
 	}
 	m.seen[name] = true
-	m.Done++
+	m.Completed++
 	m.Latency.RecordValue(max(1, took.Microseconds()))
-	if c := m.mix[class]; took <= c.Aim {
-		m.InAim++
-		m.Worth += c.Worth
+	if c := m.mix[class]; took <= c.TargetLatency {
+		m.WithinTarget++
+		m.Value += c.Value
 	}
 }
 
-// Count is how many have run.
-func (m *Meter) Count() int { m.mu.Lock(); defer m.mu.Unlock(); return m.Done }
+// CompletedCount is how many have run.
+func (m *Meter) CompletedCount() int { m.mu.Lock(); defer m.mu.Unlock(); return m.Completed }
 
 // Usage is what a process has used.
 type Usage struct {
-	CPU  time.Duration
-	Peak int64 // bytes resident at most
+	CPU       time.Duration
+	PeakBytes int64 // bytes resident at most
 }
 
 // tick is the kernel's unit of CPU time in /proc, which Linux fixes for programs.
 const tick = 10 * time.Millisecond
 
-// Use reads the usage of a process from /proc.
-func Use(pid int) (u Usage, err error) {
+// ReadUsage reads the usage of a process from /proc.
+func ReadUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
@@ -322,7 +322,7 @@
 			if err != nil {
 				return u, err
 			}
-			u.Peak = kb << 10
+			u.PeakBytes = kb << 10
 		}
 	}
 	return u, nil
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -45,18 +45,18 @@
 	r.check.Check(e)
 }
 
-// HandsIn books a message as it is sent: a relay may call a partner before its client has read the answer.
-func (r *Recorder) HandsIn(id string, class Class, dest int) {
+// MessageSent books a message as it is sent: a relay may call a partner before its client has read the answer.
+func (r *Recorder) MessageSent(id string, class Class, dest int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last++
-	m := &recorded{num: r.last, dest: dest, class: class, until: time.Since(r.start) + class.Left}
+	m := &recorded{num: r.last, dest: dest, class: class, until: time.Since(r.start) + class.TimeLeft}
 	r.msgs[id] = m
-	r.log(rules.Event{Kind: rules.Accepted, Msg: m.num, Dest: dest, Effect: class.Effect, RepeatWindow: class.Window, Deadline: m.until})
+	r.log(rules.Event{Kind: rules.Accepted, Msg: m.num, Dest: dest, Effect: class.Effect, RepeatWindow: class.RepeatWindow, Deadline: m.until})
 }
 
-// Answered ends what was not taken on.
-func (r *Recorder) Answered(id string, status int) {
+// MessageAnswered ends what was not taken on.
+func (r *Recorder) MessageAnswered(id string, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.msgs[id]
@@ -71,8 +71,8 @@
 	}
 }
 
-// Noticed is a notice to the platform. One of what is over does no harm.
-func (r *Recorder) Noticed(n testdouble.Notification) {
+// NotificationReceived is a notice to the platform. One of what is over does no harm.
+func (r *Recorder) NotificationReceived(n testdouble.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.msgs[n.Message]
@@ -90,8 +90,8 @@
 // settle is how long a partner may take to see that a relay has closed a connection.
 const settle = 50 * time.Millisecond
 
-// Seen is a call at a partner, as it comes and as it ends.
-func (r *Recorder) Seen(c testdouble.Call) {
+// CallObserved is a call at a partner, as it comes and as it ends.
+func (r *Recorder) CallObserved(c testdouble.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !c.Completed {
@@ -131,8 +131,8 @@
 	return false
 }
 
-// Open is how many messages have had no end yet.
-func (r *Recorder) Open() int {
+// PendingCount is how many messages have had no end yet.
+func (r *Recorder) PendingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.check.PendingCount()
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	var partners []testdouble.PartnerConfig
 	for d := range 4 {
-		partners = append(partners, testdouble.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.Seen})
+		partners = append(partners, testdouble.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.CallObserved})
 	}
 	partners[2].Kind = "broker"
 	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: 1, Partners: partners, MaxPending: 2000})
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	w.Platform.OnNotification(r.Noticed)
+	w.Platform.OnNotification(r.NotificationReceived)
 	for d, m := range map[int]testdouble.Mode{1: testdouble.Unavailable, 2: testdouble.ResetAfterRun, 3: testdouble.InternalError} {
 		if err := w.Partners[d].SetMode(m, 0.15); err != nil {
 			t.Fatal(err)
@@ -35,7 +35,7 @@
 
 func under(t *testing.T, addr string, r *load.Recorder) *load.Report {
 	t.Helper()
-	rep, err := load.Run(context.Background(), load.Config{Addr: addr, Rate: 150, For: 3 * time.Second, Dests: []int{1, 2, 3, 4}, Mix: load.Mix, Conns: 32, Body: 200, Seed: 3, Watch: r})
+	rep, err := load.Run(context.Background(), load.Config{Addr: addr, Rate: 150, Duration: 3 * time.Second, Dests: []int{1, 2, 3, 4}, Mix: load.DefaultMix, MaxConns: 32, BodyBytes: 200, Seed: 3, Watcher: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,10 @@
 		t.Fatal(err)
 	}
 	rep := under(t, relay.Addr, r)
-	if err := w.WaitUntil("every message's end", func() bool { return r.Open() == 0 }); err != nil {
+	if err := w.WaitUntil("every message's end", func() bool { return r.PendingCount() == 0 }); err != nil {
 		t.Error(err)
 	}
-	if breaks, _ := r.Finish(); len(breaks) > 0 || rep.Taken < 300 || rep.Failed > 0 {
+	if breaks, _ := r.Finish(); len(breaks) > 0 || rep.Accepted < 300 || rep.Failed > 0 {
 		t.Errorf("%+v: %v", rep, breaks)
 	}
 
@@ -70,7 +70,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	addr, ended := make(chan string, 1), make(chan error, 1)
-	go func() { ended <- load.Forward(ctx, to, func(a string) { addr <- a }) }()
+	go func() { ended <- load.RunForwarder(ctx, to, func(a string) { addr <- a }) }()
 	under(t, <-addr, r)
 	stop()
 	if err := <-ended; err != nil {
@@ -79,7 +79,7 @@
 	if _, counts := r.Finish(); counts[rules.RetryAfter] == 0 || counts[rules.Bounds] == 0 {
 		t.Errorf("the forwarder breaks waits and places, found %v", counts)
 	}
-	if _, err := load.Use(os.Getpid()); err != nil {
+	if _, err := load.ReadUsage(os.Getpid()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -16,42 +16,44 @@
 	"oatfold/internal/testdouble"
 )
 
-// Step is one rate that a program was put under.
-type Step struct {
-	Program     string
-	Offered     float64 // messages a second
-	Sent, InAim int
-	Refused     int
-	Failed      int
-	Doubles     int
-	P50, P99    time.Duration // from due to done at the partner
-	CPU         time.Duration // of the program, from its start to the last message
-	Peak        int64         // bytes resident at most
-	Kept        bool          // nearly all was done within its aim
+// RateResult is one rate that a program was put under.
+type RateResult struct {
+	Program            string
+	OfferedRate        float64 // messages a second
+	Sent, WithinTarget int
+	Rejected           int
+	Failed             int
+	Duplicates         int
+	P50, P99           time.Duration // from due to done at the partner
+	CPU                time.Duration // of the program, from its start to the last message
+	PeakBytes          int64         // bytes resident at most
+	TargetKept         bool          // nearly all was done within its aim
 }
 
-// PerCPU is how many messages it did for a second of CPU.
-func (s Step) PerCPU() float64 { return float64(s.InAim) / max(s.CPU.Seconds(), 0.01) }
+// MessagesPerCPUSecond is how many messages it did for a second of CPU.
+func (s RateResult) MessagesPerCPUSecond() float64 {
+	return float64(s.WithinTarget) / max(s.CPU.Seconds(), 0.01)
+}
 
 // kept is the share of messages that have to be done within their aim.
 const kept = 0.99
 
-// Saturation sets a search for the highest rate that keeps the aim.
-type Saturation struct {
-	Relay   string   // the program
-	Forward []string // command of the forwarder, to which --to ADDR is added; it prints its address on a line
-	Rates   []float64
-	For     time.Duration
-	Dests   int
-	Conns   int
-	Body    int
-	Seed    uint64
-	Profile func(addr string, rate float64) // nil: none
+// SaturationConfig sets a search for the highest rate that keeps the aim.
+type SaturationConfig struct {
+	RelayBinary    string   // the program
+	ForwardCommand []string // command of the forwarder, to which --to ADDR is added; it prints its address on a line
+	Rates          []float64
+	Duration       time.Duration
+	Dests          int
+	MaxConns       int
+	BodyBytes      int
+	Seed           uint64
+	Profile        func(addr string, rate float64) // nil: none
 }
 
 // Saturate puts the relay and a plain forwarder under growing rates, each in a process of its own that is new for each rate, and beside each other
 // at each rate. A program that did not keep the aim is not tried any further.
-func Saturate(ctx context.Context, set Saturation, each func(Step)) error {
+func Saturate(ctx context.Context, set SaturationConfig, each func(RateResult)) error {
 	over := map[string]bool{}
 	for _, rate := range set.Rates {
 		for _, program := range []string{"relay", "forwarder"} {
@@ -62,20 +64,20 @@
 			if err != nil {
 				return fmt.Errorf("%s at %g/s: %w", program, rate, err)
 			}
-			over[program] = !s.Kept
+			over[program] = !s.TargetKept
 			each(*s)
 		}
 	}
 	return ctx.Err()
 }
 
-func (set Saturation) step(ctx context.Context, program string, rate float64) (*Step, error) {
-	meter := NewMeter(Mix)
+func (set SaturationConfig) step(ctx context.Context, program string, rate float64) (*RateResult, error) {
+	meter := NewMeter(DefaultMix)
 	var partners []testdouble.PartnerConfig
-	load := Config{Rate: rate, For: set.For, Mix: Mix, Conns: set.Conns, Body: set.Body, Seed: set.Seed}
+	load := Config{Rate: rate, Duration: set.Duration, Mix: DefaultMix, MaxConns: set.MaxConns, BodyBytes: set.BodyBytes, Seed: set.Seed}
 	for i := range set.Dests {
 		load.Dests = append(load.Dests, i+1)
-		partners = append(partners, testdouble.PartnerConfig{Dest: i + 1, OnMessage: meter.Ran})
+		partners = append(partners, testdouble.PartnerConfig{Dest: i + 1, OnMessage: meter.Record})
 	}
 	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000, MaxDescriptors: 4096, DiskMB: 256})
 	if err != nil {
@@ -84,7 +86,7 @@
 	defer w.Close()
 	pid := 0
 	if program == "relay" {
-		r, err := w.StartRelay(set.Relay)
+		r, err := w.StartRelay(set.RelayBinary)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +96,7 @@
 		for _, p := range w.Partners {
 			to = append(to, p.Addresses()...)
 		}
-		cmd, addr, err := forward(ctx, set.Forward, to)
+		cmd, addr, err := forward(ctx, set.ForwardCommand, to)
 		if err != nil {
 			return nil, err
 		}
@@ -106,18 +108,18 @@
 		return nil, err
 	}
 	// What was taken on may still be on its way; its aim bounds the wait.
-	for end := time.Now().Add(3 * time.Second); meter.Count() < rep.Taken && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); meter.CompletedCount() < rep.Accepted && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	u, err := Use(pid)
+	u, err := ReadUsage(pid)
 	if err != nil {
 		return nil, err
 	}
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	s := &Step{Program: program, Offered: rate, Sent: rep.Sent, InAim: meter.InAim, Refused: rep.Refused, Failed: rep.Failed, Doubles: meter.Doubles, CPU: u.CPU, Peak: u.Peak,
+	s := &RateResult{Program: program, OfferedRate: rate, Sent: rep.Sent, WithinTarget: meter.WithinTarget, Rejected: rep.Rejected, Failed: rep.Failed, Duplicates: meter.Duplicates, CPU: u.CPU, PeakBytes: u.PeakBytes,
 		P50: time.Duration(meter.Latency.ValueAtPercentile(50)) * time.Microsecond, P99: time.Duration(meter.Latency.ValueAtPercentile(99)) * time.Microsecond}
-	s.Kept = float64(s.InAim) >= kept*float64(s.Sent)
+	s.TargetKept = float64(s.WithinTarget) >= kept*float64(s.Sent)
 	return s, nil
 }
 
@@ -141,9 +143,9 @@
 	return cmd, strings.TrimSpace(line), nil
 }
 
-// Forward is the yardstick: a plain forwarder on net/http/httputil.ReverseProxy that keeps nothing, retries nothing and deals messages
+// RunForwarder is the yardstick: a plain forwarder on net/http/httputil.ReverseProxy that keeps nothing, retries nothing and deals messages
 // to the addresses in turn. It prints its address and serves until ctx is over.
-func Forward(ctx context.Context, to []string, print func(addr string)) error {
+func RunForwarder(ctx context.Context, to []string, print func(addr string)) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
--- a/internal/lab/region/check.go
+++ b/internal/lab/region/check.go
@@ -16,7 +16,7 @@
 
 // Covered counts, by what the relays themselves hold for theirs, in how many zones
 // each partition is served by a relay that is up.
-func (w *World) Covered() Cover {
+func (w *Simulation) Covered() Cover {
 	zones := make([]uint64, w.Config.Partitions) // a bit for each zone
 	for i, r := range w.Relays {
 		if !r.Up || r.Follower.Current() == nil {
@@ -42,7 +42,7 @@
 }
 
 // Outdated returns the relays that are up and hold something else than the map says.
-func (w *World) Outdated(m *assignment.Map) (outdated []int) {
+func (w *Simulation) Outdated(m *assignment.Map) (outdated []int) {
 	concerned := m.ByRelay()
 	for i, r := range w.Relays {
 		if r.Up && !r.holds(m, concerned[i]) {
@@ -93,7 +93,7 @@
 // until that relay went by it, or by a later one. What is not in force at the end
 // counts with the time that has passed. It looks every so often, and calls look
 // each time.
-func (w *World) ChangeDelays(span, every time.Duration, look func()) (delays []time.Duration) {
+func (w *Simulation) ChangeDelays(span, every time.Duration, look func()) (delays []time.Duration) {
 	var open []change
 	shown := w.Published()
 	for end := w.Now + span; w.Now < end; {
--- a/internal/lab/region/events.go
+++ b/internal/lab/region/events.go
@@ -35,36 +35,36 @@
 
 // Outcome is what an event came to in a region.
 type Outcome struct {
-	Region    int     `parquet:"region"`
-	Event     string  `parquet:"event"`
-	Relays    int     `parquet:"relays"`
-	Hit       int     `parquet:"hit"`        // relays that went, or started
-	Moved     float64 `parquet:"moved"`      // share of all replicas that moved as they went
-	MovedBack float64 `parquet:"moved_back"` // and as they returned
-	Concerned int     `parquet:"concerned"`  // relays that a change of the map concerned
-	Median    float64 `parquet:"median_s"`   // seconds until a change was in force at half of them
-	Late      float64 `parquet:"late_s"`     // and at 999 of 1,000
-	Last      float64 `parquet:"last_s"`
-	OneZone   float64 `parquet:"one_zone_s"` // seconds in which some partition was served in one zone only
-	Share     float64 `parquet:"one_zone"`   // the greatest share of partitions that were at once
-	NoZone    float64 `parquet:"no_zone_s"`  // seconds in which some partition was not served
-	RelayRate float64 `parquet:"relay_rate"` // bytes a second of a relay for control, both ways
-	RelayMost float64 `parquet:"relay_most"` // of the relay that spent most
-	Control   float64 `parquet:"control"`    // bytes a second that a control machine sent
+	Region          int     `parquet:"region"`
+	Event           string  `parquet:"event"`
+	Relays          int     `parquet:"relays"`
+	AffectedRelays  int     `parquet:"hit"`        // relays that went, or started
+	Moved           float64 `parquet:"moved"`      // share of all replicas that moved as they went
+	MovedBack       float64 `parquet:"moved_back"` // and as they returned
+	ChangesObserved int     `parquet:"concerned"`  // relays that a change of the map concerned
+	MedianSeconds   float64 `parquet:"median_s"`   // seconds until a change was in force at half of them
+	P999Seconds     float64 `parquet:"late_s"`     // and at 999 of 1,000
+	MaxSeconds      float64 `parquet:"last_s"`
+	OneZoneSeconds  float64 `parquet:"one_zone_s"` // seconds in which some partition was served in one zone only
+	MaxOneZoneShare float64 `parquet:"one_zone"`   // the greatest share of partitions that were at once
+	NoZoneSeconds   float64 `parquet:"no_zone_s"`  // seconds in which some partition was not served
+	MeanRelayRate   float64 `parquet:"relay_rate"` // bytes a second of a relay for control, both ways
+	MaxRelayRate    float64 `parquet:"relay_most"` // of the relay that spent most
+	ControlRate     float64 `parquet:"control"`    // bytes a second that a control machine sent
 }
 
 // play is an event under way.
 type play struct {
-	*World
+	*Simulation
 	Outcome
 	delays  []time.Duration
 	began   time.Duration
 	covered time.Duration // until when coverage was looked at
 }
 
-// Play plays an event in a region of its own, which is whole before it begins. The
+// RunEvent plays an event in a region of its own, which is whole before it begins. The
 // error names an unknown event, or says that the region never got whole.
-func Play(c Config, event Event) (Outcome, error) {
+func RunEvent(c Config, event Event) (Outcome, error) {
 	if !slices.Contains(Events, event) {
 		return Outcome{}, fmt.Errorf("unknown event %q", event)
 	}
@@ -76,7 +76,7 @@
 	if _, ok := w.RunUntil(settleBy, time.Second, whole); !ok {
 		return Outcome{}, fmt.Errorf("region %d: not whole after %v", c.Number, settleBy)
 	}
-	p := &play{World: w, Outcome: Outcome{Region: int(c.Number), Event: string(event), Relays: c.Relays}, began: w.Now}
+	p := &play{Simulation: w, Outcome: Outcome{Region: int(c.Number), Event: string(event), Relays: c.Relays}, began: w.Now}
 	w.clearCounts()
 	if err := p.happen(event); err != nil {
 		return Outcome{}, err
@@ -122,7 +122,7 @@
 
 // goAndReturn has relays go for a while and return.
 func (p *play) goAndReturn(relays []int, away time.Duration) {
-	p.Hit = len(relays)
+	p.AffectedRelays = len(relays)
 	first := p.Published()
 	p.StopAll(relays)
 	p.follow(away)
@@ -135,7 +135,7 @@
 // leaveAndReturn has relays leave as planned, each go once it is free to, and
 // return.
 func (p *play) leaveAndReturn(relays []int) {
-	p.Hit = len(relays)
+	p.AffectedRelays = len(relays)
 	first := p.Published()
 	p.LeaveAll(relays, true)
 	for end := p.Now + goneBy; p.Now < end; {
@@ -156,7 +156,7 @@
 		p.StopControl(i)
 	}
 	restarted := p.tenth()
-	p.Hit = len(restarted)
+	p.AffectedRelays = len(restarted)
 	p.StopAll(restarted)
 	p.StartAll(restarted)
 	p.follow(controlIn)
@@ -173,13 +173,13 @@
 // massStart has a zone's relays start at once, which know nothing.
 func (p *play) massStart() {
 	relays := p.Zone(1)
-	p.Hit = len(relays)
+	p.AffectedRelays = len(relays)
 	p.StopAll(relays)
 	p.Run(p.Now + backBy)
 	p.clearCounts()
 	p.began = p.Now
 	for _, i := range relays {
-		p.World.Relays[i].disk = nil
+		p.Simulation.Relays[i].disk = nil
 	}
 	p.StartAll(relays)
 	waiting := map[int]bool{}
@@ -189,7 +189,7 @@
 	for start := p.Now; p.Now < start+backBy; {
 		p.Run(p.Now + lookEvery)
 		for i := range waiting {
-			if p.World.Relays[i].Follower.Current() != nil {
+			if p.Simulation.Relays[i].Follower.Current() != nil {
 				p.delays = append(p.delays, p.Now-start)
 				delete(waiting, i)
 			}
@@ -210,11 +210,11 @@
 	p.covered = p.Now
 	c := p.Covered()
 	if c.OneZone > 0 {
-		p.OneZone += since
-		p.Share = max(p.Share, float64(c.OneZone)/float64(c.Partitions))
+		p.OneZoneSeconds += since
+		p.MaxOneZoneShare = max(p.MaxOneZoneShare, float64(c.OneZone)/float64(c.Partitions))
 	}
 	if c.NoZone > 0 {
-		p.NoZone += since
+		p.NoZoneSeconds += since
 	}
 }
 
@@ -224,7 +224,7 @@
 }
 
 // clearCounts begins to count bytes anew.
-func (w *World) clearCounts() {
+func (w *Simulation) clearCounts() {
 	for _, r := range w.Relays {
 		r.Sent, r.Heard = 0, 0
 	}
@@ -235,19 +235,19 @@
 
 func (p *play) done() Outcome {
 	span := (p.Now - p.began).Seconds()
-	for _, r := range p.World.Relays {
+	for _, r := range p.Simulation.Relays {
 		rate := float64(r.Sent+r.Heard) / span
-		p.RelayRate += rate / float64(len(p.World.Relays))
-		p.RelayMost = max(p.RelayMost, rate)
+		p.MeanRelayRate += rate / float64(len(p.Simulation.Relays))
+		p.MaxRelayRate = max(p.MaxRelayRate, rate)
 	}
 	for _, c := range p.Controls {
-		p.Control += float64(c.Sent+c.Peers) / span / float64(len(p.Controls))
+		p.ControlRate += float64(c.Sent+c.Peers) / span / float64(len(p.Controls))
 	}
-	if p.Concerned = len(p.delays); p.Concerned > 0 {
+	if p.ChangesObserved = len(p.delays); p.ChangesObserved > 0 {
 		slices.Sort(p.delays)
-		p.Median = p.delays[(len(p.delays)-1)/2].Seconds()
-		p.Late = p.delays[(len(p.delays)-1)*999/1000].Seconds()
-		p.Last = p.delays[len(p.delays)-1].Seconds()
+		p.MedianSeconds = p.delays[(len(p.delays)-1)/2].Seconds()
+		p.P999Seconds = p.delays[(len(p.delays)-1)*999/1000].Seconds()
+		p.MaxSeconds = p.delays[len(p.delays)-1].Seconds()
 	}
 	return p.Outcome
 }
--- a/internal/lab/region/leave_test.go
+++ b/internal/lab/region/leave_test.go
@@ -12,12 +12,12 @@
 
 // A relay or a rack that leaves as planned is free to go within seconds, moves its share once, and leaves no destination in one zone alone.
 func TestPlannedLeave(t *testing.T) {
-	for name, pick := range map[string]func(w *World) []int{
-		"relay": func(*World) []int { return []int{1234} },
-		"rack":  func(w *World) []int { return w.Rack(17) },
+	for name, pick := range map[string]func(w *Simulation) []int{
+		"relay": func(*Simulation) []int { return []int{1234} },
+		"rack":  func(w *Simulation) []int { return w.Rack(17) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			anywhere(t, func(t *testing.T, w *World) {
+			anywhere(t, func(t *testing.T, w *Simulation) {
 				relays := pick(w)
 				share := float64(len(relays)) / float64(w.Config.Relays)
 				all := float64(w.Config.Partitions * w.Config.Replicas)
@@ -55,7 +55,7 @@
 // A zone that is to leave as a whole goes an eighth at a time; every destination stays in both zones meanwhile. The publisher dies in the
 // middle, and its successor goes on.
 func TestZoneLeavesByParts(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		zone := w.Zone(1)
 		w.LeaveAll(zone, true)
 		inBoth := w.inBothZones(t)
@@ -76,7 +76,7 @@
 
 // Relays that change their mind get a part again, and destinations stay in both zones.
 func TestLeaveIsTakenBack(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		rack := w.Rack(17)
 		w.LeaveAll(rack, true)
 		w.Run(w.Now + 2*time.Second)
--- a/internal/lab/region/region_test.go
+++ b/internal/lab/region/region_test.go
@@ -16,7 +16,7 @@
 }
 
 // anywhere runs a test in one region, one at a time: tests with real processes run beside this package. The others share nothing with it: the command plays all four, of 16,000 relays.
-func anywhere(t *testing.T, test func(t *testing.T, w *World)) {
+func anywhere(t *testing.T, test func(t *testing.T, w *Simulation)) {
 	t.Helper()
 	w := settled(t, quarter(2))
 	test(t, w)
@@ -26,7 +26,7 @@
 }
 
 // settled starts a region and plays until all relays hold what the published map says.
-func settled(t *testing.T, c Config) *World {
+func settled(t *testing.T, c Config) *Simulation {
 	t.Helper()
 	w, err := New(c)
 	if err != nil {
@@ -37,7 +37,7 @@
 }
 
 // settle plays until all relays that are up hold what the published map says.
-func (w *World) settle(t *testing.T, most time.Duration) {
+func (w *Simulation) settle(t *testing.T, most time.Duration) {
 	t.Helper()
 	if _, ok := w.RunUntil(w.Now+most, time.Second, func() bool {
 		m := w.Published()
@@ -48,7 +48,7 @@
 }
 
 // watch plays for a while and looks every 250 ms how partitions are served.
-func (w *World) watch(span time.Duration, look func(Cover)) {
+func (w *Simulation) watch(span time.Duration, look func(Cover)) {
 	for end := w.Now + span; w.Now < end; {
 		w.Run(w.Now + 250*time.Millisecond)
 		look(w.Covered())
@@ -56,7 +56,7 @@
 }
 
 // inBothZones fails the test where a partition is not served in both zones.
-func (w *World) inBothZones(t *testing.T) func(Cover) {
+func (w *Simulation) inBothZones(t *testing.T) func(Cover) {
 	return func(c Cover) {
 		t.Helper()
 		if c.NoZone+c.OneZone > 0 {
@@ -68,12 +68,12 @@
 // A relay or a rack that goes for good and comes back moves its share each time, at most twice that, and every destination
 // is served in both zones all the time.
 func TestRelayAndRackGoAndReturn(t *testing.T) {
-	for name, lost := range map[string]func(w *World) []int{
-		"relay": func(w *World) []int { return []int{1234} },
-		"rack":  func(w *World) []int { return w.Rack(17) },
+	for name, lost := range map[string]func(w *Simulation) []int{
+		"relay": func(w *Simulation) []int { return []int{1234} },
+		"rack":  func(w *Simulation) []int { return w.Rack(17) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			anywhere(t, func(t *testing.T, w *World) {
+			anywhere(t, func(t *testing.T, w *Simulation) {
 				relays := lost(w)
 				share := float64(len(relays)) / float64(w.Config.Relays)
 				all := float64(w.Config.Partitions * w.Config.Replicas)
@@ -101,7 +101,7 @@
 
 // A restart, of one relay or of 300 at once, moves nothing.
 func TestRestartMovesNothing(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		for i := range 300 {
 			w.StopRelay(i * 13)
@@ -120,7 +120,7 @@
 // A zone that goes for minutes and returns moves nothing. Meanwhile every destination is served in the other zone alone, and
 // in both again as soon as the zone is back: its relays have what they need on disk.
 func TestZoneGoesAndReturns(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		lost := w.Zone(1)
 		w.StopAll(lost)
@@ -142,7 +142,7 @@
 
 // A change is in force at 999 of 1,000 relays that it concerns within 3 s, with a tenth of all datagrams lost.
 func TestChangeInForceWithin3s(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		w.StopAll(w.Rack(40))
 		w.Run(w.Now + 55*time.Second)
 		w.inForceIn3s(t)
@@ -150,7 +150,7 @@
 }
 
 // inForceIn3s plays for 20 s, in which maps change, and looks how long that takes to be in force.
-func (w *World) inForceIn3s(t *testing.T) {
+func (w *Simulation) inForceIn3s(t *testing.T) {
 	t.Helper()
 	delays := w.ChangeDelays(20*time.Second, 50*time.Millisecond, func() {})
 	late := 0
@@ -166,7 +166,7 @@
 
 // With three control machines dead, the publisher among them, maps change as before.
 func TestThreeControlsDead(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		first := w.Publisher()
 		for i := range 3 {
 			w.StopControl((first + i) % w.Config.Controls)
@@ -184,7 +184,7 @@
 // With all control machines dead for ten minutes everyone goes on by the last map, those that are restarted meanwhile too.
 // Afterwards nothing has to move.
 func TestAllControlsDead(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		for i := range w.Controls {
 			w.StopControl(i)
@@ -219,7 +219,7 @@
 // A publisher that is cut off with three others goes on proposing and publishes nothing, while the five others have another
 // publisher; joined again, all go on from its maps.
 func TestTwoPublishers(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		first := w.Publisher()
 		side := func(i int) bool { return (i-first+w.Config.Controls)%w.Config.Controls < 4 }
 		cut := func(on bool) {
@@ -258,7 +258,7 @@
 // A zone whose relays no control machine reaches for minutes goes on as before. Joined again nothing has moved, and what the
 // region changed meanwhile is in force there too. No other region's slice is taken.
 func TestZoneCutFromControl(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		for _, i := range w.Zone(0) {
 			w.CutRelay(i, true)
@@ -292,7 +292,7 @@
 // second that a relay may spend on control.
 func TestMassStart(t *testing.T) {
 	const budget = 3000 // bytes a second
-	anywhere(t, func(t *testing.T, w *World) {
+	anywhere(t, func(t *testing.T, w *Simulation) {
 		started := w.Zone(1)
 		w.StopAll(started)
 		w.Run(w.Now + 20*time.Second)
@@ -324,21 +324,21 @@
 func TestPlay(t *testing.T) {
 	c := Config{Seed: 1, Relays: 240, Controls: 5, Zones: 2, RackSize: 8, Partitions: 512, Replicas: 4, Loss: 0.1}
 	for _, event := range Events {
-		o, err := Play(c, event)
+		o, err := RunEvent(c, event)
 		if err != nil {
 			t.Fatal(event, err)
 		}
-		if o.NoZone > 0 || o.Late > 3 || o.RelayMost > 3000 || o.Hit == 0 {
+		if o.NoZoneSeconds > 0 || o.P999Seconds > 3 || o.MaxRelayRate > 3000 || o.AffectedRelays == 0 {
 			t.Errorf("%+v", o)
 		}
-		if most := map[Event]float64{LoseZone: 1, Restart: 0.05}[event]; o.Share > most {
-			t.Errorf("%s: %.3f of partitions in one zone only", event, o.Share)
+		if most := map[Event]float64{LoseZone: 1, Restart: 0.05}[event]; o.MaxOneZoneShare > most {
+			t.Errorf("%s: %.3f of partitions in one zone only", event, o.MaxOneZoneShare)
 		}
-		if share := float64(o.Hit) / float64(c.Relays); max(o.Moved, o.MovedBack) > 2*share {
+		if share := float64(o.AffectedRelays) / float64(c.Relays); max(o.Moved, o.MovedBack) > 2*share {
 			t.Errorf("%s: %.4f of replicas moved, and %.4f back", event, o.Moved, o.MovedBack)
 		}
 	}
-	if _, err := Play(c, "moon"); err == nil {
+	if _, err := RunEvent(c, "moon"); err == nil {
 		t.Error("an unknown event is played")
 	}
 }
--- a/internal/lab/region/world.go
+++ b/internal/lab/region/world.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// World is a region at a moment. It is not safe for concurrent use.
-type World struct {
+// Simulation is a region at a moment. It is not safe for concurrent use.
+type Simulation struct {
 	Now      time.Duration
 	Config   Config
 	Places   []assignment.Member
@@ -107,11 +107,11 @@
 
 // New makes a region in which everything starts at once, within one PullEvery.
 // The error names what of the configuration can't be played.
-func New(c Config) (*World, error) {
+func New(c Config) (*Simulation, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	w := &World{Config: c, History: map[uint64]*assignment.Map{}, key: assignment.Key("region"), rng: rand.New(rand.NewPCG(uint64(c.Seed), uint64(c.Number)))}
+	w := &Simulation{Config: c, History: map[uint64]*assignment.Map{}, key: assignment.Key("region"), rng: rand.New(rand.NewPCG(uint64(c.Seed), uint64(c.Number)))}
 	for i := range c.Relays {
 		rack := i / c.RackSize
 		w.Places = append(w.Places, assignment.Member{State: assignment.Live, Zone: assignment.Zone(rack % c.Zones), Rack: uint16(rack)})
@@ -130,7 +130,7 @@
 }
 
 // StartRelay starts relay i, with what it had on disk.
-func (w *World) StartRelay(i int) {
+func (w *Simulation) StartRelay(i int) {
 	r := w.Relays[i]
 	r.Up, r.life = true, r.life+1
 	r.Follower = assignment.NewFollower(w.Config.Number, r.Number, w.key)
@@ -144,24 +144,24 @@
 }
 
 // StopRelay ends relay i; what it has on disk stays.
-func (w *World) StopRelay(i int) { w.Relays[i].Up = false }
+func (w *Simulation) StopRelay(i int) { w.Relays[i].Up = false }
 
 // StopAll ends relays.
-func (w *World) StopAll(relays []int) {
+func (w *Simulation) StopAll(relays []int) {
 	for _, i := range relays {
 		w.StopRelay(i)
 	}
 }
 
 // StartAll starts relays, each with what it had on disk.
-func (w *World) StartAll(relays []int) {
+func (w *Simulation) StartAll(relays []int) {
 	for _, i := range relays {
 		w.StartRelay(i)
 	}
 }
 
 // LeaveAll has relays say that they leave, or that they stay after all.
-func (w *World) LeaveAll(relays []int, leave bool) {
+func (w *Simulation) LeaveAll(relays []int, leave bool) {
 	for _, i := range relays {
 		w.Relays[i].Follower.SetLeaving(leave)
 	}
@@ -169,7 +169,7 @@
 
 // StopReleased ends the relays among these that leave and have no replicas any
 // more, and counts them.
-func (w *World) StopReleased(relays []int) (stopped int) {
+func (w *Simulation) StopReleased(relays []int) (stopped int) {
 	for _, i := range relays {
 		if w.Relays[i].Up && w.Relays[i].Follower.Released() {
 			w.StopRelay(i)
@@ -180,7 +180,7 @@
 }
 
 // Rack returns the relays of a rack.
-func (w *World) Rack(number int) (relays []int) {
+func (w *Simulation) Rack(number int) (relays []int) {
 	for i, place := range w.Places {
 		if int(place.Rack) == number {
 			relays = append(relays, i)
@@ -190,7 +190,7 @@
 }
 
 // Zone returns the relays of a zone.
-func (w *World) Zone(number assignment.Zone) (relays []int) {
+func (w *Simulation) Zone(number assignment.Zone) (relays []int) {
 	for i, place := range w.Places {
 		if place.Zone == number {
 			relays = append(relays, i)
@@ -200,10 +200,10 @@
 }
 
 // CutRelay has no control machine reach relay i, or reach it again.
-func (w *World) CutRelay(i int, cut bool) { w.Relays[i].cut = cut }
+func (w *Simulation) CutRelay(i int, cut bool) { w.Relays[i].cut = cut }
 
 // StartControl starts control machine i, with what it had on disk.
-func (w *World) StartControl(i int) error {
+func (w *Simulation) StartControl(i int) error {
 	c := w.Controls[i]
 	register, err := assignment.NewRegister(i, w.Config.Controls, w.key, w.Config.Seed+int64(c.life), c.disk)
 	if err != nil {
@@ -218,16 +218,16 @@
 }
 
 // StopControl ends control machine i; what it has on disk stays.
-func (w *World) StopControl(i int) { w.Controls[i].Up = false }
+func (w *Simulation) StopControl(i int) { w.Controls[i].Up = false }
 
 // CutControls has two control machines not reach one another, or reach again.
-func (w *World) CutControls(a, b int, cut bool) {
+func (w *Simulation) CutControls(a, b int, cut bool) {
 	w.Controls[a].cut[b], w.Controls[b].cut[a] = cut, cut
 }
 
 // Publisher returns the control machine that publishes, -1 if none does. Of two
 // that think so it is the one whose term is later.
-func (w *World) Publisher() (publisher int) {
+func (w *Simulation) Publisher() (publisher int) {
 	publisher = -1
 	var term uint64
 	for i, c := range w.Controls {
@@ -240,7 +240,7 @@
 
 // Published returns the latest map that any control machine knows as published,
 // nil before the first.
-func (w *World) Published() (latest *assignment.Map) {
+func (w *Simulation) Published() (latest *assignment.Map) {
 	for _, c := range w.Controls {
 		if m := c.Control.Register().Published(); m != nil && (latest == nil || m.Version.Compare(latest.Version) > 0) {
 			latest = m
@@ -250,7 +250,7 @@
 }
 
 // poll sends a relay's question to a control machine drawn for it.
-func (w *World) poll(r *Relay, life int) {
+func (w *Simulation) poll(r *Relay, life int) {
 	if !r.Up || r.life != life {
 		return
 	}
@@ -263,7 +263,7 @@
 }
 
 // answer has control machine i answer a relay.
-func (w *World) answer(r *Relay, life, i int, ask assignment.SliceRequest) {
+func (w *Simulation) answer(r *Relay, life, i int, ask assignment.SliceRequest) {
 	c := w.Controls[i]
 	if !c.Up || r.cut {
 		return
@@ -276,7 +276,7 @@
 	w.send(func() { w.take(r, life, answer) })
 }
 
-func (w *World) take(r *Relay, life int, answer []byte) {
+func (w *Simulation) take(r *Relay, life int, answer []byte) {
 	if !r.Up || r.life != life || r.cut {
 		return
 	}
@@ -289,7 +289,7 @@
 }
 
 // tick gives a control machine the time.
-func (w *World) tick(i, life int) {
+func (w *Simulation) tick(i, life int) {
 	c := w.Controls[i]
 	if !c.Up || c.life != life {
 		return
@@ -299,7 +299,7 @@
 }
 
 // post saves what control machine i must have on disk, and sends its messages.
-func (w *World) post(i int, out []assignment.Envelope) {
+func (w *Simulation) post(i int, out []assignment.Envelope) {
 	from := w.Controls[i]
 	from.disk = from.Control.Register().PersistentState()
 	w.record(from.Control.Register().Published())
@@ -317,7 +317,7 @@
 }
 
 // record keeps a published map, and checks that no other had its number.
-func (w *World) record(m *assignment.Map) {
+func (w *Simulation) record(m *assignment.Map) {
 	if m == nil {
 		return
 	}
@@ -347,27 +347,27 @@
 }
 
 // send delivers something after a delay, unless it is lost.
-func (w *World) send(deliver func()) {
+func (w *Simulation) send(deliver func()) {
 	if w.rng.Float64() >= w.Config.Loss {
 		w.After(leastDelay+w.draw(mostDelay-leastDelay), deliver)
 	}
 }
 
-func (w *World) draw(below time.Duration) time.Duration {
+func (w *Simulation) draw(below time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(below)))
 }
 
 // At has something happen at a time, or now if that is over.
-func (w *World) At(at time.Duration, do func()) {
+func (w *Simulation) At(at time.Duration, do func()) {
 	w.issue++
 	heap.Push(&w.queue, event{max(at, w.Now), w.issue, do})
 }
 
 // After has something happen after a delay.
-func (w *World) After(delay time.Duration, do func()) { w.At(w.Now+delay, do) }
+func (w *Simulation) After(delay time.Duration, do func()) { w.At(w.Now+delay, do) }
 
 // Run plays until a time.
-func (w *World) Run(until time.Duration) {
+func (w *Simulation) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.Now = e.at
@@ -378,7 +378,7 @@
 
 // RunUntil plays until a condition holds, looked at every so often, and returns
 // when it did; false if it did not by the end.
-func (w *World) RunUntil(end, every time.Duration, holds func() bool) (time.Duration, bool) {
+func (w *Simulation) RunUntil(end, every time.Duration, holds func() bool) (time.Duration, bool) {
 	for !holds() {
 		if w.Now >= end {
 			return w.Now, false
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -21,45 +21,45 @@
 
 // The cases.
 const (
-	Plain     Case = "plain"     // the site goes with its relays and endpoints, and comes back cold
-	Again     Case = "again"     // it fails again in its ramp
-	Second    Case = "second"    // a second site fails while it is lost
-	Relays    Case = "relays"    // its relays go, its endpoints live
-	Endpoints Case = "endpoints" // the reverse
-	Cut       Case = "cut"       // it is cut off, lives, and serves its own clients
-	Half      Case = "half"      // half of the other relays don't reach its endpoints
-	Paused    Case = "paused"    // all relays stand still for 5 s while it is lost
-	Stale     Case = "stale"     // news of the list wait, so that its endpoints still stand there
-	Burst     Case = "burst"     // it returns at the top of a burst
+	Plain             Case = "plain"     // the site goes with its relays and endpoints, and comes back cold
+	FailsInRamp       Case = "again"     // it fails again in its ramp
+	SecondSiteFails   Case = "second"    // a second site fails while it is lost
+	RelaysOnly        Case = "relays"    // its relays go, its endpoints live
+	EndpointsOnly     Case = "endpoints" // the reverse
+	Partitioned       Case = "cut"       // it is cut off, lives, and serves its own clients
+	HalfWithoutGossip Case = "half"      // half of the other relays don't reach its endpoints
+	RelaysPaused      Case = "paused"    // all relays stand still for 5 s while it is lost
+	StaleEndpointList Case = "stale"     // news of the list wait, so that its endpoints still stand there
+	BurstOnReturn     Case = "burst"     // it returns at the top of a burst
 )
 
 // Cases are all of them.
 func Cases() []Case {
-	return []Case{Plain, Again, Second, Relays, Endpoints, Cut, Half, Paused, Stale, Burst}
+	return []Case{Plain, FailsInRamp, SecondSiteFails, RelaysOnly, EndpointsOnly, Partitioned, HalfWithoutGossip, RelaysPaused, StaleEndpointList, BurstOnReturn}
 }
 
-// Set is what is rehearsed.
-type Set struct {
-	Plan   *sites.Plan
-	Lost   string
-	Case   Case
-	Relays int // of each site
-	Seed   uint64
-	Act    bool          // relays act on the plan
-	Load   float64       // times what the plan says is wanted; 0: once
-	Stays  bool          // it does not come back: what is served settles
-	At     time.Duration // when it goes; 0: 12 s
-	Gone   time.Duration // for how long; 0: 14 s
-	Length time.Duration // 0: 80 s
+// Config is what is rehearsed.
+type Config struct {
+	Plan           *sites.Plan
+	LostZone       string
+	Case           Case
+	RelaysPerSite  int // of each site
+	Seed           uint64
+	UsePlan        bool          // relays act on the plan
+	LoadFactor     float64       // times what the plan says is wanted; 0: once
+	Permanent      bool          // it does not come back: what is served settles
+	LossAt         time.Duration // when it goes; 0: 12 s
+	OutageDuration time.Duration // for how long; 0: 14 s
+	Length         time.Duration // 0: 80 s
 }
 
 // Outcome is what came of it.
 type Outcome struct {
-	Res      *emu.Result
-	Lost     int                // calls at the lost site while it is
-	Overload float64            // most of what a zone that lives was sent in any two seconds, in parts of what it takes
-	Returned time.Duration      // from its return until all relays that live take it for whole again; below 0: not by the day's end
-	Shares   map[string]float64 // delivered part of each class, from the loss on where it stays lost
+	Result          *emu.Result
+	CallsToLostSite int                // calls at the lost site while it is
+	PeakOverload    float64            // most of what a zone that lives was sent in any two seconds, in parts of what it takes
+	RecoveredAfter  time.Duration      // from its return until all relays that live take it for whole again; below 0: not by the day's end
+	DeliveredShares map[string]float64 // delivered part of each class, from the loss on where it stays lost
 }
 
 const (
@@ -78,12 +78,12 @@
 	{Name: "fee-charge", Effect: policy.Unsafe, TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, Value: 5, LateValue: 0.3},
 }
 
-// Day builds the day. Zones have the laboratory's names, in the plan's order.
-func Day(set Set) (*emu.Scenario, error) {
+// NewScenario builds the day. Zones have the laboratory's names, in the plan's order.
+func NewScenario(set Config) (*emu.Scenario, error) {
 	p, names := renamed(set.Plan)
-	lost, known := names[set.Lost]
+	lost, known := names[set.LostZone]
 	if !known {
-		return nil, fmt.Errorf("%q is no site of the file; there are %s", set.Lost, strings.Join(set.Plan.Zones(), ", "))
+		return nil, fmt.Errorf("%q is no site of the file; there are %s", set.LostZone, strings.Join(set.Plan.Zones(), ", "))
 	}
 	if set.Case == "" {
 		set.Case = Plain
@@ -94,22 +94,22 @@
 	if len(p.Destinations) == 0 {
 		return nil, fmt.Errorf("the file names no destination: there is nothing to rehearse")
 	}
-	at, gone, length := orElse(set.At, usualAt), orElse(set.Gone, usualGone), orElse(set.Length, usualLength)
+	at, gone, length := orElse(set.LossAt, usualAt), orElse(set.OutageDuration, usualGone), orElse(set.Length, usualLength)
 	zones := len(p.Sites)
-	d := &emu.Scenario{Name: fmt.Sprintf("%s of %s", set.Case, set.Lost), Seed: set.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
-		Relays: max(1, set.Relays) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
+	d := &emu.Scenario{Name: fmt.Sprintf("%s of %s", set.Case, set.LostZone), Seed: set.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
+		Relays: max(1, set.RelaysPerSite) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
 		ConnectTimeout: time.Second, AnswerSlack: 300 * time.Millisecond, ClientRetries: 2, ClientBackoff: time.Second, RetryAfterCompliance: 0.8, MaxRetryAfter: 5 * time.Second, ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second,
 		DiscoveryDelay: 2 * time.Second, DiscoverySpread: 300 * time.Millisecond, WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second, DrainGrace: time.Second,
 		Gossip: true, Membership: true, GossipLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Penalties: emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01},
 		Kinds: []emu.Kind{{Name: "partner", MaxBatch: 1, Limit: emu.NoLimit, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, CancelsQueued: true}}}
-	if set.Act {
+	if set.UsePlan {
 		d.Sites = p
 	}
-	if set.Stays {
+	if set.Permanent {
 		d.TallyFrom = at + 4*time.Second
 		gone = length + d.Tail
 	}
-	if err := traffic(d, p, orElse(set.Load, 1)); err != nil {
+	if err := traffic(d, p, orElse(set.LoadFactor, 1)); err != nil {
 		return nil, err
 	}
 	var of []int
@@ -128,13 +128,13 @@
 		}
 	}
 	switch set.Case {
-	case Relays:
+	case RelaysOnly:
 		goes(at, gone, of, "")
-	case Endpoints:
+	case EndpointsOnly:
 		goes(at, gone, nil, zone)
-	case Cut:
+	case Partitioned:
 		d.Faults = append(d.Faults, emu.Fault{Kind: emu.SitePartition, At: at, Duration: gone, Zone: zone})
-	case Half: // those of every second other relay, by a cut of their own ways to all endpoints but for their zone: they go by what others see
+	case HalfWithoutGossip: // those of every second other relay, by a cut of their own ways to all endpoints but for their zone: they go by what others see
 		goes(at, gone, of, zone)
 		var deaf []int
 		for n := range d.Relays {
@@ -147,9 +147,9 @@
 		goes(at, gone, of, zone)
 	}
 	switch set.Case {
-	case Again:
+	case FailsInRamp:
 		goes(at+gone+5*time.Second, 4*time.Second, nil, zone)
-	case Second:
+	case SecondSiteFails:
 		next := (lost + 1) % zones
 		var others []int
 		for n := range d.Relays {
@@ -158,7 +158,7 @@
 			}
 		}
 		goes(at+5*time.Second, 7*time.Second, others, zoneName(next))
-	case Paused:
+	case RelaysPaused:
 		var all []int
 		for n := range d.Relays {
 			if d.ZoneOf(n) != lost {
@@ -166,9 +166,9 @@
 			}
 		}
 		d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayStall, At: at + 4*time.Second, Duration: 5 * time.Second, Relays: all})
-	case Stale:
+	case StaleEndpointList:
 		d.Faults = append(d.Faults, emu.Fault{Kind: emu.DiscoveryOutage, At: at - time.Second, Duration: gone + 5*time.Second})
-	case Burst:
+	case BurstOnReturn:
 		d.Faults = append(d.Faults, emu.Fault{Kind: emu.Burst, At: at + gone - 3*time.Second, Duration: 7 * time.Second, Intensity: 1.8})
 	}
 	return d, d.Check()
@@ -273,14 +273,14 @@
 	return nil
 }
 
-// Play plays a day and looks at what the site's loss did.
-func Play(set Set) (*Outcome, error) {
-	d, err := Day(set)
+// Run plays a day and looks at what the site's loss did.
+func Run(set Config) (*Outcome, error) {
+	d, err := NewScenario(set)
 	if err != nil {
 		return nil, err
 	}
 	p, names := renamed(set.Plan)
-	lost := zoneName(names[set.Lost])
+	lost := zoneName(names[set.LostZone])
 	zoneOf, takes := map[int]string{}, map[string]float64{}
 	n := 0
 	for _, dest := range d.Dests {
@@ -294,8 +294,8 @@
 			takes[z] += t
 		}
 	}
-	at, gone := orElse(set.At, usualAt), orElse(set.Gone, usualGone)
-	if set.Stays {
+	at, gone := orElse(set.LossAt, usualAt), orElse(set.OutageDuration, usualGone)
+	if set.Permanent {
 		gone = d.Length
 	}
 	down := func(zone string, now time.Duration) bool { // endpoints of the zone are gone then
@@ -306,7 +306,7 @@
 		}
 		return false
 	}
-	out := &Outcome{Shares: map[string]float64{}, Returned: -1}
+	out := &Outcome{DeliveredShares: map[string]float64{}, RecoveredAfter: -1}
 	recent, last := map[string][]time.Duration{}, uint64(0)
 	res, err := emu.Run(d, emu.Options{Log: func(e rules.Event) {
 		if e.Kind != rules.Sent || e.Call == 0 || e.Call == last {
@@ -316,7 +316,7 @@
 		zone := zoneOf[e.Endpoint]
 		if down(zone, e.At) {
 			if zone == lost {
-				out.Lost++
+				out.CallsToLostSite++
 			}
 			return
 		}
@@ -328,15 +328,15 @@
 			r = r[1:]
 		}
 		recent[zone] = append(r, e.At)
-		out.Overload = max(out.Overload, float64(len(r)+1)/(takes[zone]*overloadIn.Seconds()))
+		out.PeakOverload = max(out.PeakOverload, float64(len(r)+1)/(takes[zone]*overloadIn.Seconds()))
 	}})
 	if err != nil {
 		return nil, err
 	}
-	out.Res = res
+	out.Result = res
 	for _, c := range res.ByClass {
 		if c.Requests > 0 {
-			out.Shares[c.Name] = float64(c.Delivered) / float64(c.Requests)
+			out.DeliveredShares[c.Name] = float64(c.Delivered) / float64(c.Requests)
 		}
 	}
 	states, whole := map[int]string{}, time.Duration(-1)
@@ -355,47 +355,47 @@
 			whole = c.At - at - gone
 		}
 	}
-	out.Returned = whole
+	out.RecoveredAfter = whole
 	return out, nil
 }
 
-// Agrees holds a rehearsal of a loss that stays against the forecast: for each class, the served part in both.
-type Agrees struct {
-	Class            string  `json:"class"`
-	Plan             float64 `json:"plan"`
-	Rehearsal        float64 `json:"rehearsal"`
-	Within           bool    `json:"within"`
-	PlanRefused      float64 `json:"plan_refused_a_second"`
-	RehearsalRefused float64 `json:"rehearsal_not_delivered"` // messages
+// Comparison holds a rehearsal of a loss that stays against the forecast: for each class, the served part in both.
+type Comparison struct {
+	Class                string  `json:"class"`
+	Forecast             float64 `json:"plan"`
+	Rehearsal            float64 `json:"rehearsal"`
+	WithinTolerance      bool    `json:"within"`
+	ForecastRejectedRate float64 `json:"plan_refused_a_second"`
+	RehearsalUndelivered float64 `json:"rehearsal_not_delivered"` // messages
 }
 
-// Near is how far plan and rehearsal may differ.
-const Near = 0.05
+// Tolerance is how far plan and rehearsal may differ.
+const Tolerance = 0.05
 
-// Against compares a rehearsal with the plan's forecast.
-func Against(set Set) ([]Agrees, *Outcome, error) {
-	f, err := set.Plan.ForecastLoss(set.Lost)
+// CompareWithForecast compares a rehearsal with the plan's forecast.
+func CompareWithForecast(set Config) ([]Comparison, *Outcome, error) {
+	f, err := set.Plan.ForecastLoss(set.LostZone)
 	if err != nil {
 		return nil, nil, err
 	}
-	set.Stays, set.Case = true, Plain
-	out, err := Play(set)
+	set.Permanent, set.Case = true, Plain
+	out, err := Run(set)
 	if err != nil {
 		return nil, nil, err
 	}
-	var all []Agrees
+	var all []Comparison
 	for _, s := range f.After {
-		got, ok := out.Shares[s.Class]
+		got, ok := out.DeliveredShares[s.Class]
 		if !ok {
 			continue
 		}
 		missed := 0
-		for _, c := range out.Res.ByClass {
+		for _, c := range out.Result.ByClass {
 			if c.Name == s.Class {
 				missed = c.Requests - c.Delivered
 			}
 		}
-		all = append(all, Agrees{s.Class, s.ServedFraction(), got, math.Abs(s.ServedFraction()-got) <= Near, s.Refused, float64(missed)})
+		all = append(all, Comparison{s.Class, s.ServedFraction(), got, math.Abs(s.ServedFraction()-got) <= Tolerance, s.Refused, float64(missed)})
 	}
 	return all, out, nil
 }
