--- a/internal/lab/emu/floors.go
+++ b/internal/lab/emu/floors.go
@@ -6,41 +6,44 @@
 	"oatfold/policy"
 )
 
-// Floor is a part of a day that must not be neglected, however well the whole does: what was served of its worth, and the least that is asked.
-// The operators ask for parts of what a policy serves that sees the true state late; nobody here plays one, so that Least is of all that was
-// asked for, which such a policy serves at most: what keeps it keeps theirs.
+// Floor is the minimum service of a part of a run, regardless of the total. Both are shares of the
+// value that was submitted.
+//
+// Operators define the minimum relative to what a policy with delayed knowledge of the true state
+// serves. No policy serves more than everything, so that a run that keeps Minimum keeps theirs too.
 type Floor struct {
 	Name            string
 	Served, Minimum float64
 }
 
-// Missed tells whether the part is neglected.
+// Missed reports whether less than the minimum was served.
 func (f Floor) Missed() bool { return f.Served < f.Minimum }
 
 const (
-	floorWhole = 0.5     // of the day, and of each class that counts
-	floorThird = 0.3     // of each third of the day
-	floorCount = 1. / 20 // of requests or worth: a class with less counts only if it must not run twice
+	minWholeShare = 0.5     // served share of the run, and of each class that counts
+	minThirdShare = 0.3     // served share of each third of the run
+	minClassShare = 1. / 20 // of requests or value; smaller classes count only if they are unsafe
 )
 
-// Floors lists them: the whole day, each class that counts, each third.
-func (r *Result) Floors(d *Scenario) []Floor {
-	all := []Floor{{"whole day", r.Whole, floorWhole}}
+// Floors returns the floors of a run: the whole, each class that counts, and each third.
+func (r *Result) Floors(scenario *Scenario) []Floor {
+	floors := []Floor{{"whole day", r.Whole, minWholeShare}}
 	requests, asked := 0, 0.0
-	for _, t := range r.ByClass {
-		requests, asked = requests+t.Requests, asked+t.Asked
+	for _, tally := range r.ByClass {
+		requests, asked = requests+tally.Requests, asked+tally.Asked
 	}
-	for i, t := range r.ByClass {
-		if counts := float64(t.Requests) >= floorCount*float64(requests) || t.Asked >= floorCount*asked; counts || d.Classes[i].Effect == policy.Unsafe {
-			all = append(all, Floor{"class " + t.Name, share(t.Served, t.Asked), floorWhole})
+	for i, tally := range r.ByClass {
+		if counts := float64(tally.Requests) >= minClassShare*float64(requests) ||
+			tally.Asked >= minClassShare*asked; counts || scenario.Classes[i].Effect == policy.Unsafe {
+			floors = append(floors, Floor{"class " + tally.Name, shareOrOne(tally.Served, tally.Asked), minWholeShare})
 		}
 	}
 	for third := range 3 {
-		a, s := 0.0, 0.0
+		thirdAsked, thirdServed := 0.0, 0.0
 		for _, sec := range r.Seconds[third*len(r.Seconds)/3 : (third+1)*len(r.Seconds)/3] {
-			a, s = a+sec.Asked, s+sec.Served
+			thirdAsked, thirdServed = thirdAsked+sec.Asked, thirdServed+sec.Served
 		}
-		all = append(all, Floor{fmt.Sprintf("third %d", third+1), share(s, a), floorThird})
+		floors = append(floors, Floor{fmt.Sprintf("third %d", third+1), shareOrOne(thirdServed, thirdAsked), minThirdShare})
 	}
-	return all
+	return floors
 }
--- a/internal/lab/emu/relay.go
+++ b/internal/lab/emu/relay.go
@@ -13,516 +13,555 @@
 	"oatfold/policy"
 )
 
-// PolicyEngine is what the emulator drives; policy.Relay in service.
+// PolicyEngine decides what a relay does. Production relays use policy.Relay.
 type PolicyEngine interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
 }
 
-// PolicyFactory makes the module of one life of a relay.
-type PolicyFactory func(set policy.Settings, seed int64) (PolicyEngine, error)
+// PolicyFactory creates the policy engine of one incarnation of a relay.
+type PolicyFactory func(settings policy.Settings, seed int64) (PolicyEngine, error)
 
-// DefaultPolicy is the module that relays have in service.
-func DefaultPolicy(set policy.Settings, seed int64) (PolicyEngine, error) {
-	return policy.New(set, seed)
+// DefaultPolicy creates the policy engine of production relays.
+func DefaultPolicy(settings policy.Settings, seed int64) (PolicyEngine, error) {
+	return policy.New(settings, seed)
 }
 
-// relay is one relay at work.
+// relay is the state of a relay.
 type relay struct {
-	w       *world
-	no      int
-	life    int
-	diedAt  time.Duration
-	mod     PolicyEngine // nil: it is down
-	inbox   []policy.Event
-	due     bool // a step is on its way
-	stalled time.Duration
-	held    map[uint32]*message
-	out     int // calls
-	wake    uint64
-	idle    map[*endpoint][]*conn
-	told    map[int]policy.EndpointState // endpoints that it heard are going
-	sharing int                          // relays that may be calling, as the module was told
-	pool    *peers.Gossiper              // what it tells others and hears of them
-	watch   *sites.Watch                 // nil: no plan for sites
+	sim              *simulation
+	number           int
+	incarnation      int
+	diedAt           time.Duration
+	policy           PolicyEngine   // nil: the relay is down
+	inbox            []policy.Event // of the next step
+	stepDue          bool           // the next step is scheduled
+	stalledUntil     time.Duration
+	pending          map[uint32]*message // by ID
+	inFlight         int                 // calls
+	timerID          uint64              // of the last timer that the policy set
+	idleConns        map[*endpoint][]*conn
+	leavingEndpoints map[int]policy.EndpointState
+	reportedCallers  int // relays that may be calling, as last reported to the policy
+	gossiper         *peers.Gossiper
+	siteWatch        *sites.Watch // nil: no plan for sites
 }
 
 // conn is a connection from a relay to an endpoint.
 type conn struct {
-	life   int // of the endpoint
-	usedAt time.Duration
+	incarnation int // of the endpoint
+	lastUsed    time.Duration
 }
 
-// message is a request in the hands of one relay.
+// message is a request that a relay has accepted.
 type message struct {
-	id      uint32
-	req     *request
-	relay   *relay
-	life    int
-	over    bool
-	tries   int
-	item    *item // the attempt that is out
-	mayHave bool
+	id          uint32
+	request     *request
+	relay       *relay
+	incarnation int
+	completed   bool
+	attempts    int
+	inFlight    *callItem // the current attempt; nil: none
+	mayHaveRun  bool
 }
 
-// item is one message of a call.
-type item struct {
-	m       *message
-	attempt int
-	timeout time.Duration
-	done    bool
-	work    float64
+// callItem is an attempt: one message of a call.
+type callItem struct {
+	message     *message
+	attempt     int
+	timeout     time.Duration
+	ended       bool
+	workSeconds float64
 }
 
-// call is one call that is out.
+// call is a call from a relay to an endpoint.
 type call struct {
-	id       uint64
-	relay    *relay
-	rlife    int
-	ep       *endpoint
-	items    []item
-	left     int
-	sentAt   time.Duration
-	conn     *conn
-	life     int // of the endpoint as the connection was made
-	closed   bool
-	answered bool
-	work     float64
-	report   *policy.LimitReport // of the limit, as the call came to it
+	id                  uint64
+	relay               *relay
+	relayIncarnation    int
+	endpoint            *endpoint
+	items               []callItem
+	openItems           int // that have not ended
+	sentAt              time.Duration
+	conn                *conn
+	endpointIncarnation int  // when the connection was opened
+	abandoned           bool // the relay has closed the connection after a timeout
+	answered            bool
+	workSeconds         float64
+	limitReport         *policy.LimitReport // when the call reached its endpoint
 }
 
-// tells is what an attempt's end tells of the limit: an answer carries the report, silence and a broken connection none.
-func (c *call) tells(out policy.Outcome) *policy.LimitReport {
-	switch out {
+// reportFor returns the limit report that the relay receives with an outcome; nil without an
+// answer.
+func (c *call) reportFor(outcome policy.Outcome) *policy.LimitReport {
+	switch outcome {
 	case policy.Delivered, policy.Errored, policy.Rejected:
-		return c.report
+		return c.limitReport
 	}
 	return nil
 }
 
-// boot starts a life of a relay.
-func (r *relay) boot() {
-	r.life++
-	set := r.w.day.Settings()
-	set.TimeSlots = pacing.New(r.no, r.w.day.Relays)
-	mod, err := r.w.make(set, int64(chance(r.w.day.Seed, "module", uint64(r.no), uint64(r.life)).Uint64()>>1))
+// start starts an incarnation of a relay.
+func (r *relay) start() {
+	r.incarnation++
+	settings := r.sim.scenario.Settings()
+	settings.TimeSlots = pacing.New(r.number, r.sim.scenario.Relays)
+	policyEngine, err := r.sim.newPolicy(settings,
+		int64(newRand(r.sim.scenario.Seed, "module", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
 	if err != nil {
-		r.w.fault(fmt.Sprintf("relay %d does not start: %v", r.no, err))
+		r.sim.recordError(fmt.Sprintf("relay %d: creating the policy engine: %v", r.number, err))
 		return
 	}
-	r.mod, r.held, r.out, r.idle, r.inbox, r.due = mod, map[uint32]*message{}, 0, map[*endpoint][]*conn{}, nil, false
-	r.told = map[int]policy.EndpointState{}
-	r.pool = peers.New(r.no, r.w.fleet(), int64(chance(r.w.day.Seed, "notes", uint64(r.no), uint64(r.life)).Uint64()>>1))
-	if r.sharing = 0; r.w.day.Membership {
-		r.pool.EnableMembership(r.w.day.ZoneOf(r.no), int64(chance(r.w.day.Seed, "members", uint64(r.no), uint64(r.life)).Uint64()>>1))
-		r.w.res.Members = append(r.w.res.Members, MemberChange{At: r.w.now, By: r.no, Number: r.no, To: "started"})
-	}
-	r.pool.EnableChoices(r.w.day.Choices)
-	if r.pool.Active() {
-		r.tellAt(r.w.now + r.pool.NextTick())
-	}
-	if r.watch = nil; r.w.day.Sites != nil {
-		r.watch = sites.NewWatch(r.w.day.Sites, zoneName(r.w.day.ZoneOf(r.no)), int64(chance(r.w.day.Seed, "sites", uint64(r.no), uint64(r.life)).Uint64()>>1))
-		r.hear(policy.SitesUpdate{Plan: r.watch})
-		r.lookAt(r.w.now + time.Duration(chance(r.w.day.Seed, "look", uint64(r.no)).Int64N(int64(lookTurn))))
+	r.policy, r.pending, r.inFlight, r.idleConns, r.inbox, r.stepDue = policyEngine, map[uint32]*message{}, 0,
+		map[*endpoint][]*conn{}, nil, false
+	r.leavingEndpoints = map[int]policy.EndpointState{}
+	r.gossiper = peers.New(r.number, r.sim.gossipFleetSize(),
+		int64(newRand(r.sim.scenario.Seed, "notes", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+	if r.reportedCallers = 0; r.sim.scenario.Membership {
+		r.gossiper.EnableMembership(r.sim.scenario.ZoneOf(r.number),
+			int64(newRand(r.sim.scenario.Seed, "members", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.sim.result.Members = append(r.sim.result.Members, MemberChange{At: r.sim.now, By: r.number, Number: r.number,
+			To: "started"})
+	}
+	r.gossiper.EnableChoices(r.sim.scenario.Choices)
+	if r.gossiper.Active() {
+		r.scheduleGossip(r.sim.now + r.gossiper.NextTick())
+	}
+	if r.siteWatch = nil; r.sim.scenario.Sites != nil {
+		r.siteWatch = sites.NewWatch(r.sim.scenario.Sites, zoneName(r.sim.scenario.ZoneOf(r.number)),
+			int64(newRand(r.sim.scenario.Seed, "sites", uint64(r.number), uint64(r.incarnation)).Uint64()>>1))
+		r.enqueue(policy.SitesUpdate{Plan: r.siteWatch})
+		r.scheduleSiteCheck(r.sim.now +
+			time.Duration(newRand(r.sim.scenario.Seed, "look", uint64(r.number)).Int64N(int64(siteCheckInterval))))
 	}
 	var list []policy.Endpoint
-	for _, d := range r.w.dests {
-		for _, e := range d.eps {
-			if !e.draining && !e.gone {
-				list = append(list, r.entry(e, policy.Listed))
+	for _, d := range r.sim.dests {
+		for _, e := range d.endpoints {
+			if !e.draining && !e.removed {
+				list = append(list, r.listEntry(e, policy.Listed))
 			}
 		}
 	}
-	r.listed(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
+	r.applyEndpointList(policy.EndpointListUpdate{Kind: policy.ListRestored, Entries: list})
 }
 
-// listed gives list news to the module, and to whoever keeps the subsets.
-func (r *relay) listed(news policy.EndpointListUpdate) {
-	r.pool.UpdateEndpoints(news)
-	if r.watch != nil {
-		r.watch.ApplyEndpointList(news)
+// applyEndpointList passes an update of the endpoint list to the policy, the gossiper and the site
+// watch.
+func (r *relay) applyEndpointList(update policy.EndpointListUpdate) {
+	r.gossiper.UpdateEndpoints(update)
+	if r.siteWatch != nil {
+		r.siteWatch.ApplyEndpointList(update)
 	}
-	r.hear(news)
+	r.enqueue(update)
 }
 
-// wallOf is the time of day as a relay's clock has it: up to two seconds off.
-func (w *world) wallOf(relay int) time.Time {
-	skew := part(4*time.Second, chance(w.day.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
-	return time.UnixMilli(1_000_000_000_000).Add(w.now + skew)
+// wallClock returns a relay's wall clock, which is up to two seconds off.
+func (sim *simulation) wallClock(relay int) time.Time {
+	skew := scaleDuration(4*time.Second, newRand(sim.scenario.Seed, "clock", uint64(relay)).Float64()) - 2*time.Second
+	return time.UnixMilli(1_000_000_000_000).Add(sim.now + skew)
 }
 
-func (r *relay) entry(e *endpoint, state policy.EndpointState) policy.Endpoint {
-	return policy.Endpoint{Address: e.address, Destination: e.dest.no, Kind: e.dest.kind.Name, Zone: e.zone, State: state, Rate: 1}
+// listEntry returns the entry of an endpoint in the endpoint list.
+func (r *relay) listEntry(e *endpoint, state policy.EndpointState) policy.Endpoint {
+	return policy.Endpoint{
+		Address:     e.address,
+		Destination: e.dest.number,
+		Kind:        e.dest.kind.Name,
+		Zone:        e.zone,
+		State:       state,
+		Rate:        1,
+	}
 }
 
-// tellAt lets a relay tell others what it saw, again and again while it lives.
-func (r *relay) tellAt(at time.Duration) {
-	w, life := r.w, r.life
-	w.at(max(at, w.now), func() {
-		if r.life != life || r.mod == nil {
+// scheduleGossip schedules the next tick of the gossiper, which schedules the one after it.
+func (r *relay) scheduleGossip(at time.Duration) {
+	sim, incarnation := r.sim, r.incarnation
+	sim.schedule(max(at, sim.now), func() {
+		if r.incarnation != incarnation || r.policy == nil {
 			return
 		}
-		if w.now < r.stalled {
-			r.tellAt(r.stalled)
+		if sim.now < r.stalledUntil {
+			r.scheduleGossip(r.stalledUntil)
 			return
 		}
-		out, turned := r.pool.Tick(w.now)
-		r.carry(out)
-		r.changed()
-		if turned {
-			news := policy.FleetUpdate{Routes: r.pool.FleetAverages(w.now, w.wallOf(r.no)), Relays: r.pool.PossibleCallers(w.now)}
-			w.targets.ResolveEndpoints(news.Routes)
-			if r.watch != nil {
-				r.watch.ApplyFleetStats(w.now, news.Routes)
+		datagrams, roundEnded := r.gossiper.Tick(sim.now)
+		r.sendGossip(datagrams)
+		r.recordMemberChanges()
+		if roundEnded {
+			update := policy.FleetUpdate{Routes: r.gossiper.FleetAverages(sim.now, sim.wallClock(r.number)),
+				Relays: r.gossiper.PossibleCallers(sim.now)}
+			sim.reportKeys.ResolveEndpoints(update.Routes)
+			if r.siteWatch != nil {
+				r.siteWatch.ApplyFleetStats(sim.now, update.Routes)
 			}
-			if len(news.Routes) > 0 || news.Relays != r.sharing {
-				r.sharing = news.Relays
-				r.hear(news)
+			if len(update.Routes) > 0 || update.Relays != r.reportedCallers {
+				r.reportedCallers = update.Relays
+				r.enqueue(update)
 			}
-			for _, s := range r.pool.ChangedSubsets(w.now) {
-				r.hear(s)
+			for _, s := range r.gossiper.ChangedSubsets(sim.now) {
+				r.enqueue(s)
 			}
 		}
-		r.tellAt(r.pool.NextTick())
+		r.scheduleGossip(r.gossiper.NextTick())
 	})
 }
 
-// lookTurn is between two looks at sites.
-const lookTurn = 250 * time.Millisecond
+// siteCheckInterval is the time between two updates of the site watch.
+const siteCheckInterval = 250 * time.Millisecond
 
-// lookAt lets a relay look at its sites, again and again while it lives.
-func (r *relay) lookAt(at time.Duration) {
-	w, life := r.w, r.life
-	w.at(max(at, w.now), func() {
-		if r.life != life || r.mod == nil {
+// scheduleSiteCheck schedules an update of the site watch, which schedules the next one.
+func (r *relay) scheduleSiteCheck(at time.Duration) {
+	sim, incarnation := r.sim, r.incarnation
+	sim.schedule(max(at, sim.now), func() {
+		if r.incarnation != incarnation || r.policy == nil {
 			return
 		}
-		if w.now >= r.stalled {
-			if list := r.pool.Members(); list != nil {
+		if sim.now >= r.stalledUntil {
+			if memberList := r.gossiper.Members(); memberList != nil {
 				relays, alive := map[string]int{}, map[string]int{}
-				for _, o := range w.relays {
-					if o != r {
-						z := zoneName(w.day.ZoneOf(o.no))
-						if relays[z]++; list.State(o.no) < members.Dead {
-							alive[z]++
+				for _, other := range sim.relays {
+					if other != r {
+						zone := zoneName(sim.scenario.ZoneOf(other.number))
+						if relays[zone]++; memberList.State(other.number) < members.Dead {
+							alive[zone]++
 						}
 					}
 				}
 				for z, n := range relays {
-					r.watch.SetRelayCounts(z, n, alive[z])
+					r.siteWatch.SetRelayCounts(z, n, alive[z])
 				}
 			}
-			r.words()
-			r.watch.Tick(w.now)
-			if changes := r.watch.Changes(); len(changes) > 0 {
+			r.exchangeSiteReports()
+			r.siteWatch.Tick(sim.now)
+			if changes := r.siteWatch.Changes(); len(changes) > 0 {
 				for _, c := range changes {
-					w.res.Sites = append(w.res.Sites, SiteChange{w.now, r.no, c.Zone, c.From.String(), c.To.String(), c.Why})
-					r.hear(c.PolicyUpdate(r.watch))
+					sim.result.Sites = append(sim.result.Sites,
+						SiteChange{sim.now, r.number, c.Zone, c.From.String(), c.To.String(), c.Why})
+					r.enqueue(c.PolicyUpdate(r.siteWatch))
 				}
 			}
 		}
-		r.lookAt(max(w.now+lookTurn, r.stalled))
+		r.scheduleSiteCheck(max(sim.now+siteCheckInterval, r.stalledUntil))
 	})
 }
 
-// words takes what others say of sites, and has this relay say what it sees.
-func (r *relay) words() {
-	type said struct {
+// exchangeSiteReports passes the site reports of other relays to the site watch and publishes its
+// own.
+func (r *relay) exchangeSiteReports() {
+	type zoneReports struct {
 		lost   int
 		levels []float64
 	}
-	all := make([]said, max(1, r.w.day.Zones))
-	r.pool.EachSiteReport(r.w.now, func(one peers.SiteReport) {
-		if one.Zone >= len(all) {
+	reports := make([]zoneReports, max(1, r.sim.scenario.Zones))
+	r.gossiper.EachSiteReport(r.sim.now, func(report peers.SiteReport) {
+		if report.Zone >= len(reports) {
 			return
-		} else if one.LoadFraction == 0 {
-			all[one.Zone].lost++
+		} else if report.LoadFraction == 0 {
+			reports[report.Zone].lost++
 		} else {
-			all[one.Zone].levels = append(all[one.Zone].levels, one.LoadFraction)
+			reports[report.Zone].levels = append(reports[report.Zone].levels, report.LoadFraction)
 		}
 	})
-	var mine []peers.SiteReport
-	for z, s := range all {
-		r.watch.SetPeerReports(zoneName(z), s.lost, s.levels)
-		if level, ok := r.watch.OwnReport(zoneName(z)); ok {
-			mine = append(mine, peers.SiteReport{Zone: z, LoadFraction: level})
+	var own []peers.SiteReport
+	for z, s := range reports {
+		r.siteWatch.SetPeerReports(zoneName(z), s.lost, s.levels)
+		if level, ok := r.siteWatch.OwnReport(zoneName(z)); ok {
+			own = append(own, peers.SiteReport{Zone: z, LoadFraction: level})
 		}
 	}
-	r.pool.SetSiteReports(mine)
+	r.gossiper.SetSiteReports(own)
 }
 
-// zoneName is the name of a zone of relays.
+// zoneName returns the name of a zone of relays, counted from 0.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", 1+zone) }
 
-// die ends a life: what it held comes again to another relay, unless it may have run and may not be repeated.
-func (r *relay) die() {
-	if r.mod == nil {
+// stop ends an incarnation. Clients submit its pending messages again, but unsafe ones that may
+// have run fail.
+func (r *relay) stop() {
+	if r.policy == nil {
 		return
 	}
-	w := r.w
-	w.log(rules.Event{Kind: rules.RelayDied, Relay: r.no})
-	r.mod, r.diedAt = nil, w.now
-	for id := uint32(0); len(r.held) > 0 && id <= w.lastID; id++ { // in order of their numbers, for the same result each time
-		m := r.held[id]
-		if m == nil {
+	sim := r.sim
+	sim.log(rules.Event{Kind: rules.RelayDied, Relay: r.number})
+	r.policy, r.diedAt = nil, sim.now
+	for id := uint32(0); len(r.pending) > 0 && id <= sim.lastMessageID; id++ { // in order of IDs, to be deterministic
+		msg := r.pending[id]
+		if msg == nil {
 			continue
 		}
-		delete(r.held, id)
-		m.over = true
-		if m.item != nil {
-			m.mayHave = true
+		delete(r.pending, id)
+		msg.completed = true
+		if msg.inFlight != nil {
+			msg.mayHaveRun = true
 		}
-		if !m.mayHave || m.req.class.Effect != policy.Unsafe {
-			w.after(part(w.day.ResubmitDelay, 0.8+0.4*w.clients.Float64()), func() { w.handIn(m.req) })
+		if !msg.mayHaveRun || msg.request.class.Effect != policy.Unsafe {
+			sim.scheduleAfter(scaleDuration(sim.scenario.ResubmitDelay, 0.8+0.4*sim.clientRand.Float64()),
+				func() { sim.submit(msg.request) })
 		} else {
-			w.end(m.req, endFailed)
+			sim.complete(msg.request, completedFailed)
 		}
 	}
-	for _, d := range w.dests {
-		delete(d.failed, r.no)
-		for _, e := range d.eps {
-			e.conns -= len(r.idle[e])
+	for _, d := range sim.dests {
+		delete(d.failureSeenBy, r.number)
+		for _, e := range d.endpoints {
+			e.openConns -= len(r.idleConns[e])
 		}
 	}
 }
 
-// hear puts an event into a relay's next step.
-func (r *relay) hear(ev policy.Event) {
-	r.inbox = append(r.inbox, ev)
-	if r.due {
+// enqueue adds an event to the relay's next step and schedules that step.
+func (r *relay) enqueue(event policy.Event) {
+	r.inbox = append(r.inbox, event)
+	if r.stepDue {
 		return
 	}
-	r.due = true
-	life := r.life
-	tick := r.w.day.Tick
-	at := max((r.w.now+tick-1)/tick*tick, r.stalled)
-	r.w.at(at, func() {
-		if r.life == life && r.mod != nil {
+	r.stepDue = true
+	incarnation := r.incarnation
+	tick := r.sim.scenario.Tick
+	at := max((r.sim.now+tick-1)/tick*tick, r.stalledUntil)
+	r.sim.schedule(at, func() {
+		if r.incarnation == incarnation && r.policy != nil {
 			r.step()
 		}
 	})
 }
 
-// step lets the module decide. A module that panics ends the life of its relay, as it would in service, and is counted.
+// step passes the queued events to the policy and carries out its actions. A policy that panics
+// crashes its relay for a second, and the panic is recorded.
 func (r *relay) step() {
 	events := r.inbox
-	r.inbox, r.due = nil, false
-	acts, ok := r.decide(events)
+	r.inbox, r.stepDue = nil, false
+	actions, ok := r.runPolicy(events)
 	if !ok {
-		r.die()
-		life := r.life
-		r.w.after(time.Second, func() {
-			if r.life == life && r.mod == nil {
-				r.boot()
+		r.stop()
+		incarnation := r.incarnation
+		r.sim.scheduleAfter(time.Second, func() {
+			if r.incarnation == incarnation && r.policy == nil {
+				r.start()
 			}
 		})
 		return
 	}
-	r.w.res.Steps++
-	var open []*call // of this step, to which further sends may join
-	for _, a := range acts {
+	r.sim.result.Steps++
+	var openCalls []*call // of this step; further messages may be added to them
+	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Send:
-			open = r.send(a, open)
+			openCalls = r.planSend(a, openCalls)
 		case policy.Refuse:
-			if !withdrawn(events, a.ID) {
-				r.final(a.ID, rules.Returned, a.RetryAfter)
+			if !withdrawnIn(events, a.ID) {
+				r.finalAnswer(a.ID, rules.Returned, a.RetryAfter)
 			}
 		case policy.Fail:
-			if !withdrawn(events, a.ID) {
-				r.final(a.ID, rules.Failed, 0)
+			if !withdrawnIn(events, a.ID) {
+				r.finalAnswer(a.ID, rules.Failed, 0)
 			}
 		case policy.SetTimer:
-			r.wake++
-			wake, life := r.wake, r.life
-			r.w.after(max(a.Delay, r.w.day.Tick), func() {
-				if r.wake == wake && r.life == life && r.mod != nil {
-					r.hear(policy.TimerFired{})
+			r.timerID++
+			timerID, incarnation := r.timerID, r.incarnation
+			r.sim.scheduleAfter(max(a.Delay, r.sim.scenario.Tick), func() {
+				if r.timerID == timerID && r.incarnation == incarnation && r.policy != nil {
+					r.enqueue(policy.TimerFired{})
 				}
 			})
 		case policy.CloseIdle:
-			if e := r.w.byAddress[a.Endpoint]; e != nil {
-				for range r.idle[e] {
-					e.conns--
+			if e := r.sim.byAddress[a.Endpoint]; e != nil {
+				for range r.idleConns[e] {
+					e.openConns--
 				}
-				delete(r.idle, e)
+				delete(r.idleConns, e)
 			}
 		case policy.LogLine:
-			r.w.res.Notes++
+			r.sim.result.Notes++
 		}
 	}
-	for _, c := range open {
-		r.w.start(c)
+	for _, c := range openCalls {
+		r.sim.sendCall(c)
 	}
 }
 
-// withdrawn tells whether the step that takes these events hears only now that a message is over. Its answer to it crosses that news, and is
-// dropped, as the host in service drops an answer to what it does not hold any more. One that comes a step later breaks the rule.
-func withdrawn(events []policy.Event, id uint32) bool {
+// withdrawnIn reports whether these events withdraw a message. A final answer of the same step is
+// dropped, as production relays drop answers to messages that are not pending any more; one of a
+// later step violates a rule.
+func withdrawnIn(events []policy.Event, id uint32) bool {
 	return slices.Contains(events, policy.Event(policy.Withdrawn{ID: id}))
 }
 
-func (r *relay) decide(events []policy.Event) (acts []policy.Action, ok bool) {
+// runPolicy runs a step of the policy; ok is false if it panicked.
+func (r *relay) runPolicy(events []policy.Event) (actions []policy.Action, ok bool) {
 	defer func() {
-		if p := recover(); p != nil {
-			r.w.fault(fmt.Sprintf("%v: the module of relay %d panics: %v", r.w.now, r.no, p))
-			acts, ok = nil, false
+		if recovered := recover(); recovered != nil {
+			r.sim.recordError(fmt.Sprintf("%v: the policy of relay %d panics: %v", r.sim.now, r.number, recovered))
+			actions, ok = nil, false
 		}
 	}()
-	return r.mod.Step(r.w.now, events), true
+	return r.policy.Step(r.sim.now, events), true
 }
 
-// send takes one Send of a step up: into a call that is open, into a new one, or back at once if it can't go out.
-func (r *relay) send(a policy.Send, open []*call) []*call {
-	w, m, e := r.w, r.held[a.ID], r.w.byAddress[a.Endpoint]
-	if m == nil || e == nil {
-		w.fault(fmt.Sprintf("%v: relay %d sends message %d to %q, which it does not have", w.now, r.no, a.ID, a.Endpoint))
-		return open
+// planSend adds a message to an open call of the step or to a new one. A message that may not be
+// sent ends at once as policy.Unsent.
+func (r *relay) planSend(send policy.Send, openCalls []*call) []*call {
+	sim, msg, e := r.sim, r.pending[send.ID], r.sim.byAddress[send.Endpoint]
+	if msg == nil || e == nil {
+		sim.recordError(fmt.Sprintf("%v: relay %d sends message %d to %q, but the message or the endpoint is unknown",
+			sim.now, r.number, send.ID, send.Endpoint))
+		return openCalls
 	}
-	m.tries++
-	it := item{m: m, attempt: m.tries - 1, timeout: a.Timeout}
-	if it.timeout <= 0 || w.now+it.timeout > m.req.deadline {
-		it.timeout = m.req.deadline - w.now
+	msg.attempts++
+	item := callItem{message: msg, attempt: msg.attempts - 1, timeout: send.Timeout}
+	if item.timeout <= 0 || sim.now+item.timeout > msg.request.deadline {
+		item.timeout = msg.request.deadline - sim.now
 	}
 	var c *call
-	for _, o := range open {
-		if o.ep == e && len(o.items) < e.dest.kind.MaxBatch {
-			c = o
+	for _, other := range openCalls {
+		if other.endpoint == e && len(other.items) < e.dest.kind.MaxBatch {
+			c = other
 		}
 	}
-	fresh := c == nil
-	if fresh {
-		w.callNo++
-		c = &call{id: w.callNo, relay: r, rlife: r.life, ep: e, sentAt: w.now}
-	}
-	moot := fresh && r.out >= w.day.MaxConcurrentCalls || m.over || m.item != nil || m.tries > w.day.MaxAttempts
-	line := rules.Event{Kind: rules.Sent, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, Endpoint: e.no, Route: e.route()}
-	if moot {
-		line.Call = 0 // no call: nothing is out
-	}
-	if w.log(line); moot {
-		w.ended(c, &it, policy.Unsent, 0)
-		return open
-	}
-	if fresh {
-		r.out++
-		open = append(open, c)
-	}
-	c.items = append(c.items, it)
-	c.left++
-	m.req.sends++
-	return open
+	newCall := c == nil
+	if newCall {
+		sim.lastCallID++
+		c = &call{id: sim.lastCallID, relay: r, relayIncarnation: r.incarnation, endpoint: e, sentAt: sim.now}
+	}
+	unsendable := newCall && r.inFlight >= sim.scenario.MaxConcurrentCalls || msg.completed || msg.inFlight != nil ||
+		msg.attempts > sim.scenario.MaxAttempts
+	event := rules.Event{
+		Kind:     rules.Sent,
+		Relay:    r.number,
+		Msg:      msg.id,
+		Attempt:  item.attempt,
+		Call:     c.id,
+		Dest:     e.dest.number,
+		Endpoint: e.number,
+		Route:    e.routeNumber(),
+	}
+	if unsendable {
+		event.Call = 0 // there is no call
+	}
+	if sim.log(event); unsendable {
+		sim.attemptEnded(c, &item, policy.Unsent, 0)
+		return openCalls
+	}
+	if newCall {
+		r.inFlight++
+		openCalls = append(openCalls, c)
+	}
+	c.items = append(c.items, item)
+	c.openItems++
+	msg.request.attempts++
+	return openCalls
 }
 
-// start sends a call off: over a connection that is idle, or over a new one.
-func (w *world) start(c *call) {
-	r, e := c.relay, c.ep
-	w.res.Calls++
-	if e.dest.sick > 0 || e.dest.fallen {
-		w.res.Probes++
+// sendCall sends a call over an idle connection or a new one.
+func (sim *simulation) sendCall(c *call) {
+	r, e := c.relay, c.endpoint
+	sim.result.Calls++
+	if e.dest.activeOutages > 0 || e.dest.overloaded {
+		sim.result.Probes++
 	}
-	w.res.Dests[e.dest.no].Calls++
+	sim.result.Dests[e.dest.number].Calls++
 	for i := range c.items {
-		it := &c.items[i]
-		it.m.item = it
-		w.after(it.timeout, func() {
-			if !it.done {
-				if c.closed = true; r.watch != nil && r.life == c.rlife && r.mod != nil {
-					r.watch.RecordCall(w.now, c.sentAt, e.address, sites.NoResponse)
+		item := &c.items[i]
+		item.message.inFlight = item
+		sim.scheduleAfter(item.timeout, func() {
+			if !item.ended {
+				if c.abandoned = true; r.siteWatch != nil && r.incarnation == c.relayIncarnation && r.policy != nil {
+					r.siteWatch.RecordCall(sim.now, c.sentAt, e.address, sites.NoResponse)
 				}
-				w.ended(c, it, policy.TimedOut, 0)
+				sim.attemptEnded(c, item, policy.TimedOut, 0)
 			}
 		})
 	}
-	way := w.way(w.day.RTT / 2)
-	for n := len(r.idle[e]); n > 0; n = len(r.idle[e]) {
-		k := r.idle[e][n-1]
-		r.idle[e] = r.idle[e][:n-1]
-		if w.now-k.usedAt >= w.day.IdleTimeout || k.life != e.lives && e.health != vanished {
-			if k.life == e.lives {
-				e.conns--
+	delay := sim.drawDelay(sim.scenario.RTT / 2)
+	for n := len(r.idleConns[e]); n > 0; n = len(r.idleConns[e]) {
+		idle := r.idleConns[e][n-1]
+		r.idleConns[e] = r.idleConns[e][:n-1]
+		if sim.now-idle.lastUsed >= sim.scenario.IdleTimeout ||
+			idle.incarnation != e.incarnation && e.health != unresponsive {
+			if idle.incarnation == e.incarnation {
+				e.openConns--
 			}
-			continue // it shows as closed
+			continue // closed
 		}
-		c.conn, c.life = k, k.life
-		if w.reaches(r, e) { // else it is not answered
-			w.after(way, func() { w.arrive(c) })
+		c.conn, c.endpointIncarnation = idle, idle.incarnation
+		if sim.reaches(r, e) { // else it times out
+			sim.scheduleAfter(delay, func() { sim.callArrived(c) })
 		}
 		return
 	}
-	w.res.Connections++
-	c.life = e.lives
-	full := e.spec.MaxConns > 0 && e.conns >= e.spec.MaxConns
+	sim.result.Connections++
+	c.endpointIncarnation = e.incarnation
+	atConnLimit := e.spec.MaxConns > 0 && e.openConns >= e.spec.MaxConns
 	switch {
-	case e.gone || e.health == crashed || full:
-		w.after(2*way, func() { w.answerNow(c, policy.ConnectFailed, 0) })
-	case e.health == vanished || !w.reaches(r, e):
-		w.after(w.day.ConnectTimeout, func() { w.answerNow(c, policy.ConnectFailed, 0) })
+	case e.removed || e.health == crashed || atConnLimit:
+		sim.scheduleAfter(2*delay, func() { sim.completeCall(c, policy.ConnectFailed, 0) })
+	case e.health == unresponsive || !sim.reaches(r, e):
+		sim.scheduleAfter(sim.scenario.ConnectTimeout, func() { sim.completeCall(c, policy.ConnectFailed, 0) })
 	default:
-		e.conns++
-		c.conn = &conn{life: e.lives}
-		w.after(way+part(w.day.RTT, w.day.HandshakeRTTs), func() { w.arrive(c) })
+		e.openConns++
+		c.conn = &conn{incarnation: e.incarnation}
+		sim.scheduleAfter(delay+scaleDuration(sim.scenario.RTT, sim.scenario.HandshakeRTTs), func() { sim.callArrived(c) })
 	}
 }
 
-// answer is what an endpoint has to say of a call; it takes its way back.
-func (w *world) answer(c *call, out policy.Outcome, wait time.Duration) {
+// sendAnswer sends an endpoint's answer to a call. Only the first answer counts.
+func (sim *simulation) sendAnswer(c *call, outcome policy.Outcome, retryAfter time.Duration) {
 	if c.answered {
 		return
 	}
 	c.answered = true
-	sent := w.now
-	w.after(w.way(w.day.RTT/2), func() {
-		if !w.reaches(c.relay, c.ep) {
-			return // it has run, and its relay hears nothing of it
+	sentAt := sim.now
+	sim.scheduleAfter(sim.drawDelay(sim.scenario.RTT/2), func() {
+		if !sim.reaches(c.relay, c.endpoint) {
+			return // lost; the call may have run
 		}
-		if wait > 0 { // it runs from when it was told
-			wait = max(wait-(w.now-sent), time.Millisecond)
+		if retryAfter > 0 { // it counts from when it was sent
+			retryAfter = max(retryAfter-(sim.now-sentAt), time.Millisecond)
 		}
-		w.answerNow(c, out, wait)
+		sim.completeCall(c, outcome, retryAfter)
 	})
 }
 
-// answerNow ends what is still out of a call.
-func (w *world) answerNow(c *call, out policy.Outcome, wait time.Duration) {
-	r, e := c.relay, c.ep
+// completeCall ends all open attempts of a call and returns its connection to the idle ones.
+func (sim *simulation) completeCall(c *call, outcome policy.Outcome, retryAfter time.Duration) {
+	r, e := c.relay, c.endpoint
 	c.answered = true
-	if r.life == c.rlife && r.mod != nil {
-		target := w.targets.Key(e.address, e.dest.no)
-		r.pool.RecordRetryAfter(w.now, target, wait)
-		if r.watch != nil {
-			how := siteEnd(out)
-			if out == policy.ConnectFailed && w.now-c.sentAt >= w.day.ConnectTimeout {
-				how = sites.NoResponse
+	if r.incarnation == c.relayIncarnation && r.policy != nil {
+		reportKey := sim.reportKeys.Key(e.address, e.dest.number)
+		r.gossiper.RecordRetryAfter(sim.now, reportKey, retryAfter)
+		if r.siteWatch != nil {
+			siteResult := siteOutcome(outcome)
+			if outcome == policy.ConnectFailed && sim.now-c.sentAt >= sim.scenario.ConnectTimeout {
+				siteResult = sites.NoResponse
 			}
-			r.watch.RecordCall(w.now, c.sentAt, e.address, how)
+			r.siteWatch.RecordCall(sim.now, c.sentAt, e.address, siteResult)
 		}
-		switch out {
+		switch outcome {
 		case policy.Delivered, policy.Errored:
-			r.pool.RecordCall(target, peers.Accepted)
+			r.gossiper.RecordCall(reportKey, peers.Accepted)
 		case policy.Rejected:
-			r.pool.RecordCall(target, peers.Rejected)
+			r.gossiper.RecordCall(reportKey, peers.Rejected)
 		default:
-			r.pool.RecordCall(target, peers.Failed)
+			r.gossiper.RecordCall(reportKey, peers.Failed)
 		}
 	}
-	if k := c.conn; k != nil && !c.closed && r.life == c.rlife && r.mod != nil && out != policy.ConnectionLost && out != policy.ConnectFailed {
-		k.usedAt = w.now
-		r.idle[e] = append(r.idle[e], k)
-	} else if k != nil && k.life == e.lives {
-		e.conns--
+	if used := c.conn; used != nil && !c.abandoned && r.incarnation == c.relayIncarnation && r.policy != nil &&
+		outcome != policy.ConnectionLost && outcome != policy.ConnectFailed {
+		used.lastUsed = sim.now
+		r.idleConns[e] = append(r.idleConns[e], used)
+	} else if used != nil && used.incarnation == e.incarnation {
+		e.openConns--
 	}
 	c.conn = nil
 	for i := range c.items {
-		if it := &c.items[i]; !it.done {
-			w.ended(c, it, out, wait)
+		if item := &c.items[i]; !item.ended {
+			sim.attemptEnded(c, item, outcome, retryAfter)
 		}
 	}
 }
 
-// siteEnd is what the end of a call says of the site of its endpoint.
-func siteEnd(out policy.Outcome) sites.CallOutcome {
-	switch out {
+// siteOutcome converts the outcome of a call for the site watch.
+func siteOutcome(outcome policy.Outcome) sites.CallOutcome {
+	switch outcome {
 	case policy.Delivered, policy.Errored:
 		return sites.Accepted
 	case policy.Rejected:
@@ -533,56 +572,77 @@
 	return sites.Failed
 }
 
-// ended tells a relay how an attempt ended.
-func (w *world) ended(c *call, it *item, out policy.Outcome, wait time.Duration) {
-	r, m, e := c.relay, it.m, c.ep
-	it.done = true
-	if r.life != c.rlife || r.mod == nil {
+// attemptEnded records how an attempt ended and reports it to the relay.
+func (sim *simulation) attemptEnded(c *call, item *callItem, outcome policy.Outcome, retryAfter time.Duration) {
+	r, msg, e := c.relay, item.message, c.endpoint
+	item.ended = true
+	if r.incarnation != c.relayIncarnation || r.policy == nil {
 		return
 	}
-	if out != policy.Unsent {
-		if c.left--; c.left == 0 {
-			r.out--
-			if c.closed && c.conn != nil && c.conn.life == e.lives {
-				e.conns--
+	if outcome != policy.Unsent {
+		if c.openItems--; c.openItems == 0 {
+			r.inFlight--
+			if c.abandoned && c.conn != nil && c.conn.incarnation == e.incarnation {
+				e.openConns--
 				c.conn = nil
 			}
 		}
 	}
-	if m.item == it {
-		m.item = nil
-	}
-	proved := out == policy.Rejected || out == policy.ConnectFailed || out == policy.RequestIncomplete || out == policy.Unsent
-	if !proved {
-		m.mayHave = true
-	}
-	ok := out == policy.Delivered
-	if ok && !m.over {
-		m.over = true
-		w.res.Relays[r.no].Served += m.req.class.worth(w.now - m.req.at)
-		delete(r.held, m.id)
-		w.end(m.req, endDelivered)
-	}
-	if !ok && out != policy.Unsent && (e.dest.sick > 0 || e.dest.fallen) {
-		e.dest.failed[r.no] = true
-	}
-	w.log(rules.Event{Kind: rules.AttemptEnded, Relay: r.no, Msg: m.id, Attempt: it.attempt, Call: c.id, Dest: e.dest.no, NotRun: proved, Delivered: ok, RetryAfter: wait, Route: e.route()})
-	r.hear(policy.AttemptEnded{ID: m.id, Attempt: it.attempt, Endpoint: e.address, Outcome: out, Duration: w.now - c.sentAt, Final: m.over, RetryAfter: wait, Report: c.tells(out)})
+	if msg.inFlight == item {
+		msg.inFlight = nil
+	}
+	notRun := outcome == policy.Rejected || outcome == policy.ConnectFailed || outcome == policy.RequestIncomplete ||
+		outcome == policy.Unsent
+	if !notRun {
+		msg.mayHaveRun = true
+	}
+	delivered := outcome == policy.Delivered
+	if delivered && !msg.completed {
+		msg.completed = true
+		sim.result.Relays[r.number].Served += msg.request.class.valueAfter(sim.now - msg.request.submittedAt)
+		delete(r.pending, msg.id)
+		sim.complete(msg.request, completedDelivered)
+	}
+	if !delivered && outcome != policy.Unsent && (e.dest.activeOutages > 0 || e.dest.overloaded) {
+		e.dest.failureSeenBy[r.number] = true
+	}
+	sim.log(rules.Event{
+		Kind:       rules.AttemptEnded,
+		Relay:      r.number,
+		Msg:        msg.id,
+		Attempt:    item.attempt,
+		Call:       c.id,
+		Dest:       e.dest.number,
+		NotRun:     notRun,
+		Delivered:  delivered,
+		RetryAfter: retryAfter,
+		Route:      e.routeNumber(),
+	})
+	r.enqueue(policy.AttemptEnded{
+		ID:         msg.id,
+		Attempt:    item.attempt,
+		Endpoint:   e.address,
+		Outcome:    outcome,
+		Duration:   sim.now - c.sentAt,
+		Final:      msg.completed,
+		RetryAfter: retryAfter,
+		Report:     c.reportFor(outcome),
+	})
 }
 
-// final is a relay's last word on a message.
-func (r *relay) final(id uint32, kind rules.Kind, advice time.Duration) {
-	w, m := r.w, r.held[id]
-	w.log(rules.Event{Kind: kind, Relay: r.no, Msg: id})
-	if m == nil || m.over {
+// finalAnswer handles a relay's final answer to a message.
+func (r *relay) finalAnswer(id uint32, kind rules.Kind, retryAfter time.Duration) {
+	sim, msg := r.sim, r.pending[id]
+	sim.log(rules.Event{Kind: kind, Relay: r.number, Msg: id})
+	if msg == nil || msg.completed {
 		return
 	}
-	m.over = true
-	delete(r.held, id)
+	msg.completed = true
+	delete(r.pending, id)
 	if kind == rules.Failed {
-		w.end(m.req, endFailed)
+		sim.complete(msg.request, completedFailed)
 		return
 	}
-	w.res.Refusals++
-	w.again(m.req, advice)
+	sim.result.Refusals++
+	sim.retryOrReturn(msg.request, retryAfter)
 }
--- a/internal/lab/emu/result.go
+++ b/internal/lab/emu/result.go
@@ -8,46 +8,50 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Result is what came of a day. Of one day and one seed it is the same each time.
+// Result is the outcome of a run. It is deterministic for a scenario and its seed.
 type Result struct {
 	Day  string
 	Seed uint64
 
-	G                              float64 // as the operators count: see Score
-	Whole, WorstWindow, WorstClass float64
-	Requests                       int // first tries
-	Delivered, InAim               int
-	GivenUp, HandedBack, Lost      int // requests that ended undelivered: failed, refused for good, never answered
-	HandIns, Refusals, TurnedAway  int
-	Unreached                      int // hand-ins that found a dead relay
-	Calls, RefusedCalls            int
-	Connections                    int
-	Probes                         int            // calls that went off to destinations which were out
-	Agreed                         bool           // in the end all relays knew who lived
-	Down                           []int          // relays that were down in the end
-	Members                        []MemberChange `json:",omitempty"` // what relays came to think of one another
-	Sites                          []SiteChange   `json:",omitempty"` // and of sites
-	NoteBytes                      int            // of notes between relays, as they are delivered
-	Steps, Notes, Events           int
-	Overdue, Doubles, Fallen       int
-	Work, Asked                    float64 // seconds of destinations' work, done and asked for
-	Useful                         float64 // work of what was delivered
-	Seconds                        []Second
-	ByClass                        []Tally
-	Dests                          []DestTally
-	Relays                         []RelayTally
-	FairRelays, FairDests          float64                 // Jain's index of the share of their worth that is served
-	Latency                        *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
-	Broken                         map[rules.Name]int
-	Breaks                         []rules.Violation
-	Faults                         []string // of the module, of the day or of the laboratory itself
-	lateFail                       float64
+	G                              float64 // score of the run; see finish
+	Whole, WorstWindow, WorstClass float64 // served share of the value: total, worst window, worst class
+
+	Requests                      int            // without retries
+	Delivered, InAim              int            // delivered requests, and those within their target latency
+	GivenUp, HandedBack, Lost     int            // undelivered: failed, returned to the client, never answered
+	HandIns, Refusals, TurnedAway int            // submissions: accepted, refused after that, rejected at MaxPending
+	Unreached                     int            // submissions to a dead relay
+	Calls, RefusedCalls           int            // calls sent, and those that endpoints rejected
+	Connections                   int            // opened
+	Probes                        int            // calls to destinations that were down
+	Agreed                        bool           // at the end the members' views of all relays were correct
+	Down                          []int          // relays that were down at the end
+	Members                       []MemberChange `json:",omitempty"`
+	Sites                         []SiteChange   `json:",omitempty"`
+	NoteBytes                     int            // gossip, as delivered
+
+	Steps, Notes, Events     int     // steps and log lines of policies; events of the simulation
+	Overdue, Doubles, Fallen int     // unanswered in time; repeated unsafe messages; overloads while cold
+	Work, Asked              float64 // seconds of work: done, submitted
+	Useful                   float64 // seconds of work of delivered messages
+
+	Seconds               []Second
+	ByClass               []Tally
+	Dests                 []DestTally
+	Relays                []RelayTally
+	FairRelays, FairDests float64                 // Jain's index of the served share of the value
+	Latency               *hdrhistogram.Histogram `json:"-"` // of delivered messages, in microseconds
+	Broken                map[rules.Name]int      // violations by rule
+	Breaks                []rules.Violation       // the first ones
+	Faults                []string                // errors of the policy, the scenario or the simulator
+
+	lateFailureValue float64
 }
 
-// Second is a second of arrivals: the worth that came in and what of it was served.
+// Second is the value that was submitted in a second, and what of it was served.
 type Second struct{ Asked, Served float64 }
 
-// MemberChange is what one relay came to think of another; of itself, that a process of it started.
+// MemberChange is a change of a relay's view of another one, or the start of the relay itself.
 type MemberChange struct {
 	At          time.Duration
 	By, Number  int
@@ -56,7 +60,7 @@
 	Why         string
 }
 
-// SiteChange is what a relay came to take a site for.
+// SiteChange is a change of a relay's view of a site.
 type SiteChange struct {
 	At       time.Duration
 	By       int
@@ -65,7 +69,7 @@
 	Why      string
 }
 
-// Tally is a class's.
+// Tally counts the messages and the value of a class.
 type Tally struct {
 	Name                    string
 	Requests, Delivered     int
@@ -73,20 +77,21 @@
 	GivenUp, Refused, InAim int
 }
 
-// DestTally is a destination's.
+// DestTally counts the messages, calls and value of a destination.
 type DestTally struct {
 	Requests, Delivered, Calls, Refused int
 	Asked, Served                       float64
 }
 
-// RelayTally is a relay's: worth that was handed in to it, hand-ins that came again among them, and worth that it delivered.
+// RelayTally is the value that a relay accepted, retried submissions included, and the value that
+// it delivered.
 type RelayTally struct{ Asked, Served float64 }
 
-// jain is Jain's index of fairness: 1 where all have the same, 1/n where one has all.
-func jain(shares []float64) float64 {
+// jainIndex returns Jain's fairness index: 1 if all shares are equal, 1/n if one has everything.
+func jainIndex(shares []float64) float64 {
 	sum, squares := 0.0, 0.0
-	for _, x := range shares {
-		sum, squares = sum+x, squares+x*x
+	for _, share := range shares {
+		sum, squares = sum+share, squares+share*share
 	}
 	if squares == 0 {
 		return 1
@@ -94,126 +99,143 @@
 	return sum * sum / (float64(len(shares)) * squares)
 }
 
-func newResult(d *Scenario) *Result {
-	r := &Result{Day: d.Name, Seed: d.Seed, Seconds: make([]Second, int(d.Length/time.Second)+1), Dests: make([]DestTally, len(d.Dests)), Relays: make([]RelayTally, d.Relays),
-		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
-	for _, c := range d.Classes {
-		r.ByClass = append(r.ByClass, Tally{Name: c.Name})
+// newResult returns an empty result of a scenario.
+func newResult(scenario *Scenario) *Result {
+	result := &Result{
+		Day:     scenario.Name,
+		Seed:    scenario.Seed,
+		Seconds: make([]Second, int(scenario.Length/time.Second)+1),
+		Dests:   make([]DestTally, len(scenario.Dests)),
+		Relays:  make([]RelayTally, scenario.Relays),
+		Latency: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3),
 	}
-	return r
+	for _, class := range scenario.Classes {
+		result.ByClass = append(result.ByClass, Tally{Name: class.Name})
+	}
+	return result
 }
 
-func (r *Result) asked(w *world, q *request) {
-	worth := q.class.Value
-	r.Seconds[int(q.at/time.Second)].Asked += worth
-	if t := &r.ByClass[q.classNo]; q.at >= w.day.TallyFrom {
-		t.Requests++
-		t.Asked += worth
-	}
-	r.Dests[q.dest.no].Requests++
-	r.Dests[q.dest.no].Asked += worth
-	r.Asked += q.work
+// recordRequest counts a new request.
+func (r *Result) recordRequest(sim *simulation, req *request) {
+	value := req.class.Value
+	r.Seconds[int(req.submittedAt/time.Second)].Asked += value
+	if tally := &r.ByClass[req.classIndex]; req.submittedAt >= sim.scenario.TallyFrom {
+		tally.Requests++
+		tally.Asked += value
+	}
+	r.Dests[req.dest.number].Requests++
+	r.Dests[req.dest.number].Asked += value
+	r.Asked += req.workSeconds
 }
 
-func (r *Result) ended(w *world, q *request, how end) {
-	t, after := &r.ByClass[q.classNo], w.now-q.at
-	if q.at < w.day.TallyFrom {
-		t = &Tally{}
-	}
-	switch how {
-	case endDelivered:
-		worth := q.class.worth(after)
-		r.Seconds[int(q.at/time.Second)].Served += worth
-		t.Served += worth
-		t.Delivered++
+// recordCompletion counts the end of a request.
+func (r *Result) recordCompletion(sim *simulation, req *request, outcome completion) {
+	tally, latency := &r.ByClass[req.classIndex], sim.now-req.submittedAt
+	if req.submittedAt < sim.scenario.TallyFrom {
+		tally = &Tally{}
+	}
+	switch outcome {
+	case completedDelivered:
+		value := req.class.valueAfter(latency)
+		r.Seconds[int(req.submittedAt/time.Second)].Served += value
+		tally.Served += value
+		tally.Delivered++
 		r.Delivered++
-		if after <= q.class.TargetLatency {
-			t.InAim++
+		if latency <= req.class.TargetLatency {
+			tally.InAim++
 			r.InAim++
 		}
-		r.Useful += q.work
-		r.Dests[q.dest.no].Delivered++
-		r.Dests[q.dest.no].Served += worth
-		r.Latency.RecordValue(int64(after / time.Microsecond))
+		r.Useful += req.workSeconds
+		r.Dests[req.dest.number].Delivered++
+		r.Dests[req.dest.number].Served += value
+		r.Latency.RecordValue(int64(latency / time.Microsecond))
 		return
-	case endFailed:
+	case completedFailed:
 		r.GivenUp++
-		t.GivenUp++
-	case endRefused:
+		tally.GivenUp++
+	case completedReturned:
 		r.HandedBack++
-		t.Refused++
-	case endLost:
+		tally.Refused++
+	case completedLost:
 		r.Lost++
 	}
-	if after > q.class.TargetLatency {
-		r.lateFail += q.class.Value
+	if latency > req.class.TargetLatency {
+		r.lateFailureValue += req.class.Value
 	}
 }
 
-// window is the time over which the worst stretch of a day is looked for.
-const window = 10
+// worstWindowSeconds is the length of the windows among which the worst one is reported.
+const worstWindowSeconds = 10
 
-// finish works out the figures of the whole day and holds the two accounts against each other: the log of the rules and the
-// world's own. Where they disagree the laboratory is at fault, and says so.
-func (r *Result) finish(w *world) {
-	r.Events = w.done
-	r.Broken, r.Breaks = w.check.Counts, w.check.Violations
+// finish computes the scores of the run and cross-checks the violations that the rule checker found
+// with the simulation's own counts. A contradiction is an error of the simulator and is recorded.
+func (r *Result) finish(sim *simulation) {
+	r.Events = sim.processed
+	r.Broken, r.Breaks = sim.checker.Counts, sim.checker.Violations
 	asked, served := 0.0, 0.0
-	for _, s := range r.Seconds {
-		asked += s.Asked
-		served += s.Served
-	}
-	r.Whole, r.WorstWindow, r.WorstClass = share(served, asked), 1, 1
-	for i := 0; i+window < len(r.Seconds) || i == 0; i++ {
-		a, s := 0.0, 0.0
-		for _, sec := range r.Seconds[i:min(i+window, len(r.Seconds))] {
-			a += sec.Asked
-			s += sec.Served
+	for _, second := range r.Seconds {
+		asked += second.Asked
+		served += second.Served
+	}
+	r.Whole, r.WorstWindow, r.WorstClass = shareOrOne(served, asked), 1, 1
+	for i := 0; i+worstWindowSeconds < len(r.Seconds) || i == 0; i++ {
+		windowAsked, windowServed := 0.0, 0.0
+		for _, second := range r.Seconds[i:min(i+worstWindowSeconds, len(r.Seconds))] {
+			windowAsked += second.Asked
+			windowServed += second.Served
 		}
-		r.WorstWindow = min(r.WorstWindow, share(s, a))
+		r.WorstWindow = min(r.WorstWindow, shareOrOne(windowServed, windowAsked))
 	}
-	for _, t := range r.ByClass {
-		r.WorstClass = min(r.WorstClass, share(t.Served, t.Asked))
+	for _, tally := range r.ByClass {
+		r.WorstClass = min(r.WorstClass, shareOrOne(tally.Served, tally.Asked))
 	}
 	var relays, dests []float64
-	for _, t := range r.Relays {
-		if t.Asked > 0 {
-			relays = append(relays, t.Served/t.Asked)
+	for _, tally := range r.Relays {
+		if tally.Asked > 0 {
+			relays = append(relays, tally.Served/tally.Asked)
 		}
 	}
-	for _, t := range r.Dests {
-		if t.Asked > 0 {
-			dests = append(dests, t.Served/t.Asked)
+	for _, tally := range r.Dests {
+		if tally.Asked > 0 {
+			dests = append(dests, tally.Served/tally.Asked)
 		}
 	}
-	r.FairRelays, r.FairDests = jain(relays), jain(dests)
-	n, p := float64(max(1, r.Requests)), w.day.Penalties
-	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass - p.WastedWork*share0(max(0, r.Work-r.Useful), r.Asked) -
-		p.Handshake*float64(r.Connections)/n - p.LateFailure*share0(r.lateFail, asked) - p.RejectedCall*float64(r.RefusedCalls)/n - p.Gossip*float64(r.NoteBytes)/256/n
-	if lost := r.Broken[rules.Answer]; (lost > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree on messages without an answer in time")
+	r.FairRelays, r.FairDests = jainIndex(relays), jainIndex(dests)
+	requests, penalties := float64(max(1, r.Requests)), sim.scenario.Penalties
+	r.G = 0.5*r.Whole + 0.3*r.WorstWindow + 0.2*r.WorstClass -
+		penalties.WastedWork*shareOrZero(max(0, r.Work-r.Useful), r.Asked) -
+		penalties.Handshake*float64(r.Connections)/requests -
+		penalties.LateFailure*shareOrZero(r.lateFailureValue, asked) -
+		penalties.RejectedCall*float64(r.RefusedCalls)/requests -
+		penalties.Gossip*float64(r.NoteBytes)/256/requests
+	if unanswered := r.Broken[rules.Answer]; (unanswered > 0) != (r.Overdue > 0) && len(r.Faults) == 0 {
+		r.Faults = append(r.Faults, "rule checker and simulation disagree on messages without an answer in time")
 	}
 	if (r.Broken[rules.Repeat] > 0) != (r.Doubles > 0) && r.Doubles > 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree: a message ran twice, and no rule on repeats was broken")
+		r.Faults = append(r.Faults,
+			"rule checker and simulation disagree: a message ran twice without a violation of the repeat rule")
 	}
 	if r.Fallen == 0 && r.Broken[rules.RecoveryOverload] > 0 {
-		r.Faults = append(r.Faults, "the two accounts disagree: no destination fell over, and the rule on returns was broken")
+		r.Faults = append(r.Faults,
+			"rule checker and simulation disagree: no destination was overloaded, but the recovery rule was violated")
 	}
 }
 
-func share(part, of float64) float64 {
-	if of <= 0 {
+// shareOrOne returns part as a share of total; 1 if total is not positive.
+func shareOrOne(part, total float64) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return part / of
+	return part / total
 }
 
-func share0(part, of float64) float64 {
-	if of <= 0 {
+// shareOrZero returns part as a share of total; 0 if total is not positive.
+func shareOrZero(part, total float64) float64 {
+	if total <= 0 {
 		return 0
 	}
-	return part / of
+	return part / total
 }
 
-// Passed tells whether no rule was broken and nothing else went wrong.
+// Passed reports whether no rule was violated and no error occurred.
 func (r *Result) Passed() bool { return len(r.Faults) == 0 && len(r.Breaks) == 0 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,7 +1,8 @@
-// Package rules checks what relays did against the rules of the protocol: it reads a log of events in order of time and tells
-// each break once. It knows nothing of how relays decide, nor of the emulator: whatever writes such a log can be checked.
+// Package rules checks the behavior of relays against the rules of the protocol. A Checker reads a
+// log of events in order of time and reports each violation once. It depends neither on the policy
+// nor on the simulator that writes the log.
 //
-// A Checker keeps only what is still open: messages that are over and have no attempt out are forgotten.
+// A Checker keeps only open state: completed messages without an attempt in flight are forgotten.
 package rules
 
 import (
@@ -12,31 +13,31 @@
 // Name is the name of a rule.
 type Name string
 
-// The rules.
+// Names of the rules.
 const (
 	Answer           Name = "answer"    // one final answer, in time, and no attempt after it
-	Repeat           Name = "repeat"    // no repeat and no refusal that the class forbids; one live attempt
-	Drain            Name = "drain"     // nothing new to an endpoint that is told to be going
-	RecoveryOverload Name = "fail-back" // no returning destination pushed over by those who saw it fail
-	RetryAfter       Name = "wait"      // told waits are heeded
-	Bounds           Name = "place"     // only endpoints of the message's destination, only as many calls and attempts as allowed
-	ConcurrencyShare Name = "share"     // calls to one destination keep within three quarters of the slots
+	Repeat           Name = "repeat"    // no repeat or return that the class forbids; one attempt at a time
+	Drain            Name = "drain"     // no call to an endpoint that is known to be leaving
+	RecoveryOverload Name = "fail-back" // no overload of a recovering destination by relays that saw it fail
+	RetryAfter       Name = "wait"      // no call before the end of a Retry-After
+	Bounds           Name = "place"     // only endpoints of the message's destination; limits of calls and attempts
+	ConcurrencyShare Name = "share"     // calls to one destination use at most three quarters of the concurrency limit
 )
 
-// Names are all of them.
+// Names lists all rules.
 var Names = []Name{Answer, Repeat, Drain, RecoveryOverload, RetryAfter, Bounds, ConcurrencyShare}
 
-// Effect says what a repeat does.
+// Effect says what a repeated message does.
 type Effect int
 
-// The effects, as classes of message have them.
+// Effects, as in policy.Class.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Safe   Effect = iota // nothing
+	Keyed                // nothing within the repeat window
+	Unsafe               // takes effect again
 )
 
-// Config holds the figures of the rules.
+// Config holds the limits of the rules.
 type Config struct {
 	AnswerSlack        time.Duration
 	DrainGrace         time.Duration
@@ -44,31 +45,31 @@
 	OverloadTime       time.Duration
 	MaxConcurrentCalls int
 	MaxAttempts        int
-	RetryAfterGrace    time.Duration // from when a wait was told: what was under way passes
-	ClockSlack         time.Duration // of each limit in time, where clocks and networks are real
+	RetryAfterGrace    time.Duration // after receipt of a Retry-After, during which calls pass
+	ClockSlack         time.Duration // tolerance of each time limit, where clocks and networks are real
 }
 
 // Kind is the kind of an event.
 type Kind int
 
-// The kinds of event, and the fields that they have beside At.
+// Kinds of events, and the fields that they use besides At.
 const (
-	Accepted        Kind = iota // Relay, Msg, Dest, Effect, Window, Until: a relay has taken a message on
-	Sent                        // Relay, Msg, Attempt, Call (0: it can't go out), Dest (of the endpoint), Endpoint, Route
-	AttemptEnded                // Relay, Msg, Attempt, Dest, Route, Proved, OK, Wait: how an attempt ended, as its relay learned it
+	Accepted        Kind = iota // Relay, Msg, Dest, Effect, RepeatWindow, Deadline: a relay has accepted a message
+	Sent                        // Relay, Msg, Attempt, Call (0: not sent after all), Dest, Endpoint, Route
+	AttemptEnded                // Relay, Msg, Attempt, Call, Dest, Route, NotRun, Delivered, RetryAfter
 	Returned                    // Relay, Msg: final answer
 	Failed                      // Relay, Msg: final answer
-	Withdrawn                   // Relay, Msg: nothing more is owed, by no doing of the relay
-	RelayDied                   // Relay: the process is gone with all that it held
-	EndpointLeaving             // Relay, Endpoint: the relay was told that it drains or is gone
-	DestRecovered               // Dest: an outage is over, and the destination cold
-	DestWarm                    // Dest: it has all of its capacity again
-	FailureSeen                 // Relay, Dest: the relay saw a call fail or be refused there while an outage lasted
-	WorkArrived                 // Relay, Dest, Weight, Capacity: work reached a cold destination, whose capacity is so many a second now
-	LogEnded                    // the log's end
+	Withdrawn                   // Relay, Msg: no answer is due any more, for reasons outside the relay
+	RelayDied                   // Relay: the process and its pending messages are gone
+	EndpointLeaving             // Relay, Endpoint: the relay learned that it drains or is removed
+	DestRecovered               // Dest: an outage has ended; the destination is cold
+	DestWarm                    // Dest: it has its full capacity
+	FailureSeen                 // Relay, Dest: the relay saw a call fail or be rejected during an outage
+	WorkArrived                 // Relay, Dest, Weight, Capacity: work reached a cold destination
+	LogEnded                    // end of the log
 )
 
-// Event is one line of the log. IDs of messages, calls and endpoints are never used twice.
+// Event is an entry of the log. IDs of messages, calls and endpoints are never reused.
 type Event struct {
 	At           time.Duration
 	Kind         Kind
@@ -78,18 +79,18 @@
 	Call         uint64
 	Dest         int
 	Endpoint     int
-	Route        int // of a separate route that told waits are about; 0: they are about the destination
+	Route        int // that a RetryAfter applies to; 0: the whole destination
 	Effect       Effect
 	RepeatWindow time.Duration
 	Deadline     time.Duration
 	RetryAfter   time.Duration
 	NotRun       bool // the attempt never ran
-	Delivered    bool // it was delivered: the message is over
+	Delivered    bool // the message is completed
 	Weight       float64
 	Capacity     float64
 }
 
-// Violation is a broken rule.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule  Name
 	At    time.Duration
@@ -98,298 +99,334 @@
 	Why   string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", b.At, b.Rule, b.Relay, b.Msg, b.Why)
+// String describes the violation in one line.
+func (v Violation) String() string {
+	return fmt.Sprintf("%v: %s: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Msg, v.Why)
 }
 
-// Checker reads a log. It is not safe for concurrent use.
+// Checker checks one log. It is not safe for concurrent use.
 type Checker struct {
-	set        Config
-	Violations []Violation
-	Counts     map[Name]int
-	msgs       map[uint32]*message
+	config     Config
+	Violations []Violation  // the first ones
+	Counts     map[Name]int // of all violations
+	messages   map[uint32]*message
 	calls      map[uint64]*call
 	relays     map[int]*relay
 	dests      map[int]*dest
-	last       time.Duration
+	lastAt     time.Duration
 }
 
+// message is an accepted message.
 type message struct {
-	relay, dest, sent int
-	effect            Effect
-	window, until     time.Duration
-	live              int
-	over, risk        bool
-	riskAt            time.Duration
-	sentAt            map[int]time.Duration // of attempts that are out
+	relay, dest, attempts  int
+	effect                 Effect
+	repeatWindow, deadline time.Duration
+	liveAttempts           int
+	completed, mayHaveRun  bool
+	mayHaveRunSince        time.Duration
+	sentAt                 map[int]time.Duration // by attempt in flight
 }
 
+// call is a call in flight.
 type call struct {
-	relay, dest, left int
+	relay, dest, openItems int
 }
 
+// relay is the state of a relay process.
 type relay struct {
-	out     map[int]int // calls by destination
-	calls   int
-	waits   map[place]wait
-	leaving map[int]time.Duration
+	callsByDest map[int]int // in flight
+	calls       int
+	retryAfters map[target]retryAfterPeriod
+	leaving     map[int]time.Duration
 }
 
-// place is what a told wait is about: a destination, or one of its separate routes.
-type place struct{ dest, route int }
+// target is what a Retry-After applies to: a destination, or one of its separate routes.
+type target struct{ dest, route int }
 
-func (e Event) place() place { return place{e.Dest, e.Route} }
+// target returns the target of the event's destination and route.
+func (e Event) target() target { return target{e.Dest, e.Route} }
 
-type wait struct{ told, until time.Duration }
+// retryAfterPeriod is the time during which a target must not be called.
+type retryAfterPeriod struct{ receivedAt, until time.Duration }
 
+// dest is the state of a destination.
 type dest struct {
-	cold    bool
-	learned map[int]bool
-	loads   []load
+	cold          bool
+	failureSeenBy map[int]bool
+	recentLoads   []load
 }
 
+// load is work that reached a cold destination.
 type load struct {
-	at      time.Duration
-	weight  float64
-	learned bool
+	at          time.Duration
+	weight      float64
+	seenFailure bool
 }
 
-// most is how many breaks are kept in words; all are counted.
-const most = 100
+// maxViolations is the number of violations that are kept; all are counted.
+const maxViolations = 100
 
 // New returns a checker for one log.
-func New(set Config) *Checker {
-	return &Checker{set: set, Counts: map[Name]int{}, msgs: map[uint32]*message{}, calls: map[uint64]*call{}, relays: map[int]*relay{}, dests: map[int]*dest{}}
+func New(config Config) *Checker {
+	return &Checker{
+		config:   config,
+		Counts:   map[Name]int{},
+		messages: map[uint32]*message{},
+		calls:    map[uint64]*call{},
+		relays:   map[int]*relay{},
+		dests:    map[int]*dest{},
+	}
 }
 
-func (c *Checker) breaks(r Name, e Event, format string, args ...any) {
-	c.Counts[r]++
-	if len(c.Violations) < most {
-		c.Violations = append(c.Violations, Violation{r, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
+// violation counts a violation of a rule by e.
+func (c *Checker) violation(rule Name, e Event, format string, args ...any) {
+	c.Counts[rule]++
+	if len(c.Violations) < maxViolations {
+		c.Violations = append(c.Violations, Violation{rule, e.At, e.Relay, e.Msg, fmt.Sprintf(format, args...)})
 	}
 }
 
-// PendingCount tells how many messages have had no end yet.
+// PendingCount returns the number of messages that are not completed.
 func (c *Checker) PendingCount() (n int) {
-	for _, m := range c.msgs {
-		if !m.over {
+	for _, msg := range c.messages {
+		if !msg.completed {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *Checker) relay(n int) *relay {
-	r := c.relays[n]
+// relay returns the state of a relay, which is created on first use.
+func (c *Checker) relay(number int) *relay {
+	r := c.relays[number]
 	if r == nil {
-		r = &relay{out: map[int]int{}, waits: map[place]wait{}, leaving: map[int]time.Duration{}}
-		c.relays[n] = r
+		r = &relay{callsByDest: map[int]int{}, retryAfters: map[target]retryAfterPeriod{}, leaving: map[int]time.Duration{}}
+		c.relays[number] = r
 	}
 	return r
 }
 
-func (c *Checker) dest(n int) *dest {
-	d := c.dests[n]
-	if d == nil {
-		d = &dest{learned: map[int]bool{}}
-		c.dests[n] = d
+// dest returns the state of a destination, which is created on first use.
+func (c *Checker) dest(number int) *dest {
+	known := c.dests[number]
+	if known == nil {
+		known = &dest{failureSeenBy: map[int]bool{}}
+		c.dests[number] = known
 	}
-	return d
+	return known
 }
 
-// Check takes the next line in. Lines come in order of time.
+// Check processes the next event. Events come in order of time.
 func (c *Checker) Check(e Event) {
-	if e.At < c.last {
-		c.breaks(Answer, e, "the log goes back in time, from %v", c.last)
+	if e.At < c.lastAt {
+		c.violation(Answer, e, "the log goes back in time, from %v", c.lastAt)
 	}
-	c.last = max(c.last, e.At)
+	c.lastAt = max(c.lastAt, e.At)
 	switch e.Kind {
 	case Accepted:
-		if c.msgs[e.Msg] != nil {
-			c.breaks(Answer, e, "taken on twice")
+		if c.messages[e.Msg] != nil {
+			c.violation(Answer, e, "accepted twice")
 			return
 		}
-		c.msgs[e.Msg] = &message{relay: e.Relay, dest: e.Dest, effect: e.Effect, window: e.RepeatWindow, until: e.Deadline, sentAt: map[int]time.Duration{}}
+		c.messages[e.Msg] = &message{
+			relay:        e.Relay,
+			dest:         e.Dest,
+			effect:       e.Effect,
+			repeatWindow: e.RepeatWindow,
+			deadline:     e.Deadline,
+			sentAt:       map[int]time.Duration{},
+		}
 	case Sent:
-		c.sent(e)
+		c.checkSent(e)
 	case AttemptEnded:
-		c.ended(e)
+		c.checkEnded(e)
 	case Returned, Failed, Withdrawn:
-		c.final(e)
+		c.checkFinal(e)
 	case RelayDied:
-		c.died(e)
+		c.forgetRelay(e)
 	case EndpointLeaving:
 		if r := c.relay(e.Relay); r.leaving[e.Endpoint] == 0 {
-			r.leaving[e.Endpoint] = e.At + 1 // an endpoint told of at nought has been told of too
+			r.leaving[e.Endpoint] = e.At + 1 // 0 means that it is not leaving
 		}
 	case DestRecovered:
 		c.dest(e.Dest).cold = true
 	case FailureSeen:
-		c.dest(e.Dest).learned[e.Relay] = true
+		c.dest(e.Dest).failureSeenBy[e.Relay] = true
 	case DestWarm:
-		*c.dest(e.Dest) = dest{learned: map[int]bool{}}
+		*c.dest(e.Dest) = dest{failureSeenBy: map[int]bool{}}
 	case WorkArrived:
-		c.reached(e)
+		c.checkWork(e)
 	case LogEnded:
-		for id, m := range c.msgs {
-			if !m.over {
-				e.Msg, e.Relay = id, m.relay
-				c.breaks(Answer, e, "never ended")
+		for id, msg := range c.messages {
+			if !msg.completed {
+				e.Msg, e.Relay = id, msg.relay
+				c.violation(Answer, e, "never completed")
 			}
 		}
 	}
 }
 
-func (c *Checker) sent(e Event) {
-	m, r := c.msgs[e.Msg], c.relay(e.Relay)
+// checkSent checks an attempt that is sent.
+func (c *Checker) checkSent(e Event) {
+	msg, r := c.messages[e.Msg], c.relay(e.Relay)
 	switch {
-	case m == nil || m.relay != e.Relay:
-		c.breaks(Answer, e, "sent, but not held")
+	case msg == nil || msg.relay != e.Relay:
+		c.violation(Answer, e, "sent, but not pending")
 		return
-	case m.over:
-		c.breaks(Answer, e, "sent after its end")
-	case m.live > 0:
-		c.breaks(Repeat, e, "two live attempts")
-	case m.risk && m.effect == Unsafe:
-		c.breaks(Repeat, e, "sent again, and may have run")
-	case m.risk && m.effect == Keyed && e.At > m.riskAt+m.window+c.set.ClockSlack:
-		c.breaks(Repeat, e, "sent again %v after it may have run, window %v", e.At-m.riskAt, m.window)
+	case msg.completed:
+		c.violation(Answer, e, "sent after its completion")
+	case msg.liveAttempts > 0:
+		c.violation(Repeat, e, "two attempts in flight")
+	case msg.mayHaveRun && msg.effect == Unsafe:
+		c.violation(Repeat, e, "sent again, but may have run")
+	case msg.mayHaveRun && msg.effect == Keyed && e.At > msg.mayHaveRunSince+msg.repeatWindow+c.config.ClockSlack:
+		c.violation(Repeat, e, "sent again %v after it may have run, window %v", e.At-msg.mayHaveRunSince, msg.repeatWindow)
 	}
-	if e.Dest != m.dest {
-		c.breaks(Bounds, e, "for destination %d, sent to one of %d", m.dest, e.Dest)
+	if e.Dest != msg.dest {
+		c.violation(Bounds, e, "for destination %d, sent to an endpoint of %d", msg.dest, e.Dest)
 	}
-	if m.sent++; m.sent > c.set.MaxAttempts {
-		c.breaks(Bounds, e, "attempt %d of %d", m.sent, c.set.MaxAttempts)
+	if msg.attempts++; msg.attempts > c.config.MaxAttempts {
+		c.violation(Bounds, e, "attempt %d of %d", msg.attempts, c.config.MaxAttempts)
 	}
-	if w, ok := r.waits[e.place()]; ok && e.At < w.until-c.set.ClockSlack && e.At >= w.told+c.set.RetryAfterGrace {
-		c.breaks(RetryAfter, e, "sent %v before the end of a told wait", w.until-e.At)
+	if period, ok := r.retryAfters[e.target()]; ok && e.At < period.until-c.config.ClockSlack &&
+		e.At >= period.receivedAt+c.config.RetryAfterGrace {
+		c.violation(RetryAfter, e, "sent %v before the end of a Retry-After", period.until-e.At)
 	}
-	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.set.DrainGrace {
-		c.breaks(Drain, e, "sent to endpoint %d, told to be going %v ago", e.Endpoint, e.At-at+1)
+	if at := r.leaving[e.Endpoint]; at > 0 && e.At > at-1+c.config.DrainGrace {
+		c.violation(Drain, e, "sent to endpoint %d, known to be leaving for %v", e.Endpoint, e.At-at+1)
 	}
-	m.live++
-	m.sentAt[e.Attempt] = e.At
+	msg.liveAttempts++
+	msg.sentAt[e.Attempt] = e.At
 	if e.Call == 0 {
 		return
 	}
-	out := c.calls[e.Call]
-	if out == nil {
-		out = &call{relay: e.Relay, dest: e.Dest}
-		c.calls[e.Call] = out
+	openCall := c.calls[e.Call]
+	if openCall == nil {
+		openCall = &call{relay: e.Relay, dest: e.Dest}
+		c.calls[e.Call] = openCall
 		r.calls++
-		if r.out[e.Dest]++; r.calls > c.set.MaxConcurrentCalls {
-			c.breaks(Bounds, e, "%d calls out, %d slots", r.calls, c.set.MaxConcurrentCalls)
+		if r.callsByDest[e.Dest]++; r.calls > c.config.MaxConcurrentCalls {
+			c.violation(Bounds, e, "%d calls in flight, %d allowed", r.calls, c.config.MaxConcurrentCalls)
 		}
-		if most := max(1, c.set.MaxConcurrentCalls*3/4); r.out[e.Dest] > most {
-			c.breaks(ConcurrencyShare, e, "%d calls out to destination %d, three quarters of the slots are %d", r.out[e.Dest], e.Dest, most)
+		if maxToDest := max(1, c.config.MaxConcurrentCalls*3/4); r.callsByDest[e.Dest] > maxToDest {
+			c.violation(ConcurrencyShare, e,
+				"%d calls in flight to destination %d, three quarters of the concurrency limit are %d",
+				r.callsByDest[e.Dest], e.Dest, maxToDest)
 		}
 	}
-	out.left++
+	openCall.openItems++
 }
 
-func (c *Checker) ended(e Event) {
-	m := c.msgs[e.Msg]
-	if m == nil {
-		c.breaks(Answer, e, "an attempt ended, but the message is not held")
+// checkEnded checks the end of an attempt.
+func (c *Checker) checkEnded(e Event) {
+	msg := c.messages[e.Msg]
+	if msg == nil {
+		c.violation(Answer, e, "an attempt ended, but the message is not pending")
 		return
 	}
-	at, out := m.sentAt[e.Attempt]
-	if !out {
-		c.breaks(Answer, e, "attempt %d ended twice or was never out", e.Attempt)
+	at, found := msg.sentAt[e.Attempt]
+	if !found {
+		c.violation(Answer, e, "attempt %d ended twice or was never sent", e.Attempt)
 		return
 	}
-	delete(m.sentAt, e.Attempt)
-	m.live--
+	delete(msg.sentAt, e.Attempt)
+	msg.liveAttempts--
 	r := c.relay(e.Relay)
-	if k := c.calls[e.Call]; k != nil {
-		if k.left--; k.left == 0 {
+	if openCall := c.calls[e.Call]; openCall != nil {
+		if openCall.openItems--; openCall.openItems == 0 {
 			delete(c.calls, e.Call)
 			r.calls--
-			r.out[k.dest]--
+			r.callsByDest[openCall.dest]--
 		}
 	}
 	if e.RetryAfter > 0 {
-		w, ok := r.waits[e.place()]
-		if !ok || e.At >= w.until { // a wait told while one runs makes it longer, and excuses nothing
-			w.told = e.At
+		period, ok := r.retryAfters[e.target()]
+		if !ok || e.At >= period.until { // one received during a period extends it without new grace
+			period.receivedAt = e.At
 		}
-		w.until = max(w.until, e.At+e.RetryAfter)
-		r.waits[e.place()] = w
+		period.until = max(period.until, e.At+e.RetryAfter)
+		r.retryAfters[e.target()] = period
 	}
-	if !e.NotRun && (!m.risk || at < m.riskAt) {
-		m.risk, m.riskAt = true, at
+	if !e.NotRun && (!msg.mayHaveRun || at < msg.mayHaveRunSince) {
+		msg.mayHaveRun, msg.mayHaveRunSince = true, at
 	}
 	if e.Delivered {
-		m.over = true
+		msg.completed = true
 	}
-	c.forget(e.Msg, m)
+	c.forgetCompleted(e.Msg, msg)
 }
 
-func (c *Checker) final(e Event) {
-	m := c.msgs[e.Msg]
+// checkFinal checks a final answer.
+func (c *Checker) checkFinal(e Event) {
+	msg := c.messages[e.Msg]
 	switch {
-	case m == nil || m.over:
+	case msg == nil || msg.completed:
 		if e.Kind != Withdrawn {
-			c.breaks(Answer, e, "a final answer to what is over or not held")
+			c.violation(Answer, e, "a final answer to a message that is completed or not pending")
 		}
 		return
 	case e.Kind == Withdrawn:
-	case e.At > m.until+c.set.AnswerSlack+c.set.ClockSlack:
-		c.breaks(Answer, e, "ended %v too late", e.At-m.until)
-	case e.Kind == Returned && m.effect == Unsafe && (m.risk || m.live > 0):
-		c.breaks(Repeat, e, "handed back, and may have run")
+	case e.At > msg.deadline+c.config.AnswerSlack+c.config.ClockSlack:
+		c.violation(Answer, e, "completed %v too late", e.At-msg.deadline)
+	case e.Kind == Returned && msg.effect == Unsafe && (msg.mayHaveRun || msg.liveAttempts > 0):
+		c.violation(Repeat, e, "returned, but may have run")
 	}
-	m.over = true
-	c.forget(e.Msg, m)
+	msg.completed = true
+	c.forgetCompleted(e.Msg, msg)
 }
 
-func (c *Checker) forget(id uint32, m *message) {
-	if m.over && m.live == 0 {
-		delete(c.msgs, id)
+// forgetCompleted drops a message that is completed and has no attempt in flight.
+func (c *Checker) forgetCompleted(id uint32, msg *message) {
+	if msg.completed && msg.liveAttempts == 0 {
+		delete(c.messages, id)
 	}
 }
 
-// died forgets a relay with all that it held.
-func (c *Checker) died(e Event) {
-	for id, m := range c.msgs {
-		if m.relay == e.Relay {
-			delete(c.msgs, id)
+// forgetRelay drops the state of a relay process.
+func (c *Checker) forgetRelay(e Event) {
+	for id, msg := range c.messages {
+		if msg.relay == e.Relay {
+			delete(c.messages, id)
 		}
 	}
-	for id, k := range c.calls {
-		if k.relay == e.Relay {
+	for id, openCall := range c.calls {
+		if openCall.relay == e.Relay {
 			delete(c.calls, id)
 		}
 	}
 	delete(c.relays, e.Relay)
 	for _, d := range c.dests {
-		delete(d.learned, e.Relay)
+		delete(d.failureSeenBy, e.Relay)
 	}
 }
 
-// fallSlack is how much over the budget of a cold destination is still chance, in messages.
-const fallSlack = 3
+// overloadSlack is the number of messages above the overload limit that are attributed to chance.
+const overloadSlack = 3
 
-func (c *Checker) reached(e Event) {
+// checkWork checks work that reached a cold destination. The rule is violated if the destination is
+// overloaded and two thirds of the work came from relays that saw it fail.
+func (c *Checker) checkWork(e Event) {
 	d := c.dest(e.Dest)
 	if !d.cold {
 		return
 	}
-	keep := 0
-	for keep < len(d.loads) && d.loads[keep].at <= e.At-c.set.OverloadTime {
-		keep++
+	first := 0
+	for first < len(d.recentLoads) && d.recentLoads[first].at <= e.At-c.config.OverloadTime {
+		first++
 	}
-	d.loads = append(d.loads[keep:], load{e.At, e.Weight, d.learned[e.Relay]})
-	all, learned := 0.0, 0.0
-	for _, l := range d.loads {
-		if all += l.weight; l.learned {
-			learned += l.weight
+	d.recentLoads = append(d.recentLoads[first:], load{e.At, e.Weight, d.failureSeenBy[e.Relay]})
+	total, fromInformed := 0.0, 0.0
+	for _, work := range d.recentLoads {
+		if total += work.weight; work.seenFailure {
+			fromInformed += work.weight
 		}
 	}
-	if all > c.set.OverloadFactor*e.Capacity*c.set.OverloadTime.Seconds()+fallSlack {
-		if learned >= all*2/3 {
-			c.breaks(RecoveryOverload, e, "destination %d was sent %.1f within %v at a capacity of %.2f/s, %.1f by those that saw it fail", e.Dest, all, c.set.OverloadTime, e.Capacity, learned)
+	if total > c.config.OverloadFactor*e.Capacity*c.config.OverloadTime.Seconds()+overloadSlack {
+		if fromInformed >= total*2/3 {
+			c.violation(RecoveryOverload, e,
+				"destination %d received %.1f within %v at a capacity of %.2f/s, %.1f from relays that saw it fail",
+				e.Dest, total, c.config.OverloadTime, e.Capacity, fromInformed)
 		}
-		d.loads = d.loads[:0] // one fall, one break
+		d.recentLoads = d.recentLoads[:0] // report an overload once
 	}
 }
