--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -28,7 +28,7 @@
 	errLength            = errors.New("malformed length")
 	errBodyTooLong       = errors.New("body too long")
 	errHeaderTooLong     = errors.New("header too long")
-	errConflictingFields = errors.New("conflicting header fields")
+	errConflictingFields = errors.New("contradicting fields")
 	errTooManyInterim    = errors.New("too many interim responses")
 )
 
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -137,7 +137,7 @@
 
 // Error shows at most 64 characters of the name, which the client chose.
 func (e unknownNameError) Error() string {
-	return fmt.Sprintf("unknown %s %.64q: not in the settings", e.what, e.name)
+	return fmt.Sprintf("unknown %s %.64q: the settings do not have it", e.what, e.name)
 }
 
 // parseMessage returns the message of a request and the time that is left for it.
