--- a/internal/wire/backoff.go
+++ b/internal/wire/backoff.go
@@ -10,9 +10,10 @@
 
 // This file decides when nothing may be written to an endpoint.
 
-// backoff is the time until which a destination must not be called. Its connections share it. It
-// uses the monotonic clock, so that a step of the wall clock neither ends nor extends it.
-type backoff struct{ until atomic.Int64 } // nanoseconds of clock.Since
+// backoff is the time until which a destination, or an endpoint with a separate route, must not be
+// called. All its connections share it. It uses the monotonic clock, so that a step of the wall
+// clock neither ends nor extends it.
+type backoff struct{ until atomic.Int64 } // in nanoseconds, as of clock.SinceStart
 
 // extend makes the backoff last for at least d from now.
 func (b *backoff) extend(d time.Duration) {
@@ -40,11 +41,11 @@
 	rate     float64
 	state    atomic.Int32 // policy.EndpointState
 	backoff  *backoff
-	idle     []*endpointConn // the one used last is last
+	idle     []*endpointConn // least recently used first
 }
 
-// blocked reports whether nothing may be written to the endpoint now: it is backing off, draining or
-// removed.
+// blocked reports whether nothing may be written to the endpoint now: it is backing off, draining
+// or removed.
 func (ep *endpoint) blocked() bool {
 	return ep.backoff.active() || policy.EndpointState(ep.state.Load()) != policy.Listed
 }
--- a/internal/wire/choices.go
+++ b/internal/wire/choices.go
@@ -18,12 +18,12 @@
 type Choices struct {
 	Set          choice.Options
 	Me           int
-	Place        int // -1: unknown
-	Live         int
+	Place        int // of this relay among the live ones; -1: unknown
+	Live         int // number of live relays
 	At           policy.Time
 	Subsets      []Subset
 	Destinations []DestinationState
-	Omitted      int // destinations that were left out
+	Omitted      int // subsets that were left out, counted up to maxChoices
 }
 
 // Subset lists the endpoints of a destination that this relay keeps connections to.
@@ -57,7 +57,7 @@
 	h.gossiper.EachSubset(func(dest int, endpoints []choice.Endpoint, total int) bool {
 		if len(view.Subsets) == maxChoices {
 			view.Omitted++
-			return view.Omitted < maxChoices // enough to show that there are many
+			return view.Omitted < maxChoices // bounds the time spent on counting
 		}
 		view.Subsets = append(view.Subsets, Subset{dest, total, endpoints})
 		return true
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The life of one client connection, from its first byte to its close.
+// This file handles a client connection, from its first byte to its close.
 
 // connState is the state of a client connection.
 type connState int
@@ -49,11 +49,12 @@
 	closeDone
 )
 
+// clientConn is an open connection of a client.
 type clientConn struct {
-	number       uint32
+	number       uint32 // in order of acceptance
 	sock         net.Conn
 	state        connState // guarded by Server.mu
-	stateAtClose connState
+	stateAtClose connState // state before connClosing
 	stateSince   time.Time
 }
 
--- a/internal/wire/crash_test.go
+++ b/internal/wire/crash_test.go
@@ -132,13 +132,13 @@
 			t.Fatal(err)
 		}
 	}
-	kept, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
+	store, table, err := journal.Open(journal.Config{FS: journal.Dir(dir), Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
+	defer store.Close()
 	known, _ := memory.ParseEndpointList(endpointListJSON("127.0.0.1:1", "in_service", 1))
-	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept,
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: store,
 		Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -84,9 +84,9 @@
 func TestUnknownNamesAreRejected(t *testing.T) {
 	for _, pair := range deploymentPairs(t) {
 		own, other := pair[0], pair[1]
-		front, host, ln := startServer(t, 100, 10)
-		front.Configure(&own, 10)
-		front.HandleDrainEvent(drain.Started)
+		server, host, ln := startServer(t, 100, 10)
+		server.Configure(&own, 10)
+		server.HandleDrainEvent(drain.Started)
 		sock, r := dialListener(t, ln)
 		sent := 0
 		ask := func(class, tenant string) (int, string) {
@@ -264,47 +264,47 @@
 func TestReloadToOtherSettings(t *testing.T) {
 	release := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(release) })
-	w := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
+	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; answerOK(rw, r, body) })
 	t.Cleanup(goOn)
 	old := testSettings().Classes
 	for _, class := range old {
 		more := "Idempotency-Key: k\r\n"
-		if status := w.post(requestText(class.Name, class.Name, more, "b",
+		if status := env.post(requestText(class.Name, class.Name, more, "b",
 			int(class.Deadline.Milliseconds()))); status != 202 {
 			t.Fatalf("%s: answered %d", class.Name, status)
 		}
 	}
 	other := loadDeployment(t, "postings")
-	if err := w.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second,
+	if err := env.host.Reload(HostConfig{Settings: other, JournalBytes: 3e6, ConnectTimeout: time.Second,
 		MaxIdleConns: 8},
-		w.platform.Listener.Addr().String()); err != nil {
+		env.platform.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	w.server.Configure(&other, 100)
+	env.server.Configure(&other, 100)
 	for _, class := range old {
-		if status := w.post(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
+		if status := env.post(requestAs(class.Name, "", "new-"+class.Name)); status != 400 {
 			t.Errorf("%s: answered %d after the reload", class.Name, status)
 		}
 	}
-	if status := w.post(requestText(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b",
+	if status := env.post(requestText(other.Classes[1].Name+"?subject=s", "posting", "X-Account: reef-lab\r\n", "b",
 		19000)); status != 202 {
 		t.Errorf("a class of the new settings: answered %d", status)
 	}
 	goOn()
-	w.waitEmpty()
-	w.Lock()
-	defer w.Unlock()
+	env.waitEmpty()
+	env.Lock()
+	defer env.Unlock()
 	attempts, notifications := map[string]int{}, map[string]int{}
-	for _, id := range w.calls {
+	for _, id := range env.calls {
 		attempts[id]++
 	}
-	for _, notification := range w.notifications {
+	for _, notification := range env.notifications {
 		notifications[gjson.Get(notification, "message").Str]++
 	}
 	for _, id := range []string{"alert", "order", "fee", "posting"} {
 		unsafe := id == "fee" || id == "posting" // a slow machine may repeat the others, which is allowed
 		if attempts[id] == 0 || notifications[id] > 0 || unsafe && attempts[id] > 1 {
-			t.Errorf("%s: calls %v, notifications %v, want it delivered", id, w.calls, w.notifications)
+			t.Errorf("%s: calls %v, notifications %v, want it delivered", id, env.calls, env.notifications)
 		}
 	}
 }
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -53,14 +53,14 @@
 // A message whose body cannot be read for now is sent later. One whose body is lost fails.
 func TestUnreadableBody(t *testing.T) {
 	for _, c := range []struct {
-		err  error
-		ends bool
+		err   error
+		fails bool
 	}{{syscall.EIO, false}, {syscall.EMFILE, false}, {journal.ErrBodyLost, true}} {
 		conn := &endpointConn{endpoint: &endpoint{backoff: &backoff{}}}
 		load := func() ([]byte, error) { return nil, fmt.Errorf("body: %w", c.err) }
 		res := conn.makeCall(&call{endpoint: conn.endpoint, items: []callItem{{id: "m", loadBody: load}},
 			deadline: time.Now().Add(time.Minute)})
-		if got := res.results[0]; got.outcome != policy.Unsent || (got.pluginFailure != nil) != c.ends {
+		if got := res.results[0]; got.outcome != policy.Unsent || (got.pluginFailure != nil) != c.fails {
 			t.Errorf("%v: %+v", c.err, got)
 		}
 	}
--- a/internal/wire/endpoint_conn_test.go
+++ b/internal/wire/endpoint_conn_test.go
@@ -259,21 +259,22 @@
 		scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
 		go serveScripts(ln, scripts, seen, bodies)
 		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
-		rc := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+		conn := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
 		carry := func(answer string) callResult {
 			scripts <- endpointScript{write: answer}
-			return rc.makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}}, deadline: time.Now().Add(time.Minute)})
+			return conn.makeCall(&call{endpoint: ep, items: []callItem{{id: "a"}},
+				deadline: time.Now().Add(time.Minute)})
 		}
 		if c.before == "drop" {
 			carry(httpResponse("200 OK", ""))
-			rc.close()
+			conn.close()
 		} else if c.before != "" {
 			carry(c.before)
 		}
 		if res := carry(c.answer); res.results[0].outcome != c.want {
 			t.Errorf("%s: outcome %v, %v", name, res.results[0].outcome, res.err)
 		}
-		rc.close()
+		conn.close()
 	}
 }
 
@@ -330,9 +331,9 @@
 	scripts, seen, bodies := make(chan endpointScript, 1), make(chan *head, 9), make(chan []byte, 9)
 	go serveScripts(ln, scripts, seen, bodies)
 	now := time.Now()
-	rc := &endpointConn{endpoint: &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
+	conn := &endpointConn{endpoint: &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}, dialTimeout: time.Minute}
 	scripts <- endpointScript{write: httpResponse("200 OK", "")}
-	res := rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute),
+	res := conn.makeCall(&call{endpoint: conn.endpoint, deadline: now.Add(time.Minute),
 		items: []callItem{{id: "late", writeBy: now}, {id: "kept", body: []byte("x"), writeBy: now.Add(time.Minute)}}})
 	h, body := <-seen, <-bodies
 	if h.firstLine[1] != "/hook" || h.get("X-Correlation-Id") != "kept" || string(body) != "x" {
@@ -341,23 +342,23 @@
 	if res.results[0].outcome != policy.Unsent || res.results[1].outcome != policy.Delivered {
 		t.Errorf("results %+v, %v", res.results, res.err)
 	}
-	res = rc.makeCall(&call{endpoint: rc.endpoint, deadline: now.Add(time.Minute),
+	res = conn.makeCall(&call{endpoint: conn.endpoint, deadline: now.Add(time.Minute),
 		items: []callItem{{id: "late", writeBy: now}}})
 	if res.results[0].outcome != policy.Unsent || len(seen) > 0 {
 		t.Errorf("alone: %+v, %d calls seen", res.results, len(seen))
 	}
-	rc.close()
+	conn.close()
 }
 
 // A reset, or data, before the last byte of an unsafe call proves that it never ran. A reset of a
 // new connection counts against the endpoint, one of a used connection does not.
 func TestLastByteDelay(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		close  bool
-		served bool          // the connection has carried a call before
-		look   time.Duration // a minute only bounds a hang
-		want   policy.Outcome
+		answer        string
+		close         bool
+		served        bool          // the connection has carried a call before
+		lastByteDelay time.Duration // a minute only bounds a hang
+		want          policy.Outcome
 	}{
 		"holds":               {httpResponse("200 OK", ""), false, false, time.Millisecond, policy.Delivered},
 		"cut":                 {"", true, false, time.Minute, policy.RequestIncomplete},
@@ -392,9 +393,9 @@
 			io.WriteString(sock, c.answer)
 		}()
 		ep := &endpoint{addr: ln.Addr().String(), backoff: &backoff{}}
-		rc := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
-		carry := func(id, body string, careful time.Duration) callResult {
-			return rc.makeCall(&call{endpoint: ep, lastByteDelay: careful,
+		conn := &endpointConn{endpoint: ep, dialTimeout: time.Minute}
+		carry := func(id, body string, lastByteDelay time.Duration) callResult {
+			return conn.makeCall(&call{endpoint: ep, lastByteDelay: lastByteDelay,
 				items: []callItem{{id: id, body: []byte(body)}}, deadline: time.Now().Add(2 * time.Minute)})
 		}
 		if c.served {
@@ -402,8 +403,8 @@
 				t.Fatalf("%s: first call: %+v, %v", name, res.results, res.err)
 			}
 		}
-		res := carry("a", "hello", c.look)
-		rc.close()
+		res := carry("a", "hello", c.lastByteDelay)
+		conn.close()
 		if got := <-read; res.results[0].outcome != c.want || strings.HasSuffix(got, "hello") == c.close {
 			t.Errorf("%s: outcome %v, %v; read %q", name, res.results[0].outcome, res.err, got)
 		}
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -10,8 +10,8 @@
 
 // This file keeps the endpoint list and the idle connections to its endpoints.
 
-// applyEndpointList applies a list or changes of discovery to the endpoints and passes them on to the
-// policy engine.
+// applyEndpointList applies a list or changes of discovery to the endpoints, and passes them on to
+// the policy engine.
 func (h *Host) applyEndpointList(list memory.EndpointList, kind policy.ListUpdateKind) {
 	update := policy.EndpointListUpdate{Kind: kind}
 	named := map[string]bool{}
@@ -19,10 +19,10 @@
 		h.listGeneration = -1
 	}
 	h.warnUnknown(list.Entries)
-	for _, member := range list.Entries {
-		named[member.Address] = true
-		update.Entries = append(update.Entries, member.Endpoint)
-		h.applyEndpoint(member)
+	for _, entry := range list.Entries {
+		named[entry.Address] = true
+		update.Entries = append(update.Entries, entry.Endpoint)
+		h.applyEndpoint(entry)
 	}
 	if kind != policy.ListChanges {
 		for id, ep := range h.endpoints {
@@ -57,21 +57,21 @@
 }
 
 // warnUnknown logs the partner types and zones of a list that the settings do not name. Their
-// endpoints are used all the same, with one message per call, one route per destination and no fee,
+// endpoints are used nevertheless, with one message per call, one route per destination and no fee,
 // so that no message is lost.
-func (h *Host) warnUnknown(members []memory.EndpointEntry) {
+func (h *Host) warnUnknown(entries []memory.EndpointEntry) {
 	kinds, zones := map[string]bool{}, map[string]bool{}
-	for _, member := range members {
-		if member.State == policy.Removed {
+	for _, entry := range entries {
+		if entry.State == policy.Removed {
 			continue
 		}
-		kind, listed := h.destKinds[member.Destination]
-		if _, known := h.kindSettings[member.Kind]; !known && !(listed && kind == member.Kind) {
-			kinds[member.Kind] = true
+		kind, listed := h.destKinds[entry.Destination]
+		if _, known := h.kindSettings[entry.Kind]; !known && !(listed && kind == entry.Kind) {
+			kinds[entry.Kind] = true
 		}
-		ep := h.endpoints[member.Address]
-		if !h.zoneKnown(member.Zone) && !(ep != nil && ep.zone == member.Zone) {
-			zones[member.Zone] = true
+		ep := h.endpoints[entry.Address]
+		if !h.zoneKnown(entry.Zone) && !(ep != nil && ep.zone == entry.Zone) {
+			zones[entry.Zone] = true
 		}
 	}
 	if len(kinds) > 0 && len(h.kindSettings) > 0 {
@@ -88,43 +88,43 @@
 }
 
 // applyEndpoint adds, updates or removes one endpoint.
-func (h *Host) applyEndpoint(member memory.EndpointEntry) {
-	ep := h.endpoints[member.Address]
-	if member.State == policy.Removed {
+func (h *Host) applyEndpoint(entry memory.EndpointEntry) {
+	ep := h.endpoints[entry.Address]
+	if entry.State == policy.Removed {
 		if ep != nil {
 			ep.state.Store(int32(policy.Removed))
 		}
 		return
 	}
-	if ep != nil && member.HostPort == "" {
-		member.HostPort = ep.addr // a change may omit it
+	if ep != nil && entry.HostPort == "" {
+		entry.HostPort = ep.addr // a change may omit it
 	}
-	if ep == nil || ep.addr != member.HostPort || ep.dest != member.Destination {
+	if ep == nil || ep.addr != entry.HostPort || ep.dest != entry.Destination {
 		if ep != nil {
 			ep.state.Store(int32(policy.Removed)) // its connections go to the old address
 			h.closeIdleConns(ep)
 		}
-		shared := h.destBackoffs[member.Destination]
-		if ep != nil && ep.dest == member.Destination {
+		shared := h.destBackoffs[entry.Destination]
+		if ep != nil && ep.dest == entry.Destination {
 			shared = ep.backoff
-		} else if h.kindSettings[member.Kind].SeparateRoutes {
+		} else if h.kindSettings[entry.Kind].SeparateRoutes {
 			// With separate routes, a backoff applies to one endpoint, also if it leaves the list
 			// and returns.
-			if shared = h.removedRouteBackoffs[member.Address]; shared == nil {
+			if shared = h.removedRouteBackoffs[entry.Address]; shared == nil {
 				shared = &backoff{}
 			}
 		} else if shared == nil {
 			shared = &backoff{}
-			h.destBackoffs[member.Destination] = shared
+			h.destBackoffs[entry.Destination] = shared
 		}
-		delete(h.removedRouteBackoffs, member.Address)
-		ep = &endpoint{id: member.Address, addr: member.HostPort, dest: member.Destination, backoff: shared}
-		h.endpoints[member.Address] = ep
-	}
-	ep.zone, ep.rate = member.Zone, member.Rate
-	ep.state.Store(int32(member.State))
-	if h.destKinds[member.Destination] = member.Kind; h.kindSettings[member.Kind].SeparateRoutes {
-		h.targets.Add(member.Address, member.Destination)
+		delete(h.removedRouteBackoffs, entry.Address)
+		ep = &endpoint{id: entry.Address, addr: entry.HostPort, dest: entry.Destination, backoff: shared}
+		h.endpoints[entry.Address] = ep
+	}
+	ep.zone, ep.rate = entry.Zone, entry.Rate
+	ep.state.Store(int32(entry.State))
+	if h.destKinds[entry.Destination] = entry.Kind; h.kindSettings[entry.Kind].SeparateRoutes {
+		h.targets.Add(entry.Address, entry.Destination)
 	}
 }
 
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -18,7 +18,7 @@
 // gossipReadRetryDelay is the pause after a failed read.
 const gossipReadRetryDelay = 20 * time.Millisecond
 
-// gossipReceived is a datagram of another relay.
+// gossipReceived is a datagram from another relay.
 type gossipReceived struct {
 	from    int
 	payload []byte
@@ -32,7 +32,7 @@
 	log   *slog.Logger
 }
 
-// ListenGossip opens the socket at listen. all holds the address of each relay, by number.
+// ListenGossip opens the socket at listen. addrs holds the address of each relay, by number.
 func ListenGossip(listen string, addrs []string, log *slog.Logger) (*GossipSocket, error) {
 	s := &GossipSocket{queue: make(chan members.Datagram, gossipQueueSize), log: log}
 	for _, addr := range addrs {
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// Close ends both goroutines.
+// Close closes the socket and the queue, which ends receiveLoop and sendLoop.
 func (s *GossipSocket) Close() { s.sock.Close(); close(s.queue) }
 
 // receiveLoop reports received datagrams until the socket is closed. It ignores senders that the
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -12,8 +12,8 @@
 	"oatfold/policy"
 )
 
-// Transfer is what another process of this relay left or transferred: a spool file, or part of a
-// process directory.
+// Transfer is what another process of this relay transferred or left behind: a spool file, or part
+// of a process directory.
 type Transfer struct {
 	Sender       string // the transferring process; empty: read from its directory
 	Messages     []*memory.Message
@@ -120,8 +120,8 @@
 	h.inheritedDrain = h.inheritedDrain || update.Drained
 	h.applyBackoffs(update.RetryAfters)
 	if h.standby {
-		// Activate reports them to the policy engine
-		h.untransferredWaits = append(h.untransferredWaits, update.RetryAfters...)
+		// Activate reports them to the policy engine.
+		h.untransferredRetryAfters = append(h.untransferredRetryAfters, update.RetryAfters...)
 	}
 	h.setInheritedCalls(update.InFlightCalls)
 }
@@ -132,8 +132,8 @@
 }
 
 // applyBackoffs applies the Retry-After times that the previous process received.
-func (h *Host) applyBackoffs(waits []handover.RetryAfter) {
-	for _, w := range waits {
+func (h *Host) applyBackoffs(retryAfters []handover.RetryAfter) {
+	for _, w := range retryAfters {
 		left := min(time.Until(h.dateScale.Time(w.Until.UnixMicro())), maxRetryAfterMs*time.Millisecond)
 		if left <= 0 {
 			continue
@@ -173,8 +173,8 @@
 		h.relay.ImportState(h.now(), list, h.inheritedState)
 		h.relay.SetInheritedCalls(h.now(), h.inheritedCalls)
 		h.standby, h.stepsStopped, drained = false, false, h.inheritedDrain
-		h.applyBackoffs(h.untransferredWaits)
-		h.inheritedState, h.untransferredWaits = policy.LearnedState{}, nil
+		h.applyBackoffs(h.untransferredRetryAfters)
+		h.inheritedState, h.untransferredRetryAfters = policy.LearnedState{}, nil
 		h.pendingEvents = append(h.pendingEvents, policy.TimerFired{})
 	})
 	return drained
@@ -200,7 +200,7 @@
 					Endpoint: policy.Endpoint{Address: ep.id, Destination: ep.dest, Kind: h.destKinds[ep.dest],
 						Zone: ep.zone, State: policy.EndpointState(ep.state.Load()), Rate: ep.rate}})
 			if ep.backoff.active() {
-				h.untransferredWaits = append(h.untransferredWaits,
+				h.untransferredRetryAfters = append(h.untransferredRetryAfters,
 					handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(ep.backoff.remaining())})
 			}
 		}
@@ -219,7 +219,7 @@
 		})
 		h.reportedInFlight = -1
 		if err = h.transferPending(send, update, capacity); err != nil {
-			h.untransferredWaits, h.untransferred = nil, nil
+			h.untransferredRetryAfters, h.untransferred = nil, nil
 			return
 		}
 		h.sendToSuccessor, h.stepsStopped, h.arrivals, h.pendingEvents = send, true, nil, nil
@@ -247,8 +247,8 @@
 	})
 }
 
-// transferable reports whether m can be transferred: it is not in flight, and its body is in
-// memory.
+// transferable reports whether m can be transferred: it is neither in flight nor completed by a
+// notification, its client was answered, and its body is in memory.
 func transferable(m *memory.Message) bool {
 	return m.InFlight == nil && m.Notification == nil && !m.Unanswered && m.SpilledBytes == 0 &&
 		(!m.MemoryOnly || m.Body != nil)
@@ -273,11 +273,11 @@
 		msgs = append(msgs, m)
 	}
 	owes := h.remainingOrdered(msgs)
-	if len(msgs) == 0 && len(h.untransferredWaits) == 0 && len(h.calls) == h.reportedInFlight &&
+	if len(msgs) == 0 && len(h.untransferredRetryAfters) == 0 && len(h.calls) == h.reportedInFlight &&
 		slices.Equal(owes, h.reportedOwed) {
 		return nil
 	}
-	update.RetryAfters, update.PendingOrdered = h.untransferredWaits, owes
+	update.RetryAfters, update.PendingOrdered = h.untransferredRetryAfters, owes
 	for cl := range h.calls {
 		update.InFlightCalls = append(update.InFlightCalls,
 			policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
@@ -287,9 +287,9 @@
 			"messages", len(msgs), "err", err)
 		return err
 	}
-	h.untransferredWaits, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
+	h.untransferredRetryAfters, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
 	for _, m := range msgs {
-		// The message is not complete, so its id is not kept as such.
+		// The message is not complete, so its id must not count as that of a completed one.
 		h.remove(m, true)
 		h.table.ForgetCompleted(m.ID)
 	}
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -18,12 +18,12 @@
 // An adopted message is run once, by its most recent copy. Inherited calls, Retry-After times,
 // known ids and the drain are respected.
 func TestAdoptOnce(t *testing.T) {
-	var first time.Time
+	var firstCallAt time.Time
 	var env *testEnv
 	env = startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) {
 		env.Lock()
-		if first.IsZero() {
-			first = time.Now()
+		if firstCallAt.IsZero() {
+			firstCallAt = time.Now()
 		}
 		env.Unlock()
 		answerOK(rw, r, body)
@@ -72,8 +72,8 @@
 	env.waitUntil("the notification", func() bool { return len(env.notifications) > 0 })
 	env.waitEmpty()
 	env.Lock()
-	if !slices.Equal(env.calls, []string{"a"}) || first.Before(until) {
-		t.Errorf("called %v, %v before the Retry-After passed", env.calls, until.Sub(first))
+	if !slices.Equal(env.calls, []string{"a"}) || firstCallAt.Before(until) {
+		t.Errorf("called %v, %v before the Retry-After passed", env.calls, until.Sub(firstCallAt))
 	}
 	env.Unlock()
 	<-env.host.Adopt(Transfer{LastProcess: true})
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -101,7 +101,7 @@
 	standby                   bool                   // another process of this relay runs the policy engine
 	sendToSuccessor           func([]byte) error     // writes to the next process; nil: no handover in progress
 	untransferred             []*memory.Message      // messages that are still to be transferred
-	untransferredWaits        []handover.RetryAfter  // for the next process, or for this one's policy engine
+	untransferredRetryAfters  []handover.RetryAfter  // for the next process, or for this one's policy engine
 	reportedInFlight          int                    // calls in flight, as last reported to the next process
 	inheritedCalls            []policy.InheritedCall // calls that the previous process still has in flight
 	inheritedState            policy.LearnedState    // from the previous process, until Activate
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -91,13 +91,13 @@
 			io.WriteString(rw, endpointListJSON(env.endpoint.Listener.Addr().String(), "in_service", 1))
 		}
 	}))
-	kept, table, err := journal.Open(journal.Config{FS: folder, Budget: 3e6, Log: discardLog})
+	store, table, err := journal.Open(journal.Config{FS: folder, Budget: 3e6, Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	env.table = table
 	if env.host, err = NewHost(HostConfig{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second,
-		MaxIdleConns: 8, Table: table, Journal: kept, Log: discardLog}); err != nil {
+		MaxIdleConns: 8, Table: table, Journal: store, Log: discardLog}); err != nil {
 		t.Fatal(err)
 	}
 	set, ln := testSettings(), listenLoopback(t)
@@ -142,8 +142,7 @@
 func (env *testEnv) waitEmpty() {
 	env.t.Helper()
 	waitFor(env.t, "the table to empty", func() bool {
-		pending,
-			inFlight := env.host.Load()
+		pending, inFlight := env.host.Load()
 		return pending+inFlight == 0
 	})
 }
@@ -326,7 +325,6 @@
 	short.Deadline = wall.Add(time.Second)
 	open := map[string]*call{}
 	// The timeout is shorter than the time that the message has left.
-
 	calls := h.planSend(0, wall, policy.Send{ID: short.Number, Endpoint: "s-1", Timeout: time.Second / 2}, open, nil)
 	calls = h.planSend(0, wall, policy.Send{ID: long.Number, Endpoint: "s-1", Timeout: 3 * time.Second}, open, calls)
 	cl := calls[0]
@@ -405,14 +403,14 @@
 	h.indexSettings(set)
 	now := time.Now()
 	for _, c := range []struct {
-		class string
-		risk  time.Duration // ago; 0: no earlier attempt
-		goes  bool          // it is written 0.6 s after the send
+		class        string
+		sinceAttempt time.Duration // ago; 0: no earlier attempt
+		sent         bool          // it is written 0.6 s after the send
 	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false},
 		{"alert", 4500 * time.Millisecond, true}} {
 		m := h.addMessage(fmt.Sprint(c), 7, 10)
-		if m.Class = c.class; c.risk > 0 {
-			m.MayHaveRunSince = now.Add(-c.risk)
+		if m.Class = c.class; c.sinceAttempt > 0 {
+			m.MayHaveRunSince = now.Add(-c.sinceAttempt)
 		}
 		other := h.addMessage(fmt.Sprint("other ", c), 7, 10)
 		open := map[string]*call{}
@@ -421,11 +419,11 @@
 		if !calls[0].excludeExpired(now.Add(600 * time.Millisecond)) {
 			t.Errorf("%v: nothing is sent", c)
 		}
-		if got := !calls[0].items[0].tooLate; got != c.goes || calls[0].items[1].tooLate {
+		if got := !calls[0].items[0].tooLate; got != c.sent || calls[0].items[1].tooLate {
 			t.Errorf("%v: sent %v", c, got)
 		}
 		if all := calls[0].markExcluded(uniformResults(calls[0],
-			itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.goes ||
+			itemResult{outcome: policy.Delivered})); (all[0].outcome == policy.Unsent) == c.sent ||
 			all[1].outcome != policy.Delivered {
 			t.Errorf("%v: ended as %v", c, all)
 		}
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -213,6 +213,7 @@
 	return b, nil
 }
 
+// readChunks reads a chunked body of up to limit bytes, and discards its trailer.
 func readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	var b []byte
 	for left := maxHeaderBytes; ; {
@@ -327,6 +328,7 @@
 	return append(b, '\r', '\n')
 }
 
+// appendLength appends the Content-Length line of a body of n bytes and ends the header.
 func appendLength(b []byte, n int) []byte {
 	b = strconv.AppendInt(append(b, "Content-Length: "...), int64(n), 10)
 	return append(b, "\r\n\r\n"...)
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -17,9 +17,10 @@
 // A connection that comes up after its call became invalid is closed, and nothing is written on it.
 // If the call is still valid, it is made.
 func TestLateConnection(t *testing.T) {
+	// crossing is a call whose connection is being opened while something else happens.
 	type crossing struct {
-		rc *endpointConn
-		cl *call
+		conn *endpointConn
+		cl   *call
 	}
 	for name, c := range map[string]struct {
 		lastByteDelay time.Duration
@@ -27,19 +28,19 @@
 		sent          bool
 	}{
 		"nothing":       {0, func(*crossing) {}, true},
-		"a Retry-After": {0, func(x *crossing) { x.rc.endpoint.backoff.extend(time.Hour) }, false},
+		"a Retry-After": {0, func(x *crossing) { x.conn.endpoint.backoff.extend(time.Hour) }, false},
 		"the endpoint drains": {0,
-			func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Draining)) }, false},
+			func(x *crossing) { x.conn.endpoint.state.Store(int32(policy.Draining)) }, false},
 		"the endpoint is removed": {0,
-			func(x *crossing) { x.rc.endpoint.state.Store(int32(policy.Removed)) }, false},
+			func(x *crossing) { x.conn.endpoint.state.Store(int32(policy.Removed)) }, false},
 		"the message expired": {0, func(x *crossing) { x.cl.items[0].writeBy = time.Now() }, false},
 		"the call timed out":  {0, func(x *crossing) { x.cl.deadline = time.Now() }, false},
 		"no unsafe calls, unsafe": {time.Millisecond,
-			func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, false},
-		"no unsafe calls, safe": {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoUnsafeCalls) }, true},
-		"no calls, safe":        {0, func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
+			func(x *crossing) { x.conn.shutdown.Store(shutdownNoUnsafeCalls) }, false},
+		"no unsafe calls, safe": {0, func(x *crossing) { x.conn.shutdown.Store(shutdownNoUnsafeCalls) }, true},
+		"no calls, safe":        {0, func(x *crossing) { x.conn.shutdown.Store(shutdownNoCalls) }, false},
 		"no calls, unsafe": {time.Millisecond,
-			func(x *crossing) { x.rc.shutdown.Store(shutdownNoCalls) }, false},
+			func(x *crossing) { x.conn.shutdown.Store(shutdownNoCalls) }, false},
 		"the repeat window has closed": {0,
 			func(x *crossing) { x.cl.items[0].writeBy = time.Now().Add(minTimeLeft / 2) }, false},
 		"the repeat window is still open": {0,
@@ -53,7 +54,7 @@
 		dialling, up := make(chan struct{}), make(chan struct{})
 		var sock *net.TCPConn
 		x := &crossing{&endpointConn{endpoint: ep, shutdown: &atomic.Int32{}, dialTimeout: time.Minute}, nil}
-		x.rc.dial = func(addr string, _ time.Duration) (net.Conn, error) {
+		x.conn.dial = func(addr string, _ time.Duration) (net.Conn, error) {
 			close(dialling)
 			<-up
 			made, err := net.Dial("tcp", addr)
@@ -66,9 +67,9 @@
 			items: []callItem{{id: "m", body: []byte("x")}}, deadline: time.Now().Add(time.Minute)}
 		ended := make(chan callResult)
 		go func() {
-			res := x.rc.makeCall(x.cl)
+			res := x.conn.makeCall(x.cl)
 			if !res.reusable {
-				x.rc.close()
+				x.conn.close()
 			}
 			ended <- res
 		}()
@@ -80,7 +81,7 @@
 			if res.results[0].outcome != policy.Delivered {
 				t.Errorf("%s: %+v, %v", name, res.results, res.err)
 			}
-			x.rc.close()
+			x.conn.close()
 			continue
 		}
 		if o := res.results[0].outcome; o != policy.Unsent && o != policy.ConnectFailed {
--- a/internal/wire/lifecycle.go
+++ b/internal/wire/lifecycle.go
@@ -11,8 +11,9 @@
 	"oatfold/policy"
 )
 
-// The life of a message: it is recorded in the journal, its client is answered, and it is completed
-// once, by delivery or by an outcome notification that the platform has acknowledged.
+// This file takes a message from submission to completion: it is recorded in the journal, its
+// client is answered, and it is completed once, by delivery or by an outcome notification that the
+// platform has acknowledged.
 
 // queueEntry is a message in its ordering key's queue, from acceptance until the policy engine
 // receives it.
@@ -86,7 +87,7 @@
 	}
 	if h.table.PendingCount() < h.settings.MaxPending {
 		e.message.Number, e.message.Unanswered = h.table.NextNumber(), true
-		// a full journal is counted as a rejection below
+		// A full journal is counted as a rejection below.
 		if h.journal.AppendAccepted(h.table, e.message, e.message.Effect == policy.Safe) == nil {
 			if s := e.message.OrderingKey; s != "" {
 				h.orderedQueues[s] = append(h.orderedQueues[s], &queueEntry{message: e.message})
@@ -215,7 +216,7 @@
 	h.unqueuedNotifications = append(h.unqueuedNotifications, pendingNotification{m.Number, m.ID, *m.Notification})
 }
 
-// flushNotifications sends the notifications that may go out.
+// flushNotifications passes the notifications that may be sent to the notifier.
 func (h *Host) flushNotifications() {
 	unwritten, wall := h.journal.HasUnwritten(), time.Now()
 	var kept []pendingNotification
@@ -236,7 +237,7 @@
 
 // couldStillBeSent reports whether, after a crash, the next process would send a message whose
 // completion is not in the journal yet. Its notification has to wait: the client may submit the
-// message elsewhere as soon as it has it.
+// message elsewhere as soon as it has the notification.
 func (h *Host) couldStillBeSent(num uint32, wall time.Time) bool {
 	m := h.table.Get(num)
 	return m != nil && m.Deadline.Sub(wall) > deadlineMargin
--- a/internal/wire/list_watch.go
+++ b/internal/wire/list_watch.go
@@ -12,22 +12,22 @@
 	"oatfold/internal/memory"
 )
 
-// A relay counts as informed 6 s after discovery has an update. A watch that hangs has to be given
+// A relay is taken to know an update 6 s after discovery has it. A watch that hangs has to be given
 // up and reopened well before that.
 const (
 	watchHold         = 3 * time.Second // how long discovery may wait for an update
-	watchAnswerMargin = time.Second     // and how much longer the relay waits for the answer
+	watchAnswerMargin = time.Second     // how much longer the relay waits for the answer
 
 	minWatchBackoff      = 100 * time.Millisecond // after a failure; a watch has to be renewed within 200 ms
 	silentWatchBackoff   = 50 * time.Millisecond  // after a request without an answer, which was a pause by itself
 	watchBackoffPerRelay = 25 * time.Millisecond  // of the longest pause, per relay of the fleet
 
 	// maxWatchBackoff is the pause after many failures; jitter adds up to half of it. A request
-	// that hangs for its whole timeout and the longest pause must end within 5 s, since a relay
-	// counts as informed 6 s after discovery has an update.
+	// that hangs for its whole timeout and the longest pause must end within 5 s, since a relay is
+	// taken to know an update 6 s after discovery has it.
 	maxWatchBackoff   = 500 * time.Millisecond
 	pollTimePerRelay  = 100 * time.Millisecond // time that discovery needs per relay, where lists are polled
-	maxFirstPollDelay = 9 * time.Second        // a relay that has not polled for 10 s counts as informed
+	maxFirstPollDelay = 9 * time.Second        // a relay is taken to know the list after 10 s without a poll
 
 	// maxPollBackoff is the pause after many failures where lists are polled, unless discovery
 	// needs longer for the whole fleet.
@@ -67,7 +67,7 @@
 	return delay
 }
 
-// endpointListUpdate is an answer of discovery to one watch.
+// endpointListUpdate is an answer of discovery to one request of a watch.
 type endpointListUpdate struct {
 	memory.EndpointList
 	watchCtx context.Context
--- a/internal/wire/list_watch_test.go
+++ b/internal/wire/list_watch_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// updateDeadline is when a relay counts as informed of an update that discovery has.
+// updateDeadline is the time after which a relay is taken to know an update that discovery has.
 const updateDeadline = 6 * time.Second
 
 // A request that hangs for its whole timeout and the longest pause after it leave time for the next
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -10,19 +10,19 @@
 
 const (
 	membersViewInterval = members.Period / 3 // between published views, after a change
-	membersViewMaxAge   = 5 * members.Period // and without one
+	membersViewMaxAge   = 5 * members.Period // between published views, without a change
 )
 
 // joinFleet sets up the gossip state of a relay that has a gossip socket.
-func (h *Host) joinFleet(among FleetIdentity) {
-	h.identity = among
-	h.gossiper = peers.New(among.Number, len(h.gossipSocket.peers), h.seed)
-	if among.MembershipEnabled {
+func (h *Host) joinFleet(identity FleetIdentity) {
+	h.identity = identity
+	h.gossiper = peers.New(identity.Number, len(h.gossipSocket.peers), h.seed)
+	if identity.MembershipEnabled {
 		// The configured seed alone may be shared by two processes: the second would count as an
 		// old incarnation of the first.
-		h.gossiper.EnableMembership(among.Zone, h.seed^h.startedAt.UnixNano())
+		h.gossiper.EnableMembership(identity.Zone, h.seed^h.startedAt.UnixNano())
 	}
-	h.gossiper.EnableChoices(among.Choices)
+	h.gossiper.EnableChoices(identity.Choices)
 }
 
 // sendGossip queues messages on the gossip socket.
--- a/internal/wire/notification_order.go
+++ b/internal/wire/notification_order.go
@@ -7,9 +7,9 @@
 	"oatfold/policy"
 )
 
-// Order of an ordering key behind a message that is completed by a notification. The policy engine
-// sends the next message at once, but the earlier one is complete only when the platform has
-// acknowledged.
+// This file keeps messages of an ordering key in order after one that is completed by a
+// notification. The policy engine sends the next message at once, but the earlier one is complete
+// only when the platform has acknowledged its notification.
 
 // unansweredNotifications holds the numbers of messages with an unacknowledged notification, by
 // ordering key.
--- a/internal/wire/notifier.go
+++ b/internal/wire/notifier.go
@@ -16,9 +16,9 @@
 // A notification is due within 300 ms of its message's deadline. A connection may hang or come up
 // late, and an agent may be slow, so another attempt is made in parallel with an unanswered one.
 const (
-	notificationPatience       = 120 * time.Millisecond // without an answer, before a parallel attempt starts
+	notificationHedgeDelay     = 120 * time.Millisecond // without an answer, until a parallel attempt starts
 	maxNotificationAttempts    = 6                      // attempts in flight, each on its own connection
-	notificationTimeout        = maxNotificationAttempts * notificationPatience
+	notificationTimeout        = maxNotificationAttempts * notificationHedgeDelay
 	notificationBackoff        = 20 * time.Millisecond // after a failure
 	maxNotificationsPerRequest = 200                   // lines per request
 )
@@ -112,7 +112,7 @@
 	}
 	batch := append([]pendingNotification(nil), n.queue[:min(len(n.queue), n.batchLimit)]...)
 	n.inFlight++
-	n.nextAttempt = time.Now().Add(notificationPatience)
+	n.nextAttempt = time.Now().Add(notificationHedgeDelay)
 	go func() {
 		result := notificationResult{conn: conn, list: batch}
 		a, err := conn.roundTrip(context.Background(), notificationRequest(conn.addr, batch), notificationTimeout)
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -11,7 +11,8 @@
 	"oatfold/policy"
 )
 
-// Order of an ordering key while another process of this relay still owes messages of it.
+// This file keeps messages of an ordering key in order while another process of this relay still
+// has to complete earlier ones.
 
 // BeginTransferScan announces that everything transferred so far is about to be adopted. From the
 // first scan on, messages of ordered classes wait for scans until Adopt receives LastProcess.
@@ -60,11 +61,11 @@
 	}
 }
 
-// remainingOrdered lists the messages of ordered classes that this process still owes besides those
-// in given, in order of acceptance.
-func (h *Host) remainingOrdered(given []*memory.Message) (list []sequence.Message) {
-	excluded := make(map[uint32]struct{}, len(given))
-	for _, m := range given {
+// remainingOrdered lists the messages with an ordering key that this process still has to complete,
+// without those in transferred, in order of acceptance.
+func (h *Host) remainingOrdered(transferred []*memory.Message) (list []sequence.Message) {
+	excluded := make(map[uint32]struct{}, len(transferred))
+	for _, m := range transferred {
 		excluded[m.Number] = struct{}{}
 	}
 	for _, m := range h.table.All() {
--- a/internal/wire/policy_steps.go
+++ b/internal/wire/policy_steps.go
@@ -10,7 +10,8 @@
 	"oatfold/policy"
 )
 
-// Steps of the policy engine: its events and actions, and its restart after a panic.
+// This file runs the steps of the policy engine: it passes on events, carries out the actions, and
+// restarts the engine after a panic.
 
 // exchangeGossip sends this relay's observations to the others when due, and reports the fleet's
 // state to the policy engine.
@@ -53,6 +54,7 @@
 	h.gossiper.RecordCall(h.targets.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
 }
 
+// step runs one step of the policy engine with the pending events and carries out its actions.
 func (h *Host) step(now policy.Time) {
 	wall := time.Now()
 	for _, m := range h.arrivals {
@@ -97,7 +99,7 @@
 	}
 }
 
-// submittedEvent is the event for a message, including its earlier attempts.
+// submittedEvent returns the event for a message, including its earlier attempts.
 func submittedEvent(m *memory.Message, wall time.Time) policy.Submitted {
 	// The client counts from when it sent the request, a little earlier than this relay. A final
 	// answer at the very deadline would look late to it.
--- a/internal/wire/records_test.go
+++ b/internal/wire/records_test.go
@@ -67,7 +67,7 @@
 // newTestHostOn returns a host without its event loop, whose journal is in the given folder.
 func newTestHostOn(t *testing.T, fs journal.FS) *Host {
 	t.Helper()
-	kept, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: discardLog, CompactInline: true})
+	store, table, err := journal.Open(journal.Config{FS: fs, Budget: 3e6, Log: discardLog, CompactInline: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: kept,
+	h, err := NewHost(HostConfig{Settings: testSettings(), KnownEndpoints: known, Table: table, Journal: store,
 		Log: discardLog})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -14,7 +14,7 @@
 	"oatfold/policy"
 )
 
-// One request of a client: parsing it, submitting it to the host, and answering.
+// This file parses a request of a client, submits its message to the host, and answers it.
 
 // submitRequest asks the host to accept a message.
 type submitRequest struct {
@@ -102,8 +102,8 @@
 	return advice
 }
 
-// submit passes m to the host, answers the client and reports that to the host, which may then
-// begin.
+// submit passes m to the host, answers the client and reports that to the host, which may send the
+// message from then on.
 func (s *Server) submit(x *exchange, m *memory.Message, deadline time.Time) closeReason {
 	m.Deadline = deadline
 	reply := make(chan submitResult, 1)
@@ -196,8 +196,8 @@
 }
 
 const (
-	maxTimeLeftMs = 1 << 40
-	timeLeftSlack = 2 // times the class's deadline; covers clients that still have the deadline of before a reload
+	maxTimeLeftMs = 1 << 40 // about 35 years; avoids an overflow
+	timeLeftSlack = 2       // times the class's deadline; a client may still use the one of before a reload
 )
 
 // visibleASCII reports whether s is visible ASCII. An endpoint that cannot parse an id or a key
--- a/internal/wire/retry_after.go
+++ b/internal/wire/retry_after.go
@@ -114,7 +114,7 @@
 	}
 	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), delay)
 	if h.sendToSuccessor != nil {
-		h.untransferredWaits = append(h.untransferredWaits,
+		h.untransferredRetryAfters = append(h.untransferredRetryAfters,
 			handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(delay)})
 	}
 	listed := h.endpoints[ep.id]
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -28,7 +28,7 @@
 	responseWriteTimeout = 600 * time.Millisecond // for a response
 	drainGracePeriod     = 30 * time.Millisecond  // for a request already on its way to a draining connection
 	lingerTimeout        = 200 * time.Millisecond // for a client to read its last response and close
-	maxLingerBytes       = 256 << 10
+	maxLingerBytes       = 256 << 10              // discarded from a closing connection
 	maxAcceptQueueDrain  = 250 * time.Millisecond // from the start of the shutdown
 	maxIDBytes           = 256                    // of an id, a key or a tenant
 )
--- a/internal/wire/sim/protocol_test.go
+++ b/internal/wire/sim/protocol_test.go
@@ -48,6 +48,7 @@
 	return out.String(), err
 }
 
+// Each line of input is answered with one line of actions.
 func TestServe(t *testing.T) {
 	out, err := serve(t, line(0)+line(5000, register(0, 1, "a:1"), boot(0), listed(0, 0), knock(0, 9, 1)))
 	if err != nil {
@@ -147,6 +148,7 @@
 	}
 }
 
+// The error for malformed input names the line and what is wrong with it.
 func TestMalformed(t *testing.T) {
 	for in, says := range map[string]string{
 		"{": "line 1: malformed batch", `{"news":[]}`: "no tUs", `{"tUs":"x","news":[]}`: "malformed batch",
@@ -163,6 +165,7 @@
 	}
 }
 
+// No input makes the host panic.
 func FuzzServe(f *testing.F) {
 	f.Add(line(0, register(0, 1, "a:1"), boot(0), listed(0, 0), knock(0, 9, 1)))
 	f.Add(line(0) + `{"tUs":1,"news":[{"what":"KILL","relay":0}]}`)
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -22,7 +22,8 @@
 	}
 	plan := func() *sites.Plan {
 		return &sites.Plan{Ramp: time.Second,
-			Sites: []sites.Site{{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, SpillFraction: 1}}}, {Zone: "b"}}}
+			Sites: []sites.Site{
+				{Zone: "a", Tiers: []sites.Tier{{Zones: []string{"b"}, SpillFraction: 1}}}, {Zone: "b"}}}
 	}
 	h.applySitePlan(plan(), "b")
 	if v := h.Sites(); v == nil || v.Home != "b" || len(v.All) != 2 || v.All[0].Endpoints != 1 || v.All[1].Tier != 0 {
@@ -44,13 +45,13 @@
 	if st := look(); !st.ManuallyOut || st.State != "lost" {
 		t.Fatalf("%+v", st)
 	}
-	since := h.siteWatch
-	if h.applySitePlan(plan(), "b"); h.siteWatch != since {
+	previous := h.siteWatch
+	if h.applySitePlan(plan(), "b"); h.siteWatch != previous {
 		t.Error("the same plan replaced the watch")
 	}
 	other := plan()
 	other.Ramp++
-	if h.applySitePlan(other, "b"); h.siteWatch == since || !look().ManuallyOut {
+	if h.applySitePlan(other, "b"); h.siteWatch == previous || !look().ManuallyOut {
 		t.Error("another plan lets a site return that an operator took out")
 	}
 	if h.siteWatch.Allows(7, "a", false) || !h.siteWatch.Allows(7, "b", true) {
--- a/internal/wire/terms_test.go
+++ b/internal/wire/terms_test.go
@@ -147,13 +147,14 @@
 func TestClassRemovedOverRestart(t *testing.T) {
 	h := newTestHost(t)
 	for _, c := range []struct {
-		risk time.Time
-		want bool
+		mayHaveRunSince time.Time
+		want            bool
 	}{{time.Time{}, true}, {time.Now(), false}} {
 		m := h.addMessage("m"+fmt.Sprint(c.want), 7, 1)
-		m.Class, m.MayHaveRunSince, m.Effect = "gone", c.risk, policy.Unsafe
+		m.Class, m.MayHaveRunSince, m.Effect = "gone", c.mayHaveRunSince, policy.Unsafe
 		if h.resume(m, time.Now()) || m.Notification == nil || m.Notification.Returned != c.want {
-			t.Errorf("attempt at %v: completed by %+v, want returned to the client %v", c.risk, m.Notification, c.want)
+			t.Errorf("attempt at %v: completed by %+v, want returned to the client %v", c.mayHaveRunSince,
+				m.Notification, c.want)
 		}
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -13,7 +13,7 @@
 type Settings struct {
 	Relays               int             // relays that share the destinations, including this one
 	TimeSlots            pacing.Schedule // this relay's time slots; the zero value has none
-	ClockOffset          time.Duration   // reading of the clock that all relays share at Time 0
+	ClockOffset          time.Duration   // reading, at Time 0, of the clock that all relays share
 	MaxConcurrentCalls   int             // calls in flight from this relay at once
 	NoGossip             bool            // relays exchange no gossip
 	MaxDestinationShare  float64         // share of MaxConcurrentCalls for one destination; 0: three quarters
@@ -105,7 +105,7 @@
 // Event is an input of Relay.Step: one of the types below.
 type Event interface{ event() }
 
-// Submitted hands a message to the relay, which then owes it exactly one final answer.
+// Submitted submits a message to the relay, which then gives it exactly one final answer.
 type Submitted struct {
 	ID          uint32
 	Class       string
@@ -150,7 +150,7 @@
 	Report     *LimitReport  // what the answer says of the rate limit; nil: nothing
 }
 
-// LimitReport is what an answer says of a destination's rate limit. It is slightly stale and
+// LimitReport is what an answer says of a destination's rate limit. It may be slightly stale and
 // inexact.
 type LimitReport struct {
 	Remaining float64 // share of the limit that is left
@@ -207,8 +207,8 @@
 // Withdrawn says that a message needs no answer any more.
 type Withdrawn struct{ ID uint32 }
 
-// Stopping says that the process ends soon: unsafe messages get no further attempts, since one that
-// is cut off may have run.
+// Stopping says that the process ends soon. Unsafe messages get no further attempts: one that is
+// cut off may have run.
 type Stopping struct{}
 
 // TimerFired answers a SetTimer.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -23,10 +23,10 @@
 	failureWeight       = 0.08                  // weight of the latest call in the failing share
 	sampleWeight        = 0.3                   // weight of the latest call in the other shares
 	limitRejectionRun   = 5                     // rejections in a row after which they count against a limit
-	minSlotUse          = 0.5                   // messages per time slot that make a relay use them
+	minSlotUse          = 0.5                   // messages per time slot from which a relay uses its slots
 	spentLimitShare     = 0.02                  // remaining share below which a limit is used up
 	notificationTime    = 50 * time.Millisecond // usual duration of an outcome notification
-	lowShare            = 0.2                   // low share of quick recoveries or accepted retries
+	lowShare            = 0.2                   // share of quick recoveries or accepted retries that is low
 	latencyWeight       = 0.15                  // weight of the latest answer in the usual latency
 	overdueLatencies    = 4                     // an answer is overdue after this many usual latencies
 	minOverdueTicks     = 20                    // and after this many ticks
@@ -44,7 +44,7 @@
 	fleetLifetime       = 4 * time.Second       // how long a fleet update holds
 	fleetSpan           = 6 * time.Second / 5   // time that a fleet update covers
 	minFleetCalls       = 6                     // calls that a fleet update needs to show an outage
-	sweepInterval       = 50 * time.Millisecond // between steps of a relay with pending messages
+	sweepInterval       = 50 * time.Millisecond // longest time between steps while messages wait
 )
 
 // New returns a relay without endpoints. seed seeds its random numbers.
@@ -272,8 +272,8 @@
 	}
 }
 
-// mayRefuse reports whether the client may safely retry. It may not if a keyed message may have
-// run: another relay doesn't know its repeat window and could run it twice.
+// mayRefuse reports whether the client may safely retry: no attempt is in flight, and the message
+// didn't run or is safe to repeat. A retry at another relay would ignore a keyed message's window.
 func (m *message) mayRefuse() bool {
 	return m.call == nil && (!m.mayHaveRun || m.class.Effect == Safe)
 }
@@ -353,25 +353,25 @@
 	if e.RetryAfter <= 0 && !unspent {
 		return
 	}
-	shut := e.RetryAfter > r.cfg.OverloadTime ||
+	outage := e.RetryAfter > r.cfg.OverloadTime ||
 		unspent && (report.Limit == 0 || rt.unsuccessful > 0 && c.sentAt >= rt.runStart)
 	// Spreading keeps the messages rejected in one limit period from using up the next one at once.
 	end, spread := r.now+e.RetryAfter, min(e.RetryAfter, seconds(1/r.fairShare(rt)))
 	switch {
-	case shut:
+	case outage:
 		spread = r.coldInterval(rt) / 2
 	case unspent:
 		spread = min(r.coldInterval(rt)/2, r.cfg.WarmUpTime)
 	}
-	r.block(rt, end, spread, shut)
+	r.block(rt, end, spread, outage)
 }
 
 // block blocks the route until end and a random part of spread; shut marks it as down.
-func (r *Relay) block(rt *route, end Time, spread time.Duration, shut bool) {
+func (r *Relay) block(rt *route, end Time, spread time.Duration, outage bool) {
 	if end > rt.blockedUntil {
 		rt.blockedUntil = end + scale(spread, r.rng.Float64())
 	}
-	if shut && rt.health != down {
+	if outage && rt.health != down {
 		r.markDown(rt)
 	}
 }
@@ -853,7 +853,7 @@
 // staleConn reports whether a call was lost because its connection had been idle for too long.
 func (r *Relay) staleConn(c *call, lost bool) bool { return r.reuse.RecordCall(r.now, c.idleFor, lost) }
 
-// closeFreed closes unused connections outside the subset, or where endpoints run out of them.
+// closeFreed closes freed connections outside the subset, or of a kind that recently refused one.
 func (r *Relay) closeFreed() {
 	for _, ep := range r.freed {
 		at := r.connRefused[ep.dest.kind]
@@ -993,14 +993,14 @@
 
 // attemptTimeout returns how long an attempt may take. A repeatable message keeps time in its
 // repeat window for another one. One that a timeout would lose waits until its deadline, or, while
-// half of all calls are in use, as long as all but slow messages need.
+// half of all calls are in use, as long as all but unusually slow messages take.
 func (r *Relay) attemptTimeout(m *message, rt *route) time.Duration {
 	left, overdue := m.deadline-r.now, r.overdueAfter(rt)
 	switch {
 	case r.shortage > measureSpan:
 		overdue -= overdue / 3 // lost answers may be using up all calls
 	case r.calls < r.cfg.MaxConcurrentCalls/2:
-		overdue += overdue / 2 // spare slow messages a second run
+		overdue += overdue / 2 // lets slow messages complete in one attempt
 	}
 	timeout, repeatable := overdue, m.class.Effect != Unsafe
 	if m.mayHaveRun { // it may be slow to process
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -113,6 +113,7 @@
 	return AttemptEnded{ID: id, Attempt: attempt, Outcome: o, Duration: 100 * ms, Final: o == Delivered}
 }
 
+// An error for invalid settings names the setting.
 func TestSettingsErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Settings)
@@ -171,7 +172,7 @@
 
 // A keyed message is repeated only within its repeat window and, where repeats are dropped by zone,
 // only in that zone. After the window it is failed.
-func TestKeyedWindowAndGroup(t *testing.T) {
+func TestKeyedWindowAndZone(t *testing.T) {
 	h := newHarness(t, nil)
 	s := h.expectSent(h.step(h.submission("zoned", 1, "k")), 1)
 	other := map[string]EndpointState{"p1": Listed, "p2": Listed}
@@ -650,7 +651,7 @@
 	}
 }
 
-// simulation plays random clients and destinations, and checks the invariants on every action.
+// simulation simulates random clients and destinations, and checks the invariants on every action.
 type simulation struct {
 	*harness
 	rng          *rand.Rand
@@ -680,6 +681,7 @@
 	sentAt Time
 }
 
+// Under random events, no action breaks an invariant, and the same seed gives the same actions.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
 		if a, b := simulate(t, seed), simulate(t, seed); !reflect.DeepEqual(a, b) {
@@ -922,7 +924,7 @@
 		closes                    bool
 	}{
 		"dropped while idle": {TimedOut, Delivered, true},
-		"all is well":        {Delivered, Delivered, false},
+		"nothing is lost":    {Delivered, Delivered, false},
 		"answers are lost":   {TimedOut, TimedOut, false},
 	} {
 		h := newHarness(t, nil)
--- a/policy/promises_test.go
+++ b/policy/promises_test.go
@@ -9,7 +9,7 @@
 // shed for lateness raises the minimum value for waiting.
 func TestLongDeadlinesDoNotFillTheQueue(t *testing.T) {
 	for noGossip, least := range map[bool]int{true: 100, false: 70} { // with gossip, the minimum value is lower
-		t.Run(fmt.Sprintf("alone %t", noGossip), func(t *testing.T) { testPatientBesideSoon(t, noGossip, least) })
+		t.Run(fmt.Sprintf("no gossip %t", noGossip), func(t *testing.T) { testPatientBesideSoon(t, noGossip, least) })
 	}
 }
 
@@ -58,7 +58,7 @@
 			{Name: "notice", Effect: Safe, TargetLatency: 2 * sec, Deadline: deadline, Value: 1, LateValue: 0.5}}
 	})
 	var inFlight []Send
-	came := map[uint32]Time{}
+	arrivedAt := map[uint32]Time{}
 	var age Time
 	served := 0
 	for step := range 600 { // a minute; the destination accepts 5 per second
@@ -66,13 +66,13 @@
 		for _, s := range inFlight {
 			events = append(events, attemptEnd(s.ID, 0, Delivered))
 			if step > 200 { // the queue has reached its length
-				age, served = age+h.now-came[s.ID], served+1
+				age, served = age+h.now-arrivedAt[s.ID], served+1
 			}
 		}
 		for range 1 + step%2 {
 			m := h.submission("notice", 4, "")
 			m.Tenant, m.TimeLeft = "", deadline
-			came[m.ID] = h.now
+			arrivedAt[m.ID] = h.now
 			events = append(events, m)
 		}
 		h.relay.destinations[4].routes[0].interval = 200 * ms // as after rejections, whatever successes decay it to
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -14,18 +14,18 @@
 	base := r.destinations[4].routes[0]
 	base.health, base.rampStart = ramping, r.now
 	rampAt, first := r.now, r.coldInterval(base)
-	var lines []*route
+	var routes []*route
 	for i := range relays {
 		rt := *base
 		rt.lastCall, rt.jitter = rampAt-first*time.Duration(i)/relays, 1
-		lines = append(lines, &rt)
+		routes = append(routes, &rt)
 	}
 	sent, due := 0, 0.0
 	const step = 10 * time.Millisecond
 	for ; r.now < rampAt+r.cfg.WarmUpTime; r.now += step {
 		warm := r.cfg.ColdStartShare + (1-r.cfg.ColdStartShare)*float64(r.now-rampAt)/float64(r.cfg.WarmUpTime)
 		due += relays * step.Seconds() / first.Seconds() * warm / r.cfg.ColdStartShare
-		for _, rt := range lines {
+		for _, rt := range routes {
 			if r.now >= rt.lastCall+r.coldInterval(rt) {
 				sent++
 				rt.lastCall = r.now
--- a/policy/state.go
+++ b/policy/state.go
@@ -22,26 +22,26 @@
 	tenant                      *tenant
 	key                         *orderingKey
 	dest                        *destination
-	arrived, targetAt, deadline Time
+	arrived, targetAt, deadline Time // targetAt: when its target latency ends
 	attempts                    int
-	call                        *call // the attempt in flight
-	sentAt                      Time
-	answered                    bool
-	overQuota                   bool // its tenant was over its quota
-	recovered                   bool // accepted by an earlier process
-	mayHaveRun                  bool // some attempt may have run
-	uncertainSince              Time // when the first such attempt was sent
-	uncertainZone               string
+	call                        *call  // the attempt in flight
+	sentAt                      Time   // when the latest attempt was sent
+	answered                    bool   // it needs no answer any more
+	overQuota                   bool   // its tenant was over its quota
+	recovered                   bool   // accepted by an earlier process
+	mayHaveRun                  bool   // some attempt may have run
+	uncertainSince              Time   // when the first such attempt was sent
+	uncertainZone               string // zone that it was sent to
 }
 
 // call is a call in flight; the messages of a batch share one.
 type call struct {
 	endpoint       *endpoint
 	sentAt         Time
-	unfinished     int // messages whose attempt has not ended
-	assessed       bool
+	unfinished     int           // messages whose attempt has not ended
+	assessed       bool          // its outcome was applied to the health of its route
 	afterRejection bool          // sent soon after a rejection
-	idleFor        time.Duration // how long its connection had been unused; 0: new, or shared with other calls
+	idleFor        time.Duration // how long its connection was unused; 0: new, or shared with other calls
 }
 
 // orderingKey is the queue of an ordering key, in order of arrival.
@@ -65,13 +65,13 @@
 }
 
 type endpoint struct {
-	connFailedAt Time // when a connection to it last failed
+	connFailedAt Time // when it last refused a connection; 0: never, or it soon accepted one
 	Endpoint
 	dest                  *destination
 	route                 *route
 	skipped               bool    // gets no regular traffic
 	calls, failures       int     // calls in flight, and failures in a row
-	lastFailure, lastUsed Time    // lastUsed: when a call last began or ended
+	lastFailure, lastUsed Time    // lastUsed: when a call last began or ended; 0: no open connection
 	tieBreak              float64 // this relay's own order among equal endpoints
 	connLimit             float64 // calls at once that it seems to accept connections for; 0: unknown
 	outsideSubset         bool    // this relay keeps no connections to it
@@ -98,9 +98,9 @@
 	lastCall, lengthenedAt   Time
 	rejectionsCountUntil     Time // until then, rejected calls are assumed to count against the rate limit
 	rejectedAt               Time
-	jitter                   float64
-	blockedUntil             Time // end of a Retry-After
-	notBefore                Time // no call before it, whatever the interval
+	jitter                   float64 // factor on the next pacing interval
+	blockedUntil             Time    // end of a Retry-After
+	notBefore                Time    // no call before it, whatever the interval
 	health                   routeHealth
 	rampStart                Time
 	unsuccessful, failed     int  // calls in a row without success, and failures among them
@@ -125,8 +125,8 @@
 	routes        []*route
 	blockedUntil  Time            // end of a Retry-After of endpoints that have all left
 	blockedRoutes map[string]Time // the same for separate routes, by address
-	calls         int
-	queued        int // messages waiting, as of countedStep
+	calls         int             // in flight
+	queued        int             // messages waiting, as of countedStep
 	countedStep   int
 	expectedRate  float64 // messages per second that it is expected to accept; 0: unlimited
 	freeAt        Time    // earliest time of the next call
@@ -151,7 +151,7 @@
 	endpoints                        map[string]*endpoint
 	calls                            int
 	quota, arrivalRate               float64 // messages per second: of all tenants, and arriving here
-	lastArrival, subscribeAt         Time
+	lastArrival, subscribeAt         Time    // subscribeAt: next attempt to subscribe; -1: none is due
 	subscribeFailures, attemptsEnded int
 	lastShed, spanStart              Time
 	completionRate                   float64               // attempts that end per second
@@ -159,7 +159,7 @@
 	quickRecovery                    map[*Kind]float64     // share of failed connections soon followed by a success
 	connRefused                      map[*Kind]Time        // when an endpoint of the kind last refused a connection
 	freed                            []*endpoint           // endpoints whose calls ended in this step
-	reuse                            keepalive.IdleLimiter // of idle connections
+	reuse                            keepalive.IdleLimiter // limits the reuse of idle connections
 	shortage                         time.Duration         // how long all calls have been in use recently
 	minTarget                        time.Duration         // of all classes
 	maxDeadline                      time.Duration         // of all classes
@@ -173,7 +173,7 @@
 	sitePlan                         SitePlan
 }
 
-// slotHash returns a number for a route that is the same at all relays.
+// slotHash returns a number that assigns time slots to a route. It is the same at all relays.
 func slotHash(d *destination, entry Endpoint) uint64 {
 	h := fnv.New64a()
 	if d.kind.SeparateRoutes {
@@ -241,7 +241,7 @@
 	}
 }
 
-// addArrival returns the rate over rateWindow after one more arrival.
+// addArrival returns the arrival rate over rateWindow after one more arrival.
 func (r *Relay) addArrival(rate float64, last Time) float64 {
 	w := rateWindow.Seconds()
 	return rate*max(0, 1-(r.now-last).Seconds()/w) + 1/w
@@ -361,7 +361,8 @@
 	}
 }
 
-// updateSites replaces the plan for sites; without one, every endpoint is allowed.
+// updateSites replaces the plan for sites; without one, every endpoint is allowed. It forgets the
+// failures of a zone that answers again, and starts the routes of a cold zone on a ramp.
 func (r *Relay) updateSites(e SitesUpdate) {
 	if r.sitePlan = e.Plan; r.sitePlan == nil {
 		r.sitePlan = noSitePlan{}
@@ -408,9 +409,9 @@
 }
 
 // raiseMinValue records that m could not be sent in time: others need a higher value to wait for
-// the destination. A message over its tenant's quota counts only if any is set.
-func (d *destination) raiseMinValue(m *message, any bool) {
-	if any || !m.overQuota {
+// the destination. A message over its tenant's quota counts only if always is set.
+func (d *destination) raiseMinValue(m *message, always bool) {
+	if always || !m.overQuota {
 		d.minValue += max(0, m.class.Value-d.minValue) * sampleWeight
 	}
 }
