--- a/internal/wire/attempts.go
+++ b/internal/wire/attempts.go
@@ -65,8 +65,8 @@
 		expiresAt:   now + m.Deadline.Sub(wall),
 		writeBy:     h.writeDeadline(m),
 	}
-	// A batch lasts as long as its longest timeout. Ending it earlier would leave a live call
-	// behind.
+	// A batch lasts as long as its longest timeout. Ending it earlier would cut off a call that may
+	// still deliver.
 	if cl.timeout = max(cl.timeout, send.Timeout); h.strictestEffect(m) == policy.Unsafe {
 		cl.lastByteDelay = lastByteDelay
 	}
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -38,6 +38,7 @@
 
 var closeReasonNames = [...]string{"none", "client", "resting", "closed by server", "closed by request", "bad request"}
 
+// String returns the reason as the log shows it.
 func (r closeReason) String() string { return closeReasonNames[r] }
 
 // closeStage is a point in closing a client connection, for tests that force races with it.
@@ -208,6 +209,7 @@
 	})
 }
 
+// reportCloseStage calls the test hook, if there is one.
 func (s *Server) reportCloseStage(c *clientConn, stage closeStage) {
 	if s.onCloseStage != nil {
 		s.onCloseStage(c, stage)
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -104,16 +104,16 @@
 		}
 		reject := func(class, tenant, name string) {
 			t.Helper()
-			if status, says := ask(class, tenant); status != 400 || !strings.Contains(says, fmt.Sprintf("%q", name)) {
-				t.Errorf("%s of %q: answered %d, %q", class, tenant, status, says)
+			if status, text := ask(class, tenant); status != 400 || !strings.Contains(text, fmt.Sprintf("%q", name)) {
+				t.Errorf("%s of %q: answered %d, %q", class, tenant, status, text)
 			}
 		}
 		accepted := 0
 		accept := func(class, tenant string) {
 			t.Helper()
 			accepted++
-			if status, says := ask(class, tenant); status != 202 {
-				t.Errorf("%s of %q: answered %d, %q", class, tenant, status, says)
+			if status, text := ask(class, tenant); status != 202 {
+				t.Errorf("%s of %q: answered %d, %q", class, tenant, status, text)
 			}
 		}
 		for _, class := range other.Classes {
--- a/internal/wire/endpoint_conn.go
+++ b/internal/wire/endpoint_conn.go
@@ -41,7 +41,7 @@
 	tooLate       bool                     // too little time left, or no body for now: excluded from the call
 	expiry        *index.Entry[itemExpiry] // timer for expiresAt, if the call may last longer
 	reported      bool                     // its result was reported to the policy engine
-	resubmit      bool                     // the policy engine restarted: give it the message again
+	resubmit      bool                     // the policy engine restarted: submit the message to it again
 }
 
 // pluginFailure says how to complete a message that failed before it was sent.
--- a/internal/wire/endpoint_conn_test.go
+++ b/internal/wire/endpoint_conn_test.go
@@ -222,7 +222,7 @@
 			if s.retryAfter { // a further call meets the backoff, and nothing of it is written
 				blocked := c.makeCall(cl)
 				if blocked.results[0].outcome != policy.Unsent || !errors.Is(blocked.err, errBlocked) || len(seen) > 0 {
-					t.Fatalf("sent in spite of a backoff: %+v", blocked)
+					t.Fatalf("sent despite a backoff: %+v", blocked)
 				}
 				c.close()
 				ep.backoff.until.Store(0)
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -272,12 +272,12 @@
 		}
 		msgs = append(msgs, m)
 	}
-	owes := h.remainingOrdered(msgs)
+	owed := h.remainingOrdered(msgs)
 	if len(msgs) == 0 && len(h.untransferredRetryAfters) == 0 && len(h.calls) == h.reportedInFlight &&
-		slices.Equal(owes, h.reportedOwed) {
+		slices.Equal(owed, h.reportedOwed) {
 		return nil
 	}
-	update.RetryAfters, update.PendingOrdered = h.untransferredRetryAfters, owes
+	update.RetryAfters, update.PendingOrdered = h.untransferredRetryAfters, owed
 	for cl := range h.calls {
 		update.InFlightCalls = append(update.InFlightCalls,
 			policy.InheritedCall{Endpoint: cl.endpoint.id, Age: h.now() - cl.startedAt})
@@ -287,7 +287,7 @@
 			"messages", len(msgs), "err", err)
 		return err
 	}
-	h.untransferredRetryAfters, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owes, rest
+	h.untransferredRetryAfters, h.reportedInFlight, h.reportedOwed, h.untransferred = nil, len(h.calls), owed, rest
 	for _, m := range msgs {
 		// The message is not complete, so its id must not count as that of a completed one.
 		h.remove(m, true)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -109,7 +109,7 @@
 	ownedElsewhere            map[string]struct{}    // ids of messages that the previous process accepted and keeps
 	sequencer                 sequence.Sequencer     // holds messages while another process owes earlier ones
 	reportedOwed              []sequence.Message     // messages still owed, as last reported to the next process
-	callsAwaitingNotification []*call                // calls behind a notification that the platform has not answered
+	callsAwaitingNotification []*call                // calls that wait for the platform to acknowledge a notification
 	unansweredNotifications   unansweredNotifications
 	uncommittedTransfers      []chan<- struct{}         // closed once the transferred messages are in the journal
 	stepsStopped              bool                      // no further policy steps; messages stay in the journal
@@ -262,6 +262,7 @@
 	return err
 }
 
+// now returns the time since the host was created, the clock of the policy engine.
 func (h *Host) now() policy.Time { return time.Since(h.startedAt) }
 
 // restore passes recovered messages to the policy engine in order of acceptance, and queues the
@@ -371,6 +372,7 @@
 	}
 }
 
+// stepDue reports whether events or messages wait for a policy step.
 func (h *Host) stepDue() bool { return !h.stepsStopped && len(h.pendingEvents)+len(h.arrivals) > 0 }
 
 // stepAt returns the earliest time of the next policy step.
@@ -402,6 +404,7 @@
 	return h.earliestWaitingCallDeadline(h.earliestHeldDeadline(at))
 }
 
+// handleEvent handles one event of a connection, the platform or another relay, or runs a command.
 func (h *Host) handleEvent(e any) {
 	switch e := e.(type) {
 	case submitRequest:
--- a/internal/wire/late_test.go
+++ b/internal/wire/late_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-// A discovery that rejects requests, closes connections or answers nonsense is asked again soon:
+// A discovery that rejects requests, closes connections or sends malformed answers is retried soon:
 // every pause is bounded.
 func TestUpdateAfterManyFailures(t *testing.T) {
 	s := startScriptedAgent(t)
--- a/internal/wire/lifecycle.go
+++ b/internal/wire/lifecycle.go
@@ -211,6 +211,7 @@
 	h.queueNotification(m)
 }
 
+// queueNotification queues the notification of m until flushNotifications may pass it on.
 func (h *Host) queueNotification(m *memory.Message) {
 	h.trackNotification(m)
 	h.unqueuedNotifications = append(h.unqueuedNotifications, pendingNotification{m.Number, m.ID, *m.Notification})
@@ -219,20 +220,20 @@
 // flushNotifications passes the notifications that may be sent to the notifier.
 func (h *Host) flushNotifications() {
 	unwritten, wall := h.journal.HasUnwritten(), time.Now()
-	var kept []pendingNotification
+	var delayed []pendingNotification
 	for i, n := range h.unqueuedNotifications {
 		if unwritten && h.couldStillBeSent(n.num, wall) {
-			kept = append(kept, n)
+			delayed = append(delayed, n)
 			continue
 		}
 		select {
 		case h.notifications <- n:
 		default:
-			h.unqueuedNotifications = append(kept, h.unqueuedNotifications[i:]...)
+			h.unqueuedNotifications = append(delayed, h.unqueuedNotifications[i:]...)
 			return
 		}
 	}
-	h.unqueuedNotifications = kept
+	h.unqueuedNotifications = delayed
 }
 
 // couldStillBeSent reports whether, after a crash, the next process would send a message whose
--- a/internal/wire/list_watch.go
+++ b/internal/wire/list_watch.go
@@ -114,7 +114,7 @@
 			}
 			failing = true
 			if silent && !w.polled {
-				// Ask again quickly: once the agent is back, its updates count as known at once.
+				// Retry quickly: once the agent is back, the relay is taken to know its updates at once.
 				w.pause(ctx, w.silenceBackoff.NextDelay())
 				continue
 			}
--- a/internal/wire/ordering.go
+++ b/internal/wire/ordering.go
@@ -39,11 +39,12 @@
 	}
 }
 
+// sequenceEntry returns what the sequencer needs to know of m.
 func sequenceEntry(m *memory.Message) sequence.Message {
 	return sequence.Message{ID: m.ID, OrderingKey: m.OrderingKey, Number: m.Number}
 }
 
-// releaseHeld passes on messages that need not be held any more.
+// releaseHeld passes messages that need not be held any more to the policy engine.
 func (h *Host) releaseHeld(nums []uint32) {
 	for _, num := range nums {
 		if m := h.table.Get(num); m != nil && m.Notification == nil {
--- a/internal/wire/ordering_test.go
+++ b/internal/wire/ordering_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// Messages behind one whose call the old process has in flight wait at the new one until it
-// completes, whether transferred or submitted there. If the call fails, its message goes first.
+// Messages that follow one whose call the old process has in flight wait at the new one until that
+// call ends, whether transferred or submitted there. If it fails, its message is sent first.
 func TestNextProcessWaitsForInheritedCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
--- a/internal/wire/retry_after_test.go
+++ b/internal/wire/retry_after_test.go
@@ -267,13 +267,13 @@
 // A Retry-After for an endpoint that left the list during the call applies when it returns, whether
 // the result or a late answer carries it.
 func TestRetryAfterForRemovedEndpoint(t *testing.T) {
-	for _, back := range []string{"before", "behind"} {
+	for _, relisted := range []string{"before", "behind"} {
 		for _, late := range []bool{false, true} {
 			h := newTestHost(t)
 			was := setSeparateRoute(h, "r1", policy.Listed)
 			cl := &call{endpoint: was}
 			setSeparateRoute(h, "r1", policy.Removed)
-			if back == "before" {
+			if relisted == "before" {
 				setSeparateRoute(h, "r1", policy.Listed)
 			}
 			was.backoff.extend(time.Hour) // as its connection does
@@ -282,14 +282,14 @@
 			} else {
 				h.handleEvent(callResult{call: cl, retryAfter: time.Hour})
 			}
-			if back == "behind" {
+			if relisted == "behind" {
 				setSeparateRoute(h, "r1", policy.Listed)
 			}
 			if ep := h.endpoints["r1"]; ep == was || !ep.backoff.active() {
-				t.Errorf("listed again %s the result, late %v: backoff %v", back, late, ep.backoff.active())
+				t.Errorf("listed again %s the result, late %v: backoff %v", relisted, late, ep.backoff.active())
 			}
 			if other := setSeparateRoute(h, "r2", policy.Listed); other.backoff.active() {
-				t.Errorf("listed again %s the result, late %v: another endpoint backs off", back, late)
+				t.Errorf("listed again %s the result, late %v: another endpoint backs off", relisted, late)
 			}
 		}
 	}
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -427,9 +427,9 @@
 	server.HandleDrainEvent(drain.Started)
 	c, r := dialListener(t, ln)
 	for _, s := range []struct {
-		leave         bool
-		request, says string
-		status        int
+		leave          bool
+		request, state string
+		status         int
 	}{{false, "GET /ready HTTP/1.1\r\n\r\n", "", 200}, {true, "GET /ready HTTP/1.1\r\n\r\n", "stopping", 503},
 		{true, validRequest("m1", "body"), "stopping", 202}} {
 		if s.leave {
@@ -437,7 +437,7 @@
 		}
 		io.WriteString(c, s.request)
 		res, err := http.ReadResponse(r, nil)
-		if err != nil || res.StatusCode != s.status || res.Header.Get("X-Relay-State") != s.says {
+		if err != nil || res.StatusCode != s.status || res.Header.Get("X-Relay-State") != s.state {
 			t.Errorf("%q: %v, %v", s.request, res, err)
 		}
 	}
--- a/internal/wire/sim/protocol.go
+++ b/internal/wire/sim/protocol.go
@@ -1,4 +1,4 @@
-// Package sim translates between the simulator's JSON protocol and the policy engine.
+// Package sim runs the policy engines of simulated relays over the simulator's JSON protocol.
 package sim
 
 import (
--- a/internal/wire/sim/protocol_test.go
+++ b/internal/wire/sim/protocol_test.go
@@ -150,7 +150,7 @@
 
 // The error for malformed input names the line and what is wrong with it.
 func TestMalformed(t *testing.T) {
-	for in, says := range map[string]string{
+	for in, message := range map[string]string{
 		"{": "line 1: malformed batch", `{"news":[]}`: "no tUs", `{"tUs":"x","news":[]}`: "malformed batch",
 		line(0, `{"what":"KNOCK","relay":0}`):                                       "KNOCK without req",
 		line(0, `{"what":"DANCE","relay":0}`):                                       `unknown event "DANCE"`,
@@ -159,8 +159,8 @@
 		line(0, boot(0), `{"what":"FINISHED","relay":0,"req":1,"code":"sparkled"}`): "unknown code",
 	} {
 		_, err := serve(t, in)
-		if err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one line with %q", in, err, says)
+		if err == nil || !strings.Contains(err.Error(), message) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: error %v, want one line with %q", in, err, message)
 		}
 	}
 }
--- a/internal/wire/trace.go
+++ b/internal/wire/trace.go
@@ -26,6 +26,7 @@
 // traceCapacity is the number of events kept, about 160 KB.
 const traceCapacity = 4096
 
+// traceEvent is an event with two values, which traceKind describes.
 type traceEvent struct {
 	at   time.Duration // since the server started
 	conn uint32
@@ -42,6 +43,7 @@
 	ring      [traceCapacity]traceEvent
 }
 
+// record adds an event, in place of the oldest one if the trace is full.
 func (t *trace) record(conn uint32, kind traceKind, a, b int64) {
 	at := time.Since(t.startedAt)
 	t.mu.Lock()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -344,7 +344,7 @@
 
 // blockAfter blocks the route for a Retry-After, and longer where the rejection shows an outage: a
 // Retry-After longer than a rate limit needs or without a limit, or a second rejection in a row
-// with most of the limit left. As a destination recovers cold, such blocks end spread out. A first
+// with most of the limit left. As a destination recovers cold, these blocks end spread out. A first
 // rejection may come with a stale report: it blocks for the warm-up time at most.
 func (r *Relay) blockAfter(c *call, e AttemptEnded) {
 	rt, report := c.endpoint.route, e.Report
@@ -366,7 +366,7 @@
 	r.block(rt, end, spread, outage)
 }
 
-// block blocks the route until end and a random part of spread; shut marks it as down.
+// block blocks the route until end and a random part of spread; outage marks it as down.
 func (r *Relay) block(rt *route, end Time, spread time.Duration, outage bool) {
 	if end > rt.blockedUntil {
 		rt.blockedUntil = end + scale(spread, r.rng.Float64())
@@ -480,6 +480,7 @@
 		r.now-rt.calls[0].sentAt > r.overdueAfter(rt)
 }
 
+// overdueAfter returns how long after a call its answer is overdue.
 func (r *Relay) overdueAfter(rt *route) time.Duration {
 	if rt.latency == 0 {
 		return r.cfg.Classes[0].TargetLatency
@@ -813,7 +814,7 @@
 	}
 }
 
-// eligible reports whether m may have an attempt now, apart from its destination.
+// eligible reports whether m may have an attempt now, whatever the state of its destination.
 func (r *Relay) eligible(m *message) bool {
 	if !r.mayAttempt(m) || r.stopping && m.class.Effect == Unsafe {
 		return false
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -116,8 +116,8 @@
 // An error for invalid settings names the setting.
 func TestSettingsErrors(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Settings)
-		says   string
+		change  func(*Settings)
+		setting string
 	}{
 		"relays":           {func(s *Settings) { s.Relays = 0 }, "Relays"},
 		"concurrent calls": {func(s *Settings) { s.MaxConcurrentCalls = 0 }, "MaxConcurrentCalls"},
@@ -131,8 +131,8 @@
 	} {
 		s := testSettings()
 		c.change(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v, want one that names %s", name, err, c.says)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.setting) {
+			t.Errorf("%s: error %v, want one that names %s", name, err, c.setting)
 		}
 	}
 }
@@ -324,8 +324,8 @@
 	s := h.expectSent(h.step(h.submission("safe", 3, "")), 1)
 	e = attemptEnd(1, 0, Rejected)
 	e.RetryAfter = sec
-	again := h.expectSent(h.after(50*ms, e), 1)
-	if s[0].Endpoint == again[0].Endpoint {
+	retried := h.expectSent(h.after(50*ms, e), 1)
+	if s[0].Endpoint == retried[0].Endpoint {
 		t.Fatal("sent to a route during its Retry-After")
 	}
 }
@@ -903,11 +903,11 @@
 		s := actionsOf[Send](
 			r.Step(2*sec, []Event{Submitted{ID: 1, Class: "safe", Destination: 1, TimeLeft: 12 * sec}}))
 		first[s[0].Endpoint]++
-		var again []Send
-		for now := 2 * sec; len(again) == 0; now += 50 * ms {
-			again = actionsOf[Send](r.Step(now, []Event{attemptEnd(1, 0, Rejected)}))
+		var retried []Send
+		for now := 2 * sec; len(retried) == 0; now += 50 * ms {
+			retried = actionsOf[Send](r.Step(now, []Event{attemptEnd(1, 0, Rejected)}))
 		}
-		if again[0].Endpoint == s[0].Endpoint {
+		if retried[0].Endpoint == s[0].Endpoint {
 			t.Fatalf("seed %d: rejected by %s and sent there again", seed, s[0].Endpoint)
 		}
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -58,12 +58,14 @@
 	}
 }
 
+// tenant is a tenant with the token bucket of its quota.
 type tenant struct {
 	Tenant
-	tokens  float64
-	updated Time
+	tokens  float64 // messages that it may submit now within its quota
+	updated Time    // when tokens were last added
 }
 
+// endpoint is an entry of the endpoint list with the state of its calls and connections.
 type endpoint struct {
 	connFailedAt Time // when it last refused a connection; 0: never, or it soon accepted one
 	Endpoint
@@ -117,6 +119,7 @@
 	fleetAt                  Time       // 0: never
 }
 
+// destination is a destination with its routes and the messages that wait for it.
 type destination struct {
 	demand        float64 // messages per second that arrive for it here, averaged over rateWindow
 	lastArrival   Time
@@ -184,6 +187,7 @@
 	return h.Sum64()
 }
 
+// without removes x from list, which it modifies.
 func without[T comparable](list []T, x T) []T {
 	return slices.DeleteFunc(list, func(y T) bool { return x == y })
 }
@@ -227,6 +231,7 @@
 	return (ramped*ramped - before*before) / 2 / float64(now-rt.lastCall)
 }
 
+// slow reports whether recent answers took several times the usual latency.
 func (rt *route) slow() bool { return rt.recentLatency > slowLatencies*rt.latency }
 
 // hasWarmConn reports whether ep seems to have an open connection.
@@ -234,6 +239,7 @@
 	return ep.lastUsed > 0 && (r.cfg.IdleConnTimeout == 0 || r.now-ep.lastUsed < r.cfg.IdleConnTimeout)
 }
 
+// setHealth sets the health of rt, and with it which endpoints are skipped.
 func (r *Relay) setHealth(rt *route, s routeHealth) {
 	rt.health = s
 	for _, ep := range rt.endpoints {
@@ -332,6 +338,7 @@
 	}
 }
 
+// forget removes m from the relay and from the queue of its ordering key.
 func (r *Relay) forget(m *message) {
 	delete(r.messages, m.id)
 	if m.key != nil {
