--- a/internal/wire/crash_test.go
+++ b/internal/wire/crash_test.go
@@ -146,7 +146,7 @@
 	m := table.ByID("m")
 	owed := m != nil && m.Notification != nil
 	h.step(h.now())
-	calls, notifications := len(h.uncommittedCalls), len(h.unqueuedNotifications)
+	calls, notifications := len(h.uncommittedCalls), len(h.waitingNotifications)
 	switch {
 	case m == nil && table.RecentlyCompleted("m"):
 		if !s.endpointCalled {
--- a/internal/wire/deployments_test.go
+++ b/internal/wire/deployments_test.go
@@ -205,8 +205,8 @@
 			h.arrivals = append(h.arrivals, m)
 		}
 		h.step(h.now())
-		if len(h.uncommittedCalls) == 0 || len(h.unqueuedNotifications) > 0 {
-			t.Errorf("%d calls, notifications %v", len(h.uncommittedCalls), h.unqueuedNotifications)
+		if len(h.uncommittedCalls) == 0 || len(h.waitingNotifications) > 0 {
+			t.Errorf("%d calls, notifications %v", len(h.uncommittedCalls), h.waitingNotifications)
 		}
 		for _, cl := range h.uncommittedCalls {
 			if len(cl.items) != 1 {
@@ -247,8 +247,8 @@
 		h.applyEndpointList(memory.EndpointList{Generation: 1, Complete: true,
 			Entries: []memory.EndpointEntry{listedEndpoint(other)}}, policy.ListSnapshot)
 		h.step(h.now())
-		if len(h.unqueuedNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
-			t.Errorf("%d notifications and %d calls for %d messages", len(h.unqueuedNotifications),
+		if len(h.waitingNotifications) != len(own.Classes) || len(h.uncommittedCalls) > 0 {
+			t.Errorf("%d notifications and %d calls for %d messages", len(h.waitingNotifications),
 				len(h.uncommittedCalls), len(own.Classes))
 		}
 		for _, class := range own.Classes {
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -35,7 +35,7 @@
 		if ep.removed() {
 			h.closeIdleConns(ep)
 			delete(h.endpoints, id)
-			h.targets.Remove(id, ep.dest)
+			h.reportKeys.Remove(id, ep.dest)
 			if maps.DeleteFunc(h.removedRouteBackoffs, func(_ string, b *backoff) bool {
 				return !b.active()
 			}); ep.backoff.active() && ep.backoff != h.destBackoffs[ep.dest] {
@@ -124,7 +124,7 @@
 	ep.zone, ep.rate = entry.Zone, entry.Rate
 	ep.state.Store(int32(entry.State))
 	if h.destKinds[entry.Destination] = entry.Kind; h.kindSettings[entry.Kind].SeparateRoutes {
-		h.targets.Add(entry.Address, entry.Destination)
+		h.reportKeys.Add(entry.Address, entry.Destination)
 	}
 }
 
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -51,44 +51,44 @@
 	gossiper     *peers.Gossiper // state shared with the other relays
 	gossipSocket *GossipSocket   // nil: disabled
 	// number of calling relays, as last reported to the policy engine; 0: not reported
-	reportedRelays        int
-	identity              FleetIdentity
-	membersView           atomic.Pointer[members.View]
-	membersViewAt         policy.Time
-	choicesView           atomic.Pointer[Choices]
-	choicesViewAt         policy.Time
-	siteWatch             *sites.Watch // nil: no site plan
-	sitesStatus           atomic.Pointer[Sites]
-	nextSitesCheck        policy.Time
-	sitesMembersView      *members.View // last view passed to siteWatch
-	homeZone              string
-	zoneNames             []string // indexed by zone number
-	siteCommands          chan SiteCommand
-	dialTimeout           time.Duration
-	dateScale             clock.Scale // for times written for other processes
-	startedAt             time.Time
-	seed                  int64 // for this relay's random numbers
-	listGeneration        int64 // of the endpoint list; -1: none
-	events                chan any
-	notifications         chan pendingNotification
-	unqueuedNotifications []pendingNotification // notifications that are not in the channel yet
-	agentAddr             atomic.Pointer[string]
-	watchCtx              context.Context // of the current discovery watch
-	cancelWatch           context.CancelFunc
+	reportedRelays       int
+	identity             FleetIdentity
+	membersView          atomic.Pointer[members.View]
+	membersViewAt        policy.Time // when membersView was published
+	choicesView          atomic.Pointer[Choices]
+	choicesViewAt        policy.Time  // when choicesView was published
+	siteWatch            *sites.Watch // nil: no site plan
+	sitesStatus          atomic.Pointer[Sites]
+	nextSitesCheck       policy.Time
+	sitesMembersView     *members.View // last view passed to siteWatch
+	homeZone             string
+	zoneNames            []string         // indexed by zone number
+	siteCommands         chan SiteCommand // from operators
+	dialTimeout          time.Duration
+	dateScale            clock.Scale // for times written for other processes
+	startedAt            time.Time
+	seed                 int64 // for this relay's random numbers
+	listGeneration       int64 // of the endpoint list; -1: none
+	events               chan any
+	notifications        chan pendingNotification
+	waitingNotifications []pendingNotification // notifications that are not in the channel yet
+	agentAddr            atomic.Pointer[string]
+	watchCtx             context.Context // of the current discovery watch
+	cancelWatch          context.CancelFunc
 
-	uncommittedReplies []pendingReply // answered once this iteration's records are in the journal
-	uncommittedCalls   []*call        // dispatched once this iteration's records are in the journal
-	pendingEvents      []policy.Event
-	arrivals           []*memory.Message
+	uncommittedReplies []pendingReply           // answered once this iteration's records are in the journal
+	uncommittedCalls   []*call                  // dispatched once this iteration's records are in the journal
+	pendingEvents      []policy.Event           // for the next policy step
+	arrivals           []*memory.Message        // for the next policy step
 	lateListeners      atomic.Int32             // connections that are read after their call has timed out
 	shutdownStage      atomic.Int32             // a shutdownStage, read by connections before they write
 	orderedQueues      map[string][]*queueEntry // by ordering key, in order of acceptance
-	endpoints          map[string]*endpoint
-	destBackoffs       map[int]*backoff
-	// of separate routes that left the list while a Retry-After was in force
+	endpoints          map[string]*endpoint     // by id
+	destBackoffs       map[int]*backoff         // by destination
+	// by endpoint id, of separate routes that left the list while a Retry-After was in force
 	removedRouteBackoffs      map[string]*backoff
-	targets                   peers.ReportKeys
-	calls                     map[*call]struct{}
+	reportKeys                peers.ReportKeys
+	calls                     map[*call]struct{} // in flight or waiting to be made
 	kindSettings              map[string]policy.Kind
 	classes                   map[string]policy.Class // current settings, by name
 	plugins                   *plugin.Holder
@@ -99,7 +99,7 @@
 	awaitListUntil            policy.Time            // the first step waits until then for the endpoint list
 	stepsBlockedUntil         policy.Time            // the first step after a policy restart waits until then
 	standby                   bool                   // another process of this relay runs the policy engine
-	sendToSuccessor           func([]byte) error     // writes to the next process; nil: no handover in progress
+	sendToSuccessor           func([]byte) error     // writes a file for the next process; nil: no handover in progress
 	untransferred             []*memory.Message      // messages that are still to be transferred
 	untransferredRetryAfters  []handover.RetryAfter  // for the next process, or for this one's policy engine
 	reportedInFlight          int                    // calls in flight, as last reported to the next process
@@ -395,7 +395,7 @@
 	if h.gossiper.Active() && !h.stepsStopped {
 		at = min(at, h.gossiper.NextTick())
 	}
-	if len(h.unqueuedNotifications) > 0 {
+	if len(h.waitingNotifications) > 0 {
 		at = min(at, h.now()+h.settings.Tick)
 	}
 	if h.siteWatch != nil {
--- a/internal/wire/lifecycle.go
+++ b/internal/wire/lifecycle.go
@@ -214,14 +214,14 @@
 // queueNotification queues the notification of m until flushNotifications may pass it on.
 func (h *Host) queueNotification(m *memory.Message) {
 	h.trackNotification(m)
-	h.unqueuedNotifications = append(h.unqueuedNotifications, pendingNotification{m.Number, m.ID, *m.Notification})
+	h.waitingNotifications = append(h.waitingNotifications, pendingNotification{m.Number, m.ID, *m.Notification})
 }
 
 // flushNotifications passes the notifications that may be sent to the notifier.
 func (h *Host) flushNotifications() {
 	unwritten, wall := h.journal.HasUnwritten(), time.Now()
 	var delayed []pendingNotification
-	for i, n := range h.unqueuedNotifications {
+	for i, n := range h.waitingNotifications {
 		if unwritten && h.couldStillBeSent(n.num, wall) {
 			delayed = append(delayed, n)
 			continue
@@ -229,11 +229,11 @@
 		select {
 		case h.notifications <- n:
 		default:
-			h.unqueuedNotifications = append(delayed, h.unqueuedNotifications[i:]...)
+			h.waitingNotifications = append(delayed, h.waitingNotifications[i:]...)
 			return
 		}
 	}
-	h.unqueuedNotifications = delayed
+	h.waitingNotifications = delayed
 }
 
 // couldStillBeSent reports whether, after a crash, the next process would send a message whose
--- a/internal/wire/policy_steps.go
+++ b/internal/wire/policy_steps.go
@@ -27,7 +27,7 @@
 	}
 	update := policy.FleetUpdate{Routes: h.gossiper.FleetAverages(now, time.Now()),
 		Relays: h.gossiper.PossibleCallers(now)}
-	h.targets.ResolveEndpoints(update.Routes)
+	h.reportKeys.ResolveEndpoints(update.Routes)
 	if len(update.Routes) > 0 || update.Relays != h.reportedRelays { // an update without content needs no step
 		h.reportedRelays, h.pendingEvents = update.Relays, append(h.pendingEvents, update)
 	}
@@ -51,7 +51,7 @@
 	case policy.Unsent:
 		return // says nothing of the destination
 	}
-	h.gossiper.RecordCall(h.targets.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
+	h.gossiper.RecordCall(h.reportKeys.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
 }
 
 // step runs one step of the policy engine with the pending events and carries out its actions.
@@ -62,7 +62,7 @@
 			continue // completed before the policy engine received it
 		}
 		if m.Attempts == 0 {
-			h.targets.EachKey(m.Dest, h.gossiper.RecordArrival)
+			h.reportKeys.EachKey(m.Dest, h.gossiper.RecordArrival)
 		}
 		h.pendingEvents = append(h.pendingEvents, submittedEvent(m, wall))
 	}
--- a/internal/wire/retry_after.go
+++ b/internal/wire/retry_after.go
@@ -112,7 +112,7 @@
 	if delay <= 0 {
 		return
 	}
-	h.gossiper.RecordRetryAfter(h.now(), h.targets.Key(ep.id, ep.dest), delay)
+	h.gossiper.RecordRetryAfter(h.now(), h.reportKeys.Key(ep.id, ep.dest), delay)
 	if h.sendToSuccessor != nil {
 		h.untransferredRetryAfters = append(h.untransferredRetryAfters,
 			handover.RetryAfter{Endpoint: ep.id, Dest: ep.dest, Until: h.dateAfter(delay)})
--- a/internal/wire/truncated_answer_test.go
+++ b/internal/wire/truncated_answer_test.go
@@ -207,9 +207,9 @@
 		if len(ends) != 1 || ends[0].Outcome != want {
 			t.Errorf("answer first %v: results %+v", answerFirst, ends)
 		}
-		if h.table.Get(m.Number) != nil || len(h.unqueuedNotifications) > 0 || h.expiries.First() != nil {
+		if h.table.Get(m.Number) != nil || len(h.waitingNotifications) > 0 || h.expiries.First() != nil {
 			t.Errorf("answer first %v: pending %v, notifications %v", answerFirst, h.table.Get(m.Number),
-				h.unqueuedNotifications)
+				h.waitingNotifications)
 		}
 	}
 }
