--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	eventQueueSize      = 1024
-	idleTimeoutFraction = 0.8 // of the peer's idle timeout, so that this side closes first
+	eventQueueSize      = 1024 // events that may wait for the host, and notifications for the notifier
+	idleTimeoutFraction = 0.8  // of the peer's idle timeout, so that this side closes first
 	maintenanceInterval = time.Second
 
 	// endpointListTimeout bounds the wait of the first step for discovery's current endpoint list.
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -404,8 +404,8 @@
 	now := time.Now()
 	for _, c := range []struct {
 		class        string
-		sinceAttempt time.Duration // ago; 0: no earlier attempt
-		sent         bool          // it is written 0.6 s after the send
+		sinceAttempt time.Duration // 0: no earlier attempt
+		sent         bool          // it is written if the dial took 0.6 s
 	}{{"order", 0, true}, {"order", 4 * time.Second, true}, {"order", 4500 * time.Millisecond, false},
 		{"alert", 4500 * time.Millisecond, true}} {
 		m := h.addMessage(fmt.Sprint(c), 7, 10)
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -17,8 +17,8 @@
 	maxResponseBody     = 1 << 20  // of an endpoint list or a batch's response
 	readBufferSize      = 8 << 10  // also the longest line of a header
 	maxHeaderBytes      = 32 << 10
-	maxFields           = 100
-	maxInterimResponses = 16 // 1xx responses before the final one
+	maxFields           = 100 // header lines
+	maxInterimResponses = 16  // 1xx responses before the final one
 )
 
 // Protocol errors in what a peer sends.
