--- a/internal/wire/policy_steps.go
+++ b/internal/wire/policy_steps.go
@@ -10,7 +10,8 @@
 	"oatfold/policy"
 )
 
-// Steps of the policy engine: its events and actions, and its restart after a panic.
+// This file runs the steps of the policy engine: it passes on events, carries out the actions, and
+// restarts the engine after a panic.
 
 // exchangeGossip sends this relay's observations to the others when due, and reports the fleet's
 // state to the policy engine.
@@ -26,7 +27,7 @@
 	}
 	update := policy.FleetUpdate{Routes: h.gossiper.FleetAverages(now, time.Now()),
 		Relays: h.gossiper.PossibleCallers(now)}
-	h.targets.ResolveEndpoints(update.Routes)
+	h.reportKeys.ResolveEndpoints(update.Routes)
 	if len(update.Routes) > 0 || update.Relays != h.reportedRelays { // an update without content needs no step
 		h.reportedRelays, h.pendingEvents = update.Relays, append(h.pendingEvents, update)
 	}
@@ -50,9 +51,10 @@
 	case policy.Unsent:
 		return // says nothing of the destination
 	}
-	h.gossiper.RecordCall(h.targets.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
+	h.gossiper.RecordCall(h.reportKeys.Key(result.call.endpoint.id, result.call.endpoint.dest), outcome)
 }
 
+// step runs one step of the policy engine with the pending events and carries out its actions.
 func (h *Host) step(now policy.Time) {
 	wall := time.Now()
 	for _, m := range h.arrivals {
@@ -60,7 +62,7 @@
 			continue // completed before the policy engine received it
 		}
 		if m.Attempts == 0 {
-			h.targets.EachKey(m.Dest, h.gossiper.RecordArrival)
+			h.reportKeys.EachKey(m.Dest, h.gossiper.RecordArrival)
 		}
 		h.pendingEvents = append(h.pendingEvents, submittedEvent(m, wall))
 	}
@@ -97,7 +99,7 @@
 	}
 }
 
-// submittedEvent is the event for a message, including its earlier attempts.
+// submittedEvent returns the event for a message, including its earlier attempts.
 func submittedEvent(m *memory.Message, wall time.Time) policy.Submitted {
 	// The client counts from when it sent the request, a little earlier than this relay. A final
 	// answer at the very deadline would look late to it.
--- a/internal/wire/sim/protocol_test.go
+++ b/internal/wire/sim/protocol_test.go
@@ -48,6 +48,7 @@
 	return out.String(), err
 }
 
+// Each line of input is answered with one line of actions.
 func TestServe(t *testing.T) {
 	out, err := serve(t, line(0)+line(5000, register(0, 1, "a:1"), boot(0), listed(0, 0), knock(0, 9, 1)))
 	if err != nil {
@@ -147,8 +148,9 @@
 	}
 }
 
+// The error for malformed input names the line and what is wrong with it.
 func TestMalformed(t *testing.T) {
-	for in, says := range map[string]string{
+	for in, message := range map[string]string{
 		"{": "line 1: malformed batch", `{"news":[]}`: "no tUs", `{"tUs":"x","news":[]}`: "malformed batch",
 		line(0, `{"what":"KNOCK","relay":0}`):                                       "KNOCK without req",
 		line(0, `{"what":"DANCE","relay":0}`):                                       `unknown event "DANCE"`,
@@ -157,12 +159,13 @@
 		line(0, boot(0), `{"what":"FINISHED","relay":0,"req":1,"code":"sparkled"}`): "unknown code",
 	} {
 		_, err := serve(t, in)
-		if err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one line with %q", in, err, says)
+		if err == nil || !strings.Contains(err.Error(), message) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: error %v, want one line with %q", in, err, message)
 		}
 	}
 }
 
+// No input makes the host panic.
 func FuzzServe(f *testing.F) {
 	f.Add(line(0, register(0, 1, "a:1"), boot(0), listed(0, 0), knock(0, 9, 1)))
 	f.Add(line(0) + `{"tUs":1,"news":[{"what":"KILL","relay":0}]}`)
