--- a/internal/lab/study/study_test.go
+++ b/internal/lab/study/study_test.go
@@ -120,11 +120,11 @@
 		}
 	}
 	for key, text := range map[string]string{
-		"site: ":        `arm { name: "a" }`,
-		"arm: none":     `site: "site.textproto"`,
-		"arm[1].name: ": `site: "site.textproto" arm { name: "a" } arm { name: "a" }`,
-		"baseline: ":    `site: "site.textproto" arm { name: "a" } baseline: "b"`,
-		"arm[0].module": `site: "site.textproto" arm { name: "a" module: "none" }`,
+		"site: ":          `arm { name: "a" }`,
+		"arm: is missing": `site: "site.textproto"`,
+		"arm[1].name: ":   `site: "site.textproto" arm { name: "a" } arm { name: "a" }`,
+		"baseline: ":      `site: "site.textproto" arm { name: "a" } baseline: "b"`,
+		"arm[0].module":   `site: "site.textproto" arm { name: "a" module: "none" }`,
 	} {
 		os.WriteFile(filepath.Join(dir, "site.textproto"), raw, 0o600)
 		file := filepath.Join(dir, "e.textproto")
