--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -30,8 +30,9 @@
 	MaxSubsetSize     = 1000
 )
 
-// Parse parses Options: "off", "all", or a comma-separated list of "subset" or "subset=K",
-// "turns", "slices" and "signals".
+// Parse parses Options: an empty text, "off", "all", or a comma-separated list of "subset" or
+// "subset=K", "turns", "slices" and "signals". It returns an error for anything else, and for a K
+// out of bounds.
 func Parse(text string) (s Options, err error) {
 	switch text {
 	case "", "off":
@@ -92,7 +93,7 @@
 // Time is a moment on the caller's monotonic clock, counted from any fixed start.
 type Time = time.Duration
 
-// mix hashes numbers to one, the same at every relay.
+// mix hashes numbers to one number, the same at all relays.
 func mix(parts ...uint64) uint64 {
 	h := uint64(0x51_7c_c1_b7_27_22_0a_95)
 	for _, p := range parts {
--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-// assign returns each relay's subset, and the number of relays of the endpoints with fewest and
-// most.
+// assign returns each relay's subset, and the smallest and the largest number of relays that share
+// an endpoint.
 func assign(live []bool, eps []Endpoint, k int) (of []map[string]bool, least, most int) {
 	p, r, per := AssignPlaces(live, Seed), NewRing(eps, 1), map[string]int{}
 	of = make([]map[string]bool, len(live))
@@ -74,7 +74,7 @@
 			for _, k := range []int{3, 8, 20} {
 				of, least, most := assign(all(n), endpoints(m), k)
 				mean := float64(n*k) / float64(m)
-				if far := max(float64(most)-mean, mean-float64(least)); most-least > 1 && far > 0.15*mean {
+				if deviation := max(float64(most)-mean, mean-float64(least)); most-least > 1 && deviation > 0.15*mean {
 					t.Errorf("%d relays, %d of %d endpoints: %d to %d relays per endpoint, mean %.1f",
 						n, k, m, least, most, mean)
 				}
@@ -100,7 +100,7 @@
 		check := func(what string, live []bool, allow float64) []map[string]bool {
 			of, least, most := assign(live, endpoints(m), k)
 			mean := float64(AssignPlaces(live, Seed).LiveCount()*k) / m
-			if far := max(float64(most)-mean, mean-float64(least)); far > max(2.5, allow*mean) {
+			if deviation := max(float64(most)-mean, mean-float64(least)); deviation > max(2.5, allow*mean) {
 				t.Errorf("%d relays, %s: %d to %d relays per endpoint, mean %.1f", n, what, least, most, mean)
 			}
 			return of
@@ -108,7 +108,7 @@
 		was, moves := check("all", all(n), 0.15), 0
 		for tenth := range 10 {
 			down := without(all(n), tenth, 10)
-			// The freed places are not refilled at once; see docs/design/choices.md.
+			// The places that become free are not refilled at once; see docs/design/choices.md.
 			of := check("a tenth restarts", down, 0.2)
 			moves += moved(was, of)
 			// One more member leaves while they are down: the mean number of moves is bounded.
@@ -386,14 +386,14 @@
 						ring = append(ring, Endpoint{Address: a})
 					}
 					made := NewRing(ring, seed^mix(uint64(d)))
-					wide := k // at least three relays per endpoint, stepped with the fleet size
-					for 1<<bits.Len(uint(place.LiveCount())/2)*wide < 3*made.steppedSize {
-						wide++
+					size := k // at least three relays per endpoint, stepped with the fleet size
+					for 1<<bits.Len(uint(place.LiveCount())/2)*size < 3*made.steppedSize {
+						size++
 					}
-					for _, e := range made.Subset(place.Of(self), wide) {
+					for _, e := range made.Subset(place.Of(self), size) {
 						want = append(want, e.Address)
 					}
-					if slices.Sort(want); wide >= len(eps) {
+					if slices.Sort(want); size >= len(eps) {
 						want = nil // all endpoints
 					}
 				}
--- a/internal/choice/demand_share.go
+++ b/internal/choice/demand_share.go
@@ -9,7 +9,7 @@
 	demandWindow  = 6 * time.Second // time constant of the moving average of a relay's demand
 	minShare      = 0.25            // of the fair share: a relay without demand is ready for its first messages
 	maxShare      = 4               // as a multiple of the fair share
-	negligibleSum = 0.01            // messages below which a destination is forgotten
+	negligibleSum = 0.01            // weighted messages below which a destination is forgotten
 )
 
 // DemandShares computes one relay's share of the rate of each destination, in proportion to the
@@ -29,7 +29,7 @@
 // NewDemandShares returns DemandShares without any demand.
 func NewDemandShares() *DemandShares { return &DemandShares{demands: map[int]*demand{}} }
 
-// Record adds the arrivals by destination in a span that ends now.
+// Record adds the arrivals by destination in a time span that ends now.
 func (s *DemandShares) Record(now Time, span time.Duration, counts map[int]int) {
 	if span <= 0 {
 		return
@@ -61,8 +61,8 @@
 }
 
 // Share returns this relay's share as a multiple of the fair share; mean is the mean demand over
-// all relays. The shares of all relays add up to the fair shares or less: bounds take from the
-// largest and give to the smallest.
+// all relays. It is 1 if mean is not positive. The shares of n relays add up to n at most: each has
+// minShare plus a part of the rest in proportion to its demand, up to maxShare.
 func (s *DemandShares) Share(dest int, mean float64) float64 {
 	if !(mean > 0) {
 		return 1
--- a/internal/choice/subset.go
+++ b/internal/choice/subset.go
@@ -90,8 +90,8 @@
 	return (at*k%size + size) % size
 }
 
-// Subset returns the k endpoints that the relay at a place keeps connections to, starting with
-// its first choice; all endpoints if there are no more than k. It is never empty for a ring with
+// Subset returns the k endpoints that the relay at a place keeps connections to, in ring order; all
+// endpoints if there are no more than k or the place is negative. It is never empty for a ring with
 // endpoints. Calling other endpoints when these are down or busy is up to the policy engine.
 func (r *Ring) Subset(place, k int) []Endpoint {
 	size := len(r.endpoints)
--- a/internal/choice/subset_tracker.go
+++ b/internal/choice/subset_tracker.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// sizeFor returns the subset size for a ring: larger than configured in small fleets, so that no
-// endpoint is without relays, which would waste its capacity.
+// sizeFor returns the subset size for a ring: larger than configured in small fleets, so that each
+// endpoint is in the subsets of enough relays to use its capacity.
 func (t *SubsetTracker) sizeFor(r *Ring) int {
 	return max(t.size, (minRelaysPerEndpoint*r.steppedSize+t.steppedLive-1)/t.steppedLive)
 }
@@ -151,7 +151,7 @@
 	return out
 }
 
-// Subset returns the subset for a destination, nil for all endpoints, and the number of its
+// Subset returns the subset for a destination, nil for all endpoints, and the number of all its
 // endpoints.
 func (t *SubsetTracker) Subset(dest int) (subset []Endpoint, total int) {
 	if d := t.destinations[dest]; d != nil {
@@ -160,7 +160,8 @@
 	return nil, 0
 }
 
-// EachSubset calls f for each destination with a subset, until f returns false.
+// EachSubset calls f for each destination with a subset, until f returns false. total is the number
+// of all its endpoints.
 func (t *SubsetTracker) EachSubset(f func(dest int, subset []Endpoint, total int) bool) {
 	for dest, d := range t.destinations {
 		if d.subset != nil && !f(dest, d.subset, len(d.zones)) {
--- a/internal/choice/time_slot.go
+++ b/internal/choice/time_slot.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// SlotDuration is the length of a time slot. Others take over from a holder without messages in
-// the next slot.
+// SlotDuration is the length of a time slot. If the holders of a slot have no messages to probe
+// with, those of the next slot take over.
 const SlotDuration = 2 * time.Second
 
 const (
 	probersPerSlot = 2    // relays that should probe a destination in one slot
 	pendingSlots   = 3    // slots for which a message stays pending, roughly
-	minBusyShare   = 0.02 // share of the relays with messages for it, at least
+	minBusyShare   = 0.02 // assumed share of the relays with messages for the destination, at least
 	slotSalt       = 0x74_75_72_6e
 )
 
@@ -30,14 +30,15 @@
 	return uint64(wall.UnixMilli()) / uint64(SlotDuration.Milliseconds())
 }
 
-// HoldsSlot reports whether a member holds the time slot of a key, such as a destination, among
-// the live members. Its cost grows with the number of holders, not with the fleet.
+// HoldsSlot reports whether member self is one of the holders of the time slot of a key, such as a
+// destination, among the live members. A relay outside the fleet always is. The cost grows with the
+// number of holders, not with the fleet.
 func HoldsSlot(self int, live []bool, key, slot uint64, holders int) bool {
 	if self < 0 || self >= len(live) {
 		return true // not in a fleet
 	}
 	own, ahead := mix(slotSalt, key, slot, uint64(self)), 0
-	// Starts after itself, so that most members find enough holders soon.
+	// Starts at self, so that most members find enough holders soon.
 	for i := range live {
 		if n := (self + i) % len(live); n != self && live[n] && mix(slotSalt, key, slot, uint64(n)) < own {
 			if ahead++; ahead >= holders {
--- a/internal/memory/endpointlist.go
+++ b/internal/memory/endpointlist.go
@@ -23,14 +23,15 @@
 	Skipped    int // number of malformed entries
 }
 
-// endpointStates maps the lifecycle states of discovery.
+// endpointStates maps the lifecycle states of discovery to those of the policy engine.
 var endpointStates = map[string]policy.EndpointState{
 	"in_service": policy.Listed, "terminating": policy.Draining, "terminated": policy.Removed,
 }
 
-// ParseEndpointList decodes an answer of the discovery service, or the list in the configuration. A
-// malformed entry is skipped, so that it doesn't hide the state of the others. An endpoint in an
-// unknown lifecycle state is treated as draining and gets no new work.
+// ParseEndpointList decodes an answer of the discovery service, or the list in the configuration.
+// It returns an error if raw is not JSON, has no numeric generation, or has instances that are not
+// an array. A malformed entry is skipped, so that it doesn't hide the state of the others. An
+// endpoint in an unknown lifecycle state is treated as draining and gets no new work.
 func ParseEndpointList(raw string) (EndpointList, error) {
 	if !gjson.Valid(raw) {
 		return EndpointList{}, fmt.Errorf("pool config: not JSON")
--- a/internal/memory/fields.go
+++ b/internal/memory/fields.go
@@ -12,7 +12,7 @@
 	Malformed bool
 }
 
-// Uint reads an unsigned varint.
+// Uint reads an unsigned varint. It returns 0 if the field is malformed.
 func (r *FieldReader) Uint() uint64 {
 	value, n := binary.Uvarint(r.Rest)
 	if n <= 0 {
@@ -23,7 +23,7 @@
 	return value
 }
 
-// Int reads a signed varint.
+// Int reads a signed varint. It returns 0 if the field is malformed.
 func (r *FieldReader) Int() int64 {
 	value, n := binary.Varint(r.Rest)
 	if n <= 0 {
@@ -34,7 +34,8 @@
 	return value
 }
 
-// Bytes reads a length-prefixed byte string. The result aliases the record.
+// Bytes reads a length-prefixed byte string; nil if the field is malformed. The result aliases the
+// record.
 func (r *FieldReader) Bytes() []byte {
 	length := r.Uint()
 	if r.Malformed || length > uint64(len(r.Rest)) {
@@ -46,7 +47,8 @@
 	return value
 }
 
-// Notification reads an outcome notification.
+// Notification reads an outcome notification: a byte that is 1 if the message was returned, and the
+// Retry-After in microseconds.
 func (r *FieldReader) Notification() Notification {
 	if len(r.Rest) == 0 {
 		r.Malformed = true
--- a/internal/memory/journal/bench_test.go
+++ b/internal/memory/journal/bench_test.go
@@ -154,7 +154,8 @@
 	return time.Duration(t.Nano())
 }
 
-// Throughput of the legacy and the current journal, with 1, 16 and 64 messages per commit.
+// Measures the throughput of the legacy and the current journal, with 1, 16 and 64 messages per
+// commit.
 func BenchmarkFlow(b *testing.B) {
 	for _, perIteration := range []int{1, 16, 64} {
 		for _, old := range []bool{true, false} {
@@ -184,9 +185,9 @@
 	}
 }
 
-// Duration of an iteration with 50,000 pending messages, legacy and current: maximum and 99th
-// percentile, by the clock and by the CPU time of the thread. A busy loop shows how long the
-// machine delays any thread.
+// Measures the duration of an iteration with 50,000 pending messages, legacy and current: maximum
+// and 99th percentile, by the clock and by the CPU time of the thread. A busy loop shows how long
+// the machine delays any thread.
 func BenchmarkPause(b *testing.B) {
 	for _, old := range []bool{true, false} {
 		b.Run(fmt.Sprintf("old=%v", old), func(b *testing.B) {
@@ -218,7 +219,7 @@
 	}
 }
 
-// Recovery of that many pending messages.
+// Measures the recovery of 10,000 and 60,000 pending messages.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 60_000} {
 		for _, old := range []bool{true, false} {
@@ -239,7 +240,7 @@
 	}
 }
 
-// TestLegacyUpgrade converts a legacy directory: pending messages keep their numbers and state.
+// Converts a legacy directory: pending messages keep their numbers and state.
 func TestLegacyUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	e := openJournal(t, true, dir, 1<<20)
@@ -326,7 +327,7 @@
 	dir := t.TempDir()
 	var err error
 	e := &journalUnderTest{}
-	// A loop without pauses would outrun compaction in the background.
+	// Without pauses between commits, compaction in the background would fall behind.
 	if e.current, e.table, err = Open(Config{FS: Dir(dir), Budget: 4 << 20, Log: quiet, CompactInline: true}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/memory/journal/compaction.go
+++ b/internal/memory/journal/compaction.go
@@ -12,8 +12,7 @@
 
 // Compaction: sealed segments are rewritten without the records of completed messages.
 
-// Compaction pauses after each chunk, so that its thread does not keep the event loop off the
-// processor.
+// Compaction pauses after each chunk, so that it leaves processor time to the event loop.
 const (
 	compactionChunk = 64 << 10 // bytes
 	compactionPause = 50 * time.Microsecond
@@ -58,9 +57,9 @@
 	liveNumbers       []uint32 // numbers of pending messages with records in the segment
 	retainFromSeq     uint64   // completion records from this sequence number on are retained
 	hasEarlierRecords bool     // an older segment may still hold the accepted record of a message
-	activeNumber      uint64
-	completedSeq      uint64
-	urgent            bool // space is short: run without pauses
+	activeNumber      uint64   // number of the active segment when the job was created
+	completedSeq      uint64   // of the journal at the same time
+	urgent            bool     // space is short: run without pauses
 }
 
 // compactionResult is the outcome of a compactionJob.
@@ -133,7 +132,7 @@
 	return false
 }
 
-// pollCompaction handles a finished compaction.
+// pollCompaction handles a finished compaction, if there is one.
 func (j *Journal) pollCompaction() {
 	select {
 	case r := <-j.results:
@@ -142,7 +141,7 @@
 	}
 }
 
-// finishCompaction updates the segment after its compaction.
+// finishCompaction updates the journal after the compaction of a segment.
 func (j *Journal) finishCompaction(result compactionResult) {
 	seg := result.segment
 	seg.busy, j.compacting = false, false
@@ -164,7 +163,7 @@
 		result.retainedBytes, result.completedSeq, result.retainsCompletions
 }
 
-// run rewrites the segment without the records of completed messages and replaces it by the copy.
+// run rewrites the segment without the records that are no longer needed, by an atomic rename.
 // Corrupt records, which were reported when the journal was opened, are removed as well.
 func (job compactionJob) run(fs FS, pause func()) (result compactionResult) {
 	result.compactionJob = job
--- a/internal/memory/journal/inspect.go
+++ b/internal/memory/journal/inspect.go
@@ -30,7 +30,7 @@
 	Class   string `json:"class,omitempty"`
 	Dest    *int   `json:"dest,omitempty"`
 	Key     string `json:"key,omitempty"`
-	AtUs    int64  `json:"at_us,omitempty"` // wall clock: start of an attempt, deadline of a message
+	AtUs    int64  `json:"at_us,omitempty"` // Unix microseconds: start of an attempt, deadline of a message
 	Outcome string `json:"outcome,omitempty"`
 }
 
@@ -39,7 +39,7 @@
 	Segments     int
 	Bytes        int64
 	Records      map[string]int    // by record type
-	Messages     []*memory.Message // pending or awaiting a notification, by number
+	Messages     []*memory.Message // pending or awaiting a notification, ordered by number
 	CompletedIDs int               // number of remembered ids of completed messages
 	Faults       []Fault
 }
--- a/internal/memory/journal/journal.go
+++ b/internal/memory/journal/journal.go
@@ -4,7 +4,7 @@
 // that the directory always holds all committed records. Writes are not synced: they survive the
 // process but not a crash of the machine.
 //
-// A Journal is not safe for concurrent use. It never waits for compaction.
+// A Journal is not safe for concurrent use. Only Close waits for compaction.
 package journal
 
 import (
@@ -25,8 +25,8 @@
 // ErrFull is returned when a record would exceed the disk budget.
 var ErrFull = errors.New("journal: disk budget exceeded")
 
-// ErrUnavailable is returned while records cannot be written. Each Commit with records retries the
-// write.
+// ErrUnavailable is returned while records cannot be written, or the reserve file cannot be
+// created. Each Commit with records retries the write.
 var ErrUnavailable = errors.New("journal: records cannot be written")
 
 const (
@@ -53,7 +53,7 @@
 	activeFile          File       // file of the active segment
 	salt                uint32     // checksum salt of the active segment
 	validSize           int64      // bytes of the active segment that hold complete records
-	needsTruncate       bool       // data behind validSize is still to be truncated
+	needsTruncate       bool       // data after validSize is still to be truncated
 	writeRefused        bool       // a write to the active segment failed: the next goes to a new one
 	segmentBytes        int64      // bytes on disk of all segments, in whole blocks
 	locations           map[uint32]locations
@@ -85,8 +85,8 @@
 type segment struct {
 	number             uint64
 	size               int64
-	liveBytes          int64
-	retainedBytes      int64
+	liveBytes          int64            // bytes of records of pending messages
+	retainedBytes      int64            // other bytes that the last compaction had to retain
 	retainedAtSeq      uint64           // completedSeq when retainedBytes was set
 	compactedAt        uint64           // number of the active segment at the last compaction; 0: never compacted
 	retainsCompletions bool             // it holds completion records of messages that an older segment may contain
@@ -96,8 +96,8 @@
 
 func (s *segment) name() string { return fmt.Sprintf("%012d%s", s.number, segmentExt) }
 
-// location says how many bytes of a message's records a segment holds; locations are all of one
-// message, the first one without an allocation.
+// location counts the bytes that the records of one message take in one segment. locations holds
+// all of one message; the first is stored inline to save an allocation.
 type (
 	location struct {
 		segment *segment
@@ -112,7 +112,7 @@
 // entry is a record that waits for the next write.
 type entry struct {
 	start, end int      // offsets in the arena
-	number     uint32   // message that the record belongs to; 0: those in numbers
+	number     uint32   // message that the record belongs to; 0: see numbers and completed
 	numbers    []uint32 // of an attempt with several messages
 	kind       entryKind
 	completed  uint32 // message that the record completes; 0: none
@@ -154,7 +154,7 @@
 }
 
 // createReserve creates the reserve file, whose space is released when the disk is full so that
-// completions can still be written.
+// completions can still be written. If that fails, Maintain tries again.
 func (j *Journal) createReserve() {
 	size := j.reserveTarget()
 	if j.reserveSize > 0 || size == 0 {
@@ -199,7 +199,7 @@
 // beginRecord starts a record in the arena. The caller appends the payload, then calls endRecord.
 func (j *Journal) beginRecord() { j.arena = beginFrame(j.arena) }
 
-// endRecord completes the record and adds it to the batch.
+// endRecord finishes the record and adds it to the batch.
 func (j *Journal) endRecord(e entry) {
 	if n := len(j.batch); n > 0 {
 		e.start = j.batch[n-1].end
@@ -262,7 +262,7 @@
 var ErrBodyLost = errors.New("journal: message body is not readable")
 
 // BodyLoader returns a function that reads the body of m from the journal. The function blocks on
-// disk I/O and may be called once, on any goroutine. It returns ErrBodyLost if the body is gone.
+// disk I/O and may be called on any goroutine. It returns ErrBodyLost if the body can't be read.
 func (j *Journal) BodyLoader(m *memory.Message) func() ([]byte, error) {
 	recorded, ok := j.locations[m.Number]
 	if !ok {
@@ -288,8 +288,8 @@
 	}
 }
 
-// AppendAttempt records that an attempt starts with these messages. The first byte of the call may
-// be sent only after Commit succeeds.
+// AppendAttempt records that an attempt starts with these messages, one at least. The first byte of
+// the call may be sent only after Commit succeeds.
 func (j *Journal) AppendAttempt(startedAt time.Time, messages []*memory.Message) {
 	j.beginRecord()
 	j.arena = binary.AppendVarint(append(j.arena, recordAttempt), j.config.TimeScale.Date(startedAt))
@@ -310,7 +310,7 @@
 	j.endRecord(entry{number: m.Number})
 }
 
-// AppendUndelivered records that m ended undelivered, with m.Notification outstanding.
+// AppendUndelivered records that m was not delivered, with m.Notification outstanding.
 func (j *Journal) AppendUndelivered(m *memory.Message) {
 	j.beginRecord()
 	j.arena = appendNotification(beginPayload(j.arena, recordUndelivered, m.Number), *m.Notification)
@@ -318,7 +318,7 @@
 }
 
 // AppendCompleted records that m is completed. Its id is remembered for a while, unless the message
-// may be accepted again.
+// is resubmittable: it may then be accepted again.
 func (j *Journal) AppendCompleted(m *memory.Message, resubmittable bool) {
 	j.completedSeq++
 	id := m.ID
@@ -330,9 +330,10 @@
 	j.endRecord(entry{completed: m.Number})
 }
 
-// Commit writes the pending records with one write. If acceptErr is set, the messages accepted
+// Commit writes the batch of records with one write. If acceptErr is set, the messages accepted
 // since the last Commit are not accepted. If attemptErr is set, the attempts since the last Commit
-// must not be made. Completions are kept and written as soon as the disk allows it.
+// must not be made. Both wrap ErrUnavailable. Other records are kept and written as soon as the
+// disk allows it.
 func (j *Journal) Commit() (acceptErr, attemptErr error) {
 	j.pollCompaction()
 	if len(j.batch) == 0 {
@@ -376,7 +377,7 @@
 	j.compact()
 }
 
-// dropEntries removes the entries of that kind from the batch.
+// dropEntries removes the entries of one kind from the batch.
 func (j *Journal) dropEntries(kind entryKind) {
 	remaining, arena := j.batch[:0], j.arena[:0]
 	for _, e := range j.batch {
@@ -390,7 +391,8 @@
 	j.batch, j.arena, j.batchBytes = remaining, arena, int64(len(arena))
 }
 
-// writeBatch appends the batch to the active segment, or to a new one if that is full.
+// writeBatch appends the batch to the active segment, or to a new one if that is full or refused
+// the last write. If it fails, the batch is unchanged.
 func (j *Journal) writeBatch() error {
 	if j.needsTruncate {
 		if err := j.activeFile.Truncate(j.validSize); err != nil {
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -244,7 +244,8 @@
 			if driver == nil {
 				driver = &journalDriver{}
 			}
-			what := fmt.Sprintf("fault %d at operation %d of %d (%s)", fault, n, recording.OperationCount(), d.OperationLog()[n-1])
+			what := fmt.Sprintf("fault %d at operation %d of %d (%s)",
+				fault, n, recording.OperationCount(), d.OperationLog()[n-1])
 			injected++
 			next := d.Restart()
 			j, found, err := journal.Open(journal.Config{FS: next, Budget: smallBudget, Log: quiet, CompactInline: true})
@@ -383,7 +384,7 @@
 	}
 }
 
-// With a corrupt record or length in the middle of a segment, the records behind it are read and
+// With a corrupt record or length in the middle of a segment, the records after it are read and
 // the fault is reported. Records inside a message body are never read as such.
 func TestCorruptSegment(t *testing.T) {
 	d := faultfs.New()
@@ -474,7 +475,8 @@
 	t.Logf("3 MB are enough for %d bodies of 64 KiB", maxFitting)
 }
 
-// A last segment truncated at any offset can be read: only the records written last are lost.
+// A last segment that is truncated at any offset can be read: only the records written last are
+// lost.
 func TestTornTail(t *testing.T) {
 	d := faultfs.New()
 	driver, _ := startDriver(d, smallBudget)
--- a/internal/memory/journal/plan/plan.go
+++ b/internal/memory/journal/plan/plan.go
@@ -1,5 +1,5 @@
 // Package plan makes the decisions of the journal: which messages fit, when a segment is full,
-// which one to compact. It does no I/O and reads no clock.
+// which one to compact. It does no I/O and reads no clock. Sizes and budgets are in bytes.
 package plan
 
 // Sizes in bytes.
@@ -8,8 +8,8 @@
 	MinSegmentSize    = 64 << 10 // smallest size at which a segment is sealed
 	MaxSegmentSize    = 1 << 20  // bounds the work of the event loop for one segment
 	CompletionReserve = 192      // for the remaining records of a pending message
-	MinDeadBytes      = 4 << 10  // at least so much must be dead for a segment to be compacted
-	segmentsPerBudget = 24       // a segment is one Nth of the budget
+	MinDeadBytes      = 4 << 10  // dead bytes that make a partly live segment worth compacting
+	segmentsPerBudget = 24       // the budget divided by this is the size of a segment
 )
 
 // DiskSize returns the space that a file of n bytes uses on disk.
@@ -28,18 +28,18 @@
 	Busy          bool  // active, or being compacted
 }
 
-// DeadBytes returns what compaction would free.
+// DeadBytes returns the number of bytes that compaction would free.
 func (s Segment) DeadBytes() int64 { return s.Size - s.LiveBytes - s.RetainedBytes }
 
-// ReservedBytes returns the part of the budget that is kept free for the completion of pending
+// ReservedBytes returns the part of the budget that is kept free for the completion of live pending
 // messages and for the copy that compaction makes of a segment. It is at most half the budget, so
 // that a small one still accepts messages.
 func ReservedBytes(budget int64, live int) int64 {
 	return min(DiskSize(SegmentSize(budget))+int64(live)*CompletionReserve, budget/2)
 }
 
-// Fits reports whether a message with a record of that size may be accepted. used is the space that
-// all files use, live the number of pending messages.
+// Fits reports whether a message with a record of that many bytes may be accepted. used is the
+// space that all files use, live the number of pending messages.
 func Fits(budget, used int64, live int, record int64) bool {
 	return used+DiskSize(record)+ReservedBytes(budget, live+1) <= budget
 }
@@ -57,9 +57,10 @@
 
 // ChooseBodyStorage decides where the body of a new message is stored. journaledBytes and
 // memoryOnlyBytes are the sizes of the bodies in memory that are in the journal and that are not;
-// limit applies to each of the two. fitsWithBody and fitsWithoutBody tell whether the record fits
-// on disk with and without the body. A repeatable message is rejected rather than stored in memory
-// only, since its client can safely retry.
+// limit applies to each of the two. If limit is 0, journaled bodies have no limit and no body is in
+// memory only. fitsWithBody and fitsWithoutBody tell whether the record fits on disk with and
+// without the body. A repeatable message is rejected rather than stored in memory only, since its
+// client can safely retry.
 func ChooseBodyStorage(
 	journaledBytes, memoryOnlyBytes, limit, size int64, fitsWithBody, fitsWithoutBody, repeatable bool,
 ) BodyStorage {
@@ -77,9 +78,10 @@
 // ShouldSeal reports whether a segment of that size is full before more bytes are added.
 func ShouldSeal(budget, size, more int64) bool { return size > 0 && size+more > SegmentSize(budget) }
 
-// ChooseSegment returns the index of the segment to compact, or -1. A segment is worth compacting
-// if at least half of it is dead; when space is short, any dead bytes will do. The segment with the
-// most dead bytes is chosen, the oldest among equals.
+// ChooseSegment returns the index of the segment to compact, or -1. A segment with at least
+// BlockSize dead bytes is worth compacting if it has no live bytes, if half of it and MinDeadBytes
+// are dead, or if space is short; so is one that holds only its header. The segment with the most
+// dead bytes is chosen, the oldest among equals.
 func ChooseSegment(budget, used int64, live int, segments []Segment) int {
 	best, mostDead := -1, int64(0)
 	lowSpace := used+ReservedBytes(budget, live)+2*SegmentSize(budget) > budget
--- a/internal/memory/journal/plan/plan_test.go
+++ b/internal/memory/journal/plan/plan_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Where a body is stored.
+// The body of a message is stored where memory and disk have space for it.
 func TestChooseBodyStorage(t *testing.T) {
 	for _, c := range []struct {
 		name                                      string
--- a/internal/memory/journal/record.go
+++ b/internal/memory/journal/record.go
@@ -33,7 +33,7 @@
 	recordTerms              byte = 'Q' // terms of the preceding message (an accepted record includes them)
 	recordAttempt            byte = 'O' // an attempt starts; written before the first byte of the call
 	recordNotRun             byte = 'N' // the latest attempt for a message is known not to have run
-	recordUndelivered        byte = 'E' // a message ended undelivered; its notification is outstanding
+	recordUndelivered        byte = 'E' // a message was not delivered; its notification is outstanding
 	recordBatch              byte = 'B' // size of the records that follow, valid only together
 	recordCompleted          byte = 'X' // a message is completed; an empty id may be accepted again
 )
@@ -58,14 +58,15 @@
 
 func checksum(payload []byte) uint32 { return uint32(xxhash.Sum64(payload)) }
 
-// beginFrame reserves space for a frame header, and finishFrame fills it in once the payload is
-// appended. applySalt adds the salt of the segment to the checksum.
+// beginFrame reserves space for a frame header, which finishFrame fills in.
 func beginFrame(b []byte) []byte { return append(b, make([]byte, frameHeaderSize)...) }
 
+// applySalt XORs the salt of the segment into the checksum of the frame at the start of b.
 func applySalt(b []byte, salt uint32) {
 	binary.LittleEndian.PutUint32(b[4:], binary.LittleEndian.Uint32(b[4:])^salt)
 }
 
+// finishFrame fills in the header of the frame at start, whose payload extends to the end of b.
 func finishFrame(b []byte, start int) []byte {
 	payload := b[start+frameHeaderSize:]
 	binary.LittleEndian.PutUint32(b[start:], uint32(len(payload)))
@@ -89,12 +90,13 @@
 	return payload, frameHeaderSize + length, nil
 }
 
-// maxResyncBytes limits the search for the next valid record behind a corrupt one.
+// maxResyncBytes limits the search for the next valid record after a corrupt one.
 const maxResyncBytes = 1 << 20
 
-// walkRecords calls visit for each record behind the header, with its payload or what is wrong with
-// it. It returns the end of the last valid record. Behind a corrupt length it searches for the next
-// valid record, so that one does not hide all that follow.
+// walkRecords calls visit for each record after the header, with its payload or what is wrong with
+// it. After a corrupt record it searches for the next valid one, so that one fault does not hide
+// all that follow. It returns the end of the data to keep: without an incomplete record or batch at
+// the end, but with corrupt data; 0 if the header is invalid.
 func walkRecords(raw []byte, visit func(offset, size int, payload []byte, err error)) (end int) {
 	_, salt, err := readHeader(raw)
 	if err != nil {
@@ -136,8 +138,8 @@
 	return end
 }
 
-// appendBatch starts a batch of records of size bytes. Versions without batches report it as
-// corrupt and read its records one by one.
+// appendBatch starts a batch of records of size bytes. Older versions report the start as corrupt
+// and read the records one by one.
 func appendBatch(b []byte, size int, salt uint32) []byte {
 	start := len(b)
 	b = finishFrame(binary.AppendUvarint(append(beginFrame(b), recordBatch), uint64(size)), start)
@@ -148,7 +150,7 @@
 // maxBatchHeaderSize is the maximum size of the record that starts a batch.
 const maxBatchHeaderSize = frameHeaderSize + 1 + binary.MaxVarintLen32
 
-// batchComplete reports whether the bytes behind the start of a batch hold all of it.
+// batchComplete reports whether the bytes that remain after the start of a batch hold all of it.
 func batchComplete(payload []byte, remaining int) bool {
 	size, n := binary.Uvarint(payload[1:])
 	return n > 0 && size <= uint64(remaining)
@@ -211,8 +213,7 @@
 	return binary.AppendUvarint(append(b, kind), uint64(notification.RetryAfter.Microseconds()))
 }
 
-// appendSnapshot appends a message with its state. An attempt in flight counts as one that may have
-// run.
+// appendSnapshot appends a message with its state. The message has no attempt in flight.
 func appendSnapshot(b []byte, m *memory.Message, timeScale clock.Scale) []byte {
 	b = appendMessage(b, m, timeScale)
 	b = binary.AppendUvarint(b, uint64(m.Attempts))
@@ -254,8 +255,8 @@
 	return &replayState{table: memory.NewTable(), timeScale: timeScale, inFlightSince: map[uint32]time.Time{}}
 }
 
-// apply replays one record. Records of unknown messages belong to completed ones that compaction
-// removed.
+// apply replays one record. Records of unknown messages have no effect on the table: they belong to
+// completed messages whose other records compaction removed.
 func (s *replayState) apply(payload []byte) error {
 	r := newRecordReader(payload, s.timeScale)
 	switch kind := payload[0]; kind {
@@ -342,7 +343,7 @@
 	}
 }
 
-// finish marks the attempts in flight when the process ended: they may have run.
+// finish marks the messages whose attempt was in flight when the process ended: it may have run.
 func (s *replayState) finish() {
 	for number := range s.inFlightSince {
 		if m := s.table.Get(number); m != nil {
--- a/internal/memory/journal/recover.go
+++ b/internal/memory/journal/recover.go
@@ -90,7 +90,8 @@
 	return name, ""
 }
 
-// loadSegment replays a segment. An incomplete record at its end is truncated.
+// loadSegment replays a segment. An incomplete record at its end is truncated. A segment without a
+// valid header is kept but not read; a last one that is shorter than a header is removed.
 func (j *Journal) loadSegment(seg *segment, replay *replayState, isLast bool) error {
 	raw, err := j.config.FS.Read(seg.name())
 	if err != nil {
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// indexLiveRecords finds the records of pending messages in all segments.
+// indexLiveRecords finds the records of pending messages in all segments, and adds up the sizes of
+// the segments on disk.
 func (j *Journal) indexLiveRecords(table *memory.Table) {
 	for _, seg := range j.segments {
 		for number, bytes := range seg.messageBytes {
@@ -143,7 +145,7 @@
 	}
 }
 
-// addLocation adds a location of records of a message.
+// addLocation adds bytes of records of a message in one segment.
 func (j *Journal) addLocation(number uint32, loc location) {
 	known, ok := j.locations[number]
 	switch {
@@ -165,7 +167,7 @@
 	seg.size = size
 }
 
-// upgradeLegacy converts the newest legacy journal into a segment.
+// upgradeLegacy converts the newest legacy journal into a segment and leaves the legacy files.
 func (j *Journal) upgradeLegacy(names []string) error {
 	slices.Sort(names)
 	name := names[len(names)-1] // older ones are left by a crash
--- a/internal/memory/journal/transfer.go
+++ b/internal/memory/journal/transfer.go
@@ -17,9 +17,9 @@
 // ErrIncompleteTransfer is returned for a transfer file that is truncated or corrupt.
 var ErrIncompleteTransfer = errors.New("journal: transfer file is incomplete")
 
-// EncodeTransfer encodes messages in their current state, and metadata. Times are on a scale that
-// both processes share. The bodies must be in memory, and those that were in memory only are
-// included.
+// EncodeTransfer encodes messages in their current state, and metadata. Times are on timeScale,
+// which both processes share. The messages have no attempt in flight, and their bodies must be in
+// memory; those that were in memory only are included.
 func EncodeTransfer(messages []*memory.Message, metadata []byte, timeScale clock.Scale) []byte {
 	b := appendHeader(nil, 0, 0, 0)
 	for _, m := range messages {
@@ -40,8 +40,9 @@
 	return finishFrame(append(append(beginFrame(b), recordMetadata), metadata...), start)
 }
 
-// DecodeTransfer decodes a transfer file. Message numbers are those of the sending process. It
-// returns ErrIncompleteTransfer unless the file is complete and valid.
+// DecodeTransfer decodes a transfer file into its messages, under the numbers of the sending
+// process, and its metadata, which aliases raw. It returns ErrIncompleteTransfer unless the file is
+// complete and valid.
 func DecodeTransfer(
 	raw []byte, timeScale clock.Scale,
 ) (messages []*memory.Message, metadata []byte, err error) {
--- a/internal/memory/legacy.go
+++ b/internal/memory/legacy.go
@@ -22,7 +22,7 @@
 	legacyPluginNotes byte = 'A' // plug-in notes on the preceding message
 	legacyAttempt     byte = 'O' // an attempt starts; written before the first byte of the call
 	legacyNotRun      byte = 'N' // the latest attempt for a message is known not to have run
-	legacyUndelivered byte = 'E' // a message ended undelivered; its notification is outstanding
+	legacyUndelivered byte = 'E' // a message was not delivered; its notification is outstanding
 	legacyCompleted   byte = 'X' // a message is completed
 )
 
@@ -42,7 +42,7 @@
 var errChecksum = errors.New("checksum mismatch")
 
 // replayRecords applies each complete record of raw to table and calls visit for it, with an error
-// if the record was skipped. It returns the offset behind the last complete record.
+// if the record was skipped. It returns the offset after the last complete record.
 func replayRecords(raw []byte, table *Table, visit func(offset int, payload []byte, err error)) int {
 	offset := 0
 	inFlightSince := map[uint32]time.Time{} // start of the attempt in flight, by message number
@@ -67,7 +67,8 @@
 	return offset
 }
 
-// applyRecord applies one record to table.
+// applyRecord applies one record to table and updates inFlightSince, the start of the attempt in
+// flight by message number.
 func applyRecord(payload []byte, table *Table, inFlightSince map[uint32]time.Time) error {
 	r := &FieldReader{Rest: payload[1:]}
 	kind := payload[0]
--- a/internal/memory/numbering.go
+++ b/internal/memory/numbering.go
@@ -51,12 +51,13 @@
 }
 
 // NewSharedNumbering returns a numbering for this process and a successor that accepts messages
-// beside it. It does not put it in force.
+// beside it. It has no effect until it is passed to UseSharedNumbering.
 func (t *Table) NewSharedNumbering() SharedNumbering {
 	return SharedNumbering{Base: (t.lastNumber + 2) &^ 1, StartedAt: monotonicClock()}
 }
 
-// UseSharedNumbering makes t assign numbers by n, unless it already uses a later numbering.
+// UseSharedNumbering makes t assign numbers by n, unless t already uses the same numbering or a
+// later one.
 func (t *Table) UseSharedNumbering(n SharedNumbering) {
 	if t.shared != nil && t.shared.Base >= n.Base {
 		return
@@ -68,8 +69,9 @@
 // StopSharedNumbering makes t assign consecutive numbers again.
 func (t *Table) StopSharedNumbering() { t.shared = nil }
 
-// CanKeepNumber reports whether a message from the other process can keep its number here: no
-// message of t has had it.
+// CanKeepNumber reports whether a message from the other process can keep its number here: numbers
+// are shared, no message of t has the number, and it was assigned before sharing began or by the
+// other process.
 func (t *Table) CanKeepNumber(number uint32) bool {
 	if t.shared == nil || number == 0 || t.byNumber[number] != nil {
 		return false
--- a/internal/memory/numbering_test.go
+++ b/internal/memory/numbering_test.go
@@ -6,7 +6,7 @@
 )
 
 // Two tables that share a numbering assign unique numbers in the order of time, above all earlier
-// ones. Afterwards each one counts on by itself.
+// ones. Afterwards a table assigns consecutive numbers.
 func TestSharedNumbering(t *testing.T) {
 	now := 7 * time.Second
 	clock := func() time.Duration { return now }
--- a/internal/memory/table.go
+++ b/internal/memory/table.go
@@ -1,5 +1,5 @@
-// Package memory holds the state of a relay: the message table and the endpoint list. The journal
-// stores the messages on disk.
+// Package memory holds the messages that a relay has accepted, and decodes endpoint lists. Package
+// journal stores the messages on disk.
 package memory
 
 import (
@@ -13,7 +13,7 @@
 	Number         uint32 // identifies the message to the policy engine; never reused within a process
 	ID             string // correlation id of the client
 	Class          string
-	IdempotencyKey string // idempotency key, forwarded unchanged
+	IdempotencyKey string // forwarded to the destination unchanged
 	Dest           int
 	PluginNotes    []byte // notes of plug-ins on the request, opaque to the relay
 	Body           []byte
@@ -31,8 +31,8 @@
 	Notification    *Notification // outcome that the platform has yet to confirm; nil: none
 }
 
-// Supersedes reports whether m is a later state than other of the same message, which two processes
-// have held.
+// Supersedes reports whether m is a later state of the same message than other. Two processes may
+// each hold a copy of a message.
 func (m *Message) Supersedes(other *Message) bool {
 	return other.Notification == nil && (m.Notification != nil || m.Attempts > other.Attempts)
 }
@@ -41,10 +41,10 @@
 // settings change.
 type Terms struct {
 	Effect       policy.Effect
-	RepeatWindow time.Duration // Keyed: how long partners discard repeats
-	ZoneOnly     bool          // Keyed: only endpoints in the same zone discard repeats
+	RepeatWindow time.Duration // how long partners discard repeats; for policy.Keyed
+	ZoneOnly     bool          // only endpoints in the same zone discard repeats; for policy.Keyed
 	Tenant       string
-	OrderingKey  string // ordering key of a message of an ordered class
+	OrderingKey  string // empty unless the class is ordered
 }
 
 // Attempt is one attempt in flight for one message. Each attempt ends exactly once.
@@ -81,9 +81,9 @@
 }
 
 // Limits on the ids remembered of completed messages. A client whose connection was closed may
-// submit the same message again while it waits for an answer, for 0.4 s. The larger limit applies
-// to ids younger than completedRetention, so that a burst of other messages doesn't make the relay
-// accept and run a message twice.
+// submit the same message again for up to 0.4 s, while it waits for an answer. The larger limit
+// applies to ids younger than completedRetention, so that a burst of other messages doesn't make
+// the relay accept and run a message twice.
 const (
 	MaxCompletedIDs       = 4096
 	completedRetention    = 2 * time.Second
@@ -106,7 +106,7 @@
 // CompletedCount returns how many ids of completed messages are remembered.
 func (t *Table) CompletedCount() int { return len(t.completed) }
 
-// NextNumber returns a message number that is larger than all it returned before.
+// NextNumber returns a message number that is larger than all that were returned or added before.
 func (t *Table) NextNumber() uint32 {
 	if t.lastNumber++; t.shared != nil {
 		t.lastNumber = t.shared.next(t.lastNumber)
@@ -151,7 +151,7 @@
 // ByID returns the message with that correlation id, or nil if there is none.
 func (t *Table) ByID(id string) *Message { return t.byID[id] }
 
-// MarkUndelivered ends m without delivery. Its notification is outstanding and its body is
+// MarkUndelivered records that m was not delivered: its notification is outstanding and its body is
 // released.
 func (t *Table) MarkUndelivered(m *Message, notification Notification) {
 	if m.Notification == nil {
@@ -161,7 +161,8 @@
 	m.Notification, m.Body, m.SpilledBytes = &notification, nil, 0
 }
 
-// Remove removes the completed message m and remembers its id.
+// Remove removes the completed message m and remembers its id. It does nothing if m is not in the
+// table.
 func (t *Table) Remove(m *Message) {
 	if t.byNumber[m.Number] != m {
 		return
@@ -215,7 +216,7 @@
 // stale entry in completionOrder is dropped later.
 func (t *Table) ForgetCompleted(id string) { delete(t.completed, id) }
 
-// PendingCount returns the number of messages that have not ended.
+// PendingCount returns the number of messages that are neither completed nor marked undelivered.
 func (t *Table) PendingCount() int { return t.pendingCount }
 
 // All returns all messages by number. The caller must not modify the map.
--- a/internal/memory/table_test.go
+++ b/internal/memory/table_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Ids of completed messages survive a burst of others for as long as a client may retry, and their
-// number is bounded.
+// Ids of completed messages survive a burst of others for as long as a client may retry, and the
+// number of remembered ids is bounded.
 func TestCompletedIDsSurviveFlood(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable()
--- a/internal/peers/allowance.go
+++ b/internal/peers/allowance.go
@@ -25,7 +25,7 @@
 	newcomerRounds      = 5                       // rounds in which a new relay adopts the rate of the others
 	feedbackRounds      = 3                       // rounds until reports cover calls made at a rate
 	minAnnouncers       = 3                       // relays that have to announce a rate for a new relay to adopt it
-	announceEvery       = 4                       // reports after which a rate is announced again
+	announceEvery       = 4                       // an unchanged rate is announced in one report in N
 	announceChange      = 0.06                    // relative change that is announced sooner
 )
 
@@ -47,7 +47,7 @@
 	calls, rejected int
 }
 
-// recordCalls adds the calls that one relay counted from since on.
+// recordCalls adds the calls that one relay counted in a time span that began at since.
 func (a *allowance) recordCalls(since time.Duration, c DestinationCounts) {
 	if a.reducedAt > 0 && since < a.reducedAt {
 		return // includes calls made before the reduction
@@ -64,11 +64,12 @@
 		float64(a.rejected) > reduceShare*float64(a.calls)
 }
 
-// update computes the rate from fleet averages, the rate that other relays allow themselves, how
-// many of them announced one, and whether this relay has just started. It returns the new rate.
+// update computes the rate from fleet averages, the rate that other relays allow themselves (0:
+// none is known), how many of them announced one, and whether this relay has just started. It
+// returns the new rate in calls per second; 0 means no bound.
 //
-// Reductions are proportional to the rejected share, and each is given time to take effect.
-// Raises are fast until rejections occur and slow near the rate at which they began, since at a
+// Reductions are proportional to the rejected share, and each is given time to take effect. Raises
+// are fast until rejections occur and slow near the rate at which they began, since at a
 // destination that counts rejected calls too a small excess costs most of the throughput.
 func (a *allowance) update(
 	now time.Duration, u policy.RouteStats, othersRate float64, announcers int, newcomer bool,
--- a/internal/peers/choices.go
+++ b/internal/peers/choices.go
@@ -8,8 +8,8 @@
 	"oatfold/policy"
 )
 
-// placesInterval is the time between two updates of places. Dead members keep theirs for much
-// longer.
+// placesInterval is the time between two updates of places. Dead members keep their places for
+// much longer.
 const placesInterval = 3 * time.Second
 
 const (
@@ -166,7 +166,7 @@
 type destinationSummary struct {
 	from                          int
 	counts                        DestinationCounts
-	logAllowedSum, allowedReports float64 // sum of logarithms
+	logAllowedSum, allowedReports float64 // sum of the logarithms of Allowed, and reports that state it
 	retryAfter                    time.Duration
 }
 
@@ -197,7 +197,9 @@
 	return summaries
 }
 
-// average returns the mean over all relays for one destination.
+// average returns the mean over all relays for one destination, from one summary of each relay.
+// spans is the total time that their reports cover, in seconds. It also updates which destinations
+// fail or are down.
 func (g *Gossiper) average(
 	now time.Duration, dest int, summaries []destinationSummary, spans float64,
 ) policy.RouteStats {
@@ -252,7 +254,8 @@
 	}
 }
 
-// applyChoices derives this relay's part from the average of a destination.
+// applyChoices applies the shared choices to the average of a destination: this relay's share of
+// the rate, and whether it leaves probing to others.
 func (g *Gossiper) applyChoices(now time.Duration, wall time.Time, u *policy.RouteStats, relays int) {
 	s := &g.choices
 	if !s.options.Any() {
@@ -287,7 +290,8 @@
 	}
 }
 
-// Place returns this relay's place among the live relays and their number; -1 if unknown.
+// Place returns this relay's place among the live relays, -1 if unknown, and the number of live
+// relays.
 func (g *Gossiper) Place() (place, live int) {
 	if g.choices.places == nil {
 		return -1, 0
@@ -295,8 +299,8 @@
 	return g.choices.places.Of(g.self), g.choices.places.LiveCount()
 }
 
-// EachSubset calls f for each destination that this relay keeps only a subset of endpoints of,
-// until f returns false.
+// EachSubset calls f for each destination of which this relay uses only a subset of the endpoints,
+// until f returns false. total is the number of all its endpoints.
 func (g *Gossiper) EachSubset(f func(dest int, subset []choice.Endpoint, total int) bool) {
 	if g.choices.subsets != nil {
 		g.choices.subsets.EachSubset(f)
--- a/internal/peers/choices_test.go
+++ b/internal/peers/choices_test.go
@@ -138,7 +138,7 @@
 			receiveCounts(t, g, from, time.Second, c)
 		}
 		u := averageOf7(g, time.Second)
-		if drowned := u.Failed > u.Accepted; drowned == signals || signals && u.Reporters != 1 {
+		if outweighed := u.Failed > u.Accepted; outweighed == signals || signals && u.Reporters != 1 {
 			t.Errorf("signals %v: %+v", signals, u)
 		}
 	}
@@ -188,7 +188,7 @@
 		}
 	}
 	if held < 3 || held > 30 {
-		t.Errorf("one of ten relays holds a slot of two in %d of 60 slots", held)
+		t.Errorf("one relay of ten probes in %d of 60 time slots", held)
 	}
 	// One accepted call ends the outage; a single reporter does not start one.
 	now := 200 * time.Second
--- a/internal/peers/members/false_gossip.go
+++ b/internal/peers/members/false_gossip.go
@@ -1,7 +1,7 @@
 package members
 
-// FalseGossip encodes a well-formed section with false facts about other members, chosen by seed.
-// It is for tests of the receivers.
+// FalseGossip encodes a well-formed section with false facts about members, chosen by seed, for
+// tests of the receivers.
 func (l *List) FalseGossip(now Time, seed int) []byte {
 	l.advance(now)
 	l.seq++
--- a/internal/peers/members/members.go
+++ b/internal/peers/members/members.go
@@ -9,7 +9,7 @@
 // datagrams are arguments and results. A List is not safe for concurrent use. The cost of a call
 // does not depend on the size of the fleet, except for View and for the work that follows a
 // change. Membership never affects messages or calls by itself; a relay that receives nothing
-// treats all members as alive.
+// counts all members as possible callers.
 package members
 
 import (
@@ -53,11 +53,11 @@
 	updateCopies            = 12          // gossip messages that carry an update; more under loss
 	isolatedAfter           = 3 * Period  // without receiving anything
 	isolatedQuietTime       = 10 * Period // an isolated relay suspects nobody for this long
-	isolatedSuspicionFactor = 4           // suspicions of an isolated relay last this much longer
+	isolatedSuspicionFactor = 4           // suspicions of an isolated relay last N times as long
 	syncWindow              = 3 * Period  // a new relay asks for the state of the fleet for this long at most
 	pauseThreshold          = 2 * Period  // a longer gap between two calls means that the process was paused
 	quietAfterPause         = 3 * Period  // no suspicions for this long after a pause
-	recentlyHeard           = 2 * Period  // a member heard directly within this time is not suspected on reports
+	recentReceiptWindow     = 2 * Period  // after a message from a member, reports alone do not make it a suspect
 	repliesPerPeriod        = 8           // plus one for each eight members, up to four times as many
 	maxReceivedPerPeriod    = 24          // gossip messages read from one member
 	goneContactRounds       = 4           // while few members are gone, one of them is contacted every N rounds
@@ -134,12 +134,12 @@
 	runKnown        bool   // runID and seq are known
 	runID           uint8  // identifies a process under this number
 	seq             uint16 // of the latest message received
-	incarnation     uint32 // 0: never heard of
+	incarnation     uint32 // 0: nothing is known of the member yet
 	copiesLeft      int8   // copies of the update still to be sent
 	updateSerial    uint8  // identifies the latest update
 	claimedState    State  // Left if others report that it left
 	since           Time
-	heardAt         Time  // latest message received directly; -1: none
+	lastReceivedAt  Time  // latest message received directly; -1: none
 	signOfLifeAt    Time  // latest message that proves life, though under an outdated incarnation
 	suspectedAt     Time  // start of the suspicion
 	informedAt      Time  // when it was last sent the state it is in
@@ -191,7 +191,7 @@
 	recentTimeouts      uint8 // of the last eight probed members, a bit for each first ping without an ack
 	suspicionAt         Time
 	rounds              int
-	heardAnyAt          Time
+	lastReceivedAt      Time
 	quietUntil          Time
 	repliesLeft         int // replies allowed in the period that began at repliesSince
 	repliesSince        Time
@@ -205,8 +205,8 @@
 	callersCountedAt    Time
 }
 
-// New returns a List that takes all members for alive. A configuration out of bounds yields a
-// fleet of one member.
+// New returns a List in which all members are alive. A configuration out of bounds yields a fleet
+// of one member.
 func New(config Config) *List {
 	if config.FleetSize < 1 || config.FleetSize > MaxMembers || config.Self < 0 || config.Self >= config.FleetSize {
 		config.Self, config.FleetSize = 0, 1
@@ -232,7 +232,9 @@
 		repliesSince:        -Period,
 	}
 	for i := range l.members {
-		l.members[i] = member{zone: NoZone, heardAt: -1, informedAt: -pauseThreshold, reason: "no message received yet"}
+		l.members[i] = member{
+			zone: NoZone, lastReceivedAt: -1, informedAt: -pauseThreshold, reason: "no message received yet",
+		}
 		if i != config.Self {
 			l.indexOf[i] = len(l.live)
 			l.live = append(l.live, i)
@@ -254,7 +256,7 @@
 // dropped and suspicions extended instead of suspecting the whole fleet.
 func (l *List) advance(now Time) {
 	if !l.started {
-		l.started, l.now, l.heardAnyAt, l.callersAt, l.startedAt = true, now, now, now, now
+		l.started, l.now, l.lastReceivedAt, l.callersAt, l.startedAt = true, now, now, now, now
 		for i := range l.members {
 			l.members[i].since = now
 		}
@@ -271,7 +273,7 @@
 		for _, n := range l.suspects {
 			l.members[n].suspectedAt += gap
 		}
-		l.quietUntil, l.heardAnyAt = now+quietAfterPause, now
+		l.quietUntil, l.lastReceivedAt = now+quietAfterPause, now
 		l.raiseIncarnation(l.incarnation) // this relay may have been suspected meanwhile
 	}
 }
@@ -288,7 +290,7 @@
 
 // Isolated reports whether this relay has received nothing for so long that its own network is in
 // doubt.
-func (l *List) Isolated() bool { return len(l.members) > 1 && l.now-l.heardAnyAt > isolatedAfter }
+func (l *List) Isolated() bool { return len(l.members) > 1 && l.now-l.lastReceivedAt > isolatedAfter }
 
 // DuplicateNumber reports whether another process sends under this relay's number.
 func (l *List) DuplicateNumber() bool {
@@ -356,7 +358,7 @@
 	*to = append(*to, number)
 }
 
-// disseminate queues the state of a member, unless nobody has ever heard of it.
+// disseminate queues the state of a member to be sent to others, unless nothing is known of it.
 func (l *List) disseminate(number int) {
 	m := &l.members[number]
 	if m.incarnation == 0 || m.state != Alive && l.Isolated() {
@@ -444,15 +446,15 @@
 	return targets
 }
 
-// probing reports whether an own probe of a member is in flight; with checksOnly, only a check
-// counts.
+// probing reports whether one of this relay's own probes of a member is in flight; with checksOnly,
+// only a check counts.
 func (l *List) probing(number int, checksOnly bool) bool {
 	return slices.ContainsFunc(l.probes, func(p probe) bool {
 		return p.target == number && p.requester < 0 && (p.check || !checksOnly)
 	})
 }
 
-// ownProbes counts the own probes in flight, without checks.
+// ownProbes counts this relay's own probes in flight, without checks.
 func (l *List) ownProbes() (count int) {
 	for _, p := range l.probes {
 		if p.requester < 0 && !p.check {
@@ -462,8 +464,8 @@
 	return count
 }
 
-// nextProbeTarget walks through the fleet in random order, reshuffled after each pass, so that
-// each member is probed once per pass.
+// nextProbeTarget returns the next member to probe, false if there is none. It walks through the
+// fleet in random order, reshuffled after each pass, so that each member is probed once per pass.
 func (l *List) nextProbeTarget() (int, bool) {
 	for range min(len(l.probeOrder), 64) {
 		if l.probeIndex >= len(l.probeOrder) {
@@ -494,7 +496,8 @@
 	return max(next, l.now+Period/60)
 }
 
-// Tick does what is due: sends ping-req, handles probe timeouts and ends suspicions.
+// Tick does what is due: it sends ping-req, repeats pings, handles probe timeouts and ends
+// suspicions. It returns the datagrams to be sent.
 func (l *List) Tick(now Time) (out []Datagram) {
 	l.advance(now)
 	remaining := l.probes[:0]
@@ -604,7 +607,7 @@
 // suspectSilent handles the failed probe of a member and reports whether this relay suspects it.
 func (l *List) suspectSilent(number int) (suspected bool) {
 	m := &l.members[number]
-	if since := l.now - l.heardAnyAt; since >= Period && since < isolatedQuietTime ||
+	if since := l.now - l.lastReceivedAt; since >= Period && since < isolatedQuietTime ||
 		l.now < l.quietUntil || m.state >= Dead {
 		return false // isolated or just resumed: this relay doubts itself first
 	}
@@ -649,7 +652,8 @@
 	return time.Duration(periods * float64(Period))
 }
 
-// Leave announces that this relay shuts down or has drained.
+// Leave marks this relay as leaving, because it shuts down or has drained. All later sections
+// announce it.
 func (l *List) Leave(now Time) {
 	l.advance(now)
 	l.leaving = true
--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -238,18 +238,18 @@
 	})
 }
 
-// Plays every sequence of a few faults on three members (a member deaf or mute, a broken link, a
-// crash, a restart, a pause) and checks that the fleet converges after each.
+// Runs every sequence of a few faults on three members (one receives nothing, or its messages are
+// lost; a broken link, a crash, a restart, a pause) and checks that the fleet converges after each.
 func TestEveryFaultSequence(t *testing.T) {
 	steps := 3
 	if testing.Short() {
 		steps = 2
 	}
-	courses := 0
+	sequences := 0
 	var play func(prefix []int)
 	play = func(prefix []int) {
 		if len(prefix) == steps {
-			courses++
+			sequences++
 			m := newFleetModel(3)
 			step := func(what int, periods int) {
 				cut := func(from, to int) bool { return false }
@@ -299,5 +299,5 @@
 		}
 	}
 	play(nil)
-	t.Logf("%d fault sequences", courses)
+	t.Logf("%d fault sequences", sequences)
 }
--- a/internal/peers/members/receive.go
+++ b/internal/peers/members/receive.go
@@ -3,8 +3,9 @@
 import "fmt"
 
 // Receive handles the membership section of a message received from the address of a member and
-// returns the replies. A malformed or outdated message, or one of too many, changes nothing and
-// returns an error.
+// returns the replies. If the message is malformed or outdated, comes from another process than the
+// known one, or exceeds the limit per period, it returns an error and the states of members do not
+// change. With ErrOtherProcess there may be a reply, which lets the sender raise its incarnation.
 func (l *List) Receive(now Time, from int, payload []byte) (out []Datagram, err error) {
 	l.advance(now)
 	if from < 0 || from >= len(l.members) || from == l.config.Self {
@@ -60,7 +61,7 @@
 		case f.number == l.config.Self:
 			out = l.handleOwnState(out, from, f, s.flags&flagRaiseIncarnation != 0)
 		case f.number == from:
-		case s.flags&flagIsolated != 0 && f.state != Alive: // an isolated sender doubts itself
+		case s.flags&flagIsolated != 0 && f.state != Alive: // an isolated sender may be wrong about others
 		default:
 			out = l.applyFact(out, from, f)
 		}
@@ -93,8 +94,9 @@
 }
 
 // verifySender checks that a message proves its sender alive: it has a higher incarnation than is
-// known, or is the next of the known process. Anything else may be a delayed duplicate; a sender
-// that is alive is asked to raise its incarnation.
+// known, or is the next of the known process, or the first if no process is known at this
+// incarnation. Anything else may be a delayed duplicate; a sender that is alive is asked to raise
+// its incarnation.
 func (l *List) verifySender(m *member, s *section) error {
 	switch {
 	case s.incarnation > m.incarnation:
@@ -110,14 +112,14 @@
 	default:
 		return ErrOtherProcess
 	}
-	if m.heardAt >= 0 && s.runID != m.runID {
+	if m.lastReceivedAt >= 0 && s.runID != m.runID {
 		m.recordRunChange(l.now)
 	}
 	m.runKnown, m.runID, m.seq = true, s.runID, s.seq
 	return nil
 }
 
-// recordRunChange records that another process than the last sends under the member's number.
+// recordRunChange records that a different process than the last one sends under the number of m.
 func (m *member) recordRunChange(now Time) {
 	if now-m.runChangesSince > duplicateWindow {
 		m.runChanges, m.runChangesSince = 0, now
@@ -129,7 +131,7 @@
 func (l *List) updateSender(out []Datagram, from int, s *section) []Datagram {
 	m := &l.members[from]
 	previous := m.incarnation
-	m.incarnation, m.heardAt, l.heardAnyAt = s.incarnation, l.now, l.now
+	m.incarnation, m.lastReceivedAt, l.lastReceivedAt = s.incarnation, l.now, l.now
 	if m.zone != s.zone {
 		m.zone = s.zone
 		l.version++
@@ -174,7 +176,8 @@
 	return out
 }
 
-// handleAck handles an ack to an own ping, or to one on behalf of another relay.
+// handleAck handles an ack to one of this relay's own pings, or to a ping on behalf of another
+// relay, which it forwards.
 func (l *List) handleAck(out []Datagram, from int, s *section) []Datagram {
 	subject := from
 	if s.flags&flagIndirect != 0 {
@@ -267,7 +270,7 @@
 	if f.state == Left {
 		m.claimedState = Left
 	}
-	if m.heardAt >= 0 && l.now-m.heardAt < recentlyHeard && m.runKnown && m.state == Alive {
+	if m.lastReceivedAt >= 0 && l.now-m.lastReceivedAt < recentReceiptWindow && m.runKnown && m.state == Alive {
 		// The subject is alive: it learns of the claim and refutes it where this relay does not
 		// reach.
 		if l.now-m.informedAt >= Period/2 {
--- a/internal/peers/members/section.go
+++ b/internal/peers/members/section.go
@@ -77,7 +77,8 @@
 	return buf
 }
 
-// decodeSection decodes a section and checks it against the size of the fleet.
+// decodeSection decodes a section and checks it against the size of the fleet. It returns
+// ErrMalformed for anything else.
 func decodeSection(payload []byte, fleetSize int) (s section, err error) {
 	if len(payload) < 6 || len(payload) > MaxDatagramBytes {
 		return s, ErrMalformed
@@ -127,7 +128,8 @@
 	return s, nil
 }
 
-// Section returns the membership section for one receiver, of maxBytes at most.
+// Section returns the membership section for one receiver, of maxBytes at most. For a target to be
+// pinged it also starts a probe.
 func (l *List) Section(target Target, maxBytes int) []byte {
 	var s section
 	if target.Ping {
--- a/internal/peers/members/view.go
+++ b/internal/peers/members/view.go
@@ -17,7 +17,7 @@
 	Zone          int
 	Members, Dead int
 	DeadOrSuspect int
-	CutOff        bool // most members dead at once: the zone is partitioned or lost
+	CutOff        bool // most members are dead: the zone is partitioned or lost
 }
 
 // View is an immutable snapshot of the fleet.
@@ -25,7 +25,7 @@
 	At              Time
 	Self            int
 	Version         uint64
-	Isolated        bool // this relay receives nothing and doubts itself
+	Isolated        bool // this relay has received nothing for a while and may be cut off itself
 	DuplicateNumber bool // another process sends under this relay's number
 	PossibleCallers int  // members that may be calling
 	Members         []Member
@@ -95,9 +95,8 @@
 }
 
 // countCallers computes how many members may be calling, including this one. The number rises at
-// once and falls slowly, never below what is in doubt. A long-dead member does not count; but
-// when many members are dead at once, or most of a zone, they may be alive and calling behind a
-// partition.
+// once and falls slowly. A member that has been dead for long does not count; but when many members
+// are dead at once, or most of a zone, they may be alive and calling behind a partition.
 func (l *List) countCallers(zones [NoZone + 1]ZoneView) int {
 	dead, gone := 0, 0
 	// Long enough for two messages of the member itself to arrive.
@@ -107,10 +106,10 @@
 		switch {
 		case m.state == Left && l.now-m.since > leftCallerTime:
 			gone++
-		case m.state == Dead && m.incarnation > 0: // a member never heard of may still be calling
+		case m.state == Dead && m.incarnation > 0: // a member of which nothing is known may be calling
 			// Members of a zone that can send but not receive become suspect one by one and go on
 			// calling.
-			if dead++; l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention && !zones[m.zone].CutOff &&
+			if dead++; l.now-max(m.since, m.signOfLifeAt, m.lastReceivedAt) > retention && !zones[m.zone].CutOff &&
 				zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneDoubtDivisor {
 				gone++
 			}
@@ -155,7 +154,7 @@
 			retention = outagePlaceRetention
 		}
 		gone := m.state == Left && l.now-m.since > leftCallerTime ||
-			m.state == Dead && m.incarnation > 0 && l.now-max(m.since, m.signOfLifeAt, m.heardAt) > retention
+			m.state == Dead && m.incarnation > 0 && l.now-max(m.since, m.signOfLifeAt, m.lastReceivedAt) > retention
 		eligible[i] = !gone || l.Isolated()
 	}
 	return eligible
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,16 +29,16 @@
 	roundInterval      = 600 * time.Millisecond // mean time between two rounds of a relay
 	fanout             = 10                     // receivers in a round
 	reportLifetime     = 1800 * time.Millisecond
-	maxSpan            = 3 * time.Second  // a report about a longer time says little about the present
+	maxSpan            = 3 * time.Second  // longest time span that a report states
 	maxDestinations    = 64               // in a report
 	quietFanout        = 3                // receivers in a round without counts
 	formCounts         = 1                // first byte of a message: counts follow
 	formRetryAfter     = 4                // counts with Retry-After times
 	formCombined       = 2                // length of the membership section, the section, then counts
 	formMembership     = 3                // membership section alone
-	minMembershipBytes = 40               // left for the membership section beside counts
+	minMembershipBytes = 40               // reserved for the membership section beside counts
 	maxAllowances      = 256              // destinations with an allowance
-	forgetAfter        = 30 * time.Second // without any report of a destination
+	forgetAfter        = 30 * time.Second // state of a destination, after its latest report
 	allowedUnit        = 100              // units in one call per second
 	retryAfterUnit     = 100 * time.Millisecond
 )
@@ -235,7 +235,8 @@
 	return g.members.PossibleCallers(now)
 }
 
-// Receive handles a gossip message from another relay and returns the replies.
+// Receive handles a gossip message from another relay and returns the replies. They may be sent
+// even if an error is returned for the message.
 func (g *Gossiper) Receive(now time.Duration, from int, payload []byte) (out []members.Datagram, err error) {
 	switch {
 	case len(payload) == 0 || len(payload) > MaxDatagramBytes:
@@ -260,7 +261,7 @@
 }
 
 // Report starts a round: it returns the encoded counts and, without membership, the numbers of
-// their receivers. It returns nothing before the round is due.
+// their receivers. It returns nothing before the round is due, or if there is nothing to report.
 func (g *Gossiper) Report(now time.Duration) (payload []byte, to []int) {
 	if !g.Active() || now < g.nextRound {
 		return nil, nil
@@ -287,7 +288,8 @@
 	return encodeReport(g.runID, g.seq, own, MaxDatagramBytes), g.pickReceivers()
 }
 
-// nothingReported reports whether this relay's recent reports were empty.
+// nothingReported reports whether the recent reports of this relay, without the current one, were
+// empty.
 func (g *Gossiper) nothingReported(now time.Duration) bool {
 	for _, r := range g.reports {
 		if r.from == g.self && r.at > now-reportLifetime && r.at < now && len(r.counts) > 0 {
@@ -339,7 +341,8 @@
 	errMalformed     = errors.New("peers: malformed gossip message")
 )
 
-// addReport stores a report and drops outdated ones.
+// addReport stores a report, drops outdated ones, and adds the calls to separate routes to their
+// allowances.
 func (g *Gossiper) addReport(r report) {
 	outdated := 0
 	for outdated < len(g.reports) && g.reports[outdated].at < r.at-reportLifetime {
@@ -447,7 +450,7 @@
 	return buf
 }
 
-// decodeReport decodes what encodeReport encodes.
+// decodeReport decodes what encodeReport encodes. It returns errMalformed for anything else.
 func decodeReport(payload []byte) (runID uint8, seq uint16, r report, err error) {
 	if len(payload) < 5 || len(payload) > MaxDatagramBytes || payload[0] != formCounts && payload[0] != formRetryAfter {
 		return 0, 0, r, errMalformed
--- a/internal/peers/report_keys.go
+++ b/internal/peers/report_keys.go
@@ -47,7 +47,8 @@
 	return dest
 }
 
-// EachKey calls f with each number under which a message for a destination is counted.
+// EachKey calls f with each number under which a message for a destination is counted: those of its
+// separate routes, or its own.
 func (k *ReportKeys) EachKey(dest int, f func(target int)) {
 	if len(k.routes[dest]) == 0 {
 		f(dest)
--- a/internal/peers/site_reports.go
+++ b/internal/peers/site_reports.go
@@ -7,7 +7,7 @@
 	"oatfold/internal/peers/members"
 )
 
-// Reports about sites, sent while a site is lost or returning. Older relays ignore their form.
+// Reports about sites, sent while a site is lost or returning. Older relays reject their form.
 const (
 	formSites          = 5
 	siteFanout         = 4 // receivers in a round
@@ -52,7 +52,7 @@
 		}
 	}
 	to := map[int]bool{}
-	for range 4 * siteFanout { // repeats after a draw of an unsuitable receiver, within bounds
+	for range 4 * siteFanout { // draws again after an unsuitable receiver, a limited number of times
 		n := g.rng.IntN(g.fleetSize)
 		if n == g.self || to[n] || len(to) >= siteFanout {
 			continue
@@ -63,7 +63,8 @@
 	return out
 }
 
-// receiveSites handles a message about sites.
+// receiveSites handles a message about sites. A message that is malformed, not newer than the
+// latest of its sender or from outside the fleet changes nothing and returns an error.
 func (g *Gossiper) receiveSites(now time.Duration, from int, payload []byte) error {
 	if from < 0 || from >= g.fleetSize || from == g.self {
 		return errUnknownSender
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// EachSiteReport calls f with each current site report of other relays.
+// EachSiteReport calls f with each current site report of other relays and drops the expired ones.
 func (g *Gossiper) EachSiteReport(now time.Duration, f func(SiteReport)) {
 	for from, received := range g.sites.received {
 		if now-received.at > siteReportLifetime {
