--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -26,7 +26,7 @@
 // assign returns each relay's subset, and the smallest and the largest number of relays that share
 // an endpoint.
 func assign(live []bool, eps []Endpoint, k int) (of []map[string]bool, least, most int) {
-	p, r, per := AssignPlaces(live, Seed), NewRing(eps, 1), map[string]int{}
+	p, r, relaysPerEndpoint := AssignPlaces(live, Seed), NewRing(eps, 1), map[string]int{}
 	of = make([]map[string]bool, len(live))
 	for n, l := range live {
 		if !l {
@@ -35,12 +35,12 @@
 		of[n] = map[string]bool{}
 		for _, e := range r.Subset(p.Of(n), k) {
 			of[n][e.Address] = true
-			per[e.Address]++
+			relaysPerEndpoint[e.Address]++
 		}
 	}
 	least = len(live)
 	for _, e := range eps {
-		least, most = min(least, per[e.Address]), max(most, per[e.Address])
+		least, most = min(least, relaysPerEndpoint[e.Address]), max(most, relaysPerEndpoint[e.Address])
 	}
 	return of, least, most
 }
@@ -385,12 +385,12 @@
 					for a := range eps {
 						ring = append(ring, Endpoint{Address: a})
 					}
-					made := NewRing(ring, seed^mix(uint64(d)))
+					expected := NewRing(ring, seed^mix(uint64(d)))
 					size := k // at least three relays per endpoint, stepped with the fleet size
-					for 1<<bits.Len(uint(place.LiveCount())/2)*size < 3*made.steppedSize {
+					for 1<<bits.Len(uint(place.LiveCount())/2)*size < 3*expected.steppedSize {
 						size++
 					}
-					for _, e := range made.Subset(place.Of(self), size) {
+					for _, e := range expected.Subset(place.Of(self), size) {
 						want = append(want, e.Address)
 					}
 					if slices.Sort(want); size >= len(eps) {
--- a/internal/memory/journal/journal_test.go
+++ b/internal/memory/journal/journal_test.go
@@ -25,7 +25,7 @@
 
 var wall = time.UnixMicro(1_700_000_000_000_000)
 
-// expectation is what the journal must hold of a message.
+// expectation is what has to be recovered of a message.
 type expectation struct {
 	message      memory.Message
 	mayHaveRun   bool // an attempt was made that is not known not to have run
--- a/internal/memory/journal/legacy_test.go
+++ b/internal/memory/journal/legacy_test.go
@@ -149,7 +149,7 @@
 	return j.appendRecord(table, legacyPayload(recordNotRun, m))
 }
 
-// AppendUndelivered records that m, already marked in the table, ended undelivered.
+// AppendUndelivered records that m, already marked in the table, was not delivered.
 func (j *legacyJournal) AppendUndelivered(table *memory.Table, m *memory.Message) error {
 	j.addLive(m)
 	return j.appendRecord(table, legacyNotification(legacyPayload(recordUndelivered, m), *m.Notification))
--- a/internal/memory/journal/loopback_test.go
+++ b/internal/memory/journal/loopback_test.go
@@ -81,7 +81,9 @@
 						}
 						// A client for each message, since Retry-After applies to the later ones of
 						// a client.
-						c, err := client.New(client.Config{Relays: []string{r.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
+						c, err := client.New(client.Config{
+							Relays: []string{r.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true,
+						})
 						if err != nil {
 							t.Error(err)
 							return
@@ -132,7 +134,7 @@
 
 // Large bodies with little memory and a small disk, across restarts: bodies are delivered
 // unchanged, alerts without space are rejected, and a charge whose body was lost with the process
-// ends with a notification and has not run.
+// is reported by a notification and has not run.
 func TestLargeBodiesOnLoopback(t *testing.T) {
 	program, err := buildRelay()
 	if err != nil {
--- a/internal/memory/journal/plan/plan.go
+++ b/internal/memory/journal/plan/plan.go
@@ -51,7 +51,7 @@
 const (
 	MemoryAndJournal BodyStorage = iota // in memory and in the journal
 	JournalOnly                         // read from the journal for each attempt
-	MemoryOnly                          // lost with the process; the message then ends with a notification
+	MemoryOnly                          // lost with the process, which the platform is then notified of
 	NotStored                           // the message is rejected
 )
 
@@ -104,11 +104,11 @@
 // Urgent reports whether compaction has to run without pauses: more than half the budget is used,
 // or too many segments are mostly dead.
 func Urgent(budget, used int64, segments []Segment) bool {
-	behind := 0
+	backlog := 0
 	for _, segment := range segments {
 		if !segment.Busy && segment.Size-segment.LiveBytes-segment.RetainedBytes > segment.Size/2 {
-			behind++
+			backlog++
 		}
 	}
-	return used > budget/2 || behind > maxBacklog
+	return used > budget/2 || backlog > maxBacklog
 }
--- a/internal/peers/members/members.go
+++ b/internal/peers/members/members.go
@@ -74,9 +74,9 @@
 	maxReorder              = 2048 // sequence numbers behind the latest; no network delays a datagram for longer
 )
 
-// zoneDoubtDivisor bounds the members of a zone, one in N, that may be dead or suspect for a dead
-// member not to count as a caller.
-const zoneDoubtDivisor = 12
+// zoneFailureDivisor bounds the outage of a zone: a member that has been dead for long counts as
+// gone only while at most one in N members of its zone, plus one, are dead or suspect.
+const zoneFailureDivisor = 12
 
 // NoZone is the zone of a member that has announced none.
 const NoZone = 31
@@ -288,8 +288,8 @@
 	l.members[l.config.Self].incarnation = l.incarnation
 }
 
-// Isolated reports whether this relay has received nothing for so long that its own network is in
-// doubt.
+// Isolated reports whether this relay has received nothing for so long that its own network may be
+// at fault.
 func (l *List) Isolated() bool { return len(l.members) > 1 && l.now-l.lastReceivedAt > isolatedAfter }
 
 // DuplicateNumber reports whether another process sends under this relay's number.
@@ -609,7 +609,7 @@
 	m := &l.members[number]
 	if since := l.now - l.lastReceivedAt; since >= Period && since < isolatedQuietTime ||
 		l.now < l.quietUntil || m.state >= Dead {
-		return false // isolated or just resumed: this relay doubts itself first
+		return false // isolated or just resumed: the silence may be due to this relay
 	}
 	l.counts.Suspicions++
 	m.suspectedHere = true
--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -45,8 +45,8 @@
 				t.Fatalf("encoded fact %+v, decoded %+v", s.facts[i], got.facts[i])
 			}
 		}
-		if room := rapid.IntRange(20, 60).Draw(t, "room"); len(s.appendTo(nil, room)) > max(room, 14) {
-			t.Fatalf("encoded %d bytes, limit %d", len(s.appendTo(nil, room)), room)
+		if limit := rapid.IntRange(20, 60).Draw(t, "room"); len(s.appendTo(nil, limit)) > max(limit, 14) {
+			t.Fatalf("encoded %d bytes, limit %d", len(s.appendTo(nil, limit)), limit)
 		}
 		if _, err := decodeSection(append(b, make([]byte, MaxDatagramBytes)...), fleet); err == nil {
 			t.Fatal("an oversized section is decoded")
--- a/internal/peers/members/view.go
+++ b/internal/peers/members/view.go
@@ -99,7 +99,7 @@
 // are dead at once, or most of a zone, they may be alive and calling behind a partition.
 func (l *List) countCallers(zones [NoZone + 1]ZoneView) int {
 	dead, gone := 0, 0
-	// Long enough for two messages of the member itself to arrive.
+	// Long enough for two messages from a live member to arrive.
 	retention := deadCallerTime + 2*Period*time.Duration(len(l.members)/10)
 	for _, n := range l.gone {
 		m := &l.members[n]
@@ -110,7 +110,7 @@
 			// Members of a zone that can send but not receive become suspect one by one and go on
 			// calling.
 			if dead++; l.now-max(m.since, m.signOfLifeAt, m.lastReceivedAt) > retention && !zones[m.zone].CutOff &&
-				zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneDoubtDivisor {
+				zones[m.zone].DeadOrSuspect <= 1+zones[m.zone].Members/zoneFailureDivisor {
 				gone++
 			}
 		}
@@ -133,7 +133,7 @@
 }
 
 const (
-	placeRetention       = 15 * time.Second // a dead member keeps its place for this long: most return
+	placeRetention       = 15 * time.Second // most dead members return within this time
 	outagePlaceRetention = time.Minute      // the same when many are dead at once and may be alive behind a partition
 )
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -55,7 +55,8 @@
 	RetryAfter time.Duration // remaining time of a Retry-After that the destination sent the relay
 }
 
-// report holds what one relay observed during span, which ended at the time at.
+// report holds what one relay observed during span, which ended at the time at. For another relay
+// that is the time when its report was received.
 type report struct {
 	from   int
 	at     time.Duration
