--- a/internal/peers/members/members_test.go
+++ b/internal/peers/members/members_test.go
@@ -45,8 +45,8 @@
 				t.Fatalf("encoded fact %+v, decoded %+v", s.facts[i], got.facts[i])
 			}
 		}
-		if room := rapid.IntRange(20, 60).Draw(t, "room"); len(s.appendTo(nil, room)) > max(room, 14) {
-			t.Fatalf("encoded %d bytes, limit %d", len(s.appendTo(nil, room)), room)
+		if limit := rapid.IntRange(20, 60).Draw(t, "room"); len(s.appendTo(nil, limit)) > max(limit, 14) {
+			t.Fatalf("encoded %d bytes, limit %d", len(s.appendTo(nil, limit)), limit)
 		}
 		if _, err := decodeSection(append(b, make([]byte, MaxDatagramBytes)...), fleet); err == nil {
 			t.Fatal("an oversized section is decoded")
@@ -238,18 +238,18 @@
 	})
 }
 
-// Plays every sequence of a few faults on three members (a member deaf or mute, a broken link, a
-// crash, a restart, a pause) and checks that the fleet converges after each.
+// Runs every sequence of a few faults on three members (one receives nothing, or its messages are
+// lost; a broken link, a crash, a restart, a pause) and checks that the fleet converges after each.
 func TestEveryFaultSequence(t *testing.T) {
 	steps := 3
 	if testing.Short() {
 		steps = 2
 	}
-	courses := 0
+	sequences := 0
 	var play func(prefix []int)
 	play = func(prefix []int) {
 		if len(prefix) == steps {
-			courses++
+			sequences++
 			m := newFleetModel(3)
 			step := func(what int, periods int) {
 				cut := func(from, to int) bool { return false }
@@ -299,5 +299,5 @@
 		}
 	}
 	play(nil)
-	t.Logf("%d fault sequences", courses)
+	t.Logf("%d fault sequences", sequences)
 }
