--- a/cmd/oatfold/main_test.go
+++ b/cmd/oatfold/main_test.go
@@ -47,7 +47,9 @@
 }
 
 func newTestEnv(t *testing.T) *testEnv {
-	e := &testEnv{t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{}}
+	e := &testEnv{
+		t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{},
+	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,9 +62,9 @@
 		id := r.Header.Get("X-Correlation-Id")
 		e.calls[id]++
 		e.keys[id] = r.Header.Get("Idempotency-Key")
-		hold := e.blocked
+		blocked := e.blocked
 		e.Unlock()
-		<-hold
+		<-blocked
 	}))
 	e.config = filepath.Join(t.TempDir(), "config.json")
 	e.agent = e.startAgent(nil)
@@ -143,7 +145,7 @@
 
 func (e *testEnv) waitUntil(what string, ok func() bool) {
 	e.t.Helper()
-	for range 20_000 { // limits a hang
+	for range 20_000 { // bounds the wait if the test fails
 		e.Lock()
 		done := ok()
 		e.Unlock()
@@ -243,7 +245,8 @@
 	env.waitUntil("all but one to complete", func() bool {
 		return env.calls["order"] == 2 && env.notified("fee", "given_up") && env.notified("late", "")
 	})
-	if env.calls["fee"] != 1 || env.keys["order"] != "key-order" || env.notified("order", "") || env.notified("nowhere", "") {
+	if env.calls["fee"] != 1 || env.keys["order"] != "key-order" || env.notified("order", "") ||
+		env.notified("nowhere", "") {
 		t.Errorf("calls %v, keys %v, notifications %v", env.calls, env.keys, env.notices)
 	}
 }
--- a/cmd/oatfold/unanswered_test.go
+++ b/cmd/oatfold/unanswered_test.go
@@ -17,7 +17,7 @@
 // closed: on an idle connection, on one that has sent nothing yet, and for two requests in one
 // packet.
 func TestNothingIsReadAndLeftUnanswered(t *testing.T) {
-	t.Run("resting connection", func(t *testing.T) {
+	t.Run("idle connection", func(t *testing.T) {
 		env := newTestEnv(t)
 		cmd := env.start()
 		c, r := env.dial("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2000 { // limits a hang: a reset takes no longer than the end of the connection
+	for range 2000 { // bounds the wait: a reset takes no longer than the end of the connection
 		var failure int
 		raw.Control(func(fd uintptr) {
 			failure, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
--- a/internal/admission/keep_alive.go
+++ b/internal/admission/keep_alive.go
@@ -11,7 +11,7 @@
 const (
 	LongIdleTimeout  = 6 * time.Second
 	ShortIdleTimeout = 500 * time.Millisecond // while clients don't reuse their connections
-	idleDivisor      = 8                      // one in this many connections may always be idle for LongIdleTimeout
+	idleDivisor      = 8                      // one in idleDivisor connections may always be idle for LongIdleTimeout
 
 	decayTime = time.Second // time constant of the request counts
 )
@@ -35,8 +35,9 @@
 	}
 }
 
-// IdleTimeout returns the timeout of a connection that has just become idle: the long one, unless
-// many connections are idle already and most requests still come on new ones.
+// IdleTimeout returns the timeout of a connection that has just become idle: LongIdleTimeout,
+// unless idle, the number of idle connections, is more than one in idleDivisor of maxConns, the
+// limit of all, and most requests come on new connections.
 func (k *KeepAlive) IdleTimeout(idle, maxConns int) time.Duration {
 	if idle*idleDivisor > maxConns && k.firstRequests > k.laterRequests {
 		return ShortIdleTimeout
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -20,9 +20,9 @@
 	return members
 }
 
-func mustPlan(t *testing.T, shape MapConfig, previous *Map, members []Member) *Map {
+func mustPlan(t *testing.T, config MapConfig, previous *Map, members []Member) *Map {
 	t.Helper()
-	m, err := Plan(shape, previous, members, nil)
+	m, err := Plan(config, previous, members, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/assignment/codec.go
+++ b/internal/assignment/codec.go
@@ -69,10 +69,10 @@
 // concerns the relay.
 func (s *Slice) Encode(key Key) []byte {
 	b := header{kindSlice, s.Region, s.Replication, s.Version, s.Relay, s.Partitions, len(s.Assignments)}.append(nil)
-	for _, serving := range s.Assignments {
-		b = binary.BigEndian.AppendUint16(b, uint16(serving.Partition))
-		b = appendRelays(b, serving.Replicas)
-		b = appendRelays(b, serving.Previous)
+	for _, a := range s.Assignments {
+		b = binary.BigEndian.AppendUint16(b, uint16(a.Partition))
+		b = appendRelays(b, a.Replicas)
+		b = appendRelays(b, a.Previous)
 	}
 	return sign(b, key)
 }
@@ -141,15 +141,15 @@
 	}
 	s := &Slice{Region: h.region, Version: h.version, Relay: h.relay, Partitions: h.partitions, Replication: h.replicas}
 	for ; len(body) > 0; body = body[size:] {
-		serving := PartitionAssignment{
+		next := PartitionAssignment{
 			Partition: Partition(binary.BigEndian.Uint16(body)),
 			Replicas:  readRelays(body[partitionSize : partitionSize+half]),
 			Previous:  readRelays(body[partitionSize+half : size]),
 		}
-		if err := s.checkNext(serving); err != nil {
+		if err := s.checkNext(next); err != nil {
 			return nil, err
 		}
-		s.Assignments = append(s.Assignments, serving)
+		s.Assignments = append(s.Assignments, next)
 	}
 	return s, nil
 }
--- a/internal/assignment/control.go
+++ b/internal/assignment/control.go
@@ -12,13 +12,13 @@
 	// contacted it. It is short enough that each relay is in a report at least once per
 	// unreachableAfter.
 	reportInterval = time.Second
-	// settleAfter is how long a partition does not change again: by then all pending messages of
-	// its previous replicas are delivered or expired.
+	// settleAfter is how long a partition does not change again after a change: by then all pending
+	// messages of its previous replicas are delivered or expired.
 	settleAfter = removedAfter
 )
 
-// ContactReport tells the publisher which relays have contacted another control node since its last
-// report, and which of those are leaving: one bit per relay.
+// ContactReport reports to the publisher which relays have contacted another control node since its
+// last report, and which of those are leaving: one bit per relay.
 type ContactReport struct{ Relays, Leaving []uint64 }
 
 func (ContactReport) message() {}
@@ -126,7 +126,7 @@
 	return out
 }
 
-// report tells the publisher which relays have contacted this node.
+// report returns this node's report to the publisher, if one is due, and starts the next one.
 func (c *ControlNode) report(now time.Duration) []Envelope {
 	to := c.register.Publisher()
 	if to < 0 || now < c.nextReport {
--- a/internal/assignment/handover/handover.go
+++ b/internal/assignment/handover/handover.go
@@ -28,7 +28,7 @@
 	Remaining   time.Duration // when the message was sent
 }
 
-// Message tells another replica how far this one is with a handover.
+// Message reports to another replica how far the sender is with a handover.
 type Message struct {
 	ChangeID     uint64   // messages of other changes are ignored
 	Adopted      bool     // the sender uses the current replicas
@@ -95,7 +95,7 @@
 	return h
 }
 
-// Owner returns the one of at least one replicas that sends the messages of a key.
+// Owner returns the replica that sends the messages of a key. There has to be at least one replica.
 func Owner(replicas []assignment.Relay, key uint64) (owner assignment.Relay) {
 	var best uint64
 	for i, r := range replicas {
@@ -125,8 +125,8 @@
 	return owner == h.self, owner
 }
 
-// MaySend reports whether a pending message of a key may be sent now. A message that was accepted
-// before the change always may.
+// MaySend reports whether a pending message of a key may be sent now. It always may on the replica
+// that owned the key before the change.
 func (h *Handover) MaySend(key uint64) bool {
 	previousOwner := Owner(h.previous, key)
 	if previousOwner == h.self {
@@ -236,7 +236,7 @@
 	return others
 }
 
-// envelopeTo returns a message that tells another replica how far this one is.
+// envelopeTo returns a message that reports to another replica how far this one is.
 func (h *Handover) envelopeTo(r assignment.Relay, reply bool, retryAfters []RetryAfter) Envelope {
 	m := Message{
 		ChangeID: h.changeID, Adopted: true, Released: h.released(), Acknowledged: h.peers[r].Progress,
--- a/internal/assignment/handover/handover_test.go
+++ b/internal/assignment/handover/handover_test.go
@@ -13,8 +13,8 @@
 
 const keys = 24
 
-// serving is a partition in which relay 4 has replaced relay 0.
-var serving = assignment.PartitionAssignment{
+// change assigns a partition to relay 4 instead of relay 0.
+var change = assignment.PartitionAssignment{
 	Partition: 7, Previous: []assignment.Relay{0, 1, 2, 3}, Replicas: []assignment.Relay{1, 2, 3, 4},
 }
 
@@ -26,11 +26,11 @@
 	now          time.Duration
 	relays       []*relay
 	inFlight     []sentMessage
-	next         map[uint64]int // number of the key's next message
-	knowsCurrent map[uint64]bool
-	completed    map[uint64]int // completed messages of each key
+	next         map[uint64]int  // number of the key's next message
+	knowsCurrent map[uint64]bool // keys whose client knows the current replicas
+	completed    map[uint64]int  // completed messages of each key
 	calling      map[uint64]bool
-	blockedUntil time.Duration // until when the destination has told a previous replica to wait
+	blockedUntil time.Duration // end of the Retry-After time that a previous replica has received
 }
 
 type sentMessage struct {
@@ -60,9 +60,9 @@
 // submit submits the next message of a key to the owner that the client knows. A client that is
 // rejected uses the current replicas from then on.
 func (f *fleet) submit(key uint64) {
-	replicas := serving.Previous
+	replicas := change.Previous
 	if f.knowsCurrent[key] {
-		replicas = serving.Replicas
+		replicas = change.Replicas
 	}
 	r := f.relays[Owner(replicas, key)]
 	if r.accepts(key) {
@@ -75,7 +75,7 @@
 
 func (r *relay) accepts(key uint64) bool {
 	if r.handover == nil {
-		return Owner(serving.Previous, key) == r.number
+		return Owner(change.Previous, key) == r.number
 	}
 	ok, _ := r.handover.MayAccept(key)
 	return ok
@@ -87,8 +87,8 @@
 	switch {
 	case r.handover != nil:
 		return r.handover.RateShare()
-	case slices.Contains(serving.Previous, r.number):
-		return 1 / float64(len(serving.Previous))
+	case slices.Contains(change.Previous, r.number):
+		return 1 / float64(len(change.Previous))
 	}
 	return 0
 }
@@ -115,7 +115,7 @@
 			r.number, number, key, f.completed[key])
 	}
 	if r.number == 4 && f.now < f.blockedUntil {
-		f.t.Fatalf("the new replica sends at %v, but a previous one was told to wait until %v", f.now, f.blockedUntil)
+		f.t.Fatalf("the new replica sends at %v, but a previous one has a Retry-After until %v", f.now, f.blockedUntil)
 	}
 	f.calling[key], r.sending[key] = true, true
 }
@@ -163,7 +163,7 @@
 
 // adopt makes a relay adopt the change. A relay that has already is restarted with its pending
 // messages; its calls continue, since its next process knows them.
-func (f *fleet) adopt(r *relay) { r.handover = New(r.number, serving, r.pending(), 0) }
+func (f *fleet) adopt(r *relay) { r.handover = New(r.number, change, r.pending(), 0) }
 
 func (f *fleet) checkRateShares() {
 	f.t.Helper()
@@ -265,7 +265,7 @@
 
 // A handover waits for a failed previous replica until it is marked as removed.
 func TestRemovedReplica(t *testing.T) {
-	h := New(4, serving, nil, 3)
+	h := New(4, change, nil, 3)
 	released := Message{ChangeID: h.changeID, Adopted: true, Released: true}
 	for _, r := range []assignment.Relay{1, 2, 3} {
 		if _, sameChange := h.Receive(r, released, nil); !sameChange {
@@ -285,7 +285,7 @@
 // Messages of another change or of a relay that is no replica are ignored; MayAccept returns the
 // owner of a key.
 func TestIgnoresOtherChangesAndRelays(t *testing.T) {
-	h := New(4, serving, nil, 3)
+	h := New(4, change, nil, 3)
 	if _, sameChange := h.Receive(1, Message{ChangeID: h.changeID + 1, Adopted: true}, nil); sameChange {
 		t.Error("a message of another change is not ignored")
 	}
@@ -293,11 +293,11 @@
 		t.Error("a message of a relay that is no replica is not ignored")
 	}
 	for key := range uint64(keys) {
-		if ok, owner := h.MayAccept(key); owner != Owner(serving.Replicas, key) || ok != (owner == 4) {
+		if ok, owner := h.MayAccept(key); owner != Owner(change.Replicas, key) || ok != (owner == 4) {
 			t.Errorf("key %d: %v, %d", key, ok, owner)
 		}
 	}
-	replaced := New(0, serving, []uint64{1, 1}, 1)
+	replaced := New(0, change, []uint64{1, 1}, 1)
 	if ok, _ := replaced.MayAccept(1); ok || replaced.released() {
 		t.Error("a replica that was replaced accepts messages, or has released pending ones")
 	}
--- a/internal/assignment/leave.go
+++ b/internal/assignment/leave.go
@@ -16,8 +16,8 @@
 var noLeave = leaveState{requestedAt: -time.Hour}
 
 // active reports whether the relay wants to leave at now. Requests go to any control node, so a
-// report of an earlier contact may arrive after the one that asks to leave; a relay that cancels
-// its leave is believed after unreachableAfter.
+// report of an earlier contact may arrive after the one that asks to leave; therefore a canceled
+// leave ends only after unreachableAfter.
 func (l leaveState) active(now time.Duration) bool { return now-l.requestedAt < unreachableAfter }
 
 // RecordLeaving records that a relay was in contact at a time and wants to leave. Unknown relays
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -270,8 +270,8 @@
 	}
 }
 
-// takeOver moves partitions to r, up to mean, from relays of its zone that have more. Partitions for
-// which r ranks highest come first.
+// takeOver moves partitions to r, until it has mean of them, from relays of its zone that have
+// more. Partitions for which r ranks highest come first.
 func (p *planner) takeOver(r Relay, mean int) {
 	order := make([]Partition, len(p.replicas))
 	for i := range order {
@@ -293,8 +293,9 @@
 	}
 }
 
-// mostLoaded returns the replica of a partition to hand over to r: the most loaded one in r's zone, if
-// it has at least mean partitions and no other replica is in r's rack.
+// mostLoaded returns the replica of a partition to hand over to r: the most loaded one in r's zone
+// that has at least mean partitions and two more than r. There is none if another replica is in r's
+// rack, or if the partition may not change.
 func (p *planner) mostLoaded(partition Partition, r Relay, mean int) (from Relay, found bool) {
 	if p.frozen[partition] || p.reassigns[partition] || slices.Contains(p.replicas[partition], r) {
 		return 0, false
--- a/internal/assignment/register.go
+++ b/internal/assignment/register.go
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// resetElectionTimer postpones the next election, since a publisher is running.
+// resetElectionTimer sets the next election to one to two times electionTimeout from now, at
+// random.
 func (r *Register) resetElectionTimer(now time.Duration) {
 	r.electionAt = now + electionTimeout + time.Duration(r.rng.Int64N(int64(electionTimeout)))
 }
--- a/internal/assignment/relay_health.go
+++ b/internal/assignment/relay_health.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// Members returns the state of each relay at now.
+// Members returns the state of each relay at now, and records outages, removals and granted leaves.
+// now must not decrease between calls.
 func (h *RelayHealth) Members(now time.Duration) []Member {
 	members := make([]Member, len(h.locations))
 	var size, unreachable zoneCounts
--- a/internal/clock/anchor_linux.go
+++ b/internal/clock/anchor_linux.go
@@ -10,7 +10,8 @@
 
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Now reads both clocks. It returns the anchor and the time for which it is valid.
+// Now reads both clocks. It returns the anchor and the time at which it was read. The anchor's boot
+// is empty if it or the monotonic clock can't be read.
 func Now() (Anchor, time.Time) {
 	boot, err := os.ReadFile(bootIDFile)
 	var mono unix.Timespec
@@ -18,9 +19,9 @@
 		err = unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono)
 	}
 	at := time.Now()
-	m := Anchor{DateUs: at.UnixMicro()}
+	a := Anchor{DateUs: at.UnixMicro()}
 	if err == nil {
-		m.BootID, m.MonotonicUs = strings.TrimSpace(string(boot)), mono.Nano()/1000
+		a.BootID, a.MonotonicUs = strings.TrimSpace(string(boot)), mono.Nano()/1000
 	}
-	return m, at
+	return a, at
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -23,23 +23,23 @@
 }
 
 // Encode returns the anchor as JSON, for Decode.
-func (m Anchor) Encode() []byte {
-	b, _ := json.Marshal(m) // its fields can always be encoded
+func (a Anchor) Encode() []byte {
+	b, _ := json.Marshal(a) // its fields can always be encoded
 	return append(b, '\n')
 }
 
 var errInvalidAnchor = errors.New("clock: invalid anchor")
 
-// Decode parses an anchor that Encode returned.
+// Decode parses an anchor that Encode returned. It fails if the boot is unknown.
 func Decode(b []byte) (Anchor, error) {
-	var m Anchor
-	if err := json.Unmarshal(b, &m); err != nil {
+	var a Anchor
+	if err := json.Unmarshal(b, &a); err != nil {
 		return Anchor{}, err
 	}
-	if m.BootID == "" || m.MonotonicUs < 0 {
+	if a.BootID == "" || a.MonotonicUs < 0 {
 		return Anchor{}, errInvalidAnchor
 	}
-	return m, nil
+	return a, nil
 }
 
 // Scale converts times of this process to dates and back. The zero Scale is the wall clock.
--- a/internal/daemon/adopt.go
+++ b/internal/daemon/adopt.go
@@ -69,7 +69,7 @@
 }
 
 // dropOutdated keeps only the latest state of each message. A successor may have adopted and sent a
-// message, and died before it removed it from the directory that it came from.
+// message, and then died before removing it from the directory of the previous process.
 func dropOutdated(journals []*leftJournal) {
 	completed, latest := map[string]struct{}{}, map[string]*memory.Message{}
 	for _, j := range journals {
@@ -84,7 +84,7 @@
 	}
 	for _, j := range journals {
 		for _, m := range j.table.All() {
-			if _, ended := completed[m.ID]; ended || latest[m.ID] != m {
+			if _, isCompleted := completed[m.ID]; isCompleted || latest[m.ID] != m {
 				j.remove(m)
 			}
 		}
@@ -135,8 +135,9 @@
 	return messages
 }
 
-// copyBatch copies the first n messages, at least one, whose bodies together take at most that many
-// bytes. Copies are needed because the other journal gives them its own numbers.
+// copyBatch copies the first n messages, as many as have bodies of at most that many bytes
+// together, but at least one. Copies are needed because the other journal gives them its own
+// numbers.
 func copyBatch(messages []*memory.Message, bytes int64) (n int, batch []*memory.Message) {
 	for size := 0; n < len(messages) && (n == 0 || size+messages[n].BodySize() <= int(bytes)); n++ {
 		m := *messages[n]
--- a/internal/daemon/choices.go
+++ b/internal/daemon/choices.go
@@ -20,7 +20,7 @@
 // subsetJSON is the subset of a destination's endpoints that this relay uses.
 type subsetJSON struct {
 	Destination int      `json:"destination"`
-	Of          int      `json:"of"`
+	Of          int      `json:"of"` // endpoints of the destination
 	Endpoints   []string `json:"endpoints"`
 	Why         string   `json:"why"`
 }
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -147,7 +147,8 @@
 	s, columns, err := ParseSettings(`{"fleetSize":2,"tickUs":5000,"familyInfo":{"callSlots":4,"separateRoutes":[true],"feeByZone":[0.5],"batchByKind":[3]},"kinds":["k"],"zones":["z"],
 		"policyLimits":{"maxOpen":20,"maxAttempts":6,"peers":false},"tenants":[{"name":"b","share":0.3,"quotaPerS":7}],"stats":{"columns":["x0","x1"]},
 		"grades":[{"name":"posting","effect":"unsafe","inTurn":true,"promiseUs":1000,"deadlineUs":9000},{"name":"call","effect":"keyed","group":"zone","repeatWindowUs":6000}]}`)
-	if err != nil || len(columns) != 2 || !s.NoGossip || s.Tenants[0].Name != "b" || s.Tenants[0].Share != 0.3 || s.Tenants[0].Quota != 7 ||
+	if err != nil || len(columns) != 2 || !s.NoGossip || s.Tenants[0].Name != "b" ||
+		s.Tenants[0].Share != 0.3 || s.Tenants[0].Quota != 7 ||
 		!s.Classes[0].Ordered || s.Classes[1].Ordered || !s.Classes[1].ZoneOnly ||
 		s.Kinds[0].MaxBatch != 3 || !s.Kinds[0].SeparateRoutes || s.Zones[0].Fee != 0.5 {
 		t.Errorf("%+v, %v, %v", s, columns, err)
--- a/internal/daemon/config/names_test.go
+++ b/internal/daemon/config/names_test.go
@@ -74,7 +74,8 @@
 		{"postings.json", replace(`"east-basin",`, `"west-basin",`), `settings.zones[1]: "west-basin" is the name of settings.zones[0] too`},
 	} {
 		raw := c.change(readTestFile(t, c.file))
-		if _, err := load(t, func(string) string { return raw }, nil); err == nil || !strings.Contains(err.Error(), c.message) {
+		if _, err := load(t, func(string) string { return raw }, nil); err == nil ||
+			!strings.Contains(err.Error(), c.message) {
 			t.Errorf("%s: error %v, want one with %q", c.file, err, c.message)
 		}
 	}
--- a/internal/daemon/config/operator/operator.go
+++ b/internal/daemon/config/operator/operator.go
@@ -38,8 +38,8 @@
 	maxLoadMs           = 60_000
 )
 
-// Load reads the file at path. memory is the memory limit of the process in bytes; with 0 no sum is
-// checked against it.
+// Load reads the operator's file at path. memory is the memory limit of the process in bytes; with
+// 0 nothing is checked against it.
 func Load(path string, memory int64) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	config := &Config{}
 	plugins := file.GetPlugins().GetPlugin()
 	if len(plugins) > maxPlugins {
-		return nil, c.tooMany("more than %d", maxPlugins, "plugins.plugin")
+		return nil, c.tooManyError("more than %d", maxPlugins, "plugins.plugin")
 	}
 	total, onHandInMs, names := int64(0), uint32(0), map[string]bool{}
 	for i, p := range plugins {
@@ -138,7 +138,7 @@
 // checker checks the values of the file and reports errors with line and key.
 type checker struct {
 	syntax []*ast.Node
-	path   string // key of the message that is being checked
+	path   string // key of the part of the file that is being checked
 }
 
 // errorAt returns an error at a key below the current path.
@@ -150,8 +150,8 @@
 	return fmt.Errorf("%s: %s", full, fmt.Sprintf(format, args...))
 }
 
-// tooMany returns an error at a list that is too long.
-func (c *checker) tooMany(format string, most int, key string) error {
+// tooManyError returns an error at a list that is too long.
+func (c *checker) tooManyError(format string, most int, key string) error {
 	c.path = strings.Split(key, ".")[0]
 	return c.errorAt(strings.Split(key, ".")[1], format, most)
 }
@@ -273,7 +273,7 @@
 	ms := func(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 	s.Budget = plugin.Budget{Wall: ms(wall), CPU: ms(min(cpu, wall)), MemoryPages: pages, MaxOutputBytes: int(output),
 		Instances: int(instances), InstanceTimeout: ms(wait), LoadTimeout: ms(load)}
-	s.Breaker = limits.BreakerConfig{FailureThreshold: int(failures), OpenTime: ms(pause), MaxOpenTime: ms(max(pause, pauseMax)),
-		RequiredTrials: int(trials)}
+	s.Breaker = limits.BreakerConfig{FailureThreshold: int(failures), OpenTime: ms(pause),
+		MaxOpenTime: ms(max(pause, pauseMax)), RequiredTrials: int(trials)}
 	return s, nil
 }
--- a/internal/daemon/config/operator/operator_test.go
+++ b/internal/daemon/config/operator/operator_test.go
@@ -35,12 +35,14 @@
 		t.Fatal(c, err)
 	}
 	a, b := c.Plugins[0], c.Plugins[1]
-	if a.Path != filepath.Join(filepath.Dir(path), "m.wasm") || len(a.Hooks) != 2 || a.Hooks[1] != abi.ReadAnswer || a.Dests[1] != 4 ||
-		a.Budget.Wall != 50*time.Millisecond || a.Budget.MemoryPages != 128 || a.Budget.Instances != 2 || a.Breaker.FailureThreshold != 5 ||
+	if a.Path != filepath.Join(filepath.Dir(path), "m.wasm") || len(a.Hooks) != 2 ||
+		a.Hooks[1] != abi.ReadAnswer || a.Dests[1] != 4 || a.Budget.Wall != 50*time.Millisecond ||
+		a.Budget.MemoryPages != 128 || a.Budget.Instances != 2 || a.Breaker.FailureThreshold != 5 ||
 		a.FailureAction("x") != limits.Refuse {
 		t.Errorf("%+v", a)
 	}
-	if b.Budget.CPU != 10*time.Millisecond || b.FailureAction("price-alert") != limits.Pass || b.FailureAction("fee-charge") != limits.Fail {
+	if b.Budget.CPU != 10*time.Millisecond || b.FailureAction("price-alert") != limits.Pass ||
+		b.FailureAction("fee-charge") != limits.Fail {
 		t.Errorf("%+v", b)
 	}
 	if c, err := Load(writeOperatorFile(t, ""), 0); err != nil || len(c.Plugins) != 0 {
--- a/internal/daemon/config/peers_test.go
+++ b/internal/daemon/config/peers_test.go
@@ -17,7 +17,10 @@
 	base := strings.TrimSpace(string(text))
 	load := func(me, listen, list string, allowed bool) (*Config, error) {
 		raw := strings.Replace(base, "{", fmt.Sprintf(`{"peer_listen":%q,"peers":%s,`, listen, list), 1)
-		for was, now := range map[string]string{`"me": 0`: `"me": ` + me, `"peers": true`: fmt.Sprintf(`"peers": %v`, allowed)} {
+		for was, now := range map[string]string{
+			`"me": 0`:       `"me": ` + me,
+			`"peers": true`: fmt.Sprintf(`"peers": %v`, allowed),
+		} {
 			if !strings.Contains(raw, was) {
 				t.Fatalf("the test file has no %s", was)
 			}
@@ -40,8 +43,10 @@
 		key                    string
 	}{
 		{"ten", "3", "10.0.0.4:7946", ten, true, 10, ""}, {"not allowed", "3", "10.0.0.4:7946", ten, false, 0, ""},
-		{"few", "3", "10.0.0.4:7946", seven, true, 0, ""}, {"number not in the list", "10", "10.0.0.4:7946", ten, true, 0, ""},
-		{"negative number", "-1", "10.0.0.4:7946", ten, true, 0, ""}, {"number is a string", `"3"`, "10.0.0.4:7946", ten, true, 0, ""},
+		{"few", "3", "10.0.0.4:7946", seven, true, 0, ""},
+		{"number not in the list", "10", "10.0.0.4:7946", ten, true, 0, ""},
+		{"negative number", "-1", "10.0.0.4:7946", ten, true, 0, ""},
+		{"number is a string", `"3"`, "10.0.0.4:7946", ten, true, 0, ""},
 		{"no gossip address", "3", "", ten, true, 0, ""}, {"not a list", "3", "10.0.0.4:7946", `"x"`, true, 0, "peers"},
 		{"invalid address", "3", "10.0.0.4:7946", `["10.3.0.1:7946","here"]`, true, 0, "peers[1]"},
 	} {
@@ -120,7 +125,8 @@
 			return map[string]string{"ROUTER_STATE": dir, "ROUTER_LISTEN": "127.0.0.1:1",
 				"ROUTER_DISCOVERY": "127.0.0.1:2", "ROUTER_MEMBERS": members}[key]
 		})
-		if want := map[string]string{"on": "slices,signals", "off": "off"}[members]; err != nil || got.Choices.String() != want {
+		if want := map[string]string{"on": "slices,signals", "off": "off"}[members]; err != nil ||
+			got.Choices.String() != want {
 			t.Errorf("members %s: %v, %v", members, err, got.Choices)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,12 +29,12 @@
 	"oatfold/internal/wire"
 )
 
-// bodyMemoryDivisor is the part of the memory limit, one in bodyMemoryDivisor, that bodies of
-// pending messages may take. Further bodies are kept in the journal only.
+// bodyMemoryDivisor is what the memory limit is divided by to get the bytes that bodies of pending
+// messages may take. Further bodies are kept in the journal only.
 const bodyMemoryDivisor = 8
 
-// smallFileBytes is what the files of the state folder take besides journals: the leader lock, the
-// clock mark, and a lock for each process directory.
+// smallFileBytes is the bytes of disk that the files of the state folder take besides journals: the
+// leader lock, the clock mark, and a lock for each process directory.
 const smallFileBytes = 2560
 
 // ownDescriptors is the number of descriptors for the process itself: standard streams, journal,
@@ -87,15 +87,16 @@
 	reloadAgain       bool                    // another reload was requested meanwhile
 
 	takingOver       atomic.Bool // the previous process is still leaving
-	drainMark        sync.Mutex  // guards the drain record in the state folder
+	drainRecordMu    sync.Mutex  // guards the drain record in the state folder
 	stopping         atomic.Bool // a planned stop, which ends a drain
 	announcedDrain   bool        // the fleet knows that this relay is drained and empty
 	othersBytes      int64       // bytes of the state folder outside the own directory, as last seen
 	cancelPluginLoad func()
 }
 
-// Run serves until SIGTERM or SIGINT. SIGHUP makes it reload its configuration sources. While
-// another process of the same relay serves, it stands by until that one leaves.
+// Run serves until SIGTERM or SIGINT. SIGHUP makes it reload its configuration sources, SIGUSR1
+// write the server's latest events to standard error. While another process of the same relay
+// serves, it stands by until that one leaves.
 func Run(sources ConfigSources, log *slog.Logger) error {
 	r := &relay{sources: sources, log: log, terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1),
 		plugins: &plugin.Holder{}, metrics: &metrics.Set{}, cancelPluginLoad: func() {}}
@@ -314,8 +315,8 @@
 // small files.
 func (r *relay) diskBytes() int64 { return r.config.DiskBytes - smallFileBytes }
 
-// standBy waits for the leader lock and reports whether this process holds it; false if it was told
-// to stop.
+// standBy waits for the leader lock and reports whether this process holds it; false if it received
+// a stop signal.
 func (r *relay) standBy(ctx context.Context) (bool, error) {
 	if err := r.dir.SetStatus(processdir.StatusReady); err != nil {
 		return false, fmt.Errorf("ROUTER_STATE: %w", err)
@@ -396,7 +397,7 @@
 	return stopTakeOver, nil
 }
 
-// fleetIdentity returns what the relay tells its fleet about itself.
+// fleetIdentity returns what the relay announces about itself to its fleet.
 func fleetIdentity(c *config.Config) wire.FleetIdentity {
 	return wire.FleetIdentity{Number: c.RelayNumber, MembershipEnabled: c.MembershipEnabled, Zone: c.Zone,
 		Choices: c.Choices}
@@ -423,7 +424,7 @@
 }
 
 // adminCalls returns the handlers of the admin address. A drain request before the relay serves is
-// refused.
+// rejected.
 func (r *relay) adminCalls() admin.Handlers {
 	return admin.Handlers{Log: r.log, Stats: r.stats, Members: r.members, Choices: r.choices,
 		Sites: r.sites, SetSite: r.site,
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -16,16 +16,17 @@
 const (
 	takeOverInterval    = 10 * time.Millisecond // between two scans for transfers of the previous process
 	handOverInterval    = 5 * time.Millisecond  // between two checks in the leaving process
-	maxPendingTransfers = 4                     // files in the spool that the successor has not read yet
+	maxPendingTransfers = 4                     // files in the spool at which the leaving process waits
 )
 
-// successor takes over what other processes of this relay leave. It waits for the disk, so it runs
-// on a goroutine that nothing waits for.
+// successor takes over what other processes of this relay leave. It waits for the disk: while a
+// process is still leaving, it runs on a goroutine of its own.
 type successor struct {
 	*relay
 	ctx        context.Context
 	unreadable map[string]bool // files of the spool that can't be read; they stay for an operator
-	// By process: its last file. It stays in the spool without its messages, for a successor that is restarted.
+	// By sender: its latest file that was adopted. It stays in the spool without its messages, for a
+	// successor that is restarted.
 	latestTransfer map[string]string
 }
 
@@ -39,7 +40,7 @@
 	}, s.log, step)
 }
 
-// takeOver adopts what is there now, and reports whether a process is still leaving.
+// takeOver adopts what other processes have left so far, and reports whether one is still leaving.
 func (s *successor) takeOver() (leaving bool) {
 	s.host.BeginTransferScan()
 	var running []string
@@ -78,7 +79,8 @@
 	return leaving
 }
 
-// takeOverUntilLast repeats takeOver until no other process is leaving.
+// takeOverUntilLast opens gossip and repeats takeOver until no other process is leaving. Until then
+// this process uses half of its idle connections to endpoints.
 func (s *successor) takeOverUntilLast() {
 	_, idle := descriptorLimits(s.config)
 	s.host.SetMaxIdleConns(idle / 2)
@@ -124,7 +126,8 @@
 	}
 }
 
-// adoptTransfers adopts the files of the spool.
+// adoptTransfers adopts the files of the spool. Unless a process is still leaving, all senders have
+// ended, and only the numbering counts of their updates.
 func (s *successor) adoptTransfers(leaving bool) {
 	for _, name := range s.stateDir.Transfers() {
 		sender := processdir.TransferSender(name)
@@ -177,7 +180,7 @@
 	}
 }
 
-// removeTransfer removes a file of the spool.
+// removeTransfer removes a file of the spool. One that can't be removed is not read again.
 func (s *successor) removeTransfer(name string) {
 	if err := s.stateDir.RemoveTransfer(name); err != nil {
 		s.unreadable[name] = true
@@ -188,8 +191,8 @@
 // freeBytes returns the free part of the disk limit, over all processes.
 func (r *relay) freeBytes() int64 { return r.config.DiskBytes - r.stateDir.UsedBytes(nil) }
 
-// handOver hands the relay over to a standby process, and reports whether there was one that could
-// take it.
+// handOver hands the relay over to a standby process and waits until this one may exit. It returns
+// false if no process stands by or the handover can't begin.
 func (r *relay) handOver() bool {
 	running, abandoned, err := r.stateDir.Others(r.dir)
 	for _, dir := range abandoned {
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -182,7 +182,7 @@
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Minute)) // limits a hang
+	c.SetDeadline(time.Now().Add(time.Minute)) // bounds the wait if the test fails
 	fmt.Fprint(c, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
 	var status int
 	fmt.Fscanf(c, "HTTP/1.1 %d", &status)
@@ -228,7 +228,7 @@
 				t.Errorf("old process: %v\n%s", e, r.LogTail())
 			}
 			err = next.Start()
-		case 4: // the old one without notice
+		case 4: // the old one, which has received no signal before
 			r.Kill()
 			err = next.AwaitLog("msg=ready")
 		}
@@ -254,7 +254,7 @@
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Minute)) // limits a hang
+	c.SetDeadline(time.Now().Add(time.Minute)) // bounds the wait if the test fails
 	fmt.Fprintf(c, "POST /fee-charge?subject=%s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 19000\r\nEnvelope: dest=1\r\n"+
 		"Content-Length: 13\r\nConnection: close\r\n\r\nfee-charge/%s", key, id, id)
 	fmt.Fscanf(c, "HTTP/1.1 %d", &status)
@@ -269,8 +269,8 @@
 	classes[2].Ordered = true
 	var mu sync.Mutex
 	var calls []string
-	callStarted, hold := make(chan struct{}, 1), make(chan struct{})
-	release := sync.OnceFunc(func() { close(hold) })
+	callStarted, releaseFirstCall := make(chan struct{}, 1), make(chan struct{})
+	release := sync.OnceFunc(func() { close(releaseFirstCall) })
 	set := testdouble.Config{Classes: classes, Partners: []testdouble.PartnerConfig{{Dest: 1, OnCall: func(c testdouble.Call) {
 		if c.Completed {
 			return
@@ -283,7 +283,7 @@
 		default:
 		}
 		if c.IDs[0] == "id-a" {
-			<-hold
+			<-releaseFirstCall
 		}
 	}}}}
 	w, old := startWorld(t, set)
@@ -298,7 +298,7 @@
 		for !called(id) {
 			select {
 			case <-callStarted:
-			case <-time.After(time.Minute): // limits a hang
+			case <-time.After(time.Minute): // bounds the wait if the test fails
 				t.Fatalf("no call of %s\n%s", id, log())
 			}
 		}
@@ -612,13 +612,15 @@
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, next.LogTail())
 	}
-	if duplicates := w.EffectLog.Duplicates("fee-charge"); len(duplicates) > 0 || len(accepted) < 10 || w.EffectLog.Len() < len(accepted)/2 {
+	if duplicates := w.EffectLog.Duplicates("fee-charge"); len(duplicates) > 0 || len(accepted) < 10 ||
+		w.EffectLog.Len() < len(accepted)/2 {
 		t.Errorf("%d accepted, %d executed, duplicates %v\n%s", len(accepted), w.EffectLog.Len(), duplicates, next.LogTail())
 	}
 	if n := size(); n > budget {
 		t.Errorf("at the end the folder contains %d bytes", n)
 	}
-	t.Logf("%d pending during the upgrade, %d executed, folder %d bytes after it", len(accepted), w.EffectLog.Len(), size())
+	t.Logf("%d pending during the upgrade, %d executed, folder %d bytes after it",
+		len(accepted), w.EffectLog.Len(), size())
 }
 
 // A drain survives a reload, and a planned stop during a drain exits with 0. A second drain request
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -131,7 +131,8 @@
 			late++
 		}
 	}
-	t.Logf("accepted %d: attempted %d, given up without a call early %d, late %d, charges cut off %d; replied after delivery %d",
+	t.Logf(
+		"accepted %d: attempted %d, given up without a call early %d, late %d, charges cut off %d; replied after delivery %d",
 		accepted, attempted, early, late, cutOff, repliedLate)
 	if accepted < messages*9/10 || attempted+late+cutOff != accepted || cutOff > 2*concurrency ||
 		attempted < accepted/2 || repliedLate > accepted/2 {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -14,8 +14,8 @@
 
 // This file reads the configuration sources, at the start and at each SIGHUP, and applies them.
 
-// memoryTargetShare is the share of the memory limit that the garbage collector keeps the heap
-// below.
+// memoryTargetShare is the share of the process's memory limit that is set as the soft memory limit
+// of the Go runtime.
 const memoryTargetShare = 0.6
 
 // ConfigSources loads a relay's configuration, at the start and at each SIGHUP.
@@ -57,8 +57,8 @@
 	err    error
 }
 
-// reload starts reading the sources in the background, since reading a file may hang and must not
-// delay a stop. A request during a read is served by another read after it.
+// reload starts reading the platform's configuration in the background, since reading a file may
+// hang and must not delay a stop. If a read is in progress, another one follows it.
 func (r *relay) reload() {
 	r.log.Info("reloading")
 	if r.configRead != nil {
@@ -118,7 +118,8 @@
 // memoryTarget returns the soft memory limit of the Go runtime, in bytes.
 func memoryTarget(c *config.Config) int64 { return int64(float64(c.MemoryBytes) * memoryTargetShare) }
 
-// hostConfig returns the part of the host's configuration that a reload can change.
+// hostConfig returns the part of the host's configuration that comes from the platform's; a reload
+// can change it.
 func hostConfig(c *config.Config) wire.HostConfig {
 	_, idle := descriptorLimits(c)
 	return wire.HostConfig{Settings: c.Settings, Seed: c.Seed, ConnectTimeout: c.ConnectTimeout,
--- a/internal/daemon/retry.go
+++ b/internal/daemon/retry.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// retryStart retries a step of the start until the process is told to stop.
+// retryStart retries a step of the start for startRetryLimit, or until the process receives a stop
+// signal.
 func (r *relay) retryStart(what string, step func() error) error {
 	return retryTransient(what, startRetryLimit, func() bool { return len(r.terminate) > 0 }, r.log, step)
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -12,14 +12,14 @@
 
 // Phases of a planned stop, counted from SIGTERM. SIGKILL follows after 3.7 s at the earliest.
 const (
-	stopRiskyAttemptsAfter = 2500 * time.Millisecond // no attempt starts then that must not be repeated
-	stopAttemptsAfter      = 3100 * time.Millisecond // no attempt starts then at all
-	stopReadsAfter         = 3200 * time.Millisecond // no client request is read then
+	stopRiskyAttemptsAfter = 2500 * time.Millisecond // no more attempts that must not be repeated
+	stopAttemptsAfter      = 3100 * time.Millisecond // no more attempts at all
+	stopReadsAfter         = 3200 * time.Millisecond // no more client requests are read
 	exitAfter              = 3450 * time.Millisecond // calls still in flight may have been executed
 	stopCheckInterval      = 20 * time.Millisecond
 )
 
-// announceDrain tells the fleet when this relay is drained and empty, and when it is back.
+// announceDrain announces to the fleet when this relay is drained and empty, and when it is back.
 func (r *relay) announceDrain() {
 	drained := r.server.Load().Drained()
 	if drained == r.announcedDrain {
@@ -33,19 +33,19 @@
 }
 
 // saveDrain records in the state folder whether operators have drained the relay, so that a drain
-// survives a crash. It may wait for the disk, so nothing waits for it. It records the state at the
-// time of the write, whichever request came last.
+// survives a crash. It may wait for the disk, so it runs on a goroutine of its own. It records the
+// state at the time of the write, so concurrent calls may run in any order.
 func (r *relay) saveDrain() {
-	r.drainMark.Lock()
-	defer r.drainMark.Unlock()
+	r.drainRecordMu.Lock()
+	defer r.drainRecordMu.Unlock()
 	server := r.server.Load()
 	if err := r.stateDir.SetDrained(server.Drained() && !r.stopping.Load()); err != nil {
 		r.log.Warn("drain state can't be saved; a crash would undo the last change", "err", err)
 	}
 }
 
-// stopPlanned serves for a short time, closes the listener, waits for calls in flight, and leaves
-// the other messages in the journal.
+// stopPlanned serves for drain.StopAcceptGrace, closes the listener, and waits for pending messages
+// and client connections, at most until exitAfter. What is still pending stays in the journal.
 func stopPlanned(host *wire.Host, server *wire.Server, log *slog.Logger) {
 	began := time.Now()
 	log.Info("stopping")
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Phases of a drain, counted from its start.
+// Times of a drain. The grace times count from its start.
 const (
 	StopAcceptGrace     = 450 * time.Millisecond // planned stop: new connections are still accepted
 	IdleGrace           = time.Second            // drain and handover: idle connections stay open
@@ -85,7 +85,7 @@
 	return v
 }
 
-// NextChange returns the time until the view changes without an event; 0: it does not.
+// NextChange returns the time from now until the view changes without an event; 0 if it does not.
 func (m *Machine) NextChange(now time.Duration) (next time.Duration) {
 	for _, change := range []struct {
 		on bool
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -64,19 +64,20 @@
 }
 
 // JournalBudget returns the bytes of disk that a process's journal may use while another process
-// has a directory as well: what it uses already, and half of the free space.
+// has a directory as well: own, which it uses already, and half of what own and others, which all
+// other files use, leave of total.
 func JournalBudget(total, own, others int64) int64 { return own + max(0, total-own-others)/2 }
 
-// MaxTransferBytes returns how many bytes of messages may be transferred at once when that much of
-// the disk is free. A transferred message is in two journals and the spool for a moment, in
-// addition to the copy that compaction makes.
+// MaxTransferBytes returns how many bytes of messages may be transferred at once: an eighth of
+// free, the free bytes of the disk limit, and at most maxTransferBytes. A transferred message is in
+// two journals and the spool for a moment, in addition to the copy that compaction makes.
 func MaxTransferBytes(free int64) int64 { return min(max(0, free)/8, maxTransferBytes) }
 
 const maxTransferBytes = 64 << 10
 
 // Times of the leaving process, counted from SIGTERM.
 const (
-	StopListeningAfter = 450 * time.Millisecond  // the listener closes then even without a successor that serves
+	StopListeningAfter = 450 * time.Millisecond  // when the listener closes even if no successor serves
 	ExitAfter          = 3450 * time.Millisecond // SIGKILL follows 3.7 s after SIGTERM
 )
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -44,8 +44,8 @@
 		budget[0], budget[1] = JournalBudget(total, used[0], 0), JournalBudget(total, 0, used[0])
 		for range rapid.IntRange(1, 20).Draw(t, "turns") {
 			i := rapid.IntRange(0, 1).Draw(t, "who")
-			if room := budget[i] - used[i]; room > 0 && rapid.Bool().Draw(t, "writes") {
-				used[i] += rapid.Int64Range(0, room/2).Draw(t, "bytes")
+			if free := budget[i] - used[i]; free > 0 && rapid.Bool().Draw(t, "writes") {
+				used[i] += rapid.Int64Range(0, free/2).Draw(t, "bytes")
 			}
 			budget[i] = JournalBudget(total, used[i], used[1-i])
 			if used[0]+used[1] > total {
--- a/internal/handover/processdir/claim.go
+++ b/internal/handover/processdir/claim.go
@@ -16,7 +16,7 @@
 	return d.SetStatus(claimPrefix + successor.Name)
 }
 
-// Successor returns the name of the directory whose process was taking d over when it ended; false
+// Successor returns the directory name of the process that was taking d over when it ended; false
 // if there was none.
 func (d *Dir) Successor() (name string, claimed bool) { return d.successor, d.claimed }
 
@@ -28,9 +28,8 @@
 }
 
 // readableDirs releases the directories that can't be read yet and returns the others, each before
-// the directory of its successor. A directory that its successor had adopted in part can't be read
-// until the lock of the successor's own directory is free, since that one tells what became of its
-// messages.
+// the directory of its successor. A directory can't be read while the process that was taking it
+// over still serves: that process's journal shows what became of the messages.
 func (s *StateDir) readableDirs(abandoned []*Dir, running []string) []*Dir {
 	abandoned = slices.DeleteFunc(abandoned, func(dir *Dir) bool {
 		successorRuns := dir.claimed && slices.Contains(running, dir.successor) &&
--- a/internal/handover/processdir/processdir.go
+++ b/internal/handover/processdir/processdir.go
@@ -52,7 +52,7 @@
 type Dir struct {
 	Path, Name string
 	lockFile   *os.File
-	successor  string // name of the directory whose process was taking this one over
+	successor  string // directory name of the process that was taking this one over
 	claimed    bool   // a successor is recorded
 }
 
@@ -105,9 +105,10 @@
 	return os.Rename(tmp, s.path(name))
 }
 
-// tryFlock locks a file and reports whether it could. Where the system has no such locks it
-// succeeds: no other process can hold one, so the relay serves alone.
-func tryFlock(file *os.File, how int) (bool, error) {
+// flock locks a file and reports whether it did; false if how contains LOCK_NB and another process
+// holds the lock. Where the system has no such locks it succeeds: no other process can hold one, so
+// the relay serves alone.
+func flock(file *os.File, how int) (bool, error) {
 	for {
 		switch err := unix.Flock(int(file.Fd()), how); {
 		case err == nil, errors.Is(err, unix.ENOSYS), errors.Is(err, unix.ENOTSUP), errors.Is(err, unix.EPERM):
@@ -122,12 +123,12 @@
 
 // TryLeaderLock takes the leader lock if no process holds it.
 func (s *StateDir) TryLeaderLock() (bool, error) {
-	return tryFlock(s.leaderLock, unix.LOCK_EX|unix.LOCK_NB)
+	return flock(s.leaderLock, unix.LOCK_EX|unix.LOCK_NB)
 }
 
 // WaitLeaderLock blocks its thread until this process holds the leader lock.
 func (s *StateDir) WaitLeaderLock() error {
-	_, err := tryFlock(s.leaderLock, unix.LOCK_EX)
+	_, err := flock(s.leaderLock, unix.LOCK_EX)
 	return err
 }
 
@@ -180,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	locked, err := tryFlock(file, unix.LOCK_EX|unix.LOCK_NB)
+	locked, err := flock(file, unix.LOCK_EX|unix.LOCK_NB)
 	if locked {
 		// Its last user may just have removed the directory and its lock file.
 		current, currentErr := os.Stat(path)
@@ -250,7 +251,8 @@
 
 // Others lists the other process directories: the names of those that a running process holds, and
 // the abandoned ones, which it locks, each before the directory of its successor. The state folder
-// itself counts only if it contains a journal.
+// itself counts only if it contains a journal. With an error it returns what it found until then;
+// the caller has to release those directories too.
 func (s *StateDir) Others(own *Dir) (running []string, abandoned []*Dir, err error) {
 	for _, name := range s.dirNames() {
 		if name == own.Name || name == "" && len(s.journalFiles("")) == 0 {
@@ -305,8 +307,8 @@
 	return dir.lockFile.Close()
 }
 
-// Release unlocks the directory. An empty one, of a process that never held the leader lock, is
-// removed.
+// Release unlocks the directory. empty says that its process never held the leader lock, so that it
+// has nothing to be adopted and is removed.
 func (s *StateDir) Release(dir *Dir, empty bool) {
 	if empty && dir.Name != "" {
 		s.Remove(dir)
@@ -315,8 +317,8 @@
 	dir.lockFile.Close()
 }
 
-// UsedBytes returns the disk space that all files outside the own directory take; that of all files
-// if own is nil.
+// UsedBytes returns the bytes of disk that all files outside the directory own take; those of all
+// files if own is nil.
 func (s *StateDir) UsedBytes(own *Dir) (bytes int64) {
 	for _, name := range append(s.dirNames(), spoolName) {
 		if own != nil && name == own.Name {
--- a/internal/handover/sequence/sequence.go
+++ b/internal/handover/sequence/sequence.go
@@ -107,7 +107,7 @@
 	s.changedKeys[m.OrderingKey] = struct{}{}
 }
 
-// PendingElsewhere reports whether the message with that id is pending at a predecessor.
+// PendingElsewhere reports whether the message with the id is pending at a predecessor.
 func (s *Sequencer) PendingElsewhere(id string) bool {
 	for _, pending := range s.pending {
 		if _, there := pending[id]; there {
@@ -127,8 +127,9 @@
 	}
 }
 
-// Hold holds m back, at most until its deadline, and reports whether it does. A message that was
-// transferred counts as scanned: what its predecessor accepted before it is known.
+// Hold holds m back, at most until deadline, and reports whether it does. It does not before the
+// first scan, after Finish, or if m has no ordering key. scanned says that m was transferred, so
+// that all that its predecessor accepted before it is known.
 func (s *Sequencer) Hold(m Message, deadline time.Duration, scanned bool) bool {
 	if !s.active || m.OrderingKey == "" {
 		return false
@@ -148,8 +149,8 @@
 	return true
 }
 
-// Ready releases the messages that need no longer be held back and returns their numbers, those of
-// one ordering key in the order of submission.
+// Ready releases the messages that no longer need to be held back and returns their numbers, those
+// of one ordering key in the order of submission.
 func (s *Sequencer) Ready() (numbers []uint32) {
 	for _, key := range slices.Sorted(maps.Keys(s.changedKeys)) {
 		queue, first := s.held[key], s.firstPending(key)
--- a/internal/handover/sequence/sequence_test.go
+++ b/internal/handover/sequence/sequence_test.go
@@ -68,8 +68,8 @@
 	s.SetPending("old", []Message{{"a", "s", 1}})
 	s.Hold(Message{"b", "s", 2}, time.Second, true)
 	s.Hold(Message{"c", "s", 3}, time.Minute, true)
-	if at, some := s.NextDeadline(); !some || at != time.Second {
-		t.Errorf("next at %v, %v", at, some)
+	if at, ok := s.NextDeadline(); !ok || at != time.Second {
+		t.Errorf("next at %v, %v", at, ok)
 	}
 	if got := s.Expired(time.Second - 1); len(got) > 0 {
 		t.Errorf("%v expired before their deadline", got)
@@ -80,7 +80,7 @@
 	if got := s.Finish(); !slices.Equal(got, []uint32{3}) {
 		t.Errorf("%v released at the end", got)
 	}
-	if _, some := s.NextDeadline(); some || s.Hold(Message{"d", "s", 4}, farDeadline, false) {
+	if _, ok := s.NextDeadline(); ok || s.Hold(Message{"d", "s", 4}, farDeadline, false) {
 		t.Error("held after Finish")
 	}
 }
--- a/internal/jitter/jitter.go
+++ b/internal/jitter/jitter.go
@@ -1,5 +1,5 @@
 // Package jitter keeps many relays from acting at the same time: each draws its own delays from its
-// own seed. It does no I/O and reads no clock, and never shortens a Retry-After time.
+// own seed. It does no I/O and reads no clock.
 package jitter
 
 import (
@@ -34,7 +34,8 @@
 // Reset returns to minDelay after a success.
 func (b *Backoff) Reset() { b.nextDelay = b.minDelay }
 
-// Within draws a delay below span, the same for the same seed.
+// Within draws a delay from 0 to below span, the same for the same seed. It is 0 if span is not
+// positive.
 func Within(span time.Duration, seed int64) time.Duration {
 	if span <= 0 {
 		return 0
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -36,9 +36,10 @@
 	return time.Duration(min(grown, float64(l.Max)))
 }
 
-// RecordCall records a call on a connection that had been idle for some time; 0 if it was new or
-// busy. It reports whether a loss is explained by the idle time. If most calls on idle connections
-// are lost, and others are not, the limit is cut to half of idle.
+// RecordCall records a call on a connection. idle is how long the connection had been idle before
+// the call; 0 if it was new or busy. It reports whether the idle time explains the loss of the
+// call. If most calls on idle connections are lost, and the loss rate is more than twice that on
+// others, the limit is cut to half of idle, unless it is lower already.
 func (l *IdleLimiter) RecordCall(now, idle time.Duration, lost bool) (explained bool) {
 	loss := 0.0
 	if lost {
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -21,8 +21,8 @@
 	index, slots int64
 }
 
-// New returns the schedule of the relay with an index, counted from 0, among a number of relays. It
-// has no slots for an index out of range or a single relay: see Schedule.HasSlots.
+// New returns the schedule of the relay with an index from 0 to relays-1. It has no slots if the
+// index is out of range or relays is less than 2: see Schedule.HasSlots.
 func New(index, relays int) Schedule {
 	if index < 0 || index >= relays || relays < 2 {
 		return Schedule{}
@@ -55,10 +55,10 @@
 	return width
 }
 
-// NextSlot returns the start of the relay's first slot of that width at or after the given time,
-// which counts from an origin that all relays share. shift moves the slots of all relays: with a
-// different shift per rate limit, a relay's slots at several limits don't coincide. Without slots,
-// after is returned.
+// NextSlot returns the start of the relay's first slot of a width, from SlotWidth, at or after a
+// time, which counts from an origin that all relays share. shift moves the slots of all relays:
+// with a different shift per rate limit, a relay's slots at several limits don't coincide. Without
+// slots, or with a width under a millisecond, it returns after.
 func (s Schedule) NextSlot(after time.Duration, width time.Duration, shift uint64) time.Duration {
 	if !s.HasSlots() || width < baseSlotWidth {
 		return after
--- a/internal/sites/evaluate.go
+++ b/internal/sites/evaluate.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// probeDelay returns the random time until this relay's next probe of a lost site. All relays
-// together probe at one rate, independent of their number.
+// probeDelay returns the random time until this relay's next probe of a lost site. All live relays
+// together probe once per fleetProbeInterval on average.
 func (w *Watch) probeDelay() time.Duration {
 	mean := float64(fleetProbeInterval) * float64(w.liveRelays)
 	return time.Duration(mean * (0.5 + w.rng.Float64()))
@@ -48,7 +48,7 @@
 	return all
 }
 
-// isFailing reports whether no calls to a site's endpoints succeed, and why.
+// isFailing reports whether no calls to a site's endpoints have succeeded for long enough, and why.
 func (s *site) isFailing(now Time) (bool, string) {
 	othersFail := s.othersFailedAt >= 0 && now-s.othersFailedAt < fleetStatsLifetime || s.lossReporters >= minReporters
 	if s.failureRun == 0 || s.acceptedAt >= s.failureRunAt || s.failureRun < lossFailures && !othersFail {
@@ -144,8 +144,8 @@
 	w.updateSpillRate(elapsed, s, recent)
 }
 
-// reportedFraction returns the median load fraction that other relays give a site to which it
-// answers, 0 if fewer than minReporters report one.
+// reportedFraction returns the lower median of the load fractions that other relays report for a
+// site; 0 if fewer than minReporters report one.
 func (s *site) reportedFraction() float64 {
 	if len(s.reportedFractions) < minReporters {
 		return 0
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -47,7 +47,7 @@
 const (
 	DefaultSpillFraction = 0.8
 	DefaultRamp          = 30 * time.Second
-	epsilon              = 1e-9
+	epsilon              = 1e-9 // messages per second; lower rates count as 0
 )
 
 // ClassShare is what is served and refused of a class, in messages per second.
@@ -162,10 +162,10 @@
 	return f, nil
 }
 
-// routing is where all load goes.
+// routing is where all load goes. Flows to "" are refused.
 type routing struct {
 	flows []Flow
-	load  map[string]float64
+	load  map[string]float64 // messages per second, by zone of the endpoints
 }
 
 // classesByPriority returns the plan's classes, the one that is refused last first. Classes that
@@ -186,11 +186,11 @@
 	return all
 }
 
-// routeLoad assigns the demand of each zone's clients to endpoints while one zone is lost, none if
-// empty. Classes that are refused last are placed first, so that nothing of them is refused while
-// one that is refused before them is served. A zone's own endpoints come first, then the tiers.
-// Spilled load takes its fraction of the headroom that zones have beyond the demand of their own
-// clients, in proportion to that headroom.
+// routeLoad assigns the demand of each zone's clients to endpoints while the zone lost is lost; no
+// zone is if it is "". Classes that are refused last are placed first, so that nothing of them is
+// refused while one that is refused before them is served. A zone's own endpoints come first, then
+// the tiers. Spilled load takes its fraction of the headroom that zones have beyond the demand of
+// their own clients, in proportion to that headroom.
 func (p *Plan) routeLoad(lost string) routing {
 	r := routing{load: map[string]float64{}}
 	order := p.classesByPriority()
@@ -259,7 +259,7 @@
 
 const (
 	maxTiers    = 8
-	spillRounds = 200
+	spillRounds = 200 // bounds the iterations per class and tier
 )
 
 // spillClass sends the unserved load of a class from each zone to the zones of one of its tiers.
--- a/internal/sites/ramp.go
+++ b/internal/sites/ramp.go
@@ -8,8 +8,8 @@
 
 // Return of load to a site, and limits of the load that other sites take meanwhile.
 
-// headroom returns the capacity of all endpoints in a zone beyond the demand of its own clients, as
-// the plan has it; 0 if it has no figures.
+// headroom returns the planned capacity of all endpoints in a zone beyond the demand of its own
+// clients, in messages per second; 0 if the plan has no rates for it.
 func (p *Plan) headroom(zone string) (sum float64) {
 	for _, d := range p.Destinations {
 		demand := 0.0
@@ -34,7 +34,8 @@
 	return fraction
 }
 
-// ownDemand returns the demand of a zone's clients on its own endpoints, up to their capacity.
+// ownDemand returns the demand of a zone's clients on its own endpoints, up to their capacity, in
+// messages per second.
 func (p *Plan) ownDemand(zone string) (sum float64) {
 	for _, d := range p.Destinations {
 		demand := 0.0
@@ -76,9 +77,10 @@
 	}
 }
 
-// updateSpillRate updates how much may go from here to a site that serves while another is lost: at
-// most its own clients' demand and a share of the plan's headroom. Rejections cut the rate, after
-// which it grows slowly. Without figures in the plan there is no limit until calls are rejected.
+// updateSpillRate updates the rate of calls from this relay to a site that serves while another is
+// lost: at most its own clients' demand and a share of the planned headroom. Rejections cut the
+// rate, after which it grows slowly. If the plan has no rates, there is no limit until calls are
+// rejected.
 func (w *Watch) updateSpillRate(elapsed time.Duration, s *site, recent counts) {
 	calls, window := recent.accepted+recent.rejected, (bucketCount * bucketWidth).Seconds()
 	if w.lostSites == 0 {
@@ -106,9 +108,11 @@
 	s.tokens = min(1+s.maxRate*burstTime.Seconds(), s.tokens+s.maxRate*elapsed.Seconds())
 }
 
-// allowedRate returns this relay's share of what may go to a site; 0 if the plan has no figures.
-// Relays of a lost site that are still alive get the part of the others' headroom that is their
-// part of the site's relays: its other clients use relays of other sites, which get the rest.
+// allowedRate returns the calls per second that this relay may send to a site; 0 if the plan has no
+// rates. The headroom for other sites' load is divided equally among the relays of lost and
+// returning sites, dead ones included. The parts of the dead ones go in equal shares to the relays
+// of the other sites, since those serve the clients of the dead ones. A relay's own site also gets
+// the demand of its own clients.
 func (w *Watch) allowedRate(s *site) float64 {
 	if s.ownDemand+s.spareCapacity == 0 {
 		return 0
--- a/internal/sites/site_plan.go
+++ b/internal/sites/site_plan.go
@@ -43,8 +43,8 @@
 	return false
 }
 
-// CallSent records a call. A returning site gets its share of each destination's calls, by its
-// share of the endpoints, so that the ramps of all relays follow their demand.
+// CallSent records a call to a zone's endpoint of a destination. Each call to a destination earns
+// its returning sites a part of a call, by their share of its endpoints and their load fraction.
 func (w *Watch) CallSent(dest int, zone string) {
 	if w.lostSites == 0 {
 		return
@@ -71,8 +71,8 @@
 }
 
 // EndpointCost returns the cost of an endpoint of a zone relative to others, in units of its
-// concurrency limit. It is 0 unless a site is lost: only then are rates to zones limited, without
-// which preferring one would overload its endpoints while others idle.
+// concurrency limit. It is 0 unless a site is lost: rates to zones are limited only then, and
+// without limits a preferred zone's endpoints would be overloaded while others are idle.
 func (w *Watch) EndpointCost(zone string) float64 {
 	s := w.byZone[zone]
 	switch {
@@ -86,8 +86,8 @@
 	return tierCost * float64(max(0, s.tier))
 }
 
-// ShedPriority returns how early a class is shed while a site is lost; larger is earlier, 0: by
-// value alone.
+// ShedPriority returns how early a class is shed while a site is lost; larger is earlier. It is 0
+// for all classes, which are then shed by value alone, if no site is lost or the plan has no order.
 func (w *Watch) ShedPriority(class string) float64 {
 	if w.lostSites == 0 || len(w.plan.RefuseFirst) == 0 {
 		return 0
@@ -98,9 +98,9 @@
 	return float64(len(w.plan.RefuseFirst))
 }
 
-// MaxAttempts returns the limit of attempts per message: half of most while a site is lost, but at
-// least two. Destinations with endpoints at lost sites only keep all attempts, since they take no
-// capacity from other sites.
+// MaxAttempts returns the limit of attempts per message: half of limit, rounded up, while a site is
+// lost, but at least two unless limit is lower. Destinations with endpoints at lost sites only keep
+// all attempts, since they take no capacity from other sites.
 func (w *Watch) MaxAttempts(dest, limit int) int {
 	if w.lostSites == 0 || !w.hasEndpointsElsewhere(dest, "") {
 		return limit
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -32,12 +32,12 @@
 	lossDelay            = 500 * time.Millisecond
 	lossDelayRelaysAlive = 2 * time.Second // the same while its relays are alive, which speaks against a loss
 	fleetStatsLifetime   = 2 * time.Second // how long fleet statistics stay valid
-	degradedFailures     = 4
-	degradedDelay        = time.Second
+	degradedFailures     = 4               // recent failures that make a site degraded, if not fewer than accepted calls
+	degradedDelay        = time.Second     // of evidence, until a healthy site is degraded
 	clearDelay           = 3 * time.Second // without evidence, until a degraded site is healthy again
 
-	initialFraction    = 0.1 // of a returning site's load
-	minFraction        = 0.02
+	initialFraction    = 0.1                    // of a returning site's load
+	minFraction        = 0.02                   // lower bound of the load fraction of a returning site
 	unsafeCallFraction = 0.5                    // minimum for calls that must not be repeated
 	fleetProbeInterval = 500 * time.Millisecond // mean time between probes of a lost site by the whole fleet
 	initialHoldDown    = time.Second            // until a failed return is probed again; doubles
@@ -45,17 +45,17 @@
 	maxRampSlowdown    = 2 // factor on the plan's ramp for a site that failed while returning
 	stableRamps        = 2 // ramps in which a site stays healthy until failed returns are forgotten
 
-	spillCutRejected     = 0.1  // rejected fraction of a site's calls above which the rate is cut
-	spillCutFactor       = 0.9  // of the accepted rate, after a cut
-	spillGrowth          = 1.05 // factor per second, while few calls are rejected
-	spillGrowRejected    = 0.03
-	spillMinCalls        = 5
-	imbalanceFactor      = 1.15             // factor on an equal share of headroom, since demands differ
-	minReporters         = 2                // reports needed to believe them; a single one may be wrong or malicious
-	startupPeriod        = 10 * time.Second // in which a relay that has just started believes others' reports of a loss
-	recoveryReportPeriod = 15 * time.Second // for how long a relay reports that a site has recovered
-	minSpillRate         = 0.2              // calls per second, enough to keep observing a site
-	baselineTime         = 20 * time.Second
+	spillCutRejected     = 0.1                    // rejected fraction of a site's calls above which the rate is cut
+	spillCutFactor       = 0.9                    // of the accepted rate, after a cut
+	spillGrowth          = 1.05                   // factor per second, while few calls are rejected
+	spillGrowRejected    = 0.03                   // rejected fraction below which the rate grows
+	spillMinCalls        = 5                      // fewer recent calls never cut the rate
+	imbalanceFactor      = 1.15                   // factor on an equal share of headroom, since demands differ
+	minReporters         = 2                      // relays that have to report the same; one may be wrong or malicious
+	startupPeriod        = 10 * time.Second       // after its start, in which a relay accepts others' reports of a loss
+	recoveryReportPeriod = 15 * time.Second       // for how long a relay reports that a site has recovered
+	minSpillRate         = 0.2                    // calls per second, enough to keep observing a site
+	baselineTime         = 20 * time.Second       // time constant of the moving average baselineRate
 	deathDetectionTime   = 8 * time.Second        // after a loss, until dead relays are known to be dead
 	burstTime            = 500 * time.Millisecond // of calls that may be sent at once; longer than a tick
 
@@ -115,7 +115,7 @@
 	Endpoints        int     `json:"endpoints"`
 }
 
-// counts holds the calls of one bucket by outcome.
+// counts is a number of calls by outcome. failed includes noResponse.
 type counts struct{ accepted, rejected, failed, noResponse int }
 
 func (c *counts) add(o counts) {
@@ -142,7 +142,7 @@
 	othersAcceptedAt  Time      // other relays' latest accepted call; negative: none
 	othersFailedAt    Time      // and their latest failures
 	lossReporters     int       // relays that currently report it as lost
-	reportedFractions []float64 // load fractions that relays report to which it answers
+	reportedFractions []float64 // load fractions reported by relays that it answers
 	degradedSince     Time      // start of the evidence that it is degraded; negative: none
 	clearSince        Time
 	relays            int
@@ -157,7 +157,7 @@
 	callCredit                   float64
 	probeTokens                  float64
 	nextProbeAt                  Time
-	ownDemand, spareCapacity     float64 // calls per second from the plan; both 0: the plan has no figures
+	ownDemand, spareCapacity     float64 // calls per second from the plan; both 0: the plan has no rates
 	baselineRate                 float64 // calls per second from here that it accepted while no site was lost
 	maxRate                      float64 // calls per second from here while a site is lost; 0: no limit
 	tokens                       float64
@@ -280,8 +280,8 @@
 	}
 }
 
-// ApplyFleetStats takes the fleet's mean call statistics. Those of a destination with endpoints in
-// a single zone are evidence for that zone.
+// ApplyFleetStats applies the fleet's mean call statistics. Those of a destination with endpoints
+// in a single zone are evidence for that zone.
 func (w *Watch) ApplyFleetStats(now Time, stats []policy.RouteStats) {
 	for _, route := range stats {
 		if len(w.endpointsByZone[route.Destination]) != 1 {
@@ -324,12 +324,13 @@
 	return 0, false
 }
 
-// RecordCall records the outcome of a call to an endpoint, started at startedAt.
+// RecordCall records the outcome of a call, started at startedAt, to the endpoint at an address.
+// Calls to unknown endpoints are ignored.
 func (w *Watch) RecordCall(now, startedAt Time, address string, outcome CallOutcome) {
 	place, ok := w.endpoints[address]
 	s := w.byZone[place.zone]
 	if !ok || s == nil || outcome != Accepted && s.state == Returning && startedAt < s.since {
-		return // calls from before the return say nothing about it
+		return // failures of calls from before the return say nothing about it
 	}
 	w.recordOutcome(now, s, outcome)
 }
