--- a/cmd/oatfold/main_test.go
+++ b/cmd/oatfold/main_test.go
@@ -46,6 +46,7 @@
 	relayLog      io.Writer     // nil: the output of the test
 }
 
+// newTestEnv starts the discovery agent and the endpoint, which does not reply until release.
 func newTestEnv(t *testing.T) *testEnv {
 	e := &testEnv{
 		t: t, state: t.TempDir(), blocked: make(chan struct{}), calls: map[string]int{}, keys: map[string]string{},
@@ -143,6 +144,8 @@
 	}
 }
 
+// waitUntil waits until ok returns true, which it calls with the lock held. what names the
+// condition in the error.
 func (e *testEnv) waitUntil(what string, ok func() bool) {
 	e.t.Helper()
 	for range 20_000 { // bounds the wait if the test fails
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -20,6 +20,7 @@
 	return members
 }
 
+// mustPlan plans a map with all partitions settled.
 func mustPlan(t *testing.T, config MapConfig, previous *Map, members []Member) *Map {
 	t.Helper()
 	m, err := Plan(config, previous, members, nil)
--- a/internal/assignment/register_test.go
+++ b/internal/assignment/register_test.go
@@ -36,6 +36,7 @@
 	return c
 }
 
+// start starts node i with the state that it had on disk.
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	r, err := NewRegister(i, len(c.nodes), regionKey, int64(c.rng.Uint64()>>1), c.states[i])
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,7 +30,8 @@
 
 var errInvalidAnchor = errors.New("clock: invalid anchor")
 
-// Decode parses an anchor that Encode returned. It fails if the boot is unknown.
+// Decode parses an anchor that Encode returned. It fails if b is not JSON, the boot is unknown or
+// the monotonic time is negative.
 func Decode(b []byte) (Anchor, error) {
 	var a Anchor
 	if err := json.Unmarshal(b, &a); err != nil {
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -10,6 +10,7 @@
 	"github.com/tidwall/gjson"
 )
 
+// load loads the test file after change, with env in place of the usual environment variables.
 func load(t *testing.T, change func(string) string, env map[string]string) (*Config, error) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "config.json"))
--- a/internal/daemon/config/operator/operator_test.go
+++ b/internal/daemon/config/operator/operator_test.go
@@ -11,6 +11,7 @@
 	"oatfold/plugin/abi"
 )
 
+// writeOperatorFile writes an operator's file next to a file m.wasm and returns its path.
 func writeOperatorFile(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -56,6 +56,7 @@
 	results map[string]client.Result // by name of the message
 }
 
+// startLoad starts six clients of the relay at addr.
 func startLoad(t *testing.T, w *testdouble.Environment, addr string) *clientLoad {
 	l := &clientLoad{w: w, results: map[string]client.Result{}}
 	for first := range 6 {
@@ -176,6 +177,7 @@
 	}
 }
 
+// readyStatus returns the status of GET /ready, 0 if there is none.
 func readyStatus(addr string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,6 +9,8 @@
 
 const ms = time.Millisecond
 
+// machineAfter applies events in order; a time.Duration among them is a pause. It returns the
+// machine and the time at the end.
 func machineAfter(events ...any) (*Machine, time.Duration) {
 	m, now := &Machine{}, time.Duration(0)
 	for _, e := range events {
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -144,6 +144,7 @@
 	}
 }
 
+// loseSiteA lets the relays of a die and its calls fail until it is lost.
 func loseSiteA(w *Watch, now *Time) {
 	w.SetRelayCounts("a", 4, 0)
 	advance(w, now, 3*second, "a0", Failed)
@@ -261,7 +262,7 @@
 				now += 250 * time.Millisecond
 				if w.Tick(now); w.Allows(1, "a", false) {
 					if w.Allows(1, "a", true) || w.EndpointCost("a") != probeDueCost {
-						t.Fatal("the probe must not be repeated, or the endpoint is not preferred")
+						t.Fatal("a call that must not be repeated may be the probe, or the endpoint is not preferred")
 					}
 					w.CallSent(1, "a")
 					w.RecordCall(now, now, "a0", Failed)
