--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -20,9 +20,10 @@
 	return members
 }
 
-func mustPlan(t *testing.T, shape MapConfig, previous *Map, members []Member) *Map {
+// mustPlan plans a map with all partitions settled.
+func mustPlan(t *testing.T, config MapConfig, previous *Map, members []Member) *Map {
 	t.Helper()
-	m, err := Plan(shape, previous, members, nil)
+	m, err := Plan(config, previous, members, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
