--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// BenchmarkBarePost measures the same requests sent by net/http, which may resend one without
-// telling.
+// BenchmarkBarePost measures the same requests sent by net/http, which may resend a request
+// without reporting it.
 func BenchmarkBarePost(b *testing.B) {
 	url := "http://" + acceptingServer(b) + "/fee-charge"
 	n := 0
--- a/client/client.go
+++ b/client/client.go
@@ -37,9 +37,9 @@
 // The outcomes of a message.
 const (
 	Taken     = decide.Taken     // a relay accepted it and is responsible for it
-	Refused   = decide.Refused   // every allowed attempt was rejected
-	Failed    = decide.Failed    // not accepted, and a retry would not help
-	GivenUp   = decide.GivenUp   // the required wait is longer than the time left
+	Refused   = decide.Refused   // not accepted: rejected, and no retry is left
+	Failed    = decide.Failed    // not accepted for another reason: another status, no relay reached, cancelled
+	GivenUp   = decide.GivenUp   // not accepted: no time left for another attempt or the wait before it
 	Uncertain = decide.Uncertain // it may have been accepted, and must not be retried
 )
 
@@ -53,13 +53,13 @@
 
 // Message is one message to submit.
 type Message struct {
-	Class    string        // the first part of the path
+	Class    string        // sent as the path: visible ASCII without / ? # %, 256 bytes at most
 	Dest     int           // number of the destination
-	Key      string        // idempotency key of all attempts; generated if empty, except for Safe
+	Key      string        // idempotency key, 256 bytes at most; generated if empty, except for Safe
 	Effect   Effect        // of a second delivery
 	Window   time.Duration // Keyed: how long partners drop repeats; 0: DefaultWindow
 	Deadline time.Time     // latest time of delivery; zero: see TimeLeft
-	TimeLeft time.Duration // until the deadline, counted from Send; the deadline of ctx applies as well
+	TimeLeft time.Duration // until the deadline, from Send or HandIn, if Deadline is zero; ctx may end earlier
 	Body     []byte        // must not change before the result; 64 KiB at most
 }
 
@@ -67,7 +67,7 @@
 type Result struct {
 	Outcome  Outcome
 	HandIns  int             // attempts that sent at least one byte
-	Waits    []time.Duration // after rejections: Retry-After, or the library's own
+	Waits    []time.Duration // after each rejection: Retry-After, or the library's own
 	Key      string          // idempotency key of all attempts
 	ID       string          // correlation id of the last attempt
 	Relay    string          // address of the last attempt's relay
@@ -108,11 +108,11 @@
 // Config configures a client. Only Relays is required; zero values select the defaults.
 type Config struct {
 	Relays         []string      // host:port of each
-	AnswerTimeout  time.Duration // for a relay's answer, counted from the last byte of the request
+	AnswerTimeout  time.Duration // to write a request and read its answer
 	ConnectTimeout time.Duration // for a new connection
 	IdleAfter      time.Duration // idle connections are closed after this; relays close theirs after 6 s
-	MaxConns       int           // connections to one relay
-	MaxInFlight    int           // messages of HandIn without a result
+	MaxConns       int           // connections to one relay, at most
+	MaxInFlight    int           // messages of HandIn without a result, at most
 	Repeats        int           // retries after lost answers; negative: none
 	NoRefusals     bool          // no retry after a rejection; otherwise two are allowed
 	Strict         bool          // Keyed: retry after a lost answer only if the first attempt expires within the window
@@ -206,7 +206,8 @@
 	}
 }
 
-// validate reports what no relay would accept in m, and fills in its defaults.
+// validate fills in defaults of m and returns its deadline, which that of ctx bounds. It returns an
+// error that wraps ErrMessage if no relay would accept m.
 func (m *Message) validate(now time.Time, ctx context.Context) (deadline time.Time, err error) {
 	switch {
 	case m.Class == "" || !isVisibleASCII(m.Class, maxTextBytes) || strings.ContainsAny(m.Class, "/?#%"):
@@ -240,12 +241,12 @@
 	return deadline, nil
 }
 
-// randomHex returns up to 16 random bytes in hexadecimal.
-func randomHex(bytes int) string {
+// randomHex returns count random bytes, 16 at most, in hexadecimal.
+func randomHex(count int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], rand.Uint64())
 	binary.LittleEndian.PutUint64(b[8:], rand.Uint64())
-	return hex.EncodeToString(b[:bytes])
+	return hex.EncodeToString(b[:count])
 }
 
 // Send submits m until a relay accepts it or the rules allow no further attempt, and returns its
@@ -292,7 +293,7 @@
 	}
 }
 
-// TryHandIn is like HandIn but returns ErrFull instead of blocking.
+// TryHandIn is like HandIn, but returns ErrFull where HandIn would block.
 func (c *Client) TryHandIn(ctx context.Context, m Message, done func(Result, error)) error {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -326,7 +327,7 @@
 }
 
 // Flush waits until every message of HandIn has its result, or until ctx ends. HandIn blocks
-// meanwhile.
+// meanwhile, and TryHandIn returns ErrFull.
 func (c *Client) Flush(ctx context.Context) error {
 	c.flushMu.Lock() // two concurrent calls would deadlock, each with a part of inFlight
 	defer c.flushMu.Unlock()
@@ -342,8 +343,8 @@
 }
 
 // Close closes all connections. Waiting messages fail at once, attempts in flight still get their
-// answer. Close returns when all messages of HandIn have their result. Call Flush first to let
-// waiting messages complete.
+// answer. Close returns when all messages of HandIn have their result; its error is always nil.
+// Call Flush first to let waiting messages complete.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -373,7 +374,8 @@
 	lastErr   error     // cause of the last attempt's failure
 }
 
-// run makes attempts until the message has its outcome. The error is the cause of the last failure.
+// run makes attempts until the message has its outcome. The error is the cause of the last failure
+// or of the end; it is meaningless with Taken.
 func (s *submission) run(ctx context.Context) (decide.Verdict, error) {
 	for {
 		now := time.Now()
@@ -411,8 +413,8 @@
 	}
 }
 
-// expire ends a message whose deadline has passed: Failed if no relay could be reached, else
-// GivenUp.
+// expire ends a message whose deadline has passed: Failed if attempts were made and no byte was
+// sent, else GivenUp. Course.End turns either into Uncertain if it may have been accepted.
 func (s *submission) expire() (decide.Verdict, error) {
 	if s.lastErr == nil {
 		s.lastErr = errTimeUp
--- a/client/conn.go
+++ b/client/conn.go
@@ -28,7 +28,8 @@
 	minIdleForDelay = time.Second
 )
 
-// errConnEnded says that the connection ended instead of carrying an answer.
+// errConnEnded says that the connection ended, or carried too many interim answers, before the
+// final answer.
 var errConnEnded = errors.New("connection closed before an answer")
 
 // errConnCut says that the relay closed the connection, or sent data, before the last byte of a
@@ -39,7 +40,7 @@
 // byte sent belongs to an attempt that the caller counts. The goroutine that took it from the idle
 // connections owns it.
 type conn struct {
-	relay    int
+	relay    int // index
 	sock     net.Conn
 	limited  io.LimitedReader // reads sock, up to the maximum size of an answer
 	reader   *bufio.Reader    // reads limited
@@ -47,7 +48,7 @@
 	buf      []byte // of the request
 }
 
-// dial connects to a relay within timeout.
+// dial connects to addr within timeout. relay is the relay's index.
 func dial(ctx context.Context, relay int, addr string, timeout time.Duration) (*conn, error) {
 	sock, err := (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -66,9 +67,9 @@
 	reusable bool  // the connection can carry another request
 }
 
-// roundTrip writes a request and reads its answer within timeout. With delayLastByte it first
-// checks for lastByteDelay that the relay has not closed the connection: until the last byte is
-// sent, the message can't have been accepted.
+// roundTrip writes a request and reads its answer within timeout, or until ctx ends. With
+// delayLastByte it waits for lastByteDelay before the last byte and fails if the relay closes the
+// connection meanwhile: until the last byte is sent, the message can't have been accepted.
 func (c *conn) roundTrip(ctx context.Context, request []byte, timeout time.Duration, delayLastByte bool) (rep reply) {
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, func() { c.sock.SetDeadline(time.Unix(1, 0)) })
@@ -183,8 +184,8 @@
 	return ready, ready && rep.reusable
 }
 
-// appendRequest appends the request of one attempt. The caller has checked that no field contains a
-// line end.
+// appendRequest appends the request of one attempt with this correlation id and X-Repeat mark. The
+// caller has checked that no field contains a line end.
 func appendRequest(b []byte, host, id, mark string, m *Message, timeLeft time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), '\r', '\n')
--- a/client/decide/course_test.go
+++ b/client/decide/course_test.go
@@ -18,10 +18,10 @@
 	const retry = Outcome(0)
 	rules := Rules{Refusals: 2, Repeats: 2}
 	for _, c := range []struct {
-		what               string
-		end                End
-		safe, keyed, never Outcome
-		mark               string
+		what                string
+		end                 End
+		safe, keyed, unsafe Outcome
+		mark                string
 	}{
 		{"no byte sent", End{}, retry, retry, retry, MarkNone},
 		{"sent in part", End{Stage: WrittenPart}, retry, retry, retry, MarkLost},
@@ -33,7 +33,7 @@
 		{"400", End{Stage: Answered, Status: 400}, Failed, Failed, Failed, MarkNone},
 		{"500", End{Stage: Answered, Status: 500}, Failed, Failed, Failed, MarkNone},
 	} {
-		for effect, want := range map[Effect]Outcome{Safe: c.safe, Keyed: c.keyed, Unsafe: c.never} {
+		for effect, want := range map[Effect]Outcome{Safe: c.safe, Keyed: c.keyed, Unsafe: c.unsafe} {
 			m := NewCourse(rules, effect, 5*time.Second, epoch.Add(4*time.Second))
 			m.Begin(epoch)
 			v := m.Ended(epoch.Add(time.Millisecond), 0, c.end.Waiting(0, 0.5), 0.5)
--- a/client/decide/fleet.go
+++ b/client/decide/fleet.go
@@ -8,7 +8,7 @@
 	connectWaitDivisor = 4                     // a message waits at most its time left divided by this to connect
 	minReconnectDelay  = 50 * time.Millisecond // between two attempts to connect to a relay that is down
 	lossesUntilDown    = 2                     // consecutive lost answers after which a relay counts as down
-	maxRelayWait       = 10 * time.Minute      // Retry-After of one message that other messages honour
+	maxRelayWait       = 10 * time.Minute      // longest Retry-After that applies to other messages
 	maxBlockedDests    = 1024                  // destinations whose Retry-After is remembered
 	minConnectRate     = 1.0                   // new connections per second, however many fail
 )
@@ -72,8 +72,8 @@
 }
 
 // Choose picks the relay of the next attempt of a message to dest that has timeLeft: the one with
-// the fewest attempts in flight and lost answers, preferring other relays to avoid and idle
-// connections to new ones. maxConns bounds the connections to one relay.
+// the fewest attempts in flight and lost answers. It prefers relays other than avoid, an index or
+// -1, and idle connections to new ones. maxConns bounds the connections to one relay.
 func (f *Fleet) Choose(now time.Time, dest, avoid, maxConns int, timeLeft time.Duration) Choice {
 	none := Choice{Relay: -1}
 	waitFor := func(at time.Time, why Why) {
@@ -155,8 +155,8 @@
 	return now.Add(time.Duration((1-f.tokens)/f.connectRate*float64(time.Second)) + time.Microsecond)
 }
 
-// takeToken takes one token for a new connection if it returns now; otherwise it returns when there
-// will be one.
+// takeToken takes one token for a new connection and returns now, or takes none and returns when
+// there will be one.
 func (f *Fleet) takeToken(now time.Time) time.Time {
 	at := f.nextToken(now)
 	if !at.After(now) && f.spread.Span > 0 {
@@ -193,7 +193,8 @@
 	return -1
 }
 
-// Probed records the result of a probe. If kept, its connection is now idle.
+// Probed records the result of the probe of a relay. If ready, the relay is up again; if kept, its
+// connection is now idle.
 func (f *Fleet) Probed(now time.Time, index int, ready, kept bool) {
 	r := &f.relays[index]
 	r.probing = false
@@ -247,7 +248,8 @@
 	}
 }
 
-// blockDest records that 429 asked to wait for dest. It never shortens an earlier wait.
+// blockDest records the Retry-After of a 429 for dest. It never shortens an earlier wait, and drops
+// the record if maxBlockedDests others are still blocked.
 func (f *Fleet) blockDest(now time.Time, dest int, wait time.Duration) {
 	if len(f.blockedDests) >= maxBlockedDests {
 		for d, at := range f.blockedDests {
@@ -266,7 +268,7 @@
 
 // Stale records that the connection which Choose had picked was already closed by the relay.
 // Clients close idle connections before relays do, so this is the sign of a restart or of a relay
-// out of capacity: if no idle connection is left, the next one waits like after a loss.
+// out of capacity: if no idle connection is left, a new one waits as after a loss.
 func (f *Fleet) Stale(now time.Time, index int) {
 	r := &f.relays[index]
 	r.inFlight--
@@ -279,5 +281,6 @@
 // the relay.
 func (f *Fleet) Cut(index int) { f.relays[index].inFlight-- }
 
-// Up reports whether the relay counts as up.
+// Up reports whether messages may be sent to the relay. A relay that is down is up again after a
+// successful probe.
 func (f *Fleet) Up(index int) bool { return !f.relays[index].down }
--- a/client/decide/fleet_test.go
+++ b/client/decide/fleet_test.go
@@ -14,9 +14,9 @@
 // attempts to connect.
 func simulateReconnect(n int, spread Spread, backAfter time.Duration) (perTenth []int, attempts int) {
 	type simClient struct {
-		fleet   *Fleet
-		at      time.Time
-		cutSeen bool // the idle connection was found closed
+		fleet     *Fleet
+		at        time.Time
+		closeSeen bool // the idle connection was found closed
 	}
 	const left = 20 * time.Second
 	var queue []*simClient
@@ -59,10 +59,10 @@
 		case ch.New:
 			connect()
 			c.fleet.Ended(now, 0, 7, End{}, false, false)
-		case c.cutSeen:
+		case c.closeSeen:
 			connected = true // on the connection of the probe
 		default:
-			c.cutSeen = true
+			c.closeSeen = true
 			c.fleet.Stale(now, 0)
 		}
 		if connected {
@@ -95,7 +95,8 @@
 		t.Logf("back after %v: at most %d connections in 100 ms without spreading (%d attempts), %d with it (%d attempts), the last after %d00 ms",
 			backAfter, plainPeak, plainAttempts, spreadPeak, attempts, last+1)
 		if plainPeak < 900 || spreadPeak > 200 || last >= 100 || attempts > plainAttempts {
-			t.Errorf("back after %v: peak %d without and %d with spreading, the last in interval %d, attempts %d and %d", backAfter, plainPeak, spreadPeak, last, plainAttempts, attempts)
+			t.Errorf("back after %v: peak %d without and %d with spreading, the last in interval %d, attempts %d and %d",
+				backAfter, plainPeak, spreadPeak, last, plainAttempts, attempts)
 		}
 	}
 }
--- a/client/decide/message.go
+++ b/client/decide/message.go
@@ -26,10 +26,10 @@
 // String returns the name of the effect.
 func (e Effect) String() string { return effectNames[e] }
 
-// MarshalText returns the name of the effect.
+// MarshalText returns the name of the effect. It never fails.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// UnmarshalText parses the name of an effect.
+// UnmarshalText parses a name that String returns.
 func (e *Effect) UnmarshalText(b []byte) error {
 	for i, name := range effectNames {
 		if name == string(b) {
@@ -62,9 +62,9 @@
 // The outcomes of a message.
 const (
 	Taken     Outcome = iota + 1 // a relay accepted it and is responsible for it
-	Refused                      // every allowed attempt was rejected: it was not accepted
-	Failed                       // it was not accepted, and a retry would not help
-	GivenUp                      // the time left is shorter than the required wait
+	Refused                      // not accepted: rejected, and no retry is left
+	Failed                       // not accepted for another reason: another status, no relay reached, cancelled
+	GivenUp                      // not accepted: no time left for another attempt or the wait before it
 	Uncertain                    // it may have been accepted, and must not be retried
 )
 
@@ -97,8 +97,9 @@
 	return e
 }
 
-// addJitter adds up to a tenth of wait, at most 250 ms and at most half of what is left after it.
-// It prevents clients that were sent the same Retry-After from retrying all at once.
+// addJitter adds up to a tenth of wait, at most 250 ms and at most half of what remains of left
+// after the wait. It prevents clients with the same Retry-After from retrying all at once. jitter
+// is in [0,1).
 func addJitter(wait, left time.Duration, jitter float64) time.Duration {
 	extra := time.Duration(jitter * float64(min(wait/10, 250*time.Millisecond)))
 	return wait + min(extra, max(0, (left-wait)/2))
@@ -147,8 +148,9 @@
 // Risky reports whether an earlier attempt may have been accepted.
 func (c *Course) Risky() bool { return !c.mayHaveRunSince.IsZero() }
 
-// Left returns the time left that an attempt at now may state. For a keyed message with a lost
-// answer it ends with the window, so that no partner receives a repeat that it no longer drops.
+// Left returns the time left that an attempt at now may state; negative after its end. For a keyed
+// message that may have been accepted it ends with the window, so that no partner receives a repeat
+// that it no longer drops.
 func (c *Course) Left(now time.Time) time.Duration {
 	left := c.deadline.Sub(now)
 	if c.Risky() && c.effect == Keyed {
@@ -157,7 +159,7 @@
 	return left
 }
 
-// Begin records the start of an attempt and returns the time left that it states, in whole
+// Begin records the start of an attempt and returns the time left that it states, cut to whole
 // milliseconds.
 func (c *Course) Begin(now time.Time) time.Duration {
 	c.startedAt, c.statedTimeLeft = now, c.Left(now).Truncate(time.Millisecond)
@@ -171,8 +173,8 @@
 	NotBefore time.Time // earliest time of the next attempt, at any relay; zero: at once
 }
 
-// Ended records the end of an attempt at relay and decides what follows. jitter in [0,1) spreads
-// waits.
+// Ended records the end of an attempt at relay, an index, and decides what follows. jitter in [0,1)
+// lengthens the wait after 429.
 func (c *Course) Ended(now time.Time, relay int, end End, jitter float64) Verdict {
 	if end.Stage > NotConnected {
 		c.HandIns++
--- a/client/errors.go
+++ b/client/errors.go
@@ -16,7 +16,7 @@
 	ErrNotConnected = errors.New("no relay could be reached")
 
 	ErrMessage = errors.New("client: invalid message")             // the message itself is at fault
-	ErrFull    = errors.New("client: too many messages in flight") // returned by TryHandIn
+	ErrFull    = errors.New("client: too many messages in flight") // TryHandIn would block
 	ErrClosed  = errors.New("client: closed")                      // Close was called
 )
 
@@ -36,18 +36,18 @@
 }
 
 // Error describes a message that no relay is known to have accepted. Stage is how far its last
-// attempt came; the outcome Uncertain may also be due to an earlier attempt.
+// attempt came, or NotConnected if there was none; the outcome Uncertain may also be due to an
+// earlier attempt.
 type Error struct {
 	Outcome Outcome
 	Stage   Stage
 	Status  int           // HTTP status of the last attempt; 0 without an answer
 	Relay   string        // address of the last attempt's relay
-	Wait    time.Duration // after the last rejection
+	Wait    time.Duration // after the last rejection; 0 without one
 	Err     error         // the cause
 }
 
 // Error returns the outcome, the stage, the relay and the cause.
-
 func (e *Error) Error() string {
 	s := fmt.Sprintf("client: %s, %s", e.Outcome, e.Stage)
 	if e.Relay != "" {
--- a/client/observer.go
+++ b/client/observer.go
@@ -5,9 +5,9 @@
 // Observer receives the events of a client, on the goroutine where they happen: it must not block
 // and must be safe for concurrent use. Package prom has one for Prometheus.
 type Observer interface {
-	HandIn(a Attempt, took time.Duration)   // an attempt that sent at least one byte has ended
-	Done(r Result)                          // a message has its result
-	Connection(relay string, failure error) // a new connection was opened, or failed
+	HandIn(a Attempt, took time.Duration)   // an attempt that sent a byte has ended; took: since its first byte
+	Done(r Result)                          // a message has its result; not called for invalid ones
+	Connection(relay string, failure error) // a connection was opened, or could not be: failure is not nil
 }
 
 // noopObserver ignores all events.
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -285,7 +285,9 @@
 		t.Errorf("the retry states %v, past the window", s)
 	}
 	m.Window = 40 * time.Millisecond
-	g2 := startProxy(t, w, "", func(int, string) testdouble.Fault { return testdouble.Fault{Kind: testdouble.IgnoreRequest} })
+	g2 := startProxy(t, w, "", func(int, string) testdouble.Fault {
+		return testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	})
 	c = newClient(t, client.Config{Relays: []string{g2.Addr}, AnswerTimeout: 50 * time.Millisecond})
 	res, err = c.Send(context.Background(), m)
 	expectResult(t, "past the window", res, err, client.Uncertain, 1)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,9 +23,9 @@
 	MaxConns       = 16                     // at once
 	requestTimeout = 2 * time.Second        // from accepting the connection to the end of the request
 	writeTimeout   = 500 * time.Millisecond // for the response
-	lingerTimeout  = 200 * time.Millisecond // for reading what a client sends after an invalid request
-	maxLingerBytes = 64 << 10
-	minEvictionAge = 5 * time.Millisecond // younger connections are not evicted: their request may be in flight
+	lingerTimeout  = 200 * time.Millisecond // for reading what a client still sends after an error response
+	maxLingerBytes = 64 << 10               // read during lingerTimeout, at most
+	minEvictionAge = 5 * time.Millisecond   // younger connections are not evicted: their request may be in flight
 )
 
 // Handlers are the functions behind the admin requests. None of them may block.
@@ -147,7 +147,7 @@
 	return s
 }
 
-// Close closes the listener. Requests in progress are still answered.
+// Close closes the listener. Open connections are still answered.
 func (s *Server) Close() error { return s.listener.Close() }
 
 // acceptLoop accepts connections until the listener is closed.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -29,7 +29,7 @@
 	r := &testRelay{ln: ln}
 	r.serving.Store(true)
 	s := Serve(ln, Handlers{Log: slog.New(slog.DiscardHandler), Serving: r.serving.Load,
-		Stats:       func(b []byte) []byte { return append(b, "figure 1\n"...) },
+		Stats:       func(b []byte) []byte { return append(b, "sample 1\n"...) },
 		SetDraining: func(on bool) bool { r.drainCalls.Add(1); r.drained.Store(on); return r.serving.Load() }})
 	t.Cleanup(func() { s.Close() })
 	return r
@@ -68,7 +68,7 @@
 			t.Errorf("%q: drained %v, %q", c.raw, r.drained.Load(), a)
 		}
 	}
-	if a := r.call(t, "GET /stats HTTP/1.1\r\n\r\n"); !strings.HasSuffix(a, "\r\n\r\nfigure 1\n") {
+	if a := r.call(t, "GET /stats HTTP/1.1\r\n\r\n"); !strings.HasSuffix(a, "\r\n\r\nsample 1\n") {
 		t.Errorf("metrics: %q", a)
 	}
 	r.serving.Store(false)
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -68,7 +68,8 @@
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 				t.Errorf("%v, want %q\n%s", err, c.want, out)
 			}
-			if c.want == "" && c.known == one+two && !strings.Contains(out, "known red: ./a TestRed: it is (issue 31)") {
+			if c.want == "" && c.known == one+two &&
+				!strings.Contains(out, "known red: ./a TestRed: it is (issue 31)") {
 				t.Errorf("the listed test is not printed: %s", out)
 			}
 		})
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -123,7 +123,8 @@
 		case !strings.Contains(out, "=== RUN   "+e.test+"\n"):
 			failures = append(failures, fmt.Errorf("%s: %s has no test %s: %s", listFile, e.pkg, e.test, out))
 		case err == nil:
-			failures = append(failures, fmt.Errorf("%s: %s %s fails no more: take its line out", listFile, e.pkg, e.test))
+			failures = append(failures,
+				fmt.Errorf("%s: %s %s fails no more: take its line out", listFile, e.pkg, e.test))
 		}
 	}
 	return errors.Join(failures...)
--- a/internal/cli/choices.go
+++ b/internal/cli/choices.go
@@ -37,14 +37,14 @@
 	}
 	fmt.Fprintln(w, "destination\ttime slot\tallowed\tslice\tdemand here\tmean\tsaw failures\tretry after\twhy")
 	for _, n := range doc.Get("destinations").Array() {
-		turn := "-"
-		if h := n.Get("turn_holders").Int(); h > 0 && n.Get("only_holders_try").Bool() {
-			turn = fmt.Sprintf("others (%d)", h)
+		timeSlot := "-"
+		if holders := n.Get("turn_holders").Int(); holders > 0 && n.Get("only_holders_try").Bool() {
+			timeSlot = fmt.Sprintf("others (%d)", holders)
 			if n.Get("turn_held").Bool() {
-				turn = fmt.Sprintf("held (%d)", h)
+				timeSlot = fmt.Sprintf("held (%d)", holders)
 			}
 		}
-		fmt.Fprintf(w, "%d\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d ms\t%s\n", n.Get("destination").Int(), turn,
+		fmt.Fprintf(w, "%d\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d ms\t%s\n", n.Get("destination").Int(), timeSlot,
 			n.Get("allowed_even").Num, n.Get("slice").Num, n.Get("wanted_here").Num,
 			n.Get("wanted_mean").Num, n.Get("relays_that_saw_failures").Int(), n.Get("wait_heard_ms").Int(),
 			n.Get("why").Str)
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -17,7 +17,7 @@
 // Bounds of a request to an admin address.
 const (
 	requestTimeout = 3 * time.Second // to connect, and again for the request and its reply
-	maxAnswerBytes = 8 << 20         // of the reply
+	maxAnswerBytes = 8 << 20         // of the reply with its header
 )
 
 // get makes a GET request to an admin address.
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -102,7 +102,8 @@
 	return cmd
 }
 
-// merge returns the message of a line, with the flags as defaults.
+// merge returns the message of a line, with the flags as defaults. It fails if no destination is
+// given.
 func (f *sendFlags) merge(l messageLine) (client.Message, error) {
 	m := client.Message{Class: l.Class, Key: l.Key, Effect: l.Effect, Window: f.window, TimeLeft: f.timeLeft,
 		Body: l.Base64}
@@ -247,7 +248,8 @@
 var exitCodes = map[client.Outcome]int{client.Taken: exitOK, client.Refused: exitRefused, client.Failed: exitFailed,
 	client.GivenUp: exitGivenUp, client.Uncertain: exitUncertain}
 
-// record prints and counts the result of line n; 0 is the only message.
+// record prints and counts the result of line n, from 1; n is 0 for a message that is not from a
+// file.
 func (s *tally) record(n int, r client.Result, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,7 +284,7 @@
 	}
 }
 
-// summary prints the totals of a file on standard error.
+// summary ends the progress bar and prints the totals of a file on standard error.
 func (s *tally) summary() {
 	if s.bar != nil {
 		s.bar.SetTotal(-1, true)
@@ -298,7 +300,7 @@
 		float64(n)/time.Since(s.startedAt).Seconds(), ms(50), ms(99), float64(s.latency.Max())/1000)
 }
 
-// exit returns the exit code of the worst result as an error.
+// exit returns the highest exit code of the results as an error, or nil if all were accepted.
 func (s *tally) exit() error {
 	if s.worstExit != exitOK {
 		return exitError(s.worstExit)
--- a/internal/cli/send_test.go
+++ b/internal/cli/send_test.go
@@ -55,7 +55,7 @@
 
 // For one message, send reports its result and attempts and returns the right exit code.
 func TestSendOne(t *testing.T) {
-	accepted, mute := answerFault(202, ""), testdouble.Fault{Kind: testdouble.IgnoreRequest}
+	accepted, noAnswer := answerFault(202, ""), testdouble.Fault{Kind: testdouble.IgnoreRequest}
 	for _, c := range []struct {
 		what    string
 		effect  string
@@ -69,9 +69,9 @@
 		{"rejected", "safe", []testdouble.Fault{answerFault(429, "0.01")}, "refused", 3, exitRefused},
 		{"Retry-After too long", "safe", []testdouble.Fault{answerFault(503, "5")}, "given_up", 1, exitGivenUp},
 		{"status 400", "safe", []testdouble.Fault{answerFault(400, "")}, "failed", 1, exitFailed},
-		{"no answer to a charge", "unsafe", []testdouble.Fault{mute, accepted}, "uncertain", 1, exitUncertain},
-		{"no answer to an order", "keyed", []testdouble.Fault{mute, accepted}, "taken", 2, exitOK},
-		{"no answer to an alert", "safe", []testdouble.Fault{mute, accepted}, "taken", 2, exitOK},
+		{"no answer to a charge", "unsafe", []testdouble.Fault{noAnswer, accepted}, "uncertain", 1, exitUncertain},
+		{"no answer to an order", "keyed", []testdouble.Fault{noAnswer, accepted}, "taken", 2, exitOK},
+		{"no answer to an alert", "safe", []testdouble.Fault{noAnswer, accepted}, "taken", 2, exitOK},
 	} {
 		g := startProxy(t, func(n int, _ string) testdouble.Fault { return c.script[min(n, len(c.script)-1)] })
 		code, out := runJSON(t, "CLASS/1\nbody", "send", "--relay", g.Addr, "--class", "some-class", "--dest", "7",
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// AppendLine appends one sample, with a label unless value is empty.
+// AppendLine appends one sample. The metric's name is prefix and name; it has a label unless value
+// is empty.
 func AppendLine(b []byte, name, label, value string, v int64) []byte {
 	b = append(append(b, prefix...), name...)
 	if value != "" {
--- a/internal/plugin/limits/limits.go
+++ b/internal/plugin/limits/limits.go
@@ -19,10 +19,10 @@
 // Bounds of the other parts of an output.
 const (
 	maxHeaders     = 16
-	maxHeaderBytes = 4 << 10
-	maxNotesBytes  = 1 << 10
+	maxHeaderBytes = 4 << 10 // of all headers
+	maxNotesBytes  = 1 << 10 // of all notes, encoded
 	maxReasonBytes = 256
-	maxWait        = 10 * time.Minute
+	maxWait        = 10 * time.Minute // a longer Retry-After is cut to it
 )
 
 // ErrOutput says that an output exceeds a bound or would change what no plug-in may change.
@@ -41,7 +41,7 @@
 	Headers [][2]string   // shape_request: name and value
 	Outcome int           // read_answer; -1: no change
 	Wait    time.Duration // read_answer: a longer Retry-After; on_handin: Retry-After of a rejection
-	Reason  string        // for the log
+	Reason  string        // on_handin: for the client; read_answer: for the log
 }
 
 // CheckOutput decodes and checks the output of a hook. If any part is not allowed, it returns an
@@ -112,8 +112,8 @@
 	return o, nil
 }
 
-// printable returns the first maxReasonBytes of a plug-in's text with control characters replaced,
-// for the log.
+// printable returns the first maxReasonBytes of a plug-in's text, with control characters and
+// invalid UTF-8 replaced, for the log.
 func printable(v []byte) string {
 	v = v[:min(len(v), maxReasonBytes)]
 	return strings.Map(func(r rune) rune {
--- a/internal/plugin/limits/limits_test.go
+++ b/internal/plugin/limits/limits_test.go
@@ -121,33 +121,33 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "ms")) * time.Millisecond)
 			if len(admitted) == 0 || rapid.Bool().Draw(t, "call") {
-				ticket, ok := breaker.Allow(now)
+				permit, ok := breaker.Allow(now)
 				want := !isOpen || !now.Before(openUntil) && !trialInFlight
-				if ok != want || ok && bool(ticket) != isOpen {
-					t.Fatalf("allowed %v with permit %v; open %v until %v, trial %v", ok, ticket, isOpen,
+				if ok != want || ok && bool(permit) != isOpen {
+					t.Fatalf("allowed %v with permit %v; open %v until %v, trial %v", ok, permit, isOpen,
 						openUntil.Sub(now), trialInFlight)
 				}
 				if ok {
-					admitted = append(admitted, ticket)
-					trialInFlight = trialInFlight || bool(ticket)
+					admitted = append(admitted, permit)
+					trialInFlight = trialInFlight || bool(permit)
 				}
 				continue
 			}
 			i := rapid.IntRange(0, len(admitted)-1).Draw(t, "which")
-			ticket := admitted[i]
+			permit := admitted[i]
 			admitted = append(admitted[:i], admitted[i+1:]...)
 			if rapid.IntRange(0, 9).Draw(t, "withdraw") == 0 {
-				if breaker.Cancel(ticket); ticket {
+				if breaker.Cancel(permit); permit {
 					trialInFlight = false
 				}
 				continue
 			}
 			ok, want := rapid.Bool().Draw(t, "ok"), Unchanged
 			switch {
-			case !bool(ticket) && isOpen:
-			case !bool(ticket) && ok:
+			case !bool(permit) && isOpen:
+			case !bool(permit) && ok:
 				failures = 0
-			case !bool(ticket):
+			case !bool(permit):
 				if failures++; failures == p.FailureThreshold {
 					want, isOpen, succeeded, openTime = Opened, true, 0, p.OpenTime
 					openUntil = now.Add(openTime)
@@ -161,7 +161,7 @@
 				trialInFlight, succeeded, openTime, want = false, 0, min(2*openTime, p.MaxOpenTime), Opened
 				openUntil = now.Add(openTime)
 			}
-			if got := breaker.Record(now, ticket, ok); got != want || breaker.IsOpen() != isOpen {
+			if got := breaker.Record(now, permit, ok); got != want || breaker.IsOpen() != isOpen {
 				t.Fatalf("transition %v, want %v; open %v, want %v", got, want, breaker.IsOpen(), isOpen)
 			}
 		}
--- a/internal/plugin/loopback_test.go
+++ b/internal/plugin/loopback_test.go
@@ -104,13 +104,13 @@
 // Each fault of a plug-in at each hook, for each class, and modules that can't be loaded: each
 // message gets exactly one final answer and is sent to its destination at most once.
 func TestFaultyPluginsOnLoopback(t *testing.T) {
-	type faultSite struct{ hook, fault string }
-	var faultSites []faultSite
+	type pluginFault struct{ hook, fault string }
+	var pluginFaults []pluginFault
 	modules, file := map[string][]byte{}, "plugins {\n"
 	add := func(hook, fault string, code []byte) {
-		name := fmt.Sprintf("m%d", len(faultSites))
-		modules[name], file = code, file+pluginEntry(name, hook, len(faultSites))
-		faultSites = append(faultSites, faultSite{hook, fault})
+		name := fmt.Sprintf("m%d", len(pluginFaults))
+		modules[name], file = code, file+pluginEntry(name, hook, len(pluginFaults))
+		pluginFaults = append(pluginFaults, pluginFault{hook, fault})
 	}
 	for _, hook := range []string{"on_handin", "shape_request", "read_answer"} {
 		for fault, m := range wasm.FaultyPlugins(hook) {
@@ -120,7 +120,7 @@
 	for fault, code := range wasm.UnloadableModules("shape_request") {
 		add("shape_request", fault, code)
 	}
-	s := startTestRelay(t, len(faultSites), file+"}\n", modules)
+	s := startTestRelay(t, len(pluginFaults), file+"}\n", modules)
 	const each = 3
 	type sent struct {
 		client.Result
@@ -130,7 +130,7 @@
 	all := map[string]sent{}
 	var mu sync.Mutex
 	var workers sync.WaitGroup
-	for dest := range faultSites {
+	for dest := range pluginFaults {
 		workers.Go(func() {
 			for _, class := range []string{"fee-charge", "order-relay", "price-alert"} {
 				c := s.newClient() // Retry-After applies to the client's other messages to that destination
@@ -159,13 +159,13 @@
 	}
 	notifications := s.Platform.Notifications()
 	for name, m := range all {
-		site, notified := faultSites[m.dest], notifications[m.ID].Outcome
+		injected, notified := pluginFaults[m.dest], notifications[m.ID].Outcome
 		want, wantCalls, wantNotified := client.Taken, 1, ""
 		switch {
-		case site.hook == "read_answer" || m.class == "price-alert": // delivered stays delivered; alerts pass
-		case site.hook == "on_handin" && m.class == "order-relay":
+		case injected.hook == "read_answer" || m.class == "price-alert": // the messages are delivered
+		case injected.hook == "on_handin" && m.class == "order-relay":
 			want, wantCalls = client.GivenUp, 0 // 429 with a Retry-After longer than the time left
-		case site.hook == "on_handin":
+		case injected.hook == "on_handin":
 			want, wantCalls = client.Failed, 0
 		case m.class == "order-relay":
 			wantCalls, wantNotified = 0, "handed_back"
@@ -176,8 +176,8 @@
 			calls[name] = 1 // alerts may be retried on a slow machine
 		}
 		if m.Outcome != want || calls[name] != wantCalls || notified != wantNotified {
-			t.Errorf("%s, %s: %s: result %v, %d calls, notification %q; want %v, %d, %q", site.hook, site.fault, name,
-				m.Outcome, calls[name], notified, want, wantCalls, wantNotified)
+			t.Errorf("%s, %s: %s: result %v, %d calls, notification %q; want %v, %d, %q",
+				injected.hook, injected.fault, name, m.Outcome, calls[name], notified, want, wantCalls, wantNotified)
 		}
 	}
 	if n := s.relay.CountLogLines(`msg="plug-ins not loaded"`); n != 1 {
@@ -250,8 +250,8 @@
 	s.waitUntil("all to run", func() bool { return len(s.EffectLog.CountByName()) == sum })
 	if d := s.EffectLog.Duplicates("fee-charge"); d != nil || countForm("") != 0 ||
 		countForm("a")+countForm("b") != sum {
-		t.Errorf("doubles %v; %d unshaped, %d+%d of %d; %d shaped by the first plug-in when the second was seen", d,
-			countForm(""), countForm("a"), countForm("b"), sum, before)
+		t.Errorf("ran more than once: %v; %d unshaped, %d+%d of %d; %d shaped by the first plug-in when the second was seen",
+			d, countForm(""), countForm("a"), countForm("b"), sum, before)
 	}
 }
 
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -46,7 +46,7 @@
 	Budget     Budget
 	OnFailure  map[string]limits.FailureAction // by class; "" stands for all others
 	Breaker    limits.BreakerConfig
-	Setting    string
+	Setting    string // the operator's text for the plug-in
 }
 
 // FailureAction returns what happens to a message of class if a call fails.
@@ -323,7 +323,8 @@
 // Disabled reports whether the circuit breaker is open or half-open.
 func (p *Plugin) Disabled() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.breaker.IsOpen() }
 
-// ExportedHooks returns the hooks that the module exports with the right types.
+// ExportedHooks returns the hooks that the module exports with the right types. The plug-in must
+// have been loaded.
 func (p *Plugin) ExportedHooks() (hooks []abi.Hook) {
 	for h := abi.Hook(0); h < abi.Hooks; h++ {
 		if f, ok := p.compiled.ExportedFunctions()[h.String()]; ok &&
@@ -341,8 +342,9 @@
 	Memory    uint32        // of the instance, in bytes
 }
 
-// Measure makes several calls and returns the last output and the cost. The cost excludes the first
-// call if there are more. It serves the command line tools for plug-in authors.
+// Measure makes the given number of calls, at least 1, and returns the last output and the mean
+// cost. The cost excludes the first call if there are more. It stops at the first error. It serves
+// the command line tools for plug-in authors.
 func (p *Plugin) Measure(h abi.Hook, message *Message, answer Answer, times int) (out limits.Output, cost Cost,
 	err error) {
 	input := p.encodeMessage(message, message.Body, 0)
@@ -367,7 +369,7 @@
 	return out, cost, nil
 }
 
-// StatusOutcome returns the outcome that the relay infers from a status.
+// StatusOutcome returns the outcome, one of package abi, that the relay infers from an HTTP status.
 func StatusOutcome(status int) int {
 	switch status {
 	case 200:
--- a/internal/plugin/set.go
+++ b/internal/plugin/set.go
@@ -79,7 +79,7 @@
 	Class, Kind, ID, Key string
 	Dest, Attempt        int // Attempt: number of the attempt, from 0; -1 in on_handin
 	TimeLeft             time.Duration
-	Notes                []byte // encoded fields, set by earlier hooks
+	Notes                []byte // encoded note fields of earlier hooks
 	Body                 []byte
 }
 
@@ -90,7 +90,8 @@
 		(len(p.Kinds) == 0 || slices.Contains(p.Kinds, m.Kind))
 }
 
-// encodeMessage returns the fields of m with this body, with capacity for extra more bytes.
+// encodeMessage returns the encoded fields of m with this body; extra is the capacity in bytes for
+// further fields.
 func (p *Plugin) encodeMessage(m *Message, body []byte, extra int) []byte {
 	b := make([]byte, 0, 160+len(m.Class)+len(m.Kind)+len(m.ID)+len(m.Key)+len(m.Notes)+len(p.Setting)+len(body)+extra)
 	b = abi.Append(b, abi.Class, m.Class)
@@ -112,7 +113,8 @@
 	return abi.Append(append(b, m.Notes...), abi.Body, body)
 }
 
-// encodeAnswer returns the fields of a message and of the answer to its attempt.
+// encodeAnswer returns the encoded fields of a message and of the answer to its attempt. The body
+// is that of the answer.
 func (p *Plugin) encodeAnswer(m *Message, a Answer) []byte {
 	b := p.encodeMessage(m, a.Body, 256)
 	b = abi.AppendNumber(abi.AppendNumber(b, abi.Status, int64(a.Status)), abi.Outcome, int64(a.Outcome))
@@ -155,12 +157,13 @@
 // HandInDecision is the decision of the plug-ins about a submitted message.
 type HandInDecision struct {
 	Verdict int           // one of package abi
-	Wait    time.Duration // with abi.Refuse: Retry-After; 0: by the settings
-	Reason  string        // of a rejection
-	Notes   []byte        // encoded fields for the later hooks
+	Wait    time.Duration // with abi.Refuse: Retry-After, if shorter than the relay's; 0: the relay's
+	Reason  string        // of a rejection; with abi.Reject sent to the client
+	Notes   []byte        // encoded note fields for the later hooks
 }
 
-// OnHandIn calls the on_handin hooks for a submitted message. The first rejection is final.
+// OnHandIn calls the on_handin hooks for a submitted message and appends their notes to m.Notes.
+// The first rejection is final.
 func (s *Set) OnHandIn(m *Message) HandInDecision {
 	decision := HandInDecision{Verdict: abi.Take}
 	for _, p := range s.plugins {
@@ -188,11 +191,11 @@
 	return decision
 }
 
-// MaxNotesBytes bounds the encoded notes of a message.
+// MaxNotesBytes bounds the encoded notes of a message, of all plug-ins together.
 const MaxNotesBytes = 2 << 10
 
 // ShapeRequest calls the shape_request hooks for an attempt and returns its body and additional
-// headers.
+// headers, or the first failed call whose action is not limits.Pass.
 func (s *Set) ShapeRequest(m *Message) (body []byte, headers [][2]string, failed *CallError) {
 	body = m.Body
 	for _, p := range s.plugins {
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -133,7 +133,9 @@
 	}
 	for deadline := time.Now().Add(resetTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		failure := 0
-		raw.Control(func(fd uintptr) { failure, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) })
+		raw.Control(func(fd uintptr) {
+			failure, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+		})
 		if failure != 0 {
 			return true
 		}
--- a/internal/testdouble/faultfs/faultfs.go
+++ b/internal/testdouble/faultfs/faultfs.go
@@ -164,7 +164,7 @@
 	return &file{fs, &name}, nil
 }
 
-// Rename renames a file.
+// Rename renames a file and replaces a file with the new name.
 func (fs *FS) Rename(from, to string) error {
 	return fs.run("rename "+from, func() error {
 		b, ok := fs.files[from]
@@ -188,7 +188,8 @@
 	})
 }
 
-// Truncate shortens a file to size bytes.
+// Truncate shortens a file to size bytes. It fails with os.ErrNotExist if the file is missing or
+// shorter.
 func (fs *FS) Truncate(name string, size int64) error {
 	return fs.run("truncate "+name, func() error { return fs.truncate(name, size) })
 }
--- a/internal/testdouble/faultnet/network.go
+++ b/internal/testdouble/faultnet/network.go
@@ -30,7 +30,7 @@
 	BlockedPairs  map[[2]int]bool // sender and receiver; blocks that direction
 	LossRate      float64
 	DuplicateRate float64
-	MaxDelay      time.Duration                      // each message has a random delay up to it, which reorders messages
+	MaxDelay      time.Duration                      // of a message: random delays up to it reorder messages
 	OnSend        func(from, to int, message []byte) // called with each message sent; may be nil
 }
 
--- a/internal/testdouble/faultnet/network_test.go
+++ b/internal/testdouble/faultnet/network_test.go
@@ -33,12 +33,11 @@
 	}
 	defer network.Close()
 	send := func(i, j int, message []byte) {
-		if _, err := sockets[i].WriteToUDPAddrPort(message, netip.MustParseAddrPort(network.PeerAddrs(i)[j])); err != nil {
+		if _, err := sockets[i].WriteToUDPAddrPort(message,
+			netip.MustParseAddrPort(network.PeerAddrs(i)[j])); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// received returns the messages that arrive at j before the mark, which is sent after them
-	// without faults.
 	buf := make([]byte, 1024)
 	read := func(j int) (string, string) {
 		sockets[j].SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -48,6 +47,8 @@
 		}
 		return string(buf[:size]), from.String()
 	}
+	// received returns the messages that arrive at j before the mark, which is sent after them
+	// without faults.
 	received := func(j int, faults Faults, transmit func()) (all []string) {
 		network.SetFaults(faults)
 		before, _, _, _ := network.Counts()
--- a/internal/testdouble/faultproxy.go
+++ b/internal/testdouble/faultproxy.go
@@ -26,7 +26,7 @@
 	Forward         FaultKind = iota // forwarded to the relay; the response is returned
 	Respond                          // answered by the proxy with Status and Header
 	DropResponse                     // forwarded; the client's connection is closed without the response
-	HoldResponse                     // forwarded; the response is returned after ReleaseResponses
+	HoldResponse                     // forwarded; the response is delayed until ReleaseResponses
 	IgnoreRequest                    // neither forwarded nor answered until the client closes
 	ResetConnection                  // the connection is reset after the request's header
 )
@@ -99,7 +99,7 @@
 	p.ReleaseResponses()
 }
 
-// ReleaseResponses returns the responses that HoldResponse has delayed so far.
+// ReleaseResponses sends the responses that HoldResponse has delayed so far.
 func (p *FaultProxy) ReleaseResponses() {
 	p.mu.Lock()
 	close(p.released)
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -40,7 +40,7 @@
 	ServiceTime        time.Duration     // duration of a call
 	ColdRateShare      float64           // share of Rate available right after an outage; 0: no warm-up
 	WarmUpTime         time.Duration     // time after an outage until the full rate is available
-	OverloadFactor     float64           // multiple of the current rate that makes it collapse while warming up; 0: never
+	OverloadFactor     float64           // multiple of the current rate that makes it collapse in warm-up; 0: none
 	Now                func() time.Time  // nil: time.Now
 	OnCall             func(Call)        // called when a call arrives and when it completes; may be nil
 	OnMessage          func(body []byte) // called for each message that runs, in place of the effect log; may be nil
@@ -142,15 +142,15 @@
 // close ends waiting calls and stops the endpoints.
 func (p *Partner) close() {
 	p.mu.Lock()
-	p.releaseHeldCalls()
+	p.endUnresponsiveCalls()
 	p.mu.Unlock()
 	for _, e := range p.endpoints {
 		e.server.Close()
 	}
 }
 
-// releaseHeldCalls ends the calls that wait in mode Unresponsive. The caller holds mu.
-func (p *Partner) releaseHeldCalls() {
+// endUnresponsiveCalls ends the calls that wait in mode Unresponsive. The caller holds mu.
+func (p *Partner) endUnresponsiveCalls() {
 	close(p.released)
 	p.released = make(chan struct{})
 }
@@ -180,7 +180,7 @@
 	if p.mode, p.modeShare = m, share; m == Healthy && previous != Healthy && p.config.ColdRateShare > 0 {
 		p.warmAt, p.recentCalls = p.config.Now().Add(p.config.WarmUpTime), nil
 	}
-	p.releaseHeldCalls()
+	p.endUnresponsiveCalls()
 	p.mu.Unlock()
 	if (m == RefusingConnections) == (previous == RefusingConnections) {
 		return nil
@@ -205,7 +205,7 @@
 // Collapsed reports whether overload during warm-up made the partner unresponsive for good.
 func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.collapsed }
 
-// SetRateShare multiplies the rate by share from now on; 1 restores it.
+// SetRateShare multiplies the configured rate by share from now on; 1 restores it.
 func (p *Partner) SetRateShare(share float64) {
 	p.mu.Lock()
 	p.rateShare = share
@@ -249,7 +249,8 @@
 		for len(p.recentCalls) > 0 && now.Sub(p.recentCalls[0]) > time.Second {
 			p.recentCalls = p.recentCalls[1:]
 		}
-		if p.recentCalls = append(p.recentCalls, now); float64(len(p.recentCalls)) > max(2, p.config.OverloadFactor*rate) {
+		if p.recentCalls = append(p.recentCalls, now); float64(len(p.recentCalls)) >
+			max(2, p.config.OverloadFactor*rate) {
 			p.collapsed = true
 			return Unresponsive, false
 		}
@@ -281,7 +282,7 @@
 	}
 }
 
-// ServeHTTP answers calls with one message (/hook) or a batch (/hook/batch).
+// ServeHTTP answers calls with one message, or with a batch if the path is /hook/batch.
 func (p *Partner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -305,7 +306,8 @@
 				items[i] = entry{ID: items[i].ID, State: "ok"}
 				continue
 			}
-			p.effectLog.record(p.config.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body, p.config.Now())
+			p.effectLog.record(p.config.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body,
+				p.config.Now())
 			items[i] = entry{ID: items[i].ID, State: "ok"}
 		}
 	}
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -59,7 +59,7 @@
 	OnLogLine     func(line string) // called with each line that the relay logs; may be nil
 }
 
-// Numbers of log lines of a relay.
+// Bounds of a relay's log.
 const (
 	maxLogLines  = 50_000 // kept for each relay: more than any test makes it log
 	logTailLines = 400    // shown when a test fails
@@ -75,7 +75,7 @@
 }
 
 // NewRelay returns a further relay with the program and arguments of the last one, without starting
-// it.
+// it. There must be an earlier one.
 func (env *Environment) NewRelay() (*Relay, error) {
 	env.mu.Lock()
 	last := env.relays[len(env.relays)-1]
@@ -131,8 +131,9 @@
 			"inTurn": c.Ordered})
 	}
 	config := object{"name": name, "listen": listen, "discovery": env.Platform.Addr,
-		"seed":   fmt.Sprintf("%016x", env.config.Seed),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": env.config.MaxDescriptors, "disk_mb": env.config.DiskMB},
+		"seed": fmt.Sprintf("%016x", env.config.Seed),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": env.config.MaxDescriptors,
+			"disk_mb": env.config.DiskMB},
 		"settings": object{"fleetSize": env.config.FleetSize, "tickUs": 5000, "discovery": "push",
 			"weightSource": "off", "grades": grades,
 			"kinds": []string{"broker", "small-partner"}, "zones": []string{"here"}, "tenants": []object{},
@@ -244,7 +245,8 @@
 			exited = true
 		default:
 		}
-		return exited || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
+		return exited ||
+			slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
 	})
 	if err == nil && exited {
 		err = errors.New("the relay exited")
--- a/internal/testdouble/testdouble_test.go
+++ b/internal/testdouble/testdouble_test.go
@@ -24,9 +24,9 @@
 func (c *manualClock) advance(d time.Duration) { c.mu.Lock(); c.at = c.at.Add(d); c.mu.Unlock() }
 
 // startEnvironment starts an environment that is closed when the test ends.
-func startEnvironment(t *testing.T, set Config) *Environment {
+func startEnvironment(t *testing.T, config Config) *Environment {
 	t.Helper()
-	env, err := NewEnvironment(set)
+	env, err := NewEnvironment(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,8 @@
 	req, _ := http.NewRequest("POST", "http://"+p.endpoints[0].addr+"/hook", strings.NewReader(name))
 	req.Header.Set("X-Correlation-Id", "id-"+name)
 	if key != "" {
-		req.Header["idempotency-key"] = []string{key} // a non-canonical header name: net/http does not retry the request
+		// net/http would retry a request whose Idempotency-Key has the canonical spelling.
+		req.Header["idempotency-key"] = []string{key}
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/plugin/abi/abi.go
+++ b/plugin/abi/abi.go
@@ -4,19 +4,21 @@
 //
 //	memory
 //	oatfold_abi() i32                  the version of the ABI it was built for: 1
-//	oatfold_alloc(size i32) i32        address of size bytes, to which the host writes the next input
-//	on_handin(at i32, size i32) i64    the hooks; those that are not configured are never called and may be missing
+//	oatfold_alloc(size i32) i32        address of size bytes for the next input
+//	on_handin(at i32, size i32) i64    the hooks; those that are not configured may be missing
 //	shape_request(at i32, size i32) i64
 //	read_answer(at i32, size i32) i64
 //
-// and _initialize or _start if it needs initialisation. A hook receives its input at the address that oatfold_alloc
-// returned. It returns the position of its output: the address in the upper half of the result, the size in the lower
-// half; 0 is an empty output, which changes nothing. The host copies the output before the next call. A module may
-// import wasi_snapshot_preview1, but has no arguments, environment variables, files or network, and clocks stand still.
+// and _initialize or _start if it needs initialisation. The host writes the input of a hook to the
+// address that oatfold_alloc returned and passes the address and the size. The hook returns the
+// position of its output: the address in the upper half of the result, the size in the lower half;
+// 0 is an empty output, which changes nothing. The host copies the output before the next call. A
+// module may import wasi_snapshot_preview1, but has no arguments, environment variables, files or
+// network, and clocks stand still.
 //
-// Input and output are sequences of fields: one byte with the number of the field, four bytes with the length of the
-// value, little-endian, and the value. Numbers are eight bytes, little-endian. The order is arbitrary; headers and notes
-// may repeat.
+// Input and output are sequences of fields: one byte with the number of the field, four bytes with
+// the length of the value, little-endian, and the value. Numbers are eight bytes, little-endian.
+// The order is arbitrary; headers and notes may repeat.
 package abi
 
 import (
@@ -67,7 +69,7 @@
 	Outcome  Field = 12 // of the answer as the relay reads it, one of the outcomes below; output of read_answer
 	WaitMs   Field = 13 // Retry-After of the answer; output of read_answer (a longer one) and of on_handin with Refuse
 	Verdict  Field = 14 // output of on_handin: one of the verdicts below
-	Reason   Field = 15 // text for the log; output of all hooks
+	Reason   Field = 15 // text: for the client with Reject, for the log in read_answer; output of all hooks
 	Setting  Field = 16 // the operator's text for this plug-in
 )
 
@@ -88,7 +90,7 @@
 // ErrCut says that an input or output ends within a field.
 var ErrCut = errors.New("truncated field")
 
-// Append appends a field.
+// Append appends a field whose value is text or bytes.
 func Append[T string | []byte](b []byte, f Field, value T) []byte {
 	b = binary.LittleEndian.AppendUint32(append(b, byte(f)), uint32(len(value)))
 	return append(b, value...)
@@ -100,7 +102,7 @@
 	return binary.LittleEndian.AppendUint64(b, uint64(v))
 }
 
-// Number decodes the value of a field that is a number.
+// Number decodes the value of a field that is a number. It fails unless value has 8 bytes.
 func Number(value []byte) (int64, error) {
 	if len(value) != 8 {
 		return 0, fmt.Errorf("number has %d bytes, not 8", len(value))
@@ -108,7 +110,8 @@
 	return int64(binary.LittleEndian.Uint64(value)), nil
 }
 
-// Each calls f with each field of b in order and stops at the first error. Values alias b.
+// Each calls f with each field of b in order, and returns the first error of f, or ErrCut if b ends
+// within a field. Values alias b.
 func Each(b []byte, f func(Field, []byte) error) error {
 	for len(b) > 0 {
 		if len(b) < 5 {
@@ -126,8 +129,8 @@
 	return nil
 }
 
-// Pack encodes the address and the size of an output as a hook's result.
+// Pack encodes the address and the size in bytes of an output as a hook's result.
 func Pack(at, size uint32) uint64 { return uint64(at)<<32 | uint64(size) }
 
-// Unpack decodes a hook's result.
+// Unpack decodes a hook's result into the address and the size in bytes of its output.
 func Unpack(v uint64) (at, size uint32) { return uint32(v >> 32), uint32(v) }
--- a/plugin/examples/softreject/main.go
+++ b/plugin/examples/softreject/main.go
@@ -1,6 +1,6 @@
 // Command softreject is a plug-in for partners that reject requests with status 200 and a body like
-// {"status":"busy","retry_ms":800}. It reports that the message may have run, and the wait as
-// Retry-After.
+// {"status":"busy","retry_ms":800}. It reports that the message may have run, since a plug-in can't
+// report that it did not, and the wait as Retry-After.
 package main
 
 import (
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -12,12 +12,12 @@
 //
 //	func main() {}
 //
-// It is built with GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o form.wasm. Other languages implement the
-// ABI of package abi.
+// It is built with GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o form.wasm. Other
+// languages implement the ABI of package abi.
 //
-// An instance makes one call at a time. Handlers must not rely on variables that an earlier call set: a plug-in has
-// several instances, and one that failed is discarded. Clocks stand still, and there are no files, network or
-// environment variables.
+// An instance makes one call at a time. Handlers must not rely on variables that an earlier call
+// set: a plug-in has several instances, and one that failed is discarded. Clocks stand still, and
+// there are no files, network or environment variables.
 package plugin
 
 import (
@@ -30,22 +30,23 @@
 
 // Message is the message for which a hook is called.
 type Message struct {
-	// Kind is the type of the destination, ID the correlation id, Key the idempotency key.
+	// Class is the message class, Kind the type of the destination, ID the correlation id, Key the
+	// idempotency key.
 	Class, Kind, ID, Key string
 	Dest                 int               // number of the destination
 	Attempt              int               // number of the attempt, from 0; -1 in OnHandIn
 	TimeLeft             time.Duration     // until the deadline
 	Notes                map[string]string // set by OnHandIn of this or another plug-in
 	Setting              string            // the operator's text for this plug-in
-	Body                 []byte
+	Body                 []byte            // in ReadAnswer that of the answer
 }
 
 // HandIn is the decision of OnHandIn. The zero value accepts the message.
 type HandIn struct {
 	Refuse bool              // reject for now: the client may retry
 	Reject bool              // reject for good
-	Wait   time.Duration     // with Refuse: Retry-After, if the relay sends it
-	Reason string            // for the log; with Reject also sent to the client
+	Wait   time.Duration     // with Refuse: a shorter Retry-After than the relay's; 0: the relay's
+	Reason string            // with Reject: sent to the client, cut to 256 bytes
 	Notes  map[string]string // passed to the later hooks
 }
 
@@ -62,7 +63,7 @@
 const (
 	Delivered Outcome = abi.Delivered
 	NeverRan  Outcome = abi.NeverRan
-	MayHave   Outcome = abi.MayHave // it may have run
+	MayHave   Outcome = abi.MayHave // may have taken effect
 )
 
 // Answer is the destination's answer to an attempt.
@@ -76,13 +77,14 @@
 
 // Reading is how ReadAnswer interprets an answer. The zero value changes nothing.
 type Reading struct {
-	Unsure bool          // the message may have run, whatever the answer says: the only change of an outcome
+	Unsure bool          // the message may have run; no other outcome can be set
 	Wait   time.Duration // replaces a shorter Retry-After
-	Reason string        // for the log
+	Reason string        // for the log, cut to 256 bytes
 }
 
-// Handlers are the hooks of a plug-in; nil for those it does not have. An error or a panic fails the call: the
-// operator's rule then decides about the message, and the instance is discarded.
+// Handlers are the hooks of a plug-in; nil for those that it does not have. An error or a panic
+// fails the call: the operator's rule then decides about the message, and the instance is
+// discarded.
 type Handlers struct {
 	OnHandIn     func(*Message) (HandIn, error)
 	ShapeRequest func(*Message) (Shape, error)
@@ -95,7 +97,7 @@
 // Serve sets the hooks. Call it from an init function.
 func Serve(h Handlers) { handlers = h }
 
-// decodeInput decodes the input of a hook. The answer is empty except for ReadAnswer.
+// decodeInput decodes the input of a hook. The answer is meaningful for ReadAnswer only.
 func decodeInput(input []byte) (*Message, *Answer, error) {
 	message, answer := &Message{Attempt: -1, Notes: map[string]string{}}, &Answer{}
 	err := abi.Each(input, func(f abi.Field, v []byte) error {
@@ -143,7 +145,8 @@
 	return message, answer, err
 }
 
-// runHook runs a hook on its input and returns its output.
+// runHook runs a hook on its encoded input and returns its encoded output. It fails if the input is
+// malformed, the handler fails or there is none.
 func runHook(h abi.Hook, input []byte) ([]byte, error) {
 	m, a, err := decodeInput(input)
 	if err != nil {
