--- a/client/client.go
+++ b/client/client.go
@@ -18,7 +18,7 @@
 	"oatfold/client/decide"
 )
 
-// Effect says what happens if a message is delivered twice. The zero value is Unsafe.
+// Effect says whether a message may be delivered twice. The zero value is Unsafe.
 type Effect = decide.Effect
 
 // The effects of delivering a message twice.
@@ -110,7 +110,7 @@
 	Relays         []string      // host:port of each
 	AnswerTimeout  time.Duration // to write a request and read its answer
 	ConnectTimeout time.Duration // for a new connection
-	IdleAfter      time.Duration // idle connections are closed after this; relays close theirs after 6 s
+	IdleAfter      time.Duration // idle connections are closed after this; relays normally close theirs after 6 s
 	MaxConns       int           // connections to one relay, at most
 	MaxInFlight    int           // messages of HandIn without a result, at most
 	Repeats        int           // retries after lost answers; negative: none
--- a/client/conn.go
+++ b/client/conn.go
@@ -44,8 +44,8 @@
 	sock     net.Conn
 	limited  io.LimitedReader // reads sock, up to the maximum size of an answer
 	reader   *bufio.Reader    // reads limited
-	lastUsed time.Time
-	buf      []byte // of the request
+	lastUsed time.Time        // end of the last answer, or time of connecting
+	buf      []byte           // of the request
 }
 
 // dial connects to addr within timeout. relay is the relay's index.
@@ -171,8 +171,8 @@
 	stateStopping = "stopping"
 )
 
-// checkReady asks the relay whether it accepts messages. A server without GET /ready counts as
-// ready.
+// checkReady asks the relay whether it accepts messages. Any answer except 503 counts as ready
+// unless the relay is stopping, so a server without GET /ready is ready.
 func (c *conn) checkReady(host string, timeout time.Duration) (ready, reusable bool) {
 	c.sock.SetDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c.sock, "GET /ready HTTP/1.1\r\nHost: "+host+"\r\n\r\n"); err != nil {
--- a/client/decide/course_test.go
+++ b/client/decide/course_test.go
@@ -131,9 +131,9 @@
 		"": -1, "-1": -1, "+1": -1, "1e3": -1, "NaN": -1, "Inf": -1, "0x10": -1, "1.2.3": -1, ".": -1, " 1": -1,
 		"1,5": -1,
 	} {
-		got, told := RetryAfter(s)
-		if told != (want >= 0) || told && got != want {
-			t.Errorf("%q: %v, %v", s, got, told)
+		got, ok := RetryAfter(s)
+		if ok != (want >= 0) || ok && got != want {
+			t.Errorf("%q: %v, %v", s, got, ok)
 		}
 	}
 }
--- a/client/decide/fleet_test.go
+++ b/client/decide/fleet_test.go
@@ -103,7 +103,7 @@
 
 // Random events keep the invariants of a Fleet: waits are honoured, the rate limit holds, and
 // counters match choices.
-func TestFleetHolds(t *testing.T) {
+func TestFleetInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "relays")
 		const maxConns, burst, rate = 4, 5.0, 10.0
--- a/client/decide/message.go
+++ b/client/decide/message.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Effect says what happens if a message is delivered twice.
+// Effect says whether a message may be delivered twice.
 type Effect int
 
 // The effects of delivering a message twice. The zero value is the most cautious one.
@@ -256,10 +256,10 @@
 // MaxTold is the longest Retry-After that is honoured; longer ones are cut to it.
 const MaxTold = 24 * time.Hour
 
-// RetryAfter parses a Retry-After field: seconds, with or without a fraction. told is false for a
+// RetryAfter parses a Retry-After field: seconds, with or without a fraction. ok is false for a
 // value that is empty, negative or not a plain decimal number, including what strconv.ParseFloat
 // would accept (Inf, NaN, 0x1p3). Large values yield MaxTold.
-func RetryAfter(s string) (wait time.Duration, told bool) {
+func RetryAfter(s string) (wait time.Duration, ok bool) {
 	for i := 0; i < len(s); i++ {
 		if (s[i] < '0' || s[i] > '9') && s[i] != '.' {
 			return 0, false
--- a/client/relay_test.go
+++ b/client/relay_test.go
@@ -525,7 +525,7 @@
 }
 
 // Invalid messages are never sent.
-func TestBadMessages(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	w := startEnv(t, testdouble.Config{})
 	g := startProxy(t, w, "", nil)
 	c := newClient(t, client.Config{Relays: []string{g.Addr}})
--- a/internal/cli/members_test.go
+++ b/internal/cli/members_test.go
@@ -30,7 +30,7 @@
 }
 
 // The table lists the relays and warns about the state of this one; --json prints the reply
-// unchanged. The exit code tells an invalid address from a relay without membership and from a
+// unchanged. The exit code distinguishes an invalid address from a relay without membership or a
 // malformed reply.
 func TestMembersCommand(t *testing.T) {
 	answer, status := `{"self":2,"version":9,"sharing":3,"deaf":true,"rival":true,"zones_away":["b"],"members":[{"number":0,"state":"away","zone":"b","incarnation":4,"since_ms":5120,"why":"no answer"},{"number":1,"state":"alive"}]}`, 200
--- a/internal/plugin/guest_test.go
+++ b/internal/plugin/guest_test.go
@@ -71,12 +71,12 @@
 			t.Errorf("%s: %d, %v", said, o, wait)
 		}
 	}
-	gate := start("gatekeeper", abi.OnHandIn, "account,amount")
+	gatekeeper := start("gatekeeper", abi.OnHandIn, "account,amount")
 	for body, want := range map[string]int{`{"account":"x","amount":1}`: abi.Take, `{"account":"x"}`: abi.Reject,
 		"x": abi.Reject} {
 		m := testMessage("fee-charge")
 		m.Body = []byte(body)
-		a := gate.OnHandIn(m)
+		a := gatekeeper.OnHandIn(m)
 		if a.Verdict != want ||
 			want == abi.Take && string(a.Notes) != string(abi.Append(nil, abi.Note, `account="x"`)) ||
 			want == abi.Reject && a.Reason == "" {
--- a/internal/plugin/limits/limits.go
+++ b/internal/plugin/limits/limits.go
@@ -207,7 +207,7 @@
 // calls. After a pause it is half-open and allows one trial call at a time.
 type Breaker struct {
 	config          BreakerConfig
-	failures        int
+	failures        int // consecutive
 	succeededTrials int // since the breaker is half-open
 	openTime        time.Duration
 	openUntil       time.Time // set while the breaker is open or half-open
@@ -243,8 +243,8 @@
 	Closed               // the breaker closed
 )
 
-// Record records the result of a call. Calls that were allowed before the breaker opened change
-// nothing.
+// Record records the result of a call. Until the breaker closes, only trials count: calls that were
+// allowed before it opened change nothing.
 func (b *Breaker) Record(now time.Time, trial Permit, ok bool) Transition {
 	switch {
 	case !bool(trial) && !b.openUntil.IsZero():
--- a/internal/plugin/limits/limits_test.go
+++ b/internal/plugin/limits/limits_test.go
@@ -27,7 +27,7 @@
 }
 
 // CheckOutput accepts the fields of each hook within their bounds and nothing else.
-func TestCheck(t *testing.T) {
+func TestCheckOutput(t *testing.T) {
 	const h, s, r = abi.OnHandIn, abi.ShapeRequest, abi.ReadAnswer
 	for _, c := range []struct {
 		what string
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -32,9 +32,9 @@
 	clientCount      = 14
 	scenarioLength   = 9 * time.Second
 
-	killDelay         = 3700 * time.Millisecond // from SIGTERM to the earliest SIGKILL
-	restartDelay      = 600 * time.Millisecond  // from the exit to the next start
-	maxReadyTime      = 10 * time.Second
+	killDelay         = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	restartDelay      = 600 * time.Millisecond  // from the exit to the next start, at least
+	maxReadyTime      = 10 * time.Second        // from a start until the relay is ready
 	notificationGrace = 1500 * time.Millisecond // after a relay is ready again, until notifications are due
 )
 
@@ -194,7 +194,7 @@
 	})
 }
 
-// over reports whether scenarioLength has passed.
+// over reports whether the time for faults, scenarioLength, has passed.
 func (s *scenario) over() bool { return time.Since(s.startedAt) > scenarioLength }
 
 // injectRelayFaults injects one random fault after another into one relay.
@@ -272,9 +272,9 @@
 	{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
 }
 
-// restartRelay stops a relay and starts it again, with the shortest delays that operators are
-// allowed. With outright set, it uses SIGKILL at once. At random, it kills the new process during
-// its start.
+// restartRelay stops a relay and starts it again. A planned stop sends SIGTERM, and SIGKILL after
+// killDelay; with outright set, the relay gets SIGKILL at once. At random, the new process is
+// killed during its start.
 func (s *scenario) restartRelay(random *rand.Rand, relay int, outright bool) {
 	r := s.relays[relay]
 	began := time.Now()
--- a/internal/testdouble/faultfs/faultfs.go
+++ b/internal/testdouble/faultfs/faultfs.go
@@ -63,7 +63,7 @@
 	return fs.usedBytes()
 }
 
-// usedBytes is UsedBytes for a caller that holds mu.
+// usedBytes returns the space of all files, in whole blocks. The caller holds mu.
 func (fs *FS) usedBytes() (n int64) {
 	for _, b := range fs.files {
 		n += int64(len(b)+511) / 512 * 512
--- a/internal/testdouble/faultnet/tcpproxy.go
+++ b/internal/testdouble/faultnet/tcpproxy.go
@@ -13,7 +13,7 @@
 	Refuse        bool          // resets open connections, and new ones when they are accepted
 	BlockOutbound bool          // holds data to the target back while set
 	BlockInbound  bool          // holds data from the target back while set
-	Delay         time.Duration // of each chunk, in both directions
+	Delay         time.Duration // of each chunk of up to 32 KiB, in both directions
 }
 
 // TCPProxy forwards TCP connections from a relay to one target, such as a partner's endpoint or the
@@ -136,7 +136,7 @@
 	replies.Wait()
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn closes a connection and removes it from conns.
 func (p *TCPProxy) closeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
@@ -144,8 +144,8 @@
 	p.mu.Unlock()
 }
 
-// waitUntilOpen waits until open returns true for the faults. It returns false once the proxy is
-// closed.
+// waitUntilOpen waits until open returns true for the present faults. It returns false once the
+// proxy is closed.
 func (p *TCPProxy) waitUntilOpen(open func(*StreamFaults) bool) bool {
 	for {
 		p.mu.Lock()
@@ -161,7 +161,8 @@
 	}
 }
 
-// copy copies one direction, subject to the faults, until an error or the end of the stream.
+// copy copies one direction until an error or the end of the stream. It waits while open returns
+// false for the faults.
 func (p *TCPProxy) copy(to, from net.Conn, open func(*StreamFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
