--- a/internal/testdouble/environment.go
+++ b/internal/testdouble/environment.go
@@ -1,8 +1,8 @@
 // Package testdouble provides scripted test doubles of the systems around a relay. They share no
 // code with it: service discovery and outcome notifications (Platform), partners' endpoints
-// (Partner) with a log of the messages that ran there (EffectLog), and a proxy that injects faults between
-// clients and a relay (FaultProxy). The package also runs the real relay as a process (Relay).
-// Everything listens on loopback.
+// (Partner) with a log of the messages that ran there (EffectLog), and a proxy that injects faults
+// between clients and a relay (FaultProxy). The package also runs the real relay as a process
+// (Relay). Everything listens on loopback.
 //
 //	env, err := testdouble.NewEnvironment(testdouble.Config{
 //		Partners: []testdouble.PartnerConfig{{Dest: 7}},
