--- a/internal/plugin/limits/limits.go
+++ b/internal/plugin/limits/limits.go
@@ -19,10 +19,10 @@
 // Bounds of the other parts of an output.
 const (
 	maxHeaders     = 16
-	maxHeaderBytes = 4 << 10
-	maxNotesBytes  = 1 << 10
+	maxHeaderBytes = 4 << 10 // of all headers
+	maxNotesBytes  = 1 << 10 // of all notes, encoded
 	maxReasonBytes = 256
-	maxWait        = 10 * time.Minute
+	maxWait        = 10 * time.Minute // a longer Retry-After is cut to it
 )
 
 // ErrOutput says that an output exceeds a bound or would change what no plug-in may change.
@@ -41,7 +41,7 @@
 	Headers [][2]string   // shape_request: name and value
 	Outcome int           // read_answer; -1: no change
 	Wait    time.Duration // read_answer: a longer Retry-After; on_handin: Retry-After of a rejection
-	Reason  string        // for the log
+	Reason  string        // on_handin: for the client; read_answer: for the log
 }
 
 // CheckOutput decodes and checks the output of a hook. If any part is not allowed, it returns an
@@ -112,8 +112,8 @@
 	return o, nil
 }
 
-// printable returns the first maxReasonBytes of a plug-in's text with control characters replaced,
-// for the log.
+// printable returns the first maxReasonBytes of a plug-in's text, with control characters and
+// invalid UTF-8 replaced, for the log.
 func printable(v []byte) string {
 	v = v[:min(len(v), maxReasonBytes)]
 	return strings.Map(func(r rune) rune {
@@ -207,7 +207,7 @@
 // calls. After a pause it is half-open and allows one trial call at a time.
 type Breaker struct {
 	config          BreakerConfig
-	failures        int
+	failures        int // consecutive
 	succeededTrials int // since the breaker is half-open
 	openTime        time.Duration
 	openUntil       time.Time // set while the breaker is open or half-open
@@ -243,8 +243,8 @@
 	Closed               // the breaker closed
 )
 
-// Record records the result of a call. Calls that were allowed before the breaker opened change
-// nothing.
+// Record records the result of a call. Until the breaker closes, only trials count: calls that were
+// allowed before it opened change nothing.
 func (b *Breaker) Record(now time.Time, trial Permit, ok bool) Transition {
 	switch {
 	case !bool(trial) && !b.openUntil.IsZero():
