--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -12,49 +12,53 @@
 	"oatfold/internal/testdouble"
 )
 
-// Seen is one line of a timeline: what one relay came to think of another.
+// Seen is one row of the timeline: a change of the state in which one relay sees another. The
+// timeline is written to Parquet and JSON.
 type Seen struct {
-	AtMs        int64  `parquet:"at_ms" json:"at_ms"` // since the fleet was whole
+	AtMs        int64  `parquet:"at_ms" json:"at_ms"` // since the fleet was complete
 	By          int32  `parquet:"by" json:"by"`
 	Number      int32  `parquet:"number" json:"number"`
 	From        string `parquet:"from,dict" json:"from"`
 	To          string `parquet:"to,dict" json:"to"`
 	Incarnation int64  `parquet:"incarnation" json:"incarnation"`
 	Why         string `parquet:"why" json:"why"`
-	Troubles    string `parquet:"troubles,dict" json:"troubles"` // that held then, by number
+	Troubles    string `parquet:"troubles,dict" json:"troubles"` // indexes of the faults active at that time
 }
 
-// started is what a relay is seen to do, of itself, as a process of it begins: it remembers nothing.
+// started is the state that a relay reports of itself when a process of it begins, without memory
+// of an earlier one.
 const started = "started"
 
-// Verdict is what came of a day. Two players of one day are compared by it.
+// Verdict is the judgement on one run of a scenario. Runs of the same scenario in different
+// environments are compared by it.
 type Verdict struct {
 	Gone   []int    `json:"gone"`   // relays that did not come back
-	Agreed bool     `json:"agreed"` // in the end all held those who lived for alive, and the others not
-	Missed []int    `json:"missed"` // relays that the others had to miss and did: away or left at some time
-	False  []string `json:"false"`  // relays held for away that no trouble had taken from the others
-	Rules  []string `json:"rules"`  // broken rules
-	Faults []string `json:"faults"` // of the player, or of processes
+	Agreed bool     `json:"agreed"` // at the end every running relay saw the running ones as alive and the others as gone
+	Missed []int    `json:"missed"` // relays correctly seen as away or left at some time
+	False  []string `json:"false"`  // relays seen as away or left that no fault had hidden
+	Rules  []string `json:"rules"`  // violated rules
+	Faults []string `json:"faults"` // faults of the laboratory or of the processes
 }
 
-// Good tells whether no rule was broken and nothing went wrong.
+// Good reports whether no rule was violated and nothing went wrong.
 func (v *Verdict) Good() bool {
 	return v.Agreed && len(v.False)+len(v.Rules)+len(v.Faults) == 0
 }
 
-// CheckSame tells whether two players came to the same verdict; else why not.
-func (v *Verdict) CheckSame(o *Verdict) error {
+// CheckSame returns an error if the two verdicts differ in whether they are good or in the relays
+// that did not come back.
+func (v *Verdict) CheckSame(other *Verdict) error {
 	switch {
-	case v.Good() != o.Good():
-		return fmt.Errorf("one is good, the other is not: %+v; %+v", v, o)
-	case !slices.Equal(v.Gone, o.Gone):
-		return fmt.Errorf("relays that did not come back: %v and %v", v.Gone, o.Gone)
+	case v.Good() != other.Good():
+		return fmt.Errorf("one run is good, the other is not: %+v; %+v", v, other)
+	case !slices.Equal(v.Gone, other.Gone):
+		return fmt.Errorf("relays that did not come back: %v and %v", v.Gone, other.Gone)
 	}
 	return nil
 }
 
-// parse reads a line of a relay's log; ok is false where it tells of no member.
-func parse(by int, line string) (s Seen, at time.Time, ok bool) {
+// parseLogLine parses a line of a relay's log. ok is false if it is not about a member.
+func parseLogLine(by int, line string) (change Seen, at time.Time, ok bool) {
 	fields := map[string]string{}
 	for rest := line; rest != ""; {
 		key, after, found := strings.Cut(rest, "=")
@@ -75,149 +79,150 @@
 		fields[strings.TrimSpace(key)] = value
 	}
 	if fields["msg"] != "member" {
-		return s, at, false
+		return change, at, false
 	}
-	n, err1 := strconv.Atoi(fields["number"])
-	inc, err2 := strconv.ParseInt(fields["incarnation"], 10, 64)
+	number, err1 := strconv.Atoi(fields["number"])
+	incarnation, err2 := strconv.ParseInt(fields["incarnation"], 10, 64)
 	at, err3 := time.Parse(time.RFC3339Nano, fields["time"])
 	if err1 != nil || err2 != nil || err3 != nil {
-		return s, at, false
+		return change, at, false
 	}
-	return Seen{By: int32(by), Number: int32(n), From: fields["was"], To: fields["state"], Incarnation: inc, Why: fields["why"]}, at, true
+	return Seen{By: int32(by), Number: int32(number), From: fields["was"], To: fields["state"], Incarnation: incarnation, Why: fields["why"]}, at, true
 }
 
-// taken says which relays a trouble takes from which others' sight.
-func taken(day *emu.Scenario, t *emu.Fault) (hidden func(by, of int) bool) {
-	in := map[int]bool{}
-	for _, n := range day.RelaysOf(t) {
-		in[n] = true
+// visibilityLoss returns a function that reports whether the fault can hide relay `of` from relay
+// `by`.
+func visibilityLoss(scenario *emu.Scenario, fault *emu.Fault) (hidden func(by, of int) bool) {
+	affected := map[int]bool{}
+	for _, n := range scenario.RelaysOf(fault) {
+		affected[n] = true
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case emu.RelayCrash, emu.RelayStop, emu.RelayStall:
-		return func(_, of int) bool { return in[of] }
+		return func(_, of int) bool { return affected[of] }
 	case emu.Partition, emu.SitePartition:
-		return func(by, of int) bool { return in[by] != in[of] }
+		return func(by, of int) bool { return affected[by] != affected[of] }
 	case emu.GossipSendLoss:
-		return func(_, of int) bool { return in[of] }
+		return func(_, of int) bool { return affected[of] }
 	case emu.GossipReceiveLoss:
-		return func(by, _ int) bool { return in[by] } // it hears nobody: in the end it may be right to miss all
+		return func(by, _ int) bool { return affected[by] } // it receives nothing, so it may end up seeing every other relay as dead
 	}
 	return func(int, int) bool { return false }
 }
 
-// judgeMembers holds the timeline against the troubles of the day.
-func judgeMembers(day *emu.Scenario, seen []Seen) (v Verdict) {
+// checkMembers checks the timeline against the faults of the scenario.
+func checkMembers(scenario *emu.Scenario, changes []Seen) (verdict Verdict) {
 	incarnations := map[[2]int32]int64{}
 	missed := map[int]bool{}
-	for _, s := range seen {
-		if s.To == started {
+	for _, change := range changes {
+		if change.To == started {
 			for key := range incarnations {
-				if key[0] == s.By {
+				if key[0] == change.By {
 					delete(incarnations, key)
 				}
 			}
 			continue
 		}
-		key := [2]int32{s.By, s.Number}
-		if s.Incarnation < incarnations[key] {
-			v.Rules = append(v.Rules, fmt.Sprintf("relay %d: incarnation of %d went back from %d to %d", s.By, s.Number, incarnations[key], s.Incarnation))
+		key := [2]int32{change.By, change.Number}
+		if change.Incarnation < incarnations[key] {
+			verdict.Rules = append(verdict.Rules, fmt.Sprintf("relay %d: incarnation of %d went back from %d to %d", change.By, change.Number, incarnations[key], change.Incarnation))
 		}
-		incarnations[key] = s.Incarnation
-		if s.To == "alive" && s.From == "away" && s.Incarnation == 0 {
-			v.Rules = append(v.Rules, fmt.Sprintf("relay %d: %d is back without a word of it", s.By, s.Number))
+		incarnations[key] = change.Incarnation
+		if change.To == "alive" && change.From == "away" && change.Incarnation == 0 {
+			verdict.Rules = append(verdict.Rules, fmt.Sprintf("relay %d: %d is back without a word of it", change.By, change.Number))
 		}
-		if s.To != "away" && s.To != "left" {
+		if change.To != "away" && change.To != "left" {
 			continue
 		}
 		excused := false
-		for i := range day.Faults {
-			excused = excused || taken(day, &day.Faults[i])(int(s.By), int(s.Number))
+		for i := range scenario.Faults {
+			excused = excused || visibilityLoss(scenario, &scenario.Faults[i])(int(change.By), int(change.Number))
 		}
 		if !excused {
-			v.False = append(v.False, fmt.Sprintf("relay %d held %d for %s at %d ms: %s", s.By, s.Number, s.To, s.AtMs, s.Why))
+			verdict.False = append(verdict.False, fmt.Sprintf("relay %d held %d for %s at %d ms: %s", change.By, change.Number, change.To, change.AtMs, change.Why))
 			continue
 		}
-		missed[int(s.Number)] = true
+		missed[int(change.Number)] = true
 	}
 	for n := range missed {
-		v.Missed = append(v.Missed, n)
+		verdict.Missed = append(verdict.Missed, n)
 	}
-	slices.Sort(v.Missed)
-	return v
+	slices.Sort(verdict.Missed)
+	return verdict
 }
 
-// Hand is a message that clients handed in, and what they were told.
-type Hand struct {
+// Submission is a message that a client submitted, and the outcome that the client got.
+type Submission struct {
 	Name, Class, ID string
 	Outcome         client.Outcome
 }
 
-// Books is what the stand-ins booked over a day.
-type Books struct {
-	Hands   []Hand
-	Effects []testdouble.Effect
-	Notices map[string]testdouble.Notification // by id
-	Early   int                                // calls within told waits
-	TooLong int                                // notes of over 256 bytes
+// Records is what the test doubles recorded during a run.
+type Records struct {
+	Submissions       []Submission
+	Effects           []testdouble.Effect
+	Notifications     map[string]testdouble.Notification // by message ID
+	EarlyCalls        int                                // calls made before a Retry-After had passed
+	OversizedMessages int                                // gossip messages of over 256 bytes
 }
 
-const noEnd = " was taken on and had no end"
+const notCompleted = " was accepted and had no end"
 
-// endless tells whether a broken rule is one that more time may mend.
-func endless(rule string) bool { return strings.HasSuffix(rule, noEnd) }
+// mayResolve reports whether a violation may disappear if the run is given more time.
+func mayResolve(rule string) bool { return strings.HasSuffix(rule, notCompleted) }
 
-// judgeMessages holds what clients were told against what took effect.
-func judgeMessages(b *Books) (rules []string) {
+// checkMessages checks the outcomes that clients got against the effects at the partners.
+func checkMessages(records *Records) (rules []string) {
 	ran, dropped := map[string]int{}, map[string]int{}
-	for _, e := range b.Effects {
-		if e.Deduplicated {
-			dropped[e.Name]++
+	for _, effect := range records.Effects {
+		if effect.Deduplicated {
+			dropped[effect.Name]++
 			continue
 		}
-		ran[e.Name]++
+		ran[effect.Name]++
 	}
-	for _, h := range b.Hands {
-		notice, told := b.Notices[h.ID]
+	for _, submission := range records.Submissions {
+		notification, notified := records.Notifications[submission.ID]
 		switch {
-		case h.Class == "fee-charge" && ran[h.Name] > 1:
-			rules = append(rules, fmt.Sprintf("%s ran %d times", h.Name, ran[h.Name]))
-		case h.Outcome == client.Taken && ran[h.Name] == 0 && !told:
-			rules = append(rules, h.Name+noEnd)
-		case h.Outcome == client.Refused && ran[h.Name] > 0:
-			rules = append(rules, fmt.Sprintf("%s was refused and ran", h.Name))
-		case h.Class == "fee-charge" && told && notice.Outcome == "handed_back" && ran[h.Name] > 0:
-			rules = append(rules, fmt.Sprintf("%s was handed back and ran", h.Name))
+		case submission.Class == "fee-charge" && ran[submission.Name] > 1:
+			rules = append(rules, fmt.Sprintf("%s ran %d times", submission.Name, ran[submission.Name]))
+		case submission.Outcome == client.Taken && ran[submission.Name] == 0 && !notified:
+			rules = append(rules, submission.Name+notCompleted)
+		case submission.Outcome == client.Refused && ran[submission.Name] > 0:
+			rules = append(rules, fmt.Sprintf("%s was refused and ran", submission.Name))
+		case submission.Class == "fee-charge" && notified && notification.Outcome == "handed_back" && ran[submission.Name] > 0:
+			rules = append(rules, fmt.Sprintf("%s was handed back and ran", submission.Name))
 		}
 	}
-	if b.Early > 0 {
-		rules = append(rules, fmt.Sprintf("%d calls within a told wait", b.Early))
+	if records.EarlyCalls > 0 {
+		rules = append(rules, fmt.Sprintf("%d calls within a told wait", records.EarlyCalls))
 	}
-	if b.TooLong > 0 {
-		rules = append(rules, fmt.Sprintf("%d notes of over 256 bytes", b.TooLong))
+	if records.OversizedMessages > 0 {
+		rules = append(rules, fmt.Sprintf("%d gossip messages of over 256 bytes", records.OversizedMessages))
 	}
 	return rules
 }
 
-// RunVirtual plays the day in virtual time and comes to a verdict of the same form.
-func RunVirtual(day *emu.Scenario) (*Verdict, []Seen, error) {
-	d := *day
-	d.SettleTime = settle
-	res, err := emu.Run(&d, emu.Options{})
+// RunVirtual runs the scenario in virtual time and returns its verdict and its timeline.
+func RunVirtual(scenario *emu.Scenario) (*Verdict, []Seen, error) {
+	withSettleTime := *scenario
+	withSettleTime.SettleTime = settleTime
+	result, err := emu.Run(&withSettleTime, emu.Options{})
 	if err != nil {
 		return nil, nil, err
 	}
-	var seen []Seen
-	for _, c := range res.Members {
-		if c.At < whole {
-			continue // the fleet is still coming up
+	var changes []Seen
+	for _, change := range result.Members {
+		if change.At < fleetStartTime {
+			continue // the fleet is still starting
 		}
-		seen = append(seen, Seen{AtMs: (c.At - whole).Milliseconds(), By: int32(c.By), Number: int32(c.Number), From: c.From, To: c.To, Incarnation: int64(c.Incarnation), Why: c.Why})
+		changes = append(changes, Seen{AtMs: (change.At - fleetStartTime).Milliseconds(), By: int32(change.By), Number: int32(change.Number), From: change.From, To: change.To, Incarnation: int64(change.Incarnation), Why: change.Why})
 	}
-	v := judgeMembers(day, seen)
-	v.Agreed, v.Gone = res.Agreed, res.Down
-	for _, b := range res.Breaks {
-		v.Rules = append(v.Rules, b.String())
+	verdict := checkMembers(scenario, changes)
+	verdict.Agreed, verdict.Gone = result.Agreed, result.Down
+	for _, violation := range result.Breaks {
+		verdict.Rules = append(verdict.Rules, violation.String())
 	}
-	v.Faults = append(v.Faults, res.Faults...)
-	return &v, seen, nil
+	verdict.Faults = append(verdict.Faults, result.Faults...)
+	return &verdict, changes, nil
 }
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Chosen is what a relay answers when it is asked for the choices that it shares.
-type Chosen struct {
+// Choices is a relay's answer to GET /choices: its slot in the fleet, its endpoint subsets and the
+// destinations that it probes.
+type Choices struct {
 	Self    int
 	Place   int
 	Live    int
@@ -24,86 +25,88 @@
 	}
 }
 
-// chosen asks a relay for its choices.
-func (r *run) chosen(n int) (*Chosen, error) {
+// fetchChoices asks a relay for its choices.
+func (r *run) fetchChoices(n int) (*Choices, error) {
 	status, body, err := r.relays[n].CallAdmin("GET", "/choices")
 	if err != nil || status != 200 {
 		return nil, fmt.Errorf("relay %d: status %d: %w", n, status, err)
 	}
-	c := &Chosen{}
-	return c, json.Unmarshal([]byte(body), c)
+	choices := &Choices{}
+	return choices, json.Unmarshal([]byte(body), choices)
 }
 
-// unshared names what is amiss in how the relays that are up share endpoints; nothing: all know of the same that live.
-func (r *run) unshared() []string {
+// choiceProblems returns what is wrong with how the running relays share endpoints; it is empty
+// when they agree on the live fleet.
+func (r *run) choiceProblems() []string {
 	r.mu.Lock()
 	down := map[int]bool{}
 	for n := range r.down {
 		down[n] = true
 	}
 	r.mu.Unlock()
-	var all []*Chosen
+	var all []*Choices
 	for n := range r.relays {
 		if down[n] {
 			continue
 		}
-		c, err := r.chosen(n)
+		choices, err := r.fetchChoices(n)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		all = append(all, c)
+		all = append(all, choices)
 	}
-	eps := map[int]int{}
-	for i, d := range r.day.Dests {
-		eps[1+i] = len(d.Endpoints)
+	endpointCounts := map[int]int{}
+	for i, dest := range r.scenario.Dests {
+		endpointCounts[1+i] = len(dest.Endpoints)
 	}
-	return judgeChoices(all, eps, r.day.Choices.SubsetSize)
+	return checkChoices(all, endpointCounts, r.scenario.Choices.SubsetSize)
 }
 
-// judgeChoices holds the choices of the relays that are up against one another: each has a place of its own among as many as there are, and k of a
-// destination's endpoints, and no endpoint has many more relays than another.
-func judgeChoices(all []*Chosen, eps map[int]int, k int) (bad []string) {
+// checkChoices compares the choices of all running relays. Each must have a place of its own among
+// as many places as there are relays and subsetSize endpoints of each large destination, and no
+// endpoint may have many more relays than another.
+func checkChoices(all []*Choices, endpointCounts map[int]int, subsetSize int) (problems []string) {
 	var places []int
-	per := map[int]map[string]int{}
-	for _, c := range all {
-		if c.Live != len(all) || c.Place < 0 || slices.Contains(places, c.Place) {
-			bad = append(bad, fmt.Sprintf("relay %d has place %d of %d; %d relays are up, with places %v so far", c.Self, c.Place, c.Live, len(all), places))
+	relaysPerEndpoint := map[int]map[string]int{}
+	for _, choices := range all {
+		if choices.Live != len(all) || choices.Place < 0 || slices.Contains(places, choices.Place) {
+			problems = append(problems, fmt.Sprintf("relay %d has place %d of %d; %d relays are up, with places %v so far", choices.Self, choices.Place, choices.Live, len(all), places))
 		}
-		places = append(places, c.Place)
-		had := 0
-		for _, s := range c.Subsets {
-			if s.Of != eps[s.Destination] || len(s.Endpoints) != k {
-				bad = append(bad, fmt.Sprintf("relay %d keeps %d of %d endpoints of destination %d", c.Self, len(s.Endpoints), s.Of, s.Destination))
+		places = append(places, choices.Place)
+		surplus := 0
+		for _, subset := range choices.Subsets {
+			if subset.Of != endpointCounts[subset.Destination] || len(subset.Endpoints) != subsetSize {
+				problems = append(problems, fmt.Sprintf("relay %d keeps %d of %d endpoints of destination %d", choices.Self, len(subset.Endpoints), subset.Of, subset.Destination))
 			}
-			had++
-			if per[s.Destination] == nil {
-				per[s.Destination] = map[string]int{}
+			surplus++
+			if relaysPerEndpoint[subset.Destination] == nil {
+				relaysPerEndpoint[subset.Destination] = map[string]int{}
 			}
-			for _, e := range s.Endpoints {
-				per[s.Destination][e]++
+			for _, endpoint := range subset.Endpoints {
+				relaysPerEndpoint[subset.Destination][endpoint]++
 			}
 		}
-		for _, m := range eps {
-			if m > k {
-				had--
+		for _, count := range endpointCounts {
+			if count > subsetSize {
+				surplus--
 			}
 		}
-		if had != 0 {
-			bad = append(bad, fmt.Sprintf("relay %d keeps subsets of %d destinations", c.Self, len(c.Subsets)))
+		if surplus != 0 {
+			problems = append(problems, fmt.Sprintf("relay %d keeps subsets of %d destinations", choices.Self, len(choices.Subsets)))
 		}
 	}
-	for d, counts := range per {
-		least, most := len(all), 0
-		for _, n := range counts {
-			least, most = min(least, n), max(most, n)
+	for dest, counts := range relaysPerEndpoint {
+		fewest, most := len(all), 0
+		for _, count := range counts {
+			fewest, most = min(fewest, count), max(most, count)
 		}
-		if len(counts) < min(eps[d], len(all)*k) {
-			least = 0
+		if len(counts) < min(endpointCounts[dest], len(all)*subsetSize) {
+			fewest = 0
 		}
-		if most-least > 2 && float64(most-least) > 0.3*float64(len(all)*k)/float64(eps[d]) {
-			bad = append(bad, fmt.Sprintf("destination %d: %d to %d relays on an endpoint", d, least, most))
+		if most-fewest > 2 && float64(most-fewest) > 0.3*float64(len(all)*subsetSize)/float64(endpointCounts[dest]) {
+			problems = append(problems, fmt.Sprintf("destination %d: %d to %d relays on an endpoint", dest, fewest, most))
 		}
 	}
-	slices.Sort(bad)
-	return bad
+	slices.Sort(problems)
+	return problems
 }
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -10,116 +10,119 @@
 	"oatfold/client"
 )
 
-// This file waits for a day's end, and judges it from the books of the test doubles and the relays' logs.
+// This file waits for the end of a run and judges it by the records of the test doubles and the
+// logs of the relays.
 
-// finish waits until all has ended and all agree, ends the relays and judges.
+// finish waits until all messages are completed and all relays agree, stops the relays and returns
+// the result.
 func (r *run) finish(ctx context.Context) (*Result, error) {
-	res := &Result{Day: r.day.Name, Seed: r.set.Seed}
-	var books Books
-	ended := func() bool {
-		books = r.books()
-		return !slices.ContainsFunc(judgeMessages(&books), endless)
+	result := &Result{Day: r.scenario.Name, Seed: r.config.Seed}
+	var records Records
+	completed := func() bool {
+		records = r.records()
+		return !slices.ContainsFunc(checkMessages(&records), mayResolve)
 	}
-	if err := r.until(ctx, "all messages to end", ended); err != nil && ctx.Err() != nil {
+	if err := r.waitUntil(ctx, "all messages to be completed", completed); err != nil && ctx.Err() != nil {
 		return nil, err
 	}
-	agreed := r.until(ctx, "all relays to agree who lives", r.agreed)
-	if r.set.InspectRelays != nil {
-		if err := r.set.InspectRelays(r.relays); err != nil {
-			r.fault("%v", err)
+	agreeErr := r.waitUntil(ctx, "all relays to agree on who is alive", r.membersAgree)
+	if r.config.InspectRelays != nil {
+		if err := r.config.InspectRelays(r.relays); err != nil {
+			r.reportFault("%v", err)
 		}
 	}
-	for i, d := range r.day.Dests {
-		if d.SingleZone() != "" && r.world.Partners[1+i].Collapsed() {
-			r.fault("destination %d was pushed over as it returned", 1+i)
+	for i, dest := range r.scenario.Dests {
+		if dest.SingleZone() != "" && r.env.Partners[1+i].Collapsed() {
+			r.reportFault("destination %d collapsed under overload as it recovered", 1+i)
 		}
 	}
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	why := r.disagreement()
-	if r.day.Choices.SubsetSize > 0 {
-		if r.until(ctx, "all relays to share endpoints alike", func() bool { return len(r.unshared()) == 0 }) != nil {
-			for _, text := range r.unshared() {
-				r.fault("%s", text)
+	disagreement := r.memberDisagreement()
+	if r.scenario.Choices.SubsetSize > 0 {
+		if r.waitUntil(ctx, "all relays to share endpoints evenly", func() bool { return len(r.choiceProblems()) == 0 }) != nil {
+			for _, text := range r.choiceProblems() {
+				r.reportFault("%s", text)
 			}
 		}
 	}
 	r.mu.Lock()
-	res.Seconds = time.Since(r.since).Seconds()
-	seen := slices.Clone(r.seen)
+	result.Seconds = time.Since(r.startedAt).Seconds()
+	changes := slices.Clone(r.changes)
 	r.mu.Unlock()
-	r.ending.Store(true)
-	var all sync.WaitGroup
+	r.stopping.Store(true)
+	var stops sync.WaitGroup
 	for n, relay := range r.relays {
 		if r.down[n] {
 			continue
 		}
-		all.Go(func() {
+		stops.Go(func() {
 			if err := relay.Stop(); err != nil {
-				r.fault("relay %d ended with %v", n, err)
+				r.reportFault("relay %d: stop: %v", n, err)
 			}
 		})
 	}
-	all.Wait()
-	// In the order of arrival, which is each relay's own: dates of several processes don't give it where a wall clock is stepped.
-	res.Verdict = judgeMembers(r.day, seen)
-	slices.SortStableFunc(seen, func(a, b Seen) int { return int(a.AtMs - b.AtMs) })
+	stops.Wait()
+	// Changes are in order of arrival, which is the order of each relay. Timestamps of several
+	// processes don't give that order when the wall clock is stepped.
+	result.Verdict = checkMembers(r.scenario, changes)
+	slices.SortStableFunc(changes, func(a, b Seen) int { return int(a.AtMs - b.AtMs) })
 	for n := range r.down {
-		res.Verdict.Gone = append(res.Verdict.Gone, n)
-	}
-	slices.Sort(res.Verdict.Gone)
-	res.Verdict.Agreed = agreed == nil
-	if agreed != nil {
-		res.Verdict.Faults = append(res.Verdict.Faults, why)
-	}
-	books = r.books()
-	res.Verdict.Rules = append(res.Verdict.Rules, judgeMessages(&books)...)
-	res.Verdict.Faults = append(res.Verdict.Faults, r.faults...)
-	res.Seen, res.Offered, res.Ran = seen, len(books.Hands), len(books.Effects)
-	for _, h := range books.Hands {
-		if h.Outcome == client.Taken {
-			res.Taken++
+		result.Verdict.Gone = append(result.Verdict.Gone, n)
+	}
+	slices.Sort(result.Verdict.Gone)
+	result.Verdict.Agreed = agreeErr == nil
+	if agreeErr != nil {
+		result.Verdict.Faults = append(result.Verdict.Faults, disagreement)
+	}
+	records = r.records()
+	result.Verdict.Rules = append(result.Verdict.Rules, checkMessages(&records)...)
+	result.Verdict.Faults = append(result.Verdict.Faults, r.faults...)
+	result.Seen, result.Offered, result.Ran = changes, len(records.Submissions), len(records.Effects)
+	for _, submission := range records.Submissions {
+		if submission.Outcome == client.Taken {
+			result.Taken++
 		}
 	}
-	if res.Taken == 0 {
-		res.Verdict.Faults = append(res.Verdict.Faults, "no message was taken on")
+	if result.Taken == 0 {
+		result.Verdict.Faults = append(result.Verdict.Faults, "no message was accepted")
 	}
-	res.Sent, _, res.Bytes, _ = r.net.Counts()
-	for _, p := range r.world.Partners {
-		res.Refused += p.RejectedCalls()
+	result.Sent, _, result.Bytes, _ = r.network.Counts()
+	for _, partner := range r.env.Partners {
+		result.Refused += partner.RejectedCalls()
 	}
-	for i, t := range r.day.Faults {
-		res.Troubles = append(res.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, t.Kind, r.day.RelaysOf(&t), t.Zone, t.At, t.Duration))
+	for i, fault := range r.scenario.Faults {
+		result.Troubles = append(result.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, fault.Kind, r.scenario.RelaysOf(&fault), fault.Zone, fault.At, fault.Duration))
 	}
-	return res, nil
+	return result, nil
 }
 
-func (r *run) books() (b Books) {
+func (r *run) records() (records Records) {
 	r.mu.Lock()
-	b.Hands = slices.Clone(r.hands)
+	records.Submissions = slices.Clone(r.submissions)
 	r.mu.Unlock()
-	b.Effects, b.Notices = r.world.EffectLog.Entries(), r.world.Platform.Notifications()
-	for _, p := range r.world.Partners {
-		b.Early += p.EarlyCalls()
+	records.Effects, records.Notifications = r.env.EffectLog.Entries(), r.env.Platform.Notifications()
+	for _, p := range r.env.Partners {
+		records.EarlyCalls += p.EarlyCalls()
 	}
-	_, _, _, b.TooLong = r.net.Counts()
-	return b
+	_, _, _, records.OversizedMessages = r.network.Counts()
+	return records
 }
 
 func (r *run) close() {
-	if r.world != nil {
-		r.world.Close()
+	if r.env != nil {
+		r.env.Close()
 	}
-	if r.net != nil {
-		r.net.Close()
+	if r.network != nil {
+		r.network.Close()
 	}
-	for _, all := range r.routes {
-		for _, one := range all {
-			one.way.Close()
+	for _, routes := range r.routes {
+		for _, route := range routes {
+			route.proxy.Close()
 		}
 	}
-	for _, f := range r.logs {
-		f.Close()
+	for _, file := range r.logFiles {
+		file.Close()
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,10 @@
-// Package fleet plays days with real relays in processes of their own: links between them that lose, delay and cut, scripted partners and
-// platform, and clients from the library, all on loopback. The days are those that internal/lab/emu plays in virtual time.
+// Package fleet runs scenarios with real relays in processes of their own, all on loopback: a
+// network between them that loses, delays and blocks messages, scripted partners and platform, and
+// clients of the client library. internal/lab/emu runs the same scenarios in virtual time.
 //
-// A day's clock is the messages that clients have offered: a trouble begins and ends with a counted one, so that a machine that is busy
-// plays the day slower, and to the same end. What relays did is judged from the ledgers of the stand-ins and the relays' logs.
+// The clock of a run is the number of messages submitted: a fault begins and ends with a given
+// message, so that a busy machine runs the scenario more slowly and with the same outcome. The
+// relays are judged by the effect logs of the test doubles and by their own logs.
 package fleet
 
 import (
@@ -22,32 +24,32 @@
 	"oatfold/internal/testdouble/faultnet"
 )
 
-// Bounds of a day that processes can play.
+// Bounds of scenarios that processes can play.
 const (
-	leastRelays, mostRelays = 2, 40
-	mostRate                = 200.0 // messages a second
-	mostMessages            = 20_000
+	minRelays, maxRelays = 2, 40
+	maxRate              = 200.0 // messages per second
+	maxMessages          = 20_000
 
-	whole    = 20 * members.Period // virtual time: how long a fleet may take to know itself
-	coldRate = 60.0                // calls a second that a partner takes that is in one site alone, and comes back cold with it
-	coldFor  = 6 * time.Second
+	fleetStartTime   = 20 * members.Period // virtual time in which a starting fleet must agree
+	singleZoneRate   = 60.0                // calls per second that a partner in a single zone accepts
+	singleZoneWarmUp = 6 * time.Second
 
-	settle = 90 * time.Second // virtual time, for all to agree behind a day's end
-	hang   = 60 * time.Second // of a process's side of the same; it bounds a hang and measures nothing
+	settleTime  = 90 * time.Second // virtual time in which all must agree after the scenario
+	waitTimeout = 60 * time.Second // the same for processes; it bounds a hang
 )
 
-// Config sets a run.
+// Config configures a run.
 type Config struct {
 	Scenario    *emu.Scenario
 	Seed        uint64
-	RelayBinary string // the relay
-	OutDir      string // folder for logs and results; empty: none are kept
+	RelayBinary string // path of the relay's program
+	OutDir      string // directory for logs and results; none are kept if empty
 
-	OperatorFile  string                          // file that the relays are started with; empty: none
-	InspectRelays func([]*testdouble.Relay) error // asked of the relays when the day's messages have ended; nil: nothing
+	OperatorFile  string                          // operator's file for the relays; optional
+	InspectRelays func([]*testdouble.Relay) error // checks the relays after the last message is completed; optional
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Day      string
 	Seed     uint64
@@ -56,215 +58,216 @@
 	Offered  int
 	Taken    int
 	Ran      int
-	Refused  int     // calls that partners turned away above their limits
-	Sent     int     // notes
-	Bytes    int     // of notes
-	Seconds  float64 // from the fleet's being whole to the day's end
+	Refused  int     // calls that partners rejected above their limits
+	Sent     int     // gossip messages
+	Bytes    int     // of gossip messages
+	Seconds  float64 // from the complete fleet to the end of the run
 	Troubles []string
 }
 
-// Playable names the first thing for which a day can't be played with processes.
-func Playable(d *emu.Scenario) error {
-	if d.Relays < leastRelays || d.Relays > mostRelays {
-		return fmt.Errorf("relays: %d does not lie within %d and %d", d.Relays, leastRelays, mostRelays)
+// Playable returns an error that names the first part of a scenario that processes can't play.
+func Playable(scenario *emu.Scenario) error {
+	if scenario.Relays < minRelays || scenario.Relays > maxRelays {
+		return fmt.Errorf("relays: %d does not lie within %d and %d", scenario.Relays, minRelays, maxRelays)
 	}
-	if !d.Membership {
-		return errors.New("members: a fleet's day asks who lives")
+	if !scenario.Membership {
+		return errors.New("members: the scenario must enable membership")
 	}
-	if d.Rate <= 0 || d.Rate > mostRate || d.Rate*d.Length.Seconds() > mostMessages {
-		return fmt.Errorf("rate: %.0f messages a second for %v are none, or more than %.0f a second or %d in all", d.Rate, d.Length, mostRate, mostMessages)
+	if scenario.Rate <= 0 || scenario.Rate > maxRate || scenario.Rate*scenario.Length.Seconds() > maxMessages {
+		return fmt.Errorf("rate: %.0f messages per second for %v: no messages, or more than %.0f per second or %d in total", scenario.Rate, scenario.Length, maxRate, maxMessages)
 	}
-	for i, t := range d.Faults {
-		switch t.Kind {
+	for i, fault := range scenario.Faults {
+		switch fault.Kind {
 		case emu.Blackhole, emu.RejectAll, emu.Crash, emu.LowerLimit:
-			if len(t.Endpoints) > 0 && t.Kind != emu.Crash {
-				return fmt.Errorf("troubles[%d].parts: single endpoints can crash only", i)
+			if len(fault.Endpoints) > 0 && fault.Kind != emu.Crash {
+				return fmt.Errorf("troubles[%d].parts: single endpoints can only crash", i)
 			}
 		default:
-			if !t.AffectsRelays() {
-				return fmt.Errorf("troubles[%d].kind: %q is played in virtual time only", i, t.Kind)
+			if !fault.AffectsRelays() {
+				return fmt.Errorf("troubles[%d].kind: %q is supported in virtual time only", i, fault.Kind)
 			}
 		}
-		if t.At < whole {
-			return fmt.Errorf("troubles[%d].at: %v: a fleet takes up to %v to know itself", i, t.At, whole)
+		if fault.At < fleetStartTime {
+			return fmt.Errorf("troubles[%d].at: %v: a fleet takes up to %v to start", i, fault.At, fleetStartTime)
 		}
 	}
 	return nil
 }
 
-// run is a day at work.
+// run is the state of a running scenario.
 type run struct {
-	set    Config
-	day    *emu.Scenario
-	world  *testdouble.Environment
-	net    *faultnet.Network
-	relays []*testdouble.Relay
-	routes [][]route // of each relay
-	logs   []*os.File
+	config   Config
+	scenario *emu.Scenario
+	env      *testdouble.Environment
+	network  *faultnet.Network
+	relays   []*testdouble.Relay
+	routes   [][]proxyRoute // by relay
+	logFiles []*os.File
 
-	mu      sync.Mutex
-	seen    []Seen
-	since   time.Time // the fleet is whole; zero: not yet
-	hands   []Hand
-	holding map[int]bool // troubles that hold now
-	down    map[int]bool // relays that are to be down now
-	stalled map[int]int
-	faults  []string
-	ending  atomic.Bool // the relays are told to end
+	mu           sync.Mutex
+	changes      []Seen
+	startedAt    time.Time // when the fleet was complete; zero before
+	submissions  []Submission
+	activeFaults map[int]bool // by index
+	down         map[int]bool // relays that are meant to be stopped
+	stallCounts  map[int]int
+	faults       []string
+	stopping     atomic.Bool // the relays are being stopped
 }
 
-// Run plays a day and judges it.
-func Run(ctx context.Context, set Config) (*Result, error) {
-	if err := Playable(set.Scenario); err != nil {
+// Run runs a scenario and judges it.
+func Run(ctx context.Context, config Config) (*Result, error) {
+	if err := Playable(config.Scenario); err != nil {
 		return nil, err
 	}
-	r := &run{set: set, day: set.Scenario, holding: map[int]bool{}, down: map[int]bool{}, stalled: map[int]int{}}
+	r := &run{config: config, scenario: config.Scenario, activeFaults: map[int]bool{}, down: map[int]bool{}, stallCounts: map[int]int{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if err := r.until(ctx, "all relays to know one another", r.agreed); err != nil {
-		return nil, fmt.Errorf("%w: %s", err, r.disagreement())
+	if err := r.waitUntil(ctx, "all relays to know one another", r.membersAgree); err != nil {
+		return nil, fmt.Errorf("%w: %s", err, r.memberDisagreement())
 	}
 	r.mu.Lock()
-	r.since, r.seen = time.Now(), nil
+	r.startedAt, r.changes = time.Now(), nil
 	r.mu.Unlock()
-	if err := r.offer(ctx); err != nil {
+	if err := r.submitMessages(ctx); err != nil {
 		return nil, err
 	}
 	return r.finish(ctx)
 }
 
-func (r *run) fault(format string, args ...any) {
+func (r *run) reportFault(format string, args ...any) {
 	r.mu.Lock()
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// partners are the day's destinations as stand-ins.
+// partners returns the scenario's destinations as test doubles.
 func (r *run) partners() (all []testdouble.PartnerConfig) {
-	for i, d := range r.day.Dests {
-		k := r.day.Kinds[d.Kind]
-		p := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(d.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: d.Zone}
-		if k.MaxBatch > 1 {
-			p.Kind = "broker"
+	for i, dest := range r.scenario.Dests {
+		kind := r.scenario.Kinds[dest.Kind]
+		partner := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(dest.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: dest.Zone}
+		if kind.MaxBatch > 1 {
+			partner.Kind = "broker"
 		}
-		if d.Endpoints[0].Zone != "" {
-			for _, e := range d.Endpoints {
-				p.EndpointZones = append(p.EndpointZones, e.Zone)
+		if dest.Endpoints[0].Zone != "" {
+			for _, endpoint := range dest.Endpoints {
+				partner.EndpointZones = append(partner.EndpointZones, endpoint.Zone)
 			}
 		}
-		if one := d.SingleZone(); one != "" {
-			p.Rate, p.Burst, p.ColdRateShare, p.WarmUpTime, p.OverloadFactor = coldRate, coldRate, k.ColdStartShare, coldFor, r.day.OverloadFactor
+		if zone := dest.SingleZone(); zone != "" {
+			partner.Rate, partner.Burst, partner.ColdRateShare, partner.WarmUpTime, partner.OverloadFactor = singleZoneRate, singleZoneRate, kind.ColdStartShare, singleZoneWarmUp, r.scenario.OverloadFactor
 		}
-		if k.Limit == emu.RateLimit {
-			p.Rate, p.Burst, p.RetryAfter = d.Limit, max(1, d.Limit/2), k.RetryAfter
+		if kind.Limit == emu.RateLimit {
+			partner.Rate, partner.Burst, partner.RetryAfter = dest.Limit, max(1, dest.Limit/2), kind.RetryAfter
 		}
-		all = append(all, p)
+		all = append(all, partner)
 	}
 	return all
 }
 
 func (r *run) classes() (all []testdouble.Class) {
-	for _, c := range r.day.Classes {
-		all = append(all, testdouble.Class{Name: c.Name, Effect: []string{"safe", "keyed", "unsafe"}[c.Effect], TargetLatency: c.TargetLatency, Deadline: c.Deadline, RepeatWindow: max(c.RepeatWindow, time.Second),
-			Value: c.Value, LateValue: c.LateValue})
+	for _, class := range r.scenario.Classes {
+		all = append(all, testdouble.Class{Name: class.Name, Effect: []string{"safe", "keyed", "unsafe"}[class.Effect], TargetLatency: class.TargetLatency, Deadline: class.Deadline, RepeatWindow: max(class.RepeatWindow, time.Second),
+			Value: class.Value, LateValue: class.LateValue})
 	}
 	return all
 }
 
-// start starts the world and its relays, side by side.
+// start starts the test doubles, then all relays in parallel.
 func (r *run) start() (err error) {
-	if r.world, err = testdouble.NewEnvironment(testdouble.Config{Seed: r.set.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.day.Relays, MaxPending: 500}); err != nil {
+	if r.env, err = testdouble.NewEnvironment(testdouble.Config{Seed: r.config.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.scenario.Relays, MaxPending: 500}); err != nil {
 		return err
 	}
 	var listen []string
-	for range r.day.Relays {
-		addr, err := testdouble.ReserveAddr() // of an address of its own: the ways' sockets take ports of 127.0.0.1
+	for range r.scenario.Relays {
+		addr, err := testdouble.ReserveAddr() // not on 127.0.0.1, whose ports the proxies' sockets use
 		if err != nil {
 			return err
 		}
 		listen = append(listen, addr)
 	}
-	if r.net, err = faultnet.New(listen, r.set.Seed); err != nil {
+	if r.network, err = faultnet.New(listen, r.config.Seed); err != nil {
 		return err
 	}
 	var zones []string
-	for z := range max(1, r.day.Zones) {
+	for z := range max(1, r.scenario.Zones) {
 		zones = append(zones, fmt.Sprintf("zone-%d", 1+z))
 	}
-	errs := make([]error, r.day.Relays)
-	var all sync.WaitGroup
-	r.routes = make([][]route, r.day.Relays)
-	for n := range r.day.Relays {
-		discovery, err := r.reach(n)
+	errs := make([]error, r.scenario.Relays)
+	var starts sync.WaitGroup
+	r.routes = make([][]proxyRoute, r.scenario.Relays)
+	for n := range r.scenario.Relays {
+		discovery, err := r.openProxies(n)
 		if err != nil {
 			return err
 		}
-		seat := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.net.PeerAddrs(n), Zone: zones[r.day.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.day.Choices.String(), DiscoveryAddr: discovery}
-		if r.set.OutDir != "" {
-			f, err := os.Create(filepath.Join(r.set.OutDir, fmt.Sprintf("relay-%02d.log", n)))
+		fleetConfig := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.network.PeerAddrs(n), Zone: zones[r.scenario.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.scenario.Choices.String(), DiscoveryAddr: discovery}
+		if r.config.OutDir != "" {
+			file, err := os.Create(filepath.Join(r.config.OutDir, fmt.Sprintf("relay-%02d.log", n)))
 			if err != nil {
 				return err
 			}
-			r.logs = append(r.logs, f)
-			seat.OnLogLine = func(line string) { fmt.Fprintln(f, line); r.tap(n, line) }
+			r.logFiles = append(r.logFiles, file)
+			fleetConfig.OnLogLine = func(line string) { fmt.Fprintln(file, line); r.observeLogLine(n, line) }
 		} else {
-			seat.OnLogLine = func(line string) { r.tap(n, line) }
+			fleetConfig.OnLogLine = func(line string) { r.observeLogLine(n, line) }
 		}
 		args := []string{"--log", "debug"}
-		if r.set.OperatorFile != "" {
-			args = append(args, "--operator", r.set.OperatorFile)
+		if r.config.OperatorFile != "" {
+			args = append(args, "--operator", r.config.OperatorFile)
 		}
-		relay, err := r.world.NewFleetRelay(r.set.RelayBinary, seat, args...)
+		relay, err := r.env.NewFleetRelay(r.config.RelayBinary, fleetConfig, args...)
 		if err != nil {
 			return err
 		}
 		r.relays = append(r.relays, relay)
-		all.Go(func() { errs[n] = relay.Start() })
+		starts.Go(func() { errs[n] = relay.Start() })
 	}
-	all.Wait()
+	starts.Wait()
 	return errors.Join(errs...)
 }
 
-// tap reads a line of a relay's log.
-func (r *run) tap(by int, line string) {
-	s, at, ok := parse(by, line)
+// observeLogLine adds a change of membership in a line of a relay's log to the timeline.
+func (r *run) observeLogLine(by int, line string) {
+	change, at, ok := parseLogLine(by, line)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !ok && strings.Contains(line, "msg=ready ") {
-		s, at, ok = Seen{By: int32(by), Number: int32(by), To: started}, time.Now(), true
+		change, at, ok = Seen{By: int32(by), Number: int32(by), To: started}, time.Now(), true
 	}
-	if !ok || r.ending.Load() {
+	if !ok || r.stopping.Load() {
 		return
 	}
-	for i := range r.day.Faults {
-		if r.holding[i] {
-			s.Troubles += fmt.Sprintf("%d ", i)
+	for i := range r.scenario.Faults {
+		if r.activeFaults[i] {
+			change.Troubles += fmt.Sprintf("%d ", i)
 		}
 	}
-	s.AtMs = at.Sub(r.since).Milliseconds()
-	r.seen = append(r.seen, s)
+	change.AtMs = at.Sub(r.startedAt).Milliseconds()
+	r.changes = append(r.changes, change)
 }
 
-// route is a relay's own way to an endpoint of a destination.
-type route struct {
-	dest, end int // their places in the day
-	way       *faultnet.TCPProxy
+// proxyRoute is the proxy that one relay uses to reach one endpoint of a destination.
+type proxyRoute struct {
+	dest, endpoint int // indexes in the scenario
+	proxy          *faultnet.TCPProxy
 }
 
-// reach opens a relay's own ways to all partners and to the platform, and returns the platform's address for it.
-func (r *run) reach(n int) (string, error) {
-	at := map[string]string{}
-	for i := range r.day.Dests {
-		for e, addr := range r.world.Partners[1+i].Addresses() {
-			way, err := faultnet.NewTCPProxy(addr)
+// openProxies opens the proxies of one relay to all endpoints and returns the address at which the
+// platform lists them.
+func (r *run) openProxies(n int) (string, error) {
+	proxyAddrs := map[string]string{}
+	for dest := range r.scenario.Dests {
+		for endpoint, addr := range r.env.Partners[1+dest].Addresses() {
+			proxy, err := faultnet.NewTCPProxy(addr)
 			if err != nil {
 				return "", err
 			}
-			r.routes[n] = append(r.routes[n], route{i, e, way})
-			at[addr] = way.Addr
+			r.routes[n] = append(r.routes[n], proxyRoute{dest, endpoint, proxy})
+			proxyAddrs[addr] = proxy.Addr
 		}
 	}
-	return r.world.Platform.ServeWithAddresses(at)
+	return r.env.Platform.ServeWithAddresses(proxyAddrs)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 	"oatfold/policy"
 )
 
-// bin is the real relay, built once.
+// bin is the path of the relay's program, built once for all tests.
 var bin string
 
 func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
@@ -44,7 +44,8 @@
 	return d
 }
 
-// Every day of the library can be played both ways, and in virtual time keeps all rules on two seeds; what happens on it is what its name says.
+// Every scenario of the library can be played by processes, and in virtual time violates no rule on
+// two seeds.
 func TestVirtualDays(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(library, "*"+site.FileExt))
 	if err != nil || len(files) < 13 {
@@ -80,10 +81,11 @@
 	}
 }
 
-// With processes: a zone is cut off and comes back, a relay stands still until it is believed dead, all are restarted in turn, one dies while notes are lost. All
-// rules are kept, all agree in the end, the verdict is that of virtual time, and the run leaves what it should.
+// A partitioned zone, a relay paused until it is seen as dead, a rolling restart, and a relay that
+// dies while gossip is lost: with processes all rules hold, all relays agree in the end, the
+// verdict equals that of virtual time, and all result files are written.
 func TestDays(t *testing.T) {
-	atOnce := make(chan struct{}, 2) // more would only be slower
+	atOnce := make(chan struct{}, 2) // more at once would only be slower
 	for _, name := range []string{"zone-cut", "pause-ten-seconds", "rolling-restarts", "killed-while-notes-are-lost", "choices-killed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -116,8 +118,8 @@
 	}
 }
 
-// The loss of a zone takes what lies there, as the emulator plays it: the endpoints there of a destination that has others elsewhere, whatever
-// zone the destination itself names.
+// The loss of a zone takes the endpoints in it of a destination that has others elsewhere, whatever
+// zone the destination itself names, as in the emulator.
 func TestLossOfAZoneTakesWhatLiesThere(t *testing.T) {
 	ends := func(zones ...string) (all []emu.Endpoint) {
 		for _, z := range zones {
@@ -131,28 +133,28 @@
 		all   bool
 		parts []bool
 	}{
-		{"several zones, one of them its own", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-1", "zone-2", "zone-1")}, false, []bool{true, false, true}},
+		{"several zones, one of them the destination's", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-1", "zone-2", "zone-1")}, false, []bool{true, false, true}},
 		{"several zones, none lost", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-2", "zone-3")}, false, []bool{false, false}},
-		{"there alone", emu.Dest{Zone: "zone-2", Endpoints: ends("zone-1", "zone-1")}, true, []bool{false, false}},
-		{"elsewhere alone", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-2", "zone-2")}, false, []bool{false, false}},
-		{"endpoints name none", emu.Dest{Zone: "zone-1", Endpoints: ends("", "")}, true, []bool{false, false}},
-		{"some name none", emu.Dest{Zone: "zone-1", Endpoints: ends("", "zone-2")}, false, []bool{true, false}},
+		{"all endpoints in the lost zone", emu.Dest{Zone: "zone-2", Endpoints: ends("zone-1", "zone-1")}, true, []bool{false, false}},
+		{"all endpoints elsewhere", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-2", "zone-2")}, false, []bool{false, false}},
+		{"endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: ends("", "")}, true, []bool{false, false}},
+		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: ends("", "zone-2")}, false, []bool{true, false}},
 	} {
-		if got := losesAll(&c.dest, "zone-1"); got != c.all {
-			t.Errorf("%s: taken whole: %v", c.name, got)
+		if got := losesDestination(&c.dest, "zone-1"); got != c.all {
+			t.Errorf("%s: lost as a whole: %v", c.name, got)
 		}
 		for end, want := range c.parts {
 			if got := losesEndpoint(&c.dest, end, "zone-1"); got != want {
-				t.Errorf("%s: endpoint %d taken: %v", c.name, end, got)
+				t.Errorf("%s: endpoint %d lost: %v", c.name, end, got)
 			}
 		}
-		if losesAll(&c.dest, "") || losesEndpoint(&c.dest, 0, "") {
-			t.Errorf("%s: taken by a trouble that names no zone", c.name)
+		if losesDestination(&c.dest, "") || losesEndpoint(&c.dest, 0, "") {
+			t.Errorf("%s: lost by a fault without a zone", c.name)
 		}
 	}
 }
 
-// The checker finds each broken rule, and none where there is none.
+// The checks find each violated rule, and nothing in correct runs.
 func TestJudges(t *testing.T) {
 	d := &emu.Scenario{Relays: 4, Zones: 2, Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
 	away := func(by, n int) Seen {
@@ -161,61 +163,61 @@
 	for _, c := range []struct {
 		name   string
 		seen   []Seen
-		want   string // of the first finding; empty: none
+		want   string // substring of the findings; empty: no finding
 		missed int
 	}{
-		{"quiet", nil, "", 0}, {"the killed one is missed", []Seen{away(0, 1)}, "", 1}, {"across the cut", []Seen{away(0, 3), away(3, 2)}, "", 2},
+		{"quiet", nil, "", 0}, {"the killed relay is seen as dead", []Seen{away(0, 1)}, "", 1}, {"across the partition", []Seen{away(0, 3), away(3, 2)}, "", 2},
 		{"a false death", []Seen{away(0, 2)}, "held 2 for away", 0},
 		{"left without leaving", []Seen{{By: 0, Number: 2, To: "left", Incarnation: 1}}, "held 2 for left", 0},
-		{"an incarnation goes back", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "went back", 0},
-		{"not where the relay began anew", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 0, To: started}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
-		{"back without a word", []Seen{{By: 0, Number: 1, From: "away", To: "alive"}}, "without a word", 0},
+		{"an incarnation decreases", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "went back", 0},
+		{"a lower incarnation after the observer restarted", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 0, To: started}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
+		{"back with incarnation 0", []Seen{{By: 0, Number: 1, From: "away", To: "alive"}}, "without a word", 0},
 	} {
-		v := judgeMembers(d, c.seen)
+		v := checkMembers(d, c.seen)
 		got := strings.Join(append(v.False, v.Rules...), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) || len(v.Missed) != c.missed {
 			t.Errorf("%s: %q, missed %v", c.name, got, v.Missed)
 		}
 	}
-	hand := func(class string, o client.Outcome) Hand { return Hand{class + "/1", class, "id", o} }
+	hand := func(class string, o client.Outcome) Submission { return Submission{class + "/1", class, "id", o} }
 	ran := testdouble.Effect{Name: "fee-charge/1", ID: "id"}
 	for _, c := range []struct {
 		name  string
-		books Books
+		books Records
 		want  string
 	}{
-		{"delivered", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
-		{"a charge runs twice", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
-		{"no end", Books{Hands: []Hand{hand("fee-charge", client.Taken)}}, "no end"},
-		{"given up", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Notices: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
-		{"refused and ran", Books{Hands: []Hand{hand("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
-		{"handed back and ran", Books{Hands: []Hand{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notices: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
-		{"within a wait", Books{Early: 1}, "told wait"}, {"a long note", Books{TooLong: 1}, "256 bytes"},
+		{"delivered", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
+		{"a charge runs twice", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
+		{"not completed", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}}, "no end"},
+		{"given up", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
+		{"refused and ran", Records{Submissions: []Submission{hand("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
+		{"handed back and ran", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
+		{"a call before Retry-After", Records{EarlyCalls: 1}, "told wait"}, {"an oversized gossip message", Records{OversizedMessages: 1}, "256 bytes"},
 	} {
-		if got := strings.Join(judgeMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
+		if got := strings.Join(checkMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
 	good, bad := Verdict{Agreed: true}, Verdict{Agreed: true, Rules: []string{"x"}}
 	if good.CheckSame(&bad) == nil || good.CheckSame(&Verdict{Agreed: true, Gone: []int{1}}) == nil || good.CheckSame(&good) != nil || (&Verdict{}).Good() {
-		t.Error("verdicts that differ are taken for the same")
+		t.Error("verdicts that differ are reported as equal")
 	}
 }
 
-// Lines of a log are read as they were meant; others are passed over.
+// Lines about members are parsed, others are skipped.
 func TestParse(t *testing.T) {
-	s, at, ok := parse(3, `time=2026-12-01T21:52:03.125Z level=INFO msg=member number=4 state=away was=suspect incarnation=7 why="a \"b\" c=d, e"`)
+	s, at, ok := parseLogLine(3, `time=2026-12-01T21:52:03.125Z level=INFO msg=member number=4 state=away was=suspect incarnation=7 why="a \"b\" c=d, e"`)
 	if !ok || s.By != 3 || s.Number != 4 || s.From != "suspect" || s.To != "away" || s.Incarnation != 7 || s.Why != `a "b" c=d, e` || at.Nanosecond() != 125e6 {
 		t.Errorf("%+v %v %v", s, at, ok)
 	}
 	for _, line := range []string{"", "x", "time=now msg=member number=1", `msg=member number=x why="`, "msg=other number=4", `a="unclosed`} {
-		if _, _, ok := parse(0, line); ok {
+		if _, _, ok := parseLogLine(0, line); ok {
 			t.Errorf("read %q", line)
 		}
 	}
 }
 
-// What processes can't play is named.
+// Playable names what processes can't play.
 func TestPlayable(t *testing.T) {
 	whole := func() *emu.Scenario {
 		return &emu.Scenario{Relays: 3, Membership: true, Rate: 10, Length: 30 * time.Second, Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
@@ -234,12 +236,13 @@
 	}
 }
 
-// seats starts the first few relays of a fleet of n that ask one another who lives. At the other addresses nobody listens.
+// startRelays starts the first relays of a fleet of n with membership enabled. Nobody listens at
+// the other addresses.
 func seats(t *testing.T, n, start int) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
 	return seated(t, n, start, "")
 }
 
-// seated has them share choices besides.
+// startRelaysWithChoices is startRelays for relays that share choices.
 func seated(t *testing.T, n, start int, choices string) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
 	t.Helper()
 	w, err := testdouble.NewEnvironment(testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
@@ -281,14 +284,14 @@
 	}
 }
 
-// Three relays: an upgrade's two processes are one member, whom nobody misses; a drained one that is empty has left, and is back at work as alive; a planned stop
-// is known as one; a killed one is away.
+// The two processes of an upgrade are one member, which nobody sees as dead; a drained relay has
+// left, and is alive again when it serves again; a stopped relay has left; a killed one is away.
 func TestThreeProcesses(t *testing.T) {
 	t.Parallel()
 	_, _, relays, _ := seats(t, 3, 3)
 	r := run{relays: relays}
-	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
-		t.Fatalf("%v: %s", err, r.disagreement())
+	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
+		t.Fatalf("%v: %s", err, r.memberDisagreement())
 	}
 	next, err := relays[1].StartNextProcess()
 	if err != nil {
@@ -300,19 +303,19 @@
 	}
 	awaits(t, next, "all is taken over")
 	relays[1] = next
-	if err := r.until(context.Background(), "the new process to go above the incarnation of the old", func() bool {
-		v, err := r.view(0)
+	if err := r.waitUntil(context.Background(), "the new process to exceed the incarnation of the old one", func() bool {
+		v, err := r.fetchMembers(0)
 		return err == nil && v.Members[1].Incarnation > 1
 	}); err != nil {
 		t.Fatalf("%v\n%s\n%s", err, relays[0].LogTail(), next.LogTail())
 	}
-	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
-		t.Fatalf("%v: %s", err, r.disagreement())
+	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
+		t.Fatalf("%v: %s", err, r.memberDisagreement())
 	}
 	for _, i := range []int{0, 2} {
 		for _, state := range []string{"away", "left"} {
 			if relays[i].CountLogLines("member number=1 state="+state) > 0 {
-				t.Errorf("relay %d took the one that was upgraded for %s", i, state)
+				t.Errorf("relay %d saw the upgraded one as %s", i, state)
 			}
 		}
 	}
@@ -341,14 +344,15 @@
 	}
 }
 
-// Of ten addresses four have a relay, five never answer, and at one sits somebody who lies of all others, floods and sends notes of 257 bytes; the notes of a relay that was killed
-// come again. Those who live stay alive to one another, the others are away, and nothing raises the dead.
+// Of ten addresses four have a relay, five never answer, and one sends lies, floods and oversized
+// messages; old messages of a killed relay are replayed. The live relays must see one another as
+// alive and the others as away, and the killed one must not come back.
 func TestLiarOnSockets(t *testing.T) {
 	t.Parallel()
 	_, ways, relays, listen := seats(t, 10, 4)
 	r := run{relays: relays, down: map[int]bool{4: true, 5: true, 6: true, 7: true, 8: true, 9: true}}
 	var mu sync.Mutex
-	var old [][]byte // of relay 3 to relay 0
+	var old [][]byte // from relay 3 to relay 0
 	ways.SetFaults(faultnet.Faults{OnSend: func(from, to int, note []byte) {
 		if mu.Lock(); from == 3 && to == 0 && len(old) < 100 {
 			old = append(old, slices.Clone(note))
@@ -357,11 +361,11 @@
 	}})
 	await := func(what string, cond func() bool) {
 		t.Helper()
-		if err := r.until(context.Background(), what, cond); err != nil {
-			t.Fatalf("%v: %s", err, r.disagreement())
+		if err := r.waitUntil(context.Background(), what, cond); err != nil {
+			t.Fatalf("%v: %s", err, r.memberDisagreement())
 		}
 	}
-	await("those who live to know who does", r.agreed)
+	await("the live relays to agree", r.membersAgree)
 	at := func(addr string) *net.UDPConn {
 		to, err := net.ResolveUDPAddr("udp4", addr)
 		if err != nil {
@@ -376,7 +380,7 @@
 	}
 	relays[3].Kill()
 	r.down[3] = true
-	await("all to miss the killed one", r.agreed)
+	await("all to see the killed relay as dead", r.membersAgree)
 	liar, ghost := at(listen[9]), at(listen[3])
 	lies := members.New(members.Config{Self: 9, FleetSize: 10, Seed: 1})
 	began := time.Now()
@@ -400,29 +404,30 @@
 		}
 	}
 	if relays[0].CountLogLines("member number=3 state=alive was=away") > 0 {
-		t.Error("replayed notes raised the dead")
+		t.Error("replayed messages made a dead relay alive")
 	}
 	if _, _, _, long := ways.Counts(); long == 0 {
-		t.Error("no long note was sent")
+		t.Error("no oversized message was sent")
 	}
 	figures, err := relays[0].Metrics()
 	if err != nil || figures["members_notes_refused"] == 0 {
-		t.Errorf("%v: nothing refused: %v", err, figures)
+		t.Errorf("%v: nothing rejected: %v", err, figures)
 	}
-	// The liar falls silent: it was there, and is away now, as is whoever it was heard of.
-	await("all to miss the liar too", func() bool {
-		v, err := r.view(0)
+	// After the liar stops, it is seen as dead, as are the relays known from its messages alone.
+	await("all to see the liar as dead too", func() bool {
+		v, err := r.fetchMembers(0)
 		return err == nil && v.Members[9].State != "alive" && v.Members[1].State == "alive" && v.Members[2].State == "alive"
 	})
 }
 
-// A second process is configured under the number of one that runs: both log it, and the others are not troubled.
+// A second process is started under the number of a running relay: one of the two logs it, and the
+// other relays stay alive.
 func TestRivalOnSockets(t *testing.T) {
 	t.Parallel()
 	w, ways, relays, _ := seats(t, 3, 3)
 	r := run{relays: relays}
-	if err := r.until(context.Background(), "all to know one another", r.agreed); err != nil {
-		t.Fatalf("%v: %s", err, r.disagreement())
+	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
+		t.Fatalf("%v: %s", err, r.memberDisagreement())
 	}
 	addr, err := testdouble.ReserveAddr()
 	if err == nil {
@@ -440,14 +445,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.until(context.Background(), "one of the two to notice", func() bool {
+	if err := r.waitUntil(context.Background(), "one of the two to notice", func() bool {
 		return relays[1].CountLogLines("another process speaks")+rival.CountLogLines("another process speaks") > 0
 	}); err != nil {
 		t.Fatalf("%v\n%s", err, rival.LogTail())
 	}
 	for _, i := range []int{0, 2} {
 		if relays[i].CountLogLines("member number=0 state=away")+relays[i].CountLogLines("member number=2 state=away") > 0 {
-			t.Errorf("relay %d misses another: %s", i, relays[i].LogTail())
+			t.Errorf("relay %d sees another as dead: %s", i, relays[i].LogTail())
 		}
 	}
 }
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -12,86 +12,87 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// WriteFiles puts results.parquet, the timeline and the report into a folder.
+// WriteFiles writes results.parquet and report.html into a directory.
 func (res *Result) WriteFiles(dir string) error {
-	f, err := os.Create(filepath.Join(dir, "results.parquet"))
+	file, err := os.Create(filepath.Join(dir, "results.parquet"))
 	if err != nil {
 		return err
 	}
-	w := parquet.NewGenericWriter[Seen](f, parquet.Compression(&parquet.Zstd))
-	_, err = w.Write(res.Seen)
-	if err = errors.Join(err, w.Close(), f.Close()); err != nil {
+	writer := parquet.NewGenericWriter[Seen](file, parquet.Compression(&parquet.Zstd))
+	_, err = writer.Write(res.Seen)
+	if err = errors.Join(err, writer.Close(), file.Close()); err != nil {
 		return err
 	}
 	page, err := os.Create(filepath.Join(dir, "report.html"))
 	if err != nil {
 		return err
 	}
-	return errors.Join(res.report(page), page.Close())
+	return errors.Join(res.writeReport(page), page.Close())
 }
 
-// WriteTimeline writes a line for each change: when, who, of whom, what and why.
+// WriteTimeline writes one line of text for each change.
 func (res *Result) WriteTimeline(out io.Writer) {
-	for _, s := range res.Seen {
-		if s.To == started {
-			fmt.Fprintf(out, "%7.2f s  relay %d starts\n", float64(s.AtMs)/1000, s.By)
+	for _, change := range res.Seen {
+		if change.To == started {
+			fmt.Fprintf(out, "%7.2f s  relay %d starts\n", float64(change.AtMs)/1000, change.By)
 			continue
 		}
-		fmt.Fprintf(out, "%7.2f s  relay %d holds %d for %s (was %s, incarnation %d): %s\n", float64(s.AtMs)/1000, s.By, s.Number, s.To, s.From, s.Incarnation, s.Why)
+		fmt.Fprintf(out, "%7.2f s  relay %d sees %d as %s (was %s, incarnation %d): %s\n", float64(change.AtMs)/1000, change.By, change.Number, change.To, change.From, change.Incarnation, change.Why)
 	}
 }
 
-// stretch is a time in which one relay held another for something.
-type stretch struct {
+// stateInterval is a time in which one relay saw another in one state, in pixels of the chart.
+type stateInterval struct {
 	X, W int
 	What string
 	Why  string
 }
 
-type row struct {
+type pairRow struct {
 	By, Number int
 	Y          int
-	Stretches  []stretch
+	Stretches  []stateInterval
 }
 
 const (
-	width     = 900
-	rowHeight = 9
+	chartWidth = 900
+	rowHeight  = 9
 )
 
-// rows are the pairs of relays of which something was seen, each with its stretches.
-func (res *Result) rows() (all []row) {
+// pairRows returns a row for each pair of relays with a change, with the intervals in which the
+// state was not alive.
+func (res *Result) pairRows() (rows []pairRow) {
 	end := int64(res.Seconds*1000) + 1
-	at := func(ms int64) int { return int(max(0, min(ms, end)) * width / end) }
+	position := func(ms int64) int { return int(max(0, min(ms, end)) * chartWidth / end) }
 	index := map[[2]int32]int{}
 	last := map[[2]int32]Seen{}
-	close := func(key [2]int32, until int64) {
-		was, ok := last[key]
-		if !ok || was.To == "alive" || was.To == started {
+	closeInterval := func(key [2]int32, until int64) {
+		previous, ok := last[key]
+		if !ok || previous.To == "alive" || previous.To == started {
 			return
 		}
-		r := &all[index[key]]
-		r.Stretches = append(r.Stretches, stretch{at(was.AtMs), max(1, at(until)-at(was.AtMs)), was.To, was.Why})
+		row := &rows[index[key]]
+		row.Stretches = append(row.Stretches, stateInterval{position(previous.AtMs), max(1, position(until)-position(previous.AtMs)), previous.To, previous.Why})
 	}
 	for _, s := range res.Seen {
 		key := [2]int32{s.Number, s.By}
 		if _, ok := index[key]; !ok {
-			index[key] = len(all)
-			all = append(all, row{By: int(s.By), Number: int(s.Number)})
+			index[key] = len(rows)
+			rows = append(rows, pairRow{By: int(s.By), Number: int(s.Number)})
 		}
-		close(key, s.AtMs)
+		closeInterval(key, s.AtMs)
 		last[key] = s
 	}
 	for key := range index {
-		close(key, end)
+		closeInterval(key, end)
 	}
-	for i := range all {
-		all[i].Y = i * rowHeight
+	for i := range rows {
+		rows[i].Y = i * rowHeight
 	}
-	return all
+	return rows
 }
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{"join": strings.Join, "secs": func(ms int64) string { return fmt.Sprintf("%.2f", float64(ms)/1000) }}).Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"join": strings.Join, "secs": func(ms int64) string { return fmt.Sprintf("%.2f", float64(ms)/1000) }}).Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.Day}}, seed {{.Seed}}</title>
 <style>body{font:14px sans-serif;max-width:1100px;margin:2em auto}td,th{padding:2px 8px;text-align:left}.suspect{fill:#ff7f0e}.away{fill:#d62728}.left{fill:#7f7f7f}.bad{color:#d62728}svg text{font-size:8px}</style>
 <h1>{{.Day}}, seed {{.Seed}}</h1>
@@ -106,11 +107,11 @@
 <table><tr><th>s<th>relay<th>of<th>was<th>holds it for<th>incarnation<th>why<th>troubles</tr>{{range .Seen}}<tr><td>{{secs .AtMs}}<td>{{.By}}<td>{{.Number}}<td>{{.From}}<td>{{.To}}<td>{{.Incarnation}}<td>{{.Why}}<td>{{.Troubles}}</tr>{{end}}</table>
 `))
 
-func (res *Result) report(out io.Writer) error {
-	rows := res.rows()
-	return page.Execute(out, struct {
+func (res *Result) writeReport(out io.Writer) error {
+	rows := res.pairRows()
+	return reportTemplate.Execute(out, struct {
 		*Result
-		Rows   []row
+		Rows   []pairRow
 		Height int
 	}{res, rows, len(rows)*rowHeight + rowHeight})
 }
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -16,7 +16,8 @@
 	"oatfold/internal/testdouble"
 )
 
-// threeSites is a day of twelve relays in three sites, with two partners that have two endpoints in each and one that is in the first site alone.
+// threeSites is a scenario of twelve relays in three sites, with two partners that have two
+// endpoints in each site and one that is in the first site alone.
 func threeSites(t *testing.T, troubles ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-fleet.textproto")
@@ -40,7 +41,7 @@
 	return d
 }
 
-var allSites = flag.Bool("sites", false, "play all days that lose a site, too")
+var allSites = flag.Bool("sites", false, "run all scenarios that lose a site, not only the most important")
 
 const plan = `sites {
   site { zone: "zone-1" tier { zone: "zone-2" zone: "zone-3" spill: 0.9 } }
@@ -59,7 +60,7 @@
 	return name
 }
 
-// siteState is what a relay takes a site for.
+// siteState returns the state of a site as a relay sees it.
 func siteState(r *testdouble.Relay, zone string) (state string, out bool) {
 	status, body, err := r.CallAdmin("GET", "/sites")
 	var doc struct {
@@ -79,9 +80,11 @@
 	return "missing", false
 }
 
-// Twelve processes in three sites. A whole site is killed with SIGKILL, its partners' endpoints go, and all of it comes back cold: as it is, failing again in its ramp, with its endpoints
-// alive, with its relays alive, while another site is lost, while all others are paused for 5 s, while half of them hear nobody, and in place of all that cut off and alive. Survivors take it for lost where its endpoints are, every message has one end, no charge runs twice, who is there alone is not pushed over, and they
-// see its return.
+// A whole site of three is killed and comes back cold: alone, failing again in its ramp, with its
+// endpoints or its relays alive, with a second site lost, with all other relays paused or half of
+// them without gossip; or it is partitioned and alive. The survivors must see it as lost where its
+// endpoints are and see its return, every message must have one outcome, no charge may run twice,
+// and no partner may collapse.
 func TestSiteLost(t *testing.T) {
 	s := time.Second
 	relays := emu.Fault{Kind: emu.RelayCrash, At: 14 * s, Duration: 10 * s, Relays: []int{0, 3, 6, 9}}
@@ -100,7 +103,7 @@
 		"cut":    {[]emu.Fault{{Kind: emu.SitePartition, At: 14 * s, Duration: 10 * s, Zone: "zone-1"}}, true},
 	} {
 		if !*allSites && !slices.Contains([]string{"whole", "again", "cut", "endpoints live"}, name) {
-			continue // a minute for two of them
+			continue // two scenarios take a minute
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -111,18 +114,18 @@
 			res, err := Run(context.Background(), Config{Scenario: d, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
 				for i, relay := range all {
 					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
-						return fmt.Errorf("relay %d took for lost what answers", i)
+						return fmt.Errorf("relay %d saw a site that answers as lost", i)
 					} else if back := relay.CountLogLines("msg=site zone=zone-1 state=returning") > 0; lost && !back {
 						return fmt.Errorf("relay %d saw no return", i)
 					}
 				}
 				seen := slices.ContainsFunc(all, func(r *testdouble.Relay) bool { return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0 })
-				if seen != c.lost && name != "cut" { // where nothing says no, so few calls have ended by then that some, or all, see a part of it missing only
+				if seen != c.lost && name != "cut" { // nothing is rejected in a partition, so few calls end by then and relays may see the site as degraded only
 					return fmt.Errorf("seen as lost: %v", seen)
 				}
-				for i, relay := range all { // behind the last message nothing moves any more
+				for i, relay := range all { // nothing changes after the last message
 					if state, _ := siteState(relay, "zone-1"); name == "whole" && state == "lost" {
-						return fmt.Errorf("relay %d takes it for lost in the end", i)
+						return fmt.Errorf("relay %d sees it as lost in the end", i)
 					}
 				}
 				return nil
@@ -130,14 +133,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !res.Verdict.Good() || res.Ran < res.Taken*6/10 { // a third of all is for the partner that is gone for ten seconds or more; alerts for it end
-				t.Errorf("%+v, %d of %d taken on, %d ran", res.Verdict, res.Taken, res.Offered, res.Ran)
+			if !res.Verdict.Good() || res.Ran < res.Taken*6/10 { // a third of the messages is for the partner that is down for ten seconds or more, and alerts for it expire
+				t.Errorf("%+v, %d of %d accepted, %d ran", res.Verdict, res.Taken, res.Offered, res.Ran)
 			}
 		})
 	}
 }
 
-// By hand: a site that is taken out gets no call from the relay that was told, others go on; it comes back by its ramp. What the plan does not know is refused.
+// A site that an operator takes out on one relay gets no call from that relay, the others go on,
+// and it comes back by its ramp. Unknown zones and commands are rejected.
 func TestSiteByHand(t *testing.T) {
 	t.Parallel()
 	d := threeSites(t)
@@ -154,16 +158,16 @@
 		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/out"); err != nil || status != 200 {
 			return fmt.Errorf("out: %d, %v", status, err)
 		}
-		if err := r.until(context.Background(), "the relay to take the site out", func() bool { state, out := siteState(all[1], "zone-2"); return out && state == "lost" }); err != nil {
+		if err := r.waitUntil(context.Background(), "the relay to take the site out", func() bool { state, out := siteState(all[1], "zone-2"); return out && state == "lost" }); err != nil {
 			return err
 		}
 		if state, out := siteState(all[2], "zone-2"); out || state != "whole" {
-			return fmt.Errorf("another relay has it %s, out %v", state, out)
+			return fmt.Errorf("another relay sees it as %s, out %v", state, out)
 		}
 		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/in"); err != nil || status != 200 {
 			return fmt.Errorf("in: %d, %v", status, err)
 		}
-		return r.until(context.Background(), "the relay to let it return", func() bool { state, out := siteState(all[1], "zone-2"); return !out && state != "lost" })
+		return r.waitUntil(context.Background(), "the relay to let the site return", func() bool { state, out := siteState(all[1], "zone-2"); return !out && state != "lost" })
 	}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/gossip/gossip.go
+++ b/internal/lab/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip plays fleets of members in virtual time: the lists that relays have in service, and between them a network that loses,
-// delays, repeats and reorders notes or cuts ways in one direction. Nothing in it waits, and one seed gives the same result each time.
+// Package gossip simulates fleets of relays in virtual time: the production membership lists and a
+// network that loses, delays, duplicates and reorders messages or blocks them in one direction. It
+// never waits, and a seed always gives the same result.
 package gossip
 
 import (
@@ -10,249 +11,254 @@
 	"oatfold/internal/peers/members"
 )
 
-// Config is a fleet and its network.
+// Config configures a fleet and its network.
 type Config struct {
 	Relays, Zones int
-	Fanout        int     // relays that a turn's notes go to; 0: 10
-	Loss          float64 // share of notes
-	DuplicateRate float64 // share that comes twice
-	DelayRate     float64 // share that comes up to Lateness later
+	Fanout        int     // relays that get a message in each gossip round; 0: 10
+	Loss          float64 // share of messages lost
+	DuplicateRate float64 // share of messages that arrive twice
+	DelayRate     float64 // share of messages delayed by up to MaxExtraDelay
 	MaxExtraDelay time.Duration
 	Seed          uint64
 }
 
-// Node is one relay.
+// Node is a simulated relay.
 type Node struct {
 	List         *members.List
 	Number       int
 	Zone         int
 	RunID        int
-	BytesSent    int // sent
+	BytesSent    int // since the start of the simulation, over all runs
 	MessagesSent int
-	up           bool
-	paused       time.Duration // until then; its clock goes on
-	waiting      []arrival     // that came meanwhile
-	turnAt       time.Duration
+	running      bool
+	pausedUntil  time.Duration // its clock goes on meanwhile
+	queued       []datagram    // arrived while it was paused
+	nextGossip   time.Duration
 }
 
-type arrival struct {
-	from int
-	note []byte
+type datagram struct {
+	from    int
+	payload []byte
 }
 
-// Event is a change that one relay saw.
+// Event is a change of membership that one relay observed.
 type Event struct {
 	At       time.Duration
 	Observer int
 	members.Change
 }
 
-// Simulation is a fleet at work.
+// Simulation is a simulated fleet. It is not safe for concurrent use.
 type Simulation struct {
 	Now       time.Duration
 	Nodes     []*Node
 	Loss      float64
-	Blocked   func(from, to int) bool               // ways that carry nothing; nil: none
-	OnChange  func(Event)                           // told of each change
-	OnReceive func(from, to int, note []byte) error // told of each note that comes; an error drops it
-	set       Config
+	Blocked   func(from, to int) bool               // links that carry nothing; nil: none
+	OnChange  func(Event)                           // called for each change; optional
+	OnReceive func(from, to int, note []byte) error // called for each message before the relay gets it; an error drops it; optional
+	config    Config
 	rng       *rand.Rand
-	due       queue
-	seq       int
+	tasks     taskQueue
+	lastSeq   int
 }
 
-type item struct {
+type task struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type queue []item
+type taskQueue []task
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q taskQueue) Len() int { return len(q) }
+func (q taskQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(item)) }
-func (q *queue) Pop() any {
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *taskQueue) Push(x any)   { *q = append(*q, x.(task)) }
+func (q *taskQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
-	old[len(old)-1] = item{}
+	old[len(old)-1] = task{}
 	*q = old[:len(old)-1]
 	return x
 }
 
 // New starts all relays of a fleet within one period.
-func New(set Config) *Simulation {
-	if set.Fanout == 0 {
-		set.Fanout = 10
+func New(config Config) *Simulation {
+	if config.Fanout == 0 {
+		config.Fanout = 10
 	}
-	set.Zones = max(1, set.Zones)
-	w := &Simulation{set: set, Loss: set.Loss, rng: rand.New(rand.NewPCG(set.Seed, 0x90551b))}
-	for i := range set.Relays {
-		w.Nodes = append(w.Nodes, &Node{Number: i, Zone: i % set.Zones})
-		w.Start(i)
+	config.Zones = max(1, config.Zones)
+	sim := &Simulation{config: config, Loss: config.Loss, rng: rand.New(rand.NewPCG(config.Seed, 0x90551b))}
+	for i := range config.Relays {
+		sim.Nodes = append(sim.Nodes, &Node{Number: i, Zone: i % config.Zones})
+		sim.Start(i)
 	}
-	return w
+	return sim
 }
 
-// Schedule runs do at that time.
-func (w *Simulation) Schedule(at time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.due, item{max(at, w.Now), w.seq, do})
+// Schedule calls do at the given time, or now if that has passed.
+func (sim *Simulation) Schedule(at time.Duration, do func()) {
+	sim.lastSeq++
+	heap.Push(&sim.tasks, task{max(at, sim.Now), sim.lastSeq, do})
 }
 
-// Run goes on until then.
-func (w *Simulation) Run(until time.Duration) {
-	for len(w.due) > 0 && w.due[0].at <= until {
-		x := heap.Pop(&w.due).(item)
-		w.Now = x.at
-		x.do()
+// Run advances the simulation to the given time.
+func (sim *Simulation) Run(until time.Duration) {
+	for len(sim.tasks) > 0 && sim.tasks[0].at <= until {
+		next := heap.Pop(&sim.tasks).(task)
+		sim.Now = next.at
+		next.run()
 	}
-	w.Now = until
+	sim.Now = until
 }
 
-// RunUntil goes on until cond holds, looked at each tenth of a period, and tells whether it did by then.
-func (w *Simulation) RunUntil(by time.Duration, cond func() bool) bool {
+// RunUntil advances the simulation until cond holds, checked ten times per period, and reports
+// whether it held by the deadline.
+func (sim *Simulation) RunUntil(deadline time.Duration, cond func() bool) bool {
 	for !cond() {
-		if w.Now >= by {
+		if sim.Now >= deadline {
 			return false
 		}
-		w.Run(w.Now + members.Period/10)
+		sim.Run(sim.Now + members.Period/10)
 	}
 	return true
 }
 
-// Start begins a life of a relay, which knows nothing of an earlier one.
-func (w *Simulation) Start(n int) {
-	d := w.Nodes[n]
-	d.RunID++
-	d.up, d.paused, d.waiting = true, 0, nil
-	d.List = members.New(members.Config{Self: n, FleetSize: w.set.Relays, Zone: d.Zone, Seed: int64(w.set.Seed)*1_000_003 + int64(n)*101 + int64(d.RunID)})
-	d.turnAt = w.Now + time.Duration(w.rng.Int64N(int64(members.Period)))
-	w.wake(d, w.Now)
+// Start starts a new run of a relay, without memory of an earlier one.
+func (sim *Simulation) Start(n int) {
+	node := sim.Nodes[n]
+	node.RunID++
+	node.running, node.pausedUntil, node.queued = true, 0, nil
+	node.List = members.New(members.Config{Self: n, FleetSize: sim.config.Relays, Zone: node.Zone, Seed: int64(sim.config.Seed)*1_000_003 + int64(n)*101 + int64(node.RunID)})
+	node.nextGossip = sim.Now + time.Duration(sim.rng.Int64N(int64(members.Period)))
+	sim.scheduleTick(node, sim.Now)
 }
 
-// Kill ends a relay without a word.
-func (w *Simulation) Kill(n int) { w.Nodes[n].up = false }
+// Kill stops a relay without announcement.
+func (sim *Simulation) Kill(n int) { sim.Nodes[n].running = false }
 
-// Stop ends a relay that says so, in two turns.
-func (w *Simulation) Stop(n int) {
-	d := w.Nodes[n]
-	d.List.Leave(w.Now)
-	w.turn(d)
-	w.turn(d)
-	w.Kill(n)
+// Stop stops a relay that announces it in two gossip rounds.
+func (sim *Simulation) Stop(n int) {
+	d := sim.Nodes[n]
+	d.List.Leave(sim.Now)
+	sim.gossip(d)
+	sim.gossip(d)
+	sim.Kill(n)
 }
 
-// Up tells whether a relay lives.
-func (w *Simulation) Up(n int) bool { return w.Nodes[n].up }
+// Up reports whether a relay is running.
+func (sim *Simulation) Up(n int) bool { return sim.Nodes[n].running }
 
-// Pause makes a relay stand still for so long. What comes meanwhile it finds then.
-func (w *Simulation) Pause(n int, long time.Duration) {
-	d := w.Nodes[n]
+// Pause suspends a relay for the given duration. What arrives meanwhile is delivered when it
+// resumes.
+func (sim *Simulation) Pause(n int, duration time.Duration) {
+	d := sim.Nodes[n]
 	life := d.RunID
-	d.paused = w.Now + long
-	w.Schedule(d.paused, func() {
-		if !d.up || d.RunID != life {
+	d.pausedUntil = sim.Now + duration
+	sim.Schedule(d.pausedUntil, func() {
+		if !d.running || d.RunID != life {
 			return
 		}
-		got := d.waiting
-		d.waiting = nil
-		for _, a := range got {
-			w.hears(d, a.from, a.note)
+		queued := d.queued
+		d.queued = nil
+		for _, arrived := range queued {
+			sim.receive(d, arrived.from, arrived.payload)
 		}
-		w.wake(d, w.Now)
+		sim.scheduleTick(d, sim.Now)
 	})
 }
 
-// wake lets a relay do what is due, again and again while it lives and moves.
-func (w *Simulation) wake(d *Node, at time.Duration) {
-	life := d.RunID
-	w.Schedule(at, func() {
-		if !d.up || d.RunID != life || w.Now < d.paused {
+// scheduleTick runs the relay's timers at the given time and schedules the next tick, while this
+// run of the relay lasts.
+func (sim *Simulation) scheduleTick(node *Node, at time.Duration) {
+	life := node.RunID
+	sim.Schedule(at, func() {
+		if !node.running || node.RunID != life || sim.Now < node.pausedUntil {
 			return
 		}
-		w.send(d, d.List.Tick(w.Now))
-		if w.Now >= d.turnAt {
-			w.turn(d)
-			d.turnAt = w.Now + members.Period/2 + time.Duration(w.rng.Int64N(int64(members.Period)))
+		sim.send(node, node.List.Tick(sim.Now))
+		if sim.Now >= node.nextGossip {
+			sim.gossip(node)
+			node.nextGossip = sim.Now + members.Period/2 + time.Duration(sim.rng.Int64N(int64(members.Period)))
 		}
-		w.changes(d)
-		w.wake(d, min(d.turnAt, d.List.NextTick()))
+		sim.reportChanges(node)
+		sim.scheduleTick(node, min(node.nextGossip, node.List.NextTick()))
 	})
 }
 
-func (w *Simulation) turn(d *Node) {
-	for _, t := range d.List.GossipTargets(w.Now, w.set.Fanout) {
-		w.send(d, []members.Datagram{{To: t.To, Payload: d.List.Section(t, members.MaxPiggybackBytes)}})
+func (sim *Simulation) gossip(node *Node) {
+	for _, target := range node.List.GossipTargets(sim.Now, sim.config.Fanout) {
+		sim.send(node, []members.Datagram{{To: target.To, Payload: node.List.Section(target, members.MaxPiggybackBytes)}})
 	}
 }
 
-func (w *Simulation) changes(d *Node) {
-	for _, c := range d.List.Changes() {
-		if w.OnChange != nil {
-			w.OnChange(Event{w.Now, d.Number, c})
+func (sim *Simulation) reportChanges(node *Node) {
+	for _, change := range node.List.Changes() {
+		if sim.OnChange != nil {
+			sim.OnChange(Event{sim.Now, node.Number, change})
 		}
 	}
 }
 
-func (w *Simulation) send(d *Node, out []members.Datagram) {
-	for _, o := range out {
-		d.BytesSent += len(o.Payload)
-		d.MessagesSent++
-		w.carry(d.Number, o.To, o.Payload)
+func (sim *Simulation) send(node *Node, out []members.Datagram) {
+	for _, datagram := range out {
+		node.BytesSent += len(datagram.Payload)
+		node.MessagesSent++
+		sim.transmit(node.Number, datagram.To, datagram.Payload)
 	}
 }
 
-// carry takes a note over the network.
-func (w *Simulation) carry(from, to int, note []byte) {
-	times := 1
-	if w.set.DuplicateRate > 0 && w.rng.Float64() < w.set.DuplicateRate {
-		times = 2
+// transmit sends a message through the network, which may lose, duplicate or delay it.
+func (sim *Simulation) transmit(from, to int, note []byte) {
+	copies := 1
+	if sim.config.DuplicateRate > 0 && sim.rng.Float64() < sim.config.DuplicateRate {
+		copies = 2
 	}
-	for range times {
-		if w.Loss > 0 && w.rng.Float64() < w.Loss || w.Blocked != nil && w.Blocked(from, to) {
+	for range copies {
+		if sim.Loss > 0 && sim.rng.Float64() < sim.Loss || sim.Blocked != nil && sim.Blocked(from, to) {
 			continue
 		}
-		late := 2*time.Millisecond + time.Duration(w.rng.Int64N(int64(29*time.Millisecond)))
-		if w.set.DelayRate > 0 && w.rng.Float64() < w.set.DelayRate {
-			late += time.Duration(w.rng.Int64N(int64(w.set.MaxExtraDelay) + 1))
+		delay := 2*time.Millisecond + time.Duration(sim.rng.Int64N(int64(29*time.Millisecond)))
+		if sim.config.DelayRate > 0 && sim.rng.Float64() < sim.config.DelayRate {
+			delay += time.Duration(sim.rng.Int64N(int64(sim.config.MaxExtraDelay) + 1))
 		}
-		w.Schedule(w.Now+late, func() { w.Deliver(from, to, note) })
+		sim.Schedule(sim.Now+delay, func() { sim.Deliver(from, to, note) })
 	}
 }
 
-// Deliver has a note come to a relay as if from another.
-func (w *Simulation) Deliver(from, to int, note []byte) {
-	d := w.Nodes[to]
+// Deliver delivers a message to a relay as if another had sent it.
+func (sim *Simulation) Deliver(from, to int, note []byte) {
+	d := sim.Nodes[to]
 	switch {
-	case !d.up:
-	case w.Now < d.paused:
-		d.waiting = append(d.waiting, arrival{from, note})
+	case !d.running:
+	case sim.Now < d.pausedUntil:
+		d.queued = append(d.queued, datagram{from, note})
 	default:
-		w.hears(d, from, note)
+		sim.receive(d, from, note)
 	}
 }
 
-func (w *Simulation) hears(d *Node, from int, note []byte) {
-	if w.OnReceive != nil && w.OnReceive(from, d.Number, note) != nil {
+func (sim *Simulation) receive(node *Node, from int, note []byte) {
+	if sim.OnReceive != nil && sim.OnReceive(from, node.Number, note) != nil {
 		return
 	}
-	out, _ := d.List.Receive(w.Now, from, note)
-	w.send(d, out)
-	w.changes(d)
+	out, _ := node.List.Receive(sim.Now, from, note)
+	sim.send(node, out)
+	sim.reportChanges(node)
 }
 
-// CheckAgreement tells whether each relay that is up takes those that are up for alive and the others for away or left; else it names one that does not.
-func (w *Simulation) CheckAgreement() (ok bool, by, of int) {
-	for i, d := range w.Nodes {
-		if !d.up {
+// CheckAgreement reports whether every running relay sees the running ones as alive and the others
+// as dead or left. If not, it names a relay that doesn't and the member that it is wrong about;
+// otherwise both are -1.
+func (sim *Simulation) CheckAgreement() (ok bool, observer, member int) {
+	for i, node := range sim.Nodes {
+		if !node.running {
 			continue
 		}
-		for n, o := range w.Nodes {
-			if s := d.List.State(n); i != n && (o.up && s != members.Alive || !o.up && s < members.Dead) {
+		for n, other := range sim.Nodes {
+			if state := node.List.State(n); i != n && (other.running && state != members.Alive || !other.running && state < members.Dead) {
 				return false, i, n
 			}
 		}
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -11,10 +11,10 @@
 
 const period = members.Period
 
-// sizes are the fleets that each hard case is caused in; the largest only where -short is not set.
+// sizes are the fleet sizes at which each hard case is tested.
 var sizes = []int{3, 10, 80, 300}
 
-// fleet is a world that has come to rest: all know all.
+// fleet returns a simulation in which all relays know one another, and its log of changes.
 func fleet(t *testing.T, n int, set Config) (*Simulation, *seen) {
 	t.Helper()
 	set.Relays = n
@@ -29,18 +29,18 @@
 	return w, s
 }
 
-// seen books what relays come to think of one another.
+// seen records the changes that relays observe.
 type seen struct {
 	w      *Simulation
 	events []Event
-	exempt map[int]bool // of those nobody is to be right about
+	exempt map[int]bool // members that may be seen in any state
 }
 
 func (s *seen) see(e Event) {
 	s.events = append(s.events, e)
 }
 
-// false deaths are live members that were taken for away.
+// falseDeaths returns the changes in which a running member was declared dead.
 func (s *seen) falseDeaths() (all []Event) {
 	for _, e := range s.events {
 		if e.To == members.Dead && s.w.Up(e.Number) && !s.exempt[e.Number] {
@@ -54,11 +54,12 @@
 	t.Helper()
 	if !w.RunUntil(w.Now+within, func() bool { ok, _, _ := w.CheckAgreement(); return ok }) {
 		_, by, of := w.CheckAgreement()
-		t.Errorf("after %v relay %d takes %d for %v (%s)", within, by, of, w.Nodes[by].List.State(of), w.Nodes[by].List.View(w.Now).Members[of].Reason)
+		t.Errorf("after %v relay %d sees %d as %v (%s)", within, by, of, w.Nodes[by].List.State(of), w.Nodes[by].List.View(w.Now).Members[of].Reason)
 	}
 }
 
-// spanOf is how long a fleet may take to agree: what a doubt lasts at most, and its news.
+// spanOf is the time in which a fleet must agree: the longest suspicion, and the spread of its
+// result.
 func spanOf(n int) time.Duration { return 60*period + time.Duration(n/10)*period/4 }
 
 func each(t *testing.T, do func(t *testing.T, n int)) {
@@ -67,7 +68,8 @@
 	}
 }
 
-// Half of the notes are lost for a minute: no member that lives is taken for away, at any size, and all agree soon after.
+// No running member is declared dead while half of the messages are lost for a minute, and all
+// relays agree soon after.
 func TestHalfLost(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 5, DuplicateRate: 0.05, DelayRate: 0.1, MaxExtraDelay: 400 * time.Millisecond})
@@ -81,7 +83,8 @@
 	})
 }
 
-// A tenth of the relays die at once, of a thousand a hundred: all others know within a stated time, and nobody else is accused.
+// When a tenth of the relays die at once, all others know within 50 periods, and no running relay
+// is suspected.
 func TestDeaths(t *testing.T) {
 	for _, n := range append(sizes, 1000) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -96,14 +99,15 @@
 			t.Logf("%d relays, %d dead: all know after %.1f periods", n, dead, float64(w.Now-at)/float64(period))
 			for _, e := range s.events {
 				if w.Up(e.Number) && e.To != members.Alive {
-					t.Fatalf("a live member is taken for %v: %+v", e.To, e)
+					t.Fatalf("a running member is seen as %v: %+v", e.To, e)
 				}
 			}
 		})
 	}
 }
 
-// Seven in ten die at once, and come back a while later: they are known as away, then as alive again, under higher incarnations.
+// When seven in ten die at once and restart later, they are seen as dead and then as alive, under
+// higher incarnations.
 func TestMassKill(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 11})
@@ -125,8 +129,8 @@
 	})
 }
 
-// A relay stands still for 0.5, 3 and 10 s: whoever doubts it sees it back; nobody has to restart. It accuses nobody itself, and what is overdue goes
-// out in no burst.
+// A relay that was paused is seen as alive again without a restart. It suspects nobody itself, and
+// sends no burst of overdue messages.
 func TestPaused(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		for _, pause := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
@@ -135,15 +139,15 @@
 			w.Pause(1, pause)
 			w.Run(w.Now + pause + 1)
 			if burst := w.Nodes[1].MessagesSent - was; burst > 60 {
-				t.Errorf("%v: %d notes in the moment after", pause, burst)
+				t.Errorf("%v: %d messages right after the pause", pause, burst)
 			}
 			agree(t, w, spanOf(n))
 			for _, e := range s.events {
 				if e.Observer == 1 && e.To != members.Alive {
-					t.Errorf("%v: the one that stood still accuses: %+v", pause, e)
+					t.Errorf("%v: the paused relay suspects another: %+v", pause, e)
 				}
 				if e.Number != 1 && e.To != members.Alive {
-					t.Errorf("%v: another is accused: %+v", pause, e)
+					t.Errorf("%v: another relay is suspected: %+v", pause, e)
 				}
 			}
 			if after := w.Nodes[1].List.Incarnation(); pause >= 3*time.Second && after <= before {
@@ -156,24 +160,25 @@
 	})
 }
 
-// A relay stands still, and nothing reaches it when it wakes: it takes its own pause for what it is, and accuses nobody before it could have heard again.
+// A relay that resumes from a pause and receives nothing suspects nobody before it could have
+// received something.
 func TestWakesDeaf(t *testing.T) {
 	w, s := fleet(t, 10, Config{Seed: 15})
 	w.Pause(1, 10*time.Second)
 	w.Blocked = func(_, to int) bool { return to == 1 }
-	w.Nodes[1].waiting = nil
+	w.Nodes[1].queued = nil
 	w.Run(w.Now + 10*time.Second + 9*period)
 	for _, e := range s.events {
 		if e.Observer == 1 {
-			t.Fatalf("it accuses: %+v", e)
+			t.Fatalf("it suspects another relay: %+v", e)
 		}
 	}
 	if !w.Nodes[1].List.Isolated() {
-		t.Error("it does not know that it is deaf")
+		t.Error("it does not see itself as isolated")
 	}
 }
 
-// A whole fleet stands still for 10 s, as a machine does that is put to sleep: nobody accuses anybody.
+// When a whole fleet is paused for 10 s, as on a suspended machine, nobody is suspected.
 func TestAllPaused(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 17})
@@ -187,22 +192,23 @@
 	})
 }
 
-// One relay is heard and hears nothing: it accuses nobody while it can't know, and the others, who hear it, keep it. One that hears and is not heard is away
-// for the others until it is heard again; it keeps the others.
+// A relay that is heard but receives nothing suspects nobody while it is isolated, and the others
+// keep it alive. One that receives but is not heard is dead to the others until it is heard again,
+// and keeps them alive.
 func TestOneSided(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 19})
 		w.Blocked = func(from, to int) bool { return to == 1 }
 		w.Run(w.Now + 9*period)
 		if !w.Nodes[1].List.Isolated() {
-			t.Error("it does not know that it is deaf")
+			t.Error("it does not see itself as isolated")
 		}
 		for _, e := range s.events {
 			if e.Observer == 1 && e.To != members.Alive {
-				t.Errorf("the deaf one accuses: %+v", e)
+				t.Errorf("the relay that receives nothing suspects another: %+v", e)
 			}
 			if e.Number == 1 && e.To == members.Dead {
-				t.Errorf("the deaf one is taken for away: %+v", e)
+				t.Errorf("the relay that receives nothing is declared dead: %+v", e)
 			}
 		}
 		w.Blocked = nil
@@ -211,11 +217,11 @@
 		s.events = nil
 		w.Blocked = func(from, to int) bool { return from == 1 }
 		if !w.RunUntil(w.Now+3*spanOf(n), func() bool { return w.Nodes[0].List.State(1) == members.Dead }) {
-			t.Error("nobody misses the mute one")
+			t.Error("nobody declares the relay dead that can't send")
 		}
 		for _, e := range s.events {
 			if e.Observer == 1 && e.To == members.Dead {
-				t.Errorf("the mute one, who hears all, takes another for away: %+v", e)
+				t.Errorf("the relay that can't send, but receives, declares another dead: %+v", e)
 			}
 		}
 		w.Blocked = nil
@@ -223,7 +229,7 @@
 	})
 }
 
-// Two relays don't hear each other, and all others hear both: others ask on their behalf, and nobody is taken for away.
+// Two relays that can't reach each other are probed through others, and neither is declared dead.
 func TestPairCut(t *testing.T) {
 	for _, n := range sizes {
 		w, s := fleet(t, n, Config{Seed: 23})
@@ -235,7 +241,8 @@
 	}
 }
 
-// A zone is cut off: each side sees the other away and says that it is a zone; nobody counts on the others' share of a limit. They meet again.
+// In a zone partition each side sees the other as dead and as a zone that is cut off, and keeps its
+// share of the limits. Afterwards they agree again.
 func TestZoneCut(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, _ := fleet(t, n, Config{Seed: 29, Zones: 3})
@@ -246,7 +253,7 @@
 			v := d.List.View(w.Now)
 			for _, m := range v.Members {
 				if apart := in(i) != in(m.Number); apart != (m.State == members.Dead) && m.Number != i {
-					t.Fatalf("relay %d takes %d for %v (%s)", i, m.Number, m.State, m.Reason)
+					t.Fatalf("relay %d sees %d as %v (%s)", i, m.Number, m.State, m.Reason)
 				}
 			}
 			for _, z := range v.Zones {
@@ -255,7 +262,7 @@
 				}
 			}
 			if n >= 10 && v.PossibleCallers != n {
-				t.Errorf("relay %d takes its share of %d members, though the others may go on", i, v.PossibleCallers)
+				t.Errorf("relay %d divides limits by %d members, though the unreachable ones may go on", i, v.PossibleCallers)
 			}
 		}
 		w.Blocked = nil
@@ -263,7 +270,8 @@
 	})
 }
 
-// A zone is heard outside and hears nothing from there: nobody's share grows meanwhile, nobody within a side is lost to it, and behind the cut all agree.
+// When a zone is heard outside and receives nothing from there, nobody's share grows meanwhile, no
+// side declares members of its own dead, and all agree afterwards.
 func TestZoneOneSided(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 30, Zones: 3})
@@ -273,39 +281,40 @@
 			w.Run(w.Now + 5*period)
 			for i, d := range w.Nodes {
 				if got := d.List.PossibleCallers(w.Now); got != n {
-					t.Fatalf("relay %d reckons with %d of %d that may be calling", i, got, n)
+					t.Fatalf("relay %d counts %d of %d possible callers", i, got, n)
 				}
 			}
 		}
 		for _, e := range s.falseDeaths() {
-			if n <= 80 && in(e.Observer) == in(e.Number) { // at 300 a hundred are doubted and contradict all the time, and some news of others come too late (docs/status.md)
-				t.Errorf("lost within a side: %+v", e)
+			if n <= 80 && in(e.Observer) == in(e.Number) { // at 300, so many suspicions are refuted that some refutations come too late (docs/status.md)
+				t.Errorf("declared dead within a side: %+v", e)
 				break
 			}
 		}
 		w.Blocked = nil
 		bound := 2 * spanOf(n)
 		if n > 80 {
-			bound *= 6 // the same flood of doubts has to drain first
+			bound *= 6 // the queued suspicions have to drain first
 		}
 		agree(t, w, bound)
 	})
 }
 
-// One relay is cut off wholly, both ways: it says that it may be the one.
+// A relay that is cut off in both directions sees itself as isolated.
 func TestAlone(t *testing.T) {
 	w, _ := fleet(t, 80, Config{Seed: 31})
 	w.Blocked = func(from, to int) bool { return from == 4 || to == 4 }
 	w.Run(w.Now + 60*period)
 	v := w.Nodes[4].List.View(w.Now)
 	if !v.Isolated || v.PossibleCallers != 80 {
-		t.Errorf("deaf %v, shares with %d", v.Isolated, v.PossibleCallers)
+		t.Errorf("isolated %v, %d possible callers", v.Isolated, v.PossibleCallers)
 	}
 	w.Blocked = nil
 	agree(t, w, spanOf(80))
 }
 
-// All relays are restarted in turn, every second one without a word: nobody who lives is away, a planned stop is known as such, and incarnations grow.
+// In a rolling restart in which every second relay crashes, no running member is declared dead, a
+// planned stop is seen as such, and incarnations grow.
 func TestRollingRestart(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		w, s := fleet(t, n, Config{Seed: 37})
@@ -326,27 +335,28 @@
 			}
 		}
 		if left == 0 {
-			t.Error("no stop was known as planned")
+			t.Error("no stop was seen as planned")
 		}
 		for _, e := range s.falseDeaths() {
 			if e.Incarnation > 0 && e.Observer != e.Number {
-				t.Errorf("taken for away after its restart: %+v", e)
+				t.Errorf("declared dead after its restart: %+v", e)
 				break
 			}
 		}
 		w.Run(w.Now + 10*period)
 		for i, d := range w.Nodes {
-			if n >= 10 && d.List.Incarnation() < 2 { // of three, the two others may both have begun anew and remember nothing
-				t.Errorf("relay %d is still under incarnation %d", i, d.List.Incarnation())
+			if n >= 10 && d.List.Incarnation() < 2 { // of three, both others may have restarted meanwhile and remember nothing
+				t.Errorf("relay %d still has incarnation %d", i, d.List.Incarnation())
 			}
 		}
 	})
 }
 
-// Two processes speak under one number: both notice, the others say so, and they don't outdo each other for ever. So they do where both have drawn the same byte that tells processes apart.
+// Two processes under one number notice it, the others report it, and their incarnations don't
+// race. The same holds if both draw the same run id.
 func TestTwoUnderOneNumber(t *testing.T) {
 	for _, alike := range []bool{false, true} {
-		t.Run(fmt.Sprint("alike ", alike), func(t *testing.T) { twoUnderOneNumber(t, alike) })
+		t.Run(fmt.Sprint("same run id ", alike), func(t *testing.T) { twoUnderOneNumber(t, alike) })
 	}
 }
 
@@ -357,7 +367,7 @@
 		return w.Nodes[3].List.Section(members.Target{To: 1}, members.MaxPiggybackBytes)[1]
 	}
 	seed := uint64(99)
-	second := New(Config{Relays: 10, Zones: 3, Seed: seed}) // its number 3 speaks into the first world
+	second := New(Config{Relays: 10, Zones: 3, Seed: seed}) // its relay 3 sends into the first simulation
 	for alike && life(second) != life(w) {
 		seed++
 		second = New(Config{Relays: 10, Zones: 3, Seed: seed})
@@ -377,7 +387,7 @@
 			}
 		}
 		w.OnReceive = func(from, to int, note []byte) error {
-			if to == 3 { // what goes to the number reaches both
+			if to == 3 { // a message to the number reaches both processes
 				for _, out := range must(double.List.Receive(w.Now, from, note)) {
 					w.Schedule(w.Now+period/50, func() { w.Deliver(3, out.To, out.Payload) })
 				}
@@ -387,24 +397,24 @@
 		noticed = noticed || w.Nodes[3].List.DuplicateNumber() || double.List.DuplicateNumber()
 	}
 	if !noticed {
-		t.Error("neither notices")
+		t.Error("neither process notices")
 	}
 	said := false
 	for _, e := range w.Nodes[0].List.View(w.Now).Members {
 		said = said || e.Number == 3 && e.Reason == "two processes speak under its number"
 	}
 	if !said {
-		t.Error("the others don't say so")
+		t.Error("the others don't report the duplicate number")
 	}
 	if inc := w.Nodes[3].List.Incarnation(); inc > 400 {
-		t.Errorf("incarnation %d: they outdo each other", inc)
+		t.Errorf("incarnation %d: the two processes race", inc)
 	}
 }
 
 func must(out []members.Datagram, _ error) []members.Datagram { return out }
 
-// A relay that lies says each moment that all others are away, or have left, or stand at wild incarnations; one that floods sends a thousand notes; one plays
-// old notes again: nobody who lives is away, and the dead stay dead.
+// A relay sends false states of all others and floods one relay, and old messages of a dead relay
+// are replayed. No running member may be declared dead, and the dead one stays dead.
 func TestLiar(t *testing.T) {
 	each(t, func(t *testing.T, n int) {
 		if n < 10 {
@@ -441,23 +451,24 @@
 		if dead := s.falseDeaths(); len(dead) > 0 {
 			t.Errorf("%d false deaths, the first: %+v", len(dead), dead[0])
 		}
-		if s := w.Nodes[0].List.State(5); s < members.Dead { // what a liar can do is to have its death called a departure
-			t.Errorf("replayed notes hold a dead member for %v", s)
+		if s := w.Nodes[0].List.State(5); s < members.Dead { // a liar can have a death taken for a planned stop
+			t.Errorf("replayed messages keep a dead member %v", s)
 		}
 		if c := w.Nodes[0].List.Counts(); c.Rejected < 1000 {
-			t.Errorf("%d notes of a flood refused", c.Rejected)
+			t.Errorf("%d messages of a flood rejected", c.Rejected)
 		}
 	})
 }
 
-// A relay that begins anew in a fleet of which thirty are long dead is told of all of them within one round, without asking each.
+// A relay that restarts in a fleet with thirty members long dead learns of all of them in one
+// round, without probing each.
 func TestJoined(t *testing.T) {
 	w, _ := fleet(t, 300, Config{Seed: 45})
 	for i := range 30 {
 		w.Kill(i * 9)
 	}
 	agree(t, w, 60*period)
-	w.Run(w.Now + 60*period) // it is news no more
+	w.Run(w.Now + 60*period) // the deaths are no longer gossiped
 	w.Kill(100)
 	w.Start(100)
 	w.Run(w.Now + 3*period)
@@ -468,12 +479,12 @@
 		}
 	}
 	if told < 30 {
-		t.Errorf("told of %d of 30 dead", told)
+		t.Errorf("learned of %d of 30 deaths", told)
 	}
 	agree(t, w, spanOf(300))
 }
 
-// Addresses that never answer are away, and stay so without troubling the others.
+// Addresses that never answer are seen as dead without disturbing the others.
 func TestNeverAnswer(t *testing.T) {
 	w := New(Config{Relays: 12, Seed: 47})
 	s := &seen{w: w, exempt: map[int]bool{}}
@@ -487,14 +498,15 @@
 		t.Errorf("%+v", m)
 	}
 	if v.PossibleCallers != 12 {
-		t.Errorf("%d share: who was never heard of may call all the same", v.PossibleCallers)
+		t.Errorf("%d possible callers: members never heard of may call all the same", v.PossibleCallers)
 	}
 	if dead := s.falseDeaths(); len(dead) > 0 {
 		t.Errorf("%+v", dead[0])
 	}
 }
 
-// The clock of a relay steps, forwards by an hour and backwards: as after a pause, nobody is accused.
+// When a relay's clock steps by an hour, forwards or backwards, it suspects nobody, as after a
+// pause.
 func TestClockSteps(t *testing.T) {
 	w, s := fleet(t, 10, Config{Seed: 53})
 	l := w.Nodes[4].List
@@ -508,44 +520,46 @@
 	}
 }
 
-// The share of members goes down slowly after a death, and up at once when the member is back.
+// The number of possible callers falls some time after a death, and rises at once when the member
+// is back.
 func TestSharing(t *testing.T) {
 	w, _ := fleet(t, 40, Config{Seed: 59})
 	w.Kill(1)
 	w.Run(w.Now + 20*period)
 	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 40 || w.Nodes[0].List.State(1) != members.Dead {
-		t.Fatalf("%d share just after a death, %v", n, w.Nodes[0].List.State(1))
+		t.Fatalf("%d possible callers just after a death, %v", n, w.Nodes[0].List.State(1))
 	}
 	w.Run(w.Now + 40*time.Second)
 	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 39 {
-		t.Fatalf("%d share long after", n)
+		t.Fatalf("%d possible callers long after a death", n)
 	}
 	w.Start(1)
 	w.Run(w.Now + 5*period)
 	if n := w.Nodes[0].List.PossibleCallers(w.Now); n != 40 {
-		t.Fatalf("%d share with the member back", n)
+		t.Fatalf("%d possible callers with the member back", n)
 	}
 }
 
-// What a relay sends does not grow with the fleet.
+// The bytes that a relay sends don't grow with the fleet.
 func TestBytes(t *testing.T) {
 	var all []float64
 	for _, n := range []int{10, 100, 1000} {
 		w, _ := fleet(t, n, Config{Seed: 61})
-		w.Run(w.Now + 100*period) // introductions are over
+		w.Run(w.Now + 100*period) // past the introductions
 		before := w.Nodes[0].BytesSent
 		w.Run(w.Now + 100*period)
 		all = append(all, float64(w.Nodes[0].BytesSent-before)/100/period.Seconds())
 	}
-	t.Logf("bytes a second at 10, 100 and 1000 relays: %.0f", all)
+	t.Logf("bytes per second at 10, 100 and 1000 relays: %.0f", all)
 	if all[2] > 1.6*all[0] {
-		t.Errorf("bytes a second at 10, 100 and 1000 relays: %.0f", all)
+		t.Errorf("bytes per second at 10, 100 and 1000 relays: %.0f", all)
 	}
 }
 
 var errDropped = errors.New("dropped")
 
-// Of the note that tells a relay that it is doubted, all but the latest are dropped: others still pass the doubt on, and it contradicts.
+// Two relays that lose all messages between them stay alive: others pass on the suspicion, and it
+// is refuted.
 func TestDropped(t *testing.T) {
 	w, s := fleet(t, 10, Config{Seed: 67})
 	w.OnReceive = func(from, to int, note []byte) error {
@@ -560,7 +574,8 @@
 	}
 }
 
-// One that dies keeps its place for a while, so that a restart changes nothing, and then has none; where half die at once they keep it for longer; one that left gives it up soon.
+// A dead member keeps its place for a while, so that a restart changes nothing, and then loses it.
+// When half die at once they keep it longer.
 func TestPlaced(t *testing.T) {
 	placed := func(w *Simulation, by int) (n int) {
 		for _, l := range w.Nodes[by].List.PlacementEligible(w.Now) {
@@ -573,7 +588,7 @@
 	for _, n := range []int{10, 80} {
 		w, _ := fleet(t, n, Config{Seed: 5})
 		w.Kill(3)
-		w.Run(w.Now + 20*period) // known by now, and less than 15 s
+		w.Run(w.Now + 20*period) // the death is known, and 15 s have not passed
 		if got := placed(w, 1); got != n {
 			t.Errorf("%d relays: %d have a place 12 s after a death", n, got)
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,6 @@
-// Package load puts load on a relay over real sockets, in open loop: messages are due at times that are drawn ahead and do not wait for
-// answers, and a message's time counts from when it was due, so that a relay which stands still is charged for all that it kept waiting.
+// Package load puts an open-loop load on a relay over real sockets. Messages are due at random
+// times drawn in advance and don't wait for answers. Latency counts from the time when a message
+// was due, so that a stalled relay is charged for all messages that it delays.
 package load
 
 import (
@@ -23,44 +24,45 @@
 	"oatfold/internal/lab/rules"
 )
 
-// Class is a class of message in the mix.
+// Class is a message class of the load.
 type Class struct {
 	Name          string
 	Share         float64
-	TimeLeft      time.Duration // time left that is told
+	TimeLeft      time.Duration // sent as X-Time-Left-Ms
 	TargetLatency time.Duration
 	Value         float64
 	Effect        rules.Effect
 	RepeatWindow  time.Duration
 }
 
-// DefaultMix is the usual one.
+// DefaultMix is the mix of classes of the example deployment.
 var DefaultMix = []Class{
 	{Name: "price-alert", Share: 0.43, TimeLeft: 6 * time.Second, TargetLatency: 1500 * time.Millisecond, Value: 1},
 	{Name: "order-relay", Share: 0.38, TimeLeft: 20 * time.Second, TargetLatency: 3 * time.Second, Value: 2, Effect: rules.Keyed, RepeatWindow: 5 * time.Second},
 	{Name: "fee-charge", Share: 0.19, TimeLeft: 20 * time.Second, TargetLatency: 2500 * time.Millisecond, Value: 5, Effect: rules.Unsafe},
 }
 
-// Config sets a load.
+// Config configures a load.
 type Config struct {
 	Addr      string
-	Rate      float64 // messages a second
+	Rate      float64 // messages per second
 	Duration  time.Duration
-	Dests     []int // dealt to evenly
+	Dests     []int // drawn uniformly
 	Mix       []Class
-	MaxConns  int // connections at most; messages that find none free wait, and their time runs
-	BodyBytes int // bytes
+	MaxConns  int // messages wait for a free connection, and their latency counts meanwhile
+	BodyBytes int // minimum size of a message body
 	Seed      uint64
-	Watcher   Watcher // nil: none
+	Watcher   Watcher // optional
 }
 
-// Watcher is told of each hand-in, as it is sent and as its answer has come; status 0: none came.
+// Watcher is notified of each message when it is sent and when it is answered. The status is 0 if
+// no answer came.
 type Watcher interface {
 	MessageSent(id string, class Class, dest int)
 	MessageAnswered(id string, status int)
 }
 
-// Check names the first setting with which there is no load.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	for _, f := range []struct {
 		name        string
@@ -68,118 +70,121 @@
 	}{{"rate", c.Rate, 0.01, 1e6}, {"for", c.Duration.Seconds(), 0.01, 600}, {"conns", float64(c.MaxConns), 1, 10_000}, {"body", float64(c.BodyBytes), 0, 65_536 - 64},
 		{"number of destinations", float64(len(c.Dests)), 1, 1e6}, {"number of classes", float64(len(c.Mix)), 1, 100}} {
 		if !(f.v >= f.from && f.v <= f.to) {
-			return fmt.Errorf("%s: %g does not lie within %g and %g", f.name, f.v, f.from, f.to)
+			return fmt.Errorf("%s: %g is not between %g and %g", f.name, f.v, f.from, f.to)
 		}
 	}
 	if host, _, err := net.SplitHostPort(c.Addr); err != nil || net.ParseIP(host) == nil || !net.ParseIP(host).IsLoopback() {
-		return fmt.Errorf("addr: %q is no loopback address with a port", c.Addr)
+		return fmt.Errorf("addr: %q is not a loopback address with a port", c.Addr)
 	}
 	return nil
 }
 
-// Report is what the clients saw. Times are in microseconds, from when a message was due to its answer.
+// Report is what the clients observed. AnswerTimes are in microseconds, from when a message was due
+// to its answer.
 type Report struct {
 	Sent, Accepted, Rejected, Failed int
-	Value                            float64 // asked for
+	Value                            float64 // of all messages sent
 	AnswerTimes                      *hdrhistogram.Histogram
-	MaxQueueDelay                    time.Duration // the longest that a message waited for a connection
+	MaxQueueDelay                    time.Duration // longest time that a message waited for a connection
 }
 
-// histogram counts microseconds up to a minute.
-func histogram() *hdrhistogram.Histogram {
+// newHistogram returns a histogram of microseconds, up to a minute.
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-type shot struct {
-	no    int
-	class *Class
-	dest  int
-	due   time.Time
+type scheduledMessage struct {
+	number int
+	class  *Class
+	dest   int
+	due    time.Time
 }
 
-// Run puts the load on and returns when the last message has its answer. Body's first line is CLASS/NUMBER, its second
-// the time when the message was due, in nanoseconds, so that a partner can tell how late it came.
-func Run(ctx context.Context, set Config) (*Report, error) {
-	if err := set.Check(); err != nil {
+// Run generates the load and returns when the last message is answered. The first line of a body is
+// CLASS/NUMBER, the second the time when the message was due in nanoseconds, from which Meter
+// computes its latency.
+func Run(ctx context.Context, config Config) (*Report, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	rep := &Report{AnswerTimes: histogram()}
+	report := &Report{AnswerTimes: newHistogram()}
 	var mu sync.Mutex
-	// Room for all: a generator that waited for a free connection would slow down with the relay, and measure nothing.
-	shots := make(chan shot, int(set.Rate*set.Duration.Seconds()*1.5)+1000)
+	// The queue has capacity for all messages: a generator that waited for a connection would slow
+	// down with the relay.
+	queue := make(chan scheduledMessage, int(config.Rate*config.Duration.Seconds()*1.5)+1000)
 	var wg sync.WaitGroup
-	for range set.MaxConns {
+	for range config.MaxConns {
 		wg.Go(func() {
-			c := &conn{addr: set.Addr}
+			c := &conn{addr: config.Addr}
 			defer c.close()
-			for s := range shots {
-				began := time.Now()
-				id := s.id()
-				if set.Watcher != nil {
-					set.Watcher.MessageSent(id, *s.class, s.dest)
+			for scheduled := range queue {
+				startedAt := time.Now()
+				id := scheduled.id()
+				if config.Watcher != nil {
+					config.Watcher.MessageSent(id, *scheduled.class, scheduled.dest)
 				}
-				status, err := c.post(s, id, set.BodyBytes)
-				if set.Watcher != nil {
-					set.Watcher.MessageAnswered(id, status)
+				status, err := c.post(scheduled, id, config.BodyBytes)
+				if config.Watcher != nil {
+					config.Watcher.MessageAnswered(id, status)
 				}
-				took := time.Since(s.due)
+				took := time.Since(scheduled.due)
 				mu.Lock()
-				rep.Sent++
-				rep.Value += s.class.Value
-				rep.MaxQueueDelay = max(rep.MaxQueueDelay, began.Sub(s.due))
-				rep.AnswerTimes.RecordValue(max(1, took.Microseconds()))
+				report.Sent++
+				report.Value += scheduled.class.Value
+				report.MaxQueueDelay = max(report.MaxQueueDelay, startedAt.Sub(scheduled.due))
+				report.AnswerTimes.RecordValue(max(1, took.Microseconds()))
 				switch {
 				case err != nil:
-					rep.Failed++
+					report.Failed++
 				case status == 202 || status == 200:
-					rep.Accepted++
+					report.Accepted++
 				case status == 429 || status == 503:
-					rep.Rejected++
+					report.Rejected++
 				default:
-					rep.Failed++
+					report.Failed++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	rng := rand.New(rand.NewPCG(set.Seed, 1))
+	rng := rand.New(rand.NewPCG(config.Seed, 1))
 	start := time.Now()
-	total := 0.0
-	for _, c := range set.Mix {
-		total += c.Share
+	totalShare := 0.0
+	for _, c := range config.Mix {
+		totalShare += c.Share
 	}
 	for n, at := 0, time.Duration(0); ctx.Err() == nil; n++ {
-		at += time.Duration(rng.ExpFloat64() / set.Rate * float64(time.Second))
-		if at > set.Duration {
+		at += time.Duration(rng.ExpFloat64() / config.Rate * float64(time.Second))
+		if at > config.Duration {
 			break
 		}
 		if wait := time.Until(start.Add(at)); wait > time.Millisecond {
 			time.Sleep(wait)
 		}
-		x, class := rng.Float64()*total, &set.Mix[0]
-		for i := range set.Mix {
-			if class = &set.Mix[i]; x < class.Share {
+		position, class := rng.Float64()*totalShare, &config.Mix[0]
+		for i := range config.Mix {
+			if class = &config.Mix[i]; position < class.Share {
 				break
 			}
-			x -= class.Share
+			position -= class.Share
 		}
 		select {
-		case shots <- shot{n, class, set.Dests[rng.IntN(len(set.Dests))], start.Add(at)}:
+		case queue <- scheduledMessage{n, class, config.Dests[rng.IntN(len(config.Dests))], start.Add(at)}:
 		default:
-			return nil, errors.New("more messages are due than have room")
+			return nil, errors.New("more messages are due than the queue holds")
 		}
 	}
-	close(shots)
+	close(queue)
 	wg.Wait()
-	return rep, ctx.Err()
+	return report, ctx.Err()
 }
 
-// conn is a connection that is kept.
+// conn is a persistent connection to the relay.
 type conn struct {
-	addr string
-	sock net.Conn
-	in   *bufio.Reader
-	buf  []byte
+	addr   string
+	sock   net.Conn
+	reader *bufio.Reader
+	buf    []byte
 }
 
 func (c *conn) close() {
@@ -189,78 +194,78 @@
 	}
 }
 
-// answerWithin is how long a client waits; a relay answers in far less.
-const answerWithin = 30 * time.Second
+// answerTimeout is how long a client waits for an answer.
+const answerTimeout = 30 * time.Second
 
-// id is the message's correlation id.
-func (s shot) id() string {
-	return fmt.Sprintf("%016x", uint64(s.due.UnixNano())<<16|uint64(s.no)&0xffff)
+// id returns the message's correlation id.
+func (message scheduledMessage) id() string {
+	return fmt.Sprintf("%016x", uint64(message.due.UnixNano())<<16|uint64(message.number)&0xffff)
 }
 
-func (c *conn) post(s shot, id string, size int) (status int, err error) {
+func (c *conn) post(message scheduledMessage, id string, size int) (status int, err error) {
 	if c.sock == nil {
-		if c.sock, err = net.DialTimeout("tcp", c.addr, answerWithin); err != nil {
+		if c.sock, err = net.DialTimeout("tcp", c.addr, answerTimeout); err != nil {
 			c.sock = nil
 			return 0, err
 		}
-		c.in = bufio.NewReaderSize(c.sock, 1024)
+		c.reader = bufio.NewReaderSize(c.sock, 1024)
 	}
-	head := fmt.Sprintf("%s/%d\n%d\n", s.class.Name, s.no, s.due.UnixNano())
+	head := fmt.Sprintf("%s/%d\n%d\n", message.class.Name, message.number, message.due.UnixNano())
 	size = max(size, len(head))
-	b := append(c.buf[:0], "POST /"...)
-	b = append(b, s.class.Name...)
-	b = append(b, " HTTP/1.1\r\nHost: relay\r\nX-Correlation-Id: "...)
-	b = fmt.Appendf(b, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id, s.class.TimeLeft.Milliseconds(), s.dest)
-	if s.class.Effect == rules.Keyed {
-		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", s.due.UnixNano())
+	request := append(c.buf[:0], "POST /"...)
+	request = append(request, message.class.Name...)
+	request = append(request, " HTTP/1.1\r\nHost: relay\r\nX-Correlation-Id: "...)
+	request = fmt.Appendf(request, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id, message.class.TimeLeft.Milliseconds(), message.dest)
+	if message.class.Effect == rules.Keyed {
+		request = fmt.Appendf(request, "Idempotency-Key: %032x\r\n", message.due.UnixNano())
 	}
-	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", size, head)
-	c.buf = append(b, bytes.Repeat([]byte("x"), size-len(head))...)
-	c.sock.SetDeadline(time.Now().Add(answerWithin))
+	request = fmt.Appendf(request, "Content-Length: %d\r\n\r\n%s", size, head)
+	c.buf = append(request, bytes.Repeat([]byte("x"), size-len(head))...)
+	c.sock.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err = c.sock.Write(c.buf); err == nil {
-		var res *http.Response
-		if res, err = http.ReadResponse(c.in, nil); err == nil {
-			_, err = io.Copy(io.Discard, res.Body)
-			if res.Body.Close(); res.Close {
+		var response *http.Response
+		if response, err = http.ReadResponse(c.reader, nil); err == nil {
+			_, err = io.Copy(io.Discard, response.Body)
+			if response.Body.Close(); response.Close {
 				c.close()
 			}
-			return res.StatusCode, err
+			return response.StatusCode, err
 		}
 	}
 	c.close()
 	return 0, err
 }
 
-// Meter is what messages did at the partners.
+// Meter measures what messages did at the partners.
 type Meter struct {
 	mu                  sync.Mutex
-	mix                 map[string]Class
+	classes             map[string]Class
 	seen                map[string]bool
-	Latency             *hdrhistogram.Histogram // from due to done, in microseconds
+	Latency             *hdrhistogram.Histogram // from due to executed, in microseconds
 	Completed           int
-	Duplicates          int // orders and charges among them: see Wrong
-	ForbiddenDuplicates int // charges that ran twice, and orders that ran twice beyond any window
+	Duplicates          int // messages executed more than once
+	ForbiddenDuplicates int // messages of class fee-charge executed more than once
 	WithinTarget        int
-	Value               float64 // served within its aim
+	Value               float64 // of the messages executed within their target latency
 }
 
-// NewMeter returns a meter for a mix.
+// NewMeter returns a meter for the classes of a mix.
 func NewMeter(mix []Class) *Meter {
-	m := &Meter{mix: map[string]Class{}, seen: map[string]bool{}, Latency: histogram()}
+	m := &Meter{classes: map[string]Class{}, seen: map[string]bool{}, Latency: newHistogram()}
 	for _, c := range mix {
-		m.mix[c.Name] = c
+		m.classes[c.Name] = c
 	}
 	return m
 }
 
-// Record is told of each body that ran.
+// Record records the execution of a message with the given body.
 func (m *Meter) Record(body []byte) {
 	now := time.Now()
 	name, rest, _ := strings.Cut(string(body[:min(len(body), 128)]), "\n")
 	at, _, _ := strings.Cut(rest, "\n")
 	due, err := strconv.ParseInt(at, 10, 64)
 	if err != nil {
-		return // not of this load
+		return // not a message of this load
 	}
 	class, _, _ := strings.Cut(name, "/")
 	took := now.Sub(time.Unix(0, due))
@@ -276,54 +281,54 @@
 	m.seen[name] = true
 	m.Completed++
 	m.Latency.RecordValue(max(1, took.Microseconds()))
-	if c := m.mix[class]; took <= c.TargetLatency {
+	if c := m.classes[class]; took <= c.TargetLatency {
 		m.WithinTarget++
 		m.Value += c.Value
 	}
 }
 
-// CompletedCount is how many have run.
+// CompletedCount returns how many messages were executed.
 func (m *Meter) CompletedCount() int { m.mu.Lock(); defer m.mu.Unlock(); return m.Completed }
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
 	CPU       time.Duration
-	PeakBytes int64 // bytes resident at most
+	PeakBytes int64 // peak resident memory
 }
 
-// tick is the kernel's unit of CPU time in /proc, which Linux fixes for programs.
-const tick = 10 * time.Millisecond
+// cpuTick is the unit of CPU time in /proc (USER_HZ), which is fixed on Linux.
+const cpuTick = 10 * time.Millisecond
 
 // ReadUsage reads the usage of a process from /proc.
-func ReadUsage(pid int) (u Usage, err error) {
+func ReadUsage(pid int) (usage Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // the name of the program may hold spaces
-	f := strings.Fields(rest)
-	if len(f) < 13 {
-		return u, fmt.Errorf("/proc/%d/stat: too short", pid)
+	_, rest, _ := strings.Cut(string(stat), ") ") // the program's name may contain spaces
+	fields := strings.Fields(rest)
+	if len(fields) < 13 {
+		return usage, fmt.Errorf("/proc/%d/stat: too short", pid)
 	}
-	for _, v := range f[11:13] {
-		n, err := strconv.ParseInt(v, 10, 64)
+	for _, value := range fields[11:13] {
+		ticks, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
-			return u, err
+			return usage, err
 		}
-		u.CPU += time.Duration(n) * tick
+		usage.CPU += time.Duration(ticks) * cpuTick
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	for line := range strings.Lines(string(status)) {
-		if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(v), " kB"), 10, 64)
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			kilobytes, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
 			if err != nil {
-				return u, err
+				return usage, err
 			}
-			u.PeakBytes = kb << 10
+			usage.PeakBytes = kilobytes << 10
 		}
 	}
-	return u, nil
+	return usage, nil
 }
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -8,140 +8,145 @@
 	"oatfold/internal/testdouble"
 )
 
-// Recorder turns what clients, partners and the platform see of one relay on real sockets into the rules' log, and has it checked.
-// It sees less than the emulator: no call that did not come through, and no drain.
+// Recorder converts what clients, partners and the platform observe of one relay on real sockets
+// into the event log of package rules, and checks it. Unlike the emulator, it does not see calls
+// that reach no partner, nor drains.
 type Recorder struct {
-	mu    sync.Mutex
-	start time.Time
-	check *rules.Checker
-	msgs  map[string]*recorded
-	last  uint32
-	calls uint64
-	moved *sync.Cond // an attempt has ended
+	mu           sync.Mutex
+	start        time.Time
+	checker      *rules.Checker
+	messages     map[string]*trackedMessage
+	lastNumber   uint32
+	lastCall     uint64
+	attemptEnded *sync.Cond // signals the end of an attempt
 }
 
-type recorded struct {
-	num     uint32
-	dest    int
-	tries   int
-	live    int
-	over    bool
-	class   Class
-	until   time.Duration
-	attempt int // the one that is out
-	call    uint64
+type trackedMessage struct {
+	number    uint32
+	dest      int
+	attempts  int
+	inFlight  int
+	completed bool
+	class     Class
+	deadline  time.Duration
+	attempt   int // the one in flight
+	call      uint64
 }
 
-// NewRecorder returns a recorder for a relay with so many slots.
-func NewRecorder(slots int) *Recorder {
-	r := &Recorder{start: time.Now(), msgs: map[string]*recorded{}, check: rules.New(rules.Config{AnswerSlack: 300 * time.Millisecond, MaxConcurrentCalls: slots, MaxAttempts: 6,
+// NewRecorder returns a recorder for a relay with the given concurrency limit.
+func NewRecorder(maxConcurrentCalls int) *Recorder {
+	r := &Recorder{start: time.Now(), messages: map[string]*trackedMessage{}, checker: rules.New(rules.Config{AnswerSlack: 300 * time.Millisecond, MaxConcurrentCalls: maxConcurrentCalls, MaxAttempts: 6,
 		RetryAfterGrace: 100 * time.Millisecond, ClockSlack: 50 * time.Millisecond})}
-	r.moved = sync.NewCond(&r.mu)
+	r.attemptEnded = sync.NewCond(&r.mu)
 	return r
 }
 
-func (r *Recorder) log(e rules.Event) {
-	e.At = time.Since(r.start)
-	r.check.Check(e)
+func (r *Recorder) log(event rules.Event) {
+	event.At = time.Since(r.start)
+	r.checker.Check(event)
 }
 
-// MessageSent books a message as it is sent: a relay may call a partner before its client has read the answer.
+// MessageSent records a message as it is sent: a relay may call a partner before the client has
+// read the answer.
 func (r *Recorder) MessageSent(id string, class Class, dest int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last++
-	m := &recorded{num: r.last, dest: dest, class: class, until: time.Since(r.start) + class.TimeLeft}
-	r.msgs[id] = m
-	r.log(rules.Event{Kind: rules.Accepted, Msg: m.num, Dest: dest, Effect: class.Effect, RepeatWindow: class.RepeatWindow, Deadline: m.until})
+	r.lastNumber++
+	m := &trackedMessage{number: r.lastNumber, dest: dest, class: class, deadline: time.Since(r.start) + class.TimeLeft}
+	r.messages[id] = m
+	r.log(rules.Event{Kind: rules.Accepted, Msg: m.number, Dest: dest, Effect: class.Effect, RepeatWindow: class.RepeatWindow, Deadline: m.deadline})
 }
 
-// MessageAnswered ends what was not taken on.
+// MessageAnswered completes a message that was not accepted.
 func (r *Recorder) MessageAnswered(id string, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.msgs[id]
+	m := r.messages[id]
 	switch {
 	case status == 200 || status == 202:
 	case status == 429 || status == 503:
-		m.over = true
-		r.log(rules.Event{Kind: rules.Returned, Msg: m.num})
+		m.completed = true
+		r.log(rules.Event{Kind: rules.Returned, Msg: m.number})
 	default:
-		m.over = true
-		r.log(rules.Event{Kind: rules.Withdrawn, Msg: m.num})
+		m.completed = true
+		r.log(rules.Event{Kind: rules.Withdrawn, Msg: m.number})
 	}
 }
 
-// NotificationReceived is a notice to the platform. One of what is over does no harm.
-func (r *Recorder) NotificationReceived(n testdouble.Notification) {
+// NotificationReceived records an outcome notification to the platform. It ignores one for a
+// completed message.
+func (r *Recorder) NotificationReceived(notification testdouble.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.msgs[n.Message]
-	if m == nil || m.over {
+	m := r.messages[notification.Message]
+	if m == nil || m.completed {
 		return
 	}
-	m.over = true
+	m.completed = true
 	kind := rules.Failed
-	if n.Outcome == "handed_back" {
+	if notification.Outcome == "handed_back" {
 		kind = rules.Returned
 	}
-	r.log(rules.Event{Kind: kind, Msg: m.num})
+	r.log(rules.Event{Kind: kind, Msg: m.number})
 }
 
-// settle is how long a partner may take to see that a relay has closed a connection.
-const settle = 50 * time.Millisecond
+// closeDetectionDelay is how long a partner may take to notice that a relay has closed a
+// connection.
+const closeDetectionDelay = 50 * time.Millisecond
 
-// CallObserved is a call at a partner, as it comes and as it ends.
-func (r *Recorder) CallObserved(c testdouble.Call) {
+// CallObserved records the start and the end of a call at a partner.
+func (r *Recorder) CallObserved(call testdouble.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !c.Completed {
-		// Guards against a second copy that is none: the relay has given the first up, and its partner has not seen it yet.
-		wake := time.AfterFunc(settle, r.moved.Broadcast)
-		for end := time.Now().Add(settle); r.anyLive(c.IDs) && time.Now().Before(end); {
-			r.moved.Wait()
+	if !call.Completed {
+		// Prevents a false report of two copies: the relay may have given up the first attempt
+		// before its partner has noticed.
+		timer := time.AfterFunc(closeDetectionDelay, r.attemptEnded.Broadcast)
+		for deadline := time.Now().Add(closeDetectionDelay); r.anyInFlight(call.IDs) && time.Now().Before(deadline); {
+			r.attemptEnded.Wait()
 		}
-		wake.Stop()
-		r.calls++
+		timer.Stop()
+		r.lastCall++
 	}
-	for _, id := range c.IDs {
-		m := r.msgs[id]
+	for _, id := range call.IDs {
+		m := r.messages[id]
 		if m == nil {
-			m = &recorded{} // nobody handed it in: number 0 is held by nobody
+			m = &trackedMessage{} // nobody sent it, and no message has the number 0
 		}
-		if !c.Completed {
-			m.attempt, m.call, m.live = m.tries, r.calls, m.live+1
-			m.tries++
-			r.log(rules.Event{Kind: rules.Sent, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest})
+		if !call.Completed {
+			m.attempt, m.call, m.inFlight = m.attempts, r.lastCall, m.inFlight+1
+			m.attempts++
+			r.log(rules.Event{Kind: rules.Sent, Msg: m.number, Attempt: m.attempt, Call: m.call, Dest: call.Dest})
 			continue
 		}
-		m.live--
-		ok := c.OK && !m.over
-		m.over = m.over || c.OK
-		r.log(rules.Event{Kind: rules.AttemptEnded, Msg: m.num, Attempt: m.attempt, Call: m.call, Dest: c.Dest, NotRun: !c.MayHaveRun, Delivered: ok, RetryAfter: c.RetryAfter})
+		m.inFlight--
+		delivered := call.OK && !m.completed
+		m.completed = m.completed || call.OK
+		r.log(rules.Event{Kind: rules.AttemptEnded, Msg: m.number, Attempt: m.attempt, Call: m.call, Dest: call.Dest, NotRun: !call.MayHaveRun, Delivered: delivered, RetryAfter: call.RetryAfter})
 	}
-	r.moved.Broadcast()
+	r.attemptEnded.Broadcast()
 }
 
-func (r *Recorder) anyLive(ids []string) bool {
+func (r *Recorder) anyInFlight(ids []string) bool {
 	for _, id := range ids {
-		if m := r.msgs[id]; m != nil && m.live > 0 {
+		if m := r.messages[id]; m != nil && m.inFlight > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// PendingCount is how many messages have had no end yet.
+// PendingCount returns the number of messages without an outcome.
 func (r *Recorder) PendingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.check.PendingCount()
+	return r.checker.PendingCount()
 }
 
-// Finish ends the log and returns what was broken, and how often each rule was.
+// Finish ends the log and returns the violations and their number by rule.
 func (r *Recorder) Finish() ([]rules.Violation, map[rules.Name]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log(rules.Event{Kind: rules.LogEnded})
-	return r.check.Violations, r.check.Counts
+	return r.checker.Violations, r.checker.Counts
 }
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -11,7 +11,8 @@
 	"oatfold/internal/testdouble"
 )
 
-// world is four partners that break calls, refuse them with waits, lose answers after they ran, and one that is well.
+// world starts four partners: one is healthy, the others reject calls, reset connections after
+// execution, or fail.
 func world(t *testing.T, r *load.Recorder) *testdouble.Environment {
 	t.Helper()
 	var partners []testdouble.PartnerConfig
@@ -42,7 +43,8 @@
 	return rep
 }
 
-// The checker on real sockets: the relay keeps the rules under faults, and a forwarder that heeds nothing is found out by the same checker.
+// A relay keeps the rules on real sockets under faults, and the same checker finds the violations
+// of a plain forwarder.
 func TestRulesOnSockets(t *testing.T) {
 	bin, err := testdouble.BuildRelay(t.TempDir())
 	if err != nil {
@@ -55,7 +57,7 @@
 		t.Fatal(err)
 	}
 	rep := under(t, relay.Addr, r)
-	if err := w.WaitUntil("every message's end", func() bool { return r.PendingCount() == 0 }); err != nil {
+	if err := w.WaitUntil("the outcome of every message", func() bool { return r.PendingCount() == 0 }); err != nil {
 		t.Error(err)
 	}
 	if breaks, _ := r.Finish(); len(breaks) > 0 || rep.Accepted < 300 || rep.Failed > 0 {
@@ -77,7 +79,7 @@
 		t.Error(err)
 	}
 	if _, counts := r.Finish(); counts[rules.RetryAfter] == 0 || counts[rules.Bounds] == 0 {
-		t.Errorf("the forwarder breaks waits and places, found %v", counts)
+		t.Errorf("the forwarder ignores Retry-After and limits, found %v", counts)
 	}
 	if _, err := load.ReadUsage(os.Getpid()); err != nil {
 		t.Error(err)
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -16,43 +16,45 @@
 	"oatfold/internal/testdouble"
 )
 
-// RateResult is one rate that a program was put under.
+// RateResult is the result of one program under one rate.
 type RateResult struct {
 	Program            string
-	OfferedRate        float64 // messages a second
+	OfferedRate        float64 // messages per second
 	Sent, WithinTarget int
 	Rejected           int
 	Failed             int
 	Duplicates         int
-	P50, P99           time.Duration // from due to done at the partner
+	P50, P99           time.Duration // from due to executed at the partner
 	CPU                time.Duration // of the program, from its start to the last message
-	PeakBytes          int64         // bytes resident at most
-	TargetKept         bool          // nearly all was done within its aim
+	PeakBytes          int64         // peak resident memory
+	TargetKept         bool          // minWithinTarget was reached
 }
 
-// MessagesPerCPUSecond is how many messages it did for a second of CPU.
+// MessagesPerCPUSecond returns how many messages were executed within their target latency per
+// second of CPU time.
 func (s RateResult) MessagesPerCPUSecond() float64 {
 	return float64(s.WithinTarget) / max(s.CPU.Seconds(), 0.01)
 }
 
-// kept is the share of messages that have to be done within their aim.
-const kept = 0.99
+// minWithinTarget is the share of messages that must be executed within their target latency.
+const minWithinTarget = 0.99
 
-// SaturationConfig sets a search for the highest rate that keeps the aim.
+// SaturationConfig configures the search for the highest rate at which a program keeps the target
+// latency.
 type SaturationConfig struct {
-	RelayBinary    string   // the program
-	ForwardCommand []string // command of the forwarder, to which --to ADDR is added; it prints its address on a line
+	RelayBinary    string   // path of the relay's program
+	ForwardCommand []string // gets --to ADDR,... as further arguments, and prints its own address on a line
 	Rates          []float64
 	Duration       time.Duration
 	Dests          int
 	MaxConns       int
 	BodyBytes      int
 	Seed           uint64
-	Profile        func(addr string, rate float64) // nil: none
+	Profile        func(addr string, rate float64) // optional
 }
 
-// Saturate puts the relay and a plain forwarder under growing rates, each in a process of its own that is new for each rate, and beside each other
-// at each rate. A program that did not keep the aim is not tried any further.
+// Saturate runs the relay and a plain forwarder at increasing rates, each rate with a new process.
+// A program that missed the target latency is not run at higher rates.
 func Saturate(ctx context.Context, set SaturationConfig, each func(RateResult)) error {
 	over := map[string]bool{}
 	for _, rate := range set.Rates {
@@ -60,7 +62,7 @@
 			if over[program] || ctx.Err() != nil {
 				continue
 			}
-			s, err := set.step(ctx, program, rate)
+			s, err := set.measureRate(ctx, program, rate)
 			if err != nil {
 				return fmt.Errorf("%s at %g/s: %w", program, rate, err)
 			}
@@ -71,7 +73,7 @@
 	return ctx.Err()
 }
 
-func (set SaturationConfig) step(ctx context.Context, program string, rate float64) (*RateResult, error) {
+func (set SaturationConfig) measureRate(ctx context.Context, program string, rate float64) (*RateResult, error) {
 	meter := NewMeter(DefaultMix)
 	var partners []testdouble.PartnerConfig
 	load := Config{Rate: rate, Duration: set.Duration, Mix: DefaultMix, MaxConns: set.MaxConns, BodyBytes: set.BodyBytes, Seed: set.Seed}
@@ -96,7 +98,7 @@
 		for _, p := range w.Partners {
 			to = append(to, p.Addresses()...)
 		}
-		cmd, addr, err := forward(ctx, set.ForwardCommand, to)
+		cmd, addr, err := startForwarder(ctx, set.ForwardCommand, to)
 		if err != nil {
 			return nil, err
 		}
@@ -107,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// What was taken on may still be on its way; its aim bounds the wait.
+	// Accepted messages may still be in flight; wait for them a limited time.
 	for end := time.Now().Add(3 * time.Second); meter.CompletedCount() < rep.Accepted && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -119,12 +121,12 @@
 	defer meter.mu.Unlock()
 	s := &RateResult{Program: program, OfferedRate: rate, Sent: rep.Sent, WithinTarget: meter.WithinTarget, Rejected: rep.Rejected, Failed: rep.Failed, Duplicates: meter.Duplicates, CPU: u.CPU, PeakBytes: u.PeakBytes,
 		P50: time.Duration(meter.Latency.ValueAtPercentile(50)) * time.Microsecond, P99: time.Duration(meter.Latency.ValueAtPercentile(99)) * time.Microsecond}
-	s.TargetKept = float64(s.WithinTarget) >= kept*float64(s.Sent)
+	s.TargetKept = float64(s.WithinTarget) >= minWithinTarget*float64(s.Sent)
 	return s, nil
 }
 
-// forward starts the forwarder and reads its address.
-func forward(ctx context.Context, command, to []string) (*exec.Cmd, string, error) {
+// startForwarder starts the forwarder and reads its address.
+func startForwarder(ctx context.Context, command, to []string) (*exec.Cmd, string, error) {
 	cmd := exec.CommandContext(ctx, command[0], append(command[1:], "--to", strings.Join(to, ","))...)
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
@@ -143,8 +145,9 @@
 	return cmd, strings.TrimSpace(line), nil
 }
 
-// RunForwarder is the yardstick: a plain forwarder on net/http/httputil.ReverseProxy that keeps nothing, retries nothing and deals messages
-// to the addresses in turn. It prints its address and serves until ctx is over.
+// RunForwarder runs a plain forwarder for comparison, based on net/http/httputil.ReverseProxy: it
+// stores nothing, retries nothing and distributes messages to the addresses in turn. It reports its
+// address to print and serves until ctx is done.
 func RunForwarder(ctx context.Context, to []string, print func(addr string)) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/region/events.go
+++ b/internal/lab/region/events.go
@@ -8,246 +8,246 @@
 	"oatfold/internal/assignment"
 )
 
-// Event is something that happens to a region.
+// Event is a failure or an operation in a region.
 type Event string
 
 const (
-	LoseRelay      Event = "relay"       // one goes, and returns after its replicas were given to others
-	LoseRack       Event = "rack"        // the same of a whole rack
-	LoseZone       Event = "zone"        // the same of a zone, whose replicas stay
-	LeaveRack      Event = "leave"       // a rack leaves as planned, goes, and returns
-	Restart        Event = "restart"     // a tenth of all relays, away for 10 s
+	LoseRelay      Event = "relay"       // one relay stops, and returns after its replicas were reassigned
+	LoseRack       Event = "rack"        // the same for a whole rack
+	LoseZone       Event = "zone"        // the same for a zone, whose replicas are not reassigned
+	LeaveRack      Event = "leave"       // a rack leaves as planned, stops, and returns
+	Restart        Event = "restart"     // a tenth of all relays, down for 10 s
 	LoseControls   Event = "controls"    // a third of the control machines and a rack
-	LoseAllControl Event = "all control" // for ten minutes
+	LoseAllControl Event = "all control" // all control machines, for ten minutes
 	MassStart      Event = "mass start"  // a zone's relays start at once, with empty disks
 )
 
-// Events are all that can be played.
+// Events are all events that can be simulated.
 var Events = []Event{LoseRelay, LoseRack, LoseZone, LeaveRack, Restart, LoseControls, LoseAllControl, MassStart}
 
 const (
-	settleBy  = time.Minute            // for a new region to be whole
-	lookEvery = 100 * time.Millisecond // at how partitions are served
-	goneBy    = 75 * time.Second       // replicas of what is lost were given to others
-	backBy    = 15 * time.Second       // and what returned has got its part
-	controlIn = 10 * time.Minute       // all control machines are back
+	settleTimeout  = time.Minute            // for all relays to hold the first map
+	sampleInterval = 100 * time.Millisecond // between samples of the coverage
+	reassignTime   = 75 * time.Second       // until the replicas of stopped relays are reassigned
+	rejoinTime     = 15 * time.Second       // until relays that returned have their part
+	controlOutage  = 10 * time.Minute       // until all control machines are back
 )
 
-// Outcome is what an event came to in a region.
+// Outcome is the result of an event in a region.
 type Outcome struct {
 	Region          int     `parquet:"region"`
 	Event           string  `parquet:"event"`
 	Relays          int     `parquet:"relays"`
-	AffectedRelays  int     `parquet:"hit"`        // relays that went, or started
-	Moved           float64 `parquet:"moved"`      // share of all replicas that moved as they went
-	MovedBack       float64 `parquet:"moved_back"` // and as they returned
-	ChangesObserved int     `parquet:"concerned"`  // relays that a change of the map concerned
-	MedianSeconds   float64 `parquet:"median_s"`   // seconds until a change was in force at half of them
-	P999Seconds     float64 `parquet:"late_s"`     // and at 999 of 1,000
+	AffectedRelays  int     `parquet:"hit"`        // relays that stopped, left or started
+	Moved           float64 `parquet:"moved"`      // share of all replicas that moved as they stopped
+	MovedBack       float64 `parquet:"moved_back"` // share of all replicas that moved as they returned
+	ChangesObserved int     `parquet:"concerned"`  // pairs of a changed map and a relay that it concerns
+	MedianSeconds   float64 `parquet:"median_s"`   // until a change was in force, the median over all pairs
+	P999Seconds     float64 `parquet:"late_s"`     // the same, at 999 of 1,000
 	MaxSeconds      float64 `parquet:"last_s"`
-	OneZoneSeconds  float64 `parquet:"one_zone_s"` // seconds in which some partition was served in one zone only
-	MaxOneZoneShare float64 `parquet:"one_zone"`   // the greatest share of partitions that were at once
-	NoZoneSeconds   float64 `parquet:"no_zone_s"`  // seconds in which some partition was not served
-	MeanRelayRate   float64 `parquet:"relay_rate"` // bytes a second of a relay for control, both ways
-	MaxRelayRate    float64 `parquet:"relay_most"` // of the relay that spent most
-	ControlRate     float64 `parquet:"control"`    // bytes a second that a control machine sent
+	OneZoneSeconds  float64 `parquet:"one_zone_s"` // time in which some partition was served in one zone only
+	MaxOneZoneShare float64 `parquet:"one_zone"`   // greatest share of partitions at one time
+	NoZoneSeconds   float64 `parquet:"no_zone_s"`  // time in which some partition was not served
+	MeanRelayRate   float64 `parquet:"relay_rate"` // bytes per second of a relay for control, in both directions
+	MaxRelayRate    float64 `parquet:"relay_most"` // of the relay with the most
+	ControlRate     float64 `parquet:"control"`    // bytes per second that a control machine sent
 }
 
-// play is an event under way.
-type play struct {
+// eventRun is a simulation of one event.
+type eventRun struct {
 	*Simulation
 	Outcome
-	delays  []time.Duration
-	began   time.Duration
-	covered time.Duration // until when coverage was looked at
+	delays     []time.Duration
+	startedAt  time.Duration
+	lastSample time.Duration // time of the latest sample of the coverage
 }
 
-// RunEvent plays an event in a region of its own, which is whole before it begins. The
-// error names an unknown event, or says that the region never got whole.
-func RunEvent(c Config, event Event) (Outcome, error) {
+// RunEvent simulates an event in a new region, after all relays hold the first map. It returns an
+// error for an unknown event, if the region does not settle, and if published maps contradict each
+// other.
+func RunEvent(config Config, event Event) (Outcome, error) {
 	if !slices.Contains(Events, event) {
 		return Outcome{}, fmt.Errorf("unknown event %q", event)
 	}
-	w, err := New(c)
+	sim, err := New(config)
 	if err != nil {
 		return Outcome{}, err
 	}
-	whole := func() bool { m := w.Published(); return m != nil && len(w.Outdated(m)) == 0 }
-	if _, ok := w.RunUntil(settleBy, time.Second, whole); !ok {
-		return Outcome{}, fmt.Errorf("region %d: not whole after %v", c.Number, settleBy)
+	whole := func() bool { m := sim.Published(); return m != nil && len(sim.Outdated(m)) == 0 }
+	if _, ok := sim.RunUntil(settleTimeout, time.Second, whole); !ok {
+		return Outcome{}, fmt.Errorf("region %d: not settled after %v", config.Number, settleTimeout)
 	}
-	p := &play{Simulation: w, Outcome: Outcome{Region: int(c.Number), Event: string(event), Relays: c.Relays}, began: w.Now}
-	w.clearCounts()
-	if err := p.happen(event); err != nil {
+	run := &eventRun{Simulation: sim, Outcome: Outcome{Region: int(config.Number), Event: string(event), Relays: config.Relays}, startedAt: sim.Now}
+	sim.clearCounts()
+	if err := run.apply(event); err != nil {
 		return Outcome{}, err
 	}
-	if len(w.Conflicts) > 0 {
-		return Outcome{}, fmt.Errorf("region %d: maps that contradict each other: %v", c.Number, w.Conflicts)
+	if len(sim.Conflicts) > 0 {
+		return Outcome{}, fmt.Errorf("region %d: conflicting maps: %v", config.Number, sim.Conflicts)
 	}
-	return p.done(), nil
+	return run.outcome(), nil
 }
 
-func (p *play) happen(event Event) error {
+func (run *eventRun) apply(event Event) error {
 	switch event {
 	case LoseRelay:
-		p.goAndReturn([]int{p.Config.Relays / 3}, goneBy)
+		run.stopAndRestart([]int{run.Config.Relays / 3}, reassignTime)
 	case LoseRack:
-		p.goAndReturn(p.Rack(p.Config.Zones), goneBy)
+		run.stopAndRestart(run.Rack(run.Config.Zones), reassignTime)
 	case LoseZone:
-		p.goAndReturn(p.Zone(1), 2*goneBy)
+		run.stopAndRestart(run.Zone(1), 2*reassignTime)
 	case LeaveRack:
-		p.leaveAndReturn(p.Rack(p.Config.Zones))
+		run.leaveAndRejoin(run.Rack(run.Config.Zones))
 	case Restart:
-		p.goAndReturn(p.tenth(), 10*time.Second)
+		run.stopAndRestart(run.everyTenthRelay(), 10*time.Second)
 	case LoseControls:
-		for i := range p.Config.Controls / 3 {
-			p.StopControl(i)
+		for i := range run.Config.Controls / 3 {
+			run.StopControl(i)
 		}
-		p.goAndReturn(p.Rack(p.Config.Zones), goneBy)
+		run.stopAndRestart(run.Rack(run.Config.Zones), reassignTime)
 	case LoseAllControl:
-		return p.loseAllControl()
+		return run.loseAllControl()
 	case MassStart:
-		p.massStart()
+		run.massStart()
 	}
 	return nil
 }
 
-// tenth returns every tenth relay.
-func (p *play) tenth() (relays []int) {
-	for i := 0; i < p.Config.Relays; i += 10 {
+// everyTenthRelay returns every tenth relay.
+func (run *eventRun) everyTenthRelay() (relays []int) {
+	for i := 0; i < run.Config.Relays; i += 10 {
 		relays = append(relays, i)
 	}
 	return relays
 }
 
-// goAndReturn has relays go for a while and return.
-func (p *play) goAndReturn(relays []int, away time.Duration) {
-	p.AffectedRelays = len(relays)
-	first := p.Published()
-	p.StopAll(relays)
-	p.follow(away)
-	second := p.Published()
-	p.StartAll(relays)
-	p.follow(backBy)
-	p.Moved, p.MovedBack = p.share(second, first), p.share(p.Published(), second)
+// stopAndRestart stops relays and restarts them after the outage.
+func (run *eventRun) stopAndRestart(relays []int, outage time.Duration) {
+	run.AffectedRelays = len(relays)
+	first := run.Published()
+	run.StopAll(relays)
+	run.observe(outage)
+	second := run.Published()
+	run.StartAll(relays)
+	run.observe(rejoinTime)
+	run.Moved, run.MovedBack = run.movedShare(second, first), run.movedShare(run.Published(), second)
 }
 
-// leaveAndReturn has relays leave as planned, each go once it is free to, and
-// return.
-func (p *play) leaveAndReturn(relays []int) {
-	p.AffectedRelays = len(relays)
-	first := p.Published()
-	p.LeaveAll(relays, true)
-	for end := p.Now + goneBy; p.Now < end; {
-		p.follow(time.Second)
-		p.StopReleased(relays)
-	}
-	second := p.Published()
-	p.StartAll(relays)
-	p.follow(backBy)
-	p.Moved, p.MovedBack = p.share(second, first), p.share(p.Published(), second)
+// leaveAndRejoin has relays leave as planned, stops each one when it is released, and restarts
+// them.
+func (run *eventRun) leaveAndRejoin(relays []int) {
+	run.AffectedRelays = len(relays)
+	first := run.Published()
+	run.LeaveAll(relays, true)
+	for end := run.Now + reassignTime; run.Now < end; {
+		run.observe(time.Second)
+		run.StopReleased(relays)
+	}
+	second := run.Published()
+	run.StartAll(relays)
+	run.observe(rejoinTime)
+	run.Moved, run.MovedBack = run.movedShare(second, first), run.movedShare(run.Published(), second)
 }
 
-// loseAllControl has every control machine go for ten minutes, and a tenth of the
-// relays restart meanwhile.
-func (p *play) loseAllControl() error {
-	first := p.Published()
-	for i := range p.Controls {
-		p.StopControl(i)
-	}
-	restarted := p.tenth()
-	p.AffectedRelays = len(restarted)
-	p.StopAll(restarted)
-	p.StartAll(restarted)
-	p.follow(controlIn)
-	for i := range p.Controls {
-		if err := p.StartControl(i); err != nil {
+// loseAllControl stops all control machines for ten minutes, and restarts a tenth of the relays
+// meanwhile.
+func (run *eventRun) loseAllControl() error {
+	first := run.Published()
+	for i := range run.Controls {
+		run.StopControl(i)
+	}
+	restarted := run.everyTenthRelay()
+	run.AffectedRelays = len(restarted)
+	run.StopAll(restarted)
+	run.StartAll(restarted)
+	run.observe(controlOutage)
+	for i := range run.Controls {
+		if err := run.StartControl(i); err != nil {
 			return err
 		}
 	}
-	p.follow(goneBy)
-	p.Moved = p.share(p.Published(), first)
+	run.observe(reassignTime)
+	run.Moved = run.movedShare(run.Published(), first)
 	return nil
 }
 
-// massStart has a zone's relays start at once, which know nothing.
-func (p *play) massStart() {
-	relays := p.Zone(1)
-	p.AffectedRelays = len(relays)
-	p.StopAll(relays)
-	p.Run(p.Now + backBy)
-	p.clearCounts()
-	p.began = p.Now
+// massStart starts a zone's relays at once, with empty disks.
+func (run *eventRun) massStart() {
+	relays := run.Zone(1)
+	run.AffectedRelays = len(relays)
+	run.StopAll(relays)
+	run.Run(run.Now + rejoinTime)
+	run.clearCounts()
+	run.startedAt = run.Now
 	for _, i := range relays {
-		p.Simulation.Relays[i].disk = nil
+		run.Simulation.Relays[i].disk = nil
 	}
-	p.StartAll(relays)
-	waiting := map[int]bool{}
+	run.StartAll(relays)
+	unassigned := map[int]bool{}
 	for _, i := range relays {
-		waiting[i] = true
-	}
-	for start := p.Now; p.Now < start+backBy; {
-		p.Run(p.Now + lookEvery)
-		for i := range waiting {
-			if p.Simulation.Relays[i].Follower.Current() != nil {
-				p.delays = append(p.delays, p.Now-start)
-				delete(waiting, i)
+		unassigned[i] = true
+	}
+	for start := run.Now; run.Now < start+rejoinTime; {
+		run.Run(run.Now + sampleInterval)
+		for i := range unassigned {
+			if run.Simulation.Relays[i].Follower.Current() != nil {
+				run.delays = append(run.delays, run.Now-start)
+				delete(unassigned, i)
 			}
 		}
 	}
 }
 
-// follow plays for a while, and books how partitions are served and how long
-// changes take.
-func (p *play) follow(span time.Duration) {
-	p.covered = p.Now
-	p.delays = append(p.delays, p.ChangeDelays(span, lookEvery, p.look)...)
+// observe runs for the given span, and records the coverage and the delays of changes.
+func (run *eventRun) observe(duration time.Duration) {
+	run.lastSample = run.Now
+	run.delays = append(run.delays, run.ChangeDelays(duration, sampleInterval, run.recordCoverage)...)
 }
 
-// look books how partitions were served since the last look.
-func (p *play) look() {
-	since := (p.Now - p.covered).Seconds()
-	p.covered = p.Now
-	c := p.Covered()
-	if c.OneZone > 0 {
-		p.OneZoneSeconds += since
-		p.MaxOneZoneShare = max(p.MaxOneZoneShare, float64(c.OneZone)/float64(c.Partitions))
+// recordCoverage records the coverage since the latest sample.
+func (run *eventRun) recordCoverage() {
+	since := (run.Now - run.lastSample).Seconds()
+	run.lastSample = run.Now
+	coverage := run.Coverage()
+	if coverage.OneZone > 0 {
+		run.OneZoneSeconds += since
+		run.MaxOneZoneShare = max(run.MaxOneZoneShare, float64(coverage.OneZone)/float64(coverage.Partitions))
 	}
-	if c.NoZone > 0 {
-		p.NoZoneSeconds += since
+	if coverage.NoZone > 0 {
+		run.NoZoneSeconds += since
 	}
 }
 
-// share is the share of all replicas that moved between two maps.
-func (p *play) share(now, before *assignment.Map) float64 {
-	return float64(now.CountMoved(before)) / float64(p.Config.Partitions*p.Config.Replicas)
+// movedShare returns the share of all replicas that moved between two maps.
+func (run *eventRun) movedShare(after, before *assignment.Map) float64 {
+	return float64(after.CountMoved(before)) / float64(run.Config.Partitions*run.Config.Replicas)
 }
 
-// clearCounts begins to count bytes anew.
-func (w *Simulation) clearCounts() {
-	for _, r := range w.Relays {
-		r.Sent, r.Heard = 0, 0
+// clearCounts resets the counters of bytes.
+func (sim *Simulation) clearCounts() {
+	for _, r := range sim.Relays {
+		r.BytesSent, r.BytesReceived = 0, 0
 	}
-	for _, c := range w.Controls {
-		c.Sent, c.Peers = 0, 0
+	for _, c := range sim.Controls {
+		c.RelayBytes, c.PeerBytes = 0, 0
 	}
 }
 
-func (p *play) done() Outcome {
-	span := (p.Now - p.began).Seconds()
-	for _, r := range p.Simulation.Relays {
-		rate := float64(r.Sent+r.Heard) / span
-		p.MeanRelayRate += rate / float64(len(p.Simulation.Relays))
-		p.MaxRelayRate = max(p.MaxRelayRate, rate)
+func (run *eventRun) outcome() Outcome {
+	span := (run.Now - run.startedAt).Seconds()
+	for _, r := range run.Simulation.Relays {
+		rate := float64(r.BytesSent+r.BytesReceived) / span
+		run.MeanRelayRate += rate / float64(len(run.Simulation.Relays))
+		run.MaxRelayRate = max(run.MaxRelayRate, rate)
 	}
-	for _, c := range p.Controls {
-		p.ControlRate += float64(c.Sent+c.Peers) / span / float64(len(p.Controls))
+	for _, c := range run.Controls {
+		run.ControlRate += float64(c.RelayBytes+c.PeerBytes) / span / float64(len(run.Controls))
 	}
-	if p.ChangesObserved = len(p.delays); p.ChangesObserved > 0 {
-		slices.Sort(p.delays)
-		p.MedianSeconds = p.delays[(len(p.delays)-1)/2].Seconds()
-		p.P999Seconds = p.delays[(len(p.delays)-1)*999/1000].Seconds()
-		p.MaxSeconds = p.delays[len(p.delays)-1].Seconds()
+	if run.ChangesObserved = len(run.delays); run.ChangesObserved > 0 {
+		slices.Sort(run.delays)
+		run.MedianSeconds = run.delays[(len(run.delays)-1)/2].Seconds()
+		run.P999Seconds = run.delays[(len(run.delays)-1)*999/1000].Seconds()
+		run.MaxSeconds = run.delays[len(run.delays)-1].Seconds()
 	}
-	return p.Outcome
+	return run.Outcome
 }
--- a/internal/lab/region/leave_test.go
+++ b/internal/lab/region/leave_test.go
@@ -7,10 +7,11 @@
 	"oatfold/internal/assignment"
 )
 
-// leaveBy bounds how long a planned leave takes: the map changes, and a tenth of the datagrams is lost.
+// leaveBy bounds a planned leave, with a tenth of the datagrams lost.
 const leaveBy = 5 * time.Second
 
-// A relay or a rack that leaves as planned is free to go within seconds, moves its share once, and leaves no destination in one zone alone.
+// A relay or a rack that leaves as planned is released within seconds, its share moves once, and
+// every partition stays in both zones.
 func TestPlannedLeave(t *testing.T) {
 	for name, pick := range map[string]func(w *Simulation) []int{
 		"relay": func(*Simulation) []int { return []int{1234} },
@@ -24,23 +25,23 @@
 				inBoth := w.inBothZones(t)
 				before, began, stopped := w.Published(), w.Now, 0
 				w.LeaveAll(relays, true)
-				w.watch(leaveBy, func(c Cover) {
+				w.watch(leaveBy, func(c Coverage) {
 					inBoth(c)
 					if n := w.StopReleased(relays); n > 0 {
 						stopped += n
-						t.Logf("%d of %d relays went after %v", stopped, len(relays), w.Now-began)
+						t.Logf("%d of %d relays stopped after %v", stopped, len(relays), w.Now-began)
 					}
 				})
 				if stopped < len(relays) {
-					t.Fatalf("%d of %d relays were free to go within %v", stopped, len(relays), leaveBy)
+					t.Fatalf("%d of %d relays were released within %v", stopped, len(relays), leaveBy)
 				}
 				left := w.Published()
 				if moved := float64(left.CountMoved(before)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays left", moved, share)
 				}
-				w.watch(80*time.Second, inBoth) // nobody takes them for lost as well
+				w.watch(80*time.Second, inBoth) // they must not be taken for failed as well
 				if moved := w.Published().CountMoved(left); moved > 0 {
-					t.Errorf("%d replicas moved once more", moved)
+					t.Errorf("%d replicas moved again", moved)
 				}
 				w.StartAll(relays)
 				w.watch(20*time.Second, inBoth)
@@ -52,8 +53,8 @@
 	}
 }
 
-// A zone that is to leave as a whole goes an eighth at a time; every destination stays in both zones meanwhile. The publisher dies in the
-// middle, and its successor goes on.
+// A zone that leaves as a whole is released an eighth at a time, and every partition stays in both
+// zones. The publisher stops in between, and its successor goes on.
 func TestZoneLeavesByParts(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		zone := w.Zone(1)
@@ -62,7 +63,7 @@
 		w.watch(2*leaveBy, inBoth)
 		first := w.StopReleased(zone)
 		if most := len(zone) / 8; first == 0 || first > most {
-			t.Fatalf("%d of %d relays left at once, %d may", first, len(zone), most)
+			t.Fatalf("%d of %d relays left at once, at most %d may", first, len(zone), most)
 		}
 		w.StopControl(w.Publisher())
 		w.watch(90*time.Second, inBoth)
@@ -74,7 +75,7 @@
 	})
 }
 
-// Relays that change their mind get a part again, and destinations stay in both zones.
+// Relays that take back their leave get a part again, and every partition stays in both zones.
 func TestLeaveIsTakenBack(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		rack := w.Rack(17)
@@ -83,7 +84,7 @@
 		w.LeaveAll(rack, false)
 		w.watch(90*time.Second, w.inBothZones(t))
 		if n := len(w.Outdated(w.Published())); n > 0 {
-			t.Errorf("%d relays hold something else than the map", n)
+			t.Errorf("%d relays differ from the map", n)
 		}
 		load := map[assignment.Relay]int{}
 		m := w.Published()
--- a/internal/lab/region/region_test.go
+++ b/internal/lab/region/region_test.go
@@ -9,23 +9,24 @@
 	"oatfold/internal/assignment"
 )
 
-// quarter is a region of the size that the operators expect, with a tenth of all datagrams lost.
+// quarter is a region of the size that operators expect, with a tenth of all datagrams lost.
 func quarter(number uint8) Config {
 	return Config{Seed: 1, Number: number, Relays: 4000, Controls: 9, Zones: 2, RackSize: 40,
 		Partitions: assignment.DefaultPartitions, Replicas: assignment.DefaultReplicas, Loss: 0.1}
 }
 
-// anywhere runs a test in one region, one at a time: tests with real processes run beside this package. The others share nothing with it: the command plays all four, of 16,000 relays.
+// anywhere runs a test in one region. Regions share nothing, so one stands for all; the lab's
+// command simulates all four.
 func anywhere(t *testing.T, test func(t *testing.T, w *Simulation)) {
 	t.Helper()
 	w := settled(t, quarter(2))
 	test(t, w)
 	if len(w.Conflicts) > 0 {
-		t.Errorf("maps that contradict each other: %v", w.Conflicts)
+		t.Errorf("conflicting maps: %v", w.Conflicts)
 	}
 }
 
-// settled starts a region and plays until all relays hold what the published map says.
+// settled returns a region in which all relays hold the published map.
 func settled(t *testing.T, c Config) *Simulation {
 	t.Helper()
 	w, err := New(c)
@@ -36,28 +37,28 @@
 	return w
 }
 
-// settle plays until all relays that are up hold what the published map says.
+// settle runs until all running relays hold the published map.
 func (w *Simulation) settle(t *testing.T, most time.Duration) {
 	t.Helper()
 	if _, ok := w.RunUntil(w.Now+most, time.Second, func() bool {
 		m := w.Published()
 		return m != nil && len(w.Outdated(m)) == 0
 	}); !ok {
-		t.Fatalf("not settled at %v: %+v, publisher %d", w.Now, w.Covered(), w.Publisher())
+		t.Fatalf("not settled at %v: %+v, publisher %d", w.Now, w.Coverage(), w.Publisher())
 	}
 }
 
-// watch plays for a while and looks every 250 ms how partitions are served.
-func (w *Simulation) watch(span time.Duration, look func(Cover)) {
+// watch runs for the given span and samples the coverage every 250 ms.
+func (w *Simulation) watch(span time.Duration, look func(Coverage)) {
 	for end := w.Now + span; w.Now < end; {
 		w.Run(w.Now + 250*time.Millisecond)
-		look(w.Covered())
+		look(w.Coverage())
 	}
 }
 
-// inBothZones fails the test where a partition is not served in both zones.
-func (w *Simulation) inBothZones(t *testing.T) func(Cover) {
-	return func(c Cover) {
+// inBothZones fails the test if a partition is not served in both zones.
+func (w *Simulation) inBothZones(t *testing.T) func(Coverage) {
+	return func(c Coverage) {
 		t.Helper()
 		if c.NoZone+c.OneZone > 0 {
 			t.Fatalf("at %v %+v", w.Now, c)
@@ -65,8 +66,8 @@
 	}
 }
 
-// A relay or a rack that goes for good and comes back moves its share each time, at most twice that, and every destination
-// is served in both zones all the time.
+// When a relay or a rack stops for good and when it comes back, at most twice its share moves, and
+// every partition is served in both zones all the time.
 func TestRelayAndRackGoAndReturn(t *testing.T) {
 	for name, lost := range map[string]func(w *Simulation) []int{
 		"relay": func(w *Simulation) []int { return []int{1234} },
@@ -83,7 +84,7 @@
 				w.watch(80*time.Second, inBoth)
 				gone := w.Published()
 				if moved := float64(gone.CountMoved(before)) / all; moved == 0 || moved > 2*share {
-					t.Errorf("%.4f of replicas moved, %.4f of relays went", moved, share)
+					t.Errorf("%.4f of replicas moved, %.4f of relays stopped", moved, share)
 				}
 				w.StartAll(relays)
 				w.watch(20*time.Second, inBoth)
@@ -92,7 +93,7 @@
 					t.Errorf("%.4f of replicas moved, %.4f of relays came back", moved, share)
 				}
 				if n := len(w.Outdated(back)); n > 0 {
-					t.Errorf("%d relays hold something else than the last map", n)
+					t.Errorf("%d relays differ from the latest map", n)
 				}
 			})
 		})
@@ -117,21 +118,21 @@
 	})
 }
 
-// A zone that goes for minutes and returns moves nothing. Meanwhile every destination is served in the other zone alone, and
-// in both again as soon as the zone is back: its relays have what they need on disk.
+// When a zone stops for minutes and returns, nothing moves. Meanwhile every partition is served in
+// the other zone, and in both again as soon as the zone is back, from the slices on disk.
 func TestZoneGoesAndReturns(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		lost := w.Zone(1)
 		w.StopAll(lost)
-		w.watch(150*time.Second, func(c Cover) {
+		w.watch(150*time.Second, func(c Coverage) {
 			if c.NoZone > 0 || c.OneZone != c.Partitions {
 				t.Fatalf("at %v %+v", w.Now, c)
 			}
 		})
 		w.StartAll(lost)
-		if c := w.Covered(); c.NoZone+c.OneZone > 0 {
-			t.Errorf("as the zone is back: %+v", c)
+		if c := w.Coverage(); c.NoZone+c.OneZone > 0 {
+			t.Errorf("with the zone back: %+v", c)
 		}
 		w.Run(w.Now + 30*time.Second)
 		if after := w.Published(); after.CountMoved(before) > 0 {
@@ -140,7 +141,8 @@
 	})
 }
 
-// A change is in force at 999 of 1,000 relays that it concerns within 3 s, with a tenth of all datagrams lost.
+// A change is in force at 999 of 1,000 relays that it concerns within 3 s, with a tenth of all
+// datagrams lost.
 func TestChangeInForceWithin3s(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		w.StopAll(w.Rack(40))
@@ -149,7 +151,7 @@
 	})
 }
 
-// inForceIn3s plays for 20 s, in which maps change, and looks how long that takes to be in force.
+// inForceIn3s runs for 20 s, in which maps change, and checks how long they take to be in force.
 func (w *Simulation) inForceIn3s(t *testing.T) {
 	t.Helper()
 	delays := w.ChangeDelays(20*time.Second, 50*time.Millisecond, func() {})
@@ -160,11 +162,11 @@
 		}
 	}
 	if len(delays) < 100 || late*1000 > len(delays) {
-		t.Errorf("not in force at %d of %d relays after 3 s, the last one after %v", late, len(delays), slices.Max(delays))
+		t.Errorf("not in force at %d of %d relays after 3 s, the last after %v", late, len(delays), slices.Max(delays))
 	}
 }
 
-// With three control machines dead, the publisher among them, maps change as before.
+// With three control machines stopped, the publisher among them, maps change as before.
 func TestThreeControlsDead(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		first := w.Publisher()
@@ -176,13 +178,13 @@
 		w.Run(w.Now + 55*time.Second)
 		w.inForceIn3s(t)
 		if after := w.Published(); after.CountMoved(before) == 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays hold something else; publisher %d", after.CountMoved(before), len(w.Outdated(after)), w.Publisher())
+			t.Errorf("%d replicas moved, %d relays differ from the map; publisher %d", after.CountMoved(before), len(w.Outdated(after)), w.Publisher())
 		}
 	})
 }
 
-// With all control machines dead for ten minutes everyone goes on by the last map, those that are restarted meanwhile too.
-// Afterwards nothing has to move.
+// With all control machines stopped for ten minutes, relays keep the last map, also across a
+// restart. Afterwards nothing moves.
 func TestAllControlsDead(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
@@ -193,13 +195,13 @@
 			w.StopRelay(i * 8)
 			w.StartRelay(i * 8)
 		}
-		w.watch(10*time.Minute, func(c Cover) {
+		w.watch(10*time.Minute, func(c Coverage) {
 			if c.NoZone+c.OneZone > 0 {
 				t.Fatalf("at %v %+v", w.Now, c)
 			}
 		})
 		if !w.Relays[0].Follower.ControlUnreachable(w.Now) {
-			t.Error("no relay says that control is silent")
+			t.Error("no relay reports that control is unreachable")
 		}
 		for i := range w.Controls {
 			if err := w.StartControl(i); err != nil {
@@ -208,16 +210,16 @@
 		}
 		w.Run(w.Now + 90*time.Second)
 		if after := w.Published(); after.CountMoved(before) > 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays hold something else", after.CountMoved(before), len(w.Outdated(after)))
+			t.Errorf("%d replicas moved, %d relays differ from the map", after.CountMoved(before), len(w.Outdated(after)))
 		}
 		if w.Relays[0].Follower.ControlUnreachable(w.Now) {
-			t.Error("control is back, and a relay takes it for silent")
+			t.Error("control is back, and a relay reports it as unreachable")
 		}
 	})
 }
 
-// A publisher that is cut off with three others goes on proposing and publishes nothing, while the five others have another
-// publisher; joined again, all go on from its maps.
+// A publisher partitioned with three others publishes nothing, while the five others elect another
+// publisher. After the partition all continue from its maps.
 func TestTwoPublishers(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		first := w.Publisher()
@@ -226,7 +228,7 @@
 			for a := range w.Controls {
 				for b := range w.Controls {
 					if side(a) && !side(b) {
-						w.CutControls(a, b, on)
+						w.PartitionControls(a, b, on)
 					}
 				}
 			}
@@ -239,45 +241,45 @@
 		if after.CountMoved(before) == 0 || w.Publisher() == first {
 			t.Fatalf("publisher %d, %d before; %d replicas moved", w.Publisher(), first, after.CountMoved(before))
 		}
-		if old := w.Controls[first].Control.Register().Published(); old.Version != before.Version {
-			t.Errorf("the one that is cut off published %v", old.Version)
+		if old := w.Controls[first].Node.Register().Published(); old.Version != before.Version {
+			t.Errorf("the partitioned publisher published %v", old.Version)
 		}
 		cut(false)
 		w.Run(w.Now + 10*time.Second)
 		for i, c := range w.Controls {
-			if got := c.Control.Register().Published(); got.Version.Compare(after.Version) < 0 {
+			if got := c.Node.Register().Published(); got.Version.Compare(after.Version) < 0 {
 				t.Errorf("control machine %d still has %v", i, got.Version)
 			}
 		}
 		if n := len(w.Outdated(w.Published())); n > 0 {
-			t.Errorf("%d relays hold something else", n)
+			t.Errorf("%d relays differ from the map", n)
 		}
 	})
 }
 
-// A zone whose relays no control machine reaches for minutes goes on as before. Joined again nothing has moved, and what the
-// region changed meanwhile is in force there too. No other region's slice is taken.
+// A zone whose relays reach no control machine for minutes keeps its replicas, and gets the changes
+// made meanwhile afterwards. A slice of another region is rejected.
 func TestZoneCutFromControl(t *testing.T) {
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		before := w.Published()
 		for _, i := range w.Zone(0) {
-			w.CutRelay(i, true)
+			w.IsolateRelay(i, true)
 		}
 		w.StopAll(w.Rack(1))
-		w.watch(3*time.Minute, func(c Cover) {
+		w.watch(3*time.Minute, func(c Coverage) {
 			if c.NoZone+c.OneZone > 0 {
 				t.Fatalf("at %v %+v", w.Now, c)
 			}
 		})
 		for _, i := range w.Zone(0) {
-			w.CutRelay(i, false)
+			w.IsolateRelay(i, false)
 		}
 		w.settle(t, 10*time.Second)
 		after := w.Published()
 		for p := range after.Partitions() {
 			for _, r := range before.Replicas(assignment.Partition(p)) {
-				if w.Places[r].Zone == 0 && !after.Serves(r, assignment.Partition(p)) {
-					t.Fatalf("partition %d moved away from relay %d, which was cut off", p, r)
+				if w.Members[r].Zone == 0 && !after.Serves(r, assignment.Partition(p)) {
+					t.Fatalf("partition %d moved away from relay %d, which reached no control machine", p, r)
 				}
 			}
 		}
@@ -288,24 +290,24 @@
 	})
 }
 
-// Two thousand relays that start at once, with empty disks, have all they need of the map within 3 s, and within the 3 KB a
-// second that a relay may spend on control.
+// Two thousand relays that start at once with empty disks have their slices within 3 s, and within
+// the 3 KB per second that a relay may spend on control.
 func TestMassStart(t *testing.T) {
-	const budget = 3000 // bytes a second
+	const budget = 3000 // bytes per second
 	anywhere(t, func(t *testing.T, w *Simulation) {
 		started := w.Zone(1)
 		w.StopAll(started)
 		w.Run(w.Now + 20*time.Second)
 		for _, i := range started {
 			w.Relays[i].disk = nil
-			w.Relays[i].Sent, w.Relays[i].Heard = 0, 0
+			w.Relays[i].BytesSent, w.Relays[i].BytesReceived = 0, 0
 			w.StartRelay(i)
 		}
 		w.Run(w.Now + 3*time.Second)
 		without, most := 0, int64(0)
 		for _, i := range started {
 			r := w.Relays[i]
-			most = max(most, r.Sent+r.Heard)
+			most = max(most, r.BytesSent+r.BytesReceived)
 			if r.Follower.Current() == nil {
 				without++
 			}
@@ -314,13 +316,13 @@
 			t.Errorf("%d of %d have no slice after 3 s", without, len(started))
 		}
 		if most > 3*budget {
-			t.Errorf("one spent %d bytes in 3 s", most)
+			t.Errorf("one relay spent %d bytes in 3 s", most)
 		}
-		t.Logf("%d bytes in 3 s at most", most)
+		t.Logf("at most %d bytes in 3 s", most)
 	})
 }
 
-// Every event is played and counted; what is no event is named.
+// Every event can be simulated, and an unknown event is rejected.
 func TestPlay(t *testing.T) {
 	c := Config{Seed: 1, Relays: 240, Controls: 5, Zones: 2, RackSize: 8, Partitions: 512, Replicas: 4, Loss: 0.1}
 	for _, event := range Events {
@@ -339,6 +341,6 @@
 		}
 	}
 	if _, err := RunEvent(c, "moon"); err == nil {
-		t.Error("an unknown event is played")
+		t.Error("no error for an unknown event")
 	}
 }
