--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -1,5 +1,7 @@
-// Package rehearse plays the loss of a site in virtual time from the figures of an operator's plan, with relays that act on it or without: what a forecast works out from rates, with
-// queues, time-outs, messages that come again, and a return. A day belongs to one goroutine; days may be played side by side.
+// Package rehearse simulates the loss of a site in virtual time, from the rates in an operator's
+// plan and with relays that follow the plan or ignore it. Unlike the forecast, which works with
+// rates alone, it covers queues, timeouts, retries and the site's return. A run belongs to one
+// goroutine; runs may be parallel.
 package rehearse
 
 import (
@@ -16,162 +18,163 @@
 	"oatfold/policy"
 )
 
-// Case is what happens beside, or in place of, a site's loss and return.
+// Case is a variant of a site's loss and return.
 type Case string
 
 // The cases.
 const (
-	Plain             Case = "plain"     // the site goes with its relays and endpoints, and comes back cold
-	FailsInRamp       Case = "again"     // it fails again in its ramp
-	SecondSiteFails   Case = "second"    // a second site fails while it is lost
-	RelaysOnly        Case = "relays"    // its relays go, its endpoints live
-	EndpointsOnly     Case = "endpoints" // the reverse
-	Partitioned       Case = "cut"       // it is cut off, lives, and serves its own clients
-	HalfWithoutGossip Case = "half"      // half of the other relays don't reach its endpoints
-	RelaysPaused      Case = "paused"    // all relays stand still for 5 s while it is lost
-	StaleEndpointList Case = "stale"     // news of the list wait, so that its endpoints still stand there
-	BurstOnReturn     Case = "burst"     // it returns at the top of a burst
+	Plain             Case = "plain"     // the site loses its relays and endpoints, and returns cold
+	FailsInRamp       Case = "again"     // it fails again while its traffic ramps up
+	SecondSiteFails   Case = "second"    // a second site fails meanwhile
+	RelaysOnly        Case = "relays"    // its relays fail, its endpoints stay
+	EndpointsOnly     Case = "endpoints" // its endpoints fail, its relays stay
+	Partitioned       Case = "cut"       // it is partitioned and serves its own clients
+	HalfWithoutGossip Case = "half"      // half of the other relays receive no gossip
+	RelaysPaused      Case = "paused"    // all other relays are paused for 5 s
+	StaleEndpointList Case = "stale"     // the endpoint list is not updated, so it still lists the lost endpoints
+	BurstOnReturn     Case = "burst"     // it returns during a burst of messages
 )
 
-// Cases are all of them.
+// Cases returns all cases.
 func Cases() []Case {
 	return []Case{Plain, FailsInRamp, SecondSiteFails, RelaysOnly, EndpointsOnly, Partitioned, HalfWithoutGossip, RelaysPaused, StaleEndpointList, BurstOnReturn}
 }
 
-// Config is what is rehearsed.
+// Config configures a rehearsal.
 type Config struct {
 	Plan           *sites.Plan
 	LostZone       string
 	Case           Case
-	RelaysPerSite  int // of each site
+	RelaysPerSite  int
 	Seed           uint64
-	UsePlan        bool          // relays act on the plan
-	LoadFactor     float64       // times what the plan says is wanted; 0: once
-	Permanent      bool          // it does not come back: what is served settles
-	LossAt         time.Duration // when it goes; 0: 12 s
-	OutageDuration time.Duration // for how long; 0: 14 s
-	Length         time.Duration // 0: 80 s
+	UsePlan        bool          // relays follow the plan
+	LoadFactor     float64       // multiple of the plan's demand; 0: 1
+	Permanent      bool          // the site does not return, so that the service settles
+	LossAt         time.Duration // 0: defaultLossAt
+	OutageDuration time.Duration // 0: defaultOutage
+	Length         time.Duration // 0: defaultLength
 }
 
-// Outcome is what came of it.
+// Outcome is the result of a rehearsal.
 type Outcome struct {
 	Result          *emu.Result
-	CallsToLostSite int                // calls at the lost site while it is
-	PeakOverload    float64            // most of what a zone that lives was sent in any two seconds, in parts of what it takes
-	RecoveredAfter  time.Duration      // from its return until all relays that live take it for whole again; below 0: not by the day's end
-	DeliveredShares map[string]float64 // delivered part of each class, from the loss on where it stays lost
+	CallsToLostSite int                // calls to the lost site while it was down
+	PeakOverload    float64            // most calls that a live zone got in any two seconds, relative to its capacity
+	RecoveredAfter  time.Duration      // from the site's return until all live relays see it as healthy; negative: not by the end
+	DeliveredShares map[string]float64 // delivered share of each class, from the loss on if it is permanent
 }
 
 const (
-	usualAt, usualGone, usualLength = 12 * time.Second, 14 * time.Second, 80 * time.Second
-	work                            = 50 * time.Millisecond // of a message
-	each                            = 25.0                  // messages a second that an endpoint takes, at most
-	slotsRoom                       = 2.2                   // slots over what all messages keep busy
-	holdFor                         = 8.0                   // s of messages
-	overloadIn                      = 2 * time.Second
+	defaultLossAt, defaultOutage, defaultLength = 12 * time.Second, 14 * time.Second, 80 * time.Second
+	messageWork                                 = 50 * time.Millisecond // per message
+	maxEndpointRate                             = 25.0                  // messages per second
+	concurrencyHeadroom                         = 2.2                   // concurrency limit relative to the calls in flight
+	pendingSeconds                              = 8.0                   // pending messages, in seconds of traffic
+	overloadWindow                              = 2 * time.Second
 )
 
-// usual are classes whose names the plan shares with the deployment; others are safe to repeat, and as urgent as an alert.
-var usual = []policy.Class{
+// knownClasses are the classes of the deployment. Other classes are safe to repeat and have the
+// settings of price-alert.
+var knownClasses = []policy.Class{
 	{Name: "price-alert", Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1},
 	{Name: "order-relay", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2, LateValue: 0.3},
 	{Name: "fee-charge", Effect: policy.Unsafe, TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, Value: 5, LateValue: 0.3},
 }
 
-// NewScenario builds the day. Zones have the laboratory's names, in the plan's order.
-func NewScenario(set Config) (*emu.Scenario, error) {
-	p, names := renamed(set.Plan)
-	lost, known := names[set.LostZone]
+// NewScenario builds the scenario. Zones get the laboratory's names, in the plan's order.
+func NewScenario(config Config) (*emu.Scenario, error) {
+	plan, zoneIndex := withLabZoneNames(config.Plan)
+	lost, known := zoneIndex[config.LostZone]
 	if !known {
-		return nil, fmt.Errorf("%q is no site of the file; there are %s", set.LostZone, strings.Join(set.Plan.Zones(), ", "))
+		return nil, fmt.Errorf("%q is not a site of the file; its sites are %s", config.LostZone, strings.Join(config.Plan.Zones(), ", "))
 	}
-	if set.Case == "" {
-		set.Case = Plain
+	if config.Case == "" {
+		config.Case = Plain
 	}
-	if !slices.Contains(Cases(), set.Case) {
-		return nil, fmt.Errorf("case %q is not known; there are %v", set.Case, Cases())
+	if !slices.Contains(Cases(), config.Case) {
+		return nil, fmt.Errorf("unknown case %q; the cases are %v", config.Case, Cases())
 	}
-	if len(p.Destinations) == 0 {
-		return nil, fmt.Errorf("the file names no destination: there is nothing to rehearse")
+	if len(plan.Destinations) == 0 {
+		return nil, fmt.Errorf("the file has no destination: there is nothing to rehearse")
 	}
-	at, gone, length := orElse(set.LossAt, usualAt), orElse(set.OutageDuration, usualGone), orElse(set.Length, usualLength)
-	zones := len(p.Sites)
-	d := &emu.Scenario{Name: fmt.Sprintf("%s of %s", set.Case, set.LostZone), Seed: set.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
-		Relays: max(1, set.RelaysPerSite) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
+	lossAt, outage, length := orElse(config.LossAt, defaultLossAt), orElse(config.OutageDuration, defaultOutage), orElse(config.Length, defaultLength)
+	zones := len(plan.Sites)
+	scenario := &emu.Scenario{Name: fmt.Sprintf("%s of %s", config.Case, config.LostZone), Seed: config.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
+		Relays: max(1, config.RelaysPerSite) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
 		ConnectTimeout: time.Second, AnswerSlack: 300 * time.Millisecond, ClientRetries: 2, ClientBackoff: time.Second, RetryAfterCompliance: 0.8, MaxRetryAfter: 5 * time.Second, ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second,
 		DiscoveryDelay: 2 * time.Second, DiscoverySpread: 300 * time.Millisecond, WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second, DrainGrace: time.Second,
 		Gossip: true, Membership: true, GossipLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Penalties: emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01},
 		Kinds: []emu.Kind{{Name: "partner", MaxBatch: 1, Limit: emu.NoLimit, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, CancelsQueued: true}}}
-	if set.UsePlan {
-		d.Sites = p
+	if config.UsePlan {
+		scenario.Sites = plan
 	}
-	if set.Permanent {
-		d.TallyFrom = at + 4*time.Second
-		gone = length + d.Tail
+	if config.Permanent {
+		scenario.TallyFrom = lossAt + 4*time.Second
+		outage = length + scenario.Tail
 	}
-	if err := traffic(d, p, orElse(set.LoadFactor, 1)); err != nil {
+	if err := addTraffic(scenario, plan, orElse(config.LoadFactor, 1)); err != nil {
 		return nil, err
 	}
-	var of []int
-	for n := range d.Relays {
-		if d.ZoneOf(n) == lost {
-			of = append(of, n)
+	var lostRelays []int
+	for n := range scenario.Relays {
+		if scenario.ZoneOf(n) == lost {
+			lostRelays = append(lostRelays, n)
 		}
 	}
 	zone := zoneName(lost)
-	goes := func(at, long time.Duration, relays []int, zone string) {
+	addLoss := func(at, duration time.Duration, relays []int, zone string) {
 		if relays != nil {
-			d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayCrash, At: at, Duration: long, Relays: relays})
+			scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.RelayCrash, At: at, Duration: duration, Relays: relays})
 		}
 		if zone != "" {
-			d.Faults = append(d.Faults, emu.Fault{Kind: emu.Crash, At: at, Duration: long, Zone: zone})
+			scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.Crash, At: at, Duration: duration, Zone: zone})
 		}
 	}
-	switch set.Case {
+	switch config.Case {
 	case RelaysOnly:
-		goes(at, gone, of, "")
+		addLoss(lossAt, outage, lostRelays, "")
 	case EndpointsOnly:
-		goes(at, gone, nil, zone)
+		addLoss(lossAt, outage, nil, zone)
 	case Partitioned:
-		d.Faults = append(d.Faults, emu.Fault{Kind: emu.SitePartition, At: at, Duration: gone, Zone: zone})
-	case HalfWithoutGossip: // those of every second other relay, by a cut of their own ways to all endpoints but for their zone: they go by what others see
-		goes(at, gone, of, zone)
+		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.SitePartition, At: lossAt, Duration: outage, Zone: zone})
+	case HalfWithoutGossip: // every second other relay gets no gossip, and has to go by its own calls
+		addLoss(lossAt, outage, lostRelays, zone)
 		var deaf []int
-		for n := range d.Relays {
-			if d.ZoneOf(n) != lost && n/zones%2 == 0 {
+		for n := range scenario.Relays {
+			if scenario.ZoneOf(n) != lost && n/zones%2 == 0 {
 				deaf = append(deaf, n)
 			}
 		}
-		d.Faults = append(d.Faults, emu.Fault{Kind: emu.GossipReceiveLoss, At: at - 2*time.Second, Duration: gone + 4*time.Second, Relays: deaf})
+		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.GossipReceiveLoss, At: lossAt - 2*time.Second, Duration: outage + 4*time.Second, Relays: deaf})
 	default:
-		goes(at, gone, of, zone)
+		addLoss(lossAt, outage, lostRelays, zone)
 	}
-	switch set.Case {
+	switch config.Case {
 	case FailsInRamp:
-		goes(at+gone+5*time.Second, 4*time.Second, nil, zone)
+		addLoss(lossAt+outage+5*time.Second, 4*time.Second, nil, zone)
 	case SecondSiteFails:
 		next := (lost + 1) % zones
 		var others []int
-		for n := range d.Relays {
-			if d.ZoneOf(n) == next {
+		for n := range scenario.Relays {
+			if scenario.ZoneOf(n) == next {
 				others = append(others, n)
 			}
 		}
-		goes(at+5*time.Second, 7*time.Second, others, zoneName(next))
+		addLoss(lossAt+5*time.Second, 7*time.Second, others, zoneName(next))
 	case RelaysPaused:
 		var all []int
-		for n := range d.Relays {
-			if d.ZoneOf(n) != lost {
+		for n := range scenario.Relays {
+			if scenario.ZoneOf(n) != lost {
 				all = append(all, n)
 			}
 		}
-		d.Faults = append(d.Faults, emu.Fault{Kind: emu.RelayStall, At: at + 4*time.Second, Duration: 5 * time.Second, Relays: all})
+		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.RelayStall, At: lossAt + 4*time.Second, Duration: 5 * time.Second, Relays: all})
 	case StaleEndpointList:
-		d.Faults = append(d.Faults, emu.Fault{Kind: emu.DiscoveryOutage, At: at - time.Second, Duration: gone + 5*time.Second})
+		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.DiscoveryOutage, At: lossAt - time.Second, Duration: outage + 5*time.Second})
 	case BurstOnReturn:
-		d.Faults = append(d.Faults, emu.Fault{Kind: emu.Burst, At: at + gone - 3*time.Second, Duration: 7 * time.Second, Intensity: 1.8})
+		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.Burst, At: lossAt + outage - 3*time.Second, Duration: 7 * time.Second, Intensity: 1.8})
 	}
-	return d, d.Check()
+	return scenario, scenario.Check()
 }
 
 func orElse[T comparable](v, fallback T) T {
@@ -184,182 +187,185 @@
 
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", 1+n) }
 
-// renamed is the plan with the laboratory's names for zones.
-func renamed(p *sites.Plan) (*sites.Plan, map[string]int) {
-	names := map[string]int{}
-	for i, s := range p.Sites {
-		names[s.Zone] = i
+// withLabZoneNames returns the plan with the laboratory's zone names, and the index of each zone by
+// its name in the plan.
+func withLabZoneNames(plan *sites.Plan) (*sites.Plan, map[string]int) {
+	zoneIndex := map[string]int{}
+	for i, site := range plan.Sites {
+		zoneIndex[site.Zone] = i
 	}
-	of := func(z string) string { return zoneName(names[z]) }
-	out := &sites.Plan{RefuseFirst: p.RefuseFirst, Ramp: p.Ramp}
-	for _, s := range p.Sites {
-		one := sites.Site{Zone: of(s.Zone)}
-		for _, t := range s.Tiers {
-			tier := sites.Tier{SpillFraction: t.SpillFraction}
-			for _, z := range t.Zones {
-				tier.Zones = append(tier.Zones, of(z))
+	labName := func(z string) string { return zoneName(zoneIndex[z]) }
+	renamed := &sites.Plan{RefuseFirst: plan.RefuseFirst, Ramp: plan.Ramp}
+	for _, site := range plan.Sites {
+		renamedSite := sites.Site{Zone: labName(site.Zone)}
+		for _, tier := range site.Tiers {
+			renamedTier := sites.Tier{SpillFraction: tier.SpillFraction}
+			for _, z := range tier.Zones {
+				renamedTier.Zones = append(renamedTier.Zones, labName(z))
 			}
-			one.Tiers = append(one.Tiers, tier)
+			renamedSite.Tiers = append(renamedSite.Tiers, renamedTier)
 		}
-		out.Sites = append(out.Sites, one)
+		renamed.Sites = append(renamed.Sites, renamedSite)
 	}
-	for _, d := range p.Destinations {
-		one := sites.Destination{Number: d.Number, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
-		for z, n := range d.Capacity {
-			one.Capacity[of(z)] = n
+	for _, dest := range plan.Destinations {
+		renamedDest := sites.Destination{Number: dest.Number, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
+		for z, rate := range dest.Capacity {
+			renamedDest.Capacity[labName(z)] = rate
 		}
-		for z, by := range d.Demand {
-			one.Demand[of(z)] = by
+		for z, demand := range dest.Demand {
+			renamedDest.Demand[labName(z)] = demand
 		}
-		out.Destinations = append(out.Destinations, one)
+		renamed.Destinations = append(renamed.Destinations, renamedDest)
 	}
-	return out, names
+	return renamed, zoneIndex
 }
 
-// traffic sets classes, destinations and what comes in. The laboratory's destinations are numbered from nought, in the plan's order.
-func traffic(d *emu.Scenario, p *sites.Plan, load float64) error {
+// addTraffic adds classes, destinations and the rate of messages. Destinations are numbered from
+// zero, in the plan's order.
+func addTraffic(scenario *emu.Scenario, plan *sites.Plan, load float64) error {
 	classes := map[string]int{}
-	class := func(name string) int {
+	classNumber := func(name string) int {
 		if n, ok := classes[name]; ok {
 			return n
 		}
 		c := policy.Class{Name: name, Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1}
-		for _, u := range usual {
+		for _, u := range knownClasses {
 			if u.Name == name {
 				c = u
 			}
 		}
-		classes[name] = len(d.Classes)
-		d.Classes = append(d.Classes, emu.Class{Class: c, Share: 1, Work: work, CV: 0.3, Noise: 0.1})
+		classes[name] = len(scenario.Classes)
+		scenario.Classes = append(scenario.Classes, emu.Class{Class: c, Share: 1, Work: messageWork, CV: 0.3, Noise: 0.1})
 		return classes[name]
 	}
-	all := 0.0
-	for i, dest := range p.Destinations {
-		one := emu.Dest{}
-		for z, s := range p.Sites {
-			takes := dest.Capacity[s.Zone]
-			if takes > 0 {
-				n := int(math.Ceil(takes / each))
-				need := takes * work.Seconds() / float64(n)
-				workers := int(math.Ceil(need))
+	totalRate := 0.0
+	for i, dest := range plan.Destinations {
+		labDest := emu.Dest{}
+		for zone, site := range plan.Sites {
+			capacity := dest.Capacity[site.Zone]
+			if capacity > 0 {
+				n := int(math.Ceil(capacity / maxEndpointRate))
+				load := capacity * messageWork.Seconds() / float64(n)
+				workers := int(math.Ceil(load))
 				for range n {
-					one.Endpoints = append(one.Endpoints, emu.Endpoint{Workers: workers, Speed: need / float64(workers), QueueSize: max(2, int(takes/float64(n)/4)), Zone: s.Zone})
+					labDest.Endpoints = append(labDest.Endpoints, emu.Endpoint{Workers: workers, Speed: load / float64(workers), QueueSize: max(2, int(capacity/float64(n)/4)), Zone: site.Zone})
 				}
 			}
-			var names []string
-			for c := range dest.Demand[s.Zone] {
-				names = append(names, c)
+			var classNames []string
+			for class := range dest.Demand[site.Zone] {
+				classNames = append(classNames, class)
 			}
-			slices.Sort(names)
-			for _, c := range names {
-				if rate := dest.Demand[s.Zone][c]; rate > 0 {
-					one.Mix = append(one.Mix, emu.TrafficShare{Class: class(c), Zone: z, Share: rate})
-					one.Share += rate
+			slices.Sort(classNames)
+			for _, class := range classNames {
+				if rate := dest.Demand[site.Zone][class]; rate > 0 {
+					labDest.Mix = append(labDest.Mix, emu.TrafficShare{Class: classNumber(class), Zone: zone, Share: rate})
+					labDest.Share += rate
 				}
 			}
 		}
-		if len(one.Endpoints) == 0 {
-			return fmt.Errorf("destinations[%d]: no zone takes anything for it", i)
+		if len(labDest.Endpoints) == 0 {
+			return fmt.Errorf("destinations[%d]: no zone has capacity for it", i)
 		}
-		all += one.Share
-		d.Dests = append(d.Dests, one)
+		totalRate += labDest.Share
+		scenario.Dests = append(scenario.Dests, labDest)
 	}
-	if all <= 0 {
-		return fmt.Errorf("the file says nowhere what clients want")
+	if totalRate <= 0 {
+		return fmt.Errorf("the file has no demand of clients")
 	}
-	d.Rate = all * load
-	busy := d.Rate * (work + d.RTT).Seconds() / float64(d.Relays)
-	d.MaxConcurrentCalls, d.MaxPending = max(6, int(math.Ceil(2*slotsRoom*busy))), max(40, int(holdFor*d.Rate/float64(d.Relays)))
+	scenario.Rate = totalRate * load
+	callsInFlight := scenario.Rate * (messageWork + scenario.RTT).Seconds() / float64(scenario.Relays)
+	scenario.MaxConcurrentCalls, scenario.MaxPending = max(6, int(math.Ceil(2*concurrencyHeadroom*callsInFlight))), max(40, int(pendingSeconds*scenario.Rate/float64(scenario.Relays)))
 	return nil
 }
 
-// Run plays a day and looks at what the site's loss did.
-func Run(set Config) (*Outcome, error) {
-	d, err := NewScenario(set)
+// Run runs the scenario and measures the effect of the site's loss.
+func Run(config Config) (*Outcome, error) {
+	scenario, err := NewScenario(config)
 	if err != nil {
 		return nil, err
 	}
-	p, names := renamed(set.Plan)
-	lost := zoneName(names[set.LostZone])
-	zoneOf, takes := map[int]string{}, map[string]float64{}
+	p, names := withLabZoneNames(config.Plan)
+	lost := zoneName(names[config.LostZone])
+	zoneOf, capacity := map[int]string{}, map[string]float64{}
 	n := 0
-	for _, dest := range d.Dests {
-		for _, e := range dest.Endpoints {
+	for _, dest := range scenario.Dests {
+		for _, endpoint := range dest.Endpoints {
 			n++
-			zoneOf[n] = e.Zone
+			zoneOf[n] = endpoint.Zone
 		}
 	}
 	for _, dest := range p.Destinations {
-		for z, t := range dest.Capacity {
-			takes[z] += t
+		for z, rate := range dest.Capacity {
+			capacity[z] += rate
 		}
 	}
-	at, gone := orElse(set.LossAt, usualAt), orElse(set.OutageDuration, usualGone)
-	if set.Permanent {
-		gone = d.Length
+	at, gone := orElse(config.LossAt, defaultLossAt), orElse(config.OutageDuration, defaultOutage)
+	if config.Permanent {
+		gone = scenario.Length
 	}
-	down := func(zone string, now time.Duration) bool { // endpoints of the zone are gone then
-		for _, t := range d.Faults {
-			if t.Kind == emu.Crash && t.Zone == zone && now >= t.At && now < t.At+t.Duration {
+	down := func(zone string, now time.Duration) bool { // whether the endpoints of the zone are down
+		for _, fault := range scenario.Faults {
+			if fault.Kind == emu.Crash && fault.Zone == zone && now >= fault.At && now < fault.At+fault.Duration {
 				return true
 			}
 		}
 		return false
 	}
-	out := &Outcome{DeliveredShares: map[string]float64{}, RecoveredAfter: -1}
-	recent, last := map[string][]time.Duration{}, uint64(0)
-	res, err := emu.Run(d, emu.Options{Log: func(e rules.Event) {
-		if e.Kind != rules.Sent || e.Call == 0 || e.Call == last {
+	outcome := &Outcome{DeliveredShares: map[string]float64{}, RecoveredAfter: -1}
+	recent, lastCall := map[string][]time.Duration{}, uint64(0)
+	result, err := emu.Run(scenario, emu.Options{Log: func(e rules.Event) {
+		if e.Kind != rules.Sent || e.Call == 0 || e.Call == lastCall {
 			return
 		}
-		last = e.Call
+		lastCall = e.Call
 		zone := zoneOf[e.Endpoint]
 		if down(zone, e.At) {
 			if zone == lost {
-				out.CallsToLostSite++
+				outcome.CallsToLostSite++
 			}
 			return
 		}
 		if zone == lost || e.At < at {
 			return
 		}
-		r := recent[zone]
-		for len(r) > 0 && r[0] <= e.At-overloadIn {
-			r = r[1:]
+		times := recent[zone]
+		for len(times) > 0 && times[0] <= e.At-overloadWindow {
+			times = times[1:]
 		}
-		recent[zone] = append(r, e.At)
-		out.PeakOverload = max(out.PeakOverload, float64(len(r)+1)/(takes[zone]*overloadIn.Seconds()))
+		recent[zone] = append(times, e.At)
+		outcome.PeakOverload = max(outcome.PeakOverload, float64(len(times)+1)/(capacity[zone]*overloadWindow.Seconds()))
 	}})
 	if err != nil {
 		return nil, err
 	}
-	out.Result = res
-	for _, c := range res.ByClass {
-		if c.Requests > 0 {
-			out.DeliveredShares[c.Name] = float64(c.Delivered) / float64(c.Requests)
+	outcome.Result = result
+	for _, class := range result.ByClass {
+		if class.Requests > 0 {
+			outcome.DeliveredShares[class.Name] = float64(class.Delivered) / float64(class.Requests)
 		}
 	}
-	states, whole := map[int]string{}, time.Duration(-1)
-	for _, c := range res.Sites {
-		if c.Zone != lost {
+	states, recoveredAfter := map[int]string{}, time.Duration(-1)
+	for _, change := range result.Sites {
+		if change.Zone != lost {
 			continue
 		}
-		if states[c.By] = c.To; c.At < at+gone {
+		if states[change.By] = change.To; change.At < at+gone {
 			continue
 		}
-		all := true
-		for _, s := range states {
-			all = all && s == sites.Healthy.String()
+		allHealthy := true
+		for _, state := range states {
+			allHealthy = allHealthy && state == sites.Healthy.String()
 		}
-		if whole = -1; all {
-			whole = c.At - at - gone
+		if recoveredAfter = -1; allHealthy {
+			recoveredAfter = change.At - at - gone
 		}
 	}
-	out.RecoveredAfter = whole
-	return out, nil
+	outcome.RecoveredAfter = recoveredAfter
+	return outcome, nil
 }
 
-// Comparison holds a rehearsal of a loss that stays against the forecast: for each class, the served part in both.
+// Comparison compares the served share of a class in the forecast and in the rehearsal of a
+// permanent loss.
 type Comparison struct {
 	Class                string  `json:"class"`
 	Forecast             float64 `json:"plan"`
@@ -369,33 +375,34 @@
 	RehearsalUndelivered float64 `json:"rehearsal_not_delivered"` // messages
 }
 
-// Tolerance is how far plan and rehearsal may differ.
+// Tolerance is the largest difference of served shares that counts as agreement.
 const Tolerance = 0.05
 
-// CompareWithForecast compares a rehearsal with the plan's forecast.
-func CompareWithForecast(set Config) ([]Comparison, *Outcome, error) {
-	f, err := set.Plan.ForecastLoss(set.LostZone)
+// CompareWithForecast rehearses the permanent loss of the site and compares it with the plan's
+// forecast, for each class.
+func CompareWithForecast(config Config) ([]Comparison, *Outcome, error) {
+	forecast, err := config.Plan.ForecastLoss(config.LostZone)
 	if err != nil {
 		return nil, nil, err
 	}
-	set.Permanent, set.Case = true, Plain
-	out, err := Run(set)
+	config.Permanent, config.Case = true, Plain
+	outcome, err := Run(config)
 	if err != nil {
 		return nil, nil, err
 	}
-	var all []Comparison
-	for _, s := range f.After {
-		got, ok := out.DeliveredShares[s.Class]
+	var comparisons []Comparison
+	for _, class := range forecast.After {
+		delivered, ok := outcome.DeliveredShares[class.Class]
 		if !ok {
 			continue
 		}
-		missed := 0
-		for _, c := range out.Result.ByClass {
-			if c.Name == s.Class {
-				missed = c.Requests - c.Delivered
+		undelivered := 0
+		for _, tally := range outcome.Result.ByClass {
+			if tally.Name == class.Class {
+				undelivered = tally.Requests - tally.Delivered
 			}
 		}
-		all = append(all, Comparison{s.Class, s.ServedFraction(), got, math.Abs(s.ServedFraction()-got) <= Tolerance, s.Refused, float64(missed)})
+		comparisons = append(comparisons, Comparison{class.Class, class.ServedFraction(), delivered, math.Abs(class.ServedFraction()-delivered) <= Tolerance, class.Refused, float64(undelivered)})
 	}
-	return all, out, nil
+	return comparisons, outcome, nil
 }
