--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -16,8 +16,8 @@
 
 // checkChoices finds a place that two relays have, an endpoint that too many share, and a subset of
 // the wrong size.
-func TestJudgeChoices(t *testing.T) {
-	made := func(spoil func(all []*Choices)) string {
+func TestCheckChoices(t *testing.T) {
+	problemsAfter := func(spoil func(all []*Choices)) string {
 		var all []*Choices
 		for n := range 6 {
 			c := &Choices{Self: n, Place: n, Live: 6}
@@ -43,7 +43,7 @@
 			}
 		},
 	} {
-		if got := made(spoil); (want == "") != (got == "") || !strings.Contains(got, want) {
+		if got := problemsAfter(spoil); (want == "") != (got == "") || !strings.Contains(got, want) {
 			t.Errorf("%q: %q", want, got)
 		}
 	}
@@ -52,55 +52,55 @@
 // Of eight relays one holds the time slot for probing an unavailable partner, and it is stopped as
 // the partner recovers. The others must probe in its place and deliver while it is stopped, and no
 // charge may run twice.
-func TestHolderStopped(t *testing.T) {
+func TestProbingRelayStopped(t *testing.T) {
 	t.Parallel()
-	w, _, relays, _ := seated(t, 8, 8, "turns,signals")
+	env, _, relays, _ := startRelaysWithChoices(t, 8, 8, "turns,signals")
 	r := run{relays: relays}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := r.waitUntil(ctx, "all relays to know one another", r.membersAgree); err != nil {
 		t.Fatalf("%v: %s", err, r.memberDisagreement())
 	}
-	var to []*client.Client // one for each relay: a client stays with a relay while it answers well
+	var clients []*client.Client // one for each relay: a client stays with a relay while it answers well
 	for _, relay := range relays {
 		c, err := client.New(client.Config{Relays: []string{relay.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		to = append(to, c)
+		clients = append(clients, c)
 	}
 	done := make(chan struct{})
 	go func() { // some are charges, which may not run twice
 		defer close(done)
-		turn := time.NewTicker(12 * time.Millisecond)
-		defer turn.Stop()
+		ticker := time.NewTicker(12 * time.Millisecond)
+		defer ticker.Stop()
 		for n := 0; n < 6000; n++ {
 			select {
 			case <-ctx.Done():
 				return
-			case <-turn.C:
+			case <-ticker.C:
 			}
-			m := client.Message{Class: "price-alert", Dest: 1, Effect: client.Safe, TimeLeft: 5 * time.Second, Body: []byte(fmt.Sprintf("price-alert/%d\n", n))}
+			message := client.Message{Class: "price-alert", Dest: 1, Effect: client.Safe, TimeLeft: 5 * time.Second, Body: []byte(fmt.Sprintf("price-alert/%d\n", n))}
 			if n%5 == 0 {
-				m.Class, m.Effect, m.TimeLeft, m.Body = "fee-charge", client.Unsafe, 15*time.Second, []byte(fmt.Sprintf("fee-charge/%d\n", n))
+				message.Class, message.Effect, message.TimeLeft, message.Body = "fee-charge", client.Unsafe, 15*time.Second, []byte(fmt.Sprintf("fee-charge/%d\n", n))
 			}
-			to[n%len(to)].TryHandIn(ctx, m, func(client.Result, error) {}) // a relay full of pending messages may reject it; the next is sent anyway
+			clients[n%len(clients)].TryHandIn(ctx, message, func(client.Result, error) {}) // a relay full of pending messages may reject it; the next is sent anyway
 		}
 	}()
 	defer func() { cancel(); <-done }()
-	if err := w.WaitUntil("the first messages to be delivered", func() bool { return w.EffectLog.Len() > 50 }); err != nil {
+	if err := env.WaitUntil("the first messages to be delivered", func() bool { return env.EffectLog.Len() > 50 }); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Partners[1].SetMode(testdouble.RefusingConnections, 1); err != nil {
+	if err := env.Partners[1].SetMode(testdouble.RefusingConnections, 1); err != nil {
 		t.Fatal(err)
 	}
 	holder := -1
 	if err := r.waitUntil(ctx, "a relay to see the partner as down and to hold its probing slot", func() bool {
 		for n := range relays {
-			if v, err := r.fetchChoices(n); err == nil {
-				for _, d := range v.Destinations {
-					if d.Destination == 1 && d.Down && d.Holds && d.Holders < len(relays) {
+			if choices, err := r.fetchChoices(n); err == nil {
+				for _, dest := range choices.Destinations {
+					if dest.Destination == 1 && dest.Down && dest.Holds && dest.Holders < len(relays) {
 						holder = n
 						return true
 					}
@@ -114,18 +114,18 @@
 	if err := relays[holder].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	was := w.EffectLog.Len()
-	if err := w.Partners[1].SetMode(testdouble.Healthy, 1); err != nil {
+	deliveredBefore := env.EffectLog.Len()
+	if err := env.Partners[1].SetMode(testdouble.Healthy, 1); err != nil {
 		t.Fatal(err)
 	}
-	err := w.WaitUntil("the other relays to deliver in place of the stopped one", func() bool { return w.EffectLog.Len() >= was+100 })
-	if cerr := relays[holder].Signal(syscall.SIGCONT); err != nil || cerr != nil {
-		t.Fatal(err, cerr)
+	err := env.WaitUntil("the other relays to deliver in place of the stopped one", func() bool { return env.EffectLog.Len() >= deliveredBefore+100 })
+	if resumeErr := relays[holder].Signal(syscall.SIGCONT); err != nil || resumeErr != nil {
+		t.Fatal(err, resumeErr)
 	}
-	if err := w.WaitUntil("all relays to deliver", func() bool { return w.EffectLog.Len() >= was+200 }); err != nil {
+	if err := env.WaitUntil("all relays to deliver", func() bool { return env.EffectLog.Len() >= deliveredBefore+200 }); err != nil {
 		t.Fatal(err)
 	}
-	if twice := w.EffectLog.Duplicates("fee-charge"); len(twice) > 0 {
+	if twice := env.EffectLog.Duplicates("fee-charge"); len(twice) > 0 {
 		t.Errorf("ran twice: %v", twice)
 	}
 }
@@ -133,37 +133,37 @@
 // Twelve relays that share all choices face uneven load: one relay gets ten times the mean, one
 // partner has a single endpoint, and a rate-limited partner lowers its limit to a tenth for 9 s.
 // All rules hold, the relays agree in the end, and the partner rejects few calls.
-func TestBusyAndLowered(t *testing.T) {
+func TestHotRelayAndLoweredLimit(t *testing.T) {
 	t.Parallel()
 	base, err := site.ReadSite("../../../lab/choices-fleet.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.DrawScenario(3)
+	scenario, err := base.DrawScenario(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Name, d.HotRelayFactor, d.Length = "busy-and-lowered", 10, 36*time.Second
-	d.Dests[2].Endpoints = d.Dests[2].Endpoints[:1]
-	d.Kinds = append(d.Kinds, d.Kinds[d.Dests[1].Kind])
-	d.Dests[1].Kind, d.Dests[1].Limit = len(d.Kinds)-1, 60
+	scenario.Name, scenario.HotRelayFactor, scenario.Length = "busy-and-lowered", 10, 36*time.Second
+	scenario.Dests[2].Endpoints = scenario.Dests[2].Endpoints[:1]
+	scenario.Kinds = append(scenario.Kinds, scenario.Kinds[scenario.Dests[1].Kind])
+	scenario.Dests[1].Kind, scenario.Dests[1].Limit = len(scenario.Kinds)-1, 60
 	// The partner sends no Retry-After: a relay applies one to itself alone, while the partner
 	// counts the calls of all relays.
-	limited := &d.Kinds[len(d.Kinds)-1]
+	limited := &scenario.Kinds[len(scenario.Kinds)-1]
 	limited.Limit, limited.MaxBatch, limited.RetryAfter = emu.RateLimit, 1, 0
-	d.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: 14 * time.Second, Duration: 9 * time.Second, Intensity: 0.1, Dests: []int{1}}}
-	if err := Playable(d); err != nil {
+	scenario.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: 14 * time.Second, Duration: 9 * time.Second, Intensity: 0.1, Dests: []int{1}}}
+	if err := Playable(scenario); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Run(context.Background(), Config{Scenario: d, Seed: 3, RelayBinary: bin})
+	result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 3, RelayBinary: bin})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.Verdict.Good() || res.Taken != res.Offered {
-		t.Errorf("%+v, %d of %d accepted", res.Verdict, res.Taken, res.Offered)
+	if !result.Verdict.Good() || result.Taken != result.Offered {
+		t.Errorf("%+v, %d of %d accepted", result.Verdict, result.Taken, result.Offered)
 	}
-	if res.Refused == 0 || res.Refused > res.Offered/4 {
-		t.Errorf("%d calls rejected for %d messages", res.Refused, res.Offered)
+	if result.Refused == 0 || result.Refused > result.Offered/4 {
+		t.Errorf("%d calls rejected for %d messages", result.Refused, result.Offered)
 	}
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.DrawScenario(4)
+	scenario, err := base.DrawScenario(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,19 +184,19 @@
 	for e := range 6 {
 		down.Endpoints = append(down.Endpoints, [2]int{0, e})
 	}
-	d.Name, d.Length, d.Faults = "subset-down", 32*time.Second, []emu.Fault{down}
-	if err := Playable(d); err != nil {
+	scenario.Name, scenario.Length, scenario.Faults = "subset-down", 32*time.Second, []emu.Fault{down}
+	if err := Playable(scenario); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Run(context.Background(), Config{Scenario: d, Seed: 4, RelayBinary: bin})
+	result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 4, RelayBinary: bin})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.Verdict.Good() || res.Taken != res.Offered || res.Ran < res.Taken*19/20 {
-		t.Errorf("%+v, %d of %d accepted, %d ran", res.Verdict, res.Taken, res.Offered, res.Ran)
+	if !result.Verdict.Good() || result.Taken != result.Offered || result.Ran < result.Taken*19/20 {
+		t.Errorf("%+v, %d of %d accepted, %d ran", result.Verdict, result.Taken, result.Offered, result.Ran)
 	}
-	d.Faults[0].Kind = emu.RejectAll
-	if Playable(d) == nil {
+	scenario.Faults[0].Kind = emu.RejectAll
+	if Playable(scenario) == nil {
 		t.Error("no error for single endpoints that reject all calls, which processes can't play")
 	}
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -29,11 +29,11 @@
 
 func TestMain(m *testing.M) { os.Exit(testdouble.RunTests(m, &bin)) }
 
-const library = "../../../lab/fleet"
+const scenarioDir = "../../../lab/fleet"
 
-func day(t *testing.T, name string, seed uint64) *emu.Scenario {
+func drawScenario(t *testing.T, name string, seed uint64) *emu.Scenario {
 	t.Helper()
-	s, err := site.ReadScript(filepath.Join(library, name+site.FileExt))
+	s, err := site.ReadScript(filepath.Join(scenarioDir, name+site.FileExt))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 
 // Every scenario of the library can be played by processes, and in virtual time violates no rule on
 // two seeds.
-func TestVirtualDays(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join(library, "*"+site.FileExt))
+func TestVirtualScenarios(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join(scenarioDir, "*"+site.FileExt))
 	if err != nil || len(files) < 13 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
@@ -59,22 +59,22 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				d := day(t, name, seed+1)
-				if err := Playable(d); err != nil {
+				scenario := drawScenario(t, name, seed+1)
+				if err := Playable(scenario); err != nil {
 					t.Fatal(err)
 				}
-				v, seen, err := RunVirtual(d)
-				if err != nil || !v.Good() {
-					t.Fatalf("seed %d: %v, %+v", seed+1, err, v)
+				verdict, seen, err := RunVirtual(scenario)
+				if err != nil || !verdict.Good() {
+					t.Fatalf("seed %d: %v, %+v", seed+1, err, verdict)
 				}
-				for _, s := range seen {
-					if strings.HasPrefix(name, "pause-half") && s.To == "away" {
-						t.Errorf("seed %d: %+v", seed+1, s)
+				for _, change := range seen {
+					if strings.HasPrefix(name, "pause-half") && change.To == "away" {
+						t.Errorf("seed %d: %+v", seed+1, change)
 					}
 				}
 				gone := map[string]int{"killed-for-good": 1, "killed-while-notes-are-lost": 1, "choices-killed": 2}[name]
-				if len(v.Gone) != gone {
-					t.Errorf("seed %d: gone %v", seed+1, v.Gone)
+				if len(verdict.Gone) != gone {
+					t.Errorf("seed %d: gone %v", seed+1, verdict.Gone)
 				}
 			}
 		})
@@ -84,19 +84,19 @@
 // A partitioned zone, a relay paused until it is seen as dead, a rolling restart, and a relay that
 // dies while gossip is lost: with processes all rules hold, all relays agree in the end, the
 // verdict equals that of virtual time, and all result files are written.
-func TestDays(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	atOnce := make(chan struct{}, 2) // more at once would only be slower
 	for _, name := range []string{"zone-cut", "pause-ten-seconds", "rolling-restarts", "killed-while-notes-are-lost", "choices-killed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			d, out := day(t, name, 1), t.TempDir()
-			res, err := Run(context.Background(), Config{Scenario: d, Seed: 1, RelayBinary: bin, OutDir: out})
+			scenario, out := drawScenario(t, name, 1), t.TempDir()
+			res, err := Run(context.Background(), Config{Scenario: scenario, Seed: 1, RelayBinary: bin, OutDir: out})
 			if err != nil {
 				t.Fatal(err)
 			}
-			virtual, _, err := RunVirtual(d)
+			virtual, _, err := RunVirtual(scenario)
 			if err == nil {
 				err = res.Verdict.CheckSame(virtual)
 			}
@@ -111,7 +111,7 @@
 			rows, err := parquet.ReadFile[Seen](filepath.Join(out, "results.parquet"))
 			page, perr := os.ReadFile(filepath.Join(out, "report.html"))
 			logs, _ := filepath.Glob(filepath.Join(out, "relay-*.log"))
-			if err != nil || perr != nil || len(rows) != len(res.Seen) || len(rows) == 0 || !strings.Contains(string(page), "<svg") || len(logs) != d.Relays {
+			if err != nil || perr != nil || len(rows) != len(res.Seen) || len(rows) == 0 || !strings.Contains(string(page), "<svg") || len(logs) != scenario.Relays {
 				t.Errorf("%d rows, %d logs, %v, %v", len(rows), len(logs), err, perr)
 			}
 		})
@@ -120,12 +120,12 @@
 
 // The loss of a zone takes the endpoints in it of a destination that has others elsewhere, whatever
 // zone the destination itself names, as in the emulator.
-func TestLossOfAZoneTakesWhatLiesThere(t *testing.T) {
-	ends := func(zones ...string) (all []emu.Endpoint) {
+func TestZoneLossAffectsEndpointsInZone(t *testing.T) {
+	endpointsIn := func(zones ...string) (endpoints []emu.Endpoint) {
 		for _, z := range zones {
-			all = append(all, emu.Endpoint{Zone: z})
+			endpoints = append(endpoints, emu.Endpoint{Zone: z})
 		}
-		return all
+		return endpoints
 	}
 	for _, c := range []struct {
 		name  string
@@ -133,12 +133,12 @@
 		all   bool
 		parts []bool
 	}{
-		{"several zones, one of them the destination's", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-1", "zone-2", "zone-1")}, false, []bool{true, false, true}},
-		{"several zones, none lost", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-2", "zone-3")}, false, []bool{false, false}},
-		{"all endpoints in the lost zone", emu.Dest{Zone: "zone-2", Endpoints: ends("zone-1", "zone-1")}, true, []bool{false, false}},
-		{"all endpoints elsewhere", emu.Dest{Zone: "zone-1", Endpoints: ends("zone-2", "zone-2")}, false, []bool{false, false}},
-		{"endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: ends("", "")}, true, []bool{false, false}},
-		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: ends("", "zone-2")}, false, []bool{true, false}},
+		{"several zones, one of them the destination's", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-1", "zone-2", "zone-1")}, false, []bool{true, false, true}},
+		{"several zones, none lost", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-3")}, false, []bool{false, false}},
+		{"all endpoints in the lost zone", emu.Dest{Zone: "zone-2", Endpoints: endpointsIn("zone-1", "zone-1")}, true, []bool{false, false}},
+		{"all endpoints elsewhere", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-2")}, false, []bool{false, false}},
+		{"endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "")}, true, []bool{false, false}},
+		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "zone-2")}, false, []bool{true, false}},
 	} {
 		if got := losesDestination(&c.dest, "zone-1"); got != c.all {
 			t.Errorf("%s: lost as a whole: %v", c.name, got)
@@ -155,8 +155,8 @@
 }
 
 // The checks find each violated rule, and nothing in correct runs.
-func TestJudges(t *testing.T) {
-	d := &emu.Scenario{Relays: 4, Zones: 2, Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
+func TestChecks(t *testing.T) {
+	scenario := &emu.Scenario{Relays: 4, Zones: 2, Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
 	away := func(by, n int) Seen {
 		return Seen{By: int32(by), Number: int32(n), From: "suspect", To: "away", Incarnation: 1}
 	}
@@ -173,25 +173,25 @@
 		{"a lower incarnation after the observer restarted", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 0, To: started}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
 		{"back with incarnation 0", []Seen{{By: 0, Number: 1, From: "away", To: "alive"}}, "without a word", 0},
 	} {
-		v := checkMembers(d, c.seen)
+		v := checkMembers(scenario, c.seen)
 		got := strings.Join(append(v.False, v.Rules...), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) || len(v.Missed) != c.missed {
 			t.Errorf("%s: %q, missed %v", c.name, got, v.Missed)
 		}
 	}
-	hand := func(class string, o client.Outcome) Submission { return Submission{class + "/1", class, "id", o} }
+	submitted := func(class string, o client.Outcome) Submission { return Submission{class + "/1", class, "id", o} }
 	ran := testdouble.Effect{Name: "fee-charge/1", ID: "id"}
 	for _, c := range []struct {
 		name  string
 		books Records
 		want  string
 	}{
-		{"delivered", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
-		{"a charge runs twice", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
-		{"not completed", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}}, "no end"},
-		{"given up", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
-		{"refused and ran", Records{Submissions: []Submission{hand("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
-		{"handed back and ran", Records{Submissions: []Submission{hand("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
+		{"delivered", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
+		{"a charge runs twice", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
+		{"not completed", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}}, "no end"},
+		{"given up", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
+		{"refused and ran", Records{Submissions: []Submission{submitted("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
+		{"handed back and ran", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
 		{"a call before Retry-After", Records{EarlyCalls: 1}, "told wait"}, {"an oversized gossip message", Records{OversizedMessages: 1}, "256 bytes"},
 	} {
 		if got := strings.Join(checkMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
@@ -205,7 +205,7 @@
 }
 
 // Lines about members are parsed, others are skipped.
-func TestParse(t *testing.T) {
+func TestParseLogLine(t *testing.T) {
 	s, at, ok := parseLogLine(3, `time=2026-12-01T21:52:03.125Z level=INFO msg=member number=4 state=away was=suspect incarnation=7 why="a \"b\" c=d, e"`)
 	if !ok || s.By != 3 || s.Number != 4 || s.From != "suspect" || s.To != "away" || s.Incarnation != 7 || s.Why != `a "b" c=d, e` || at.Nanosecond() != 125e6 {
 		t.Errorf("%+v %v %v", s, at, ok)
@@ -219,16 +219,16 @@
 
 // Playable names what processes can't play.
 func TestPlayable(t *testing.T) {
-	whole := func() *emu.Scenario {
+	valid := func() *emu.Scenario {
 		return &emu.Scenario{Relays: 3, Membership: true, Rate: 10, Length: 30 * time.Second, Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
 	}
-	if err := Playable(whole()); err != nil {
+	if err := Playable(valid()); err != nil {
 		t.Fatal(err)
 	}
 	for want, spoil := range map[string]func(*emu.Scenario){"relays": func(d *emu.Scenario) { d.Relays = 41 }, "members": func(d *emu.Scenario) { d.Membership = false }, "rate": func(d *emu.Scenario) { d.Rate = 1e6 },
 		"kind":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Burst, At: time.Minute}} },
 		"troubles[0]": func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Partition, At: time.Second}} }} {
-		d := whole()
+		d := valid()
 		spoil(d)
 		if err := Playable(d); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -238,18 +238,18 @@
 
 // startRelays starts the first relays of a fleet of n with membership enabled. Nobody listens at
 // the other addresses.
-func seats(t *testing.T, n, start int) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
-	return seated(t, n, start, "")
+func startRelays(t *testing.T, n, start int) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
+	return startRelaysWithChoices(t, n, start, "")
 }
 
 // startRelaysWithChoices is startRelays for relays that share choices.
-func seated(t *testing.T, n, start int, choices string) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
+func startRelaysWithChoices(t *testing.T, n, start int, choices string) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
 	t.Helper()
-	w, err := testdouble.NewEnvironment(testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
+	env, err := testdouble.NewEnvironment(testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
+	t.Cleanup(env.Close)
 	var listen []string
 	for range n {
 		addr, err := testdouble.ReserveAddr()
@@ -258,14 +258,14 @@
 		}
 		listen = append(listen, addr)
 	}
-	ways, err := faultnet.New(listen, 1)
+	network, err := faultnet.New(listen, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(ways.Close)
+	t.Cleanup(network.Close)
 	var relays []*testdouble.Relay
 	for i := range start {
-		r, err := w.NewFleetRelay(bin, &testdouble.FleetConfig{Number: i, PeerListen: listen[i], Peers: ways.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
+		r, err := env.NewFleetRelay(bin, &testdouble.FleetConfig{Number: i, PeerListen: listen[i], Peers: network.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
 		if err == nil {
 			err = r.Start()
 		}
@@ -274,10 +274,10 @@
 		}
 		relays = append(relays, r)
 	}
-	return w, ways, relays, listen
+	return env, network, relays, listen
 }
 
-func awaits(t *testing.T, r *testdouble.Relay, text string) {
+func awaitLog(t *testing.T, r *testdouble.Relay, text string) {
 	t.Helper()
 	if err := r.AwaitLog(text); err != nil {
 		t.Fatal(err)
@@ -288,7 +288,7 @@
 // left, and is alive again when it serves again; a stopped relay has left; a killed one is away.
 func TestThreeProcesses(t *testing.T) {
 	t.Parallel()
-	_, _, relays, _ := seats(t, 3, 3)
+	_, _, relays, _ := startRelays(t, 3, 3)
 	r := run{relays: relays}
 	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
 		t.Fatalf("%v: %s", err, r.memberDisagreement())
@@ -297,11 +297,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	awaits(t, next, "standing by")
+	awaitLog(t, next, "standing by")
 	if err := relays[1].Stop(); err != nil {
 		t.Fatal(err)
 	}
-	awaits(t, next, "all is taken over")
+	awaitLog(t, next, "all is taken over")
 	relays[1] = next
 	if err := r.waitUntil(context.Background(), "the new process to exceed the incarnation of the old one", func() bool {
 		v, err := r.fetchMembers(0)
@@ -325,15 +325,15 @@
 		}
 	}
 	drain("/healthcheck/fail")
-	awaits(t, relays[0], "member number=2 state=left")
+	awaitLog(t, relays[0], "member number=2 state=left")
 	drain("/healthcheck/ok")
-	awaits(t, relays[0], "member number=2 state=alive")
+	awaitLog(t, relays[0], "member number=2 state=alive")
 	if err := relays[2].Stop(); err != nil {
 		t.Fatal(err)
 	}
-	awaits(t, relays[1], "member number=2 state=left")
+	awaitLog(t, relays[1], "member number=2 state=left")
 	relays[1].Kill()
-	awaits(t, relays[0], "member number=1 state=away")
+	awaitLog(t, relays[0], "member number=1 state=away")
 	status, body, err := relays[0].CallAdmin("GET", "/members")
 	if err != nil || status != 200 || !strings.Contains(body, `"number":1,"state":"away","zone":"a"`) || !strings.Contains(body, `"number":2,"state":"left"`) {
 		t.Errorf("%d, %v: %s", status, err, body)
@@ -349,24 +349,24 @@
 // alive and the others as away, and the killed one must not come back.
 func TestLiarOnSockets(t *testing.T) {
 	t.Parallel()
-	_, ways, relays, listen := seats(t, 10, 4)
+	_, network, relays, listen := startRelays(t, 10, 4)
 	r := run{relays: relays, down: map[int]bool{4: true, 5: true, 6: true, 7: true, 8: true, 9: true}}
 	var mu sync.Mutex
-	var old [][]byte // from relay 3 to relay 0
-	ways.SetFaults(faultnet.Faults{OnSend: func(from, to int, note []byte) {
-		if mu.Lock(); from == 3 && to == 0 && len(old) < 100 {
-			old = append(old, slices.Clone(note))
+	var recorded [][]byte // from relay 3 to relay 0
+	network.SetFaults(faultnet.Faults{OnSend: func(from, to int, note []byte) {
+		if mu.Lock(); from == 3 && to == 0 && len(recorded) < 100 {
+			recorded = append(recorded, slices.Clone(note))
 		}
 		mu.Unlock()
 	}})
-	await := func(what string, cond func() bool) {
+	waitUntil := func(what string, cond func() bool) {
 		t.Helper()
 		if err := r.waitUntil(context.Background(), what, cond); err != nil {
 			t.Fatalf("%v: %s", err, r.memberDisagreement())
 		}
 	}
-	await("the live relays to agree", r.membersAgree)
-	at := func(addr string) *net.UDPConn {
+	waitUntil("the live relays to agree", r.membersAgree)
+	listenAt := func(addr string) *net.UDPConn {
 		to, err := net.ResolveUDPAddr("udp4", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -380,19 +380,19 @@
 	}
 	relays[3].Kill()
 	r.down[3] = true
-	await("all to see the killed relay as dead", r.membersAgree)
-	liar, ghost := at(listen[9]), at(listen[3])
-	lies := members.New(members.Config{Self: 9, FleetSize: 10, Seed: 1})
-	began := time.Now()
-	for k := range 120 {
+	waitUntil("all to see the killed relay as dead", r.membersAgree)
+	liar, ghost := listenAt(listen[9]), listenAt(listen[3])
+	liarList := members.New(members.Config{Self: 9, FleetSize: 10, Seed: 1})
+	startedAt := time.Now()
+	for round := range 120 {
 		for to := range 3 {
-			lie := append([]byte{3}, lies.FalseGossip(time.Since(began), k)...)
+			lie := append([]byte{3}, liarList.FalseGossip(time.Since(startedAt), round)...)
 			for _, note := range [][]byte{lie, lie, lie[:len(lie)/2], make([]byte, 257)} {
-				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(ways.PeerAddrs(9)[to]))
+				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(network.PeerAddrs(9)[to]))
 			}
 		}
 		mu.Lock()
-		ghost.WriteToUDPAddrPort(old[k%len(old)], netip.MustParseAddrPort(ways.PeerAddrs(3)[0]))
+		ghost.WriteToUDPAddrPort(recorded[round%len(recorded)], netip.MustParseAddrPort(network.PeerAddrs(3)[0]))
 		mu.Unlock()
 		time.Sleep(members.Period / 12)
 	}
@@ -406,7 +406,7 @@
 	if relays[0].CountLogLines("member number=3 state=alive was=away") > 0 {
 		t.Error("replayed messages made a dead relay alive")
 	}
-	if _, _, _, long := ways.Counts(); long == 0 {
+	if _, _, _, long := network.Counts(); long == 0 {
 		t.Error("no oversized message was sent")
 	}
 	figures, err := relays[0].Metrics()
@@ -414,7 +414,7 @@
 		t.Errorf("%v: nothing rejected: %v", err, figures)
 	}
 	// After the liar stops, it is seen as dead, as are the relays known from its messages alone.
-	await("all to see the liar as dead too", func() bool {
+	waitUntil("all to see the liar as dead too", func() bool {
 		v, err := r.fetchMembers(0)
 		return err == nil && v.Members[9].State != "alive" && v.Members[1].State == "alive" && v.Members[2].State == "alive"
 	})
@@ -422,23 +422,23 @@
 
 // A second process is started under the number of a running relay: one of the two logs it, and the
 // other relays stay alive.
-func TestRivalOnSockets(t *testing.T) {
+func TestDuplicateNumberOnSockets(t *testing.T) {
 	t.Parallel()
-	w, ways, relays, _ := seats(t, 3, 3)
+	env, network, relays, _ := startRelays(t, 3, 3)
 	r := run{relays: relays}
 	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
 		t.Fatalf("%v: %s", err, r.memberDisagreement())
 	}
 	addr, err := testdouble.ReserveAddr()
 	if err == nil {
-		err = ways.AddAlias(1, addr)
+		err = network.AddAlias(1, addr)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := ways.PeerAddrs(1)
+	peers := network.PeerAddrs(1)
 	peers[1] = addr
-	rival, err := w.NewFleetRelay(bin, &testdouble.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
+	rival, err := env.NewFleetRelay(bin, &testdouble.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
 	if err == nil {
 		err = rival.Start()
 	}
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -24,26 +24,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := base.DrawScenario(6)
+	scenario, err := base.DrawScenario(6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range d.Dests {
-		e := d.Dests[i].Endpoints[0]
-		d.Dests[i].Endpoints = nil
+	for i := range scenario.Dests {
+		endpoint := scenario.Dests[i].Endpoints[0]
+		scenario.Dests[i].Endpoints = nil
 		for n := range 6 {
-			if e.Zone = fmt.Sprintf("zone-%d", 1+n%3); i < 2 || n%3 == 0 {
-				d.Dests[i].Endpoints = append(d.Dests[i].Endpoints, e)
+			if endpoint.Zone = fmt.Sprintf("zone-%d", 1+n%3); i < 2 || n%3 == 0 {
+				scenario.Dests[i].Endpoints = append(scenario.Dests[i].Endpoints, endpoint)
 			}
 		}
 	}
-	d.Choices.SubsetSize, d.Length, d.Faults = 0, 46*time.Second, troubles
-	return d
+	scenario.Choices.SubsetSize, scenario.Length, scenario.Faults = 0, 46*time.Second, troubles
+	return scenario
 }
 
 var allSites = flag.Bool("sites", false, "run all scenarios that lose a site, not only the most important")
 
-const plan = `sites {
+const sitePlan = `sites {
   site { zone: "zone-1" tier { zone: "zone-2" zone: "zone-3" spill: 0.9 } }
   site { zone: "zone-2" tier { zone: "zone-1" zone: "zone-3" spill: 0.9 } }
   site { zone: "zone-3" tier { zone: "zone-1" zone: "zone-2" spill: 0.9 } }
@@ -54,7 +54,7 @@
 func operatorFile(t *testing.T) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "operator.textproto")
-	if err := os.WriteFile(name, []byte(plan), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(sitePlan), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return name
@@ -86,21 +86,21 @@
 // endpoints are and see its return, every message must have one outcome, no charge may run twice,
 // and no partner may collapse.
 func TestSiteLost(t *testing.T) {
-	s := time.Second
-	relays := emu.Fault{Kind: emu.RelayCrash, At: 14 * s, Duration: 10 * s, Relays: []int{0, 3, 6, 9}}
-	ends := emu.Fault{Kind: emu.Crash, At: 14 * s, Duration: 10 * s, Zone: "zone-1"}
-	again := emu.Fault{Kind: emu.Crash, At: 26 * s, Duration: 5 * s, Zone: "zone-1"}
+	second := time.Second
+	relays := emu.Fault{Kind: emu.RelayCrash, At: 14 * second, Duration: 10 * second, Relays: []int{0, 3, 6, 9}}
+	endpoints := emu.Fault{Kind: emu.Crash, At: 14 * second, Duration: 10 * second, Zone: "zone-1"}
+	again := emu.Fault{Kind: emu.Crash, At: 26 * second, Duration: 5 * second, Zone: "zone-1"}
 	atOnce := make(chan struct{}, 2)
 	for name, c := range map[string]struct {
 		troubles []emu.Fault
 		lost     bool
 	}{
-		"whole": {[]emu.Fault{relays, ends}, true}, "again": {[]emu.Fault{relays, ends, again}, true},
-		"endpoints live": {[]emu.Fault{relays}, false}, "relays live": {[]emu.Fault{ends}, true},
-		"second": {[]emu.Fault{relays, ends, {Kind: emu.RelayCrash, At: 18 * s, Duration: 5 * s, Relays: []int{1, 4, 7, 10}}, {Kind: emu.Crash, At: 18 * s, Duration: 5 * s, Zone: "zone-2"}}, true},
-		"paused": {[]emu.Fault{relays, ends, {Kind: emu.RelayStall, At: 17 * s, Duration: 5 * s, Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
-		"half":   {[]emu.Fault{relays, ends, {Kind: emu.GossipReceiveLoss, At: 13 * s, Duration: 14 * s, Relays: []int{1, 2, 7, 8}}}, true},
-		"cut":    {[]emu.Fault{{Kind: emu.SitePartition, At: 14 * s, Duration: 10 * s, Zone: "zone-1"}}, true},
+		"whole": {[]emu.Fault{relays, endpoints}, true}, "again": {[]emu.Fault{relays, endpoints, again}, true},
+		"endpoints live": {[]emu.Fault{relays}, false}, "relays live": {[]emu.Fault{endpoints}, true},
+		"second": {[]emu.Fault{relays, endpoints, {Kind: emu.RelayCrash, At: 18 * second, Duration: 5 * second, Relays: []int{1, 4, 7, 10}}, {Kind: emu.Crash, At: 18 * second, Duration: 5 * second, Zone: "zone-2"}}, true},
+		"paused": {[]emu.Fault{relays, endpoints, {Kind: emu.RelayStall, At: 17 * second, Duration: 5 * second, Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
+		"half":   {[]emu.Fault{relays, endpoints, {Kind: emu.GossipReceiveLoss, At: 13 * second, Duration: 14 * second, Relays: []int{1, 2, 7, 8}}}, true},
+		"cut":    {[]emu.Fault{{Kind: emu.SitePartition, At: 14 * second, Duration: 10 * second, Zone: "zone-1"}}, true},
 	} {
 		if !*allSites && !slices.Contains([]string{"whole", "again", "cut", "endpoints live"}, name) {
 			continue // two scenarios take a minute
@@ -109,9 +109,9 @@
 			t.Parallel()
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			d := threeSites(t, c.troubles...)
-			d.Name = "site-lost, " + name
-			res, err := Run(context.Background(), Config{Scenario: d, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
+			scenario := threeSites(t, c.troubles...)
+			scenario.Name = "site-lost, " + name
+			result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
 				for i, relay := range all {
 					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
 						return fmt.Errorf("relay %d saw a site that answers as lost", i)
@@ -133,8 +133,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !res.Verdict.Good() || res.Ran < res.Taken*6/10 { // a third of the messages is for the partner that is down for ten seconds or more, and alerts for it expire
-				t.Errorf("%+v, %d of %d accepted, %d ran", res.Verdict, res.Taken, res.Offered, res.Ran)
+			if !result.Verdict.Good() || result.Ran < result.Taken*6/10 { // a third of the messages is for the partner that is down for ten seconds or more, and alerts for it expire
+				t.Errorf("%+v, %d of %d accepted, %d ran", result.Verdict, result.Taken, result.Offered, result.Ran)
 			}
 		})
 	}
@@ -142,12 +142,12 @@
 
 // A site that an operator takes out on one relay gets no call from that relay, the others go on,
 // and it comes back by its ramp. Unknown zones and commands are rejected.
-func TestSiteByHand(t *testing.T) {
+func TestSiteTakenOutManually(t *testing.T) {
 	t.Parallel()
-	d := threeSites(t)
-	d.Name, d.Length = "site-by-hand", 34*time.Second
+	scenario := threeSites(t)
+	scenario.Name, scenario.Length = "site-by-hand", 34*time.Second
 	r := run{}
-	res, err := Run(context.Background(), Config{Scenario: d, Seed: 7, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
+	result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 7, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
 		for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405, "PUT /sites/zone-2/away": 404} {
 			var method, path string
 			fmt.Sscan(call, &method, &path)
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.Verdict.Good() || res.Ran == 0 {
-		t.Errorf("%+v, %d ran", res.Verdict, res.Ran)
+	if !result.Verdict.Good() || result.Ran == 0 {
+		t.Errorf("%+v, %d ran", result.Verdict, result.Ran)
 	}
 }
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -11,9 +11,9 @@
 	"oatfold/internal/testdouble"
 )
 
-// world starts four partners: one is healthy, the others reject calls, reset connections after
+// startPartners starts four partners: one is healthy, the others reject calls, reset connections after
 // execution, or fail.
-func world(t *testing.T, r *load.Recorder) *testdouble.Environment {
+func startPartners(t *testing.T, r *load.Recorder) *testdouble.Environment {
 	t.Helper()
 	var partners []testdouble.PartnerConfig
 	for d := range 4 {
@@ -34,13 +34,13 @@
 	return w
 }
 
-func under(t *testing.T, addr string, r *load.Recorder) *load.Report {
+func runLoad(t *testing.T, addr string, r *load.Recorder) *load.Report {
 	t.Helper()
-	rep, err := load.Run(context.Background(), load.Config{Addr: addr, Rate: 150, Duration: 3 * time.Second, Dests: []int{1, 2, 3, 4}, Mix: load.DefaultMix, MaxConns: 32, BodyBytes: 200, Seed: 3, Watcher: r})
+	report, err := load.Run(context.Background(), load.Config{Addr: addr, Rate: 150, Duration: 3 * time.Second, Dests: []int{1, 2, 3, 4}, Mix: load.DefaultMix, MaxConns: 32, BodyBytes: 200, Seed: 3, Watcher: r})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rep
+	return report
 }
 
 // A relay keeps the rules on real sockets under faults, and the same checker finds the violations
@@ -51,31 +51,31 @@
 		t.Fatal(err)
 	}
 	r := load.NewRecorder(32)
-	w := world(t, r)
+	w := startPartners(t, r)
 	relay, err := w.StartRelay(bin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep := under(t, relay.Addr, r)
+	report := runLoad(t, relay.Addr, r)
 	if err := w.WaitUntil("the outcome of every message", func() bool { return r.PendingCount() == 0 }); err != nil {
 		t.Error(err)
 	}
-	if breaks, _ := r.Finish(); len(breaks) > 0 || rep.Accepted < 300 || rep.Failed > 0 {
-		t.Errorf("%+v: %v", rep, breaks)
+	if breaks, _ := r.Finish(); len(breaks) > 0 || report.Accepted < 300 || report.Failed > 0 {
+		t.Errorf("%+v: %v", report, breaks)
 	}
 
 	r = load.NewRecorder(32)
-	w = world(t, r)
-	var to []string
+	w = startPartners(t, r)
+	var addrs []string
 	for _, p := range w.Partners {
-		to = append(to, p.Addresses()...)
+		addrs = append(addrs, p.Addresses()...)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	addr, ended := make(chan string, 1), make(chan error, 1)
-	go func() { ended <- load.RunForwarder(ctx, to, func(a string) { addr <- a }) }()
-	under(t, <-addr, r)
+	addr, done := make(chan string, 1), make(chan error, 1)
+	go func() { done <- load.RunForwarder(ctx, addrs, func(a string) { addr <- a }) }()
+	runLoad(t, <-addr, r)
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if _, counts := r.Finish(); counts[rules.RetryAfter] == 0 || counts[rules.Bounds] == 0 {
--- a/internal/lab/region/region_test.go
+++ b/internal/lab/region/region_test.go
@@ -9,59 +9,59 @@
 	"oatfold/internal/assignment"
 )
 
-// quarter is a region of the size that operators expect, with a tenth of all datagrams lost.
-func quarter(number uint8) Config {
+// regionConfig is a region of the size that operators expect, with a tenth of all datagrams lost.
+func regionConfig(number uint8) Config {
 	return Config{Seed: 1, Number: number, Relays: 4000, Controls: 9, Zones: 2, RackSize: 40,
 		Partitions: assignment.DefaultPartitions, Replicas: assignment.DefaultReplicas, Loss: 0.1}
 }
 
-// anywhere runs a test in one region. Regions share nothing, so one stands for all; the lab's
+// inRegion runs a test in one region. Regions share nothing, so one stands for all; the lab's
 // command simulates all four.
-func anywhere(t *testing.T, test func(t *testing.T, w *Simulation)) {
+func inRegion(t *testing.T, test func(t *testing.T, w *Simulation)) {
 	t.Helper()
-	w := settled(t, quarter(2))
-	test(t, w)
-	if len(w.Conflicts) > 0 {
-		t.Errorf("conflicting maps: %v", w.Conflicts)
+	sim := newSettled(t, regionConfig(2))
+	test(t, sim)
+	if len(sim.Conflicts) > 0 {
+		t.Errorf("conflicting maps: %v", sim.Conflicts)
 	}
 }
 
-// settled returns a region in which all relays hold the published map.
-func settled(t *testing.T, c Config) *Simulation {
+// newSettled returns a region in which all relays hold the published map.
+func newSettled(t *testing.T, c Config) *Simulation {
 	t.Helper()
-	w, err := New(c)
+	sim, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.settle(t, time.Minute)
-	return w
+	sim.settle(t, time.Minute)
+	return sim
 }
 
 // settle runs until all running relays hold the published map.
-func (w *Simulation) settle(t *testing.T, most time.Duration) {
+func (sim *Simulation) settle(t *testing.T, most time.Duration) {
 	t.Helper()
-	if _, ok := w.RunUntil(w.Now+most, time.Second, func() bool {
-		m := w.Published()
-		return m != nil && len(w.Outdated(m)) == 0
+	if _, ok := sim.RunUntil(sim.Now+most, time.Second, func() bool {
+		m := sim.Published()
+		return m != nil && len(sim.Outdated(m)) == 0
 	}); !ok {
-		t.Fatalf("not settled at %v: %+v, publisher %d", w.Now, w.Coverage(), w.Publisher())
+		t.Fatalf("not settled at %v: %+v, publisher %d", sim.Now, sim.Coverage(), sim.Publisher())
 	}
 }
 
 // watch runs for the given span and samples the coverage every 250 ms.
-func (w *Simulation) watch(span time.Duration, look func(Coverage)) {
-	for end := w.Now + span; w.Now < end; {
-		w.Run(w.Now + 250*time.Millisecond)
-		look(w.Coverage())
+func (sim *Simulation) watch(span time.Duration, look func(Coverage)) {
+	for end := sim.Now + span; sim.Now < end; {
+		sim.Run(sim.Now + 250*time.Millisecond)
+		look(sim.Coverage())
 	}
 }
 
-// inBothZones fails the test if a partition is not served in both zones.
-func (w *Simulation) inBothZones(t *testing.T) func(Coverage) {
+// requireBothZones fails the test if a partition is not served in both zones.
+func (sim *Simulation) requireBothZones(t *testing.T) func(Coverage) {
 	return func(c Coverage) {
 		t.Helper()
 		if c.NoZone+c.OneZone > 0 {
-			t.Fatalf("at %v %+v", w.Now, c)
+			t.Fatalf("at %v %+v", sim.Now, c)
 		}
 	}
 }
@@ -69,30 +69,30 @@
 // When a relay or a rack stops for good and when it comes back, at most twice its share moves, and
 // every partition is served in both zones all the time.
 func TestRelayAndRackGoAndReturn(t *testing.T) {
-	for name, lost := range map[string]func(w *Simulation) []int{
-		"relay": func(w *Simulation) []int { return []int{1234} },
-		"rack":  func(w *Simulation) []int { return w.Rack(17) },
+	for name, lost := range map[string]func(sim *Simulation) []int{
+		"relay": func(sim *Simulation) []int { return []int{1234} },
+		"rack":  func(sim *Simulation) []int { return sim.Rack(17) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			anywhere(t, func(t *testing.T, w *Simulation) {
-				relays := lost(w)
-				share := float64(len(relays)) / float64(w.Config.Relays)
-				all := float64(w.Config.Partitions * w.Config.Replicas)
-				inBoth := w.inBothZones(t)
-				before := w.Published()
-				w.StopAll(relays)
-				w.watch(80*time.Second, inBoth)
-				gone := w.Published()
+			inRegion(t, func(t *testing.T, sim *Simulation) {
+				relays := lost(sim)
+				share := float64(len(relays)) / float64(sim.Config.Relays)
+				all := float64(sim.Config.Partitions * sim.Config.Replicas)
+				inBoth := sim.requireBothZones(t)
+				before := sim.Published()
+				sim.StopAll(relays)
+				sim.watch(80*time.Second, inBoth)
+				gone := sim.Published()
 				if moved := float64(gone.CountMoved(before)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays stopped", moved, share)
 				}
-				w.StartAll(relays)
-				w.watch(20*time.Second, inBoth)
-				back := w.Published()
+				sim.StartAll(relays)
+				sim.watch(20*time.Second, inBoth)
+				back := sim.Published()
 				if moved := float64(back.CountMoved(gone)) / all; moved == 0 || moved > 2*share {
 					t.Errorf("%.4f of replicas moved, %.4f of relays came back", moved, share)
 				}
-				if n := len(w.Outdated(back)); n > 0 {
+				if n := len(sim.Outdated(back)); n > 0 {
 					t.Errorf("%d relays differ from the latest map", n)
 				}
 			})
@@ -102,17 +102,17 @@
 
 // A restart, of one relay or of 300 at once, moves nothing.
 func TestRestartMovesNothing(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		before := w.Published()
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		before := sim.Published()
 		for i := range 300 {
-			w.StopRelay(i * 13)
+			sim.StopRelay(i * 13)
 		}
-		w.Run(w.Now + 40*time.Second)
+		sim.Run(sim.Now + 40*time.Second)
 		for i := range 300 {
-			w.StartRelay(i * 13)
+			sim.StartRelay(i * 13)
 		}
-		w.Run(w.Now + 80*time.Second)
-		if after := w.Published(); after.Version != before.Version {
+		sim.Run(sim.Now + 80*time.Second)
+		if after := sim.Published(); after.Version != before.Version {
 			t.Errorf("map %v became %v: %d replicas moved", before.Version, after.Version, after.CountMoved(before))
 		}
 	})
@@ -121,21 +121,21 @@
 // When a zone stops for minutes and returns, nothing moves. Meanwhile every partition is served in
 // the other zone, and in both again as soon as the zone is back, from the slices on disk.
 func TestZoneGoesAndReturns(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		before := w.Published()
-		lost := w.Zone(1)
-		w.StopAll(lost)
-		w.watch(150*time.Second, func(c Coverage) {
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		before := sim.Published()
+		lost := sim.Zone(1)
+		sim.StopAll(lost)
+		sim.watch(150*time.Second, func(c Coverage) {
 			if c.NoZone > 0 || c.OneZone != c.Partitions {
-				t.Fatalf("at %v %+v", w.Now, c)
+				t.Fatalf("at %v %+v", sim.Now, c)
 			}
 		})
-		w.StartAll(lost)
-		if c := w.Coverage(); c.NoZone+c.OneZone > 0 {
+		sim.StartAll(lost)
+		if c := sim.Coverage(); c.NoZone+c.OneZone > 0 {
 			t.Errorf("with the zone back: %+v", c)
 		}
-		w.Run(w.Now + 30*time.Second)
-		if after := w.Published(); after.CountMoved(before) > 0 {
+		sim.Run(sim.Now + 30*time.Second)
+		if after := sim.Published(); after.CountMoved(before) > 0 {
 			t.Errorf("%d replicas moved", after.CountMoved(before))
 		}
 	})
@@ -144,17 +144,17 @@
 // A change is in force at 999 of 1,000 relays that it concerns within 3 s, with a tenth of all
 // datagrams lost.
 func TestChangeInForceWithin3s(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		w.StopAll(w.Rack(40))
-		w.Run(w.Now + 55*time.Second)
-		w.inForceIn3s(t)
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		sim.StopAll(sim.Rack(40))
+		sim.Run(sim.Now + 55*time.Second)
+		sim.inForceIn3s(t)
 	})
 }
 
 // inForceIn3s runs for 20 s, in which maps change, and checks how long they take to be in force.
-func (w *Simulation) inForceIn3s(t *testing.T) {
+func (sim *Simulation) inForceIn3s(t *testing.T) {
 	t.Helper()
-	delays := w.ChangeDelays(20*time.Second, 50*time.Millisecond, func() {})
+	delays := sim.ChangeDelays(20*time.Second, 50*time.Millisecond, func() {})
 	late := 0
 	for _, d := range delays {
 		if d > 3*time.Second {
@@ -168,17 +168,17 @@
 
 // With three control machines stopped, the publisher among them, maps change as before.
 func TestThreeControlsDead(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		first := w.Publisher()
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		first := sim.Publisher()
 		for i := range 3 {
-			w.StopControl((first + i) % w.Config.Controls)
+			sim.StopControl((first + i) % sim.Config.Controls)
 		}
-		before := w.Published()
-		w.StopAll(w.Rack(3))
-		w.Run(w.Now + 55*time.Second)
-		w.inForceIn3s(t)
-		if after := w.Published(); after.CountMoved(before) == 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays differ from the map; publisher %d", after.CountMoved(before), len(w.Outdated(after)), w.Publisher())
+		before := sim.Published()
+		sim.StopAll(sim.Rack(3))
+		sim.Run(sim.Now + 55*time.Second)
+		sim.inForceIn3s(t)
+		if after := sim.Published(); after.CountMoved(before) == 0 || len(sim.Outdated(after)) > 0 {
+			t.Errorf("%d replicas moved, %d relays differ from the map; publisher %d", after.CountMoved(before), len(sim.Outdated(after)), sim.Publisher())
 		}
 	})
 }
@@ -186,33 +186,33 @@
 // With all control machines stopped for ten minutes, relays keep the last map, also across a
 // restart. Afterwards nothing moves.
 func TestAllControlsDead(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		before := w.Published()
-		for i := range w.Controls {
-			w.StopControl(i)
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		before := sim.Published()
+		for i := range sim.Controls {
+			sim.StopControl(i)
 		}
 		for i := range 500 {
-			w.StopRelay(i * 8)
-			w.StartRelay(i * 8)
+			sim.StopRelay(i * 8)
+			sim.StartRelay(i * 8)
 		}
-		w.watch(10*time.Minute, func(c Coverage) {
+		sim.watch(10*time.Minute, func(c Coverage) {
 			if c.NoZone+c.OneZone > 0 {
-				t.Fatalf("at %v %+v", w.Now, c)
+				t.Fatalf("at %v %+v", sim.Now, c)
 			}
 		})
-		if !w.Relays[0].Follower.ControlUnreachable(w.Now) {
+		if !sim.Relays[0].Follower.ControlUnreachable(sim.Now) {
 			t.Error("no relay reports that control is unreachable")
 		}
-		for i := range w.Controls {
-			if err := w.StartControl(i); err != nil {
+		for i := range sim.Controls {
+			if err := sim.StartControl(i); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.Run(w.Now + 90*time.Second)
-		if after := w.Published(); after.CountMoved(before) > 0 || len(w.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays differ from the map", after.CountMoved(before), len(w.Outdated(after)))
+		sim.Run(sim.Now + 90*time.Second)
+		if after := sim.Published(); after.CountMoved(before) > 0 || len(sim.Outdated(after)) > 0 {
+			t.Errorf("%d replicas moved, %d relays differ from the map", after.CountMoved(before), len(sim.Outdated(after)))
 		}
-		if w.Relays[0].Follower.ControlUnreachable(w.Now) {
+		if sim.Relays[0].Follower.ControlUnreachable(sim.Now) {
 			t.Error("control is back, and a relay reports it as unreachable")
 		}
 	})
@@ -221,37 +221,37 @@
 // A publisher partitioned with three others publishes nothing, while the five others elect another
 // publisher. After the partition all continue from its maps.
 func TestTwoPublishers(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		first := w.Publisher()
-		side := func(i int) bool { return (i-first+w.Config.Controls)%w.Config.Controls < 4 }
-		cut := func(on bool) {
-			for a := range w.Controls {
-				for b := range w.Controls {
-					if side(a) && !side(b) {
-						w.PartitionControls(a, b, on)
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		first := sim.Publisher()
+		isolatedSide := func(i int) bool { return (i-first+sim.Config.Controls)%sim.Config.Controls < 4 }
+		setPartition := func(on bool) {
+			for a := range sim.Controls {
+				for b := range sim.Controls {
+					if isolatedSide(a) && !isolatedSide(b) {
+						sim.PartitionControls(a, b, on)
 					}
 				}
 			}
 		}
-		cut(true)
-		w.StopAll(w.Rack(5))
-		before := w.Published()
-		w.Run(w.Now + 90*time.Second)
-		after := w.Published()
-		if after.CountMoved(before) == 0 || w.Publisher() == first {
-			t.Fatalf("publisher %d, %d before; %d replicas moved", w.Publisher(), first, after.CountMoved(before))
+		setPartition(true)
+		sim.StopAll(sim.Rack(5))
+		before := sim.Published()
+		sim.Run(sim.Now + 90*time.Second)
+		after := sim.Published()
+		if after.CountMoved(before) == 0 || sim.Publisher() == first {
+			t.Fatalf("publisher %d, %d before; %d replicas moved", sim.Publisher(), first, after.CountMoved(before))
 		}
-		if old := w.Controls[first].Node.Register().Published(); old.Version != before.Version {
+		if old := sim.Controls[first].Node.Register().Published(); old.Version != before.Version {
 			t.Errorf("the partitioned publisher published %v", old.Version)
 		}
-		cut(false)
-		w.Run(w.Now + 10*time.Second)
-		for i, c := range w.Controls {
+		setPartition(false)
+		sim.Run(sim.Now + 10*time.Second)
+		for i, c := range sim.Controls {
 			if got := c.Node.Register().Published(); got.Version.Compare(after.Version) < 0 {
 				t.Errorf("control machine %d still has %v", i, got.Version)
 			}
 		}
-		if n := len(w.Outdated(w.Published())); n > 0 {
+		if n := len(sim.Outdated(sim.Published())); n > 0 {
 			t.Errorf("%d relays differ from the map", n)
 		}
 	})
@@ -260,31 +260,31 @@
 // A zone whose relays reach no control machine for minutes keeps its replicas, and gets the changes
 // made meanwhile afterwards. A slice of another region is rejected.
 func TestZoneCutFromControl(t *testing.T) {
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		before := w.Published()
-		for _, i := range w.Zone(0) {
-			w.IsolateRelay(i, true)
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		before := sim.Published()
+		for _, i := range sim.Zone(0) {
+			sim.IsolateRelay(i, true)
 		}
-		w.StopAll(w.Rack(1))
-		w.watch(3*time.Minute, func(c Coverage) {
+		sim.StopAll(sim.Rack(1))
+		sim.watch(3*time.Minute, func(c Coverage) {
 			if c.NoZone+c.OneZone > 0 {
-				t.Fatalf("at %v %+v", w.Now, c)
+				t.Fatalf("at %v %+v", sim.Now, c)
 			}
 		})
-		for _, i := range w.Zone(0) {
-			w.IsolateRelay(i, false)
+		for _, i := range sim.Zone(0) {
+			sim.IsolateRelay(i, false)
 		}
-		w.settle(t, 10*time.Second)
-		after := w.Published()
+		sim.settle(t, 10*time.Second)
+		after := sim.Published()
 		for p := range after.Partitions() {
 			for _, r := range before.Replicas(assignment.Partition(p)) {
-				if w.Members[r].Zone == 0 && !after.Serves(r, assignment.Partition(p)) {
+				if sim.Members[r].Zone == 0 && !after.Serves(r, assignment.Partition(p)) {
 					t.Fatalf("partition %d moved away from relay %d, which reached no control machine", p, r)
 				}
 			}
 		}
-		other := assignment.NewFollower(w.Config.Number+1, 0, w.key)
-		if _, err := other.HandleAnswer(0, w.Relays[0].Follower.Encoded()); !errors.Is(err, assignment.ErrOtherRegion) {
+		other := assignment.NewFollower(sim.Config.Number+1, 0, sim.key)
+		if _, err := other.HandleAnswer(0, sim.Relays[0].Follower.Encoded()); !errors.Is(err, assignment.ErrOtherRegion) {
 			t.Errorf("another region's relay: %v", err)
 		}
 	})
@@ -294,19 +294,19 @@
 // the 3 KB per second that a relay may spend on control.
 func TestMassStart(t *testing.T) {
 	const budget = 3000 // bytes per second
-	anywhere(t, func(t *testing.T, w *Simulation) {
-		started := w.Zone(1)
-		w.StopAll(started)
-		w.Run(w.Now + 20*time.Second)
+	inRegion(t, func(t *testing.T, sim *Simulation) {
+		started := sim.Zone(1)
+		sim.StopAll(started)
+		sim.Run(sim.Now + 20*time.Second)
 		for _, i := range started {
-			w.Relays[i].disk = nil
-			w.Relays[i].BytesSent, w.Relays[i].BytesReceived = 0, 0
-			w.StartRelay(i)
+			sim.Relays[i].disk = nil
+			sim.Relays[i].BytesSent, sim.Relays[i].BytesReceived = 0, 0
+			sim.StartRelay(i)
 		}
-		w.Run(w.Now + 3*time.Second)
+		sim.Run(sim.Now + 3*time.Second)
 		without, most := 0, int64(0)
 		for _, i := range started {
-			r := w.Relays[i]
+			r := sim.Relays[i]
 			most = max(most, r.BytesSent+r.BytesReceived)
 			if r.Follower.Current() == nil {
 				without++
@@ -323,21 +323,21 @@
 }
 
 // Every event can be simulated, and an unknown event is rejected.
-func TestPlay(t *testing.T) {
+func TestRunEvent(t *testing.T) {
 	c := Config{Seed: 1, Relays: 240, Controls: 5, Zones: 2, RackSize: 8, Partitions: 512, Replicas: 4, Loss: 0.1}
 	for _, event := range Events {
-		o, err := RunEvent(c, event)
+		outcome, err := RunEvent(c, event)
 		if err != nil {
 			t.Fatal(event, err)
 		}
-		if o.NoZoneSeconds > 0 || o.P999Seconds > 3 || o.MaxRelayRate > 3000 || o.AffectedRelays == 0 {
-			t.Errorf("%+v", o)
+		if outcome.NoZoneSeconds > 0 || outcome.P999Seconds > 3 || outcome.MaxRelayRate > 3000 || outcome.AffectedRelays == 0 {
+			t.Errorf("%+v", outcome)
 		}
-		if most := map[Event]float64{LoseZone: 1, Restart: 0.05}[event]; o.MaxOneZoneShare > most {
-			t.Errorf("%s: %.3f of partitions in one zone only", event, o.MaxOneZoneShare)
+		if most := map[Event]float64{LoseZone: 1, Restart: 0.05}[event]; outcome.MaxOneZoneShare > most {
+			t.Errorf("%s: %.3f of partitions in one zone only", event, outcome.MaxOneZoneShare)
 		}
-		if share := float64(o.AffectedRelays) / float64(c.Relays); max(o.Moved, o.MovedBack) > 2*share {
-			t.Errorf("%s: %.4f of replicas moved, and %.4f back", event, o.Moved, o.MovedBack)
+		if share := float64(outcome.AffectedRelays) / float64(c.Relays); max(outcome.Moved, outcome.MovedBack) > 2*share {
+			t.Errorf("%s: %.4f of replicas moved, and %.4f back", event, outcome.Moved, outcome.MovedBack)
 		}
 	}
 	if _, err := RunEvent(c, "moon"); err == nil {
