--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -32,8 +32,9 @@
 // Verdict is the judgement on one run of a scenario. Runs of the same scenario in different
 // environments are compared by it.
 type Verdict struct {
-	Gone   []int    `json:"gone"`   // relays that did not come back
-	Agreed bool     `json:"agreed"` // at the end every running relay saw the running ones as alive and the others as gone
+	Gone []int `json:"gone"` // relays that did not come back
+	// at the end every running relay saw the running ones as alive and the others as gone
+	Agreed bool     `json:"agreed"`
 	Missed []int    `json:"missed"` // relays correctly seen as away or left at some time
 	False  []string `json:"false"`  // relays seen as away or left that no fault had hidden
 	Rules  []string `json:"rules"`  // violated rules
@@ -87,7 +88,8 @@
 	if err1 != nil || err2 != nil || err3 != nil {
 		return change, at, false
 	}
-	return Seen{By: int32(by), Number: int32(number), From: fields["was"], To: fields["state"], Incarnation: incarnation, Why: fields["why"]}, at, true
+	return Seen{By: int32(by), Number: int32(number), From: fields["was"], To: fields["state"],
+		Incarnation: incarnation, Why: fields["why"]}, at, true
 }
 
 // visibilityLoss returns a function that reports whether the fault can hide relay `of` from relay
@@ -105,7 +107,8 @@
 	case emu.GossipSendLoss:
 		return func(_, of int) bool { return affected[of] }
 	case emu.GossipReceiveLoss:
-		return func(by, _ int) bool { return affected[by] } // it receives nothing, so it may end up seeing every other relay as dead
+		// it receives nothing, so it may end up seeing every other relay as dead
+		return func(by, _ int) bool { return affected[by] }
 	}
 	return func(int, int) bool { return false }
 }
@@ -125,11 +128,14 @@
 		}
 		key := [2]int32{change.By, change.Number}
 		if change.Incarnation < incarnations[key] {
-			verdict.Rules = append(verdict.Rules, fmt.Sprintf("relay %d: incarnation of %d went back from %d to %d", change.By, change.Number, incarnations[key], change.Incarnation))
+			verdict.Rules = append(verdict.Rules,
+				fmt.Sprintf("relay %d: incarnation of %d went back from %d to %d", change.By, change.Number,
+					incarnations[key], change.Incarnation))
 		}
 		incarnations[key] = change.Incarnation
 		if change.To == "alive" && change.From == "away" && change.Incarnation == 0 {
-			verdict.Rules = append(verdict.Rules, fmt.Sprintf("relay %d: %d is back without a word of it", change.By, change.Number))
+			verdict.Rules = append(verdict.Rules,
+				fmt.Sprintf("relay %d: %d is back without a word of it", change.By, change.Number))
 		}
 		if change.To != "away" && change.To != "left" {
 			continue
@@ -139,7 +145,9 @@
 			excused = excused || visibilityLoss(scenario, &scenario.Faults[i])(int(change.By), int(change.Number))
 		}
 		if !excused {
-			verdict.False = append(verdict.False, fmt.Sprintf("relay %d held %d for %s at %d ms: %s", change.By, change.Number, change.To, change.AtMs, change.Why))
+			verdict.False = append(verdict.False,
+				fmt.Sprintf("relay %d held %d for %s at %d ms: %s", change.By, change.Number, change.To,
+					change.AtMs, change.Why))
 			continue
 		}
 		missed[int(change.Number)] = true
@@ -190,7 +198,8 @@
 			rules = append(rules, submission.Name+notCompleted)
 		case submission.Outcome == client.Refused && ran[submission.Name] > 0:
 			rules = append(rules, fmt.Sprintf("%s was refused and ran", submission.Name))
-		case submission.Class == "fee-charge" && notified && notification.Outcome == "handed_back" && ran[submission.Name] > 0:
+		case submission.Class == "fee-charge" && notified && notification.Outcome == "handed_back" &&
+			ran[submission.Name] > 0:
 			rules = append(rules, fmt.Sprintf("%s was handed back and ran", submission.Name))
 		}
 	}
@@ -216,7 +225,10 @@
 		if change.At < fleetStartTime {
 			continue // the fleet is still starting
 		}
-		changes = append(changes, Seen{AtMs: (change.At - fleetStartTime).Milliseconds(), By: int32(change.By), Number: int32(change.Number), From: change.From, To: change.To, Incarnation: int64(change.Incarnation), Why: change.Why})
+		changes = append(changes,
+			Seen{AtMs: (change.At - fleetStartTime).Milliseconds(), By: int32(change.By),
+				Number: int32(change.Number), From: change.From, To: change.To,
+				Incarnation: int64(change.Incarnation), Why: change.Why})
 	}
 	verdict := checkMembers(scenario, changes)
 	verdict.Agreed, verdict.Gone = result.Agreed, result.Down
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -70,13 +70,17 @@
 	relaysPerEndpoint := map[int]map[string]int{}
 	for _, choices := range all {
 		if choices.Live != len(all) || choices.Place < 0 || slices.Contains(places, choices.Place) {
-			problems = append(problems, fmt.Sprintf("relay %d has place %d of %d; %d relays are up, with places %v so far", choices.Self, choices.Place, choices.Live, len(all), places))
+			problems = append(problems,
+				fmt.Sprintf("relay %d has place %d of %d; %d relays are up, with places %v so far",
+					choices.Self, choices.Place, choices.Live, len(all), places))
 		}
 		places = append(places, choices.Place)
 		surplus := 0
 		for _, subset := range choices.Subsets {
 			if subset.Of != endpointCounts[subset.Destination] || len(subset.Endpoints) != subsetSize {
-				problems = append(problems, fmt.Sprintf("relay %d keeps %d of %d endpoints of destination %d", choices.Self, len(subset.Endpoints), subset.Of, subset.Destination))
+				problems = append(problems,
+					fmt.Sprintf("relay %d keeps %d of %d endpoints of destination %d", choices.Self,
+						len(subset.Endpoints), subset.Of, subset.Destination))
 			}
 			surplus++
 			if relaysPerEndpoint[subset.Destination] == nil {
@@ -92,7 +96,8 @@
 			}
 		}
 		if surplus != 0 {
-			problems = append(problems, fmt.Sprintf("relay %d keeps subsets of %d destinations", choices.Self, len(choices.Subsets)))
+			problems = append(problems,
+				fmt.Sprintf("relay %d keeps subsets of %d destinations", choices.Self, len(choices.Subsets)))
 		}
 	}
 	for dest, counts := range relaysPerEndpoint {
@@ -104,7 +109,8 @@
 			fewest = 0
 		}
 		if most-fewest > 2 && float64(most-fewest) > 0.3*float64(len(all)*subsetSize)/float64(endpointCounts[dest]) {
-			problems = append(problems, fmt.Sprintf("destination %d: %d to %d relays on an endpoint", dest, fewest, most))
+			problems = append(problems,
+				fmt.Sprintf("destination %d: %d to %d relays on an endpoint", dest, fewest, most))
 		}
 	}
 	slices.Sort(problems)
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -63,7 +63,8 @@
 	}
 	var clients []*client.Client // one for each relay: a client stays with a relay while it answers well
 	for _, relay := range relays {
-		c, err := client.New(client.Config{Relays: []string{relay.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
+		c, err := client.New(
+			client.Config{Relays: []string{relay.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,15 +82,19 @@
 				return
 			case <-ticker.C:
 			}
-			message := client.Message{Class: "price-alert", Dest: 1, Effect: client.Safe, TimeLeft: 5 * time.Second, Body: []byte(fmt.Sprintf("price-alert/%d\n", n))}
+			message := client.Message{Class: "price-alert", Dest: 1, Effect: client.Safe,
+				TimeLeft: 5 * time.Second, Body: []byte(fmt.Sprintf("price-alert/%d\n", n))}
 			if n%5 == 0 {
-				message.Class, message.Effect, message.TimeLeft, message.Body = "fee-charge", client.Unsafe, 15*time.Second, []byte(fmt.Sprintf("fee-charge/%d\n", n))
+				message.Class, message.Effect, message.TimeLeft, message.Body = "fee-charge", client.Unsafe,
+					15*time.Second, []byte(fmt.Sprintf("fee-charge/%d\n", n))
 			}
-			clients[n%len(clients)].TryHandIn(ctx, message, func(client.Result, error) {}) // a relay full of pending messages may reject it; the next is sent anyway
+			// a relay full of pending messages may reject it; the next is sent anyway
+			clients[n%len(clients)].TryHandIn(ctx, message, func(client.Result, error) {})
 		}
 	}()
 	defer func() { cancel(); <-done }()
-	if err := env.WaitUntil("the first messages to be delivered", func() bool { return env.EffectLog.Len() > 50 }); err != nil {
+	if err := env.WaitUntil("the first messages to be delivered",
+		func() bool { return env.EffectLog.Len() > 50 }); err != nil {
 		t.Fatal(err)
 	}
 	if err := env.Partners[1].SetMode(testdouble.RefusingConnections, 1); err != nil {
@@ -118,11 +123,13 @@
 	if err := env.Partners[1].SetMode(testdouble.Healthy, 1); err != nil {
 		t.Fatal(err)
 	}
-	err := env.WaitUntil("the other relays to deliver in place of the stopped one", func() bool { return env.EffectLog.Len() >= deliveredBefore+100 })
+	err := env.WaitUntil("the other relays to deliver in place of the stopped one",
+		func() bool { return env.EffectLog.Len() >= deliveredBefore+100 })
 	if resumeErr := relays[holder].Signal(syscall.SIGCONT); err != nil || resumeErr != nil {
 		t.Fatal(err, resumeErr)
 	}
-	if err := env.WaitUntil("all relays to deliver", func() bool { return env.EffectLog.Len() >= deliveredBefore+200 }); err != nil {
+	if err := env.WaitUntil("all relays to deliver",
+		func() bool { return env.EffectLog.Len() >= deliveredBefore+200 }); err != nil {
 		t.Fatal(err)
 	}
 	if twice := env.EffectLog.Duplicates("fee-charge"); len(twice) > 0 {
@@ -151,7 +158,8 @@
 	// counts the calls of all relays.
 	limited := &scenario.Kinds[len(scenario.Kinds)-1]
 	limited.Limit, limited.MaxBatch, limited.RetryAfter = emu.RateLimit, 1, 0
-	scenario.Faults = []emu.Fault{{Kind: emu.LowerLimit, At: 14 * time.Second, Duration: 9 * time.Second, Intensity: 0.1, Dests: []int{1}}}
+	scenario.Faults = []emu.Fault{
+		{Kind: emu.LowerLimit, At: 14 * time.Second, Duration: 9 * time.Second, Intensity: 0.1, Dests: []int{1}}}
 	if err := Playable(scenario); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -72,12 +72,14 @@
 	case emu.Blackhole, emu.Crash, emu.RejectAll:
 		for _, routes := range r.routes { // partners' endpoints fail for every relay
 			for _, route := range routes {
-				if slices.Contains(fault.Endpoints, [2]int{route.dest, route.endpoint}) || losesEndpoint(&r.scenario.Dests[route.dest], route.endpoint, fault.Zone) {
+				if slices.Contains(fault.Endpoints, [2]int{route.dest, route.endpoint}) ||
+					losesEndpoint(&r.scenario.Dests[route.dest], route.endpoint, fault.Zone) {
 					route.proxy.SetFaults(faultnet.StreamFaults{Refuse: step.begins})
 				}
 			}
 		}
-		mode := map[emu.FaultKind]testdouble.Mode{emu.Blackhole: testdouble.Unresponsive, emu.Crash: testdouble.RefusingConnections, emu.RejectAll: testdouble.Unavailable}[fault.Kind]
+		mode := map[emu.FaultKind]testdouble.Mode{emu.Blackhole: testdouble.Unresponsive,
+			emu.Crash: testdouble.RefusingConnections, emu.RejectAll: testdouble.Unavailable}[fault.Kind]
 		if !step.begins {
 			mode = testdouble.Healthy
 		}
@@ -112,7 +114,8 @@
 		for _, n := range relays {
 			for _, route := range r.routes[n] {
 				if slices.Contains(r.scenario.DestsOf(fault), route.dest) {
-					route.proxy.SetFaults(faultnet.StreamFaults{BlockOutbound: step.begins, BlockInbound: step.begins})
+					route.proxy.SetFaults(
+						faultnet.StreamFaults{BlockOutbound: step.begins, BlockInbound: step.begins})
 				}
 			}
 		}
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -41,7 +41,8 @@
 	}
 	disagreement := r.memberDisagreement()
 	if r.scenario.Choices.SubsetSize > 0 {
-		if r.waitUntil(ctx, "all relays to share endpoints evenly", func() bool { return len(r.choiceProblems()) == 0 }) != nil {
+		if r.waitUntil(ctx, "all relays to share endpoints evenly",
+			func() bool { return len(r.choiceProblems()) == 0 }) != nil {
 			for _, text := range r.choiceProblems() {
 				r.reportFault("%s", text)
 			}
@@ -93,7 +94,9 @@
 		result.Refused += partner.RejectedCalls()
 	}
 	for i, fault := range r.scenario.Faults {
-		result.Troubles = append(result.Troubles, fmt.Sprintf("%d: %s of %v %s from %v for %v", i, fault.Kind, r.scenario.RelaysOf(&fault), fault.Zone, fault.At, fault.Duration))
+		result.Troubles = append(result.Troubles,
+			fmt.Sprintf("%d: %s of %v %s from %v for %v", i, fault.Kind, r.scenario.RelaysOf(&fault),
+				fault.Zone, fault.At, fault.Duration))
 	}
 	return result, nil
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -74,7 +74,8 @@
 		return errors.New("members: the scenario must enable membership")
 	}
 	if scenario.Rate <= 0 || scenario.Rate > maxRate || scenario.Rate*scenario.Length.Seconds() > maxMessages {
-		return fmt.Errorf("rate: %.0f messages per second for %v: no messages, or more than %.0f per second or %d in total", scenario.Rate, scenario.Length, maxRate, maxMessages)
+		return fmt.Errorf("rate: %.0f messages per second for %v: no messages, or more than %.0f per second or %d in total",
+			scenario.Rate, scenario.Length, maxRate, maxMessages)
 	}
 	for i, fault := range scenario.Faults {
 		switch fault.Kind {
@@ -120,7 +121,8 @@
 	if err := Playable(config.Scenario); err != nil {
 		return nil, err
 	}
-	r := &run{config: config, scenario: config.Scenario, activeFaults: map[int]bool{}, down: map[int]bool{}, stallCounts: map[int]int{}}
+	r := &run{config: config, scenario: config.Scenario, activeFaults: map[int]bool{}, down: map[int]bool{},
+		stallCounts: map[int]int{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -147,7 +149,8 @@
 func (r *run) partners() (all []testdouble.PartnerConfig) {
 	for i, dest := range r.scenario.Dests {
 		kind := r.scenario.Kinds[dest.Kind]
-		partner := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(dest.Endpoints), ServiceTime: 3 * time.Millisecond, Zone: dest.Zone}
+		partner := testdouble.PartnerConfig{Dest: 1 + i, Endpoints: len(dest.Endpoints),
+			ServiceTime: 3 * time.Millisecond, Zone: dest.Zone}
 		if kind.MaxBatch > 1 {
 			partner.Kind = "broker"
 		}
@@ -157,7 +160,8 @@
 			}
 		}
 		if zone := dest.SingleZone(); zone != "" {
-			partner.Rate, partner.Burst, partner.ColdRateShare, partner.WarmUpTime, partner.OverloadFactor = singleZoneRate, singleZoneRate, kind.ColdStartShare, singleZoneWarmUp, r.scenario.OverloadFactor
+			partner.Rate, partner.Burst, partner.ColdRateShare, partner.WarmUpTime, partner.OverloadFactor =
+				singleZoneRate, singleZoneRate, kind.ColdStartShare, singleZoneWarmUp, r.scenario.OverloadFactor
 		}
 		if kind.Limit == emu.RateLimit {
 			partner.Rate, partner.Burst, partner.RetryAfter = dest.Limit, max(1, dest.Limit/2), kind.RetryAfter
@@ -169,7 +173,9 @@
 
 func (r *run) classes() (all []testdouble.Class) {
 	for _, class := range r.scenario.Classes {
-		all = append(all, testdouble.Class{Name: class.Name, Effect: []string{"safe", "keyed", "unsafe"}[class.Effect], TargetLatency: class.TargetLatency, Deadline: class.Deadline, RepeatWindow: max(class.RepeatWindow, time.Second),
+		all = append(all, testdouble.Class{Name: class.Name,
+			Effect: []string{"safe", "keyed", "unsafe"}[class.Effect], TargetLatency: class.TargetLatency,
+			Deadline: class.Deadline, RepeatWindow: max(class.RepeatWindow, time.Second),
 			Value: class.Value, LateValue: class.LateValue})
 	}
 	return all
@@ -177,7 +183,9 @@
 
 // start starts the test doubles, then all relays in parallel.
 func (r *run) start() (err error) {
-	if r.env, err = testdouble.NewEnvironment(testdouble.Config{Seed: r.config.Seed, Partners: r.partners(), Classes: r.classes(), FleetSize: r.scenario.Relays, MaxPending: 500}); err != nil {
+	if r.env, err = testdouble.NewEnvironment(
+		testdouble.Config{Seed: r.config.Seed, Partners: r.partners(), Classes: r.classes(),
+			FleetSize: r.scenario.Relays, MaxPending: 500}); err != nil {
 		return err
 	}
 	var listen []string
@@ -203,7 +211,9 @@
 		if err != nil {
 			return err
 		}
-		fleetConfig := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.network.PeerAddrs(n), Zone: zones[r.scenario.ZoneOf(n)], Zones: zones, Members: "on", Choices: r.scenario.Choices.String(), DiscoveryAddr: discovery}
+		fleetConfig := &testdouble.FleetConfig{Number: n, PeerListen: listen[n], Peers: r.network.PeerAddrs(n),
+			Zone: zones[r.scenario.ZoneOf(n)], Zones: zones, Members: "on",
+			Choices: r.scenario.Choices.String(), DiscoveryAddr: discovery}
 		if r.config.OutDir != "" {
 			file, err := os.Create(filepath.Join(r.config.OutDir, fmt.Sprintf("relay-%02d.log", n)))
 			if err != nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -72,7 +72,8 @@
 						t.Errorf("seed %d: %+v", seed+1, change)
 					}
 				}
-				gone := map[string]int{"killed-for-good": 1, "killed-while-notes-are-lost": 1, "choices-killed": 2}[name]
+				gone := map[string]int{"killed-for-good": 1, "killed-while-notes-are-lost": 1,
+					"choices-killed": 2}[name]
 				if len(verdict.Gone) != gone {
 					t.Errorf("seed %d: gone %v", seed+1, verdict.Gone)
 				}
@@ -86,7 +87,8 @@
 // verdict equals that of virtual time, and all result files are written.
 func TestScenarios(t *testing.T) {
 	atOnce := make(chan struct{}, 2) // more at once would only be slower
-	for _, name := range []string{"zone-cut", "pause-ten-seconds", "rolling-restarts", "killed-while-notes-are-lost", "choices-killed"} {
+	for _, name := range []string{"zone-cut", "pause-ten-seconds", "rolling-restarts",
+		"killed-while-notes-are-lost", "choices-killed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			atOnce <- struct{}{}
@@ -111,7 +113,8 @@
 			rows, err := parquet.ReadFile[Seen](filepath.Join(out, "results.parquet"))
 			page, perr := os.ReadFile(filepath.Join(out, "report.html"))
 			logs, _ := filepath.Glob(filepath.Join(out, "relay-*.log"))
-			if err != nil || perr != nil || len(rows) != len(res.Seen) || len(rows) == 0 || !strings.Contains(string(page), "<svg") || len(logs) != scenario.Relays {
+			if err != nil || perr != nil || len(rows) != len(res.Seen) || len(rows) == 0 ||
+				!strings.Contains(string(page), "<svg") || len(logs) != scenario.Relays {
 				t.Errorf("%d rows, %d logs, %v, %v", len(rows), len(logs), err, perr)
 			}
 		})
@@ -133,12 +136,19 @@
 		all   bool
 		parts []bool
 	}{
-		{"several zones, one of them the destination's", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-1", "zone-2", "zone-1")}, false, []bool{true, false, true}},
-		{"several zones, none lost", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-3")}, false, []bool{false, false}},
-		{"all endpoints in the lost zone", emu.Dest{Zone: "zone-2", Endpoints: endpointsIn("zone-1", "zone-1")}, true, []bool{false, false}},
-		{"all endpoints elsewhere", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-2")}, false, []bool{false, false}},
-		{"endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "")}, true, []bool{false, false}},
-		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "zone-2")}, false, []bool{true, false}},
+		{"several zones, one of them the destination's",
+			emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-1", "zone-2", "zone-1")}, false,
+			[]bool{true, false, true}},
+		{"several zones, none lost", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-3")},
+			false, []bool{false, false}},
+		{"all endpoints in the lost zone", emu.Dest{Zone: "zone-2", Endpoints: endpointsIn("zone-1", "zone-1")},
+			true, []bool{false, false}},
+		{"all endpoints elsewhere", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-2", "zone-2")}, false,
+			[]bool{false, false}},
+		{"endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "")}, true,
+			[]bool{false, false}},
+		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "zone-2")}, false,
+			[]bool{true, false}},
 	} {
 		if got := losesDestination(&c.dest, "zone-1"); got != c.all {
 			t.Errorf("%s: lost as a whole: %v", c.name, got)
@@ -156,7 +166,8 @@
 
 // The checks find each violated rule, and nothing in correct runs.
 func TestChecks(t *testing.T) {
-	scenario := &emu.Scenario{Relays: 4, Zones: 2, Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
+	scenario := &emu.Scenario{Relays: 4, Zones: 2,
+		Faults: []emu.Fault{{Kind: emu.RelayCrash, Relays: []int{1}}, {Kind: emu.Partition, Zone: "zone-2"}}}
 	away := func(by, n int) Seen {
 		return Seen{By: int32(by), Number: int32(n), From: "suspect", To: "away", Incarnation: 1}
 	}
@@ -166,11 +177,16 @@
 		want   string // substring of the findings; empty: no finding
 		missed int
 	}{
-		{"quiet", nil, "", 0}, {"the killed relay is seen as dead", []Seen{away(0, 1)}, "", 1}, {"across the partition", []Seen{away(0, 3), away(3, 2)}, "", 2},
+		{"quiet", nil, "", 0}, {"the killed relay is seen as dead", []Seen{away(0, 1)}, "", 1},
+		{"across the partition", []Seen{away(0, 3), away(3, 2)}, "", 2},
 		{"a false death", []Seen{away(0, 2)}, "held 2 for away", 0},
 		{"left without leaving", []Seen{{By: 0, Number: 2, To: "left", Incarnation: 1}}, "held 2 for left", 0},
-		{"an incarnation decreases", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "went back", 0},
-		{"a lower incarnation after the observer restarted", []Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 0, To: started}, {By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
+		{"an incarnation decreases",
+			[]Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5},
+				{By: 0, Number: 1, To: "alive", Incarnation: 4}}, "went back", 0},
+		{"a lower incarnation after the observer restarted",
+			[]Seen{{By: 0, Number: 1, To: "alive", Incarnation: 5}, {By: 0, Number: 0, To: started},
+				{By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
 		{"back with incarnation 0", []Seen{{By: 0, Number: 1, From: "away", To: "alive"}}, "without a word", 0},
 	} {
 		v := checkMembers(scenario, c.seen)
@@ -186,31 +202,47 @@
 		books Records
 		want  string
 	}{
-		{"delivered", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}}, ""},
-		{"a charge runs twice", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
+		{"delivered", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)},
+			Effects: []testdouble.Effect{ran}}, ""},
+		{"a charge runs twice",
+			Records{Submissions: []Submission{submitted("fee-charge", client.Taken)},
+				Effects: []testdouble.Effect{ran, ran}}, "ran 2 times"},
 		{"not completed", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}}, "no end"},
-		{"given up", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
-		{"refused and ran", Records{Submissions: []Submission{submitted("fee-charge", client.Refused)}, Effects: []testdouble.Effect{ran}}, "refused and ran"},
-		{"handed back and ran", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)}, Effects: []testdouble.Effect{ran}, Notifications: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}}, "handed back and ran"},
-		{"a call before Retry-After", Records{EarlyCalls: 1}, "told wait"}, {"an oversized gossip message", Records{OversizedMessages: 1}, "256 bytes"},
+		{"given up", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)},
+			Notifications: map[string]testdouble.Notification{"id": {Outcome: "given_up"}}}, ""},
+		{"refused and ran",
+			Records{Submissions: []Submission{submitted("fee-charge", client.Refused)},
+				Effects: []testdouble.Effect{ran}}, "refused and ran"},
+		{"handed back and ran",
+			Records{Submissions: []Submission{submitted("fee-charge", client.Taken)},
+				Effects:       []testdouble.Effect{ran},
+				Notifications: map[string]testdouble.Notification{"id": {Outcome: "handed_back"}}},
+			"handed back and ran"},
+		{"a call before Retry-After", Records{EarlyCalls: 1}, "told wait"},
+		{"an oversized gossip message", Records{OversizedMessages: 1}, "256 bytes"},
 	} {
-		if got := strings.Join(checkMessages(&c.books), "; "); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
+		if got := strings.Join(checkMessages(&c.books), "; "); (c.want == "") != (got == "") ||
+			!strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
 	good, bad := Verdict{Agreed: true}, Verdict{Agreed: true, Rules: []string{"x"}}
-	if good.CheckSame(&bad) == nil || good.CheckSame(&Verdict{Agreed: true, Gone: []int{1}}) == nil || good.CheckSame(&good) != nil || (&Verdict{}).Good() {
+	if good.CheckSame(&bad) == nil || good.CheckSame(&Verdict{Agreed: true, Gone: []int{1}}) == nil ||
+		good.CheckSame(&good) != nil || (&Verdict{}).Good() {
 		t.Error("verdicts that differ are reported as equal")
 	}
 }
 
 // Lines about members are parsed, others are skipped.
 func TestParseLogLine(t *testing.T) {
-	s, at, ok := parseLogLine(3, `time=2026-12-01T21:52:03.125Z level=INFO msg=member number=4 state=away was=suspect incarnation=7 why="a \"b\" c=d, e"`)
-	if !ok || s.By != 3 || s.Number != 4 || s.From != "suspect" || s.To != "away" || s.Incarnation != 7 || s.Why != `a "b" c=d, e` || at.Nanosecond() != 125e6 {
+	s, at, ok := parseLogLine(3,
+		`time=2026-12-01T21:52:03.125Z level=INFO msg=member number=4 state=away was=suspect incarnation=7 why="a \"b\" c=d, e"`)
+	if !ok || s.By != 3 || s.Number != 4 || s.From != "suspect" || s.To != "away" || s.Incarnation != 7 ||
+		s.Why != `a "b" c=d, e` || at.Nanosecond() != 125e6 {
 		t.Errorf("%+v %v %v", s, at, ok)
 	}
-	for _, line := range []string{"", "x", "time=now msg=member number=1", `msg=member number=x why="`, "msg=other number=4", `a="unclosed`} {
+	for _, line := range []string{"", "x", "time=now msg=member number=1", `msg=member number=x why="`,
+		"msg=other number=4", `a="unclosed`} {
 		if _, _, ok := parseLogLine(0, line); ok {
 			t.Errorf("read %q", line)
 		}
@@ -220,12 +252,14 @@
 // Playable names what processes can't play.
 func TestPlayable(t *testing.T) {
 	valid := func() *emu.Scenario {
-		return &emu.Scenario{Relays: 3, Membership: true, Rate: 10, Length: 30 * time.Second, Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
+		return &emu.Scenario{Relays: 3, Membership: true, Rate: 10, Length: 30 * time.Second,
+			Classes: []emu.Class{{Class: policy.Class{Name: "x"}}}}
 	}
 	if err := Playable(valid()); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*emu.Scenario){"relays": func(d *emu.Scenario) { d.Relays = 41 }, "members": func(d *emu.Scenario) { d.Membership = false }, "rate": func(d *emu.Scenario) { d.Rate = 1e6 },
+	for want, spoil := range map[string]func(*emu.Scenario){"relays": func(d *emu.Scenario) { d.Relays = 41 },
+		"members": func(d *emu.Scenario) { d.Membership = false }, "rate": func(d *emu.Scenario) { d.Rate = 1e6 },
 		"kind":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Burst, At: time.Minute}} },
 		"troubles[0]": func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Partition, At: time.Second}} }} {
 		d := valid()
@@ -238,14 +272,19 @@
 
 // startRelays starts the first relays of a fleet of n with membership enabled. Nobody listens at
 // the other addresses.
-func startRelays(t *testing.T, n, start int) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
+func startRelays(t *testing.T, n, start int) (
+	*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string,
+) {
 	return startRelaysWithChoices(t, n, start, "")
 }
 
 // startRelaysWithChoices is startRelays for relays that share choices.
-func startRelaysWithChoices(t *testing.T, n, start int, choices string) (*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string) {
+func startRelaysWithChoices(t *testing.T, n, start int, choices string) (
+	*testdouble.Environment, *faultnet.Network, []*testdouble.Relay, []string,
+) {
 	t.Helper()
-	env, err := testdouble.NewEnvironment(testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
+	env, err := testdouble.NewEnvironment(
+		testdouble.Config{Partners: []testdouble.PartnerConfig{{Dest: 1}}, FleetSize: n})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +304,9 @@
 	t.Cleanup(network.Close)
 	var relays []*testdouble.Relay
 	for i := range start {
-		r, err := env.NewFleetRelay(bin, &testdouble.FleetConfig{Number: i, PeerListen: listen[i], Peers: network.PeerAddrs(i), Zone: "a", Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
+		r, err := env.NewFleetRelay(bin,
+			&testdouble.FleetConfig{Number: i, PeerListen: listen[i], Peers: network.PeerAddrs(i), Zone: "a",
+				Zones: []string{"a"}, Members: "on", Choices: choices}, "--log", "debug")
 		if err == nil {
 			err = r.Start()
 		}
@@ -303,10 +344,11 @@
 	}
 	awaitLog(t, next, "all is taken over")
 	relays[1] = next
-	if err := r.waitUntil(context.Background(), "the new process to exceed the incarnation of the old one", func() bool {
-		v, err := r.fetchMembers(0)
-		return err == nil && v.Members[1].Incarnation > 1
-	}); err != nil {
+	if err := r.waitUntil(context.Background(), "the new process to exceed the incarnation of the old one",
+		func() bool {
+			v, err := r.fetchMembers(0)
+			return err == nil && v.Members[1].Incarnation > 1
+		}); err != nil {
 		t.Fatalf("%v\n%s\n%s", err, relays[0].LogTail(), next.LogTail())
 	}
 	if err := r.waitUntil(context.Background(), "all relays to know one another", r.membersAgree); err != nil {
@@ -335,11 +377,13 @@
 	relays[1].Kill()
 	awaitLog(t, relays[0], "member number=1 state=away")
 	status, body, err := relays[0].CallAdmin("GET", "/members")
-	if err != nil || status != 200 || !strings.Contains(body, `"number":1,"state":"away","zone":"a"`) || !strings.Contains(body, `"number":2,"state":"left"`) {
+	if err != nil || status != 200 || !strings.Contains(body, `"number":1,"state":"away","zone":"a"`) ||
+		!strings.Contains(body, `"number":2,"state":"left"`) {
 		t.Errorf("%d, %v: %s", status, err, body)
 	}
 	figures, err := relays[0].Metrics()
-	if err != nil || figures[`members{state="away"}`] != 1 || figures[`members{state="left"}`] != 1 || figures["members_asked"] == 0 {
+	if err != nil || figures[`members{state="away"}`] != 1 || figures[`members{state="left"}`] != 1 ||
+		figures["members_asked"] == 0 {
 		t.Errorf("%v: %v", err, figures)
 	}
 }
@@ -416,7 +460,8 @@
 	// After the liar stops, it is seen as dead, as are the relays known from its messages alone.
 	waitUntil("all to see the liar as dead too", func() bool {
 		v, err := r.fetchMembers(0)
-		return err == nil && v.Members[9].State != "alive" && v.Members[1].State == "alive" && v.Members[2].State == "alive"
+		return err == nil && v.Members[9].State != "alive" && v.Members[1].State == "alive" &&
+			v.Members[2].State == "alive"
 	})
 }
 
@@ -438,7 +483,9 @@
 	}
 	peers := network.PeerAddrs(1)
 	peers[1] = addr
-	rival, err := env.NewFleetRelay(bin, &testdouble.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"}, Members: "on"}, "--log", "debug")
+	rival, err := env.NewFleetRelay(bin,
+		&testdouble.FleetConfig{Number: 1, PeerListen: addr, Peers: peers, Zone: "a", Zones: []string{"a"},
+			Members: "on"}, "--log", "debug")
 	if err == nil {
 		err = rival.Start()
 	}
@@ -451,7 +498,8 @@
 		t.Fatalf("%v\n%s", err, rival.LogTail())
 	}
 	for _, i := range []int{0, 2} {
-		if relays[i].CountLogLines("member number=0 state=away")+relays[i].CountLogLines("member number=2 state=away") > 0 {
+		if relays[i].CountLogLines("member number=0 state=away")+
+			relays[i].CountLogLines("member number=2 state=away") > 0 {
 			t.Errorf("relay %d sees another as dead: %s", i, relays[i].LogTail())
 		}
 	}
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -37,7 +37,9 @@
 			fmt.Fprintf(out, "%7.2f s  relay %d starts\n", float64(change.AtMs)/1000, change.By)
 			continue
 		}
-		fmt.Fprintf(out, "%7.2f s  relay %d sees %d as %s (was %s, incarnation %d): %s\n", float64(change.AtMs)/1000, change.By, change.Number, change.To, change.From, change.Incarnation, change.Why)
+		fmt.Fprintf(out, "%7.2f s  relay %d sees %d as %s (was %s, incarnation %d): %s\n",
+			float64(change.AtMs)/1000, change.By, change.Number, change.To, change.From, change.Incarnation,
+			change.Why)
 	}
 }
 
@@ -72,7 +74,9 @@
 			return
 		}
 		row := &rows[index[key]]
-		row.Stretches = append(row.Stretches, stateInterval{position(previous.AtMs), max(1, position(until)-position(previous.AtMs)), previous.To, previous.Why})
+		row.Stretches = append(row.Stretches,
+			stateInterval{position(previous.AtMs), max(1, position(until)-position(previous.AtMs)), previous.To,
+				previous.Why})
 	}
 	for _, s := range res.Seen {
 		key := [2]int32{s.Number, s.By}
@@ -92,19 +96,22 @@
 	return rows
 }
 
-var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"join": strings.Join, "secs": func(ms int64) string { return fmt.Sprintf("%.2f", float64(ms)/1000) }}).Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
+	"join": strings.Join,
+	"secs": func(ms int64) string { return fmt.Sprintf("%.2f", float64(ms)/1000) },
+}).Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.Day}}, seed {{.Seed}}</title>
 <style>body{font:14px sans-serif;max-width:1100px;margin:2em auto}td,th{padding:2px 8px;text-align:left}.suspect{fill:#ff7f0e}.away{fill:#d62728}.left{fill:#7f7f7f}.bad{color:#d62728}svg text{font-size:8px}</style>
 <h1>{{.Day}}, seed {{.Seed}}</h1>
-<p>{{if .Verdict.Good}}All rules kept; in the end all relays knew who lived.{{else}}<b class="bad">At fault.</b>{{end}}
-{{.Offered}} messages offered, {{.Taken}} taken on, {{.Ran}} effects; {{.Sent}} notes of {{.Bytes}} bytes; {{printf "%.1f" .Seconds}} s.</p>
+<p>{{if .Verdict.Good}}No rule was violated; in the end all relays agreed on who is alive.{{else}}<b class="bad">Failed.</b>{{end}}
+{{.Offered}} messages submitted, {{.Taken}} accepted, {{.Ran}} effects; {{.Sent}} gossip messages of {{.Bytes}} bytes; {{printf "%.1f" .Seconds}} s.</p>
 <ul>{{range .Troubles}}<li>{{.}}</li>{{end}}</ul>
 {{range .Verdict.Rules}}<p class="bad">rule: {{.}}</p>{{end}}{{range .Verdict.False}}<p class="bad">false death: {{.}}</p>{{end}}{{range .Verdict.Faults}}<p class="bad">fault: {{.}}</p>{{end}}
-<h2>Who held whom for what</h2>
-<p>A row for each relay that was doubted and each that doubted it; orange: suspect, red: away, grey: left.</p>
+<h2>States of members</h2>
+<p>A row for each member that was not alive to a relay, and that relay; orange: suspect, red: away, grey: left.</p>
 <svg width="1000" height="{{.Height}}">{{range .Rows}}{{$y := .Y}}<text x="0" y="{{.Y}}" dy="7">{{.Number}}, by {{.By}}</text>{{range .Stretches}}<rect class="{{.What}}" x="{{.X}}" y="{{$y}}" width="{{.W}}" height="8" transform="translate(60 0)"><title>{{.What}}: {{.Why}}</title></rect>{{end}}{{end}}</svg>
 <h2>Timeline</h2>
-<table><tr><th>s<th>relay<th>of<th>was<th>holds it for<th>incarnation<th>why<th>troubles</tr>{{range .Seen}}<tr><td>{{secs .AtMs}}<td>{{.By}}<td>{{.Number}}<td>{{.From}}<td>{{.To}}<td>{{.Incarnation}}<td>{{.Why}}<td>{{.Troubles}}</tr>{{end}}</table>
+<table><tr><th>s<th>relay<th>member<th>was<th>state<th>incarnation<th>why<th>faults</tr>{{range .Seen}}<tr><td>{{secs .AtMs}}<td>{{.By}}<td>{{.Number}}<td>{{.From}}<td>{{.To}}<td>{{.Incarnation}}<td>{{.Why}}<td>{{.Troubles}}</tr>{{end}}</table>
 `))
 
 func (res *Result) writeReport(out io.Writer) error {
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -97,10 +97,16 @@
 	}{
 		"whole": {[]emu.Fault{relays, endpoints}, true}, "again": {[]emu.Fault{relays, endpoints, again}, true},
 		"endpoints live": {[]emu.Fault{relays}, false}, "relays live": {[]emu.Fault{endpoints}, true},
-		"second": {[]emu.Fault{relays, endpoints, {Kind: emu.RelayCrash, At: 18 * second, Duration: 5 * second, Relays: []int{1, 4, 7, 10}}, {Kind: emu.Crash, At: 18 * second, Duration: 5 * second, Zone: "zone-2"}}, true},
-		"paused": {[]emu.Fault{relays, endpoints, {Kind: emu.RelayStall, At: 17 * second, Duration: 5 * second, Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
-		"half":   {[]emu.Fault{relays, endpoints, {Kind: emu.GossipReceiveLoss, At: 13 * second, Duration: 14 * second, Relays: []int{1, 2, 7, 8}}}, true},
-		"cut":    {[]emu.Fault{{Kind: emu.SitePartition, At: 14 * second, Duration: 10 * second, Zone: "zone-1"}}, true},
+		"second": {[]emu.Fault{relays, endpoints,
+			{Kind: emu.RelayCrash, At: 18 * second, Duration: 5 * second, Relays: []int{1, 4, 7, 10}},
+			{Kind: emu.Crash, At: 18 * second, Duration: 5 * second, Zone: "zone-2"}}, true},
+		"paused": {[]emu.Fault{relays, endpoints,
+			{Kind: emu.RelayStall, At: 17 * second, Duration: 5 * second,
+				Relays: []int{1, 2, 4, 5, 7, 8, 10, 11}}}, true},
+		"half": {[]emu.Fault{relays, endpoints,
+			{Kind: emu.GossipReceiveLoss, At: 13 * second, Duration: 14 * second, Relays: []int{1, 2, 7, 8}}}, true},
+		"cut": {[]emu.Fault{
+			{Kind: emu.SitePartition, At: 14 * second, Duration: 10 * second, Zone: "zone-1"}}, true},
 	} {
 		if !*allSites && !slices.Contains([]string{"whole", "again", "cut", "endpoints live"}, name) {
 			continue // two scenarios take a minute
@@ -111,29 +117,37 @@
 			defer func() { <-atOnce }()
 			scenario := threeSites(t, c.troubles...)
 			scenario.Name = "site-lost, " + name
-			result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
-				for i, relay := range all {
-					if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
-						return fmt.Errorf("relay %d saw a site that answers as lost", i)
-					} else if back := relay.CountLogLines("msg=site zone=zone-1 state=returning") > 0; lost && !back {
-						return fmt.Errorf("relay %d saw no return", i)
-					}
-				}
-				seen := slices.ContainsFunc(all, func(r *testdouble.Relay) bool { return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0 })
-				if seen != c.lost && name != "cut" { // nothing is rejected in a partition, so few calls end by then and relays may see the site as degraded only
-					return fmt.Errorf("seen as lost: %v", seen)
-				}
-				for i, relay := range all { // nothing changes after the last message
-					if state, _ := siteState(relay, "zone-1"); name == "whole" && state == "lost" {
-						return fmt.Errorf("relay %d sees it as lost in the end", i)
-					}
-				}
-				return nil
-			}})
+			result, err := Run(context.Background(),
+				Config{Scenario: scenario, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t),
+					InspectRelays: func(all []*testdouble.Relay) error {
+						for i, relay := range all {
+							if lost := relay.CountLogLines("msg=site zone=zone-1 state=lost") > 0; lost && !c.lost {
+								return fmt.Errorf("relay %d saw a site that answers as lost", i)
+							} else if back :=
+								relay.CountLogLines("msg=site zone=zone-1 state=returning") > 0; lost && !back {
+								return fmt.Errorf("relay %d saw no return", i)
+							}
+						}
+						seen := slices.ContainsFunc(all,
+							func(r *testdouble.Relay) bool {
+								return r.CountLogLines("msg=site zone=zone-1 state=lost") > 0
+							})
+						// few calls end in a partition, so relays may see the site as degraded only
+						if seen != c.lost && name != "cut" {
+							return fmt.Errorf("seen as lost: %v", seen)
+						}
+						for i, relay := range all { // nothing changes after the last message
+							if state, _ := siteState(relay, "zone-1"); name == "whole" && state == "lost" {
+								return fmt.Errorf("relay %d sees it as lost in the end", i)
+							}
+						}
+						return nil
+					}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !result.Verdict.Good() || result.Ran < result.Taken*6/10 { // a third of the messages is for the partner that is down for ten seconds or more, and alerts for it expire
+			// a third of the messages is for the partner that is down, and alerts for it expire
+			if !result.Verdict.Good() || result.Ran < result.Taken*6/10 {
 				t.Errorf("%+v, %d of %d accepted, %d ran", result.Verdict, result.Taken, result.Offered, result.Ran)
 			}
 		})
@@ -147,28 +161,36 @@
 	scenario := threeSites(t)
 	scenario.Name, scenario.Length = "site-by-hand", 34*time.Second
 	r := run{}
-	result, err := Run(context.Background(), Config{Scenario: scenario, Seed: 7, RelayBinary: bin, OperatorFile: operatorFile(t), InspectRelays: func(all []*testdouble.Relay) error {
-		for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405, "PUT /sites/zone-2/away": 404} {
-			var method, path string
-			fmt.Sscan(call, &method, &path)
-			if status, _, err := all[1].CallAdmin(method, path); err != nil || status != want {
-				return fmt.Errorf("%s: %d, %v", call, status, err)
-			}
-		}
-		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/out"); err != nil || status != 200 {
-			return fmt.Errorf("out: %d, %v", status, err)
-		}
-		if err := r.waitUntil(context.Background(), "the relay to take the site out", func() bool { state, out := siteState(all[1], "zone-2"); return out && state == "lost" }); err != nil {
-			return err
-		}
-		if state, out := siteState(all[2], "zone-2"); out || state != "whole" {
-			return fmt.Errorf("another relay sees it as %s, out %v", state, out)
-		}
-		if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/in"); err != nil || status != 200 {
-			return fmt.Errorf("in: %d, %v", status, err)
-		}
-		return r.waitUntil(context.Background(), "the relay to let the site return", func() bool { state, out := siteState(all[1], "zone-2"); return !out && state != "lost" })
-	}})
+	result, err := Run(context.Background(),
+		Config{Scenario: scenario, Seed: 7, RelayBinary: bin, OperatorFile: operatorFile(t),
+			InspectRelays: func(all []*testdouble.Relay) error {
+				for call, want := range map[string]int{"PUT /sites/zone-9/out": 404, "GET /sites/zone-2/out": 405,
+					"PUT /sites/zone-2/away": 404} {
+					var method, path string
+					fmt.Sscan(call, &method, &path)
+					if status, _, err := all[1].CallAdmin(method, path); err != nil || status != want {
+						return fmt.Errorf("%s: %d, %v", call, status, err)
+					}
+				}
+				if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/out"); err != nil || status != 200 {
+					return fmt.Errorf("out: %d, %v", status, err)
+				}
+				if err := r.waitUntil(context.Background(), "the relay to take the site out",
+					func() bool {
+						state, out := siteState(all[1], "zone-2")
+						return out && state == "lost"
+					}); err != nil {
+					return err
+				}
+				if state, out := siteState(all[2], "zone-2"); out || state != "whole" {
+					return fmt.Errorf("another relay sees it as %s, out %v", state, out)
+				}
+				if status, _, err := all[1].CallAdmin("PUT", "/sites/zone-2/in"); err != nil || status != 200 {
+					return fmt.Errorf("in: %d, %v", status, err)
+				}
+				return r.waitUntil(context.Background(), "the relay to let the site return",
+					func() bool { state, out := siteState(all[1], "zone-2"); return !out && state != "lost" })
+			}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/submit.go
+++ b/internal/lab/fleet/submit.go
@@ -24,7 +24,8 @@
 	// A client that gets good answers stays with one relay, so each relay gets a client of its own.
 	clients := make([]*client.Client, len(r.relays))
 	for n, relay := range r.relays {
-		relayClient, err := client.New(client.Config{Relays: []string{relay.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
+		relayClient, err := client.New(
+			client.Config{Relays: []string{relay.Addr}, Spread: 50 * time.Millisecond, NoRefusals: true})
 		if err != nil {
 			return err
 		}
@@ -35,7 +36,8 @@
 	messagesBefore := func(at time.Duration) int { return int(r.scenario.Rate * (at - fleetStartTime).Seconds()) }
 	var steps []faultStep
 	for i, fault := range r.scenario.Faults {
-		steps = append(steps, faultStep{messagesBefore(fault.At), i, true}, faultStep{max(messagesBefore(fault.At)+1, messagesBefore(fault.At+fault.Duration)), i, false})
+		steps = append(steps, faultStep{messagesBefore(fault.At), i, true},
+			faultStep{max(messagesBefore(fault.At)+1, messagesBefore(fault.At+fault.Duration)), i, false})
 	}
 	slices.SortStableFunc(steps, func(a, b faultStep) int { return a.atMessage - b.atMessage })
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.scenario.Rate))
@@ -54,7 +56,9 @@
 		}
 		class := r.scenario.Classes[n%len(r.scenario.Classes)]
 		name := fmt.Sprintf("%s/%d", class.Name, n)
-		message := client.Message{Class: class.Name, Dest: 1 + n%len(r.scenario.Dests), Effect: client.Effect(map[int]client.Effect{0: client.Safe, 1: client.Keyed, 2: client.Unsafe}[int(class.Effect)]),
+		message := client.Message{Class: class.Name, Dest: 1 + n%len(r.scenario.Dests),
+			Effect: client.Effect(
+				map[int]client.Effect{0: client.Safe, 1: client.Keyed, 2: client.Unsafe}[int(class.Effect)]),
 			Window: class.RepeatWindow, TimeLeft: class.Deadline * 9 / 10, Body: []byte(name + "\n")}
 		if err := clients[r.nextAvailableRelay(n)].HandIn(ctx, message, func(result client.Result, _ error) {
 			r.mu.Lock()
@@ -66,7 +70,8 @@
 	}
 	for _, step := range steps {
 		// Faults that outlast the scenario end with it, except permanent ones.
-		if fault := r.scenario.Faults[step.fault]; !step.begins && fault.At < r.scenario.Length && fault.At+fault.Duration <= r.scenario.Length+settleTime {
+		if fault := r.scenario.Faults[step.fault]; !step.begins && fault.At < r.scenario.Length &&
+			fault.At+fault.Duration <= r.scenario.Length+settleTime {
 			if err := r.applyFaultStep(step); err != nil {
 				return err
 			}
--- a/internal/lab/gossip/alternatives.go
+++ b/internal/lab/gossip/alternatives.go
@@ -13,9 +13,11 @@
 
 // The alternatives.
 const (
-	AllToAllHeartbeats   Alternative = "heartbeats to all"         // every relay sends one to every other each period
-	GossipAsHeartbeats   Alternative = "notes as heartbeats"       // gossip to ten random relays each period is the only sign of life
-	PhiAccrualHeartbeats Alternative = "heartbeats to five, phi 8" // each relay sends to five watchers, which use a phi accrual detector
+	AllToAllHeartbeats Alternative = "heartbeats to all" // every relay sends one to every other each period
+	// gossip to ten random relays each period is the only sign of life
+	GossipAsHeartbeats Alternative = "notes as heartbeats"
+	// each relay sends to five watchers, which use a phi accrual detector
+	PhiAccrualHeartbeats Alternative = "heartbeats to five, phi 8"
 )
 
 const (
@@ -28,12 +30,13 @@
 
 // Evaluation is the result for one alternative. Times are in periods.
 type Evaluation struct {
-	Alternative        Alternative `json:"way"`
-	Relays             int         `json:"relays"`
-	Loss               float64     `json:"loss"`
-	DetectionPeriods   float64     `json:"detect"`       // mean silence of a dead relay until a watcher declares it dead
-	FalseDeathsPerHour float64     `json:"false_hour"`   // live relays declared dead, per relay and hour
-	BytesPerSecond     float64     `json:"bytes_second"` // sent by a relay for failure detection alone
+	Alternative Alternative `json:"way"`
+	Relays      int         `json:"relays"`
+	Loss        float64     `json:"loss"`
+	// mean silence of a dead relay until a watcher declares it dead
+	DetectionPeriods   float64 `json:"detect"`
+	FalseDeathsPerHour float64 `json:"false_hour"`   // live relays declared dead, per relay and hour
+	BytesPerSecond     float64 `json:"bytes_second"` // sent by a relay for failure detection alone
 }
 
 // EvaluateAlternative simulates watchers of one relay each. The timeout of AllToAllHeartbeats and
@@ -43,7 +46,8 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(relays)))
 	result := Evaluation{Alternative: alternative, Relays: relays, Loss: loss}
 	periodsPerHour := 3600 / members.Period.Seconds()
-	receiveChance, watchers := 1.0, float64(relays-1) // receiveChance: that a watcher receives a heartbeat in a period; watchers: of one relay
+	// receiveChance: that a watcher receives a heartbeat in a period; watchers: of one relay
+	receiveChance, watchers := 1.0, float64(relays-1)
 	switch alternative {
 	case AllToAllHeartbeats:
 		result.BytesPerSecond = heartbeatBytes * watchers / members.Period.Seconds()
--- a/internal/lab/gossip/gossip.go
+++ b/internal/lab/gossip/gossip.go
@@ -50,12 +50,13 @@
 
 // Simulation is a simulated fleet. It is not safe for concurrent use.
 type Simulation struct {
-	Now       time.Duration
-	Nodes     []*Node
-	Loss      float64
-	Blocked   func(from, to int) bool               // links that carry nothing; nil: none
-	OnChange  func(Event)                           // called for each change; optional
-	OnReceive func(from, to int, note []byte) error // called for each message before the relay gets it; an error drops it; optional
+	Now      time.Duration
+	Nodes    []*Node
+	Loss     float64
+	Blocked  func(from, to int) bool // links that carry nothing; nil: none
+	OnChange func(Event)             // called for each change; optional
+	// called for each message before the relay gets it; an error drops it; optional
+	OnReceive func(from, to int, note []byte) error
 	config    Config
 	rng       *rand.Rand
 	tasks     taskQueue
@@ -131,7 +132,9 @@
 	node := sim.Nodes[n]
 	node.RunID++
 	node.running, node.pausedUntil, node.queued = true, 0, nil
-	node.List = members.New(members.Config{Self: n, FleetSize: sim.config.Relays, Zone: node.Zone, Seed: int64(sim.config.Seed)*1_000_003 + int64(n)*101 + int64(node.RunID)})
+	node.List = members.New(
+		members.Config{Self: n, FleetSize: sim.config.Relays, Zone: node.Zone,
+			Seed: int64(sim.config.Seed)*1_000_003 + int64(n)*101 + int64(node.RunID)})
 	node.nextGossip = sim.Now + time.Duration(sim.rng.Int64N(int64(members.Period)))
 	sim.scheduleTick(node, sim.Now)
 }
@@ -190,7 +193,8 @@
 
 func (sim *Simulation) gossip(node *Node) {
 	for _, target := range node.List.GossipTargets(sim.Now, sim.config.Fanout) {
-		sim.send(node, []members.Datagram{{To: target.To, Payload: node.List.Section(target, members.MaxPiggybackBytes)}})
+		sim.send(node, []members.Datagram{
+			{To: target.To, Payload: node.List.Section(target, members.MaxPiggybackBytes)}})
 	}
 }
 
@@ -258,7 +262,8 @@
 			continue
 		}
 		for n, other := range sim.Nodes {
-			if state := node.List.State(n); i != n && (other.running && state != members.Alive || !other.running && state < members.Dead) {
+			if state := node.List.State(n); i != n &&
+				(other.running && state != members.Alive || !other.running && state < members.Dead) {
 				return false, i, n
 			}
 		}
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -54,7 +54,8 @@
 	t.Helper()
 	if !sim.RunUntil(sim.Now+within, func() bool { ok, _, _ := sim.CheckAgreement(); return ok }) {
 		_, by, of := sim.CheckAgreement()
-		t.Errorf("after %v relay %d sees %d as %v (%s)", within, by, of, sim.Nodes[by].List.State(of), sim.Nodes[by].List.View(sim.Now).Members[of].Reason)
+		t.Errorf("after %v relay %d sees %d as %v (%s)", within, by, of, sim.Nodes[by].List.State(of),
+			sim.Nodes[by].List.View(sim.Now).Members[of].Reason)
 	}
 }
 
@@ -72,7 +73,8 @@
 // relays agree soon after.
 func TestHalfOfMessagesLost(t *testing.T) {
 	forEachSize(t, func(t *testing.T, n int) {
-		sim, log := startFleet(t, n, Config{Seed: 5, DuplicateRate: 0.05, DelayRate: 0.1, MaxExtraDelay: 400 * time.Millisecond})
+		sim, log := startFleet(t, n,
+			Config{Seed: 5, DuplicateRate: 0.05, DelayRate: 0.1, MaxExtraDelay: 400 * time.Millisecond})
 		sim.Loss = 0.5
 		sim.Run(sim.Now + time.Minute)
 		sim.Loss = 0
@@ -216,7 +218,8 @@
 
 		log.events = nil
 		sim.Blocked = func(from, to int) bool { return from == 1 }
-		if !sim.RunUntil(sim.Now+3*agreementTime(n), func() bool { return sim.Nodes[0].List.State(1) == members.Dead }) {
+		if !sim.RunUntil(sim.Now+3*agreementTime(n),
+			func() bool { return sim.Nodes[0].List.State(1) == members.Dead }) {
 			t.Error("nobody declares the relay dead that can't send")
 		}
 		for _, e := range log.events {
@@ -252,7 +255,8 @@
 		for i, d := range sim.Nodes {
 			v := d.List.View(sim.Now)
 			for _, m := range v.Members {
-				if acrossCut := inZone(i) != inZone(m.Number); acrossCut != (m.State == members.Dead) && m.Number != i {
+				if acrossCut := inZone(i) != inZone(m.Number); acrossCut != (m.State == members.Dead) &&
+					m.Number != i {
 					t.Fatalf("relay %d sees %d as %v (%s)", i, m.Number, m.State, m.Reason)
 				}
 			}
@@ -262,7 +266,8 @@
 				}
 			}
 			if n >= 10 && v.PossibleCallers != n {
-				t.Errorf("relay %d divides limits by %d members, though the unreachable ones may go on", i, v.PossibleCallers)
+				t.Errorf("relay %d divides limits by %d members, though the unreachable ones may go on", i,
+					v.PossibleCallers)
 			}
 		}
 		sim.Blocked = nil
@@ -286,7 +291,8 @@
 			}
 		}
 		for _, e := range log.falseDeaths() {
-			if n <= 80 && inZone(e.Observer) == inZone(e.Number) { // at 300, so many suspicions are refuted that some refutations come too late (docs/status.md)
+			// at 300, so many suspicions are refuted that some refutations come too late (docs/status.md)
+			if n <= 80 && inZone(e.Observer) == inZone(e.Number) {
 				t.Errorf("declared dead within a side: %+v", e)
 				break
 			}
@@ -345,7 +351,8 @@
 		}
 		sim.Run(sim.Now + 10*period)
 		for i, d := range sim.Nodes {
-			if n >= 10 && d.List.Incarnation() < 2 { // of three, both others may have restarted meanwhile and remember nothing
+			// of three, both others may have restarted meanwhile and remember nothing
+			if n >= 10 && d.List.Incarnation() < 2 {
 				t.Errorf("relay %d still has incarnation %d", i, d.List.Incarnation())
 			}
 		}
--- a/internal/lab/gossip/measure.go
+++ b/internal/lab/gossip/measure.go
@@ -64,13 +64,18 @@
 	sim.Run(killedAt + after)
 	bytesAtEnd, _ := sent()
 	relays, survivors := float64(config.Relays), float64(config.Relays-killCount)
-	m := Measurement{Relays: config.Relays, Loss: config.Loss, Killed: killCount, Undetected: killCount*(config.Relays-killCount) - len(detectionTimes)}
-	m.BytesPerSecond, m.MessagesPerSecond, m.BytesPerSecondAfter = (bytesAtDeath-bytesAtStart)/relays/calm.Seconds(), (messagesAtDeath-messagesAtStart)/relays/calm.Seconds(), (bytesAtEnd-bytesAtDeath)/survivors/after.Seconds()
+	m := Measurement{Relays: config.Relays, Loss: config.Loss, Killed: killCount,
+		Undetected: killCount*(config.Relays-killCount) - len(detectionTimes)}
+	m.BytesPerSecond, m.MessagesPerSecond, m.BytesPerSecondAfter =
+		(bytesAtDeath-bytesAtStart)/relays/calm.Seconds(),
+		(messagesAtDeath-messagesAtStart)/relays/calm.Seconds(),
+		(bytesAtEnd-bytesAtDeath)/survivors/after.Seconds()
 	hours := relays*calm.Hours() + survivors*after.Hours()
 	m.SuspicionsPerHour, m.FalseDeathsPerHour = float64(suspicions)/hours, float64(falseDeaths)/hours
 	periods := func(d time.Duration) float64 { return d.Seconds() / members.Period.Seconds() }
 	if slices.Sort(detectionTimes); len(detectionTimes) > 0 {
-		m.MedianDetection, m.P99Detection = periods(detectionTimes[len(detectionTimes)/2]), periods(detectionTimes[len(detectionTimes)*99/100])
+		m.MedianDetection, m.P99Detection =
+			periods(detectionTimes[len(detectionTimes)/2]), periods(detectionTimes[len(detectionTimes)*99/100])
 		var all []time.Duration
 		for _, at := range firstDetection {
 			all = append(all, at)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -38,8 +38,10 @@
 // DefaultMix is the mix of classes of the example deployment.
 var DefaultMix = []Class{
 	{Name: "price-alert", Share: 0.43, TimeLeft: 6 * time.Second, TargetLatency: 1500 * time.Millisecond, Value: 1},
-	{Name: "order-relay", Share: 0.38, TimeLeft: 20 * time.Second, TargetLatency: 3 * time.Second, Value: 2, Effect: rules.Keyed, RepeatWindow: 5 * time.Second},
-	{Name: "fee-charge", Share: 0.19, TimeLeft: 20 * time.Second, TargetLatency: 2500 * time.Millisecond, Value: 5, Effect: rules.Unsafe},
+	{Name: "order-relay", Share: 0.38, TimeLeft: 20 * time.Second, TargetLatency: 3 * time.Second, Value: 2,
+		Effect: rules.Keyed, RepeatWindow: 5 * time.Second},
+	{Name: "fee-charge", Share: 0.19, TimeLeft: 20 * time.Second, TargetLatency: 2500 * time.Millisecond,
+		Value: 5, Effect: rules.Unsafe},
 }
 
 // Config configures a load.
@@ -67,13 +69,16 @@
 	for _, f := range []struct {
 		name        string
 		v, from, to float64
-	}{{"rate", c.Rate, 0.01, 1e6}, {"for", c.Duration.Seconds(), 0.01, 600}, {"conns", float64(c.MaxConns), 1, 10_000}, {"body", float64(c.BodyBytes), 0, 65_536 - 64},
-		{"number of destinations", float64(len(c.Dests)), 1, 1e6}, {"number of classes", float64(len(c.Mix)), 1, 100}} {
+	}{{"rate", c.Rate, 0.01, 1e6}, {"for", c.Duration.Seconds(), 0.01, 600},
+		{"conns", float64(c.MaxConns), 1, 10_000}, {"body", float64(c.BodyBytes), 0, 65_536 - 64},
+		{"number of destinations", float64(len(c.Dests)), 1, 1e6},
+		{"number of classes", float64(len(c.Mix)), 1, 100}} {
 		if !(f.v >= f.from && f.v <= f.to) {
 			return fmt.Errorf("%s: %g is not between %g and %g", f.name, f.v, f.from, f.to)
 		}
 	}
-	if host, _, err := net.SplitHostPort(c.Addr); err != nil || net.ParseIP(host) == nil || !net.ParseIP(host).IsLoopback() {
+	if host, _, err := net.SplitHostPort(c.Addr); err != nil || net.ParseIP(host) == nil ||
+		!net.ParseIP(host).IsLoopback() {
 		return fmt.Errorf("addr: %q is not a loopback address with a port", c.Addr)
 	}
 	return nil
@@ -215,7 +220,8 @@
 	request := append(c.buf[:0], "POST /"...)
 	request = append(request, message.class.Name...)
 	request = append(request, " HTTP/1.1\r\nHost: relay\r\nX-Correlation-Id: "...)
-	request = fmt.Appendf(request, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id, message.class.TimeLeft.Milliseconds(), message.dest)
+	request = fmt.Appendf(request, "%s\r\nX-Time-Left-Ms: %d\r\nEnvelope: dest=%d\r\n", id,
+		message.class.TimeLeft.Milliseconds(), message.dest)
 	if message.class.Effect == rules.Keyed {
 		request = fmt.Appendf(request, "Idempotency-Key: %032x\r\n", message.due.UnixNano())
 	}
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -35,8 +35,10 @@
 
 // NewRecorder returns a recorder for a relay with the given concurrency limit.
 func NewRecorder(maxConcurrentCalls int) *Recorder {
-	r := &Recorder{start: time.Now(), messages: map[string]*trackedMessage{}, checker: rules.New(rules.Config{AnswerSlack: 300 * time.Millisecond, MaxConcurrentCalls: maxConcurrentCalls, MaxAttempts: 6,
-		RetryAfterGrace: 100 * time.Millisecond, ClockSlack: 50 * time.Millisecond})}
+	r := &Recorder{start: time.Now(), messages: map[string]*trackedMessage{},
+		checker: rules.New(rules.Config{
+			AnswerSlack: 300 * time.Millisecond, MaxConcurrentCalls: maxConcurrentCalls, MaxAttempts: 6,
+			RetryAfterGrace: 100 * time.Millisecond, ClockSlack: 50 * time.Millisecond})}
 	r.attemptEnded = sync.NewCond(&r.mu)
 	return r
 }
@@ -52,9 +54,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastNumber++
-	m := &trackedMessage{number: r.lastNumber, dest: dest, class: class, deadline: time.Since(r.start) + class.TimeLeft}
+	m := &trackedMessage{number: r.lastNumber, dest: dest, class: class,
+		deadline: time.Since(r.start) + class.TimeLeft}
 	r.messages[id] = m
-	r.log(rules.Event{Kind: rules.Accepted, Msg: m.number, Dest: dest, Effect: class.Effect, RepeatWindow: class.RepeatWindow, Deadline: m.deadline})
+	r.log(rules.Event{Kind: rules.Accepted, Msg: m.number, Dest: dest, Effect: class.Effect,
+		RepeatWindow: class.RepeatWindow, Deadline: m.deadline})
 }
 
 // MessageAnswered completes a message that was not accepted.
@@ -122,7 +126,8 @@
 		m.inFlight--
 		delivered := call.OK && !m.completed
 		m.completed = m.completed || call.OK
-		r.log(rules.Event{Kind: rules.AttemptEnded, Msg: m.number, Attempt: m.attempt, Call: m.call, Dest: call.Dest, NotRun: !call.MayHaveRun, Delivered: delivered, RetryAfter: call.RetryAfter})
+		r.log(rules.Event{Kind: rules.AttemptEnded, Msg: m.number, Attempt: m.attempt, Call: m.call,
+			Dest: call.Dest, NotRun: !call.MayHaveRun, Delivered: delivered, RetryAfter: call.RetryAfter})
 	}
 	r.attemptEnded.Broadcast()
 }
--- a/internal/lab/load/record_test.go
+++ b/internal/lab/load/record_test.go
@@ -17,7 +17,8 @@
 	t.Helper()
 	var partners []testdouble.PartnerConfig
 	for d := range 4 {
-		partners = append(partners, testdouble.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.CallObserved})
+		partners = append(partners,
+			testdouble.PartnerConfig{Dest: d + 1, RetryAfter: 300 * time.Millisecond, OnCall: r.CallObserved})
 	}
 	partners[2].Kind = "broker"
 	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: 1, Partners: partners, MaxPending: 2000})
@@ -26,7 +27,8 @@
 	}
 	t.Cleanup(w.Close)
 	w.Platform.OnNotification(r.NotificationReceived)
-	for d, m := range map[int]testdouble.Mode{1: testdouble.Unavailable, 2: testdouble.ResetAfterRun, 3: testdouble.InternalError} {
+	for d, m := range map[int]testdouble.Mode{1: testdouble.Unavailable, 2: testdouble.ResetAfterRun,
+		3: testdouble.InternalError} {
 		if err := w.Partners[d].SetMode(m, 0.15); err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +38,9 @@
 
 func runLoad(t *testing.T, addr string, r *load.Recorder) *load.Report {
 	t.Helper()
-	report, err := load.Run(context.Background(), load.Config{Addr: addr, Rate: 150, Duration: 3 * time.Second, Dests: []int{1, 2, 3, 4}, Mix: load.DefaultMix, MaxConns: 32, BodyBytes: 200, Seed: 3, Watcher: r})
+	report, err := load.Run(context.Background(),
+		load.Config{Addr: addr, Rate: 150, Duration: 3 * time.Second, Dests: []int{1, 2, 3, 4},
+			Mix: load.DefaultMix, MaxConns: 32, BodyBytes: 200, Seed: 3, Watcher: r})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -76,12 +76,15 @@
 func (set SaturationConfig) measureRate(ctx context.Context, program string, rate float64) (*RateResult, error) {
 	meter := NewMeter(DefaultMix)
 	var partners []testdouble.PartnerConfig
-	load := Config{Rate: rate, Duration: set.Duration, Mix: DefaultMix, MaxConns: set.MaxConns, BodyBytes: set.BodyBytes, Seed: set.Seed}
+	load := Config{Rate: rate, Duration: set.Duration, Mix: DefaultMix, MaxConns: set.MaxConns,
+		BodyBytes: set.BodyBytes, Seed: set.Seed}
 	for i := range set.Dests {
 		load.Dests = append(load.Dests, i+1)
 		partners = append(partners, testdouble.PartnerConfig{Dest: i + 1, OnMessage: meter.Record})
 	}
-	w, err := testdouble.NewEnvironment(testdouble.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000, MaxDescriptors: 4096, DiskMB: 256})
+	w, err := testdouble.NewEnvironment(
+		testdouble.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000,
+			MaxDescriptors: 4096, DiskMB: 256})
 	if err != nil {
 		return nil, err
 	}
@@ -119,8 +122,10 @@
 	}
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	s := &RateResult{Program: program, OfferedRate: rate, Sent: rep.Sent, WithinTarget: meter.WithinTarget, Rejected: rep.Rejected, Failed: rep.Failed, Duplicates: meter.Duplicates, CPU: u.CPU, PeakBytes: u.PeakBytes,
-		P50: time.Duration(meter.Latency.ValueAtPercentile(50)) * time.Microsecond, P99: time.Duration(meter.Latency.ValueAtPercentile(99)) * time.Microsecond}
+	s := &RateResult{Program: program, OfferedRate: rate, Sent: rep.Sent, WithinTarget: meter.WithinTarget,
+		Rejected: rep.Rejected, Failed: rep.Failed, Duplicates: meter.Duplicates, CPU: u.CPU, PeakBytes: u.PeakBytes,
+		P50: time.Duration(meter.Latency.ValueAtPercentile(50)) * time.Microsecond,
+		P99: time.Duration(meter.Latency.ValueAtPercentile(99)) * time.Microsecond}
 	s.TargetKept = float64(s.WithinTarget) >= minWithinTarget*float64(s.Sent)
 	return s, nil
 }
--- a/internal/lab/region/coverage.go
+++ b/internal/lab/region/coverage.go
@@ -60,7 +60,9 @@
 		return false
 	}
 	for i, assigned := range current.Assignments {
-		if assigned.Partition != concerned[i] || !slices.Equal(assigned.Replicas, m.Replicas(assigned.Partition)) || !slices.Equal(assigned.Previous, m.Previous(assigned.Partition)) {
+		if assigned.Partition != concerned[i] ||
+			!slices.Equal(assigned.Replicas, m.Replicas(assigned.Partition)) ||
+			!slices.Equal(assigned.Previous, m.Previous(assigned.Partition)) {
 			return false
 		}
 	}
--- a/internal/lab/region/events.go
+++ b/internal/lab/region/events.go
@@ -77,7 +77,8 @@
 	if _, ok := sim.RunUntil(settleTimeout, time.Second, whole); !ok {
 		return Outcome{}, fmt.Errorf("region %d: not settled after %v", config.Number, settleTimeout)
 	}
-	run := &eventRun{Simulation: sim, Outcome: Outcome{Region: int(config.Number), Event: string(event), Relays: config.Relays}, startedAt: sim.Now}
+	run := &eventRun{Simulation: sim,
+		Outcome: Outcome{Region: int(config.Number), Event: string(event), Relays: config.Relays}, startedAt: sim.Now}
 	sim.clearCounts()
 	if err := run.apply(event); err != nil {
 		return Outcome{}, err
--- a/internal/lab/region/region_test.go
+++ b/internal/lab/region/region_test.go
@@ -162,7 +162,8 @@
 		}
 	}
 	if len(delays) < 100 || late*1000 > len(delays) {
-		t.Errorf("not in force at %d of %d relays after 3 s, the last after %v", late, len(delays), slices.Max(delays))
+		t.Errorf("not in force at %d of %d relays after 3 s, the last after %v", late, len(delays),
+			slices.Max(delays))
 	}
 }
 
@@ -178,7 +179,8 @@
 		sim.Run(sim.Now + 55*time.Second)
 		sim.inForceIn3s(t)
 		if after := sim.Published(); after.CountMoved(before) == 0 || len(sim.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays differ from the map; publisher %d", after.CountMoved(before), len(sim.Outdated(after)), sim.Publisher())
+			t.Errorf("%d replicas moved, %d relays differ from the map; publisher %d", after.CountMoved(before),
+				len(sim.Outdated(after)), sim.Publisher())
 		}
 	})
 }
@@ -210,7 +212,8 @@
 		}
 		sim.Run(sim.Now + 90*time.Second)
 		if after := sim.Published(); after.CountMoved(before) > 0 || len(sim.Outdated(after)) > 0 {
-			t.Errorf("%d replicas moved, %d relays differ from the map", after.CountMoved(before), len(sim.Outdated(after)))
+			t.Errorf("%d replicas moved, %d relays differ from the map", after.CountMoved(before),
+				len(sim.Outdated(after)))
 		}
 		if sim.Relays[0].Follower.ControlUnreachable(sim.Now) {
 			t.Error("control is back, and a relay reports it as unreachable")
@@ -284,7 +287,9 @@
 			}
 		}
 		other := assignment.NewFollower(sim.Config.Number+1, 0, sim.key)
-		if _, err := other.HandleAnswer(0, sim.Relays[0].Follower.Encoded()); !errors.Is(err, assignment.ErrOtherRegion) {
+		if _, err := other.HandleAnswer(0, sim.Relays[0].Follower.Encoded()); !errors.Is(
+			err, assignment.ErrOtherRegion,
+		) {
 			t.Errorf("another region's relay: %v", err)
 		}
 	})
@@ -330,13 +335,16 @@
 		if err != nil {
 			t.Fatal(event, err)
 		}
-		if outcome.NoZoneSeconds > 0 || outcome.P999Seconds > 3 || outcome.MaxRelayRate > 3000 || outcome.AffectedRelays == 0 {
+		if outcome.NoZoneSeconds > 0 || outcome.P999Seconds > 3 || outcome.MaxRelayRate > 3000 ||
+			outcome.AffectedRelays == 0 {
 			t.Errorf("%+v", outcome)
 		}
 		if most := map[Event]float64{LoseZone: 1, Restart: 0.05}[event]; outcome.MaxOneZoneShare > most {
 			t.Errorf("%s: %.3f of partitions in one zone only", event, outcome.MaxOneZoneShare)
 		}
-		if share := float64(outcome.AffectedRelays) / float64(c.Relays); max(outcome.Moved, outcome.MovedBack) > 2*share {
+		if share := float64(outcome.AffectedRelays) / float64(c.Relays); max(
+			outcome.Moved, outcome.MovedBack,
+		) > 2*share {
 			t.Errorf("%s: %.4f of replicas moved, and %.4f back", event, outcome.Moved, outcome.MovedBack)
 		}
 	}
--- a/internal/lab/region/simulation.go
+++ b/internal/lab/region/simulation.go
@@ -51,7 +51,8 @@
 	case c.Zones < 2 || c.Zones > maxZones:
 		return fmt.Errorf("zones: %d is not between 2 and %d", c.Zones, maxZones)
 	case c.Relays < 2*c.RackSize*c.Zones || c.Relays > assignment.MaxRelays:
-		return fmt.Errorf("relays: %d; two racks for each of %d zones are required, and at most %d relays are supported", c.Relays, c.Zones, assignment.MaxRelays)
+		return fmt.Errorf("relays: %d; two racks for each of %d zones are required, and at most %d relays are supported",
+			c.Relays, c.Zones, assignment.MaxRelays)
 	case c.Partitions < 1 || c.Partitions > assignment.MaxPartitions:
 		return fmt.Errorf("partitions: %d is not between 1 and %d", c.Partitions, assignment.MaxPartitions)
 	case c.Replicas < 1 || c.Replicas > assignment.MaxReplicas:
@@ -111,10 +112,12 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	sim := &Simulation{Config: c, History: map[uint64]*assignment.Map{}, key: assignment.Key("region"), rng: rand.New(rand.NewPCG(uint64(c.Seed), uint64(c.Number)))}
+	sim := &Simulation{Config: c, History: map[uint64]*assignment.Map{}, key: assignment.Key("region"),
+		rng: rand.New(rand.NewPCG(uint64(c.Seed), uint64(c.Number)))}
 	for i := range c.Relays {
 		rack := i / c.RackSize
-		sim.Members = append(sim.Members, assignment.Member{State: assignment.Live, Zone: assignment.Zone(rack % c.Zones), Rack: uint16(rack)})
+		sim.Members = append(sim.Members,
+			assignment.Member{State: assignment.Live, Zone: assignment.Zone(rack % c.Zones), Rack: uint16(rack)})
 		sim.Relays = append(sim.Relays, &Relay{Number: assignment.Relay(i)})
 	}
 	for i := range c.Controls {
@@ -209,7 +212,8 @@
 	if err != nil {
 		return err
 	}
-	mapConfig := assignment.MapConfig{Region: sim.Config.Number, Partitions: sim.Config.Partitions, Replicas: sim.Config.Replicas}
+	mapConfig := assignment.MapConfig{Region: sim.Config.Number, Partitions: sim.Config.Partitions,
+		Replicas: sim.Config.Replicas}
 	c.Node = assignment.NewControlNode(register, mapConfig, sim.Members, sim.key)
 	c.Up, c.runID = true, c.runID+1
 	runID := c.runID
@@ -327,7 +331,8 @@
 	case !found:
 		sim.History[m.Version.Number] = m
 	case known != m && (known.Version != m.Version || m.CountMoved(known) != 0):
-		sim.Conflicts = append(sim.Conflicts, fmt.Sprintf("number %d: terms %d and %d", m.Version.Number, known.Version.Term, m.Version.Term))
+		sim.Conflicts = append(sim.Conflicts,
+			fmt.Sprintf("number %d: terms %d and %d", m.Version.Number, known.Version.Term, m.Version.Term))
 	}
 }
 
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -37,7 +37,8 @@
 
 // Cases returns all cases.
 func Cases() []Case {
-	return []Case{Plain, FailsInRamp, SecondSiteFails, RelaysOnly, EndpointsOnly, Partitioned, HalfWithoutGossip, RelaysPaused, StaleEndpointList, BurstOnReturn}
+	return []Case{Plain, FailsInRamp, SecondSiteFails, RelaysOnly, EndpointsOnly, Partitioned,
+		HalfWithoutGossip, RelaysPaused, StaleEndpointList, BurstOnReturn}
 }
 
 // Config configures a rehearsal.
@@ -58,9 +59,10 @@
 // Outcome is the result of a rehearsal.
 type Outcome struct {
 	Result          *emu.Result
-	CallsToLostSite int                // calls to the lost site while it was down
-	PeakOverload    float64            // most calls that a live zone got in any two seconds, relative to its capacity
-	RecoveredAfter  time.Duration      // from the site's return until all live relays see it as healthy; negative: not by the end
+	CallsToLostSite int     // calls to the lost site while it was down
+	PeakOverload    float64 // most calls that a live zone got in any two seconds, relative to its capacity
+	// from the site's return until all live relays see it as healthy; negative: not by the end
+	RecoveredAfter  time.Duration
 	DeliveredShares map[string]float64 // delivered share of each class, from the loss on if it is permanent
 }
 
@@ -68,17 +70,21 @@
 	defaultLossAt, defaultOutage, defaultLength = 12 * time.Second, 14 * time.Second, 80 * time.Second
 	messageWork                                 = 50 * time.Millisecond // per message
 	maxEndpointRate                             = 25.0                  // messages per second
-	concurrencyHeadroom                         = 2.2                   // concurrency limit relative to the calls in flight
-	pendingSeconds                              = 8.0                   // pending messages, in seconds of traffic
-	overloadWindow                              = 2 * time.Second
+	// concurrency limit relative to the calls in flight
+	concurrencyHeadroom = 2.2
+	pendingSeconds      = 8.0 // pending messages, in seconds of traffic
+	overloadWindow      = 2 * time.Second
 )
 
 // knownClasses are the classes of the deployment. Other classes are safe to repeat and have the
 // settings of price-alert.
 var knownClasses = []policy.Class{
-	{Name: "price-alert", Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1},
-	{Name: "order-relay", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second, Deadline: 20 * time.Second, Value: 2, LateValue: 0.3},
-	{Name: "fee-charge", Effect: policy.Unsafe, TargetLatency: 2500 * time.Millisecond, Deadline: 20 * time.Second, Value: 5, LateValue: 0.3},
+	{Name: "price-alert", Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond,
+		Deadline: 6 * time.Second, Value: 1},
+	{Name: "order-relay", Effect: policy.Keyed, RepeatWindow: 5 * time.Second, TargetLatency: 3 * time.Second,
+		Deadline: 20 * time.Second, Value: 2, LateValue: 0.3},
+	{Name: "fee-charge", Effect: policy.Unsafe, TargetLatency: 2500 * time.Millisecond,
+		Deadline: 20 * time.Second, Value: 5, LateValue: 0.3},
 }
 
 // NewScenario builds the scenario. Zones get the laboratory's names, in the plan's order.
@@ -86,7 +92,8 @@
 	plan, zoneIndex := withLabZoneNames(config.Plan)
 	lost, known := zoneIndex[config.LostZone]
 	if !known {
-		return nil, fmt.Errorf("%q is not a site of the file; its sites are %s", config.LostZone, strings.Join(config.Plan.Zones(), ", "))
+		return nil, fmt.Errorf("%q is not a site of the file; its sites are %s", config.LostZone,
+			strings.Join(config.Plan.Zones(), ", "))
 	}
 	if config.Case == "" {
 		config.Case = Plain
@@ -97,14 +104,24 @@
 	if len(plan.Destinations) == 0 {
 		return nil, fmt.Errorf("the file has no destination: there is nothing to rehearse")
 	}
-	lossAt, outage, length := orElse(config.LossAt, defaultLossAt), orElse(config.OutageDuration, defaultOutage), orElse(config.Length, defaultLength)
+	lossAt, outage, length := orElse(config.LossAt, defaultLossAt),
+		orElse(config.OutageDuration, defaultOutage), orElse(config.Length, defaultLength)
 	zones := len(plan.Sites)
-	scenario := &emu.Scenario{Name: fmt.Sprintf("%s of %s", config.Case, config.LostZone), Seed: config.Seed, Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
-		Relays: max(1, config.RelaysPerSite) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond, ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
-		ConnectTimeout: time.Second, AnswerSlack: 300 * time.Millisecond, ClientRetries: 2, ClientBackoff: time.Second, RetryAfterCompliance: 0.8, MaxRetryAfter: 5 * time.Second, ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second,
-		DiscoveryDelay: 2 * time.Second, DiscoverySpread: 300 * time.Millisecond, WarmUpTime: 10 * time.Second, ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second, DrainGrace: time.Second,
-		Gossip: true, Membership: true, GossipLoss: 0.02, Choices: choice.Options{DemandShares: true, Signals: true}, Penalties: emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05, Gossip: 0.01},
-		Kinds: []emu.Kind{{Name: "partner", MaxBatch: 1, Limit: emu.NoLimit, ColdStartShare: 0.2, WarmUpTime: 10 * time.Second, CancelsQueued: true}}}
+	scenario := &emu.Scenario{Name: fmt.Sprintf("%s of %s", config.Case, config.LostZone), Seed: config.Seed,
+		Length: length, Tail: 30 * time.Second, Tick: 10 * time.Millisecond,
+		Relays: max(1, config.RelaysPerSite) * zones, Zones: zones, MaxAttempts: 6, RTT: 20 * time.Millisecond,
+		ClientDelay: time.Millisecond, Jitter: 0.2, HandshakeRTTs: 2, IdleTimeout: 15 * time.Second,
+		ConnectTimeout: time.Second, AnswerSlack: 300 * time.Millisecond, ClientRetries: 2,
+		ClientBackoff: time.Second, RetryAfterCompliance: 0.8, MaxRetryAfter: 5 * time.Second,
+		ResubmitDelay: time.Second, BalancerDetectionDelay: time.Second,
+		DiscoveryDelay: 2 * time.Second, DiscoverySpread: 300 * time.Millisecond, WarmUpTime: 10 * time.Second,
+		ColdStartShare: 0.2, OverloadFactor: 2, OverloadTime: 3 * time.Second, DrainGrace: time.Second,
+		Gossip: true, Membership: true, GossipLoss: 0.02,
+		Choices: choice.Options{DemandShares: true, Signals: true},
+		Penalties: emu.Penalties{WastedWork: 0.042, Handshake: 0.04, LateFailure: 0.02, RejectedCall: 0.05,
+			Gossip: 0.01},
+		Kinds: []emu.Kind{{Name: "partner", MaxBatch: 1, Limit: emu.NoLimit, ColdStartShare: 0.2,
+			WarmUpTime: 10 * time.Second, CancelsQueued: true}}}
 	if config.UsePlan {
 		scenario.Sites = plan
 	}
@@ -124,10 +141,12 @@
 	zone := zoneName(lost)
 	addLoss := func(at, duration time.Duration, relays []int, zone string) {
 		if relays != nil {
-			scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.RelayCrash, At: at, Duration: duration, Relays: relays})
+			scenario.Faults = append(scenario.Faults,
+				emu.Fault{Kind: emu.RelayCrash, At: at, Duration: duration, Relays: relays})
 		}
 		if zone != "" {
-			scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.Crash, At: at, Duration: duration, Zone: zone})
+			scenario.Faults = append(scenario.Faults,
+				emu.Fault{Kind: emu.Crash, At: at, Duration: duration, Zone: zone})
 		}
 	}
 	switch config.Case {
@@ -136,7 +155,8 @@
 	case EndpointsOnly:
 		addLoss(lossAt, outage, nil, zone)
 	case Partitioned:
-		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.SitePartition, At: lossAt, Duration: outage, Zone: zone})
+		scenario.Faults = append(scenario.Faults,
+			emu.Fault{Kind: emu.SitePartition, At: lossAt, Duration: outage, Zone: zone})
 	case HalfWithoutGossip: // every second other relay gets no gossip, and has to go by its own calls
 		addLoss(lossAt, outage, lostRelays, zone)
 		var deaf []int
@@ -145,7 +165,9 @@
 				deaf = append(deaf, n)
 			}
 		}
-		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.GossipReceiveLoss, At: lossAt - 2*time.Second, Duration: outage + 4*time.Second, Relays: deaf})
+		scenario.Faults = append(scenario.Faults,
+			emu.Fault{Kind: emu.GossipReceiveLoss, At: lossAt - 2*time.Second, Duration: outage + 4*time.Second,
+				Relays: deaf})
 	default:
 		addLoss(lossAt, outage, lostRelays, zone)
 	}
@@ -168,11 +190,15 @@
 				all = append(all, n)
 			}
 		}
-		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.RelayStall, At: lossAt + 4*time.Second, Duration: 5 * time.Second, Relays: all})
+		scenario.Faults = append(scenario.Faults,
+			emu.Fault{Kind: emu.RelayStall, At: lossAt + 4*time.Second, Duration: 5 * time.Second, Relays: all})
 	case StaleEndpointList:
-		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.DiscoveryOutage, At: lossAt - time.Second, Duration: outage + 5*time.Second})
+		scenario.Faults = append(scenario.Faults,
+			emu.Fault{Kind: emu.DiscoveryOutage, At: lossAt - time.Second, Duration: outage + 5*time.Second})
 	case BurstOnReturn:
-		scenario.Faults = append(scenario.Faults, emu.Fault{Kind: emu.Burst, At: lossAt + outage - 3*time.Second, Duration: 7 * time.Second, Intensity: 1.8})
+		scenario.Faults = append(scenario.Faults,
+			emu.Fault{Kind: emu.Burst, At: lossAt + outage - 3*time.Second, Duration: 7 * time.Second,
+				Intensity: 1.8})
 	}
 	return scenario, scenario.Check()
 }
@@ -208,7 +234,8 @@
 		renamed.Sites = append(renamed.Sites, renamedSite)
 	}
 	for _, dest := range plan.Destinations {
-		renamedDest := sites.Destination{Number: dest.Number, Capacity: map[string]float64{}, Demand: map[string]map[string]float64{}}
+		renamedDest := sites.Destination{Number: dest.Number, Capacity: map[string]float64{},
+			Demand: map[string]map[string]float64{}}
 		for z, rate := range dest.Capacity {
 			renamedDest.Capacity[labName(z)] = rate
 		}
@@ -228,14 +255,16 @@
 		if n, ok := classes[name]; ok {
 			return n
 		}
-		c := policy.Class{Name: name, Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1}
+		c := policy.Class{Name: name, Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond,
+			Deadline: 6 * time.Second, Value: 1}
 		for _, u := range knownClasses {
 			if u.Name == name {
 				c = u
 			}
 		}
 		classes[name] = len(scenario.Classes)
-		scenario.Classes = append(scenario.Classes, emu.Class{Class: c, Share: 1, Work: messageWork, CV: 0.3, Noise: 0.1})
+		scenario.Classes = append(scenario.Classes,
+			emu.Class{Class: c, Share: 1, Work: messageWork, CV: 0.3, Noise: 0.1})
 		return classes[name]
 	}
 	totalRate := 0.0
@@ -248,7 +277,9 @@
 				load := capacity * messageWork.Seconds() / float64(n)
 				workers := int(math.Ceil(load))
 				for range n {
-					labDest.Endpoints = append(labDest.Endpoints, emu.Endpoint{Workers: workers, Speed: load / float64(workers), QueueSize: max(2, int(capacity/float64(n)/4)), Zone: site.Zone})
+					labDest.Endpoints = append(labDest.Endpoints,
+						emu.Endpoint{Workers: workers, Speed: load / float64(workers),
+							QueueSize: max(2, int(capacity/float64(n)/4)), Zone: site.Zone})
 				}
 			}
 			var classNames []string
@@ -258,7 +289,8 @@
 			slices.Sort(classNames)
 			for _, class := range classNames {
 				if rate := dest.Demand[site.Zone][class]; rate > 0 {
-					labDest.Mix = append(labDest.Mix, emu.TrafficShare{Class: classNumber(class), Zone: zone, Share: rate})
+					labDest.Mix = append(labDest.Mix,
+						emu.TrafficShare{Class: classNumber(class), Zone: zone, Share: rate})
 					labDest.Share += rate
 				}
 			}
@@ -274,7 +306,9 @@
 	}
 	scenario.Rate = totalRate * load
 	callsInFlight := scenario.Rate * (messageWork + scenario.RTT).Seconds() / float64(scenario.Relays)
-	scenario.MaxConcurrentCalls, scenario.MaxPending = max(6, int(math.Ceil(2*concurrencyHeadroom*callsInFlight))), max(40, int(pendingSeconds*scenario.Rate/float64(scenario.Relays)))
+	scenario.MaxConcurrentCalls, scenario.MaxPending = max(6,
+		int(math.Ceil(2*concurrencyHeadroom*callsInFlight))),
+		max(40, int(pendingSeconds*scenario.Rate/float64(scenario.Relays)))
 	return nil
 }
 
@@ -333,7 +367,8 @@
 			times = times[1:]
 		}
 		recent[zone] = append(times, e.At)
-		outcome.PeakOverload = max(outcome.PeakOverload, float64(len(times)+1)/(capacity[zone]*overloadWindow.Seconds()))
+		outcome.PeakOverload = max(outcome.PeakOverload,
+			float64(len(times)+1)/(capacity[zone]*overloadWindow.Seconds()))
 	}})
 	if err != nil {
 		return nil, err
@@ -402,7 +437,9 @@
 				undelivered = tally.Requests - tally.Delivered
 			}
 		}
-		comparisons = append(comparisons, Comparison{class.Class, class.ServedFraction(), delivered, math.Abs(class.ServedFraction()-delivered) <= Tolerance, class.Refused, float64(undelivered)})
+		comparisons = append(comparisons,
+			Comparison{class.Class, class.ServedFraction(), delivered,
+				math.Abs(class.ServedFraction()-delivered) <= Tolerance, class.Refused, float64(undelivered)})
 	}
 	return comparisons, outcome, nil
 }
