--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -174,6 +174,7 @@
 	OversizedMessages int                                // gossip messages of over 256 bytes
 }
 
+// notCompleted ends the text of a violation: the message has no outcome yet.
 const notCompleted = " was accepted and had no end"
 
 // mayResolve reports whether a violation may disappear if the run is given more time.
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Choices is a relay's answer to GET /choices: its slot in the fleet, its endpoint subsets and the
+// Choices is a relay's answer to GET /choices: its place in the fleet, its endpoint subsets and the
 // destinations that it probes.
 type Choices struct {
 	Self    int
--- a/internal/lab/fleet/finish.go
+++ b/internal/lab/fleet/finish.go
@@ -101,6 +101,7 @@
 	return result, nil
 }
 
+// records returns what the test doubles have recorded so far.
 func (r *run) records() (records Records) {
 	r.mu.Lock()
 	records.Submissions = slices.Clone(r.submissions)
@@ -113,6 +114,7 @@
 	return records
 }
 
+// close stops the test doubles and the network, and closes the log files.
 func (r *run) close() {
 	if r.env != nil {
 		r.env.Close()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -68,7 +68,7 @@
 // Playable returns an error that names the first part of a scenario that processes can't play.
 func Playable(scenario *emu.Scenario) error {
 	if scenario.Relays < minRelays || scenario.Relays > maxRelays {
-		return fmt.Errorf("relays: %d does not lie within %d and %d", scenario.Relays, minRelays, maxRelays)
+		return fmt.Errorf("relays: %d is not between %d and %d", scenario.Relays, minRelays, maxRelays)
 	}
 	if !scenario.Membership {
 		return errors.New("members: the scenario must enable membership")
@@ -139,6 +139,7 @@
 	return r.finish(ctx)
 }
 
+// reportFault adds a fault to the verdict.
 func (r *run) reportFault(format string, args ...any) {
 	r.mu.Lock()
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
@@ -171,6 +172,7 @@
 	return all
 }
 
+// classes returns the scenario's classes for the relays' settings.
 func (r *run) classes() (all []testdouble.Class) {
 	for _, class := range r.scenario.Classes {
 		all = append(all, testdouble.Class{Name: class.Name,
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -131,10 +131,10 @@
 		return endpoints
 	}
 	for _, c := range []struct {
-		name  string
-		dest  emu.Dest
-		all   bool
-		parts []bool
+		name          string
+		dest          emu.Dest
+		lostWhole     bool
+		lostEndpoints []bool
 	}{
 		{"several zones, one of them the destination's",
 			emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("zone-1", "zone-2", "zone-1")}, false,
@@ -150,10 +150,10 @@
 		{"some endpoints without a zone", emu.Dest{Zone: "zone-1", Endpoints: endpointsIn("", "zone-2")}, false,
 			[]bool{true, false}},
 	} {
-		if got := losesDestination(&c.dest, "zone-1"); got != c.all {
+		if got := losesDestination(&c.dest, "zone-1"); got != c.lostWhole {
 			t.Errorf("%s: lost as a whole: %v", c.name, got)
 		}
-		for end, want := range c.parts {
+		for end, want := range c.lostEndpoints {
 			if got := losesEndpoint(&c.dest, end, "zone-1"); got != want {
 				t.Errorf("%s: endpoint %d lost: %v", c.name, end, got)
 			}
@@ -172,10 +172,10 @@
 		return Seen{By: int32(by), Number: int32(n), From: "suspect", To: "away", Incarnation: 1}
 	}
 	for _, c := range []struct {
-		name   string
-		seen   []Seen
-		want   string // substring of the findings; empty: no finding
-		missed int
+		name    string
+		changes []Seen
+		want    string // substring of the findings; empty: no finding
+		missed  int
 	}{
 		{"quiet", nil, "", 0}, {"the killed relay is seen as dead", []Seen{away(0, 1)}, "", 1},
 		{"across the partition", []Seen{away(0, 3), away(3, 2)}, "", 2},
@@ -189,7 +189,7 @@
 				{By: 0, Number: 1, To: "alive", Incarnation: 4}}, "", 0},
 		{"back with incarnation 0", []Seen{{By: 0, Number: 1, From: "away", To: "alive"}}, "without a word", 0},
 	} {
-		v := checkMembers(scenario, c.seen)
+		v := checkMembers(scenario, c.changes)
 		got := strings.Join(append(v.False, v.Rules...), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) || len(v.Missed) != c.missed {
 			t.Errorf("%s: %q, missed %v", c.name, got, v.Missed)
@@ -198,9 +198,9 @@
 	submitted := func(class string, o client.Outcome) Submission { return Submission{class + "/1", class, "id", o} }
 	ran := testdouble.Effect{Name: "fee-charge/1", ID: "id"}
 	for _, c := range []struct {
-		name  string
-		books Records
-		want  string
+		name    string
+		records Records
+		want    string
 	}{
 		{"delivered", Records{Submissions: []Submission{submitted("fee-charge", client.Taken)},
 			Effects: []testdouble.Effect{ran}}, ""},
@@ -221,7 +221,7 @@
 		{"a call before Retry-After", Records{EarlyCalls: 1}, "told wait"},
 		{"an oversized gossip message", Records{OversizedMessages: 1}, "256 bytes"},
 	} {
-		if got := strings.Join(checkMessages(&c.books), "; "); (c.want == "") != (got == "") ||
+		if got := strings.Join(checkMessages(&c.records), "; "); (c.want == "") != (got == "") ||
 			!strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
 		}
@@ -244,7 +244,7 @@
 	for _, line := range []string{"", "x", "time=now msg=member number=1", `msg=member number=x why="`,
 		"msg=other number=4", `a="unclosed`} {
 		if _, _, ok := parseLogLine(0, line); ok {
-			t.Errorf("read %q", line)
+			t.Errorf("parsed %q", line)
 		}
 	}
 }
@@ -381,10 +381,10 @@
 		!strings.Contains(body, `"number":2,"state":"left"`) {
 		t.Errorf("%d, %v: %s", status, err, body)
 	}
-	figures, err := relays[0].Metrics()
-	if err != nil || figures[`members{state="away"}`] != 1 || figures[`members{state="left"}`] != 1 ||
-		figures["members_asked"] == 0 {
-		t.Errorf("%v: %v", err, figures)
+	metrics, err := relays[0].Metrics()
+	if err != nil || metrics[`members{state="away"}`] != 1 || metrics[`members{state="left"}`] != 1 ||
+		metrics["members_asked"] == 0 {
+		t.Errorf("%v: %v", err, metrics)
 	}
 }
 
@@ -397,9 +397,9 @@
 	r := run{relays: relays, down: map[int]bool{4: true, 5: true, 6: true, 7: true, 8: true, 9: true}}
 	var mu sync.Mutex
 	var recorded [][]byte // from relay 3 to relay 0
-	network.SetFaults(faultnet.Faults{OnSend: func(from, to int, note []byte) {
+	network.SetFaults(faultnet.Faults{OnSend: func(from, to int, payload []byte) {
 		if mu.Lock(); from == 3 && to == 0 && len(recorded) < 100 {
-			recorded = append(recorded, slices.Clone(note))
+			recorded = append(recorded, slices.Clone(payload))
 		}
 		mu.Unlock()
 	}})
@@ -453,9 +453,9 @@
 	if _, _, _, long := network.Counts(); long == 0 {
 		t.Error("no oversized message was sent")
 	}
-	figures, err := relays[0].Metrics()
-	if err != nil || figures["members_notes_refused"] == 0 {
-		t.Errorf("%v: nothing rejected: %v", err, figures)
+	metrics, err := relays[0].Metrics()
+	if err != nil || metrics["members_notes_refused"] == 0 {
+		t.Errorf("%v: nothing rejected: %v", err, metrics)
 	}
 	// After the liar stops, it is seen as dead, as are the relays known from its messages alone.
 	waitUntil("all to see the liar as dead too", func() bool {
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -21,6 +21,7 @@
 	}
 }
 
+// fetchMembers asks a relay for its view of the members.
 func (r *run) fetchMembers(n int) (*membersView, error) {
 	status, body, err := r.relays[n].CallAdmin("GET", "/members")
 	if err != nil || status != 200 {
@@ -57,6 +58,7 @@
 	return ""
 }
 
+// membersAgree reports whether all running relays have the right view of the members.
 func (r *run) membersAgree() bool { return r.memberDisagreement() == "" }
 
 // waitUntil polls until the condition holds, for waitTimeout at most.
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -50,12 +50,14 @@
 	Why  string
 }
 
+// pairRow is a row of the chart: the states of relay Number as relay By saw it.
 type pairRow struct {
 	By, Number int
 	Y          int
 	Stretches  []stateInterval
 }
 
+// Sizes of the chart, in pixels.
 const (
 	chartWidth = 900
 	rowHeight  = 9
@@ -114,6 +116,7 @@
 <table><tr><th>s<th>relay<th>member<th>was<th>state<th>incarnation<th>why<th>faults</tr>{{range .Seen}}<tr><td>{{secs .AtMs}}<td>{{.By}}<td>{{.Number}}<td>{{.From}}<td>{{.To}}<td>{{.Incarnation}}<td>{{.Why}}<td>{{.Troubles}}</tr>{{end}}</table>
 `))
 
+// writeReport writes the report as a page of HTML.
 func (res *Result) writeReport(out io.Writer) error {
 	rows := res.pairRows()
 	return reportTemplate.Execute(out, struct {
--- a/internal/lab/gossip/alternatives.go
+++ b/internal/lab/gossip/alternatives.go
@@ -25,7 +25,7 @@
 	heartbeatBytes = 9 // relay, run id and sequence number
 )
 
-// Alternatives returns all alternatives in the order of reports.
+// Alternatives are all alternatives in the order of reports.
 var Alternatives = []Alternative{AllToAllHeartbeats, GossipAsHeartbeats, PhiAccrualHeartbeats}
 
 // Evaluation is the result for one alternative. Times are in periods.
@@ -89,8 +89,8 @@
 		timeouts = append(timeouts, timeout)
 	}
 	sum := 0.0
-	for _, final := range timeouts {
-		sum += final
+	for _, timeout := range timeouts {
+		sum += timeout
 	}
 	result.DetectionPeriods = sum / float64(len(timeouts))
 	result.FalseDeathsPerHour = float64(falseDeaths) / watcherSample / hours * watchers
--- a/internal/lab/gossip/gossip.go
+++ b/internal/lab/gossip/gossip.go
@@ -36,6 +36,7 @@
 	nextGossip   time.Duration
 }
 
+// datagram is a received message that waits for a paused relay.
 type datagram struct {
 	from    int
 	payload []byte
@@ -56,19 +57,21 @@
 	Blocked  func(from, to int) bool // links that carry nothing; nil: none
 	OnChange func(Event)             // called for each change; optional
 	// called for each message before the relay gets it; an error drops it; optional
-	OnReceive func(from, to int, note []byte) error
+	OnReceive func(from, to int, payload []byte) error
 	config    Config
 	rng       *rand.Rand
 	tasks     taskQueue
 	lastSeq   int
 }
 
+// task is a function to run at a time; seq orders the tasks of one time.
 type task struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// taskQueue is a heap ordered by time, and by sequence number at the same time.
 type taskQueue []task
 
 func (q taskQueue) Len() int { return len(q) }
@@ -144,10 +147,10 @@
 
 // Stop stops a relay that announces it in two gossip rounds.
 func (sim *Simulation) Stop(n int) {
-	d := sim.Nodes[n]
-	d.List.Leave(sim.Now)
-	sim.gossip(d)
-	sim.gossip(d)
+	node := sim.Nodes[n]
+	node.List.Leave(sim.Now)
+	sim.gossip(node)
+	sim.gossip(node)
 	sim.Kill(n)
 }
 
@@ -157,28 +160,28 @@
 // Pause suspends a relay for the given duration. What arrives meanwhile is delivered when it
 // resumes.
 func (sim *Simulation) Pause(n int, duration time.Duration) {
-	d := sim.Nodes[n]
-	life := d.RunID
-	d.pausedUntil = sim.Now + duration
-	sim.Schedule(d.pausedUntil, func() {
-		if !d.running || d.RunID != life {
+	node := sim.Nodes[n]
+	runID := node.RunID
+	node.pausedUntil = sim.Now + duration
+	sim.Schedule(node.pausedUntil, func() {
+		if !node.running || node.RunID != runID {
 			return
 		}
-		queued := d.queued
-		d.queued = nil
+		queued := node.queued
+		node.queued = nil
 		for _, arrived := range queued {
-			sim.receive(d, arrived.from, arrived.payload)
+			sim.receive(node, arrived.from, arrived.payload)
 		}
-		sim.scheduleTick(d, sim.Now)
+		sim.scheduleTick(node, sim.Now)
 	})
 }
 
 // scheduleTick runs the relay's timers at the given time and schedules the next tick, while this
 // run of the relay lasts.
 func (sim *Simulation) scheduleTick(node *Node, at time.Duration) {
-	life := node.RunID
+	runID := node.RunID
 	sim.Schedule(at, func() {
-		if !node.running || node.RunID != life || sim.Now < node.pausedUntil {
+		if !node.running || node.RunID != runID || sim.Now < node.pausedUntil {
 			return
 		}
 		sim.send(node, node.List.Tick(sim.Now))
@@ -191,6 +194,7 @@
 	})
 }
 
+// gossip sends the relay's section of the membership list to the targets of one round.
 func (sim *Simulation) gossip(node *Node) {
 	for _, target := range node.List.GossipTargets(sim.Now, sim.config.Fanout) {
 		sim.send(node, []members.Datagram{
@@ -198,6 +202,7 @@
 	}
 }
 
+// reportChanges passes the relay's new changes to OnChange.
 func (sim *Simulation) reportChanges(node *Node) {
 	for _, change := range node.List.Changes() {
 		if sim.OnChange != nil {
@@ -206,6 +211,7 @@
 	}
 }
 
+// send counts messages of the relay and transmits them.
 func (sim *Simulation) send(node *Node, out []members.Datagram) {
 	for _, datagram := range out {
 		node.BytesSent += len(datagram.Payload)
@@ -215,7 +221,7 @@
 }
 
 // transmit sends a message through the network, which may lose, duplicate or delay it.
-func (sim *Simulation) transmit(from, to int, note []byte) {
+func (sim *Simulation) transmit(from, to int, payload []byte) {
 	copies := 1
 	if sim.config.DuplicateRate > 0 && sim.rng.Float64() < sim.config.DuplicateRate {
 		copies = 2
@@ -228,27 +234,28 @@
 		if sim.config.DelayRate > 0 && sim.rng.Float64() < sim.config.DelayRate {
 			delay += time.Duration(sim.rng.Int64N(int64(sim.config.MaxExtraDelay) + 1))
 		}
-		sim.Schedule(sim.Now+delay, func() { sim.Deliver(from, to, note) })
+		sim.Schedule(sim.Now+delay, func() { sim.Deliver(from, to, payload) })
 	}
 }
 
 // Deliver delivers a message to a relay as if another had sent it.
-func (sim *Simulation) Deliver(from, to int, note []byte) {
-	d := sim.Nodes[to]
+func (sim *Simulation) Deliver(from, to int, payload []byte) {
+	node := sim.Nodes[to]
 	switch {
-	case !d.running:
-	case sim.Now < d.pausedUntil:
-		d.queued = append(d.queued, datagram{from, note})
+	case !node.running:
+	case sim.Now < node.pausedUntil:
+		node.queued = append(node.queued, datagram{from, payload})
 	default:
-		sim.receive(d, from, note)
+		sim.receive(node, from, payload)
 	}
 }
 
-func (sim *Simulation) receive(node *Node, from int, note []byte) {
-	if sim.OnReceive != nil && sim.OnReceive(from, node.Number, note) != nil {
+// receive has a relay process a message, and sends its answers.
+func (sim *Simulation) receive(node *Node, from int, payload []byte) {
+	if sim.OnReceive != nil && sim.OnReceive(from, node.Number, payload) != nil {
 		return
 	}
-	out, _ := node.List.Receive(sim.Now, from, note)
+	out, _ := node.List.Receive(sim.Now, from, payload)
 	sim.send(node, out)
 	sim.reportChanges(node)
 }
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -36,6 +36,7 @@
 	exempt map[int]bool // members that may be seen in any state
 }
 
+// record is an OnChange callback.
 func (l *changeLog) record(e Event) {
 	l.events = append(l.events, e)
 }
@@ -50,6 +51,7 @@
 	return all
 }
 
+// requireAgreement fails the test if the relays don't agree within the given time.
 func requireAgreement(t *testing.T, sim *Simulation, within time.Duration) {
 	t.Helper()
 	if !sim.RunUntil(sim.Now+within, func() bool { ok, _, _ := sim.CheckAgreement(); return ok }) {
@@ -63,6 +65,7 @@
 // result.
 func agreementTime(n int) time.Duration { return 60*period + time.Duration(n/10)*period/4 }
 
+// forEachSize runs a test in parallel for each fleet size.
 func forEachSize(t *testing.T, do func(t *testing.T, n int)) {
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) { t.Parallel(); do(t, n) })
@@ -367,6 +370,7 @@
 	}
 }
 
+// testDuplicateNumber runs a second process under number 3.
 func testDuplicateNumber(t *testing.T, sameRunID bool) {
 	sim, log := startFleet(t, 10, Config{Seed: 41})
 	log.exempt[3] = true
@@ -393,9 +397,9 @@
 				sim.Deliver(3, to.To, duplicate.List.Section(to, members.MaxPiggybackBytes))
 			}
 		}
-		sim.OnReceive = func(from, to int, note []byte) error {
+		sim.OnReceive = func(from, to int, payload []byte) error {
 			if to == 3 { // a message to the number reaches both processes
-				for _, out := range ignoreError(duplicate.List.Receive(sim.Now, from, note)) {
+				for _, out := range ignoreError(duplicate.List.Receive(sim.Now, from, payload)) {
 					sim.Schedule(sim.Now+period/50, func() { sim.Deliver(3, out.To, out.Payload) })
 				}
 			}
@@ -418,6 +422,7 @@
 	}
 }
 
+// ignoreError drops the error of List.Receive.
 func ignoreError(out []members.Datagram, _ error) []members.Datagram { return out }
 
 // A relay sends false states of all others and floods one relay, and old messages of a dead relay
@@ -430,9 +435,9 @@
 		sim, log := startFleet(t, n, Config{Seed: 43})
 		liar := members.New(members.Config{Self: 2, FleetSize: n, Seed: 1})
 		var recorded [][]byte
-		sim.OnReceive = func(from, to int, note []byte) error {
+		sim.OnReceive = func(from, to int, payload []byte) error {
 			if from == 5 && len(recorded) < 200 {
-				recorded = append(recorded, note)
+				recorded = append(recorded, payload)
 			}
 			return nil
 		}
@@ -569,7 +574,7 @@
 // is refuted.
 func TestPairLosesAllMessages(t *testing.T) {
 	sim, log := startFleet(t, 10, Config{Seed: 67})
-	sim.OnReceive = func(from, to int, note []byte) error {
+	sim.OnReceive = func(from, to int, payload []byte) error {
 		if to == 1 && from == 0 || to == 0 && from == 1 {
 			return errDropped
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -98,6 +98,7 @@
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
+// scheduledMessage is a message and the time when it is due.
 type scheduledMessage struct {
 	number int
 	class  *Class
@@ -192,6 +193,7 @@
 	buf    []byte
 }
 
+// close closes the connection; post opens a new one.
 func (c *conn) close() {
 	if c.sock != nil {
 		c.sock.Close()
@@ -207,6 +209,7 @@
 	return fmt.Sprintf("%016x", uint64(message.due.UnixNano())<<16|uint64(message.number)&0xffff)
 }
 
+// post sends a message and returns the status of the answer.
 func (c *conn) post(message scheduledMessage, id string, size int) (status int, err error) {
 	if c.sock == nil {
 		if c.sock, err = net.DialTimeout("tcp", c.addr, answerTimeout); err != nil {
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -21,6 +21,7 @@
 	attemptEnded *sync.Cond // signals the end of an attempt
 }
 
+// trackedMessage is the state of a message in the log.
 type trackedMessage struct {
 	number    uint32
 	dest      int
@@ -43,6 +44,7 @@
 	return r
 }
 
+// log checks an event, dated now.
 func (r *Recorder) log(event rules.Event) {
 	event.At = time.Since(r.start)
 	r.checker.Check(event)
@@ -132,6 +134,7 @@
 	r.attemptEnded.Broadcast()
 }
 
+// anyInFlight reports whether an attempt of any of the messages is in flight.
 func (r *Recorder) anyInFlight(ids []string) bool {
 	for _, id := range ids {
 		if m := r.messages[id]; m != nil && m.inFlight > 0 {
--- a/internal/lab/load/saturate.go
+++ b/internal/lab/load/saturate.go
@@ -32,8 +32,8 @@
 
 // MessagesPerCPUSecond returns how many messages were executed within their target latency per
 // second of CPU time.
-func (s RateResult) MessagesPerCPUSecond() float64 {
-	return float64(s.WithinTarget) / max(s.CPU.Seconds(), 0.01)
+func (result RateResult) MessagesPerCPUSecond() float64 {
+	return float64(result.WithinTarget) / max(result.CPU.Seconds(), 0.01)
 }
 
 // minWithinTarget is the share of messages that must be executed within their target latency.
@@ -55,79 +55,80 @@
 
 // Saturate runs the relay and a plain forwarder at increasing rates, each rate with a new process.
 // A program that missed the target latency is not run at higher rates.
-func Saturate(ctx context.Context, set SaturationConfig, each func(RateResult)) error {
-	over := map[string]bool{}
-	for _, rate := range set.Rates {
+func Saturate(ctx context.Context, config SaturationConfig, each func(RateResult)) error {
+	missedTarget := map[string]bool{}
+	for _, rate := range config.Rates {
 		for _, program := range []string{"relay", "forwarder"} {
-			if over[program] || ctx.Err() != nil {
+			if missedTarget[program] || ctx.Err() != nil {
 				continue
 			}
-			s, err := set.measureRate(ctx, program, rate)
+			result, err := config.measureRate(ctx, program, rate)
 			if err != nil {
 				return fmt.Errorf("%s at %g/s: %w", program, rate, err)
 			}
-			over[program] = !s.TargetKept
-			each(*s)
+			missedTarget[program] = !result.TargetKept
+			each(*result)
 		}
 	}
 	return ctx.Err()
 }
 
-func (set SaturationConfig) measureRate(ctx context.Context, program string, rate float64) (*RateResult, error) {
+// measureRate runs one program under one rate, with new test doubles.
+func (config SaturationConfig) measureRate(ctx context.Context, program string, rate float64) (*RateResult, error) {
 	meter := NewMeter(DefaultMix)
 	var partners []testdouble.PartnerConfig
-	load := Config{Rate: rate, Duration: set.Duration, Mix: DefaultMix, MaxConns: set.MaxConns,
-		BodyBytes: set.BodyBytes, Seed: set.Seed}
-	for i := range set.Dests {
+	load := Config{Rate: rate, Duration: config.Duration, Mix: DefaultMix, MaxConns: config.MaxConns,
+		BodyBytes: config.BodyBytes, Seed: config.Seed}
+	for i := range config.Dests {
 		load.Dests = append(load.Dests, i+1)
 		partners = append(partners, testdouble.PartnerConfig{Dest: i + 1, OnMessage: meter.Record})
 	}
-	w, err := testdouble.NewEnvironment(
-		testdouble.Config{Seed: set.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000,
+	env, err := testdouble.NewEnvironment(
+		testdouble.Config{Seed: config.Seed, Partners: partners, MaxConcurrentCalls: 256, MaxPending: 20_000,
 			MaxDescriptors: 4096, DiskMB: 256})
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer env.Close()
 	pid := 0
 	if program == "relay" {
-		r, err := w.StartRelay(set.RelayBinary)
+		r, err := env.StartRelay(config.RelayBinary)
 		if err != nil {
 			return nil, err
 		}
 		load.Addr, pid = r.Addr, r.PID()
 	} else {
-		var to []string
-		for _, p := range w.Partners {
-			to = append(to, p.Addresses()...)
+		var addrs []string
+		for _, p := range env.Partners {
+			addrs = append(addrs, p.Addresses()...)
 		}
-		cmd, addr, err := startForwarder(ctx, set.ForwardCommand, to)
+		cmd, addr, err := startForwarder(ctx, config.ForwardCommand, addrs)
 		if err != nil {
 			return nil, err
 		}
 		defer func() { cmd.Process.Kill(); cmd.Wait() }()
 		load.Addr, pid = addr, cmd.Process.Pid
 	}
-	rep, err := Run(ctx, load)
+	report, err := Run(ctx, load)
 	if err != nil {
 		return nil, err
 	}
 	// Accepted messages may still be in flight; wait for them a limited time.
-	for end := time.Now().Add(3 * time.Second); meter.CompletedCount() < rep.Accepted && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); meter.CompletedCount() < report.Accepted && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	u, err := ReadUsage(pid)
+	usage, err := ReadUsage(pid)
 	if err != nil {
 		return nil, err
 	}
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	s := &RateResult{Program: program, OfferedRate: rate, Sent: rep.Sent, WithinTarget: meter.WithinTarget,
-		Rejected: rep.Rejected, Failed: rep.Failed, Duplicates: meter.Duplicates, CPU: u.CPU, PeakBytes: u.PeakBytes,
+	result := &RateResult{Program: program, OfferedRate: rate, Sent: report.Sent, WithinTarget: meter.WithinTarget,
+		Rejected: report.Rejected, Failed: report.Failed, Duplicates: meter.Duplicates, CPU: usage.CPU, PeakBytes: usage.PeakBytes,
 		P50: time.Duration(meter.Latency.ValueAtPercentile(50)) * time.Microsecond,
 		P99: time.Duration(meter.Latency.ValueAtPercentile(99)) * time.Microsecond}
-	s.TargetKept = float64(s.WithinTarget) >= minWithinTarget*float64(s.Sent)
-	return s, nil
+	result.TargetKept = float64(result.WithinTarget) >= minWithinTarget*float64(result.Sent)
+	return result, nil
 }
 
 // startForwarder starts the forwarder and reads its address.
--- a/internal/lab/region/coverage.go
+++ b/internal/lab/region/coverage.go
@@ -90,7 +90,7 @@
 	since   time.Duration
 }
 
-// ChangeDelays runs for the given span. For each map published meanwhile and each running relay
+// ChangeDelays runs for the given duration. For each map published meanwhile and each running relay
 // whose part it changes, it returns the time until that map or a later one was in force there. A
 // change that is not in force at the end counts with the time passed so far. It checks at each
 // interval, and calls sample each time.
--- a/internal/lab/region/events.go
+++ b/internal/lab/region/events.go
@@ -73,8 +73,8 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	whole := func() bool { m := sim.Published(); return m != nil && len(sim.Outdated(m)) == 0 }
-	if _, ok := sim.RunUntil(settleTimeout, time.Second, whole); !ok {
+	settled := func() bool { m := sim.Published(); return m != nil && len(sim.Outdated(m)) == 0 }
+	if _, ok := sim.RunUntil(settleTimeout, time.Second, settled); !ok {
 		return Outcome{}, fmt.Errorf("region %d: not settled after %v", config.Number, settleTimeout)
 	}
 	run := &eventRun{Simulation: sim,
@@ -89,6 +89,7 @@
 	return run.outcome(), nil
 }
 
+// apply causes the event and runs the simulation until its effects are over.
 func (run *eventRun) apply(event Event) error {
 	switch event {
 	case LoseRelay:
@@ -199,7 +200,7 @@
 	}
 }
 
-// observe runs for the given span, and records the coverage and the delays of changes.
+// observe runs for the given duration, and records the coverage and the delays of changes.
 func (run *eventRun) observe(duration time.Duration) {
 	run.lastSample = run.Now
 	run.delays = append(run.delays, run.ChangeDelays(duration, sampleInterval, run.recordCoverage)...)
@@ -234,6 +235,7 @@
 	}
 }
 
+// outcome computes the rates and delays and returns the outcome.
 func (run *eventRun) outcome() Outcome {
 	span := (run.Now - run.startedAt).Seconds()
 	for _, r := range run.Simulation.Relays {
--- a/internal/lab/region/simulation.go
+++ b/internal/lab/region/simulation.go
@@ -281,6 +281,7 @@
 	sim.send(func() { sim.receiveAnswer(r, runID, answer) })
 }
 
+// receiveAnswer has a relay process an answer of a control machine and save its slice.
 func (sim *Simulation) receiveAnswer(r *Relay, runID int, answer []byte) {
 	if !r.Up || r.runID != runID || r.isolated {
 		return
@@ -359,6 +360,7 @@
 	}
 }
 
+// randomDuration returns a random duration below the given one.
 func (sim *Simulation) randomDuration(below time.Duration) time.Duration {
 	return time.Duration(sim.rng.Int64N(int64(below)))
 }
@@ -396,6 +398,7 @@
 	return sim.Now, true
 }
 
+// task is a function to run at a time; seq orders the tasks of one time.
 type task struct {
 	at  time.Duration
 	seq uint64
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/rehearse/rehearse.go
@@ -159,15 +159,15 @@
 			emu.Fault{Kind: emu.SitePartition, At: lossAt, Duration: outage, Zone: zone})
 	case HalfWithoutGossip: // every second other relay gets no gossip, and has to go by its own calls
 		addLoss(lossAt, outage, lostRelays, zone)
-		var deaf []int
+		var withoutGossip []int
 		for n := range scenario.Relays {
 			if scenario.ZoneOf(n) != lost && n/zones%2 == 0 {
-				deaf = append(deaf, n)
+				withoutGossip = append(withoutGossip, n)
 			}
 		}
 		scenario.Faults = append(scenario.Faults,
 			emu.Fault{Kind: emu.GossipReceiveLoss, At: lossAt - 2*time.Second, Duration: outage + 4*time.Second,
-				Relays: deaf})
+				Relays: withoutGossip})
 	default:
 		addLoss(lossAt, outage, lostRelays, zone)
 	}
@@ -203,6 +203,7 @@
 	return scenario, scenario.Check()
 }
 
+// orElse returns v, or the fallback if v is the zero value.
 func orElse[T comparable](v, fallback T) T {
 	var none T
 	if v == none {
@@ -211,6 +212,7 @@
 	return v
 }
 
+// zoneName returns the laboratory's name of the zone with the given index.
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", 1+n) }
 
 // withLabZoneNames returns the plan with the laboratory's zone names, and the index of each zone by
@@ -257,9 +259,9 @@
 		}
 		c := policy.Class{Name: name, Effect: policy.Safe, TargetLatency: 1500 * time.Millisecond,
 			Deadline: 6 * time.Second, Value: 1}
-		for _, u := range knownClasses {
-			if u.Name == name {
-				c = u
+		for _, known := range knownClasses {
+			if known.Name == name {
+				c = known
 			}
 		}
 		classes[name] = len(scenario.Classes)
@@ -306,8 +308,8 @@
 	}
 	scenario.Rate = totalRate * load
 	callsInFlight := scenario.Rate * (messageWork + scenario.RTT).Seconds() / float64(scenario.Relays)
-	scenario.MaxConcurrentCalls, scenario.MaxPending = max(6,
-		int(math.Ceil(2*concurrencyHeadroom*callsInFlight))),
+	scenario.MaxConcurrentCalls, scenario.MaxPending =
+		max(6, int(math.Ceil(2*concurrencyHeadroom*callsInFlight))),
 		max(40, int(pendingSeconds*scenario.Rate/float64(scenario.Relays)))
 	return nil
 }
@@ -318,8 +320,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p, names := withLabZoneNames(config.Plan)
-	lost := zoneName(names[config.LostZone])
+	plan, zoneIndex := withLabZoneNames(config.Plan)
+	lost := zoneName(zoneIndex[config.LostZone])
 	zoneOf, capacity := map[int]string{}, map[string]float64{}
 	n := 0
 	for _, dest := range scenario.Dests {
@@ -328,14 +330,14 @@
 			zoneOf[n] = endpoint.Zone
 		}
 	}
-	for _, dest := range p.Destinations {
+	for _, dest := range plan.Destinations {
 		for z, rate := range dest.Capacity {
 			capacity[z] += rate
 		}
 	}
-	at, gone := orElse(config.LossAt, defaultLossAt), orElse(config.OutageDuration, defaultOutage)
+	lossAt, outage := orElse(config.LossAt, defaultLossAt), orElse(config.OutageDuration, defaultOutage)
 	if config.Permanent {
-		gone = scenario.Length
+		outage = scenario.Length
 	}
 	down := func(zone string, now time.Duration) bool { // whether the endpoints of the zone are down
 		for _, fault := range scenario.Faults {
@@ -359,7 +361,7 @@
 			}
 			return
 		}
-		if zone == lost || e.At < at {
+		if zone == lost || e.At < lossAt {
 			return
 		}
 		times := recent[zone]
@@ -384,7 +386,7 @@
 		if change.Zone != lost {
 			continue
 		}
-		if states[change.By] = change.To; change.At < at+gone {
+		if states[change.By] = change.To; change.At < lossAt+outage {
 			continue
 		}
 		allHealthy := true
@@ -392,7 +394,7 @@
 			allHealthy = allHealthy && state == sites.Healthy.String()
 		}
 		if recoveredAfter = -1; allHealthy {
-			recoveredAfter = change.At - at - gone
+			recoveredAfter = change.At - lossAt - outage
 		}
 	}
 	outcome.RecoveredAfter = recoveredAfter
--- a/internal/lab/rehearse/rehearse_test.go
+++ b/internal/lab/rehearse/rehearse_test.go
@@ -59,8 +59,8 @@
 					perSite == 1 && with.Result.Fallen > 0 || with.Result.Doubles > 0 {
 					t.Errorf("%v %v, %d collapsed", with.Result.Breaks, with.Result.Faults, with.Result.Fallen)
 				}
-				if n := with.Result.Delivered + with.Result.GivenUp + with.Result.HandedBack +
-					with.Result.Lost; n != with.Result.Requests || with.Result.Lost > without.Result.Lost {
+				if n := with.Result.Delivered + with.Result.GivenUp + with.Result.HandedBack + with.Result.Lost; n !=
+					with.Result.Requests || with.Result.Lost > without.Result.Lost {
 					t.Errorf("%d outcomes of %d messages, %d lost", n, with.Result.Requests, with.Result.Lost)
 				}
 				if c == BurstOnReturn && perSite == 27 {
@@ -93,9 +93,9 @@
 // run: the peak of one run on a burst depends on its seed. The overloads given are those of seed 5.
 func checkMeanOverload(t *testing.T, p *sites.Plan, c Case, perSite int, without, with float64) {
 	t.Helper()
-	const days, margin = 4, 0.06
+	const runs, margin = 4, 0.06
 	sum := [2]float64{without, with}
-	for seed := uint64(6); seed < 5+days; seed++ {
+	for seed := uint64(6); seed < 5+runs; seed++ {
 		for variant := range sum {
 			o, err := Run(Config{Plan: p, LostZone: "porto", Case: c, RelaysPerSite: perSite, Seed: seed,
 				UsePlan: variant == 1})
@@ -105,8 +105,8 @@
 			sum[variant] += o.PeakOverload
 		}
 	}
-	if was, is := sum[0]/days, sum[1]/days; is > max(1.12, was+margin) {
-		t.Errorf("survivors got %.3f of their capacity in the mean of %d runs, %.3f without the plan", is, days, was)
+	if meanWithout, meanWith := sum[0]/runs, sum[1]/runs; meanWith > max(1.12, meanWithout+margin) {
+		t.Errorf("survivors got %.3f of their capacity in the mean of %d runs, %.3f without the plan", meanWith, runs, meanWithout)
 	}
 }
 
