--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -17,14 +17,14 @@
 
 // Quantity is something whose growth is measured.
 type Quantity struct {
-	Name  string  // unique, in lower case: "destination known"
-	Unit  string  // of its value: "bytes", "bytes/s", "ns", "s"
-	Per   string  // what sizes count: "destinations"
-	Timed bool    // its value depends on the machine's speed
-	Bound float64 // the most that the slope may be, in Unit for each of Per; 0: no bound
+	Name     string  // unique, in lower case: "destination known"
+	Unit     string  // of its value: "bytes", "bytes/s", "ns", "s"
+	Per      string  // what sizes count: "destinations"
+	Timed    bool    // its value depends on the machine's speed
+	MaxSlope float64 // the most that the slope may be, in Unit for each of Per; 0: no bound
 
-	Sizes []int // of a full run, ascending
-	Short []int // of a run in tests, ascending
+	Sizes      []int // of a full run, ascending
+	ShortSizes []int // of a run in tests, ascending
 
 	// Measure returns the value at a size.
 	Measure func(size int, seed uint64) (float64, error)
@@ -41,31 +41,31 @@
 	Seed     uint64  `parquet:"seed"`
 }
 
-// Slope is the line through a quantity's points.
-type Slope struct {
+// LinearFit is the line through a quantity's points.
+type LinearFit struct {
 	Quantity
-	From, To int     // sizes that were measured
-	PerUnit  float64 // value for each one more
-	Base     float64 // value at size 0
-	Residual float64 // greatest distance of a point from the line, as a share of the point's value
+	MinSize, MaxSize int     // sizes that were measured
+	Slope            float64 // value for each one more
+	Intercept        float64 // value at size 0
+	Residual         float64 // greatest distance of a point from the line, as a share of the point's value
 }
 
-// ErrFewSizes says that a line needs at least two sizes.
-var ErrFewSizes = errors.New("capacity: at least two sizes are needed")
+// ErrTooFewSizes says that a line needs at least two sizes.
+var ErrTooFewSizes = errors.New("capacity: at least two sizes are needed")
 
-// ErrOverBound says that a slope is above its quantity's bound.
-var ErrOverBound = errors.New("capacity: slope above its bound")
+// ErrSlopeAboveBound says that a slope is above its quantity's bound.
+var ErrSlopeAboveBound = errors.New("capacity: slope above its bound")
 
 // Run measures a quantity at each size, in the order given, and fits a line through the points.
-func Run(q Quantity, sizes []int, seed uint64) ([]Point, Slope, error) {
+func Run(q Quantity, sizes []int, seed uint64) ([]Point, LinearFit, error) {
 	if len(sizes) < 2 {
-		return nil, Slope{}, fmt.Errorf("%w: %s has %d", ErrFewSizes, q.Name, len(sizes))
+		return nil, LinearFit{}, fmt.Errorf("%w: %s has %d", ErrTooFewSizes, q.Name, len(sizes))
 	}
 	points := make([]Point, 0, len(sizes))
 	for _, size := range sizes {
 		value, err := q.Measure(size, seed)
 		if err != nil {
-			return nil, Slope{}, fmt.Errorf("%s at %d %s: %w", q.Name, size, q.Per, err)
+			return nil, LinearFit{}, fmt.Errorf("%s at %d %s: %w", q.Name, size, q.Per, err)
 		}
 		points = append(points, Point{Quantity: q.Name, Unit: q.Unit, Per: q.Per, Timed: q.Timed, Size: int64(size), Value: value, Seed: seed})
 	}
@@ -73,39 +73,39 @@
 }
 
 // fit draws the line through the points that has the least square distances relative to the sizes: large sizes do not outweigh small ones.
-func fit(q Quantity, points []Point) Slope {
+func fit(q Quantity, points []Point) LinearFit {
 	var sizes, values, weights []float64
 	for _, p := range points {
 		sizes = append(sizes, float64(p.Size))
 		values = append(values, p.Value)
 		weights = append(weights, 1/float64(p.Size)/float64(p.Size))
 	}
-	s := Slope{Quantity: q, From: int(points[0].Size), To: int(points[len(points)-1].Size)}
-	s.Base, s.PerUnit = stat.LinearRegression(sizes, values, weights, false)
+	s := LinearFit{Quantity: q, MinSize: int(points[0].Size), MaxSize: int(points[len(points)-1].Size)}
+	s.Intercept, s.Slope = stat.LinearRegression(sizes, values, weights, false)
 	for _, p := range points {
-		off := math.Abs(s.At(int(p.Size))-p.Value) / math.Max(math.Abs(p.Value), 1)
+		off := math.Abs(s.Predict(int(p.Size))-p.Value) / math.Max(math.Abs(p.Value), 1)
 		s.Residual = math.Max(s.Residual, off)
 	}
 	return s
 }
 
-// At is what the line says for a size, also outside of those measured.
-func (s Slope) At(size int) float64 { return s.Base + s.PerUnit*float64(size) }
+// Predict is what the line says for a size, also outside of those measured.
+func (s LinearFit) Predict(size int) float64 { return s.Intercept + s.Slope*float64(size) }
 
-// Beyond tells how many times larger than any measured size a size is; 1 or less where it is among them.
-func (s Slope) Beyond(size int) float64 { return float64(size) / float64(s.To) }
+// Extrapolation tells how many times larger than any measured size a size is; 1 or less where it is among them.
+func (s LinearFit) Extrapolation(size int) float64 { return float64(size) / float64(s.MaxSize) }
 
-// Check returns ErrOverBound, with the figures, if the slope is above the quantity's bound.
-func (s Slope) Check() error {
-	if s.Bound > 0 && s.PerUnit > s.Bound {
-		return fmt.Errorf("%w: %s is %.1f %s for each of %s, at most %.1f", ErrOverBound, s.Name, s.PerUnit, s.Unit, s.Per, s.Bound)
+// CheckBound returns ErrOverBound, with the figures, if the slope is above the quantity's bound.
+func (s LinearFit) CheckBound() error {
+	if s.MaxSlope > 0 && s.Slope > s.MaxSlope {
+		return fmt.Errorf("%w: %s is %.1f %s for each of %s, at most %.1f", ErrSlopeAboveBound, s.Name, s.Slope, s.Unit, s.Per, s.MaxSlope)
 	}
 	return nil
 }
 
-// Find returns the quantities of these names, all of them for no names.
+// FindQuantities returns the quantities of these names, all of them for no names.
 // An unknown name is an error that lists the known ones.
-func Find(names []string) ([]Quantity, error) {
+func FindQuantities(names []string) ([]Quantity, error) {
 	all := Quantities()
 	if len(names) == 0 {
 		return all, nil
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -17,12 +17,12 @@
 			continue
 		}
 		t.Run(q.Name, func(t *testing.T) {
-			_, slope, err := Run(q, q.Short, seed)
+			_, slope, err := Run(q, q.ShortSizes, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%.2f %s for each of %s, residual %.2f", slope.PerUnit, q.Unit, q.Per, slope.Residual)
-			if err := slope.Check(); err != nil {
+			t.Logf("%.2f %s for each of %s, residual %.2f", slope.Slope, q.Unit, q.Per, slope.Residual)
+			if err := slope.CheckBound(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -35,7 +35,7 @@
 		if !q.Timed {
 			continue
 		}
-		points, _, err := Run(q, q.Short[:2], seed)
+		points, _, err := Run(q, q.ShortSizes[:2], seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,11 +55,11 @@
 			t.Errorf("name %q", q.Name)
 		}
 		names[q.Name] = true
-		if !slices.IsSorted(q.Sizes) || !slices.IsSorted(q.Short) || len(q.Sizes) < 4 || len(q.Short) < 2 {
-			t.Errorf("%s: sizes %v and %v", q.Name, q.Sizes, q.Short)
+		if !slices.IsSorted(q.Sizes) || !slices.IsSorted(q.ShortSizes) || len(q.Sizes) < 4 || len(q.ShortSizes) < 2 {
+			t.Errorf("%s: sizes %v and %v", q.Name, q.Sizes, q.ShortSizes)
 		}
-		if q.Timed != (q.Bound == 0) {
-			t.Errorf("%s: timed %t, bound %g", q.Name, q.Timed, q.Bound)
+		if q.Timed != (q.MaxSlope == 0) {
+			t.Errorf("%s: timed %t, bound %g", q.Name, q.Timed, q.MaxSlope)
 		}
 	}
 }
@@ -76,13 +76,13 @@
 		}}
 	}
 	_, exact, err := Run(line(0), []int{10, 40, 160, 640}, seed)
-	if err != nil || math.Abs(exact.PerUnit-3) > 1e-9 || math.Abs(exact.Base-100) > 1e-6 || exact.Residual > 1e-9 {
+	if err != nil || math.Abs(exact.Slope-3) > 1e-9 || math.Abs(exact.Intercept-100) > 1e-6 || exact.Residual > 1e-9 {
 		t.Errorf("%+v, %v", exact, err)
 	}
-	if got := exact.At(1000); math.Abs(got-3100) > 1e-6 {
+	if got := exact.Predict(1000); math.Abs(got-3100) > 1e-6 {
 		t.Errorf("%g at 1000", got)
 	}
-	if got := exact.Beyond(1280); got != 2 {
+	if got := exact.Extrapolation(1280); got != 2 {
 		t.Errorf("1280 lies %g times beyond", got)
 	}
 	_, bent, err := Run(line(0.5), []int{10, 40, 160, 640}, seed)
@@ -94,13 +94,13 @@
 // What can't be measured is named with its size; a slope above its bound is named with both.
 func TestErrors(t *testing.T) {
 	broken := errors.New("broken")
-	q := Quantity{Name: "some", Unit: "bytes", Per: "things", Bound: 1, Measure: func(size int, _ uint64) (float64, error) {
+	q := Quantity{Name: "some", Unit: "bytes", Per: "things", MaxSlope: 1, Measure: func(size int, _ uint64) (float64, error) {
 		if size > 20 {
 			return 0, broken
 		}
 		return 5 * float64(size), nil
 	}}
-	if _, _, err := Run(q, []int{10}, seed); !errors.Is(err, ErrFewSizes) {
+	if _, _, err := Run(q, []int{10}, seed); !errors.Is(err, ErrTooFewSizes) {
 		t.Error(err)
 	}
 	if _, _, err := Run(q, []int{10, 40}, seed); !errors.Is(err, broken) || !strings.Contains(err.Error(), "some at 40 things") {
@@ -110,13 +110,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := slope.Check(); !errors.Is(err, ErrOverBound) || !strings.Contains(err.Error(), "5.0 bytes") {
+	if err := slope.CheckBound(); !errors.Is(err, ErrSlopeAboveBound) || !strings.Contains(err.Error(), "5.0 bytes") {
 		t.Error(err)
 	}
-	if _, err := Find([]string{"endpoint", "nothing"}); err == nil || !strings.Contains(err.Error(), `"nothing"`) {
+	if _, err := FindQuantities([]string{"endpoint", "nothing"}); err == nil || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Error(err)
 	}
-	if found, err := Find([]string{"endpoint"}); err != nil || len(found) != 1 {
+	if found, err := FindQuantities([]string{"endpoint"}); err != nil || len(found) != 1 {
 		t.Errorf("%v, %v", found, err)
 	}
 }
--- a/internal/lab/capacity/events.go
+++ b/internal/lab/capacity/events.go
@@ -26,9 +26,9 @@
 
 // Shape of the fleets that losses are played in.
 const (
-	RackSize   = 40
-	eventZones = 8
-	RegionCut  = 2 * time.Minute
+	RackSize          = 40
+	eventZones        = 8
+	PartitionDuration = 2 * time.Minute
 
 	settleTime = 20 * time.Second  // before the loss
 	deathWatch = 60 * time.Second  // after a death
@@ -36,32 +36,32 @@
 	agreeTurn  = members.Period    // between two looks whether all agree
 )
 
-// LeastFleet is the smallest fleet that losses are played in: two members in each zone.
-const LeastFleet = 2 * eventZones
+// MinFleetSize is the smallest fleet that losses are played in: two members in each zone.
+const MinFleetSize = 2 * eventZones
 
-// ErrFleet says that a fleet is too small, or a loss unknown.
-var ErrFleet = errors.New("capacity: no such event")
+// ErrInvalidLoss says that a fleet is too small, or a loss unknown.
+var ErrInvalidLoss = errors.New("capacity: no such event")
 
 // Outcome is what one loss came to. Times count from the loss; for Region, Agreed counts from the end of the cut.
 type Outcome struct {
-	Loss     Loss    `parquet:"loss,dict"`
-	Members  int32   `parquet:"members"`
-	Lost     int32   `parquet:"lost"`      // members that died or were cut off
-	NoteLoss float64 `parquet:"note_loss"` // share of notes that were lost
-	Seed     uint64  `parquet:"seed"`
-
-	Median  float64 `parquet:"median_s"` // until half of the pairs (who stays, who is lost) are known; -1: they never were
-	Late    float64 `parquet:"p99_s"`    // until 99 of 100 are
-	Agreed  float64 `parquet:"agreed_s"` // until every member is right about every other; -1: not by the end
-	False   int32   `parquet:"false"`    // times that a member took one on its own side for away that lived
-	Calm    float64 `parquet:"calm_bytes_s"`
-	Unquiet float64 `parquet:"after_bytes_s"` // sent by each member that stays, a second, from the loss to the end
+	Loss        Loss    `parquet:"loss,dict"`
+	Members     int32   `parquet:"members"`
+	LostMembers int32   `parquet:"lost"`      // members that died or were cut off
+	GossipLoss  float64 `parquet:"note_loss"` // share of notes that were lost
+	Seed        uint64  `parquet:"seed"`
+
+	MedianSeconds        float64 `parquet:"median_s"` // until half of the pairs (who stays, who is lost) are known; -1: they never were
+	P99Seconds           float64 `parquet:"p99_s"`    // until 99 of 100 are
+	AgreedSeconds        float64 `parquet:"agreed_s"` // until every member is right about every other; -1: not by the end
+	FalseDeaths          int32   `parquet:"false"`    // times that a member took one on its own side for away that lived
+	BytesPerSecondBefore float64 `parquet:"calm_bytes_s"`
+	BytesPerSecondAfter  float64 `parquet:"after_bytes_s"` // sent by each member that stays, a second, from the loss to the end
 }
 
-// PlayLoss plays one loss in a fleet of that size. It returns ErrFleet for a fleet of fewer than LeastFleet and for an unknown loss.
-func PlayLoss(loss Loss, size int, noteLoss float64, seed uint64) (Outcome, error) {
-	if size < LeastFleet || !slices.Contains(Losses, loss) {
-		return Outcome{}, fmt.Errorf("%w: %q among %d members, %d at least", ErrFleet, loss, size, LeastFleet)
+// RunLoss plays one loss in a fleet of that size. It returns ErrFleet for a fleet of fewer than LeastFleet and for an unknown loss.
+func RunLoss(loss Loss, size int, noteLoss float64, seed uint64) (Outcome, error) {
+	if size < MinFleetSize || !slices.Contains(Losses, loss) {
+		return Outcome{}, fmt.Errorf("%w: %q among %d members, %d at least", ErrInvalidLoss, loss, size, MinFleetSize)
 	}
 	w := gossip.New(gossip.Config{Relays: size, Zones: eventZones, Loss: noteLoss, Seed: seed})
 	lost := loss.members(size)
@@ -76,7 +76,7 @@
 	agreeFrom, end := w.Now, w.Now+deathWatch
 	if loss == Region {
 		w.Blocked = func(from, to int) bool { return lost[from] != lost[to] }
-		w.Run(w.Now + RegionCut)
+		w.Run(w.Now + PartitionDuration)
 		w.Blocked = nil
 		agreeFrom, end = w.Now, w.Now+joinWatch
 	} else {
@@ -88,13 +88,13 @@
 	w.Run(end)
 
 	stay := float64(size - len(lost))
-	out := Outcome{Loss: loss, Members: int32(size), Lost: int32(len(lost)), NoteLoss: noteLoss, Seed: seed, False: int32(watch.wrong), Agreed: -1}
-	out.Calm = float64(atLoss-atStart) / stay / (settleTime / 2).Seconds()
-	out.Unquiet = float64(sent(w, lost)-atLoss) / stay / (end - watch.at).Seconds()
+	out := Outcome{Loss: loss, Members: int32(size), LostMembers: int32(len(lost)), GossipLoss: noteLoss, Seed: seed, FalseDeaths: int32(watch.wrong), AgreedSeconds: -1}
+	out.BytesPerSecondBefore = float64(atLoss-atStart) / stay / (settleTime / 2).Seconds()
+	out.BytesPerSecondAfter = float64(sent(w, lost)-atLoss) / stay / (end - watch.at).Seconds()
 	if agreed >= 0 {
-		out.Agreed = (agreed - agreeFrom).Seconds()
+		out.AgreedSeconds = (agreed - agreeFrom).Seconds()
 	}
-	out.Median, out.Late = watch.share(size, 0.5), watch.share(size, 0.99)
+	out.MedianSeconds, out.P99Seconds = watch.share(size, 0.5), watch.share(size, 0.99)
 	return out, nil
 }
 
--- a/internal/lab/capacity/events_test.go
+++ b/internal/lab/capacity/events_test.go
@@ -10,16 +10,16 @@
 func TestLossesAreNoticedByAll(t *testing.T) {
 	for _, loss := range Losses {
 		for _, noteLoss := range []float64{0, 0.1} {
-			out, err := PlayLoss(loss, 64, noteLoss, seed)
+			out, err := RunLoss(loss, 64, noteLoss, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%+v", out)
-			if out.Lost == 0 || out.Median < 0 || out.Late < out.Median || out.Late > deathWatch.Seconds() || out.Agreed < 0 || out.False > 0 {
+			if out.LostMembers == 0 || out.MedianSeconds < 0 || out.P99Seconds < out.MedianSeconds || out.P99Seconds > deathWatch.Seconds() || out.AgreedSeconds < 0 || out.FalseDeaths > 0 {
 				t.Errorf("%s, %g of the notes lost: %+v", loss, noteLoss, out)
 			}
-			if out.Calm <= 0 || out.Unquiet > 3000 {
-				t.Errorf("%s: %.0f bytes a second before, %.0f after", loss, out.Calm, out.Unquiet)
+			if out.BytesPerSecondBefore <= 0 || out.BytesPerSecondAfter > 3000 {
+				t.Errorf("%s: %.0f bytes a second before, %.0f after", loss, out.BytesPerSecondBefore, out.BytesPerSecondAfter)
 			}
 		}
 	}
@@ -39,17 +39,17 @@
 
 // One seed gives one outcome; what can't be played is refused by name.
 func TestLossErrors(t *testing.T) {
-	a, errA := PlayLoss(Zone, 32, 0.1, 7)
-	b, errB := PlayLoss(Zone, 32, 0.1, 7)
+	a, errA := RunLoss(Zone, 32, 0.1, 7)
+	b, errB := RunLoss(Zone, 32, 0.1, 7)
 	if a != b || errA != nil || errB != nil {
 		t.Errorf("%+v, %v and %+v, %v", a, errA, b, errB)
 	}
-	for _, size := range []int{0, LeastFleet - 1} {
-		if _, err := PlayLoss(Zone, size, 0, 1); !errors.Is(err, ErrFleet) {
+	for _, size := range []int{0, MinFleetSize - 1} {
+		if _, err := RunLoss(Zone, size, 0, 1); !errors.Is(err, ErrInvalidLoss) {
 			t.Errorf("%d members: %v", size, err)
 		}
 	}
-	if _, err := PlayLoss("moon", 64, 0, 1); !errors.Is(err, ErrFleet) {
+	if _, err := RunLoss("moon", 64, 0, 1); !errors.Is(err, ErrInvalidLoss) {
 		t.Error(err)
 	}
 }
--- a/internal/lab/command/capacity.go
+++ b/internal/lab/command/capacity.go
@@ -24,7 +24,7 @@
 	cmd.Flags().StringVar(&plotFile, "plot", "", "draw values over sizes into an SVG `file`")
 	cmd.Flags().StringVar(&plotUnit, "plot-unit", "bytes", "unit of the quantities that are drawn")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		quantities, err := capacity.Find(names)
+		quantities, err := capacity.FindQuantities(names)
 		if err != nil {
 			return err
 		}
@@ -49,12 +49,12 @@
 }
 
 // measureAll measures one quantity after another: they share one heap, which has to be still meanwhile.
-func measureAll(quantities []capacity.Quantity, short bool, seed uint64, progress io.Writer) (points []capacity.Point, slopes []capacity.Slope, err error) {
+func measureAll(quantities []capacity.Quantity, short bool, seed uint64, progress io.Writer) (points []capacity.Point, slopes []capacity.LinearFit, err error) {
 	for _, q := range quantities {
 		fmt.Fprintf(progress, "measuring %s ...\n", q.Name)
 		sizes := q.Sizes
 		if short {
-			sizes = q.Short
+			sizes = q.ShortSizes
 		}
 		measured, slope, err := capacity.Run(q, sizes, seed)
 		if err != nil {
@@ -66,19 +66,19 @@
 }
 
 // printSlopes prints a line for each slope and returns how many are above their bounds.
-func printSlopes(out io.Writer, slopes []capacity.Slope) (over int) {
+func printSlopes(out io.Writer, slopes []capacity.LinearFit) (over int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "quantity\tfrom\tto\tof\teach\tunit\tat none\tresidual\tbound\t")
 	for _, s := range slopes {
 		bound := "-"
-		if s.Bound > 0 {
-			bound = fmt.Sprintf("%.1f", s.Bound)
+		if s.MaxSlope > 0 {
+			bound = fmt.Sprintf("%.1f", s.MaxSlope)
 		}
-		if s.Check() != nil {
+		if s.CheckBound() != nil {
 			over++
 			bound += " OVER"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.3f\t%s\t%.0f\t%.2f\t%s\t\n", s.Name, s.From, s.To, s.Per, s.PerUnit, s.Unit, s.Base, s.Residual, bound)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.3f\t%s\t%.0f\t%.2f\t%s\t\n", s.Name, s.MinSize, s.MaxSize, s.Per, s.Slope, s.Unit, s.Intercept, s.Residual, bound)
 	}
 	w.Flush()
 	return over
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	names, by := study.Arms(res.Rows)
+	names, by := study.GroupByVariant(res.Rows)
 	if base == "" {
 		base = names[0]
 	}
@@ -272,7 +272,7 @@
 		}
 	}
 	if bad > 0 {
-		return fmt.Errorf("%w: %d", study.ErrBroken, bad)
+		return fmt.Errorf("%w: %d", study.ErrRunsFailed, bad)
 	}
 	return nil
 }
@@ -296,11 +296,11 @@
 			if err != nil {
 				return err
 			}
-			raw, err := os.ReadFile(filepath.Join(args[0], study.Mark))
+			raw, err := os.ReadFile(filepath.Join(args[0], study.ExperimentFile))
 			if err != nil {
 				return err
 			}
-			title, question := study.Titles(raw)
+			title, question := study.ParseTitle(raw)
 			f, err := os.Create(file)
 			if err != nil {
 				return err
@@ -326,8 +326,8 @@
 				}
 				rows[i] = res.Rows
 			}
-			names, was := study.Arms(rows[0])
-			_, is := study.Arms(rows[1])
+			names, was := study.GroupByVariant(rows[0])
+			_, is := study.GroupByVariant(rows[1])
 			worse, pairs := false, 0
 			for _, n := range names {
 				if len(is[n]) == 0 {
@@ -400,7 +400,7 @@
 				fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%d\n", p.name, p.sim, p.emu, p.emu-p.sim, p.broken)
 			}
 			w.Flush()
-			fmt.Fprintf(cmd.OutOrStdout(), "rank correlation %.3f over %d days\n", study.Ranks(a, b), len(all))
+			fmt.Fprintf(cmd.OutOrStdout(), "rank correlation %.3f over %d days\n", study.RankCorrelation(a, b), len(all))
 			return nil
 		}}
 }
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -186,7 +186,7 @@
 		t.Fatal(len(rows), err)
 	}
 	for _, r := range rows {
-		if r.Batch != 5 || r.Senders != 2 || r.Offered == 0 || r.Goodput <= 0 {
+		if r.Batch != 5 || r.Relays != 2 || r.Offered == 0 || r.Goodput <= 0 {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/lab/command/losses.go
+++ b/internal/lab/command/losses.go
@@ -55,7 +55,7 @@
 	each(len(outcomes), func(i int) {
 		loss, rest := losses[i%len(losses)], i/len(losses)
 		size, noteLoss := sizes[rest/len(noteLosses)], noteLosses[rest%len(noteLosses)]
-		outcomes[i], errs[i] = capacity.PlayLoss(loss, size, noteLoss, seed)
+		outcomes[i], errs[i] = capacity.RunLoss(loss, size, noteLoss, seed)
 	})
 	for _, err := range errs {
 		if err != nil {
@@ -70,7 +70,7 @@
 	fmt.Fprintln(w, "members\tlost\t\tnotes lost\tmedian s\t99 of 100 s\tall agree s\tfalse\tbytes/s before\tafter\t")
 	for _, o := range outcomes {
 		fmt.Fprintf(w, "%d\t%s\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t\n",
-			o.Members, o.Loss, o.Lost, o.NoteLoss, o.Median, o.Late, o.Agreed, o.False, o.Calm, o.Unquiet)
+			o.Members, o.Loss, o.LostMembers, o.GossipLoss, o.MedianSeconds, o.P99Seconds, o.AgreedSeconds, o.FalseDeaths, o.BytesPerSecondBefore, o.BytesPerSecondAfter)
 	}
 	return w.Flush()
 }
--- a/internal/lab/command/overload.go
+++ b/internal/lab/command/overload.go
@@ -18,7 +18,7 @@
 func overloadCommand() *cobra.Command {
 	var quick, failing bool
 	var out, plotFile string
-	set, cells := overload.Default(), overload.Full()
+	set, cells := overload.DefaultConfig(), overload.FullMatrix()
 	cmd := &cobra.Command{Use: "overload", Short: "How much of a destination's limit fleets use that are asked for more, and how soon they recover", Args: cobra.NoArgs}
 	limits := matrixFlags(cmd.Flags(), &cells)
 	configFlags(cmd.Flags(), &set)
@@ -48,7 +48,7 @@
 			}
 		}
 		printOverload(cmd.OutOrStdout(), rows, failing)
-		if slices.ContainsFunc(rows, func(r overload.Row) bool { return r.Broken+r.Faults > 0 }) {
+		if slices.ContainsFunc(rows, func(r overload.Row) bool { return r.Violations+r.Faults > 0 }) {
 			return exit(exitBad)
 		}
 		return nil
@@ -59,35 +59,35 @@
 // matrixFlags adds a flag for each dimension. The names of limits are returned: they become values when the command runs.
 func matrixFlags(f *pflag.FlagSet, m *overload.Matrix) (limits *[]string) {
 	f.IntSliceVar(&m.Batches, "batch", m.Batches, "messages in one call at most")
-	f.IntSliceVar(&m.Senders, "senders", m.Senders, "relays")
+	f.IntSliceVar(&m.Relays, "senders", m.Relays, "relays")
 	f.IntSliceVar(&m.Routes, "routes", m.Routes, "endpoints with a limit each; 1: one limit for the destination")
 	f.Float64SliceVar(&m.Loads, "load", m.Loads, "messages offered, as multiples of what the destination takes")
 	limits = f.StringSlice("limit", []string{"rate", "window"}, "how calls are counted: rate, window")
-	f.BoolSliceVar(&m.RefusedCount, "counted", m.RefusedCount, "refused calls use up the limit")
-	f.BoolSliceVar(&m.Reports, "report", m.Reports, "answers tell of the limit")
-	f.BoolSliceVar(&m.Wait, "wait", m.Wait, "refusals tell a wait")
-	f.BoolSliceVar(&m.Notes, "notes", m.Notes, "relays tell one another what they see")
+	f.BoolSliceVar(&m.CountsRejected, "counted", m.CountsRejected, "refused calls use up the limit")
+	f.BoolSliceVar(&m.ReportsLimit, "report", m.ReportsLimit, "answers tell of the limit")
+	f.BoolSliceVar(&m.SendsRetryAfter, "wait", m.SendsRetryAfter, "refusals tell a wait")
+	f.BoolSliceVar(&m.Gossip, "notes", m.Gossip, "relays tell one another what they see")
 	return limits
 }
 
 func configFlags(f *pflag.FlagSet, set *overload.Config) {
 	f.Uint64Var(&set.Seed, "seed", set.Seed, "what chance is drawn from")
 	f.Float64Var(&set.Limit, "calls", set.Limit, "calls a second that the destination takes, over all routes; 0: at each route 8, or 3 times the square root of the senders if that is more")
-	f.DurationVar(&set.Aim, "aim", set.Aim, "messages are wanted within it")
+	f.DurationVar(&set.TargetLatency, "aim", set.TargetLatency, "messages are wanted within it")
 	f.DurationVar(&set.Deadline, "deadline", set.Deadline, "and given up after it")
-	f.IntVar(&set.Retries, "retries", set.Retries, "of a client after a refusal")
-	f.Float64Var(&set.Lowered, "lowered", set.Lowered, "share of the limit that is in force during the overload")
-	f.Float64Var(&set.Surge, "surge", set.Surge, "multiple of the load during the overload")
+	f.IntVar(&set.ClientRetries, "retries", set.ClientRetries, "of a client after a refusal")
+	f.Float64Var(&set.LoweredShare, "lowered", set.LoweredShare, "share of the limit that is in force during the overload")
+	f.Float64Var(&set.SurgeFactor, "surge", set.SurgeFactor, "multiple of the load during the overload")
 }
 
 // narrow keeps to the quick matrix in all dimensions that no flag names.
 func narrow(m *overload.Matrix, f *pflag.FlagSet) {
-	quick, given := overload.Quick(), *m
+	quick, given := overload.QuickMatrix(), *m
 	*m = quick
 	for name, keep := range map[string]func(){
-		"batch": func() { m.Batches = given.Batches }, "senders": func() { m.Senders = given.Senders }, "routes": func() { m.Routes = given.Routes },
-		"load": func() { m.Loads = given.Loads }, "counted": func() { m.RefusedCount = given.RefusedCount }, "report": func() { m.Reports = given.Reports },
-		"wait": func() { m.Wait = given.Wait }, "notes": func() { m.Notes = given.Notes },
+		"batch": func() { m.Batches = given.Batches }, "senders": func() { m.Relays = given.Relays }, "routes": func() { m.Routes = given.Routes },
+		"load": func() { m.Loads = given.Loads }, "counted": func() { m.CountsRejected = given.CountsRejected }, "report": func() { m.ReportsLimit = given.ReportsLimit },
+		"wait": func() { m.SendsRetryAfter = given.SendsRetryAfter }, "notes": func() { m.Gossip = given.Gossip },
 	} {
 		if f.Changed(name) {
 			keep()
@@ -126,21 +126,21 @@
 	bad := 0
 	for _, r := range rows {
 		state := "kept"
-		if !r.Holds() {
+		if !r.WithinBounds() {
 			bad++
 			state = "OUT"
 		} else if failing {
 			continue
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%g\t%.3f\t%.1f\t%.2f\t%.1f\t%.2f\t%s\t%s\t\n", r.Batch, r.Senders, r.Routes, r.Limit,
-			yesNo(r.RefusedCount), yesNo(r.Reports), yesNo(r.TellsWait), yesNo(r.Notes), r.Load, r.Goodput, r.Calls, r.Calls/r.LimitCalls,
-			r.MessagesPerCall, r.RefusedPerCall, recoveryText(r), state)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%g\t%.3f\t%.1f\t%.2f\t%.1f\t%.2f\t%s\t%s\t\n", r.Batch, r.Relays, r.Routes, r.Limit,
+			yesNo(r.CountsRejected), yesNo(r.ReportsLimit), yesNo(r.SendsRetryAfter), yesNo(r.Gossip), r.Load, r.Goodput, r.Calls, r.Calls/r.CallLimit,
+			r.MessagesPerCall, r.RejectedPerCall, recoveryText(r), state)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "%d of %d cells are out of bounds: goodput at least %g, recovery within %v\n", bad, len(rows), overload.LeastGoodput, overload.MostRecovery)
+	fmt.Fprintf(out, "%d of %d cells are out of bounds: goodput at least %g, recovery within %v\n", bad, len(rows), overload.MinGoodput, overload.MaxRecovery)
 	for _, r := range rows {
-		if r.FirstOfBroken != "" {
-			fmt.Fprintf(out, "broken: batch %d, senders %d, load %g: %s\n", r.Batch, r.Senders, r.Load, r.FirstOfBroken)
+		if r.FirstProblem != "" {
+			fmt.Fprintf(out, "broken: batch %d, senders %d, load %g: %s\n", r.Batch, r.Relays, r.Load, r.FirstProblem)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	if !r.Recovered {
 		return "never"
 	}
-	return fmt.Sprintf("%.2f", time.Duration(r.RecoveryS*float64(time.Second)).Seconds())
+	return fmt.Sprintf("%.2f", time.Duration(r.RecoverySeconds*float64(time.Second)).Seconds())
 }
 
 func yesNo(v bool) string {
--- a/internal/lab/command/site.go
+++ b/internal/lab/command/site.go
@@ -119,7 +119,7 @@
 	var rows [2][]study.Row
 	for arm, name := range []string{"without", "plan"} {
 		for _, o := range outs[arm] {
-			rows[arm] = append(rows[arm], study.RowOf(name, o.Result))
+			rows[arm] = append(rows[arm], study.NewRow(name, o.Result))
 		}
 	}
 	diffs := study.Compare(rows[0], rows[1])
@@ -157,5 +157,5 @@
 	for i := range outs[0] {
 		a, b = append(a, of(outs[0][i])), append(b, of(outs[1][i]))
 	}
-	return study.Paired(name, "plan", a, b)
+	return study.ComparePairs(name, "plan", a, b)
 }
--- a/internal/lab/overload/bounds_test.go
+++ b/internal/lab/overload/bounds_test.go
@@ -16,7 +16,7 @@
 }
 
 func (p partner) cell(f fleet) Cell {
-	return Cell{Batch: f.batch, Senders: f.senders, Load: f.load, Limit: p.limit, RefusedCount: p.counted, Reports: p.reports, TellsWait: p.told, Notes: p.note, Routes: p.routes}
+	return Cell{Batch: f.batch, Relays: f.senders, Load: f.load, Limit: p.limit, CountsRejected: p.counted, ReportsLimit: p.reports, SendsRetryAfter: p.told, Gossip: p.note, Routes: p.routes}
 }
 
 // fleet is a number of senders under a load, and what it has to deliver.
@@ -55,8 +55,8 @@
 // holds plays each fleet against a partner and names those that are out of bounds.
 func holds(t *testing.T, p partner, fleets []fleet) {
 	for _, f := range fleets {
-		set := Default()
-		set.Limit, set.Steady, set.After = f.calls*float64(p.routes), 15*time.Second, 8*time.Second
+		set := DefaultConfig()
+		set.Limit, set.Steady, set.Recovery = f.calls*float64(p.routes), 15*time.Second, 8*time.Second
 		t.Run(p.name+"/"+p.cell(f).String(), func(t *testing.T) {
 			t.Parallel()
 			row, err := Run(p.cell(f), set, nil)
@@ -65,13 +65,13 @@
 			}
 			if row.Goodput < f.goodput {
 				t.Errorf("goodput %.3f, at least %g is due: %.2f calls for each that the limit takes, %.2f of them refused, %.1f messages in each",
-					row.Goodput, f.goodput, row.Calls/row.LimitCalls, row.RefusedPerCall, row.MessagesPerCall)
+					row.Goodput, f.goodput, row.Calls/row.CallLimit, row.RejectedPerCall, row.MessagesPerCall)
 			}
-			if !row.Recovered || row.RecoveryS > f.recovery.Seconds() {
-				t.Errorf("recovered %t, after %.2f s of at most %v", row.Recovered, row.RecoveryS, f.recovery)
+			if !row.Recovered || row.RecoverySeconds > f.recovery.Seconds() {
+				t.Errorf("recovered %t, after %.2f s of at most %v", row.Recovered, row.RecoverySeconds, f.recovery)
 			}
-			if row.FirstOfBroken != "" {
-				t.Error(row.FirstOfBroken)
+			if row.FirstProblem != "" {
+				t.Error(row.FirstProblem)
 			}
 		})
 	}
--- a/internal/lab/overload/measure.go
+++ b/internal/lab/overload/measure.go
@@ -9,8 +9,8 @@
 
 // What must hold in every cell.
 const (
-	LeastGoodput = 0.9             // of what is due, in the steady phase
-	MostRecovery = 5 * time.Second // after the overload
+	MinGoodput  = 0.9             // of what is due, in the steady phase
+	MaxRecovery = 5 * time.Second // after the overload
 )
 
 // How the time to recover is found.
@@ -21,35 +21,35 @@
 
 // Row is what came of one cell, as the Parquet file has it. Rates are those of the steady phase.
 type Row struct {
-	Batch        int32   `parquet:"batch"`
-	Senders      int32   `parquet:"senders"`
-	Routes       int32   `parquet:"routes"`
-	Limit        string  `parquet:"limit,dict"`
-	RefusedCount bool    `parquet:"refused_count"`
-	Reports      bool    `parquet:"reports"`
-	TellsWait    bool    `parquet:"tells_wait"`
-	Notes        bool    `parquet:"notes"`
-	Load         float64 `parquet:"load"`
-	Seed         uint64  `parquet:"seed"`
+	Batch           int32   `parquet:"batch"`
+	Relays          int32   `parquet:"senders"`
+	Routes          int32   `parquet:"routes"`
+	Limit           string  `parquet:"limit,dict"`
+	CountsRejected  bool    `parquet:"refused_count"`
+	ReportsLimit    bool    `parquet:"reports"`
+	SendsRetryAfter bool    `parquet:"tells_wait"`
+	Gossip          bool    `parquet:"notes"`
+	Load            float64 `parquet:"load"`
+	Seed            uint64  `parquet:"seed"`
 
-	LimitCalls      float64 `parquet:"limit_calls"`       // calls a second that the destination takes
+	CallLimit       float64 `parquet:"limit_calls"`       // calls a second that the destination takes
 	Offered         int64   `parquet:"offered"`           // messages that clients handed in for the first time
 	Delivered       int64   `parquet:"delivered"`         // messages
-	Due             float64 `parquet:"due"`               // messages: min(offered, what the destination takes)
+	Deliverable     float64 `parquet:"due"`               // messages: min(offered, what the destination takes)
 	Goodput         float64 `parquet:"goodput"`           // Delivered / Due
 	Calls           float64 `parquet:"calls"`             // a second
 	MessagesPerCall float64 `parquet:"messages_per_call"` // sent in a call, in the mean
-	RefusedPerCall  float64 `parquet:"refused_per_call"`  // share of the calls that were refused
+	RejectedPerCall float64 `parquet:"refused_per_call"`  // share of the calls that were refused
 	Recovered       bool    `parquet:"recovered"`         // goodput came back before the run ended
-	RecoveryS       float64 `parquet:"recovery_s"`        // seconds after the overload until then; the whole phase if it did not
-	Broken          int64   `parquet:"broken"`            // rules broken
+	RecoverySeconds float64 `parquet:"recovery_s"`        // seconds after the overload until then; the whole phase if it did not
+	Violations      int64   `parquet:"broken"`            // rules broken
 	Faults          int64   `parquet:"faults"`            // of the module or of the laboratory
-	FirstOfBroken   string  `parquet:"first_of_broken"`
+	FirstProblem    string  `parquet:"first_of_broken"`
 }
 
-// Holds tells whether the row keeps to both bounds.
-func (r Row) Holds() bool {
-	return r.Goodput >= LeastGoodput && r.Recovered && r.RecoveryS <= MostRecovery.Seconds()
+// WithinBounds tells whether the row keeps to both bounds.
+func (r Row) WithinBounds() bool {
+	return r.Goodput >= MinGoodput && r.Recovered && r.RecoverySeconds <= MaxRecovery.Seconds()
 }
 
 // series counts what happened in each bin of virtual time.
@@ -96,10 +96,10 @@
 
 // Run plays one cell. make is the module of each relay; nil: the one in service.
 func Run(c Cell, set Config, make emu.PolicyFactory) (Row, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return Row{}, err
 	}
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return Row{}, err
 	}
 	day := set.day(c)
@@ -109,14 +109,14 @@
 		return Row{}, err
 	}
 	row := Row{
-		Batch: int32(c.Batch), Senders: int32(c.Senders), Routes: int32(c.Routes), Limit: LimitName(c.Limit), RefusedCount: c.RefusedCount,
-		Reports: c.Reports, TellsWait: c.TellsWait, Notes: c.Notes, Load: c.Load, Seed: set.Seed, LimitCalls: set.limit(c),
-		Broken: int64(len(res.Breaks)), Faults: int64(len(res.Faults)),
+		Batch: int32(c.Batch), Relays: int32(c.Relays), Routes: int32(c.Routes), Limit: LimitName(c.Limit), CountsRejected: c.CountsRejected,
+		ReportsLimit: c.ReportsLimit, SendsRetryAfter: c.SendsRetryAfter, Gossip: c.Gossip, Load: c.Load, Seed: set.Seed, CallLimit: set.limit(c),
+		Violations: int64(len(res.Breaks)), Faults: int64(len(res.Faults)),
 	}
 	if len(res.Breaks) > 0 {
-		row.FirstOfBroken = res.Breaks[0].String()
+		row.FirstProblem = res.Breaks[0].String()
 	} else if len(res.Faults) > 0 {
-		row.FirstOfBroken = res.Faults[0]
+		row.FirstProblem = res.Faults[0]
 	}
 	row.steady(c, set, log, res)
 	row.recovery(c, set, log)
@@ -130,22 +130,22 @@
 		r.Offered += int64(s.Asked) // each message is worth 1
 	}
 	r.Delivered = int64(between(log.delivered, from, to))
-	r.Due = min(float64(r.Offered), set.Takes(c)*set.Steady.Seconds())
-	r.Goodput = float64(r.Delivered) / max(r.Due, 1)
+	r.Deliverable = min(float64(r.Offered), set.Capacity(c)*set.Steady.Seconds())
+	r.Goodput = float64(r.Delivered) / max(r.Deliverable, 1)
 	calls := float64(between(log.calls, from, to))
 	r.Calls = calls / set.Steady.Seconds()
 	r.MessagesPerCall = float64(between(log.sent, from, to)) / max(calls, 1)
-	r.RefusedPerCall = float64(between(log.refused, from, to)) / max(calls, 1)
+	r.RejectedPerCall = float64(between(log.refused, from, to)) / max(calls, 1)
 }
 
 // recovery finds the first span after the overload in which LeastGoodput of what is due was delivered.
 func (r *Row) recovery(c Cell, set Config, log *series) {
 	end := set.Warmup + set.Steady + set.Overload
-	due := min(c.Load, 1) * set.Takes(c) * recoverySpan.Seconds()
-	r.RecoveryS = set.After.Seconds()
-	for at := end; at+recoverySpan <= set.Length(); at += binWidth {
-		if float64(between(log.delivered, at, at+recoverySpan)) >= LeastGoodput*due {
-			r.Recovered, r.RecoveryS = true, (at - end).Seconds()
+	due := min(c.Load, 1) * set.Capacity(c) * recoverySpan.Seconds()
+	r.RecoverySeconds = set.Recovery.Seconds()
+	for at := end; at+recoverySpan <= set.Duration(); at += binWidth {
+		if float64(between(log.delivered, at, at+recoverySpan)) >= MinGoodput*due {
+			r.Recovered, r.RecoverySeconds = true, (at - end).Seconds()
 			return
 		}
 	}
--- a/internal/lab/overload/overload_test.go
+++ b/internal/lab/overload/overload_test.go
@@ -63,10 +63,10 @@
 
 // The yardstick is within reach: a single sender that knows the limit delivers what is due, at each batch, load and kind of limit.
 func TestYardstick(t *testing.T) {
-	cells := Full()
-	cells.Senders, cells.RefusedCount, cells.Reports, cells.Notes = []int{1}, []bool{true}, []bool{false}, []bool{false}
-	set := Default()
-	set.Lowered = 1 // it does not notice that the limit is lowered
+	cells := FullMatrix()
+	cells.Relays, cells.CountsRejected, cells.ReportsLimit, cells.Gossip = []int{1}, []bool{true}, []bool{false}, []bool{false}
+	set := DefaultConfig()
+	set.LoweredShare = 1 // it does not notice that the limit is lowered
 	for _, c := range cells.Cells() {
 		row, err := Run(c, set, func(policy.Settings, int64) (emu.PolicyEngine, error) {
 			return &informed{interval: time.Duration(float64(time.Second) / set.limit(c)), batch: c.Batch}, nil
@@ -77,20 +77,20 @@
 		if row.Goodput < 0.97 || row.Goodput > 1.06 {
 			t.Errorf("%s: %.3f of what is due", c, row.Goodput)
 		}
-		if row.Calls > 1.01*row.LimitCalls {
-			t.Errorf("%s: %.1f calls a second of %.1f", c, row.Calls, row.LimitCalls)
+		if row.Calls > 1.01*row.CallLimit {
+			t.Errorf("%s: %.1f calls a second of %.1f", c, row.Calls, row.CallLimit)
 		}
-		if !row.Recovered || row.RecoveryS > 1 {
-			t.Errorf("%s: was never overloaded, and recovers in %.2f s", c, row.RecoveryS)
+		if !row.Recovered || row.RecoverySeconds > 1 {
+			t.Errorf("%s: was never overloaded, and recovers in %.2f s", c, row.RecoverySeconds)
 		}
 	}
 }
 
 // One cell and seed, one row; another seed, another.
 func TestSameRow(t *testing.T) {
-	c := Cell{Batch: 5, Senders: 6, Load: 1.4, Limit: emu.RateLimit, RefusedCount: true, TellsWait: true, Routes: 2}
+	c := Cell{Batch: 5, Relays: 6, Load: 1.4, Limit: emu.RateLimit, CountsRejected: true, SendsRetryAfter: true, Routes: 2}
 	row := func(seed uint64) Row {
-		set := Default()
+		set := DefaultConfig()
 		set.Seed = seed
 		r, err := Run(c, set, nil)
 		if err != nil {
@@ -129,11 +129,11 @@
 
 // The time to recover is that of the first span in which enough was delivered, and a run without one says so.
 func TestRecovery(t *testing.T) {
-	set := Default()
-	c := Cell{Batch: 1, Senders: 2, Load: 2, Routes: 1}
+	set := DefaultConfig()
+	c := Cell{Batch: 1, Relays: 2, Load: 2, Routes: 1}
 	end := int((set.Warmup + set.Steady + set.Overload) / binWidth)
 	for _, want := range []float64{0, 4, -1} {
-		s := newSeries(set.Length())
+		s := newSeries(set.Duration())
 		from := len(s.delivered)
 		if want >= 0 {
 			from = end + int(want/binWidth.Seconds())
@@ -144,24 +144,24 @@
 		var r Row
 		r.recovery(c, set, s)
 		// Nine tenths of a span are enough, so that it is found a bin or two before all of it is full.
-		if near := r.RecoveryS <= want && r.RecoveryS > want-0.5; r.Recovered != (want >= 0) || want > 0 && !near || want == 0 && r.RecoveryS != 0 {
-			t.Errorf("full again %g s after the overload: recovered %t, in %g s", want, r.Recovered, r.RecoveryS)
+		if near := r.RecoverySeconds <= want && r.RecoverySeconds > want-0.5; r.Recovered != (want >= 0) || want > 0 && !near || want == 0 && r.RecoverySeconds != 0 {
+			t.Errorf("full again %g s after the overload: recovered %t, in %g s", want, r.Recovered, r.RecoverySeconds)
 		}
 	}
 }
 
 // What makes no run is named.
 func TestCheck(t *testing.T) {
-	good := Cell{Batch: 1, Senders: 1, Load: 1, Limit: emu.RateLimit, Routes: 1}
+	good := Cell{Batch: 1, Relays: 1, Load: 1, Limit: emu.RateLimit, Routes: 1}
 	for name, c := range map[string]Cell{
-		"batch": {Senders: 1, Load: 1, Routes: 1}, "senders": {Batch: 1, Load: 1, Routes: 1}, "routes": {Batch: 1, Senders: 1, Load: 1}, "load": {Batch: 1, Senders: 1, Routes: 1},
+		"batch": {Relays: 1, Load: 1, Routes: 1}, "senders": {Batch: 1, Load: 1, Routes: 1}, "routes": {Batch: 1, Relays: 1, Load: 1}, "load": {Batch: 1, Relays: 1, Routes: 1},
 	} {
-		if _, err := Run(c, Default(), nil); err == nil || !strings.HasPrefix(err.Error(), name+":") {
+		if _, err := Run(c, DefaultConfig(), nil); err == nil || !strings.HasPrefix(err.Error(), name+":") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	set := Default()
-	if set.Lowered = 0; set.Check() == nil {
+	set := DefaultConfig()
+	if set.LoweredShare = 0; set.Validate() == nil {
 		t.Error("a limit that is lowered to nothing is taken")
 	}
 	if _, err := Run(good, set, nil); err == nil {
@@ -171,7 +171,7 @@
 
 // The plot has a line for each batch and number of senders: its worst rows, in order of load.
 func TestPlot(t *testing.T) {
-	rows := []Row{{Batch: 1, Senders: 2, Load: 2, Goodput: 0.5}, {Batch: 1, Senders: 2, Load: 1, Goodput: 1}, {Batch: 1, Senders: 2, Load: 2, Goodput: 0.3}, {Batch: 5, Senders: 2, Load: 1, Goodput: 1}}
+	rows := []Row{{Batch: 1, Relays: 2, Load: 2, Goodput: 0.5}, {Batch: 1, Relays: 2, Load: 1, Goodput: 1}, {Batch: 1, Relays: 2, Load: 2, Goodput: 0.3}, {Batch: 5, Relays: 2, Load: 1, Goodput: 1}}
 	lines := leastGoodput(rows)
 	if l := lines[group{1, 2}]; len(lines) != 2 || len(l) != 2 || l[0].X != 1 || l[1].Y != 0.3 {
 		t.Errorf("%v", lines)
--- a/internal/lab/overload/plot.go
+++ b/internal/lab/overload/plot.go
@@ -23,7 +23,7 @@
 	p.Title.Text = "Goodput of the worst kind of limit"
 	p.X.Label.Text, p.Y.Label.Text = "offered load, as a multiple of what the destination takes", "delivered / due"
 	p.Y.Min, p.Y.Max = 0, 1.1
-	p.Add(plotter.NewGrid(), plotter.NewFunction(func(float64) float64 { return LeastGoodput }))
+	p.Add(plotter.NewGrid(), plotter.NewFunction(func(float64) float64 { return MinGoodput }))
 	lines := leastGoodput(rows)
 	var args []any
 	for _, g := range sortedGroups(lines) {
@@ -40,7 +40,7 @@
 func leastGoodput(rows []Row) map[group]plotter.XYs {
 	lines := map[group]plotter.XYs{}
 	for _, r := range rows {
-		g := group{r.Batch, r.Senders}
+		g := group{r.Batch, r.Relays}
 		at, known := slices.BinarySearchFunc(lines[g], r.Load, func(p plotter.XY, load float64) int { return cmp.Compare(p.X, load) })
 		if known {
 			lines[g][at].Y = min(lines[g][at].Y, r.Goodput)
--- a/internal/lab/overload/reach_test.go
+++ b/internal/lab/overload/reach_test.go
@@ -55,20 +55,20 @@
 	for _, f := range []struct {
 		senders int
 		calls   float64
-	}{{2, 4}, {2, 8}, {6, 8}, {30, 16}, {300, 30}, {30, CallsFor(30)}, {300, CallsFor(300)}} {
+	}{{2, 4}, {2, 8}, {6, 8}, {30, 16}, {300, 30}, {30, DefaultLimit(30)}, {300, DefaultLimit(300)}} {
 		for seed := range uint64(2) {
-			set := Default()
-			set.Seed, set.Lowered, set.Limit = seed, 1, f.calls // they would not notice that the limit is lowered
+			set := DefaultConfig()
+			set.Seed, set.LoweredShare, set.Limit = seed, 1, f.calls // they would not notice that the limit is lowered
 			interval := time.Duration(float64(f.senders) / (pace * f.calls) * float64(time.Second))
-			c := Cell{Batch: 1, Senders: f.senders, Load: 2, Limit: emu.RateLimit, RefusedCount: true, Routes: 1}
+			c := Cell{Batch: 1, Relays: f.senders, Load: 2, Limit: emu.RateLimit, CountsRejected: true, Routes: 1}
 			row, err := Run(c, set, func(_ policy.Settings, seed int64) (emu.PolicyEngine, error) {
 				return &paced{informed: informed{interval: interval, batch: c.Batch}, rng: rand.New(rand.NewSource(seed))}, nil
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if row.Goodput < LeastGoodput {
-				t.Errorf("%d senders, %.1f calls a second, seed %d: %.3f of what is due, %.2f of the calls refused", f.senders, f.calls, seed, row.Goodput, row.RefusedPerCall)
+			if row.Goodput < MinGoodput {
+				t.Errorf("%d senders, %.1f calls a second, seed %d: %.3f of what is due, %.2f of the calls refused", f.senders, f.calls, seed, row.Goodput, row.RejectedPerCall)
 			}
 		}
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -54,7 +54,7 @@
 
 // Write writes the page of a folder of results. base is the arm that the others are compared with; "": the first.
 func Write(out io.Writer, res *study.Results, title, question, source, base string) error {
-	names, by := study.Arms(res.Rows)
+	names, by := study.GroupByVariant(res.Rows)
 	if len(names) == 0 {
 		return fmt.Errorf("no results")
 	}
@@ -163,7 +163,7 @@
 func perDay(res *study.Results, names []string) (chart, error) {
 	c := chart{Title: "Result of each day", Note: "Days in the order of the first arm's result; a day has one place for all arms."}
 	p := newPlot("day", "G")
-	_, by := study.Arms(res.Rows)
+	_, by := study.GroupByVariant(res.Rows)
 	type key struct {
 		day  string
 		seed uint64
@@ -197,7 +197,7 @@
 	c := chart{Title: "Latency", Note: "Share of days whose 99th of a hundred delivered messages took at most so long."}
 	p := newPlot("seconds", "share of days")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	_, by := study.Arms(res.Rows)
+	_, by := study.GroupByVariant(res.Rows)
 	for i, n := range names {
 		var v []float64
 		for _, r := range by[n] {
@@ -240,7 +240,7 @@
 			for k, d := range list[:min(most, len(list))] {
 				asked[k] += float64(d.Requests)
 				calls[k] += float64(d.Calls)
-				refused[k] += float64(d.Refused)
+				refused[k] += float64(d.Rejected)
 			}
 		}
 		var sent, back plotter.XYs
--- a/internal/lab/study/study.go
+++ b/internal/lab/study/study.go
@@ -77,7 +77,7 @@
 	Requests  int64   `parquet:"requests" json:"requests"`
 	Delivered int64   `parquet:"delivered" json:"delivered"`
 	Calls     int64   `parquet:"calls" json:"calls"`
-	Refused   int64   `parquet:"refused" json:"refused"`
+	Rejected  int64   `parquet:"refused" json:"refused"`
 	Asked     float64 `parquet:"asked" json:"asked"`
 	Served    float64 `parquet:"served" json:"served"`
 }
@@ -89,11 +89,11 @@
 	Dests   []Dest   `json:"dests"`
 }
 
-// ErrBroken says that a rule was broken or that something else than the arms' figures went wrong on some day.
-var ErrBroken = errors.New("rules broken or days at fault")
+// ErrRunsFailed says that a rule was broken or that something else than the arms' figures went wrong on some day.
+var ErrRunsFailed = errors.New("rules broken or days at fault")
 
-// Variants are the modules that arms may name.
-var Variants = map[string]emu.PolicyFactory{
+// PolicyFactories are the modules that arms may name.
+var PolicyFactories = map[string]emu.PolicyFactory{
 	"": emu.DefaultPolicy, "service": emu.DefaultPolicy,
 	"half-share": share(0.5),
 }
@@ -125,7 +125,7 @@
 		scripts = append(scripts, s)
 	}
 	for i, a := range ex.Arm {
-		if Variants[a.Module] == nil {
+		if PolicyFactories[a.Module] == nil {
 			return fmt.Errorf("%s: arm[%d].module: no variant is called %q", file, i, a.Module)
 		}
 	}
@@ -139,10 +139,10 @@
 		return err
 	}
 	mark := fmt.Sprintf("seed %d\n%s", seed, raw)
-	if had, err := os.ReadFile(filepath.Join(dir, Mark)); err == nil && string(had) != mark {
+	if had, err := os.ReadFile(filepath.Join(dir, ExperimentFile)); err == nil && string(had) != mark {
 		return fmt.Errorf("%s holds another experiment or seed", dir)
 	}
-	if err := os.WriteFile(filepath.Join(dir, Mark), []byte(mark), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, ExperimentFile), []byte(mark), 0o644); err != nil {
 		return err
 	}
 	type job struct {
@@ -259,22 +259,22 @@
 			return len(day.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
 		})
 	}
-	res, err := emu.Run(day, emu.Options{NewPolicy: Variants[arm.Module]})
+	res, err := emu.Run(day, emu.Options{NewPolicy: PolicyFactories[arm.Module]})
 	if err != nil {
 		return fmt.Errorf("%s: %w", day.Name, err)
 	}
-	u.Row = RowOf(arm.Name, res)
+	u.Row = NewRow(arm.Name, res)
 	for i, s := range res.Seconds {
 		u.Seconds = append(u.Seconds, Second{At: int32(i), Asked: s.Asked, Served: s.Served})
 	}
 	for i, d := range res.Dests {
-		u.Dests = append(u.Dests, Dest{Dest: int32(i), Requests: int64(d.Requests), Delivered: int64(d.Delivered), Calls: int64(d.Calls), Refused: int64(d.Refused), Asked: d.Asked, Served: d.Served})
+		u.Dests = append(u.Dests, Dest{Dest: int32(i), Requests: int64(d.Requests), Delivered: int64(d.Delivered), Calls: int64(d.Calls), Rejected: int64(d.Refused), Asked: d.Asked, Served: d.Served})
 	}
 	return nil
 }
 
-// RowOf is the row of a day that was played under an arm.
-func RowOf(arm string, res *emu.Result) Row {
+// NewRow is the row of a day that was played under an arm.
+func NewRow(arm string, res *emu.Result) Row {
 	broken := int64(0)
 	for _, n := range res.Broken {
 		broken += int64(n)
@@ -347,8 +347,8 @@
 
 // Measure is a figure of a row.
 type Measure struct {
-	Name string
-	Of   func(Row) float64
+	Name  string
+	Value func(Row) float64
 }
 
 // Measures are what arms are compared by.
@@ -394,19 +394,19 @@
 		var a, b []float64
 		for _, r := range arm {
 			if o, ok := of[key{r.Day, r.Seed}]; ok {
-				a, b = append(a, m.Of(o)), append(b, m.Of(r))
+				a, b = append(a, m.Value(o)), append(b, m.Value(r))
 			}
 		}
 		if len(a) == 0 {
 			continue
 		}
-		all = append(all, Paired(m.Name, arm[0].Arm, a, b))
+		all = append(all, ComparePairs(m.Name, arm[0].Arm, a, b))
 	}
 	return all
 }
 
-// Paired holds a measure of an arm against the baseline's, pair by pair.
-func Paired(measure, arm string, a, b []float64) Difference {
+// ComparePairs holds a measure of an arm against the baseline's, pair by pair.
+func ComparePairs(measure, arm string, a, b []float64) Difference {
 	diffs := make([]float64, len(a))
 	for i := range a {
 		diffs[i] = b[i] - a[i]
@@ -425,8 +425,8 @@
 	return d
 }
 
-// Arms splits rows by arm, in the order of their first row.
-func Arms(rows []Row) (names []string, by map[string][]Row) {
+// GroupByVariant splits rows by arm, in the order of their first row.
+func GroupByVariant(rows []Row) (names []string, by map[string][]Row) {
 	by = map[string][]Row{}
 	for _, r := range rows {
 		if !slices.Contains(names, r.Arm) {
@@ -437,8 +437,8 @@
 	return names, by
 }
 
-// Ranks is Spearman's rank correlation of two series.
-func Ranks(a, b []float64) float64 { return stat.Correlation(ranks(a), ranks(b), nil) }
+// RankCorrelation is Spearman's rank correlation of two series.
+func RankCorrelation(a, b []float64) float64 { return stat.Correlation(ranks(a), ranks(b), nil) }
 
 func ranks(v []float64) []float64 {
 	order := make([]int, len(v))
@@ -460,11 +460,11 @@
 	return out
 }
 
-// Mark is the file of a folder of results that tells which experiment and seed they are of.
-const Mark = "experiment.textproto"
+// ExperimentFile is the file of a folder of results that tells which experiment and seed they are of.
+const ExperimentFile = "experiment.textproto"
 
-// Titles are the name and the question of an experiment, from its text.
-func Titles(raw []byte) (title, question string) {
+// ParseTitle are the name and the question of an experiment, from its text.
+func ParseTitle(raw []byte) (title, question string) {
 	_, raw, _ = bytes.Cut(raw, []byte("\n")) // the line of the seed
 	ex := &site.Experiment{}
 	if prototext.Unmarshal(raw, ex) != nil {
--- a/internal/lab/study/study_test.go
+++ b/internal/lab/study/study_test.go
@@ -92,7 +92,7 @@
 	if d := study.Compare(base, same)[0]; d.Diff != 0 || d.Low != 0 || d.High != 0 {
 		t.Errorf("alike: %+v", d)
 	}
-	if r := study.Ranks([]float64{1, 2, 3, 4}, []float64{10, 20, 15, 40}); math.Abs(r-0.8) > 1e-9 {
+	if r := study.RankCorrelation([]float64{1, 2, 3, 4}, []float64{10, 20, 15, 40}); math.Abs(r-0.8) > 1e-9 {
 		t.Errorf("rank correlation %g, want 0.8", r)
 	}
 }
