--- a/cmd/oatfold/crowd_test.go
+++ b/cmd/oatfold/crowd_test.go
@@ -14,49 +14,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// crowdPause bounds how often a client of a crowd comes.
-const crowdPause = 5 * time.Millisecond
+// reconnectPause is the least time between two connections of an idle client.
+const reconnectPause = 5 * time.Millisecond
 
-// limitDescriptors sets what the configuration says of descriptors.
-func (s *site) limitDescriptors(most int) {
-	raw, err := os.ReadFile(s.config)
+// limitDescriptors sets the limit of descriptors in the configuration file.
+func (e *testEnv) limitDescriptors(limit int) {
+	raw, err := os.ReadFile(e.config)
 	if err == nil {
-		told := strings.Replace(string(raw), `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, most), 1)
-		err = os.WriteFile(s.config, []byte(told), 0o600)
+		text := strings.Replace(string(raw), `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, limit), 1)
+		err = os.WriteFile(e.config, []byte(text), 0o600)
 	}
 	if err != nil {
-		s.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 }
 
-// crowd is clients that rest on their connections.
-type crowd struct {
-	site  *site
-	over  chan struct{}
-	ended atomic.Int64 // connections that the relay ended after its answer
+// idleClients is a set of clients that stay idle on their connections.
+type idleClients struct {
+	env    *testEnv
+	done   chan struct{}
+	closed atomic.Int64 // connections that the relay closed after its reply
 }
 
-// crowd keeps that many clients at the relay until the test ends: each asks once, rests on its connection, and comes again on a new one as soon
-// as the relay ends it. Guards against a crowd that the relay has emptied before anybody looked at it.
-func (s *site) crowd(clients int) *crowd {
-	c := &crowd{site: s, over: make(chan struct{})}
-	var all sync.WaitGroup
-	s.t.Cleanup(func() { close(c.over); all.Wait() })
+// startIdleClients keeps that many clients connected until the test ends. Each sends one request,
+// stays idle, and reconnects as soon as the relay closes its connection, so that the relay never
+// runs out of idle clients.
+func (e *testEnv) startIdleClients(clients int) *idleClients {
+	c := &idleClients{env: e, done: make(chan struct{})}
+	var running sync.WaitGroup
+	e.t.Cleanup(func() { close(c.done); running.Wait() })
 	for range clients {
-		all.Go(c.restAgain)
+		running.Go(c.reconnect)
 	}
 	return c
 }
 
-// restAgain is one client of a crowd.
-func (c *crowd) restAgain() {
+// reconnect runs one idle client.
+func (c *idleClients) reconnect() {
 	for {
 		select {
-		case <-c.over:
+		case <-c.done:
 			return
-		case <-time.After(crowdPause):
+		case <-time.After(reconnectPause):
 		}
-		client, err := net.Dial("tcp", c.site.listen)
+		client, err := net.Dial("tcp", c.env.listen)
 		if err != nil {
 			continue
 		}
@@ -65,11 +66,11 @@
 			defer close(ended)
 			io.WriteString(client, "GET /ready HTTP/1.1\r\n\r\n")
 			if answer, _ := io.Copy(io.Discard, client); answer > 0 {
-				c.ended.Add(1)
+				c.closed.Add(1)
 			}
 		}()
 		select {
-		case <-c.over:
+		case <-c.done:
 		case <-ended:
 		}
 		client.Close()
@@ -77,22 +78,22 @@
 	}
 }
 
-// While discovery is down, idle clients take all descriptors that they can get. As it comes back, the watch and the notices find one
-// each all the same.
+// While discovery is down, idle clients take all descriptors that they can get. When it returns,
+// the list watch and the notifications still get one each.
 func TestDiscoveryReturnsToACrowd(t *testing.T) {
-	const most = 96 // descriptors
-	s := newSite(t)
-	s.limitDescriptors(most)
-	cmd := s.start()
+	const limit = 96 // descriptors
+	env := newTestEnv(t)
+	env.limitDescriptors(limit)
+	cmd := env.start()
 	pid := cmd.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: most}, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the first watch", func() bool { return s.watched == 1 })
-	address := s.agent.Listener.Addr().String()
-	s.agent.Listener.Close()
-	s.agent.CloseClientConnections()
-	s.take(hand("price-alert", "nowhere", "99", 1500))
+	env.waitUntil("the first watch", func() bool { return env.watchRequests == 1 })
+	address := env.agent.Listener.Addr().String()
+	env.agent.Listener.Close()
+	env.agent.CloseClientConnections()
+	env.submit(messageRequest("price-alert", "nowhere", "99", 1500))
 	descriptors := func() int {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		if err != nil {
@@ -100,14 +101,19 @@
 		}
 		return len(open)
 	}
-	own := descriptors()
-	resting := s.crowd(2 * most)
-	// Guards against a bound on all descriptors that the relay's own move by one: clients have all that they may have once resting ones give way.
-	s.until("the crowd to be let in", func() bool { return descriptors()-own >= most/3 && resting.ended.Load() > most })
-	back, err := net.Listen("tcp", address)
+	ownDescriptors := descriptors()
+	idle := env.startIdleClients(2 * limit)
+	// The relay's own descriptors vary by one, so the bound is on those of clients: they have all
+	// that they may have once idle ones are closed.
+	env.waitUntil("the idle clients to be accepted", func() bool {
+		return descriptors()-ownDescriptors >= limit/3 && idle.closed.Load() > limit
+	})
+	restored, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.startAgent(back)
-	s.until("the watch and the notice", func() bool { return s.watched > 1 && s.told("nowhere", "handed_back") })
+	env.startAgent(restored)
+	env.waitUntil("the watch and the notification", func() bool {
+		return env.watchRequests > 1 && env.notified("nowhere", "handed_back")
+	})
 }
--- a/internal/daemon/resident_other.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !linux
-
-package daemon
-
-func giveBack() {}
--- a/internal/testdouble/partner.go
+++ b/internal/testdouble/partner.go
@@ -12,101 +12,105 @@
 	"time"
 )
 
-// Mode is how a partner behaves.
+// Mode selects how a partner answers calls.
 type Mode int
 
 // The modes of a partner.
 const (
-	Healthy             Mode = iota // runs calls, within its limits
-	Unresponsive                    // reads calls and says nothing, runs nothing
-	ResetBeforeRun                  // resets the connection once the call has come; nothing has run
-	ResetAfterRun                   // the same, but the call has run
-	InternalError                   // 500, nothing has run
-	Unavailable                     // 503 with the wait, if one is told
-	RefusingConnections             // refuses connections, and those that are open break
+	Healthy             Mode = iota // runs calls within its limits
+	Unresponsive                    // reads calls, runs nothing and never responds
+	ResetBeforeRun                  // resets the connection after reading the call, which does not run
+	ResetAfterRun                   // resets the connection after the call has run
+	InternalError                   // responds 500; the call does not run
+	Unavailable                     // responds 429 with Wait-Ms if RetryAfter is set, else 503
+	RefusingConnections             // closes its listeners and all open connections
 )
 
-// PartnerConfig sets a partner.
+// PartnerConfig configures a partner. Zero values stand for the defaults given.
 type PartnerConfig struct {
 	Dest               int
-	Kind               string        // empty: small-partner
-	Zone               string        // empty: here
-	EndpointZones      []string      // of its endpoints, one by one, where they lie in several
-	Endpoints          int           // 0: 1
-	Rate               float64       // calls a second that it takes, over all endpoints; 0: no limit
-	Burst              float64       // calls at once above the rate; 0: 1
-	MaxConcurrentCalls int           // calls served at once; 0: any number
-	RetryAfter         time.Duration // told by refusals; 0: none
-	ServiceTime        time.Duration // how long a call takes
-	ColdRateShare      float64       // share of the rate that it has at once after an outage; 0: it returns warm
-	WarmUpTime         time.Duration // until it is warm
-	OverloadFactor     float64       // sent more than this multiple of the present rate over a second while cold, it falls silent for good; 0: never
-	Now                func() time.Time
-	OnCall             func(Call)        // not nil: told of each call as it comes and as it ends
-	OnMessage          func(body []byte) // not nil: told of each message that runs, in place of the ledger
+	Kind               string            // empty: small-partner
+	Zone               string            // empty: here
+	EndpointZones      []string          // zone of each endpoint by index; missing or empty: Zone
+	Endpoints          int               // number of endpoints; 0: 1
+	Rate               float64           // calls per second over all endpoints; 0: no limit
+	Burst              float64           // size of the token bucket in calls; 0: 1
+	MaxConcurrentCalls int               // over all endpoints; 0: no limit
+	RetryAfter         time.Duration     // sent with rejections; 0: none
+	ServiceTime        time.Duration     // duration of a call
+	ColdRateShare      float64           // share of Rate available right after an outage; 0: no warm-up
+	WarmUpTime         time.Duration     // time after an outage until the full rate is available
+	OverloadFactor     float64           // multiple of the current rate that makes it collapse while warming up; 0: never
+	Now                func() time.Time  // nil: time.Now
+	OnCall             func(Call)        // called when a call arrives and when it completes; may be nil
+	OnMessage          func(body []byte) // called for each message that runs, in place of the effect log; may be nil
 }
 
-// Call is what a partner sees of a call, as it comes and as it ends.
+// Call describes a call that a partner receives, on arrival and on completion. OK, MayHaveRun and
+// RetryAfter hold on completion.
 type Call struct {
 	Dest       int
 	IDs        []string
 	Completed  bool
-	OK         bool          // Ended: it ran, and that was answered
-	MayHaveRun bool          // Ended: it may have run
-	RetryAfter time.Duration // Ended: told
+	OK         bool          // it ran and was answered with success
+	MayHaveRun bool          // false only after a rejection with 429 or 503
+	RetryAfter time.Duration // sent with the response
 }
 
-// Partner is a destination with its endpoints.
+// Partner is a test double of a destination with its endpoints.
 type Partner struct {
-	set    PartnerConfig
-	ledger *EffectLog
-	ends   []*endpoint
+	config    PartnerConfig
+	effectLog *EffectLog
+	endpoints []*endpoint
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	mode     Mode
-	lowered  float64 // part of the rate that it takes
-	share    float64 // of the calls that the mode is for
-	tokens   float64
-	filled   time.Time
-	warmAt   time.Time
-	recent   []time.Time // calls of the last second, while cold
-	out      int
-	release  chan struct{} // closed when silence ends
-	early    int           // calls while a told wait ran
-	waitTil  time.Time
-	rejected int
-	fell     bool
+	mu              sync.Mutex
+	random          *rand.Rand
+	mode            Mode
+	rateShare       float64 // factor applied to the rate
+	modeShare       float64 // share of the calls that mode applies to
+	tokens          float64
+	refilledAt      time.Time
+	warmAt          time.Time
+	recentCalls     []time.Time // calls of the last second during warm-up
+	inFlight        int
+	released        chan struct{} // closed to end unresponsive calls
+	earlyCalls      int           // calls before retryAfterUntil
+	retryAfterUntil time.Time
+	rejectedCalls   int
+	collapsed       bool
 }
 
-// zone is where an endpoint lies.
-func (p *Partner) zone(i int) string {
-	if i < len(p.set.EndpointZones) && p.set.EndpointZones[i] != "" {
-		return p.set.EndpointZones[i]
+// endpointZone returns the zone of the endpoint with that index.
+func (p *Partner) endpointZone(i int) string {
+	if i < len(p.config.EndpointZones) && p.config.EndpointZones[i] != "" {
+		return p.config.EndpointZones[i]
 	}
-	return p.set.Zone
+	return p.config.Zone
 }
 
+// endpoint is one listener of a partner.
 type endpoint struct {
 	id, addr string
 	server   *http.Server
 }
 
-func newPartner(set PartnerConfig, seed uint64, l *EffectLog) (*Partner, error) {
-	if set.Kind == "" {
-		set.Kind = "small-partner"
+// newPartner fills in the defaults of config and starts the endpoints.
+func newPartner(config PartnerConfig, seed uint64, effectLog *EffectLog) (*Partner, error) {
+	if config.Kind == "" {
+		config.Kind = "small-partner"
 	}
-	if set.Zone == "" {
-		set.Zone = "here"
+	if config.Zone == "" {
+		config.Zone = "here"
 	}
-	if set.Now == nil {
-		set.Now = time.Now
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	set.Endpoints, set.Burst = max(1, set.Endpoints), max(1, set.Burst)
-	p := &Partner{set: set, ledger: l, random: rand.New(rand.NewPCG(seed, uint64(set.Dest))), release: make(chan struct{}), tokens: set.Burst, lowered: 1}
-	for i := range set.Endpoints {
-		e := &endpoint{id: fmt.Sprintf("p%d-%d", set.Dest, i)}
-		for try := 1; ; try++ { // somebody else may take a port before it is listened at
+	config.Endpoints, config.Burst = max(1, config.Endpoints), max(1, config.Burst)
+	p := &Partner{config: config, effectLog: effectLog, random: rand.New(rand.NewPCG(seed, uint64(config.Dest))),
+		released: make(chan struct{}), tokens: config.Burst, rateShare: 1}
+	for i := range config.Endpoints {
+		e := &endpoint{id: fmt.Sprintf("p%d-%d", config.Dest, i)}
+		for attempt := 1; ; attempt++ { // another process may take the reserved port first
 			addr, err := ReserveAddr()
 			if err == nil {
 				e.addr = addr
@@ -115,15 +119,16 @@
 			if err == nil {
 				break
 			}
-			if try == 5 {
+			if attempt == 5 {
 				return nil, err
 			}
 		}
-		p.ends = append(p.ends, e)
+		p.endpoints = append(p.endpoints, e)
 	}
 	return p, nil
 }
 
+// listen starts to serve at the address of an endpoint.
 func (p *Partner) listen(e *endpoint) error {
 	ln, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -134,51 +139,53 @@
 	return nil
 }
 
+// close ends waiting calls and stops the endpoints.
 func (p *Partner) close() {
 	p.mu.Lock()
-	p.end()
+	p.releaseHeldCalls()
 	p.mu.Unlock()
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		e.server.Close()
 	}
 }
 
-// end lets calls that were kept silent go. The caller holds mu.
-func (p *Partner) end() {
-	close(p.release)
-	p.release = make(chan struct{})
+// releaseHeldCalls ends the calls that wait in mode Unresponsive. The caller holds mu.
+func (p *Partner) releaseHeldCalls() {
+	close(p.released)
+	p.released = make(chan struct{})
 }
 
-// EndpointIDs names the endpoints as discovery does.
+// EndpointIDs returns the instance ids of the endpoints in discovery.
 func (p *Partner) EndpointIDs() (ids []string) {
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		ids = append(ids, e.id)
 	}
 	return ids
 }
 
-// Addresses are where the endpoints listen.
+// Addresses returns the host:port of each endpoint.
 func (p *Partner) Addresses() (all []string) {
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		all = append(all, e.addr)
 	}
 	return all
 }
 
-// SetMode puts a mode in force for that share of the calls (1: all). Calls that were kept silent break. A partner that
-// comes back from an outage is cold, if it is set so.
+// SetMode applies a mode to a share of the calls, from 0 to 1. It aborts the calls that wait in
+// mode Unresponsive. A change back to Healthy starts the warm-up, if one is configured. It fails
+// where an endpoint can't listen again after RefusingConnections.
 func (p *Partner) SetMode(m Mode, share float64) error {
 	p.mu.Lock()
-	was := p.mode
-	if p.mode, p.share = m, share; m == Healthy && was != Healthy && p.set.ColdRateShare > 0 {
-		p.warmAt, p.recent = p.set.Now().Add(p.set.WarmUpTime), nil
+	previous := p.mode
+	if p.mode, p.modeShare = m, share; m == Healthy && previous != Healthy && p.config.ColdRateShare > 0 {
+		p.warmAt, p.recentCalls = p.config.Now().Add(p.config.WarmUpTime), nil
 	}
-	p.end()
+	p.releaseHeldCalls()
 	p.mu.Unlock()
-	if (m == RefusingConnections) == (was == RefusingConnections) {
+	if (m == RefusingConnections) == (previous == RefusingConnections) {
 		return nil
 	}
-	for _, e := range p.ends {
+	for _, e := range p.endpoints {
 		if m == RefusingConnections {
 			e.server.Close()
 		} else if err := p.listen(e); err != nil {
@@ -188,89 +195,93 @@
 	return nil
 }
 
-// EarlyCalls counts calls that came while a wait that this partner had told ran, but for the first 100 ms of it.
-func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.early }
+// EarlyCalls counts calls before the end of a Retry-After that this partner sent. Calls in its
+// first 100 ms don't count: they may have been sent before it arrived.
+func (p *Partner) EarlyCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.earlyCalls }
 
-// RejectedCalls counts calls turned away above a limit.
-func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejected }
+// RejectedCalls counts calls rejected because of the rate or concurrency limit.
+func (p *Partner) RejectedCalls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.rejectedCalls }
 
-// Collapsed tells whether it was pushed over while it was cold.
-func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.fell }
+// Collapsed reports whether overload during warm-up made the partner unresponsive for good.
+func (p *Partner) Collapsed() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.collapsed }
 
-// SetRateShare has it take that part of its rate from now on; 1: all of it.
-func (p *Partner) SetRateShare(part float64) {
+// SetRateShare multiplies the rate by share from now on; 1 restores it.
+func (p *Partner) SetRateShare(share float64) {
 	p.mu.Lock()
-	p.lowered = part
+	p.rateShare = share
 	p.mu.Unlock()
 }
 
-// rate is what it can take now. The caller holds mu.
-func (p *Partner) rate(now time.Time) float64 {
-	return p.usual(now) * p.lowered
+// currentRate returns the present rate in calls per second. The caller holds mu.
+func (p *Partner) currentRate(now time.Time) float64 {
+	return p.warmUpRate(now) * p.rateShare
 }
 
-func (p *Partner) usual(now time.Time) float64 {
-	if p.set.Rate == 0 || !now.Before(p.warmAt) || p.set.WarmUpTime == 0 {
-		return p.set.Rate
+// warmUpRate returns the rate without rateShare: it rises linearly during warm-up. The caller holds
+// mu.
+func (p *Partner) warmUpRate(now time.Time) float64 {
+	if p.config.Rate == 0 || !now.Before(p.warmAt) || p.config.WarmUpTime == 0 {
+		return p.config.Rate
 	}
-	warm := 1 - p.warmAt.Sub(now).Seconds()/p.set.WarmUpTime.Seconds()
-	return p.set.Rate * (p.set.ColdRateShare + (1-p.set.ColdRateShare)*warm)
+	warmUpProgress := 1 - p.warmAt.Sub(now).Seconds()/p.config.WarmUpTime.Seconds()
+	return p.config.Rate * (p.config.ColdRateShare + (1-p.config.ColdRateShare)*warmUpProgress)
 }
 
-// admit says what becomes of a call.
+// admit decides how to answer a call, and whether it counts as in flight.
 func (p *Partner) admit() (Mode, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.set.Now()
-	if p.fell {
+	now := p.config.Now()
+	if p.collapsed {
 		return Unresponsive, false
 	}
-	if p.mode != Healthy && p.random.Float64() < p.share {
+	if p.mode != Healthy && p.random.Float64() < p.modeShare {
 		if p.mode == Unavailable {
-			p.told(now)
+			p.startRetryAfter(now)
 		}
 		return p.mode, false
 	}
-	if now.Before(p.waitTil) && now.After(p.waitTil.Add(100*time.Millisecond-p.set.RetryAfter)) {
-		p.early++
+	if now.Before(p.retryAfterUntil) && now.After(p.retryAfterUntil.Add(100*time.Millisecond-p.config.RetryAfter)) {
+		p.earlyCalls++
 	}
-	rate := p.rate(now)
-	if p.set.OverloadFactor > 0 && now.Before(p.warmAt) {
-		for len(p.recent) > 0 && now.Sub(p.recent[0]) > time.Second {
-			p.recent = p.recent[1:]
+	rate := p.currentRate(now)
+	if p.config.OverloadFactor > 0 && now.Before(p.warmAt) {
+		for len(p.recentCalls) > 0 && now.Sub(p.recentCalls[0]) > time.Second {
+			p.recentCalls = p.recentCalls[1:]
 		}
-		if p.recent = append(p.recent, now); float64(len(p.recent)) > max(2, p.set.OverloadFactor*rate) {
-			p.fell = true
+		if p.recentCalls = append(p.recentCalls, now); float64(len(p.recentCalls)) > max(2, p.config.OverloadFactor*rate) {
+			p.collapsed = true
 			return Unresponsive, false
 		}
 	}
 	if rate > 0 {
-		if !p.filled.IsZero() {
-			p.tokens = min(p.set.Burst, p.tokens+rate*now.Sub(p.filled).Seconds())
+		if !p.refilledAt.IsZero() {
+			p.tokens = min(p.config.Burst, p.tokens+rate*now.Sub(p.refilledAt).Seconds())
 		}
-		if p.filled = now; p.tokens < 1 {
-			p.rejected++
-			p.told(now)
+		if p.refilledAt = now; p.tokens < 1 {
+			p.rejectedCalls++
+			p.startRetryAfter(now)
 			return Unavailable, false
 		}
 		p.tokens--
 	}
-	if p.set.MaxConcurrentCalls > 0 && p.out >= p.set.MaxConcurrentCalls {
-		p.rejected++
-		p.told(now)
+	if p.config.MaxConcurrentCalls > 0 && p.inFlight >= p.config.MaxConcurrentCalls {
+		p.rejectedCalls++
+		p.startRetryAfter(now)
 		return Unavailable, false
 	}
-	p.out++
+	p.inFlight++
 	return Healthy, true
 }
 
-func (p *Partner) told(now time.Time) {
-	if p.set.RetryAfter > 0 {
-		p.waitTil = now.Add(p.set.RetryAfter)
+// startRetryAfter starts the period in which calls count as early. The caller holds mu.
+func (p *Partner) startRetryAfter(now time.Time) {
+	if p.config.RetryAfter > 0 {
+		p.retryAfterUntil = now.Add(p.config.RetryAfter)
 	}
 }
 
-// ServeHTTP answers calls, with one message or with several.
+// ServeHTTP answers calls with one message (/hook) or a batch (/hook/batch).
 func (p *Partner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -289,37 +300,37 @@
 	}
 	run := func() {
 		for i := range items {
-			if p.set.OnMessage != nil {
-				p.set.OnMessage(items[i].Body)
+			if p.config.OnMessage != nil {
+				p.config.OnMessage(items[i].Body)
 				items[i] = entry{ID: items[i].ID, State: "ok"}
 				continue
 			}
-			p.ledger.book(p.set.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body, p.set.Now())
+			p.effectLog.record(p.config.Dest, items[i].ID, items[i].Key, r.Header.Get("X-Form"), items[i].Body, p.config.Now())
 			items[i] = entry{ID: items[i].ID, State: "ok"}
 		}
 	}
-	seen := Call{Dest: p.set.Dest, MayHaveRun: true}
-	if p.set.OnCall != nil {
+	call := Call{Dest: p.config.Dest, MayHaveRun: true}
+	if p.config.OnCall != nil {
 		for _, it := range items {
-			seen.IDs = append(seen.IDs, it.ID)
+			call.IDs = append(call.IDs, it.ID)
 		}
-		p.set.OnCall(seen)
-		seen.Completed = true
-		defer func() { p.set.OnCall(seen) }()
-		w = &watched{w, &seen}
+		p.config.OnCall(call)
+		call.Completed = true
+		defer func() { p.config.OnCall(call) }()
+		w = &callRecorder{w, &call}
 	}
 	p.mu.Lock()
-	release := p.release
+	released := p.released
 	p.mu.Unlock()
-	mode, in := p.admit()
-	p.ledger.news.tell()
-	if in {
-		defer func() { p.mu.Lock(); p.out--; p.mu.Unlock() }()
+	mode, admitted := p.admit()
+	p.effectLog.changes.notify()
+	if admitted {
+		defer func() { p.mu.Lock(); p.inFlight--; p.mu.Unlock() }()
 	}
 	switch mode {
 	case Unresponsive:
 		select {
-		case <-release:
+		case <-released:
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
@@ -327,47 +338,48 @@
 		if mode == ResetAfterRun {
 			run()
 		}
-		if sock, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			sock.(*net.TCPConn).SetLinger(0)
-			sock.Close()
+		if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
+			conn.(*net.TCPConn).SetLinger(0)
+			conn.Close()
 		}
 		return
 	case InternalError:
 		w.WriteHeader(500)
 		return
 	case Unavailable:
-		if p.set.RetryAfter > 0 {
-			w.Header().Set("Wait-Ms", strconv.FormatInt(p.set.RetryAfter.Milliseconds(), 10))
+		if p.config.RetryAfter > 0 {
+			w.Header().Set("Wait-Ms", strconv.FormatInt(p.config.RetryAfter.Milliseconds(), 10))
 			w.WriteHeader(429)
 			return
 		}
 		w.WriteHeader(503)
 		return
 	}
-	if p.set.ServiceTime > 0 {
-		time.Sleep(p.set.ServiceTime)
+	if p.config.ServiceTime > 0 {
+		time.Sleep(p.config.ServiceTime)
 	}
 	run()
-	seen.OK = true
+	call.OK = true
 	if r.URL.Path == "/hook/batch" {
 		json.NewEncoder(w).Encode(items)
 	}
 }
 
-// watched notes what a call is answered, before the answer goes out: what comes after it is sent in knowledge of it.
-type watched struct {
+// callRecorder stores in call how it is answered, before the response is written.
+type callRecorder struct {
 	http.ResponseWriter
-	seen *Call
+	call *Call
 }
 
-// Unwrap is for http.ResponseController.
-func (w *watched) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the wrapped writer, for http.ResponseController.
+func (w *callRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *watched) WriteHeader(status int) {
+// WriteHeader records a rejection and its Retry-After and writes the header.
+func (w *callRecorder) WriteHeader(status int) {
 	if status == 429 || status == 503 {
-		w.seen.MayHaveRun = false
+		w.call.MayHaveRun = false
 		if ms, err := strconv.Atoi(w.Header().Get("Wait-Ms")); err == nil {
-			w.seen.RetryAfter = time.Duration(ms) * time.Millisecond
+			w.call.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
--- a/internal/testdouble/relay.go
+++ b/internal/testdouble/relay.go
@@ -17,7 +17,7 @@
 	"syscall"
 )
 
-// BuildRelay builds the relay into dir and returns the program's path.
+// BuildRelay compiles the relay into dir and returns the path of the program.
 func BuildRelay(dir string) (string, error) {
 	bin := filepath.Join(dir, "oatfold")
 	if out, err := exec.Command("go", "build", "-o", bin, "oatfold/cmd/oatfold").CombinedOutput(); err != nil {
@@ -26,71 +26,75 @@
 	return bin, nil
 }
 
-// Relay is a real relay in a process of its own, with an address and a folder that last over its lives.
+// Relay runs the real relay as a process. Its addresses and its state directory stay the same when
+// it is restarted.
 type Relay struct {
 	Addr, StateDir string
-	AdminAddr      string // the operators' address
+	AdminAddr      string // host:port of the admin interface
 
-	world  *Environment
-	seat   *FleetConfig // nil: it is no part of a fleet
+	env    *Environment
+	fleet  *FleetConfig // nil: not part of a fleet
 	bin    string
 	args   []string
-	config string
+	config string // path of the configuration file
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	log  []string // last lines of all lives
-	life []string // and of this one
-	runs chan struct{}
-	err  error // of the last life
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	allLog     []string      // last lines of all processes
+	currentLog []string      // last lines of the current process
+	exited     chan struct{} // closed when the current process has exited
+	exitErr    error         // of the last process
 }
 
-// FleetConfig is a relay's place in a fleet.
+// FleetConfig configures a relay as a member of a fleet.
 type FleetConfig struct {
-	Number        int
-	PeerListen    string   // where notes of others come in
-	Peers         []string // where they go, by number
+	Number        int      // index of this relay in Peers
+	PeerListen    string   // address for gossip messages from other relays
+	Peers         []string // gossip addresses of all relays by number
 	Zone          string
 	Zones         []string
-	DiscoveryAddr string            // its own way to the platform; empty: the platform's address
-	Members       string            // what the relay is told of membership; empty: nothing
-	Choices       string            // and of choices that relays share
-	OnLogLine     func(line string) // not nil: told of each line that the relay logs
+	DiscoveryAddr string            // address of discovery; empty: the platform's
+	Members       string            // configuration value "members"
+	Choices       string            // configuration value "choices"; empty: not set
+	OnLogLine     func(line string) // called with each line that the relay logs; may be nil
 }
 
+// Numbers of log lines of a relay.
 const (
-	logKept  = 50_000 // lines of each relay that are looked through; more than any test makes it log
-	logShown = 400    // of these, the last ones are shown where a test fails
+	maxLogLines  = 50_000 // kept for each relay: more than any test makes it log
+	logTailLines = 400    // shown when a test fails
 )
 
-// StartRelay starts a relay of the world with these arguments and waits until it is ready.
-func (w *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
-	r, err := w.newRelay(bin, args)
+// StartRelay starts a relay with these arguments and waits until it is ready.
+func (env *Environment) StartRelay(bin string, args ...string) (*Relay, error) {
+	r, err := env.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
 	return r, r.Start()
 }
 
-// NewRelay returns a further relay of the world, of the program of the last one, that is not started yet.
-func (w *Environment) NewRelay() (*Relay, error) {
-	w.mu.Lock()
-	last := w.relays[len(w.relays)-1]
-	w.mu.Unlock()
-	return w.newRelay(last.bin, last.args)
+// NewRelay returns a further relay with the program and arguments of the last one, without starting
+// it.
+func (env *Environment) NewRelay() (*Relay, error) {
+	env.mu.Lock()
+	last := env.relays[len(env.relays)-1]
+	env.mu.Unlock()
+	return env.newRelay(last.bin, last.args)
 }
 
-// NewFleetRelay returns a relay of a fleet that is not started yet.
-func (w *Environment) NewFleetRelay(bin string, seat *FleetConfig, args ...string) (*Relay, error) {
-	r, err := w.newRelay(bin, args)
+// NewFleetRelay returns a relay that is a member of a fleet, without starting it.
+func (env *Environment) NewFleetRelay(bin string, fleet *FleetConfig, args ...string) (*Relay, error) {
+	r, err := env.newRelay(bin, args)
 	if err != nil {
 		return nil, err
 	}
-	r.seat = seat
+	r.fleet = fleet
 	return r, r.WriteConfig()
 }
 
-func (w *Environment) newRelay(bin string, args []string) (*Relay, error) {
+// newRelay reserves addresses, creates the state directory and writes the configuration of a relay.
+func (env *Environment) newRelay(bin string, args []string) (*Relay, error) {
 	addr, err := ReserveAddr()
 	if err != nil {
 		return nil, err
@@ -99,62 +103,69 @@
 	if err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	n := len(w.relays)
-	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(w.dir, fmt.Sprintf("state%d", n)), world: w, bin: bin, args: args,
-		config: filepath.Join(w.dir, fmt.Sprintf("config%d.json", n))}
-	w.relays = append(w.relays, r)
-	w.mu.Unlock()
+	env.mu.Lock()
+	index := len(env.relays)
+	r := &Relay{Addr: addr, AdminAddr: admin, StateDir: filepath.Join(env.dir, fmt.Sprintf("state%d", index)),
+		env: env, bin: bin, args: args, config: filepath.Join(env.dir, fmt.Sprintf("config%d.json", index))}
+	env.relays = append(env.relays, r)
+	env.mu.Unlock()
 	if err := os.Mkdir(r.StateDir, 0o700); err != nil {
 		return nil, err
 	}
 	return r, r.WriteConfig()
 }
 
-// WriteConfig writes what the platform tells the relay.
+// WriteConfig writes the configuration file of the relay.
 func (r *Relay) WriteConfig() error {
-	return os.WriteFile(r.config, r.world.configuration(filepath.Base(r.StateDir), r.Addr, r.seat), 0o600)
+	return os.WriteFile(r.config, r.env.configJSON(filepath.Base(r.StateDir), r.Addr, r.fleet), 0o600)
 }
 
-// configuration is what the platform tells a relay.
-func (w *Environment) configuration(name, listen string, seat *FleetConfig) []byte {
+// configJSON returns the contents of the configuration file of a relay; fleet may be nil.
+func (env *Environment) configJSON(name, listen string, fleet *FleetConfig) []byte {
 	type object = map[string]any
 	var grades []object
-	for _, c := range w.set.Classes {
-		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all", "promiseUs": c.TargetLatency.Microseconds(),
-			"deadlineUs": c.Deadline.Microseconds(), "repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
+	for _, c := range env.config.Classes {
+		grades = append(grades, object{"name": c.Name, "effect": c.Effect, "group": "all",
+			"promiseUs": c.TargetLatency.Microseconds(), "deadlineUs": c.Deadline.Microseconds(),
+			"repeatWindowUs": c.RepeatWindow.Microseconds(), "credit": c.Value, "lateValue": c.LateValue,
 			"inTurn": c.Ordered})
 	}
-	config := object{"name": name, "listen": listen, "discovery": w.Platform.Addr, "seed": fmt.Sprintf("%016x", w.set.Seed),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": w.set.MaxDescriptors, "disk_mb": w.set.DiskMB},
-		"settings": object{"fleetSize": w.set.FleetSize, "tickUs": 5000, "discovery": "push", "weightSource": "off", "grades": grades,
+	config := object{"name": name, "listen": listen, "discovery": env.Platform.Addr,
+		"seed":   fmt.Sprintf("%016x", env.config.Seed),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": env.config.MaxDescriptors, "disk_mb": env.config.DiskMB},
+		"settings": object{"fleetSize": env.config.FleetSize, "tickUs": 5000, "discovery": "push",
+			"weightSource": "off", "grades": grades,
 			"kinds": []string{"broker", "small-partner"}, "zones": []string{"here"}, "tenants": []object{},
-			"familyInfo": object{"callSlots": w.set.MaxConcurrentCalls, "batchByKind": []int{5, 1}, "separateRoutes": []bool{false, false},
-				"feeByZone": []float64{0}, "decay": "linear"},
-			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000, "fallUs": 3_000_000, "overloadFactor": 2},
-			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000, "maxAttempts": 6, "maxOpen": w.set.MaxPending,
+			"familyInfo": object{"callSlots": env.config.MaxConcurrentCalls, "batchByKind": []int{5, 1},
+				"separateRoutes": []bool{false, false}, "feeByZone": []float64{0}, "decay": "linear"},
+			"guarantees": object{"askWithinUs": 10_000_000, "coldFrom": 0.2, "coldUs": 11_000_000,
+				"fallUs": 3_000_000, "overloadFactor": 2},
+			"policyLimits": object{"connIdleUs": 15_000_000, "connectTimeoutUs": 1_500_000,
+				"maxAttempts": 6, "maxOpen": env.config.MaxPending,
 				"maxRetryAfterUs": 3_000_000, "retryAfter": true}}}
-	if seat != nil {
-		config["peer_listen"], config["peers"], config["members"] = seat.PeerListen, seat.Peers, seat.Members
-		if seat.Choices != "" {
-			config["choices"] = seat.Choices
+	if fleet != nil {
+		config["peer_listen"], config["peers"], config["members"] = fleet.PeerListen, fleet.Peers, fleet.Members
+		if fleet.Choices != "" {
+			config["choices"] = fleet.Choices
 		}
-		if seat.DiscoveryAddr != "" {
-			config["discovery"] = seat.DiscoveryAddr
+		if fleet.DiscoveryAddr != "" {
+			config["discovery"] = fleet.DiscoveryAddr
 		}
-		config["seed"] = fmt.Sprintf("%016x", w.set.Seed+uint64(seat.Number)*7919)
-		set := config["settings"].(object)
-		set["me"], set["myZone"], set["zones"], set["fleetSize"] = seat.Number, seat.Zone, seat.Zones, len(seat.Peers)
-		set["policyLimits"].(object)["peers"] = true
+		config["seed"] = fmt.Sprintf("%016x", env.config.Seed+uint64(fleet.Number)*7919)
+		settings := config["settings"].(object)
+		settings["me"], settings["myZone"], settings["zones"], settings["fleetSize"] =
+			fleet.Number, fleet.Zone, fleet.Zones, len(fleet.Peers)
+		settings["policyLimits"].(object)["peers"] = true
 	}
 	b, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // plain maps of plain values
+		panic(err) // maps of plain values always encode
 	}
 	return b
 }
 
-// Start starts a relay that has ended, under its address and with its folder, and waits until it is ready.
+// Start starts a relay that is not running, with its addresses and state directory, and waits until
+// it is ready.
 func (r *Relay) Start() error {
 	if err := r.launch(); err != nil {
 		return err
@@ -162,22 +173,25 @@
 	return r.AwaitLog("msg=ready")
 }
 
-// StartNextProcess starts a further process of the same relay, with an operators' address of its own, and does not wait for it.
+// StartNextProcess starts another process of the same relay, to take over from this one, with an
+// admin address of its own. It does not wait until the process is ready.
 func (r *Relay) StartNextProcess() (*Relay, error) {
 	admin, err := ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
-	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, world: r.world, bin: r.bin, args: r.args, config: r.config}
-	r.world.mu.Lock()
-	r.world.relays = append(r.world.relays, next)
-	r.world.mu.Unlock()
+	next := &Relay{Addr: r.Addr, StateDir: r.StateDir, AdminAddr: admin, env: r.env, bin: r.bin, args: r.args,
+		config: r.config}
+	r.env.mu.Lock()
+	r.env.relays = append(r.env.relays, next)
+	r.env.mu.Unlock()
 	return next, next.launch()
 }
 
-// Launch starts it likewise and waits for nothing.
+// Launch starts the relay like Start, without waiting until it is ready.
 func (r *Relay) Launch() error { return r.launch() }
 
+// launch starts the process and a goroutine that collects its log.
 func (r *Relay) launch() error {
 	cmd := exec.Command(r.bin, r.args...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config, "ROUTER_STATE="+r.StateDir, "ROUTER_ADMIN="+r.AdminAddr)
@@ -188,51 +202,52 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	runs := make(chan struct{})
+	exited := make(chan struct{})
 	r.mu.Lock()
-	r.cmd, r.runs, r.life = cmd, runs, r.life[:0]
+	r.cmd, r.exited, r.currentLog = cmd, exited, r.currentLog[:0]
 	r.mu.Unlock()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			if r.seat != nil && r.seat.OnLogLine != nil {
-				r.seat.OnLogLine(lines.Text())
+			if r.fleet != nil && r.fleet.OnLogLine != nil {
+				r.fleet.OnLogLine(lines.Text())
 			}
 			r.mu.Lock()
-			r.log, r.life = append(r.log, lines.Text()), append(r.life, lines.Text())
-			if len(r.log) > logKept {
-				r.log = r.log[1:]
+			r.allLog, r.currentLog = append(r.allLog, lines.Text()), append(r.currentLog, lines.Text())
+			if len(r.allLog) > maxLogLines {
+				r.allLog = r.allLog[1:]
 			}
-			if len(r.life) > logKept {
-				r.life = r.life[1:]
+			if len(r.currentLog) > maxLogLines {
+				r.currentLog = r.currentLog[1:]
 			}
 			r.mu.Unlock()
-			r.world.news.tell()
+			r.env.changes.notify()
 		}
 		err := cmd.Wait()
 		r.mu.Lock()
-		r.err = err
+		r.exitErr = err
 		r.mu.Unlock()
-		close(runs)
-		r.world.news.tell()
+		close(exited)
+		r.env.changes.notify()
 	}()
 	return nil
 }
 
-// AwaitLog waits until the process has logged text.
+// AwaitLog waits until the current process has logged a line with text. It fails if the process
+// exits first.
 func (r *Relay) AwaitLog(text string) error {
-	ended := false
-	err := r.world.WaitUntil("the relay to log "+text, func() bool {
+	exited := false
+	err := r.env.WaitUntil("the relay to log "+text, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		select {
-		case <-r.runs:
-			ended = true
+		case <-r.exited:
+			exited = true
 		default:
 		}
-		return ended || slices.ContainsFunc(r.life, func(line string) bool { return strings.Contains(line, text) })
+		return exited || slices.ContainsFunc(r.currentLog, func(line string) bool { return strings.Contains(line, text) })
 	})
-	if err == nil && ended {
-		err = errors.New("the relay ended")
+	if err == nil && exited {
+		err = errors.New("the relay exited")
 	}
 	if err != nil {
 		return fmt.Errorf("%w before it logged %s: %s", err, text, r.LogTail())
@@ -240,7 +255,7 @@
 	return nil
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the current process.
 func (r *Relay) Signal(s syscall.Signal) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,21 +265,21 @@
 	return r.cmd.Process.Signal(s)
 }
 
-// PID is the process's number.
+// PID returns the process id. The relay must have been started.
 func (r *Relay) PID() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cmd.Process.Pid
 }
 
-// Kill ends the process with SIGKILL and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has exited.
 func (r *Relay) Kill() {
 	if r.Signal(syscall.SIGKILL) == nil {
 		r.Wait()
 	}
 }
 
-// Stop ends the process with SIGTERM and returns the error of its exit.
+// Stop sends SIGTERM, waits until the process has exited and returns its exit error.
 func (r *Relay) Stop() error {
 	if err := r.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -272,32 +287,32 @@
 	return r.Wait()
 }
 
-// Wait waits for the process's end.
+// Wait waits until the process has exited and returns its exit error.
 func (r *Relay) Wait() error {
 	r.mu.Lock()
-	runs := r.runs
+	exited := r.exited
 	r.mu.Unlock()
-	if runs == nil {
+	if exited == nil {
 		return errors.New("not started")
 	}
-	<-runs
+	<-exited
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.err
+	return r.exitErr
 }
 
-// LogTail is the last lines that the relay logged.
+// LogTail returns the last lines that all processes of the relay logged.
 func (r *Relay) LogTail() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return strings.Join(r.log[max(0, len(r.log)-logShown):], "\n")
+	return strings.Join(r.allLog[max(0, len(r.allLog)-logTailLines):], "\n")
 }
 
-// CountLogLines counts the lines of the log that hold text.
+// CountLogLines counts the log lines of all processes that contain text.
 func (r *Relay) CountLogLines(text string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, line := range r.log {
+	for _, line := range r.allLog {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -305,13 +320,13 @@
 	return n
 }
 
-// CallAdmin makes one call at the operators' address and returns its status and body.
+// CallAdmin sends a request to the admin interface and returns the status and body of the response.
 func (r *Relay) CallAdmin(method, path string) (int, string, error) {
 	req, err := http.NewRequest(method, "http://"+r.AdminAddr+path, nil)
 	if err != nil {
 		return 0, "", err
 	}
-	res, err := (&http.Client{Timeout: hang}).Do(req)
+	res, err := (&http.Client{Timeout: maxWait}).Do(req)
 	if err != nil {
 		return 0, "", err
 	}
@@ -320,20 +335,20 @@
 	return res.StatusCode, string(b), err
 }
 
-// Metrics reads the relay's figures, by name with label.
+// Metrics reads the relay's metrics, by name with labels and without the prefix "edge_router_".
 func (r *Relay) Metrics() (map[string]int, error) {
 	status, text, err := r.CallAdmin("GET", "/stats")
 	if err != nil || status != 200 {
-		return nil, fmt.Errorf("figures: status %d: %w", status, err)
+		return nil, fmt.Errorf("metrics: status %d: %w", status, err)
 	}
-	all := map[string]int{}
+	metrics := map[string]int{}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			return nil, fmt.Errorf("figures: %q: %w", line, err)
+			return nil, fmt.Errorf("metrics: %q: %w", line, err)
 		}
-		all[strings.TrimPrefix(name, "edge_router_")] = n
+		metrics[strings.TrimPrefix(name, "edge_router_")] = n
 	}
-	return all, nil
+	return metrics, nil
 }
--- /dev/null
+++ b/internal/wire/backoff.go
@@ -0,0 +1,50 @@
+package wire
+
+import (
+	"sync/atomic"
+	"time"
+
+	"oatfold/internal/clock"
+	"oatfold/policy"
+)
+
+// This file decides when nothing may be written to an endpoint.
+
+// backoff is the time until which a destination must not be called. Its connections share it. It
+// uses the monotonic clock, so that a step of the wall clock neither ends nor extends it.
+type backoff struct{ until atomic.Int64 } // nanoseconds of clock.Since
+
+// extend makes the backoff last for at least d from now.
+func (b *backoff) extend(d time.Duration) {
+	for until := int64(clock.SinceStart() + d); ; {
+		current := b.until.Load()
+		if current >= until || b.until.CompareAndSwap(current, until) {
+			return
+		}
+	}
+}
+
+// remaining returns how long the backoff still lasts; negative once it has ended.
+func (b *backoff) remaining() time.Duration {
+	return time.Duration(b.until.Load()) - clock.SinceStart()
+}
+
+// active reports whether the backoff still lasts.
+func (b *backoff) active() bool { return b.remaining() > 0 }
+
+// endpoint is an entry of the endpoint list. Its connections read the state.
+type endpoint struct {
+	id, addr string
+	dest     int
+	zone     string
+	rate     float64
+	state    atomic.Int32 // policy.EndpointState
+	backoff  *backoff
+	idle     []*endpointConn // the one used last is last
+}
+
+// blocked reports whether nothing may be written to the endpoint now: it is backing off, draining or
+// removed.
+func (ep *endpoint) blocked() bool {
+	return ep.backoff.active() || policy.EndpointState(ep.state.Load()) != policy.Listed
+}
