--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -431,8 +431,8 @@
 	for round := range 120 {
 		for to := range 3 {
 			lie := append([]byte{3}, liarList.FalseGossip(time.Since(startedAt), round)...)
-			for _, note := range [][]byte{lie, lie, lie[:len(lie)/2], make([]byte, 257)} {
-				liar.WriteToUDPAddrPort(note, netip.MustParseAddrPort(network.PeerAddrs(9)[to]))
+			for _, payload := range [][]byte{lie, lie, lie[:len(lie)/2], make([]byte, 257)} {
+				liar.WriteToUDPAddrPort(payload, netip.MustParseAddrPort(network.PeerAddrs(9)[to]))
 			}
 		}
 		mu.Lock()
--- a/internal/lab/fleet/sites_test.go
+++ b/internal/lab/fleet/sites_test.go
@@ -18,7 +18,7 @@
 
 // threeSites is a scenario of twelve relays in three sites, with two partners that have two
 // endpoints in each site and one that is in the first site alone.
-func threeSites(t *testing.T, troubles ...emu.Fault) *emu.Scenario {
+func threeSites(t *testing.T, faults ...emu.Fault) *emu.Scenario {
 	t.Helper()
 	base, err := site.ReadSite("../../../lab/choices-fleet.textproto")
 	if err != nil {
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	scenario.Choices.SubsetSize, scenario.Length, scenario.Faults = 0, 46*time.Second, troubles
+	scenario.Choices.SubsetSize, scenario.Length, scenario.Faults = 0, 46*time.Second, faults
 	return scenario
 }
 
@@ -92,8 +92,8 @@
 	again := emu.Fault{Kind: emu.Crash, At: 26 * second, Duration: 5 * second, Zone: "zone-1"}
 	atOnce := make(chan struct{}, 2)
 	for name, c := range map[string]struct {
-		troubles []emu.Fault
-		lost     bool
+		faults []emu.Fault
+		lost   bool
 	}{
 		"whole": {[]emu.Fault{relays, endpoints}, true}, "again": {[]emu.Fault{relays, endpoints, again}, true},
 		"endpoints live": {[]emu.Fault{relays}, false}, "relays live": {[]emu.Fault{endpoints}, true},
@@ -115,7 +115,7 @@
 			t.Parallel()
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			scenario := threeSites(t, c.troubles...)
+			scenario := threeSites(t, c.faults...)
 			scenario.Name = "site-lost, " + name
 			result, err := Run(context.Background(),
 				Config{Scenario: scenario, Seed: 6, RelayBinary: bin, OperatorFile: operatorFile(t),
