--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emu/emu_test.go
@@ -16,150 +16,156 @@
 
 const lab = "../../../lab"
 
-func day(t testing.TB, script string, seed uint64) *emu.Scenario {
+func drawScenario(t testing.TB, script string, seed uint64) *emu.Scenario {
 	t.Helper()
-	s, err := site.ReadScript(filepath.Join(lab, "days", script+site.FileExt))
+	parsed, err := site.ReadScript(filepath.Join(lab, "days", script+site.FileExt))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := s.DrawScenario(nil, seed)
+	scenario, err := parsed.DrawScenario(nil, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return scenario
 }
 
-func play(t testing.TB, d *emu.Scenario, set emu.Options) *emu.Result {
+func run(t testing.TB, scenario *emu.Scenario, options emu.Options) *emu.Result {
 	t.Helper()
-	res, err := emu.Run(d, set)
+	result, err := emu.Run(scenario, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res
+	return result
 }
 
-// Every day of the library keeps all rules under the module in service, and shows its trouble: none serves what a calm day serves but
-// those that are named.
-func TestLibrary(t *testing.T) {
+// The production policy violates no rule in any scenario of the library, all messages complete, and
+// the faults of each scenario have an effect.
+func TestLibraryScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(lab, "days", "*"+site.FileExt))
 	if err != nil || len(files) < 25 {
-		t.Fatalf("%d days, %v", len(files), err)
+		t.Fatalf("%d scenarios, %v", len(files), err)
 	}
-	for _, f := range files {
-		name := strings.TrimSuffix(filepath.Base(f), site.FileExt)
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), site.FileExt)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := day(t, name, 3)
-			res := play(t, d, emu.Options{})
-			if !res.Passed() {
-				t.Errorf("%v %v", res.Breaks, res.Faults)
+			scenario := drawScenario(t, name, 3)
+			result := run(t, scenario, emu.Options{})
+			if !result.Passed() {
+				t.Errorf("violations %v, errors %v", result.Breaks, result.Faults)
 			}
-			if n := res.Delivered + res.GivenUp + res.HandedBack + res.Lost; n != res.Requests || n == 0 {
-				t.Errorf("%d ends of %d messages", n, res.Requests)
+			if completions := result.Delivered + result.GivenUp + result.HandedBack + result.Lost; completions !=
+				result.Requests || completions == 0 {
+				t.Errorf("%d of %d messages completed", completions, result.Requests)
 			}
-			d.Faults = nil
-			if calm := play(t, d, emu.Options{}); len(day(t, name, 3).Faults) > 0 && res.G == calm.G {
-				t.Error("its trouble changes nothing")
+			scenario.Faults = nil
+			if calm := run(t, scenario, emu.Options{}); len(drawScenario(t, name, 3).Faults) > 0 && result.G == calm.G {
+				t.Error("the faults have no effect")
 			}
 		})
 	}
 }
 
-// One seed, one result, to the byte; another seed, another one.
-func TestSameBytes(t *testing.T) {
-	text := func(seed uint64) string {
-		raw, err := json.Marshal(play(t, day(t, "two-at-once", seed), emu.Options{}))
+// The same seed gives the same result to the byte, another seed a different one.
+func TestDeterministic(t *testing.T) {
+	encoded := func(seed uint64) string {
+		raw, err := json.Marshal(run(t, drawScenario(t, "two-at-once", seed), emu.Options{}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(raw)
 	}
-	if a, b := text(5), text(5); a != b {
-		t.Error("two runs differ")
+	if a, b := encoded(5), encoded(5); a != b {
+		t.Error("two runs with the same seed differ")
 	}
-	if text(5) == text(6) {
-		t.Error("two seeds do not differ")
+	if encoded(5) == encoded(6) {
+		t.Error("two seeds give the same result")
 	}
 }
 
-// broken is a module that does something wrong after its first so many steps.
-type broken struct {
+// faultyPolicy corrupts the actions of a policy after some correct steps.
+type faultyPolicy struct {
 	emu.PolicyEngine
-	steps int
-	do    func(acts []policy.Action) []policy.Action
+	correctSteps int
+	corrupt      func(acts []policy.Action) []policy.Action
 }
 
-func (b *broken) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := b.PolicyEngine.Step(now, events)
-	if b.steps--; b.steps < 0 {
-		return b.do(acts)
+func (p *faultyPolicy) Step(now time.Duration, events []policy.Event) []policy.Action {
+	actions := p.PolicyEngine.Step(now, events)
+	if p.correctSteps--; p.correctSteps < 0 {
+		return p.corrupt(actions)
 	}
-	return acts
+	return actions
 }
 
-func spoilt(do func([]policy.Action) []policy.Action) emu.PolicyFactory {
-	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-		m, err := emu.DefaultPolicy(set, seed)
-		return &broken{m, 300, do}, err
+// faultyFactory creates production policies whose actions are corrupted after 300 steps.
+func faultyFactory(corrupt func([]policy.Action) []policy.Action) emu.PolicyFactory {
+	return func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		engine, err := emu.DefaultPolicy(settings, seed)
+		return &faultyPolicy{engine, 300, corrupt}, err
 	}
 }
 
-// answersWithdrawn fails each message that is withdrawn: in the step that hears of it, or one step later.
-type answersWithdrawn struct {
+// withdrawalAnswerer answers each withdrawn message with a failure, in the same step or one step
+// later.
+type withdrawalAnswerer struct {
 	emu.PolicyEngine
-	later    bool
+	delayed  bool
 	answered int
-	owed     []policy.Action
+	deferred []policy.Action
 }
 
-func (m *answersWithdrawn) Step(now time.Duration, events []policy.Event) []policy.Action {
-	acts := append(m.PolicyEngine.Step(now, events), m.owed...)
-	m.owed = nil
+func (a *withdrawalAnswerer) Step(now time.Duration, events []policy.Event) []policy.Action {
+	actions := append(a.PolicyEngine.Step(now, events), a.deferred...)
+	a.deferred = nil
 	for _, e := range events {
-		w, ok := e.(policy.Withdrawn)
+		withdrawn, ok := e.(policy.Withdrawn)
 		if !ok {
 			continue
 		}
-		m.answered++
-		if fail := policy.Fail(w); m.later {
-			m.owed = append(m.owed, fail)
+		a.answered++
+		if answer := policy.Fail(withdrawn); a.delayed {
+			a.deferred = append(a.deferred, answer)
 		} else {
-			acts = append(acts, fail)
+			actions = append(actions, answer)
 		}
 	}
-	return acts
+	return actions
 }
 
-// A relay that stood still hears in one step that a call timed out and that its message is over: its answer crosses the second, and breaks no
-// rule. An answer in a later step does.
-func TestAnswerCrossesAWithdrawal(t *testing.T) {
-	for _, later := range []bool{false, true} {
-		d := day(t, "frozen-relay", 3)
-		d.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second, Relays: []int{0}}}
+// A final answer in the step that withdraws the message violates no rule: after a stall, a timeout
+// and the withdrawal may arrive together. An answer in a later step does.
+func TestAnswerCrossingWithdrawal(t *testing.T) {
+	for _, delayed := range []bool{false, true} {
+		scenario := drawScenario(t, "frozen-relay", 3)
+		scenario.Faults = []emu.Fault{{Kind: emu.RelayStall, At: 6 * time.Second, Duration: 15 * time.Second,
+			Relays: []int{0}}}
 		answered := 0
-		var modules []*answersWithdrawn
-		res := play(t, d, emu.Options{NewPolicy: func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-			m, err := emu.DefaultPolicy(set, seed)
-			modules = append(modules, &answersWithdrawn{PolicyEngine: m, later: later})
-			return modules[len(modules)-1], err
+		var policies []*withdrawalAnswerer
+		result := run(t, scenario, emu.Options{NewPolicy: func(
+			settings policy.Settings, seed int64,
+		) (emu.PolicyEngine, error) {
+			engine, err := emu.DefaultPolicy(settings, seed)
+			policies = append(policies, &withdrawalAnswerer{PolicyEngine: engine, delayed: delayed})
+			return policies[len(policies)-1], err
 		}})
-		for _, m := range modules {
-			answered += m.answered
+		for _, p := range policies {
+			answered += p.answered
 		}
 		if answered == 0 {
 			t.Fatal("no message was withdrawn")
 		}
-		if broke := len(res.Breaks) > 0; broke != later {
-			t.Errorf("one step later %t: %d answers, %v", later, answered, res.Breaks)
+		if violated := len(result.Breaks) > 0; violated != delayed {
+			t.Errorf("one step later %t: %d answers, violations %v", delayed, answered, result.Breaks)
 		}
 	}
 }
 
-// Modules that break a rule are found out, each by its rule.
-func TestFindsBrokenModules(t *testing.T) {
+// Policies that violate a rule are detected by that rule.
+func TestDetectsFaultyPolicies(t *testing.T) {
 	for name, c := range map[string]struct {
-		rule rules.Name
-		do   func([]policy.Action) []policy.Action
+		rule    rules.Name
+		corrupt func([]policy.Action) []policy.Action
 	}{
 		"forgets a message": {rules.Answer, func(acts []policy.Action) (out []policy.Action) {
 			for _, a := range acts {
@@ -169,7 +175,7 @@
 			}
 			return out
 		}},
-		"ends twice": {rules.Answer, func(acts []policy.Action) []policy.Action {
+		"answers twice": {rules.Answer, func(acts []policy.Action) []policy.Action {
 			for _, a := range acts {
 				if s, ok := a.(policy.Send); ok {
 					return append(acts, policy.Fail{ID: s.ID}, policy.Fail{ID: s.ID})
@@ -186,39 +192,42 @@
 			return acts
 		}},
 	} {
-		res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(c.do)})
-		if res.Broken[c.rule] == 0 {
-			t.Errorf("%s: %v", name, res.Broken)
+		result := run(t, drawScenario(t, "calm", 1), emu.Options{NewPolicy: faultyFactory(c.corrupt)})
+		if result.Broken[c.rule] == 0 {
+			t.Errorf("%s: violations %v", name, result.Broken)
 		}
 	}
 }
 
-// A module that panics ends the life of its relay, is named, and ends neither the day nor another relay.
-func TestPanic(t *testing.T) {
-	res := play(t, day(t, "calm", 1), emu.Options{NewPolicy: spoilt(func([]policy.Action) []policy.Action { panic("spoilt") })})
-	if res.Passed() || !strings.Contains(res.Faults[0], "panics: spoilt") {
-		t.Errorf("faults %v", res.Faults)
+// A policy that panics crashes its relay and is reported; the run and the other relays go on.
+func TestPolicyPanic(t *testing.T) {
+	result := run(t, drawScenario(t, "calm", 1),
+		emu.Options{NewPolicy: faultyFactory(func([]policy.Action) []policy.Action { panic("corrupted") })})
+	if result.Passed() || !strings.Contains(result.Faults[0], "panics: corrupted") {
+		t.Errorf("errors %v", result.Faults)
 	}
-	if res.Delivered == 0 || res.Delivered+res.GivenUp+res.HandedBack+res.Lost != res.Requests {
-		t.Errorf("%d delivered of %d", res.Delivered, res.Requests)
+	if result.Delivered == 0 || result.Delivered+result.GivenUp+result.HandedBack+result.Lost != result.Requests {
+		t.Errorf("%d of %d messages delivered, or not all completed", result.Delivered, result.Requests)
 	}
 }
 
-// A day that runs out of events or of time says so and counts as no good one.
-func TestRunsOut(t *testing.T) {
-	if res := play(t, day(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(res.Faults) != 1 || !strings.Contains(res.Faults[0], "cut after 1000 events") {
-		t.Errorf("events: %v", res.Faults)
+// A run that exceeds its events or its time reports an error.
+func TestStopsAtLimits(t *testing.T) {
+	if result := run(t, drawScenario(t, "calm", 1), emu.Options{MaxEvents: 1000}); len(result.Faults) != 1 ||
+		!strings.Contains(result.Faults[0], "stopped after 1000 events") {
+		t.Errorf("events: %v", result.Faults)
 	}
-	d := day(t, "cold-return", 1)
-	d.Tail = 0
-	if res := play(t, d, emu.Options{}); len(res.Faults) == 0 || !strings.Contains(res.Faults[0], "had no end") {
-		t.Errorf("time: %v", res.Faults)
+	scenario := drawScenario(t, "cold-return", 1)
+	scenario.Tail = 0
+	if result := run(t, scenario, emu.Options{}); len(result.Faults) == 0 ||
+		!strings.Contains(result.Faults[0], "were not completed") {
+		t.Errorf("time: %v", result.Faults)
 	}
 }
 
-// A figure that makes no day is named by its key.
-func TestNamesTheKey(t *testing.T) {
-	for key, spoil := range map[string]func(*emu.Scenario){
+// The error for an invalid setting names its key.
+func TestInvalidSettingNamesKey(t *testing.T) {
+	for key, corrupt := range map[string]func(*emu.Scenario){
 		"rate": func(d *emu.Scenario) { d.Rate = math.NaN() },
 		"tick": func(d *emu.Scenario) { d.Tick = 0 },
 		"dests: ": func(d *emu.Scenario) {
@@ -229,40 +238,44 @@
 		"dests[0].endpoints[0].sp": func(d *emu.Scenario) { d.Dests[0].Endpoints[0].Speed = 0 },
 		"classes[1].aim":           func(d *emu.Scenario) { d.Classes[1].TargetLatency = d.Classes[1].Deadline * 2 },
 		"troubles[0].kind":         func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: "flood", Dests: []int{0}}} },
-		"troubles[0].parts":        func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}} },
-		"troubles[0].relays":       func(d *emu.Scenario) { d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}} },
+		"troubles[0].parts": func(d *emu.Scenario) {
+			d.Faults = []emu.Fault{{Kind: emu.Crash, Endpoints: [][2]int{{0, 99}}}}
+		},
+		"troubles[0].relays": func(d *emu.Scenario) {
+			d.Faults = []emu.Fault{{Kind: emu.RelayStall, Relays: []int{99}}}
+		},
 	} {
-		d := day(t, "calm", 1)
-		spoil(d)
-		if _, err := emu.Run(d, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
+		scenario := drawScenario(t, "calm", 1)
+		corrupt(scenario)
+		if _, err := emu.Run(scenario, emu.Options{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
 }
 
-// BenchmarkDay is a busy day of the library.
-func BenchmarkDay(b *testing.B) {
-	d := day(b, "two-at-once", 1)
+// BenchmarkScenario runs a busy scenario of the library.
+func BenchmarkScenario(b *testing.B) {
+	scenario := drawScenario(b, "two-at-once", 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		play(b, d, emu.Options{})
+		run(b, scenario, emu.Options{})
 	}
-	b.ReportMetric(d.Length.Seconds()*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
+	b.ReportMetric(scenario.Length.Seconds()*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
 }
 
-// A dead relay is dealt messages until the front notices, and none after.
-func TestFrontNotices(t *testing.T) {
-	d := day(t, "lost-relay", 2)
+// A dead relay gets messages until the load balancer detects its failure, and none after that.
+func TestBalancerDetectsDeadRelay(t *testing.T) {
+	scenario := drawScenario(t, "lost-relay", 2)
 	unreached := map[time.Duration]int{}
-	for _, notice := range []time.Duration{0, 3 * time.Second, time.Hour} {
-		d.BalancerDetectionDelay = notice
-		res := play(t, d, emu.Options{})
-		if unreached[notice] = res.Unreached; !res.Passed() {
-			t.Error(res.Breaks, res.Faults)
+	for _, delay := range []time.Duration{0, 3 * time.Second, time.Hour} {
+		scenario.BalancerDetectionDelay = delay
+		result := run(t, scenario, emu.Options{})
+		if unreached[delay] = result.Unreached; !result.Passed() {
+			t.Error(result.Breaks, result.Faults)
 		}
 	}
-	// What was on its way as the relay died finds it dead also where that is noticed at once.
+	// Messages on their way when the relay dies reach it dead even with immediate detection.
 	if at := unreached; at[0] > 2 || at[3*time.Second] < 20 || at[time.Hour] <= at[3*time.Second] {
-		t.Errorf("hand-ins that found a dead relay, by the time that the front took: %v", unreached)
+		t.Errorf("submissions to a dead relay, by detection delay: %v", unreached)
 	}
 }
--- a/internal/lab/site/load.go
+++ b/internal/lab/site/load.go
@@ -1,5 +1,5 @@
-// Package site reads the laboratory's files (sites, scripts of days, experiments) and draws days from them. The same file and
-// seed give the same day.
+// Package site reads the laboratory's files (sites, scripts, experiments) and draws scenarios from
+// them. The same file and seed give the same scenario.
 package site
 
 import (
@@ -14,54 +14,55 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// FileExt is the ending of the laboratory's files.
+// FileExt is the extension of the laboratory's files.
 const FileExt = ".textproto"
 
-func read(file string, into proto.Message) error {
+// readFile parses a file and checks all numbers in it.
+func readFile(file string, message proto.Message) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	if err := prototext.Unmarshal(raw, into); err != nil {
+	if err := prototext.Unmarshal(raw, message); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	if err := ranges(into.ProtoReflect(), ""); err != nil {
+	if err := checkRanges(message.ProtoReflect(), ""); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
 }
 
-// ranges names the first range that can't be drawn from.
-func ranges(m protoreflect.Message, at string) (err error) {
-	if r, ok := m.Interface().(*Range); ok {
-		to := r.From
-		if r.To != nil {
-			to = *r.To
+// checkRanges returns an error that names the first invalid range or number by its path.
+func checkRanges(message protoreflect.Message, path string) (err error) {
+	if interval, ok := message.Interface().(*Range); ok {
+		end := interval.From
+		if interval.To != nil {
+			end = *interval.To
 		}
 		switch {
-		case math.IsNaN(r.From) || math.IsNaN(to) || math.IsInf(r.From, 0) || math.IsInf(to, 0):
-			return fmt.Errorf("%s: from %g to %g is no range of numbers", at, r.From, to)
-		case to < r.From:
-			return fmt.Errorf("%s: from %g to %g runs backwards", at, r.From, to)
-		case r.From < 0:
-			return fmt.Errorf("%s: %g is under 0", at, r.From)
+		case math.IsNaN(interval.From) || math.IsNaN(end) || math.IsInf(interval.From, 0) || math.IsInf(end, 0):
+			return fmt.Errorf("%s: from %g to %g is not a finite range", path, interval.From, end)
+		case end < interval.From:
+			return fmt.Errorf("%s: from %g to %g is reversed", path, interval.From, end)
+		case interval.From < 0:
+			return fmt.Errorf("%s: %g is negative", path, interval.From)
 		}
 		return nil
 	}
-	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
-		key := strings.TrimPrefix(at+"."+string(f.Name()), ".")
+	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		key := strings.TrimPrefix(path+"."+string(field.Name()), ".")
 		switch {
-		case f.IsList() && f.Message() != nil:
-			for i := range v.List().Len() {
-				if err = ranges(v.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
+		case field.IsList() && field.Message() != nil:
+			for i := range value.List().Len() {
+				if err = checkRanges(value.List().Get(i).Message(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
 					return false
 				}
 			}
-		case f.Message() != nil:
-			err = ranges(v.Message(), key)
-		case f.Kind() == protoreflect.DoubleKind && !f.IsList():
-			if x := v.Float(); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-				err = fmt.Errorf("%s: %g is no number of at least 0", key, x)
+		case field.Message() != nil:
+			err = checkRanges(value.Message(), key)
+		case field.Kind() == protoreflect.DoubleKind && !field.IsList():
+			if number := value.Float(); math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
+				err = fmt.Errorf("%s: %g is not a finite number of at least 0", key, number)
 			}
 		}
 		return err == nil
@@ -69,74 +70,74 @@
 	return err
 }
 
-// ReadSite reads a site's file.
+// ReadSite reads the file of a site. A site without a name gets that of its file.
 func ReadSite(file string) (*Site, error) {
-	s := &Site{}
-	if err := read(file, s); err != nil {
+	site := &Site{}
+	if err := readFile(file, site); err != nil {
 		return nil, err
 	}
-	for key, n := range map[string]int{"class": len(s.Class), "kind": len(s.Kind)} {
-		if n == 0 {
-			return nil, fmt.Errorf("%s: %s: none is given", file, key)
+	for key, count := range map[string]int{"class": len(site.Class), "kind": len(site.Kind)} {
+		if count == 0 {
+			return nil, fmt.Errorf("%s: %s: is missing", file, key)
 		}
 	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if site.Name == "" {
+		site.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	return s, nil
+	return site, nil
 }
 
-// ReadScript reads a day of the library.
+// ReadScript reads the script of a scenario. The path of its site is relative to the file.
 func ReadScript(file string) (*Script, error) {
-	s := &Script{}
-	if err := read(file, s); err != nil {
+	script := &Script{}
+	if err := readFile(file, script); err != nil {
 		return nil, err
 	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if script.Name == "" {
+		script.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	if s.Site != "" {
-		s.Site = filepath.Join(filepath.Dir(file), s.Site)
+	if script.Site != "" {
+		script.Site = filepath.Join(filepath.Dir(file), script.Site)
 	}
-	return s, nil
+	return script, nil
 }
 
-// ReadExperiment reads an experiment; the files that it names are taken from its folder.
+// ReadExperiment reads an experiment. Paths in it are relative to the file.
 func ReadExperiment(file string) (*Experiment, error) {
-	e := &Experiment{}
-	if err := read(file, e); err != nil {
+	experiment := &Experiment{}
+	if err := readFile(file, experiment); err != nil {
 		return nil, err
 	}
 	dir := filepath.Dir(file)
-	if e.Name == "" {
-		e.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
+	if experiment.Name == "" {
+		experiment.Name = strings.TrimSuffix(filepath.Base(file), FileExt)
 	}
-	if e.Site == "" {
-		return nil, fmt.Errorf("%s: site: not given", file)
+	if experiment.Site == "" {
+		return nil, fmt.Errorf("%s: site: is missing", file)
 	}
-	e.Site = filepath.Join(dir, e.Site)
-	for i := range e.Script {
-		e.Script[i] = filepath.Join(dir, e.Script[i])
+	experiment.Site = filepath.Join(dir, experiment.Site)
+	for i := range experiment.Script {
+		experiment.Script[i] = filepath.Join(dir, experiment.Script[i])
 	}
 	seen := map[string]bool{}
-	for i, a := range e.Arm {
-		if a.Name == "" || seen[a.Name] {
-			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or there twice", file, i, a.Name)
+	for i, arm := range experiment.Arm {
+		if arm.Name == "" || seen[arm.Name] {
+			return nil, fmt.Errorf("%s: arm[%d].name: %q is empty or used twice", file, i, arm.Name)
 		}
-		seen[a.Name] = true
+		seen[arm.Name] = true
 	}
-	if len(e.Arm) == 0 {
-		return nil, fmt.Errorf("%s: arm: none is given", file)
+	if len(experiment.Arm) == 0 {
+		return nil, fmt.Errorf("%s: arm: is missing", file)
 	}
-	if e.Baseline == "" {
-		e.Baseline = e.Arm[0].Name
+	if experiment.Baseline == "" {
+		experiment.Baseline = experiment.Arm[0].Name
 	}
-	if !seen[e.Baseline] {
-		return nil, fmt.Errorf("%s: baseline: no arm is called %q", file, e.Baseline)
+	if !seen[experiment.Baseline] {
+		return nil, fmt.Errorf("%s: baseline: there is no arm %q", file, experiment.Baseline)
 	}
-	if e.Repeats < 0 || e.Repeats > 10_000 {
-		return nil, fmt.Errorf("%s: repeats: %d does not lie within 1 and 10000", file, e.Repeats)
+	if experiment.Repeats < 0 || experiment.Repeats > 10_000 {
+		return nil, fmt.Errorf("%s: repeats: %d is not between 0 and 10000", file, experiment.Repeats)
 	}
-	e.Repeats = max(1, e.Repeats)
-	return e, nil
+	experiment.Repeats = max(1, experiment.Repeats)
+	return experiment, nil
 }
--- a/internal/lab/study/study.go
+++ b/internal/lab/study/study.go
@@ -1,5 +1,6 @@
-// Package study plays experiments: the same days for each arm, side by side on the machine's cores, each result kept as a file
-// of its own so that a run that was interrupted goes on where it was, and compared in pairs with intervals.
+// Package study runs experiments: the same scenarios for each variant, in parallel, with a paired
+// comparison of the variants. The result of each run is stored in its own file, so that an
+// interrupted experiment can resume.
 package study
 
 import (
@@ -26,7 +27,7 @@
 	"oatfold/policy"
 )
 
-// Row is one day under one arm, as results.parquet has it.
+// Row is the result of one scenario under one variant: a row of results.parquet.
 type Row struct {
 	Arm           string  `parquet:"arm,dict" json:"arm"`
 	Day           string  `parquet:"day,dict" json:"day"`
@@ -58,7 +59,7 @@
 	FirstOfBroken string  `parquet:"first_of_broken" json:"first_of_broken"`
 }
 
-// Second is one second of one day under one arm, as seconds.parquet has it.
+// Second is one second of a scenario under one variant: a row of seconds.parquet.
 type Second struct {
 	Arm    string  `parquet:"arm,dict" json:"-"`
 	Day    string  `parquet:"day,dict" json:"-"`
@@ -68,7 +69,7 @@
 	Served float64 `parquet:"served" json:"served"`
 }
 
-// Dest is one destination of one day under one arm, as dests.parquet has it.
+// Dest is one destination of a scenario under one variant: a row of dests.parquet.
 type Dest struct {
 	Arm       string  `parquet:"arm,dict" json:"-"`
 	Day       string  `parquet:"day,dict" json:"-"`
@@ -82,118 +83,124 @@
 	Served    float64 `parquet:"served" json:"served"`
 }
 
-// unit is one day to play under one arm, and what came of it.
-type unit struct {
+// runResult is the result of one scenario under one variant, as stored in its own file.
+type runResult struct {
 	Row     Row      `json:"row"`
 	Seconds []Second `json:"seconds"`
 	Dests   []Dest   `json:"dests"`
 }
 
-// ErrRunsFailed says that a rule was broken or that something else than the arms' figures went wrong on some day.
-var ErrRunsFailed = errors.New("rules broken or days at fault")
+// ErrRunsFailed is returned when a rule was violated, or the policy engine or the simulation
+// failed, in some run.
+var ErrRunsFailed = errors.New("runs with violated rules or faults")
 
-// PolicyFactories are the modules that arms may name.
+// PolicyFactories maps the policy names of an experiment's variants to policy engines.
 var PolicyFactories = map[string]emu.PolicyFactory{
 	"": emu.DefaultPolicy, "service": emu.DefaultPolicy,
-	"half-share": share(0.5),
+	"half-share": withDestinationShare(0.5),
 }
 
-// share makes the module in service with another share of the slots for one destination.
-func share(of float64) emu.PolicyFactory {
-	return func(set policy.Settings, seed int64) (emu.PolicyEngine, error) {
-		set.MaxDestinationShare = of
-		return emu.DefaultPolicy(set, seed)
+// withDestinationShare returns the default policy with another maximum share of the concurrency
+// limit per destination.
+func withDestinationShare(maxShare float64) emu.PolicyFactory {
+	return func(settings policy.Settings, seed int64) (emu.PolicyEngine, error) {
+		settings.MaxDestinationShare = maxShare
+		return emu.DefaultPolicy(settings, seed)
 	}
 }
 
-// Run plays the experiment of a file into dir. done is told of each day that has ended; the same file and seed give the same files.
-func Run(ctx context.Context, file string, seed uint64, dir string, done func(n, of int)) error {
-	ex, err := site.ReadExperiment(file)
+// Run runs the experiment described in file and writes the results into dir. It calls progress, if
+// not nil, after each run. The same file and seed give the same results. If ctx is cancelled, it
+// returns ctx.Err(), and a later call with the same arguments resumes. It returns an error if dir
+// belongs to another experiment or seed.
+func Run(ctx context.Context, file string, seed uint64, dir string, progress func(n, of int)) error {
+	experiment, err := site.ReadExperiment(file)
 	if err != nil {
 		return err
 	}
-	base, err := site.ReadSite(ex.Site)
+	baseSite, err := site.ReadSite(experiment.Site)
 	if err != nil {
 		return err
 	}
 	var scripts []*site.Script
-	for _, name := range ex.Script {
-		s, err := site.ReadScript(name)
+	for _, name := range experiment.Script {
+		script, err := site.ReadScript(name)
 		if err != nil {
 			return err
 		}
-		scripts = append(scripts, s)
+		scripts = append(scripts, script)
 	}
-	for i, a := range ex.Arm {
+	for i, a := range experiment.Arm {
 		if PolicyFactories[a.Module] == nil {
-			return fmt.Errorf("%s: arm[%d].module: no variant is called %q", file, i, a.Module)
+			return fmt.Errorf("%s: arm[%d].module: unknown policy %q", file, i, a.Module)
 		}
 	}
-	parts := filepath.Join(dir, "days")
-	if err := os.MkdirAll(parts, 0o755); err != nil {
+	runsDir := filepath.Join(dir, "days")
+	if err := os.MkdirAll(runsDir, 0o755); err != nil {
 		return err
 	}
-	// A folder belongs to one experiment and seed: another one's days must not be taken for its own.
+	// The runs of another experiment or seed must not be taken for those of this one.
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	mark := fmt.Sprintf("seed %d\n%s", seed, raw)
-	if had, err := os.ReadFile(filepath.Join(dir, ExperimentFile)); err == nil && string(had) != mark {
+	header := fmt.Sprintf("seed %d\n%s", seed, raw)
+	if existing, err := os.ReadFile(filepath.Join(dir, ExperimentFile)); err == nil && string(existing) != header {
 		return fmt.Errorf("%s holds another experiment or seed", dir)
 	}
-	if err := os.WriteFile(filepath.Join(dir, ExperimentFile), []byte(mark), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, ExperimentFile), []byte(header), 0o644); err != nil {
 		return err
 	}
 	type job struct {
-		arm  *site.Arm
-		day  int // of scripts; -1: drawn
-		seed uint64
-		name string
+		variant *site.Arm
+		script  int // index into scripts; -1: a random scenario of the site
+		seed    uint64
+		file    string
 	}
 	var jobs []job
-	for n := range int(ex.Repeats) {
-		at := rand.New(rand.NewPCG(seed, uint64(n))).Uint64() >> 1 // columns of results hold signed numbers in some readers
+	for n := range int(experiment.Repeats) {
+		// Some readers of Parquet files treat integers as signed.
+		scenarioSeed := rand.New(rand.NewPCG(seed, uint64(n))).Uint64() >> 1
 		for i := range max(1, len(scripts)) {
-			for _, a := range ex.Arm {
-				j := job{a, i, at, ""}
+			for _, a := range experiment.Arm {
+				j := job{a, i, scenarioSeed, ""}
 				if len(scripts) == 0 {
-					j.day = -1
+					j.script = -1
 				}
-				j.name = filepath.Join(parts, fmt.Sprintf("%04d-%02d-%s.json", n, i, a.Name))
+				j.file = filepath.Join(runsDir, fmt.Sprintf("%04d-%02d-%s.json", n, i, a.Name))
 				jobs = append(jobs, j)
 			}
 		}
 	}
-	units := make([]unit, len(jobs))
+	results := make([]runResult, len(jobs))
 	errs := make([]error, len(jobs))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	ended := 0
+	completed := 0
 	next := make(chan int)
 	for range min(runtime.GOMAXPROCS(0), len(jobs)) {
 		wg.Go(func() {
 			for i := range next {
 				j := jobs[i]
-				if raw, err := os.ReadFile(j.name); err != nil || json.Unmarshal(raw, &units[i]) != nil {
-					var day *emu.Scenario
-					if j.day >= 0 {
-						day, err = scripts[j.day].DrawScenario(base, j.seed)
+				if raw, err := os.ReadFile(j.file); err != nil || json.Unmarshal(raw, &results[i]) != nil {
+					var scenario *emu.Scenario
+					if j.script >= 0 {
+						scenario, err = scripts[j.script].DrawScenario(baseSite, j.seed)
 					} else {
-						day, err = drawn(ex, base, j.seed)
+						scenario, err = drawScenario(experiment, baseSite, j.seed)
 					}
 					if err == nil {
-						err = play(day, j.arm, &units[i])
+						err = runVariant(scenario, j.variant, &results[i])
 					}
 					if err == nil {
-						err = keep(j.name, &units[i])
+						err = saveResult(j.file, &results[i])
 					}
 					errs[i] = err
 				}
 				mu.Lock()
-				ended++
-				if done != nil {
-					done(ended, len(jobs))
+				completed++
+				if progress != nil {
+					progress(completed, len(jobs))
 				}
 				mu.Unlock()
 			}
@@ -210,81 +217,116 @@
 	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return err
 	}
-	return write(dir, units)
+	return writeResults(dir, results)
 }
 
-// drawn draws a day of the site with some of the experiment's troubles.
-func drawn(ex *site.Experiment, base *site.Site, seed uint64) (*emu.Scenario, error) {
-	day, err := base.DrawScenario(seed)
+// drawScenario draws a random scenario of the site with some of the experiment's faults.
+func drawScenario(experiment *site.Experiment, baseSite *site.Site, seed uint64) (*emu.Scenario, error) {
+	scenario, err := baseSite.DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
-	list := ex.Trouble
-	if ex.Troubles != nil {
+	faults := experiment.Trouble
+	if experiment.Troubles != nil {
 		rng := rand.New(rand.NewPCG(seed, 77))
-		to := ex.Troubles.From
-		if ex.Troubles.To != nil {
-			to = *ex.Troubles.To
+		to := experiment.Troubles.From
+		if experiment.Troubles.To != nil {
+			to = *experiment.Troubles.To
 		}
-		n := int(ex.Troubles.From + (to-ex.Troubles.From)*rng.Float64())
-		list = nil
-		for _, i := range rng.Perm(len(ex.Trouble))[:min(n, len(ex.Trouble))] {
-			list = append(list, ex.Trouble[i])
+		n := int(experiment.Troubles.From + (to-experiment.Troubles.From)*rng.Float64())
+		faults = nil
+		for _, i := range rng.Perm(len(experiment.Trouble))[:min(n, len(experiment.Trouble))] {
+			faults = append(faults, experiment.Trouble[i])
 		}
 	}
-	return day, site.AddFaults(day, list, seed)
+	return scenario, site.AddFaults(scenario, faults, seed)
 }
 
-func play(day *emu.Scenario, arm *site.Arm, u *unit) error {
-	for _, o := range []struct {
-		times float64
-		at    *int
-	}{{arm.SlotsTimes, &day.MaxConcurrentCalls}, {arm.HoldTimes, &day.MaxPending}} {
-		if o.times > 0 {
-			*o.at = max(1, int(float64(*o.at)*o.times))
+// runVariant runs a scenario with the changes of a variant and stores the outcome in result.
+func runVariant(scenario *emu.Scenario, variant *site.Arm, result *runResult) error {
+	for _, scaled := range []struct {
+		factor float64
+		value  *int
+	}{{variant.SlotsTimes, &scenario.MaxConcurrentCalls}, {variant.HoldTimes, &scenario.MaxPending}} {
+		if scaled.factor > 0 {
+			*scaled.value = max(1, int(float64(*scaled.value)*scaled.factor))
 		}
 	}
-	if arm.LoadTimes > 0 {
-		day.Rate *= arm.LoadTimes
+	if variant.LoadTimes > 0 {
+		scenario.Rate *= variant.LoadTimes
 	}
-	if arm.Choices != "" {
+	if variant.Choices != "" {
 		var err error
-		if day.Choices, err = choice.Parse(arm.Choices); err != nil {
-			return fmt.Errorf("arm %q: choices: %w", arm.Name, err)
+		if scenario.Choices, err = choice.Parse(variant.Choices); err != nil {
+			return fmt.Errorf("arm %q: choices: %w", variant.Name, err)
 		}
 	}
-	if arm.OneSender { // who sees all that the fleet sees, and has its slots
-		day.MaxConcurrentCalls, day.MaxPending, day.Relays, day.HotRelayFactor, day.Membership, day.Gossip = day.MaxConcurrentCalls*day.Relays, day.MaxPending*day.Relays, 1, 0, false, false
-		day.Faults = slices.DeleteFunc(day.Faults, func(t emu.Fault) bool {
-			return len(day.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
+	if variant.OneSender { // a single relay with the capacity of the whole fleet
+		scenario.MaxConcurrentCalls, scenario.MaxPending, scenario.Relays,
+			scenario.HotRelayFactor, scenario.Membership, scenario.Gossip =
+			scenario.MaxConcurrentCalls*scenario.Relays, scenario.MaxPending*scenario.Relays, 1,
+			0, false, false
+		scenario.Faults = slices.DeleteFunc(scenario.Faults, func(t emu.Fault) bool {
+			return len(scenario.RelaysOf(&t)) > 0 && len(t.Dests)+len(t.Endpoints) == 0 && t.Zone == ""
 		})
 	}
-	res, err := emu.Run(day, emu.Options{NewPolicy: PolicyFactories[arm.Module]})
+	res, err := emu.Run(scenario, emu.Options{NewPolicy: PolicyFactories[variant.Module]})
 	if err != nil {
-		return fmt.Errorf("%s: %w", day.Name, err)
+		return fmt.Errorf("%s: %w", scenario.Name, err)
 	}
-	u.Row = NewRow(arm.Name, res)
+	result.Row = NewRow(variant.Name, res)
 	for i, s := range res.Seconds {
-		u.Seconds = append(u.Seconds, Second{At: int32(i), Asked: s.Asked, Served: s.Served})
+		result.Seconds = append(result.Seconds, Second{At: int32(i), Asked: s.Asked, Served: s.Served})
 	}
 	for i, d := range res.Dests {
-		u.Dests = append(u.Dests, Dest{Dest: int32(i), Requests: int64(d.Requests), Delivered: int64(d.Delivered), Calls: int64(d.Calls), Rejected: int64(d.Refused), Asked: d.Asked, Served: d.Served})
+		result.Dests = append(result.Dests, Dest{
+			Dest:      int32(i),
+			Requests:  int64(d.Requests),
+			Delivered: int64(d.Delivered),
+			Calls:     int64(d.Calls),
+			Rejected:  int64(d.Refused),
+			Asked:     d.Asked,
+			Served:    d.Served,
+		})
 	}
 	return nil
 }
 
-// NewRow is the row of a day that was played under an arm.
-func NewRow(arm string, res *emu.Result) Row {
-	broken := int64(0)
+// NewRow returns the row of a scenario that ran under a variant.
+func NewRow(variant string, res *emu.Result) Row {
+	violations := int64(0)
 	for _, n := range res.Broken {
-		broken += int64(n)
-	}
-	row := Row{Arm: arm, Day: res.Day, Seed: res.Seed, G: res.G, Whole: res.Whole, WorstWindow: res.WorstWindow, WorstClass: res.WorstClass,
-		Requests: int64(res.Requests), Delivered: int64(res.Delivered), InAim: int64(res.InAim), GivenUp: int64(res.GivenUp), HandedBack: int64(res.HandedBack), Lost: int64(res.Lost),
-		Refusals: int64(res.Refusals), Calls: int64(res.Calls), RefusedCalls: int64(res.RefusedCalls), Connections: int64(res.Connections),
-		P50Us: res.Latency.ValueAtPercentile(50), P99Us: res.Latency.ValueAtPercentile(99), Steps: int64(res.Steps), Events: int64(res.Events),
-		Probes: int64(res.Probes), NoteBytes: int64(res.NoteBytes), FairRelays: res.FairRelays, FairDests: res.FairDests,
-		Broken: broken, Faults: int64(len(res.Faults))}
+		violations += int64(n)
+	}
+	row := Row{
+		Arm:          variant,
+		Day:          res.Day,
+		Seed:         res.Seed,
+		G:            res.G,
+		Whole:        res.Whole,
+		WorstWindow:  res.WorstWindow,
+		WorstClass:   res.WorstClass,
+		Requests:     int64(res.Requests),
+		Delivered:    int64(res.Delivered),
+		InAim:        int64(res.InAim),
+		GivenUp:      int64(res.GivenUp),
+		HandedBack:   int64(res.HandedBack),
+		Lost:         int64(res.Lost),
+		Refusals:     int64(res.Refusals),
+		Calls:        int64(res.Calls),
+		RefusedCalls: int64(res.RefusedCalls),
+		Connections:  int64(res.Connections),
+		P50Us:        res.Latency.ValueAtPercentile(50),
+		P99Us:        res.Latency.ValueAtPercentile(99),
+		Steps:        int64(res.Steps),
+		Events:       int64(res.Events),
+		Probes:       int64(res.Probes),
+		NoteBytes:    int64(res.NoteBytes),
+		FairRelays:   res.FairRelays,
+		FairDests:    res.FairDests,
+		Broken:       violations,
+		Faults:       int64(len(res.Faults)),
+	}
 	if len(res.Breaks) > 0 {
 		row.FirstOfBroken = res.Breaks[0].String()
 	} else if len(res.Faults) > 0 {
@@ -293,127 +335,145 @@
 	return row
 }
 
-// keep writes a file whole or not at all, so that an interrupted run leaves no half of one.
-func keep(name string, u *unit) error {
-	raw, err := json.Marshal(u)
+// saveResult writes a file atomically, so that an interrupted run leaves no partial file.
+func saveResult(file string, result *runResult) error {
+	raw, err := json.Marshal(result)
 	if err == nil {
-		err = os.WriteFile(name+".tmp", raw, 0o644)
+		err = os.WriteFile(file+".tmp", raw, 0o644)
 	}
 	if err == nil {
-		err = os.Rename(name+".tmp", name)
+		err = os.Rename(file+".tmp", file)
 	}
 	return err
 }
 
-func write(dir string, units []unit) error {
+// writeResults writes the Parquet files of all runs.
+func writeResults(dir string, results []runResult) error {
 	var rows []Row
 	var seconds []Second
 	var dests []Dest
-	for _, u := range units {
-		rows = append(rows, u.Row)
-		for _, s := range u.Seconds {
-			s.Arm, s.Day, s.Seed = u.Row.Arm, u.Row.Day, u.Row.Seed
+	for _, result := range results {
+		rows = append(rows, result.Row)
+		for _, s := range result.Seconds {
+			s.Arm, s.Day, s.Seed = result.Row.Arm, result.Row.Day, result.Row.Seed
 			seconds = append(seconds, s)
 		}
-		for _, d := range u.Dests {
-			d.Arm, d.Day, d.Seed = u.Row.Arm, u.Row.Day, u.Row.Seed
+		for _, d := range result.Dests {
+			d.Arm, d.Day, d.Seed = result.Row.Arm, result.Row.Day, result.Row.Seed
 			dests = append(dests, d)
 		}
 	}
-	return errors.Join(parquet.WriteFile(filepath.Join(dir, "results.parquet"), rows, parquet.Compression(&parquet.Zstd)),
+	return errors.Join(
+		parquet.WriteFile(filepath.Join(dir, "results.parquet"), rows, parquet.Compression(&parquet.Zstd)),
 		parquet.WriteFile(filepath.Join(dir, "seconds.parquet"), seconds, parquet.Compression(&parquet.Zstd)),
-		parquet.WriteFile(filepath.Join(dir, "dests.parquet"), dests, parquet.Compression(&parquet.Zstd)))
+		parquet.WriteFile(filepath.Join(dir, "dests.parquet"), dests, parquet.Compression(&parquet.Zstd)),
+	)
 }
 
-// Results are those of a folder that Run has written.
+// Results holds the results that Run has written into a directory.
 type Results struct {
 	Rows    []Row
 	Seconds []Second
 	Dests   []Dest
 }
 
-// Read reads a folder of results.
+// Read reads a directory of results. It returns an error if the experiment is not complete.
 func Read(dir string) (*Results, error) {
-	r, err := &Results{}, error(nil)
-	if r.Rows, err = parquet.ReadFile[Row](filepath.Join(dir, "results.parquet")); err != nil {
+	results, err := &Results{}, error(nil)
+	if results.Rows, err = parquet.ReadFile[Row](filepath.Join(dir, "results.parquet")); err != nil {
 		return nil, err
 	}
-	if r.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, "seconds.parquet")); err != nil {
+	if results.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, "seconds.parquet")); err != nil {
 		return nil, err
 	}
-	r.Dests, err = parquet.ReadFile[Dest](filepath.Join(dir, "dests.parquet"))
-	return r, err
+	results.Dests, err = parquet.ReadFile[Dest](filepath.Join(dir, "dests.parquet"))
+	return results, err
 }
 
-// Measure is a figure of a row.
+// Measure is a metric of a row.
 type Measure struct {
 	Name  string
 	Value func(Row) float64
 }
 
-// Measures are what arms are compared by.
+// Measures lists the metrics that variants are compared by.
 var Measures = []Measure{
 	{"G", func(r Row) float64 { return r.G }},
-	{"worth, whole day", func(r Row) float64 { return r.Whole }},
-	{"worth, worst 10 s", func(r Row) float64 { return r.WorstWindow }},
-	{"worth, worst class", func(r Row) float64 { return r.WorstClass }},
-	{"refused calls a message", func(r Row) float64 { return float64(r.RefusedCalls) / float64(max(1, r.Requests)) }},
-	{"calls a message", func(r Row) float64 { return float64(r.Calls) / float64(max(1, r.Requests)) }},
+	{"value, whole scenario", func(r Row) float64 { return r.Whole }},
+	{"value, worst 10 s", func(r Row) float64 { return r.WorstWindow }},
+	{"value, worst class", func(r Row) float64 { return r.WorstClass }},
+	{"rejected calls per message", func(r Row) float64 {
+		return float64(r.RefusedCalls) / float64(max(1,
+			r.Requests))
+	}},
+	{"calls per message", func(r Row) float64 { return float64(r.Calls) / float64(max(1, r.Requests)) }},
 	{"p99 latency, s", func(r Row) float64 { return float64(r.P99Us) / 1e6 }},
-	{"new connections a message", func(r Row) float64 { return float64(r.Connections) / float64(max(1, r.Requests)) }},
-	{"calls to what is out a message", func(r Row) float64 { return float64(r.Probes) / float64(max(1, r.Requests)) }},
-	{"bytes of notes a message", func(r Row) float64 { return float64(r.NoteBytes) / float64(max(1, r.Requests)) }},
+	{"new connections per message",
+		func(r Row) float64 { return float64(r.Connections) / float64(max(1, r.Requests)) }},
+	{"calls to unavailable destinations per message",
+		func(r Row) float64 { return float64(r.Probes) / float64(max(1, r.Requests)) }},
+	{"gossip bytes per message", func(r Row) float64 { return float64(r.NoteBytes) / float64(max(1, r.Requests)) }},
 	{"Jain's index over relays", func(r Row) float64 { return r.FairRelays }},
 	{"Jain's index over destinations", func(r Row) float64 { return r.FairDests }},
 	{"rules broken", func(r Row) float64 { return float64(r.Broken + r.Faults) }},
 }
 
-// Difference is what an arm has over the baseline in a measure, over the days that both have played.
+// Difference compares a variant with the baseline in one measure, over the scenarios that both have
+// run.
 type Difference struct {
 	Measure, Arm string
-	Base, Mean   float64 // of the baseline, and of the arm
-	Diff         float64 // the mean of the pairs' differences
-	Low, High    float64 // of it, 95 of 100, by bootstrap over the pairs
+	Base, Mean   float64 // of the baseline and of the variant
+	Diff         float64 // mean of the paired differences
+	Low, High    float64 // 95% bootstrap confidence interval of Diff
 	Pairs        int
 }
 
-// resamples is how often pairs are drawn anew for an interval.
-const resamples = 2000
+// bootstrapResamples is the number of resamples for a confidence interval.
+const bootstrapResamples = 2000
 
-// Compare pairs the rows of two arms by day and seed.
-func Compare(base, arm []Row) (all []Difference) {
-	type key struct {
+// Compare pairs the rows of two variants by scenario and seed. Measures without a pair are left
+// out.
+func Compare(base, variant []Row) (differences []Difference) {
+	type runKey struct {
 		day  string
 		seed uint64
 	}
-	of := map[key]Row{}
+	baseByRun := map[runKey]Row{}
 	for _, r := range base {
-		of[key{r.Day, r.Seed}] = r
+		baseByRun[runKey{r.Day, r.Seed}] = r
 	}
 	for _, m := range Measures {
 		var a, b []float64
-		for _, r := range arm {
-			if o, ok := of[key{r.Day, r.Seed}]; ok {
-				a, b = append(a, m.Value(o)), append(b, m.Value(r))
+		for _, r := range variant {
+			if baseRow, ok := baseByRun[runKey{r.Day, r.Seed}]; ok {
+				a, b = append(a, m.Value(baseRow)), append(b, m.Value(r))
 			}
 		}
 		if len(a) == 0 {
 			continue
 		}
-		all = append(all, ComparePairs(m.Name, arm[0].Arm, a, b))
+		differences = append(differences, ComparePairs(m.Name, variant[0].Arm, a, b))
 	}
-	return all
+	return differences
 }
 
-// ComparePairs holds a measure of an arm against the baseline's, pair by pair.
-func ComparePairs(measure, arm string, a, b []float64) Difference {
-	diffs := make([]float64, len(a))
-	for i := range a {
-		diffs[i] = b[i] - a[i]
+// ComparePairs compares the paired values of one measure. The slices must have the same length,
+// above 0.
+func ComparePairs(measure, variant string, base, compared []float64) Difference {
+	diffs := make([]float64, len(base))
+	for i := range base {
+		diffs[i] = compared[i] - base[i]
+	}
+	difference := Difference{
+		Measure: measure,
+		Arm:     variant,
+		Base:    stat.Mean(base, nil),
+		Mean:    stat.Mean(compared, nil),
+		Diff:    stat.Mean(diffs, nil),
+		Pairs:   len(diffs),
 	}
-	d := Difference{Measure: measure, Arm: arm, Base: stat.Mean(a, nil), Mean: stat.Mean(b, nil), Diff: stat.Mean(diffs, nil), Pairs: len(diffs)}
 	rng := rand.New(rand.NewPCG(1, uint64(len(diffs))))
-	means, draw := make([]float64, resamples), make([]float64, len(diffs))
+	means, draw := make([]float64, bootstrapResamples), make([]float64, len(diffs))
 	for i := range means {
 		for j := range draw {
 			draw[j] = diffs[rng.IntN(len(diffs))]
@@ -421,54 +481,60 @@
 		means[i] = stat.Mean(draw, nil)
 	}
 	sort.Float64s(means)
-	d.Low, d.High = stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
-	return d
+	difference.Low, difference.High = stat.Quantile(0.025, stat.Empirical, means, nil),
+		stat.Quantile(0.975, stat.Empirical, means, nil)
+	return difference
 }
 
-// GroupByVariant splits rows by arm, in the order of their first row.
-func GroupByVariant(rows []Row) (names []string, by map[string][]Row) {
-	by = map[string][]Row{}
+// GroupByVariant groups rows by variant. names has the variants in the order of their first row.
+func GroupByVariant(rows []Row) (names []string, byVariant map[string][]Row) {
+	byVariant = map[string][]Row{}
 	for _, r := range rows {
 		if !slices.Contains(names, r.Arm) {
 			names = append(names, r.Arm)
 		}
-		by[r.Arm] = append(by[r.Arm], r)
+		byVariant[r.Arm] = append(byVariant[r.Arm], r)
 	}
-	return names, by
+	return names, byVariant
 }
 
-// RankCorrelation is Spearman's rank correlation of two series.
-func RankCorrelation(a, b []float64) float64 { return stat.Correlation(ranks(a), ranks(b), nil) }
+// RankCorrelation returns Spearman's rank correlation of two series.
+func RankCorrelation(a, b []float64) float64 {
+	return stat.Correlation(averageRanks(a), averageRanks(b), nil)
+}
 
-func ranks(v []float64) []float64 {
-	order := make([]int, len(v))
+// averageRanks returns the rank of each value, from 0.
+func averageRanks(values []float64) []float64 {
+	order := make([]int, len(values))
 	for i := range order {
 		order[i] = i
 	}
-	sort.SliceStable(order, func(i, j int) bool { return v[order[i]] < v[order[j]] })
-	out := make([]float64, len(v))
+	sort.SliceStable(order, func(i, j int) bool { return values[order[i]] < values[order[j]] })
+	averaged := make([]float64, len(values))
 	for i := 0; i < len(order); {
 		j := i
-		for j < len(order) && v[order[j]] == v[order[i]] {
+		for j < len(order) && values[order[j]] == values[order[i]] {
 			j++
 		}
-		for _, n := range order[i:j] { // equal values share the middle of their ranks
-			out[n] = float64(i+j-1) / 2
+		for _, n := range order[i:j] { // equal values share their mean rank
+			averaged[n] = float64(i+j-1) / 2
 		}
 		i = j
 	}
-	return out
+	return averaged
 }
 
-// ExperimentFile is the file of a folder of results that tells which experiment and seed they are of.
+// ExperimentFile is the name of the file in a results directory that holds the seed and the text of
+// the experiment.
 const ExperimentFile = "experiment.textproto"
 
-// ParseTitle are the name and the question of an experiment, from its text.
+// ParseTitle returns the name and the question of an experiment from the content of ExperimentFile.
+// Without a valid experiment, the title is a placeholder.
 func ParseTitle(raw []byte) (title, question string) {
-	_, raw, _ = bytes.Cut(raw, []byte("\n")) // the line of the seed
-	ex := &site.Experiment{}
-	if prototext.Unmarshal(raw, ex) != nil {
+	_, raw, _ = bytes.Cut(raw, []byte("\n")) // the line with the seed
+	experiment := &site.Experiment{}
+	if prototext.Unmarshal(raw, experiment) != nil {
 		return "Experiment", ""
 	}
-	return ex.Name, ex.Question
+	return experiment.Name, experiment.Question
 }
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The life of one client connection, from its first byte to its close.
+// This file handles a client connection, from its first byte to its close.
 
 // connState is the state of a client connection.
 type connState int
@@ -38,6 +38,7 @@
 
 var closeReasonNames = [...]string{"none", "client", "resting", "closed by server", "closed by request", "bad request"}
 
+// String returns the reason as the log shows it.
 func (r closeReason) String() string { return closeReasonNames[r] }
 
 // closeStage is a point in closing a client connection, for tests that force races with it.
@@ -49,11 +50,12 @@
 	closeDone
 )
 
+// clientConn is an open connection of a client.
 type clientConn struct {
-	number       uint32
+	number       uint32 // in order of acceptance
 	sock         net.Conn
 	state        connState // guarded by Server.mu
-	stateAtClose connState
+	stateAtClose connState // state before connClosing
 	stateSince   time.Time
 }
 
@@ -207,6 +209,7 @@
 	})
 }
 
+// reportCloseStage calls the test hook, if there is one.
 func (s *Server) reportCloseStage(c *clientConn, stage closeStage) {
 	if s.onCloseStage != nil {
 		s.onCloseStage(c, stage)
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -17,8 +17,8 @@
 	maxResponseBody     = 1 << 20  // of an endpoint list or a batch's response
 	readBufferSize      = 8 << 10  // also the longest line of a header
 	maxHeaderBytes      = 32 << 10
-	maxFields           = 100
-	maxInterimResponses = 16 // 1xx responses before the final one
+	maxFields           = 100 // header lines
+	maxInterimResponses = 16  // 1xx responses before the final one
 )
 
 // Protocol errors in what a peer sends.
@@ -28,7 +28,7 @@
 	errLength            = errors.New("malformed length")
 	errBodyTooLong       = errors.New("body too long")
 	errHeaderTooLong     = errors.New("header too long")
-	errConflictingFields = errors.New("conflicting header fields")
+	errConflictingFields = errors.New("contradicting fields")
 	errTooManyInterim    = errors.New("too many interim responses")
 )
 
@@ -213,6 +213,7 @@
 	return b, nil
 }
 
+// readChunks reads a chunked body of up to limit bytes, and discards its trailer.
 func readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	var b []byte
 	for left := maxHeaderBytes; ; {
@@ -327,6 +328,7 @@
 	return append(b, '\r', '\n')
 }
 
+// appendLength appends the Content-Length line of a body of n bytes and ends the header.
 func appendLength(b []byte, n int) []byte {
 	b = strconv.AppendInt(append(b, "Content-Length: "...), int64(n), 10)
 	return append(b, "\r\n\r\n"...)
