--- a/cmd/oatfold/crowd_test.go
+++ b/cmd/oatfold/crowd_test.go
@@ -80,7 +80,7 @@
 
 // While discovery is down, idle clients take all descriptors that they can get. When it returns,
 // the list watch and the notifications still get one each.
-func TestDiscoveryReturnsToACrowd(t *testing.T) {
+func TestDiscoveryReconnectsAtDescriptorLimit(t *testing.T) {
 	const limit = 96 // descriptors
 	env := newTestEnv(t)
 	env.limitDescriptors(limit)
--- a/cmd/oatfold/main_test.go
+++ b/cmd/oatfold/main_test.go
@@ -234,7 +234,7 @@
 
 // After SIGKILL: a message that was in flight and must not be repeated is given up, one that may be
 // repeated is sent again with its key, an expired one is notified, and none is lost.
-func TestKilled(t *testing.T) {
+func TestMessagesSurviveKill(t *testing.T) {
 	env := newTestEnv(t)
 	cmd := env.start()
 	env.submit(messageRequest("fee-charge", "fee", "7", 19000), messageRequest("order-relay", "order", "7", 19000))
--- a/cmd/oatfold/signals_test.go
+++ b/cmd/oatfold/signals_test.go
@@ -10,7 +10,7 @@
 )
 
 // A stop is not lost behind reloads that wait while one of them hangs on its file.
-func TestStopIsNotPushedOutByReloads(t *testing.T) {
+func TestStopWhileReloadHangs(t *testing.T) {
 	for _, reloads := range []int{1, 9} {
 		t.Run(fmt.Sprint(reloads), func(t *testing.T) {
 			env := newTestEnv(t)
@@ -50,7 +50,7 @@
 }
 
 // A reload whose file can't be opened for a moment is retried: operators send the signal only once.
-func TestReloadOutlastsAMomentOfTrouble(t *testing.T) {
+func TestReloadRetriesUnreadableFile(t *testing.T) {
 	env := newTestEnv(t)
 	env.release()
 	log := &logBuffer{}
--- a/cmd/oatfold/stop_test.go
+++ b/cmd/oatfold/stop_test.go
@@ -54,7 +54,7 @@
 // one in the middle of a request, repeated signals, and a reload with an invalid file. The exit is
 // clean and in time, complete requests are answered, idle connections are closed without a reset,
 // and the next start completes the accepted messages.
-func TestStopUnderEverything(t *testing.T) {
+func TestStopWithOpenConnectionsAndRepeatedSignals(t *testing.T) {
 	env := newTestEnv(t)
 	log := &logBuffer{}
 	env.relayLog = log
@@ -117,7 +117,7 @@
 }
 
 // A relay that is stopped as soon as it is ready exits cleanly, too.
-func TestStopAtTheStart(t *testing.T) {
+func TestStopAsSoonAsReady(t *testing.T) {
 	env := newTestEnv(t)
 	env.release()
 	for n := range 2 {
--- a/cmd/oatfold/unanswered_test.go
+++ b/cmd/oatfold/unanswered_test.go
@@ -16,7 +16,7 @@
 // client may retry it. Prevents requests that are read and discarded while a connection is being
 // closed: on an idle connection, on one that has sent nothing yet, and for two requests in one
 // packet.
-func TestNothingIsReadAndLeftUnanswered(t *testing.T) {
+func TestEveryReadRequestIsAnswered(t *testing.T) {
 	t.Run("idle connection", func(t *testing.T) {
 		env := newTestEnv(t)
 		cmd := env.start()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,7 +9,7 @@
 
 // All descriptors together stay within the limit, and clients get a third, for any limit of
 // concurrent calls.
-func TestSockets(t *testing.T) {
+func TestDescriptorLimits(t *testing.T) {
 	for _, c := range []struct{ descriptors, calls int }{
 		{256, 12}, {256, 25}, {256, 80}, {1024, 25}, {1024, 300}, {1024, 4},
 	} {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -55,7 +55,7 @@
 // The latest update of each process stays in the spool, without its messages, until no process is
 // leaving: a successor that is restarted meanwhile has to know what is still pending at the other
 // process.
-func TestLatestNewsStay(t *testing.T) {
+func TestLatestUpdateStaysInSpool(t *testing.T) {
 	dir := t.TempDir()
 	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // Files and directories that can't be read for a moment are read again and adopted.
-func TestTakingOverOutlastsAMomentOfTrouble(t *testing.T) {
+func TestAdoptionRetriesUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	journalState{successor: "-"}.write(t, dir, "")
 	old, err := processdir.Open(dir, slog.New(slog.DiscardHandler))
--- a/internal/daemon/operation_test.go
+++ b/internal/daemon/operation_test.go
@@ -266,7 +266,7 @@
 // A successor holds back messages behind a call of the old process, is killed and starts again: it
 // still holds them back, and the messages of an ordering key are sent in the order of submission
 // across all three processes.
-func TestOrderOutlastsAKilledSuccessor(t *testing.T) {
+func TestOrderSurvivesKilledSuccessor(t *testing.T) {
 	classes := slices.Clone(testdouble.DefaultClasses)
 	classes[2].Ordered = true
 	var mu sync.Mutex
--- a/internal/daemon/promise_test.go
+++ b/internal/daemon/promise_test.go
@@ -43,7 +43,7 @@
 // A relay with many pending messages that have most of their time left is killed twice. Accepted
 // messages are attempted, within the limit of concurrent calls; none whose destination works is
 // given up early without a call.
-func TestTakenOnIsTried(t *testing.T) {
+func TestAcceptedMessagesAreAttempted(t *testing.T) {
 	const messages, clients, concurrency, timeLeft = 280, 8, 4, 6 * time.Second
 	p := &messageTracker{firstCalls: map[string]int{}, delivered: map[string]time.Time{},
 		notified: map[string]time.Time{}}
--- a/internal/handover/processdir/processdir_test.go
+++ b/internal/handover/processdir/processdir_test.go
@@ -137,7 +137,7 @@
 // The wall clock was an hour off when the first process of a relay started, and has been corrected
 // since: dates that it wrote still mean the same moment to the next process. A clock mark that
 // can't be read or written does not prevent the start.
-func TestDatesGoOnInTheNextProcess(t *testing.T) {
+func TestDatesStayValidInNextProcess(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		dir := t.TempDir()
 		mark, at := clock.Now()
--- a/internal/wire/handover_test.go
+++ b/internal/wire/handover_test.go
@@ -247,7 +247,7 @@
 
 // A message that was in flight during a handover without capacity is transferred once; a file that
 // names a message twice cannot be read.
-func TestTransferredOnceWithoutCapacity(t *testing.T) {
+func TestInFlightMessageIsTransferredOnce(t *testing.T) {
 	release := make(chan struct{})
 	env := startEnv(t, func(rw http.ResponseWriter, r *http.Request, body string) { <-release; rw.WriteHeader(500) })
 	ids := map[string]int{}
