--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -81,7 +81,7 @@
 		"limits.memory_mb":                  {replace("\"memory_mb\": 192", "\"memory_mb\": -1"), nil},
 		"limits.sockets":                    {replace("1024", "\"many\""), nil},
 		"limits.disk_mb":                    {replace("\"disk_mb\": 3", "\"disk_mb\": 0"), nil},
-		"known: pool config: generation":    {replace("\"generation\": 0", "\"generation\": null"), nil},
+		"known: endpoint list: generation":  {replace("\"generation\": 0", "\"generation\": null"), nil},
 		"settings.policyLimits.connectTime": {replace("\"connectTimeoutUs\": 1500000", "\"connectTimeoutUs\": \"x\""), nil},
 		"settings: missing":                 {replace("\"settings\"", "\"other\""), nil},
 		"familyInfo.callSlots":              {replace("\"callSlots\": 4", "\"callSlots\": \"x\""), nil},
--- a/internal/memory/endpointlist.go
+++ b/internal/memory/endpointlist.go
@@ -34,12 +34,12 @@
 // endpoint in an unknown lifecycle state is treated as draining and gets no new work.
 func ParseEndpointList(raw string) (EndpointList, error) {
 	if !gjson.Valid(raw) {
-		return EndpointList{}, fmt.Errorf("pool config: not JSON")
+		return EndpointList{}, fmt.Errorf("endpoint list: not JSON")
 	}
 	doc := gjson.Parse(raw)
 	generation, list := doc.Get("generation"), doc.Get("instances")
 	if generation.Type != gjson.Number || !list.IsArray() && list.Type != gjson.Null {
-		return EndpointList{}, fmt.Errorf("pool config: generation or instances missing")
+		return EndpointList{}, fmt.Errorf("endpoint list: generation or instances missing")
 	}
 	endpoints := EndpointList{Generation: generation.Int(), Complete: doc.Get("reset").Bool()}
 	for _, entry := range list.Array() {
