--- a/internal/lab/command/capacity_test.go
+++ b/internal/lab/command/capacity_test.go
@@ -58,15 +58,15 @@
 		t.Error(err)
 	}
 	for want, args := range map[string][]string{
-		"moon":          {"--event", "moon"},
-		"regions: 0":    {"--regions", "0"},
-		"relays: 3":     {"--relays", "3"},
-		"loss: 1":       {"--loss", "1"},
-		"rack: 0":       {"--rack", "0"},
-		"zones: 1":      {"--zones", "1"},
-		"partitions: 0": {"--partitions", "0"},
-		"replicas: 9":   {"--replicas", "9"},
-		"controls: 0":   {"--controls", "0"},
+		"moon":                                   {"--event", "moon"},
+		"regions: 0":                             {"--regions", "0"},
+		"relays: 3":                              {"--relays", "3"},
+		"loss: 1":                                {"--loss", "1"},
+		"rack: at least 1 relay required, got 0": {"--rack", "0"},
+		"zones: 1":                               {"--zones", "1"},
+		"partitions: 0":                          {"--partitions", "0"},
+		"replicas: 9":                            {"--replicas", "9"},
+		"controls: 0":                            {"--controls", "0"},
 	} {
 		if code, out, e := runLab(append(fleet, args...)...); code != exitError || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s %s", args, code, out, e)
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -139,7 +139,8 @@
 	for want, args := range map[string][]string{"relays": {"members", "--relays", "1"},
 		"loss": {"members", "--loss", "1"}, "the relay": {"fleet", "../../../lab/fleet/one-deaf.textproto", "--relay",
 			"/nowhere"},
-		"members: a fleet": {"fleet", "../../../lab/days/lost-relay.textproto", "--relay", "/dev/null"}} {
+		"members: the scenario must enable membership": {"fleet", "../../../lab/days/lost-relay.textproto", "--relay",
+			"/dev/null"}} {
 		if code, _, e := runLab(args...); code != exitError || !strings.Contains(e, want) {
 			t.Errorf("%v: %d %s", args, code, e)
 		}
